--- a/bench/child.go
+++ b/bench/child.go
@@ -26,10 +26,10 @@
 	"github.com/coder/websocket"
 	"github.com/google/pprof/profile"
 
-	"winghatch/config"
 	"winghatch/decide"
-	"winghatch/gateway"
-	"winghatch/jsonrpc"
+	"winghatch/internal/config"
+	"winghatch/internal/gateway"
+	"winghatch/internal/jsonrpc"
 )
 
 // child is a measured process: it prints its address, then answers "usage" and "quit" on its input.
--- a/bench/export.go
+++ b/bench/export.go
@@ -12,10 +12,10 @@
 	"sync/atomic"
 	"time"
 
-	"winghatch/config"
-	"winghatch/export"
-	"winghatch/gateway"
-	"winghatch/wal"
+	"winghatch/internal/config"
+	"winghatch/internal/gateway"
+	"winghatch/internal/usage/outbox"
+	"winghatch/internal/wal"
 )
 
 // sink is an accounting that takes everything and keeps nothing, or, while it is down, answers 503.
@@ -208,10 +208,10 @@
 		return 0, err
 	}
 	defer l.Close()
-	d := export.NewDesk(export.DeskSettings{Life: 1})
-	do := func(acts []export.DeskAction) error {
+	d := outbox.NewDesk(outbox.DeskSettings{Life: 1})
+	do := func(acts []outbox.DeskAction) error {
 		for _, a := range acts {
-			a, ok := a.(export.Append)
+			a, ok := a.(outbox.Append)
 			if !ok {
 				continue
 			}
@@ -223,19 +223,19 @@
 			if err != nil {
 				return err
 			}
-			d.Handle(export.Appended{ID: a.ID, Rec: no})
+			d.Handle(outbox.Appended{ID: a.ID, Rec: no})
 		}
 		return nil
 	}
 	if err := do(d.Begin(1)); err != nil {
 		return 0, err
 	}
-	t := export.Try{Request: "0-18ed2c564500847d-5i", Member: "editorial", Plan: "imprenta", Class: "order-submit", Node: "127.0.0.1:12345", Units: 1}
+	t := outbox.Try{Request: "0-18ed2c564500847d-5i", Member: "editorial", Plan: "imprenta", Class: "order-submit", Node: "127.0.0.1:12345", Units: 1}
 	for i := 1; i <= n; i++ {
-		if err := do(d.Handle(export.Intend{ID: export.ID(i), Room: true, Try: t})); err != nil {
+		if err := do(d.Handle(outbox.Intend{ID: outbox.ID(i), Room: true, Try: t})); err != nil {
 			return 0, err
 		}
-		if err := do(d.Handle(export.Settle{ID: export.ID(i), Outcome: export.Sized, Used: 2, Wall: 1})); err != nil {
+		if err := do(d.Handle(outbox.Settle{ID: outbox.ID(i), Outcome: outbox.Sized, Used: 2, Wall: 1})); err != nil {
 			return 0, err
 		}
 		if snaps && i%25000 == 0 {
--- a/bench/main.go
+++ b/bench/main.go
@@ -27,13 +27,13 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"winghatch/config"
-	"winghatch/jsonrpc"
-	"winghatch/keys"
-	"winghatch/link"
-	"winghatch/nodelist"
-	"winghatch/standin/list"
-	"winghatch/ws"
+	"winghatch/internal/config"
+	"winghatch/internal/credentials"
+	discoveryws "winghatch/internal/discovery/websocket"
+	"winghatch/internal/jsonrpc"
+	"winghatch/internal/testbed/discovery"
+	"winghatch/internal/websocket"
+	"winghatch/internal/wsconn"
 )
 
 const memberKey = "bench-key"
@@ -65,8 +65,8 @@
 	if err != nil {
 		return "", err
 	}
-	go link.Listen(ln, func(nc net.Conn) {
-		l, err := link.Accept(nc, "jsonrpc", 5*time.Second, nil, link.Options{Queue: 64 << 20, ReadBuffer: 16 << 10})
+	go wsconn.Listen(ln, func(nc net.Conn) {
+		l, err := wsconn.Accept(nc, "jsonrpc", 5*time.Second, nil, wsconn.Options{Queue: 64 << 20, ReadBuffer: 16 << 10})
 		if err != nil {
 			return
 		}
@@ -162,13 +162,13 @@
 
 // settings are the fleet of the measurement: no quota is reached and no cap.
 func settings(dir string, nodes []string) (string, func(), error) {
-	l, err := list.Start("127.0.0.1:0", 0, nil)
+	l, err := discovery.Start("127.0.0.1:0", 0, nil)
 	if err != nil {
 		return "", nil, err
 	}
-	var es []nodelist.Entry
+	var es []discoveryws.Entry
 	for _, n := range nodes {
-		es = append(es, nodelist.Entry{Node: n, State: "serving"})
+		es = append(es, discoveryws.Entry{Node: n, State: "serving"})
 	}
 	l.Fill(es)
 	f, err := config.Parse("bench", []byte(`fleet bench {
@@ -178,7 +178,7 @@
 		limits { attempts 3; cancel #true; retry-after #true; connect-timeout "2s" }
 		caps { open 1000000; session-open 100000; node-calls 100000; node-connections 2; queue "64MiB" }
 		gateway listen="`+free()+`"
-		member m plan=big { key "`+keys.Digest{}.String()+`" }
+		member m plan=big { key "`+credentials.Digest{}.String()+`" }
 	}`))
 	if err != nil {
 		return "", nil, err
@@ -191,7 +191,7 @@
 
 // clients are sessions that keep calls open.
 type clients struct {
-	links []*link.Conn
+	links []*wsconn.Conn
 
 	hist *hdrhistogram.Histogram
 	mu   sync.Mutex
@@ -202,7 +202,7 @@
 
 func dialAll(addr string, n int) (*clients, error) {
 	c := &clients{hist: hdrhistogram.New(1, 60_000_000_000, 3)}
-	c.links = make([]*link.Conn, n)
+	c.links = make([]*wsconn.Conn, n)
 	errs := make(chan error, n)
 	gate := make(chan struct{}, 100)
 	for i := range n {
@@ -212,8 +212,8 @@
 			ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 			defer cancel()
 			var err error
-			c.links[i], err = link.Dial(ctx, addr, &ws.Request{Host: addr, Path: "/", Protocol: "jsonrpc",
-				Header: map[string]string{"Authorization": "Bearer " + memberKey}}, link.Options{Queue: 64 << 20})
+			c.links[i], err = wsconn.Dial(ctx, addr, &websocket.Request{Host: addr, Path: "/", Protocol: "jsonrpc",
+				Header: map[string]string{"Authorization": "Bearer " + memberKey}}, wsconn.Options{Queue: 64 << 20})
 			errs <- err
 		}()
 	}
@@ -232,13 +232,13 @@
 }
 
 // call sends a call whose id is the moment from which its latency counts.
-func (c *clients) call(l *link.Conn, no int, at time.Time) {
+func (c *clients) call(l *wsconn.Conn, no int, at time.Time) {
 	id := jsonrpc.ID(`"` + strconv.Itoa(no) + "." + strconv.FormatInt(at.UnixNano(), 10) + `"`)
 	l.Send(jsonrpc.AppendCall(nil, id, "look", []byte(`{"units":1,"work":{"copies":3,"title":"A reader for the second year"}}`)))
 }
 
 // read takes answers; next sends the call that takes an answered one's place.
-func (c *clients) read(i int, next func(l *link.Conn, no int)) {
+func (c *clients) read(i int, next func(l *wsconn.Conn, no int)) {
 	l := c.links[i]
 	for no := 1 << 20; ; no++ {
 		data, err := l.Read()
@@ -269,7 +269,7 @@
 // closed keeps outstanding calls open over all sessions and returns answers a second.
 func (c *clients) closed(outstanding int, warm, span time.Duration) float64 {
 	for i := range c.links {
-		go c.read(i, func(l *link.Conn, no int) { c.call(l, no, time.Now()) })
+		go c.read(i, func(l *wsconn.Conn, no int) { c.call(l, no, time.Now()) })
 	}
 	for k := range outstanding {
 		c.call(c.links[k%len(c.links)], k, time.Now())
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -14,14 +14,14 @@
 
 	"github.com/alecthomas/kong"
 
-	"winghatch/config"
-	"winghatch/export"
-	"winghatch/nodelist"
-	"winghatch/standin/accounting"
-	"winghatch/standin/list"
-	"winghatch/standin/node"
-	"winghatch/standin/remotewrite"
-	"winghatch/standin/school"
+	"winghatch/internal/config"
+	discoveryws "winghatch/internal/discovery/websocket"
+	"winghatch/internal/testbed/backend"
+	"winghatch/internal/testbed/client"
+	"winghatch/internal/testbed/discovery"
+	"winghatch/internal/testbed/metricsreceiver"
+	"winghatch/internal/testbed/usagereceiver"
+	"winghatch/internal/usage/outbox"
 )
 
 type command struct {
@@ -82,12 +82,12 @@
 }
 
 func (c *metricsCmd) Run() error {
-	r, err := remotewrite.Start(c.Listen)
+	r, err := metricsreceiver.Start(c.Listen)
 	if err != nil {
 		return err
 	}
 	defer r.Stop()
-	r.Set(func(t *remotewrite.Trouble) { t.Status = c.Status })
+	r.Set(func(t *metricsreceiver.Trouble) { t.Status = c.Status })
 	fmt.Printf("takes writes at %s; all series at http://%s/series\n", r.URL(), r.Addr())
 	eachSecond(func() {
 		line := fmt.Sprintf("series %d", len(r.Names()))
@@ -108,19 +108,19 @@
 }
 
 func (c *accountingCmd) Run() error {
-	r, err := accounting.Start(c.Listen, c.File)
+	r, err := usagereceiver.Start(c.Listen, c.File)
 	if err != nil {
 		return err
 	}
 	defer r.Stop()
-	r.Set(func(t *accounting.Trouble) { t.Status, t.RetryAfter, t.Slow = c.Status, c.RetryAfter, c.Slow })
+	r.Set(func(t *usagereceiver.Trouble) { t.Status, t.RetryAfter, t.Slow = c.Status, c.RetryAfter, c.Slow })
 	fmt.Println("takes batches at", r.URL())
 	eachSecond(func() {
 		units, guessed := map[string]float64{}, 0
 		evs := r.Events()
 		for _, e := range evs {
-			var u export.Use
-			if e.Type == export.TypeUse && json.Unmarshal(e.Data, &u) == nil {
+			var u outbox.Use
+			if e.Type == outbox.TypeUse && json.Unmarshal(e.Data, &u) == nil {
 				units[u.Member] += u.Units
 				if u.Guess {
 					guessed++
@@ -137,16 +137,16 @@
 	if err != nil {
 		return err
 	}
-	o := node.Options{Addr: c.Listen, Zone: c.Zone, Cores: c.Cores, Speed: c.Speed, Queue: c.Queue, Classes: map[string]node.Class{},
+	o := backend.Options{Addr: c.Listen, Zone: c.Zone, Cores: c.Cores, Speed: c.Speed, Queue: c.Queue, Classes: map[string]backend.Class{},
 		Seed: uint64(time.Now().UnixNano())}
 	for _, k := range f.Decide.Classes {
-		o.Classes[k.Name] = node.Class{Work: c.Work, Keyed: k.Window > 0, Window: k.Window}
+		o.Classes[k.Name] = backend.Class{Work: c.Work, Keyed: k.Window > 0, Window: k.Window}
 	}
-	n, err := node.Start(o)
+	n, err := backend.Start(o)
 	if err != nil {
 		return err
 	}
-	n.Set(func(t *node.Trouble) {
+	n.Set(func(t *backend.Trouble) {
 		t.Slow, t.Errors, t.Tail, t.TailShare, t.Mute = c.Slow, c.Errors, c.Tail, 0.02, map[string]bool{}
 		for _, m := range c.Mute {
 			t.Mute[m] = true
@@ -167,19 +167,19 @@
 }
 
 func (c *listCmd) Run() error {
-	l, err := list.Start(c.Listen, c.Lag, nil)
+	l, err := discovery.Start(c.Listen, c.Lag, nil)
 	if err != nil {
 		return err
 	}
-	parse := func(s, state string) nodelist.Entry {
+	parse := func(s, state string) discoveryws.Entry {
 		addr, zone, _ := strings.Cut(s, "@")
-		return nodelist.Entry{Node: addr, Zone: zone, State: state}
+		return discoveryws.Entry{Node: addr, Zone: zone, State: state}
 	}
-	var es []nodelist.Entry
+	var es []discoveryws.Entry
 	for _, n := range c.Nodes {
 		es = append(es, parse(n, "serving"))
 	}
-	u := nodelist.Update{Nodes: es}
+	u := discoveryws.Update{Nodes: es}
 	if err := u.Check(); err != nil {
 		return err
 	}
@@ -198,7 +198,7 @@
 			if state == "serving" {
 				e.Started = time.Now().UnixMilli()
 			}
-			one := nodelist.Update{Nodes: []nodelist.Entry{e}}
+			one := discoveryws.Update{Nodes: []discoveryws.Entry{e}}
 			if err := one.Check(); err != nil {
 				fmt.Println(err)
 				continue
@@ -227,17 +227,17 @@
 	if err != nil {
 		return err
 	}
-	o := school.Options{Rate: c.Rate, Retries: c.Retries, Wait: 100 * time.Millisecond, Seed: uint64(time.Now().UnixNano())}
+	o := client.Options{Rate: c.Rate, Retries: c.Retries, Wait: 100 * time.Millisecond, Seed: uint64(time.Now().UnixNano())}
 	for _, g := range f.Gateways {
 		o.Gateways = append(o.Gateways, g.Listen)
 	}
 	for _, k := range f.Decide.Classes {
-		o.Classes = append(o.Classes, school.Class{Name: k.Name, Share: 1 / float64(len(f.Decide.Classes)), Effect: k.Effect,
+		o.Classes = append(o.Classes, client.Class{Name: k.Name, Share: 1 / float64(len(f.Decide.Classes)), Effect: k.Effect,
 			Group: k.Group, Window: k.Window, Aim: k.Aim, Deadline: k.Deadline, MaxUnits: c.Units})
 	}
 	for _, m := range f.Members {
 		if key := c.Key[m.Name]; key != "" {
-			o.Members = append(o.Members, school.Member{Name: m.Name, Key: key, First: m.First, Spread: m.Spread})
+			o.Members = append(o.Members, client.Member{Name: m.Name, Key: key, First: m.First, Spread: m.Spread})
 		}
 	}
 	if len(o.Members) != len(c.Key) {
@@ -250,7 +250,7 @@
 		ctx, cancel = context.WithTimeout(ctx, c.For)
 		defer cancel()
 	}
-	s := school.New(o)
+	s := client.New(o)
 	go func() {
 		for ctx.Err() == nil {
 			time.Sleep(time.Second)
--- a/cmd/winghatch/day.go
+++ b/cmd/winghatch/day.go
@@ -11,7 +11,7 @@
 	"text/tabwriter"
 	"time"
 
-	"winghatch/day"
+	"winghatch/internal/scenario"
 )
 
 type demoCmd struct {
@@ -35,7 +35,7 @@
 
 func (c *daysCmd) Run() error {
 	if len(c.Names) == 0 {
-		c.Names = day.Names()
+		c.Names = scenario.Names()
 	}
 	exe, err := os.Executable()
 	if err != nil {
@@ -71,8 +71,8 @@
 	return nil
 }
 
-func playOne(ctx context.Context, exe, name string, seed int) (*day.Outcome, error) {
-	s, err := day.Open(name)
+func playOne(ctx context.Context, exe, name string, seed int) (*scenario.Outcome, error) {
+	s, err := scenario.Open(name)
 	if err != nil {
 		return nil, err
 	}
@@ -81,7 +81,7 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	return day.Play(ctx, s, day.Options{Seed: seed, Dir: dir,
+	return scenario.Play(ctx, s, scenario.Options{Seed: seed, Dir: dir,
 		Command: func(args ...string) *exec.Cmd { return exec.Command(exe, args...) }})
 }
 
@@ -90,7 +90,7 @@
 }
 
 func (c *auditCmd) Run() error {
-	v, err := day.Audit(c.Dir)
+	v, err := scenario.Audit(c.Dir)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exit(2)
@@ -108,7 +108,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		return exit(2)
 	}
-	s, err := day.Open(name)
+	s, err := scenario.Open(name)
 	if err != nil {
 		return fail(err)
 	}
@@ -128,7 +128,7 @@
 	defer stop()
 	fmt.Printf("day %s: %d gateways, %d members, %.0f orders a second, %v\n", s.Name, len(s.Fleet.Gateways), len(s.Fleet.Members),
 		s.Load.Rate, s.Length)
-	res, err := day.Play(ctx, s, day.Options{Seed: seed, Dir: dir,
+	res, err := scenario.Play(ctx, s, scenario.Options{Seed: seed, Dir: dir,
 		Command: func(args ...string) *exec.Cmd { return exec.Command(exe, args...) },
 		Say:     func(format string, args ...any) { fmt.Printf(format+"\n", args...) }})
 	if err != nil {
@@ -143,7 +143,7 @@
 }
 
 // printUse tells what the accounting had at the end.
-func printUse(res *day.Outcome) {
+func printUse(res *scenario.Outcome) {
 	for _, r := range res.Reserved {
 		fmt.Printf("reserved for %s: %.6g of %.6g units used\n", r.Member, r.Used, r.Units)
 	}
@@ -164,7 +164,7 @@
 	}
 }
 
-func printDay(res *day.Outcome) {
+func printDay(res *scenario.Outcome) {
 	st := res.Stats
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	row := func(name string, n int64) {
--- a/cmd/winghatch/gateway.go
+++ b/cmd/winghatch/gateway.go
@@ -17,12 +17,12 @@
 	"text/tabwriter"
 	"time"
 
-	"winghatch/config"
 	"winghatch/decide"
-	"winghatch/export"
-	"winghatch/gateway"
-	"winghatch/keys"
-	"winghatch/tape"
+	"winghatch/internal/config"
+	"winghatch/internal/credentials"
+	"winghatch/internal/gateway"
+	"winghatch/internal/recording"
+	"winghatch/internal/usage/outbox"
 )
 
 type gatewayCmd struct {
@@ -105,7 +105,7 @@
 		fmt.Println("export: not set: use is told to nobody")
 	} else {
 		fmt.Printf("export: to %s, durability %v, %d bytes of disk, unwritable: %s\n", e.To, e.Durability, e.Disk,
-			map[export.Policy]string{export.Refuse: "refuse", export.Serve: "serve, uncovered"}[e.Unwritable])
+			map[outbox.Policy]string{outbox.Refuse: "refuse", outbox.Serve: "serve, uncovered"}[e.Unwritable])
 	}
 	return nil
 }
@@ -120,8 +120,8 @@
 		return err
 	}
 	defer in.Close()
-	n, err := tape.Replay(in)
-	var diff *tape.Difference
+	n, err := recording.Replay(in)
+	var diff *recording.Difference
 	if errors.As(err, &diff) {
 		fmt.Println(err)
 		return exit(1)
@@ -253,7 +253,7 @@
 	return nil
 }
 
-func (c *keyNewCmd) Run() error { return printKey(c.Config, keys.New()) }
+func (c *keyNewCmd) Run() error { return printKey(c.Config, credentials.New()) }
 
 func (c *keyDigestCmd) Run() error {
 	raw, err := io.ReadAll(io.LimitReader(os.Stdin, 4096))
@@ -264,7 +264,7 @@
 }
 
 func (c *keySecretCmd) Run() error {
-	s := keys.NewSecret()
+	s := credentials.NewSecret()
 	fmt.Println(hex.EncodeToString(s[:]))
 	return nil
 }
--- a/cmd/winghatch/main_test.go
+++ b/cmd/winghatch/main_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"winghatch/config"
+	"winghatch/internal/config"
 )
 
 // TestMain is also the command itself.
--- a/cmd/winghatch/plan.go
+++ b/cmd/winghatch/plan.go
@@ -11,10 +11,10 @@
 	"text/tabwriter"
 	"time"
 
-	"winghatch/config"
 	"winghatch/decide"
-	"winghatch/gateway"
-	"winghatch/plans"
+	"winghatch/internal/config"
+	"winghatch/internal/gateway"
+	"winghatch/internal/quotaplan"
 )
 
 // asked is whom an operator asks: a gateway by its state address, with the fleet's secret.
@@ -42,7 +42,7 @@
 }
 
 // submit hands a change in. Its number is the time in microseconds where none is given.
-func (a *asked) submit(c plans.Change) error {
+func (a *asked) submit(c quotaplan.Change) error {
 	f, at, err := a.fleet()
 	if err != nil {
 		return err
@@ -101,12 +101,12 @@
 	if err != nil {
 		return err
 	}
-	if err := c.submit(plans.Change{Number: c.Number, Kind: plans.Move, Member: c.Member, Plan: c.Plan, From: from}); err != nil {
+	if err := c.submit(quotaplan.Change{Number: c.Number, Kind: quotaplan.Move, Member: c.Member, Plan: c.Plan, From: from}); err != nil {
 		return err
 	}
 	old, next := planOf(f, c.Member), find(f, c.Plan)
 	const spread = time.Second
-	if n := plans.Overspend(old, next, spread); n > 0 && from == 0 {
+	if n := quotaplan.Overspend(old, next, spread); n > 0 && from == 0 {
 		fmt.Printf("until all gateways have heard it, up to %.6g units beyond the new plan may pass if that takes %v (from %s)\n", n, spread, old.Name)
 	}
 	return nil
@@ -149,7 +149,7 @@
 	if err != nil {
 		return err
 	}
-	return c.submit(plans.Change{Number: c.Number, Kind: plans.Terms, Plan: c.Plan, From: from, Terms: decide.Plan{Name: c.Plan,
+	return c.submit(quotaplan.Change{Number: c.Number, Kind: quotaplan.Terms, Plan: c.Plan, From: from, Terms: decide.Plan{Name: c.Plan,
 		Rate: c.Rate, Burst: c.Burst, CeilingRate: c.CeilingRate, CeilingBurst: c.CeilingBurst, CeilingSlack: c.CeilingSlack,
 		MaxOpen: c.MaxOpen, Price: c.Price}})
 }
@@ -161,7 +161,7 @@
 }
 
 func (c *planCancelCmd) Run() error {
-	return c.submit(plans.Change{Number: c.Number, Kind: plans.Cancel, Target: c.Target})
+	return c.submit(quotaplan.Change{Number: c.Number, Kind: quotaplan.Cancel, Target: c.Target})
 }
 
 type planShortenCmd struct {
@@ -172,7 +172,7 @@
 }
 
 func (c *planShortenCmd) Run() error {
-	return c.submit(plans.Change{Number: c.Number, Kind: plans.Shorten, Target: c.Target, Units: c.Units})
+	return c.submit(quotaplan.Change{Number: c.Number, Kind: quotaplan.Shorten, Target: c.Target, Units: c.Units})
 }
 
 type reserveCmd struct {
@@ -194,7 +194,7 @@
 	if err != nil {
 		return err
 	}
-	return c.submit(plans.Change{Number: c.Number, Kind: plans.Reserve, Member: c.Member, Units: c.Units, From: from, To: to, Rate: c.UseRate})
+	return c.submit(quotaplan.Change{Number: c.Number, Kind: quotaplan.Reserve, Member: c.Member, Units: c.Units, From: from, To: to, Rate: c.UseRate})
 }
 
 type planShowCmd struct {
--- a/cmd/winghatch/serve.go
+++ b/cmd/winghatch/serve.go
@@ -5,7 +5,7 @@
 	"log/slog"
 	"os"
 
-	"winghatch/platform"
+	"winghatch/internal/platform"
 )
 
 type serveCmd struct {
--- a/cmd/wirehost/wire.go
+++ b/cmd/wirehost/wire.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"winghatch/decide"
-	"winghatch/platform/settings"
+	"winghatch/internal/platform/settings"
 )
 
 // host keeps the gateways of this process. They share nothing.
--- a/sums/sums.go
+++ b/internal/aggregate/sums.go
@@ -2,7 +2,7 @@
 // the same at every one; every gateway tells both its totals, from its start on, and each home adds what they grew by. There is
 // nothing to elect and nothing to hand over: the second home sums all along. The package does no I/O, reads no clock and
 // starts no goroutine.
-package sums
+package aggregate
 
 import (
 	"encoding/binary"
--- a/sums/sums_test.go
+++ b/internal/aggregate/sums_test.go
@@ -1,4 +1,4 @@
-package sums
+package aggregate
 
 import (
 	"fmt"
--- a/config/config.go
+++ b/internal/config/config.go
@@ -12,18 +12,18 @@
 	"strings"
 	"time"
 
-	"winghatch/config/decode"
-	"winghatch/config/kdl"
 	"winghatch/decide"
-	"winghatch/export"
-	"winghatch/keys"
-	"winghatch/wal"
+	"winghatch/internal/config/decode"
+	"winghatch/internal/config/kdl"
+	"winghatch/internal/credentials"
+	"winghatch/internal/usage/outbox"
+	"winghatch/internal/wal"
 )
 
 // Fleet is all settings that the gateways of a fleet share.
 type Fleet struct {
 	Name     string
-	Secret   keys.Secret // of the keyed hashes of members' keys and of peers' datagrams
+	Secret   credentials.Secret // of the keyed hashes of members' keys and of peers' datagrams
 	Decide   decide.Config
 	Gateways []Gateway // by rank
 	Members  []Member
@@ -70,7 +70,7 @@
 	Disk       int           // bytes that the log may take
 	Batch      int           // events
 	Timeout    time.Duration // of one batch
-	Unwritable export.Policy // what happens to calls while the log can't be written
+	Unwritable outbox.Policy // what happens to calls while the log can't be written
 }
 
 // Gateway is one gateway's place.
@@ -86,8 +86,8 @@
 // Member is a customer.
 type Member struct {
 	Name, Plan    string
-	First, Spread int           // its entry gateways: rank of the first, and how many
-	Keys          []keys.Digest // of the keys it presents
+	First, Spread int                  // its entry gateways: rank of the first, and how many
+	Keys          []credentials.Digest // of the keys it presents
 }
 
 // Caps bound what may wait or stay open. Times are how long a peer may take.
@@ -257,7 +257,7 @@
 	if len(f.Gateways) == 0 && !d.draft {
 		d.Fail(n.Pos, "gateway", "missing, want one or more")
 	}
-	owner := map[keys.Digest]string{}
+	owner := map[credentials.Digest]string{}
 	for _, p := range members {
 		if !planNames[p.m.Plan] && p.m.Plan != "" {
 			d.Fail(p.pos, p.at+".plan", "%q, want one of %s", p.m.Plan, list(planNames))
@@ -293,7 +293,7 @@
 	}
 }
 
-func (d *decoder) secret(to *keys.Secret) func(decode.Setting) {
+func (d *decoder) secret(to *credentials.Secret) func(decode.Setting) {
 	return func(s decode.Setting) {
 		raw, err := hex.DecodeString(s.Value.Text)
 		if err != nil || len(raw) != len(to) {
@@ -373,7 +373,7 @@
 		"spread": decode.Whole(&m.Spread, 1, most)},
 		decode.Blocks{"key": func(at string, n *kdl.Node) {
 			for _, v := range n.Args {
-				k, err := keys.ParseDigest(v.Text)
+				k, err := credentials.ParseDigest(v.Text)
 				if err != nil {
 					d.Fail(v.Pos, "member "+name+".key", "%s, %v", v, err)
 					continue
@@ -422,7 +422,7 @@
 				s.Wrong(fmt.Sprintf("%d bytes or more", leastDisk))
 			}
 		}, "batch": decode.Whole(&e.Batch, 1, 100000), "timeout": decode.Duration(&e.Timeout, time.Millisecond),
-		"unwritable": decode.Choice(&e.Unwritable, map[string]export.Policy{"refuse": export.Refuse, "serve": export.Serve})}, nil, "to")
+		"unwritable": decode.Choice(&e.Unwritable, map[string]outbox.Policy{"refuse": outbox.Refuse, "serve": outbox.Serve})}, nil, "to")
 }
 
 func (d *decoder) measures(at string, n *kdl.Node, m *Measures) {
--- a/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,14 +8,14 @@
 
 	"pgregory.net/rapid"
 
-	"winghatch/config/decode"
 	"winghatch/decide"
-	"winghatch/keys"
+	"winghatch/internal/config/decode"
+	"winghatch/internal/credentials"
 )
 
 const secret = "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f"
 
-var digest = keys.Secret{}.Members().Sum([]byte("k")).String()
+var digest = credentials.Secret{}.Members().Sum([]byte("k")).String()
 
 func good() string {
 	return `fleet "t" {
@@ -119,7 +119,7 @@
 		f := defaults()
 		name := rapid.StringN(1, 8, -1)
 		f.Name = name.Draw(t, "name")
-		f.Secret = keys.Secret(rapid.SliceOfN(rapid.Byte(), 32, 32).Draw(t, "secret"))
+		f.Secret = credentials.Secret(rapid.SliceOfN(rapid.Byte(), 32, 32).Draw(t, "secret"))
 		n := rapid.IntRange(1, 4).Draw(t, "gateways")
 		for i := range n {
 			f.Gateways = append(f.Gateways, Gateway{Listen: "127.0.0.1:" + []string{"1", "2", "3", "4"}[i]})
@@ -132,7 +132,7 @@
 		f.Decide.Plans = []decide.Plan{{Name: name.Draw(t, "plan"), Rate: 1 + num.Draw(t, "rate"), Burst: 1 + num.Draw(t, "burst"),
 			Price: num.Draw(t, "price")}}
 		f.Members = []Member{{Name: name.Draw(t, "member"), Plan: f.Decide.Plans[0].Name, Spread: n,
-			Keys: []keys.Digest{f.Secret.Members().Sum(nil)}}}
+			Keys: []credentials.Digest{f.Secret.Members().Sum(nil)}}}
 		back, err := Parse("f", Format(f))
 		if err != nil || !reflect.DeepEqual(f, back) {
 			t.Fatalf("%v\n%s\n%+v\n%+v", err, Format(f), f, back)
--- a/config/decode/decode.go
+++ b/internal/config/decode/decode.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"winghatch/config/kdl"
+	"winghatch/internal/config/kdl"
 )
 
 // Error says which field is wrong, where, and what is wanted.
--- a/config/format.go
+++ b/internal/config/format.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"winghatch/decide"
-	"winghatch/export"
+	"winghatch/internal/usage/outbox"
 )
 
 // Format writes a fleet as a document that Parse reads back to the same fleet.
@@ -97,7 +97,7 @@
 		w.set("disk", strconv.Itoa(e.Disk))
 		w.set("batch", strconv.Itoa(e.Batch))
 		w.duration("timeout", e.Timeout)
-		w.set("unwritable", quote(map[export.Policy]string{export.Refuse: "refuse", export.Serve: "serve"}[e.Unwritable]))
+		w.set("unwritable", quote(map[outbox.Policy]string{outbox.Refuse: "refuse", outbox.Serve: "serve"}[e.Unwritable]))
 		w.close()
 	}
 	for _, g := range f.Gateways {
--- a/keys/keys.go
+++ b/internal/credentials/keys.go
@@ -1,6 +1,6 @@
 // Package keys holds the keyed hashes of the program: of the keys that members present, and of datagrams
 // between gateways. Both stand on BLAKE3's keyed mode, under keys derived from the fleet's one secret.
-package keys
+package credentials
 
 import (
 	"crypto/rand"
--- a/keys/keys_test.go
+++ b/internal/credentials/keys_test.go
@@ -1,4 +1,4 @@
-package keys
+package credentials
 
 import (
 	"strings"
--- a/nodelist/registry/call.go
+++ b/internal/discovery/http/call.go
@@ -1,4 +1,4 @@
-package registry
+package http
 
 import (
 	"bufio"
@@ -8,8 +8,8 @@
 	"strconv"
 	"time"
 
-	"winghatch/http1"
-	"winghatch/sock"
+	"winghatch/internal/http1"
+	"winghatch/internal/socket"
 )
 
 // question is what a call asks discovery for.
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	nc = sock.Patient(nc)
+	nc = socket.Patient(nc)
 	return &agentConn{nc, http1.NewReader(bufio.NewReaderSize(nc, 4<<10), http1.Limits{Head: 8 << 10})}, nil
 }
 
--- a/nodelist/registry/list.go
+++ b/internal/discovery/http/list.go
@@ -1,4 +1,4 @@
-package registry
+package http
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 	"net"
 
 	"winghatch/decide"
-	uphttp "winghatch/upstream/http"
+	upstreamhttp "winghatch/internal/upstream/http"
 )
 
 // Entry is a server as the list tells it.
@@ -92,9 +92,9 @@
 }
 
 // Servers is the list as the pool of connections is told it.
-func (l *List) Servers() (out []uphttp.Server) {
+func (l *List) Servers() (out []upstreamhttp.Server) {
 	for _, e := range l.Targets {
-		out = append(out, uphttp.Server{ID: e.UID, Addr: e.Endpoint, Started: e.BootMS, State: states[e.State]})
+		out = append(out, upstreamhttp.Server{ID: e.UID, Addr: e.Endpoint, Started: e.BootMS, State: states[e.State]})
 	}
 	return out
 }
--- a/nodelist/registry/owed_test.go
+++ b/internal/discovery/http/owed_test.go
@@ -1,4 +1,4 @@
-package registry
+package http
 
 import (
 	"bufio"
@@ -13,7 +13,7 @@
 	"time"
 
 	"winghatch/decide"
-	"winghatch/standin/ports"
+	"winghatch/internal/testbed/ports"
 )
 
 // Whatever fails on the way, the next list is asked for; the last of each script holds what was missed.
--- a/nodelist/registry/watch.go
+++ b/internal/discovery/http/watch.go
@@ -1,4 +1,4 @@
-package registry
+package http
 
 import (
 	"context"
--- a/nodelist/nodelist.go
+++ b/internal/discovery/websocket/nodelist.go
@@ -1,7 +1,7 @@
 // Package nodelist follows the list of nodes: a WebSocket connection on which the list tells first the whole
 // and then what changes, in JSON-RPC notifications. It keeps the last whole list in a file, for a start
 // while the list is away. What a list says is checked here; what follows from it is decided elsewhere.
-package nodelist
+package websocket
 
 import (
 	"context"
@@ -14,9 +14,9 @@
 	"time"
 
 	"winghatch/decide"
-	"winghatch/jsonrpc"
-	"winghatch/link"
-	"winghatch/ws"
+	"winghatch/internal/jsonrpc"
+	"winghatch/internal/websocket"
+	"winghatch/internal/wsconn"
 )
 
 // Entry is a node as the list tells it.
@@ -227,15 +227,15 @@
 func follow(ctx context.Context, o Options, book *Book) (told bool) {
 	dial, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	req := &ws.Request{Host: o.Addr, Path: "/", Protocol: "jsonrpc", Header: map[string]string{
+	req := &websocket.Request{Host: o.Addr, Path: "/", Protocol: "jsonrpc", Header: map[string]string{
 		"X-Gateway-Rank": fmt.Sprint(o.Rank)}}
-	l, err := link.Dial(dial, o.Addr, req, link.Options{Message: 8 << 20})
+	l, err := wsconn.Dial(dial, o.Addr, req, wsconn.Options{Message: 8 << 20})
 	if err != nil {
 		o.Take(decide.FleetUpdate{Kind: decide.FleetFailed})
 		return false
 	}
 	defer l.Abort()
-	stop := context.AfterFunc(ctx, func() { l.Close(ws.CodeGoingAway, "") })
+	stop := context.AfterFunc(ctx, func() { l.Close(websocket.CodeGoingAway, "") })
 	defer stop()
 	for {
 		data, err := l.Read()
--- a/nodelist/nodelist_test.go
+++ b/internal/discovery/websocket/nodelist_test.go
@@ -1,4 +1,4 @@
-package nodelist
+package websocket
 
 import (
 	"errors"
--- a/pack/pack.go
+++ b/internal/encoding/pack.go
@@ -1,6 +1,6 @@
 // Package pack writes and reads the fields of records and messages: integers as varints of Go's encoding/binary or in 8 bytes,
 // strings with their length before them, figures as 8 bytes of IEEE 754; what has a fixed size is little-endian.
-package pack
+package encoding
 
 import (
 	"encoding/binary"
--- a/front/front.go
+++ b/internal/frontend/front.go
@@ -1,6 +1,6 @@
 // Package front holds what every front of the gateway makes of its clients' bytes: calls, and the one final
 // answer of each. Fronts know no quotas and choose nothing.
-package front
+package frontend
 
 import (
 	"encoding/json"
--- a/front/http/answer.go
+++ b/internal/frontend/http/answer.go
@@ -5,8 +5,8 @@
 	"strconv"
 	"time"
 
-	"winghatch/front"
-	"winghatch/http1"
+	"winghatch/internal/frontend"
+	"winghatch/internal/http1"
 )
 
 // reject says why a request can't be used and ends the connection.
@@ -52,7 +52,7 @@
 
 // done writes the one answer; the loop calls it, so it must not wait for the client. The connection's own goroutine
 // takes up what the client sent meanwhile only once the answer is written whole.
-func (c *conn) done(id string, f front.Final) {
+func (c *conn) done(id string, f frontend.Final) {
 	s := c.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,11 +90,11 @@
 
 // finalBytes is a final answer in HTTP: 429 and 503 are refusals and promise that trying again is harmless; a failed
 // one is 502. A 429 may say when to come back.
-func finalBytes(f front.Final, last bool) []byte {
+func finalBytes(f frontend.Final, last bool) []byte {
 	switch f.Kind {
-	case front.Served:
+	case frontend.Served:
 		return appendAnswer(make([]byte, 0, 96+len(f.Body)), 200, "", string(f.Body), last)
-	case front.Refused:
+	case frontend.Refused:
 		after := ""
 		if f.RetryAfter > 0 {
 			after = strconv.FormatFloat(f.RetryAfter.Seconds(), 'f', 3, 64)
--- a/front/http/close_test.go
+++ b/internal/frontend/http/close_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"winghatch/front"
+	"winghatch/internal/frontend"
 )
 
 // until waits for a condition, 10 s at most.
@@ -24,7 +24,7 @@
 func rests(t *testing.T, core *core, addr string) *client {
 	t.Helper()
 	c := dial(t, addr).send(usual("POST /api") + "abc")
-	(<-core.came).Done(front.Final{Kind: front.Served, Body: []byte("x")})
+	(<-core.came).Done(frontend.Final{Kind: frontend.Served, Body: []byte("x")})
 	if status, _, _ := c.read(); status != 200 {
 		t.Fatalf("%d, want 200", status)
 	}
@@ -83,11 +83,11 @@
 	c := dial(t, addr).send(usual("POST /api") + "abc" + usual("POST /api", "X-Txn: t2") + "abc")
 	first := <-core.came
 	s.Drain()
-	for i, call := range []*front.Call{first, nil} {
+	for i, call := range []*frontend.Call{first, nil} {
 		if call == nil {
 			call = <-core.came
 		}
-		call.Done(front.Final{Kind: front.Served, Body: []byte("x")})
+		call.Done(frontend.Final{Kind: frontend.Served, Body: []byte("x")})
 		if status, _, h := c.read(); status != 200 || (h.Get("Connection") == "close") != (i == 1) {
 			t.Errorf("answer %d: %d, Connection %q, want 200 and close with the last", i, status, h.Get("Connection"))
 		}
@@ -104,7 +104,7 @@
 	t.Cleanup(func() { nc.Close() })
 	io.WriteString(nc, usual("POST /api", "Connection: close")+"abc"+strings.Repeat("behind it ", 600))
 	call := <-core.came
-	call.Done(front.Final{Kind: front.Served, Body: make([]byte, 1<<20)})
+	call.Done(frontend.Final{Kind: frontend.Served, Body: make([]byte, 1<<20)})
 	io.WriteString(nc, "more")
 	nc.SetDeadline(time.Now().Add(20 * time.Second))
 	all, err := io.ReadAll(nc)
@@ -169,7 +169,7 @@
 	}
 	c := rests(t, core, addr).send(usual("POST /api", "X-Txn: t2") + "abc")
 	call := <-core.came
-	call.Done(front.Final{Kind: front.Failed})
+	call.Done(frontend.Final{Kind: frontend.Failed})
 	if c.read(); !call.Left() {
 		t.Error("a request that was answered still has a client")
 	}
@@ -216,7 +216,7 @@
 	read := s.clock()
 	time.Sleep(waits)
 	c.send(usual("POST /api", "X-Txn: t3")[:20])
-	first.Done(front.Final{Kind: front.Served})
+	first.Done(frontend.Final{Kind: frontend.Served})
 	if left := (<-core.came).Deadline - read; left > 480*time.Millisecond {
 		t.Errorf("the second's time ends %v after it was read, want the 480 ms that it came with", left)
 	}
@@ -293,7 +293,7 @@
 			}
 			continue
 		}
-		(<-core.came).Done(front.Final{Kind: front.Failed})
+		(<-core.came).Done(frontend.Final{Kind: frontend.Failed})
 
 		c, nc = still(t, s)
 		end.do(s, s.clock()+2*time.Hour)
@@ -373,7 +373,7 @@
 	if status, _, _ := dial(t, addr).send(strings.Replace(large, "t1", "t2", 1)).read(); status != 503 {
 		t.Errorf("a second large body: %d, want 503", status)
 	}
-	call.Done(front.Final{Kind: front.Served})
+	call.Done(frontend.Final{Kind: frontend.Served})
 	first.read()
 	c := dial(t, addr).send(strings.Replace(large, "t1", "t3", 1))
 	call = <-core.came
--- a/front/http/conn.go
+++ b/internal/frontend/http/conn.go
@@ -13,10 +13,10 @@
 	"syscall"
 	"time"
 
-	"winghatch/connlimit"
-	"winghatch/front"
-	"winghatch/http1"
-	"winghatch/sock"
+	"winghatch/internal/frontend"
+	"winghatch/internal/frontend/connlimit"
+	"winghatch/internal/http1"
+	"winghatch/internal/socket"
 )
 
 // phase is what a connection is at; package connlimit is told of each change.
@@ -114,8 +114,8 @@
 		if err := c.raw.Read(c.step); err != nil {
 			return 0, err
 		}
-		if c.err != nil && sock.Transient(c.err) {
-			time.Sleep(sock.RetryPause)
+		if c.err != nil && socket.Transient(c.err) {
+			time.Sleep(socket.RetryPause)
 			continue
 		}
 		if c.n == 0 && c.err == nil {
@@ -128,12 +128,12 @@
 func (c *conn) readStep(fd uintptr) bool {
 	c.s.mu.Lock()
 	defer c.s.mu.Unlock()
-	c.n, c.err = sock.ReadNow(fd, c.buf)
+	c.n, c.err = socket.ReadNow(fd, c.buf)
 	if c.err == syscall.EAGAIN {
 		return false
 	}
 	switch {
-	case c.err != nil && sock.Transient(c.err):
+	case c.err != nil && socket.Transient(c.err):
 		return true
 	case c.n == 0:
 		c.gone = true
@@ -148,7 +148,7 @@
 
 // unread reports whether bytes wait in the socket; s.mu is held.
 func (c *conn) unread() bool {
-	unread, _ := sock.Peek(c.raw)
+	unread, _ := socket.Peek(c.raw)
 	return unread
 }
 
@@ -160,7 +160,7 @@
 	if c.gone || c.open != open {
 		return true
 	}
-	_, c.gone = sock.Peek(c.raw)
+	_, c.gone = socket.Peek(c.raw)
 	return c.gone
 }
 
@@ -296,7 +296,7 @@
 		case <-look.C:
 		}
 		c.s.mu.Lock()
-		if _, c.gone = sock.Peek(c.raw); c.gone {
+		if _, c.gone = socket.Peek(c.raw); c.gone {
 			c.pauses = false
 			return false
 		}
@@ -334,7 +334,7 @@
 	}
 	call.ID = strconv.FormatUint(uint64(c.id), 36) + "-" + p.txn
 	call.Form = func(_ int, left time.Duration) []byte { return p.form(left) }
-	call.Done = func(f front.Final) { c.done(call.ID, f) }
+	call.Done = func(f frontend.Final) { c.done(call.ID, f) }
 	call.Left = func() bool { return c.left(call.ID) }
 	if err := c.opens(call, p.txn, q.Close); err != nil {
 		c.reject(err)
@@ -347,7 +347,7 @@
 
 // opens makes a request the connection's open one, or says why it can't be. A request that was read behind the
 // connection's end is none: its client was told that it ended, and asks again elsewhere.
-func (c *conn) opens(call *front.Call, txn string, last bool) error {
+func (c *conn) opens(call *frontend.Call, txn string, last bool) error {
 	s := c.s
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/front/http/end.go
+++ b/internal/frontend/http/end.go
@@ -5,7 +5,7 @@
 	"syscall"
 	"time"
 
-	"winghatch/sock"
+	"winghatch/internal/socket"
 )
 
 // turnAway ends a connection without an open request: with an answer where a byte of one has come, as its last byte may be
@@ -110,8 +110,8 @@
 // write writes an answer without waiting and calls then, under the lock, once it is written or can't be. What the socket's
 // buffer does not take has a bounded time of a goroutine of its own. s.mu is held.
 func (c *conn) write(b []byte, then func()) {
-	n, err := sock.WriteNow(c.raw, b)
-	if n == len(b) || err != nil && !sock.Transient(err) {
+	n, err := socket.WriteNow(c.raw, b)
+	if n == len(b) || err != nil && !socket.Transient(err) {
 		if n < len(b) {
 			c.last = true // it broke
 		}
@@ -127,7 +127,7 @@
 func (c *conn) writeRest(b []byte, within time.Duration, then func()) {
 	defer c.s.wg.Done()
 	defer c.writes.Done()
-	err := sock.WriteAll(c.nc, b, within)
+	err := socket.WriteAll(c.nc, b, within)
 	c.s.mu.Lock()
 	defer c.s.release()
 	if err != nil {
@@ -142,6 +142,6 @@
 	closing := c.phase == closing
 	c.s.mu.Unlock()
 	if !closing {
-		sock.WriteAll(c.nc, b, writeFor)
+		socket.WriteAll(c.nc, b, writeFor)
 	}
 }
--- a/front/http/request.go
+++ b/internal/frontend/http/request.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"winghatch/decide"
-	"winghatch/front"
-	"winghatch/http1"
+	"winghatch/internal/frontend"
+	"winghatch/internal/http1"
 )
 
 // Rules is what the settings say of requests that can be used.
@@ -60,7 +60,7 @@
 
 // read checks a whole request against the settings, before the core hears of it: what can't be used must neither
 // charge nor make a customer.
-func (r *Rules) read(q *http1.Request, body []byte, now time.Duration) (*front.Call, *parsed, error) {
+func (r *Rules) read(q *http1.Request, body []byte, now time.Duration) (*frontend.Call, *parsed, error) {
 	p := &parsed{method: q.A, target: q.B, body: body}
 	var err error
 	if p.txn, err = one(q, "X-Txn", 64); err != nil {
@@ -96,7 +96,7 @@
 	if most := math.Ceil(float64(class.Deadline) / float64(time.Millisecond)); !ok || ms < 1 || ms > most {
 		return nil, nil, fault(400, "X-Remaining-Ms is %.40q, want a whole number of 1 to %g", left, most)
 	}
-	c := &front.Call{Class: name, Plan: plan, Member: who, Deadline: now + time.Duration(ms)*time.Millisecond,
+	c := &frontend.Call{Class: name, Plan: plan, Member: who, Deadline: now + time.Duration(ms)*time.Millisecond,
 		Write: class.Effect != decide.Safe}
 	if c.Units, c.Spread, c.First, err = r.quota(q); err != nil {
 		return nil, nil, err
--- a/front/http/server.go
+++ b/internal/frontend/http/server.go
@@ -18,9 +18,9 @@
 	"syscall"
 	"time"
 
-	"winghatch/connlimit"
-	"winghatch/front"
-	"winghatch/sock"
+	"winghatch/internal/frontend"
+	"winghatch/internal/frontend/connlimit"
+	"winghatch/internal/socket"
 )
 
 const (
@@ -54,7 +54,7 @@
 type Server struct {
 	Counts
 	rules *Rules
-	core  front.Core
+	core  frontend.Core
 	clock func() time.Duration
 	log   *slog.Logger
 	ready func() bool
@@ -79,7 +79,7 @@
 }
 
 // New returns a front. ready tells whether the gateway can serve.
-func New(rules *Rules, core front.Core, o Options, clock func() time.Duration, ready func() bool, log *slog.Logger) *Server {
+func New(rules *Rules, core frontend.Core, o Options, clock func() time.Duration, ready func() bool, log *slog.Logger) *Server {
 	most := max(2, o.Conns)
 	return &Server{rules: rules, core: core, clock: clock, log: log, ready: ready, limit: connlimit.New(most - max(1, most/lingerPart)),
 		conns: map[connlimit.ID]*conn{}, ids: map[string]struct{}{}, most: most, lingering: list.New(), bodyRoom: o.Bodies, quit: make(chan struct{})}
@@ -96,7 +96,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			if raw, err := ln.SyscallConn(); err != nil || !sock.Ready(raw) {
+			if raw, err := ln.SyscallConn(); err != nil || !socket.Ready(raw) {
 				return
 			}
 			ln.SetDeadline(time.Now().Add(acceptPause))
--- a/front/http/server_test.go
+++ b/internal/frontend/http/server_test.go
@@ -13,20 +13,20 @@
 	"time"
 
 	"winghatch/decide"
-	"winghatch/front"
+	"winghatch/internal/frontend"
 )
 
 // core is a loop that answers when it is told to.
 type core struct {
 	mu    sync.Mutex
-	calls []*front.Call
+	calls []*frontend.Call
 	gone  []string
-	came  chan *front.Call
+	came  chan *frontend.Call
 	left  chan string
 }
 
 func (c *core) Enter() bool { return true }
-func (c *core) Call(f *front.Call) {
+func (c *core) Call(f *frontend.Call) {
 	c.mu.Lock()
 	c.calls = append(c.calls, f)
 	c.mu.Unlock()
@@ -42,7 +42,7 @@
 	cfg := &decide.Config{Gateways: 3, MaxUnits: 8, Plans: []decide.Plan{{Name: "team"}}, Classes: []decide.Class{
 		{Name: "get", Effect: decide.Safe, Deadline: 4 * time.Second}, {Name: "put", Effect: decide.Keyed, Deadline: time.Second},
 		{Name: "pay", Effect: decide.Unsafe, Deadline: time.Second}}}
-	c := &core{came: make(chan *front.Call, 1000), left: make(chan string, 1000)}
+	c := &core{came: make(chan *frontend.Call, 1000), left: make(chan string, 1000)}
 	s := New(NewRules(cfg), c, Options{Conns: seats}, func() time.Duration { return time.Since(began) }, func() bool { return true },
 		slog.New(slog.DiscardHandler))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -124,16 +124,16 @@
 	if got := string(call.Form(0, 200*time.Millisecond)); got != want {
 		t.Errorf("goes on as %q, want %q", got, want)
 	}
-	call.Done(front.Final{Kind: front.Served, Body: []byte("body")})
+	call.Done(frontend.Final{Kind: frontend.Served, Body: []byte("body")})
 	if status, body, _ := c.read(); status != 200 || body != "body" {
 		t.Errorf("answer %d %q, want 200 and the body unchanged", status, body)
 	}
 	for _, want := range []struct {
-		f      front.Final
+		f      frontend.Final
 		status int
 		after  string
-	}{{front.Final{Kind: front.Refused, RetryAfter: 80 * time.Millisecond}, 429, "0.080"}, {front.Final{Kind: front.Refused}, 429, ""},
-		{front.Final{Kind: front.Failed}, 502, ""}} {
+	}{{frontend.Final{Kind: frontend.Refused, RetryAfter: 80 * time.Millisecond}, 429, "0.080"}, {frontend.Final{Kind: frontend.Refused}, 429, ""},
+		{frontend.Final{Kind: frontend.Failed}, 502, ""}} {
 		c.send(usual("POST /api") + "abc")
 		(<-core.came).Done(want.f)
 		if status, _, h := c.read(); status != want.status || h.Get("Retry-After") != want.after {
@@ -186,7 +186,7 @@
 	if status, _, _ := dial(t, addr).send(usual("POST /api") + "abc").read(); status != 409 {
 		t.Errorf("the same id: %d, want 409", status)
 	}
-	first.Done(front.Final{Kind: front.Served, Body: []byte("x")})
+	first.Done(frontend.Final{Kind: frontend.Served, Body: []byte("x")})
 	if status, _, _ := a.read(); status != 200 {
 		t.Errorf("the open request: %d, want 200", status)
 	}
@@ -205,11 +205,11 @@
 	}
 	again := dial(t, addr).send(usual("POST /api") + "abc")
 	second := <-core.came
-	call.Done(front.Final{Kind: front.Failed}) // crosses it: the id is the second's now
+	call.Done(frontend.Final{Kind: frontend.Failed}) // crosses it: the id is the second's now
 	if status, _, _ := dial(t, addr).send(usual("POST /api") + "abc").read(); status != 409 {
 		t.Errorf("the id while the second is open: %d, want 409", status)
 	}
-	second.Done(front.Final{Kind: front.Failed})
+	second.Done(frontend.Final{Kind: frontend.Failed})
 	again.read()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -228,8 +228,8 @@
 		t.Fatal("two requests of one connection are open")
 	case <-time.After(50 * time.Millisecond):
 	}
-	first.Done(front.Final{Kind: front.Served, Body: []byte("1")})
-	(<-core.came).Done(front.Final{Kind: front.Served, Body: []byte("2")})
+	first.Done(frontend.Final{Kind: frontend.Served, Body: []byte("1")})
+	(<-core.came).Done(frontend.Final{Kind: frontend.Served, Body: []byte("2")})
 	for _, want := range []string{"200 1", "200 2", "400"} {
 		if status, body, _ := c.read(); !strings.HasPrefix(fmt.Sprint(status, " ", body), want) {
 			t.Errorf("%d %q, want %s", status, body, want)
@@ -246,7 +246,7 @@
 		silent = append(silent, dial(t, addr))
 	}
 	c := dial(t, addr).send(usual("POST /api") + "abc")
-	(<-core.came).Done(front.Final{Kind: front.Served, Body: []byte("x")})
+	(<-core.came).Done(frontend.Final{Kind: frontend.Served, Body: []byte("x")})
 	if status, _, _ := c.read(); status != 200 {
 		t.Errorf("a usual client beside them: %d, want 200", status)
 	}
@@ -271,7 +271,7 @@
 	c.send(usual("POST /api") + "abc")
 	call := <-core.came
 	done := make(chan struct{})
-	go func() { call.Done(front.Final{Kind: front.Served, Body: make([]byte, 64<<20)}); close(done) }()
+	go func() { call.Done(frontend.Final{Kind: frontend.Served, Body: make([]byte, 64<<20)}); close(done) }()
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
@@ -296,7 +296,7 @@
 		t.Errorf("ready while stopping: %d, want 503", status)
 	}
 	c = dial(t, addr).send(usual("POST /api") + "abc")
-	(<-core.came).Done(front.Final{Kind: front.Served, Body: []byte("x")})
+	(<-core.came).Done(frontend.Final{Kind: frontend.Served, Body: []byte("x")})
 	if status, _, h := c.read(); status != 200 || h.Get("Connection") != "close" {
 		t.Errorf("while stopping: %d, Connection %q, want 200 and close", status, h.Get("Connection"))
 	}
--- a/front/websocket/server.go
+++ b/internal/frontend/websocket/server.go
@@ -15,19 +15,19 @@
 	"sync/atomic"
 	"time"
 
-	"winghatch/config"
 	"winghatch/decide"
-	"winghatch/front"
-	"winghatch/keys"
-	"winghatch/link"
-	"winghatch/ws"
+	"winghatch/internal/config"
+	"winghatch/internal/credentials"
+	"winghatch/internal/frontend"
+	"winghatch/internal/websocket"
+	"winghatch/internal/wsconn"
 )
 
 const protocol = "jsonrpc"
 
 // Server takes clients' connections.
 type Server struct {
-	core       front.Core
+	core       frontend.Core
 	clock      func() time.Duration
 	log        *slog.Logger
 	caps       config.Caps
@@ -36,7 +36,7 @@
 	retryAfter time.Duration
 	classes    map[string]*decide.Class
 	members    []config.Member
-	book       *keys.Book
+	book       *credentials.Book
 	prefix     string
 	ids        atomic.Uint64
 
@@ -50,10 +50,10 @@
 
 // New returns a server for one gateway of a fleet. prefix begins the ids of its calls and must differ from
 // life to life.
-func New(f *config.Fleet, rank int, prefix string, core front.Core, clock func() time.Duration, log *slog.Logger) *Server {
+func New(f *config.Fleet, rank int, prefix string, core frontend.Core, clock func() time.Duration, log *slog.Logger) *Server {
 	s := &Server{core: core, clock: clock, log: log, caps: f.Caps, rank: rank, size: len(f.Gateways),
 		maxUnits: f.Decide.MaxUnits, classes: map[string]*decide.Class{}, members: f.Members,
-		book: keys.NewBook(f.Secret), prefix: prefix, conns: map[net.Conn]*session{}, turned: map[string]int64{}}
+		book: credentials.NewBook(f.Secret), prefix: prefix, conns: map[net.Conn]*session{}, turned: map[string]int64{}}
 	if f.Decide.Limits.RetryAfter {
 		s.retryAfter = f.Decide.Limits.MaxRetryAfter
 	}
@@ -125,7 +125,7 @@
 		if full {
 			s.turnedAway("sessions_cap")
 			nc.SetWriteDeadline(time.Now().Add(time.Second))
-			nc.Write((&ws.Refusal{Status: 503, Reason: "no more sessions"}).Response())
+			nc.Write((&websocket.Refusal{Status: 503, Reason: "no more sessions"}).Response())
 			nc.Close()
 			continue
 		}
@@ -147,7 +147,7 @@
 	s.conns[nc] = c
 	s.mu.Unlock()
 	if s.draining.Load() {
-		c.link.Close(ws.CodeGoingAway, "this gateway stops")
+		c.link.Close(websocket.CodeGoingAway, "this gateway stops")
 	}
 	go func() {
 		c.run()
@@ -166,14 +166,14 @@
 func (s *Server) open(nc net.Conn) *session {
 	c := &session{s: s}
 	var err error
-	c.link, err = link.Accept(nc, protocol, s.caps.Handshake, func(u *ws.Upgrade) (err error) {
+	c.link, err = wsconn.Accept(nc, protocol, s.caps.Handshake, func(u *websocket.Upgrade) (err error) {
 		c.member, err = s.known(u)
 		return err
-	}, link.Options{Message: int64(s.caps.Message), Frame: int64(s.caps.Frame), Queue: s.caps.Queue, WriteWait: s.caps.Write})
+	}, wsconn.Options{Message: int64(s.caps.Message), Frame: int64(s.caps.Frame), Queue: s.caps.Queue, WriteWait: s.caps.Write})
 	if err == nil {
 		return c
 	}
-	var r *ws.Refusal
+	var r *websocket.Refusal
 	if errors.As(err, &r) {
 		s.turnedAway("handshake_" + strconv.Itoa(r.Status))
 		nc.Write(r.Response())
@@ -187,22 +187,22 @@
 }
 
 // known finds who a client is.
-func (s *Server) known(u *ws.Upgrade) (*config.Member, error) {
+func (s *Server) known(u *websocket.Upgrade) (*config.Member, error) {
 	scheme, key, _ := strings.Cut(u.Header["authorization"], " ")
 	i, ok := 0, false
 	if strings.EqualFold(scheme, "Bearer") {
 		i, ok = s.book.Find(strings.TrimSpace(key))
 	}
 	if !ok {
-		return nil, &ws.Refusal{Status: 401, Reason: "a key is wanted: Authorization: Bearer KEY",
+		return nil, &websocket.Refusal{Status: 401, Reason: "a key is wanted: Authorization: Bearer KEY",
 			Extra: "WWW-Authenticate: Bearer realm=\"winghatch\"\r\n"}
 	}
 	if !u.Offers(protocol) {
-		return nil, &ws.Refusal{Status: 400, Reason: "Sec-WebSocket-Protocol: want " + protocol}
+		return nil, &websocket.Refusal{Status: 400, Reason: "Sec-WebSocket-Protocol: want " + protocol}
 	}
 	m := &s.members[i]
 	if (s.rank-m.First+s.size)%s.size >= m.Spread {
-		return nil, &ws.Refusal{Status: 403, Reason: fmt.Sprintf("gateway %d is none of this member's, which are %d from %d on",
+		return nil, &websocket.Refusal{Status: 403, Reason: fmt.Sprintf("gateway %d is none of this member's, which are %d from %d on",
 			s.rank, m.Spread, m.First)}
 	}
 	return m, nil
@@ -211,7 +211,7 @@
 // Keep finds sessions whose client vanished without closing, until the context ends. Their calls are called
 // off as those of any client that leaves.
 func (s *Server) Keep(ctx context.Context) {
-	link.Keep(ctx, s.caps.Ping, func() (out []*link.Conn) {
+	wsconn.Keep(ctx, s.caps.Ping, func() (out []*wsconn.Conn) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for _, c := range s.conns {
@@ -239,7 +239,7 @@
 		idle := len(c.open)+len(c.quiet) == 0
 		c.mu.Unlock()
 		if idle {
-			c.link.Close(ws.CodeGoingAway, "this gateway stops")
+			c.link.Close(websocket.CodeGoingAway, "this gateway stops")
 		}
 	}
 }
--- a/front/websocket/session.go
+++ b/internal/frontend/websocket/session.go
@@ -10,18 +10,18 @@
 	"sync"
 	"time"
 
-	"winghatch/config"
 	"winghatch/decide"
-	"winghatch/front"
-	"winghatch/jsonrpc"
-	"winghatch/link"
-	"winghatch/ws"
+	"winghatch/internal/config"
+	"winghatch/internal/frontend"
+	"winghatch/internal/jsonrpc"
+	"winghatch/internal/websocket"
+	"winghatch/internal/wsconn"
 )
 
 // session is one client's connection.
 type session struct {
 	s      *Server
-	link   *link.Conn
+	link   *wsconn.Conn
 	member *config.Member
 	skew   skew // the reader's
 
@@ -225,7 +225,7 @@
 
 func (c *session) call(now time.Duration, it *jsonrpc.Item, k *decide.Class, p *params, answer func([]byte)) {
 	id, quiet := it.ID, it.Notification()
-	call := &front.Call{ID: c.s.nextID(), Class: k.Name, Plan: c.member.Plan, Member: c.member.Name, Key: p.Key,
+	call := &frontend.Call{ID: c.s.nextID(), Class: k.Name, Plan: c.member.Plan, Member: c.member.Name, Key: p.Key,
 		Units: 1, First: c.member.First, Spread: c.member.Spread, Again: p.Again, Write: p.Write, Reserved: p.Reserved, TraceParent: p.TraceParent,
 		Work: p.Work}
 	if p.Units != nil {
@@ -236,7 +236,7 @@
 		left = min(left, time.Duration(min(*p.Deadline, 1e12)*float64(time.Millisecond)))
 	}
 	call.Deadline = now - c.skew.age(now, p.At) + left
-	call.Done = func(f front.Final) {
+	call.Done = func(f frontend.Final) {
 		c.mu.Lock()
 		if quiet {
 			delete(c.quiet, call.ID)
@@ -254,7 +254,7 @@
 			answer(appendFinal(nil, id, f))
 		}
 		if last && c.s.draining.Load() {
-			c.link.Close(ws.CodeGoingAway, "this gateway stops")
+			c.link.Close(websocket.CodeGoingAway, "this gateway stops")
 		}
 	}
 	c.mu.Lock()
@@ -297,19 +297,19 @@
 		answer(nil)
 		return
 	}
-	answer(appendFinal(nil, id, front.Final{Kind: front.Refused, Reason: why, RetryAfter: c.s.retryAfter}))
+	answer(appendFinal(nil, id, frontend.Final{Kind: frontend.Refused, Reason: why, RetryAfter: c.s.retryAfter}))
 }
 
 // appendFinal writes a final answer as JSON-RPC.
-func appendFinal(dst []byte, id jsonrpc.ID, f front.Final) []byte {
+func appendFinal(dst []byte, id jsonrpc.ID, f frontend.Final) []byte {
 	switch f.Kind {
-	case front.Served:
+	case frontend.Served:
 		r := strconv.AppendFloat([]byte(`{"units":`), f.Units, 'g', -1, 64)
 		if len(f.Body) > 0 {
 			r = append(append(r, `,"body":`...), f.Body...)
 		}
 		return jsonrpc.AppendResult(dst, id, append(r, '}'))
-	case front.Refused:
+	case frontend.Refused:
 		data := []byte(`{"reason":"` + f.Reason + `"`)
 		if f.RetryAfter > 0 {
 			data = strconv.AppendInt(append(data, `,"retry_after_ms":`...), f.RetryAfter.Milliseconds(), 10)
--- a/front/websocket/skew_test.go
+++ b/internal/frontend/websocket/skew_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"winghatch/config"
+	"winghatch/internal/config"
 )
 
 // TestSkew tells calls by a client's clock of another origin: the quickest is of no age, what lay is old.
--- a/gateway/books.go
+++ b/internal/gateway/books.go
@@ -9,10 +9,10 @@
 	"time"
 
 	"winghatch/decide"
-	"winghatch/front"
-	"winghatch/plans"
-	"winghatch/reserve"
-	"winghatch/wal"
+	"winghatch/internal/frontend"
+	"winghatch/internal/quotaplan"
+	"winghatch/internal/reservation"
+	"winghatch/internal/wal"
 )
 
 // What peers say to each other beside the core's words begins with one of these bytes, with which no word does.
@@ -49,8 +49,8 @@
 // log syncs each record before it counts.
 type books struct {
 	l      *Loop
-	book   *plans.Book
-	ledger *reserve.Ledger
+	book   *quotaplan.Book
+	ledger *reservation.Ledger
 	wall   func() int64
 	log    *wal.Log // nil: nothing is kept
 	slog   *slog.Logger
@@ -58,10 +58,10 @@
 	waits   []kept
 	lastRec uint64 // in the log
 	snapAt  uint64 // lastRec at the last snapshot
-	replies map[uint64]func(plans.Reply)
+	replies map[uint64]func(quotaplan.Reply)
 	token   uint64
-	bookAt  plans.Now // when each wants to be woken
-	ledgAt  plans.Now
+	bookAt  quotaplan.Now // when each wants to be woken
+	ledgAt  quotaplan.Now
 	unkept  uint64 // first state of the ledger that the log did not take; 0: none
 	failure string
 	closed  bool
@@ -77,8 +77,8 @@
 
 // BookOptions tell a gateway's books who they are.
 type BookOptions struct {
-	Plans   plans.Settings
-	Reserve reserve.Settings
+	Plans   quotaplan.Settings
+	Reserve reservation.Settings
 	Dir     string // empty: nothing is kept
 	FS      wal.FS
 	Wall    func() int64
@@ -87,9 +87,9 @@
 
 // openBooks recovers the books from their log.
 func openBooks(l *Loop, o BookOptions) (*books, error) {
-	b := &books{l: l, book: plans.New(o.Plans), ledger: reserve.New(o.Reserve), wall: o.Wall, slog: o.Log,
-		replies: map[uint64]func(plans.Reply){}}
-	never := plans.Now{Mono: math.MaxInt64, Wall: math.MaxInt64}
+	b := &books{l: l, book: quotaplan.New(o.Plans), ledger: reservation.New(o.Reserve), wall: o.Wall, slog: o.Log,
+		replies: map[uint64]func(quotaplan.Reply){}}
+	never := quotaplan.Now{Mono: math.MaxInt64, Wall: math.MaxInt64}
 	b.bookAt, b.ledgAt = never, never
 	if o.Dir == "" {
 		return b, nil
@@ -118,7 +118,7 @@
 	}
 	switch p[0] {
 	case recOwn, recHeard:
-		c, _, err := plans.ParseChange(p[1:])
+		c, _, err := quotaplan.ParseChange(p[1:])
 		if err != nil {
 			return err
 		}
@@ -164,11 +164,11 @@
 }
 
 // begin tells the core what the books say, before anything else comes.
-func (b *books) begin() { b.toBook(plans.Begin{}) }
+func (b *books) begin() { b.toBook(quotaplan.Begin{}) }
 
-func (b *books) time() plans.Now { return plans.Now{Mono: b.l.now, Wall: b.wall()} }
+func (b *books) time() quotaplan.Now { return quotaplan.Now{Mono: b.l.now, Wall: b.wall()} }
 
-func (b *books) toBook(ev plans.Event) {
+func (b *books) toBook(ev quotaplan.Event) {
 	stands := 0
 	defer func() {
 		if stands > manyStands {
@@ -177,51 +177,51 @@
 	}()
 	for _, a := range b.book.Handle(b.time(), ev) {
 		switch a := a.(type) {
-		case plans.Keep:
+		case quotaplan.Keep:
 			kind := byte(recHeard)
 			k := kept{}
 			if a.Own {
 				kind, k.number = recOwn, a.Change.Number
 			}
 			b.keep(kind, a.Change.Append(nil), k)
-		case plans.Reply:
+		case quotaplan.Reply:
 			if f := b.replies[a.Token]; f != nil {
 				delete(b.replies, a.Token)
 				f(a)
 			}
-		case plans.Send:
+		case quotaplan.Send:
 			b.l.tell(a.To, chanPlans, a.Data)
-		case plans.Stand:
+		case quotaplan.Stand:
 			if stands++; stands <= manyStands { // a plan's new terms are those of all who are on it
 				b.slog.Info("terms", "member", a.Member, "plan", a.Plan.Name, "rate", a.Plan.Rate, "burst", a.Plan.Burst, "change", a.Change)
 			}
 			b.l.handle(decide.Terms{Customer: a.Member, Plan: a.Plan})
-		case plans.Hold:
+		case quotaplan.Hold:
 			b.slog.Info("reservation", "member", a.Member, "number", a.Number, "units", a.Units)
-			b.toLedger(reserve.Hold{Reservation: a.Reservation, Slices: b.slices(a.Reservation)})
-		case plans.Cut:
-			b.toLedger(reserve.Cut{ID: a.ID, Units: a.Units})
-		case plans.Wake:
+			b.toLedger(reservation.Hold{Reservation: a.Reservation, Slices: b.slices(a.Reservation)})
+		case quotaplan.Cut:
+			b.toLedger(reservation.Cut{ID: a.ID, Units: a.Units})
+		case quotaplan.Wake:
 			b.bookAt = a.At
-		case plans.Note:
+		case quotaplan.Note:
 			b.slog.Warn(a.Text)
 		}
 	}
 }
 
 // slices are where the core keeps a member's ceiling; even parts, for a core that tells nothing of it.
-func (b *books) slices(r plans.Reservation) (out []reserve.Slice) {
+func (b *books) slices(r quotaplan.Reservation) (out []reservation.Slice) {
 	c, ok := b.l.core.(interface {
 		Slices(customer string, first, spread int) []decide.Slice
 	})
 	if !ok {
 		for i := range max(1, r.Spread) {
-			out = append(out, reserve.Slice{Rank: (r.First + i) % b.l.cfg.Gateways, Part: 1 / float64(max(1, r.Spread))})
+			out = append(out, reservation.Slice{Rank: (r.First + i) % b.l.cfg.Gateways, Part: 1 / float64(max(1, r.Spread))})
 		}
 		return out
 	}
 	for _, s := range c.Slices(r.Member, r.First, r.Spread) {
-		out = append(out, reserve.Slice{Rank: s.Rank, Part: s.Part})
+		out = append(out, reservation.Slice{Rank: s.Rank, Part: s.Part})
 	}
 	return out
 }
@@ -229,32 +229,32 @@
 // handOver offers what is set aside here to others; done is closed once they have all of it.
 func (b *books) handOver(done chan struct{}) {
 	b.handed = done
-	b.toLedger(reserve.Drain{})
+	b.toLedger(reservation.Drain{})
 }
 
-func (b *books) toLedger(ev reserve.Event) {
+func (b *books) toLedger(ev reservation.Event) {
 	for _, a := range b.ledger.Handle(b.time(), ev) {
 		switch a := a.(type) {
-		case reserve.Admit:
+		case reservation.Admit:
 			if o := b.l.opens[a.ID]; o != nil && !o.finished {
 				b.l.admit(o)
 			} else {
 				b.l.q.post(inUnreserve{a.ID})
 			}
-		case reserve.Refuse:
+		case reservation.Refuse:
 			if o := b.l.opens[a.ID]; o != nil && !o.finished {
 				o.reserving = false
-				b.l.final(o, front.Final{Kind: front.Refused, Reason: string(a.Reason), RetryAfter: b.l.cfg.Limits.MaxRetryAfter})
+				b.l.final(o, frontend.Final{Kind: frontend.Refused, Reason: string(a.Reason), RetryAfter: b.l.cfg.Limits.MaxRetryAfter})
 				b.l.forget(o)
 			}
-		case reserve.Keep:
+		case reservation.Keep:
 			b.keep(recState, a.State, kept{state: a.No})
-		case reserve.Send:
+		case reservation.Send:
 			b.l.tell(a.To, chanReserve, a.Data)
-		case reserve.Return:
+		case reservation.Return:
 			b.slog.Info("reserved units return", "member", a.Member, "units", a.Units)
 			b.l.handle(decide.Terms{Customer: a.Member, Plan: b.book.Stands(a.Member), Return: a.Units})
-		case reserve.Wake:
+		case reservation.Wake:
 			b.ledgAt = a.At
 		}
 	}
@@ -279,9 +279,9 @@
 	}
 	switch {
 	case channel == chanPlans && l.books != nil:
-		l.books.toBook(plans.Heard{From: from, Data: []byte(text[1:])})
+		l.books.toBook(quotaplan.Heard{From: from, Data: []byte(text[1:])})
 	case channel == chanReserve && l.books != nil:
-		l.books.toLedger(reserve.Heard{From: from, Data: []byte(text[1:])})
+		l.books.toLedger(reservation.Heard{From: from, Data: []byte(text[1:])})
 	case channel == chanSums:
 		if l.sums != nil {
 			l.sums.Heard(l.now, from, []byte(text[1:]))
@@ -327,9 +327,9 @@
 		b.waits = b.waits[1:]
 		switch {
 		case k.number != 0:
-			b.toBook(plans.Kept{Number: k.number})
+			b.toBook(quotaplan.Kept{Number: k.number})
 		case k.state != 0 && (b.unkept == 0 || k.state < b.unkept):
-			b.toLedger(reserve.Kept{No: k.state})
+			b.toLedger(reservation.Kept{No: k.state})
 		}
 	}
 	if b.log != nil && len(b.waits) == 0 && b.lastRec-b.snapAt >= snapshotEvery {
@@ -345,15 +345,15 @@
 // due does what time brings and tells when it wants to be called next.
 func (b *books) due() (in time.Duration) {
 	now := b.time()
-	past := func(at plans.Now) bool { return at.Mono <= now.Mono || at.Wall <= now.Wall }
+	past := func(at quotaplan.Now) bool { return at.Mono <= now.Mono || at.Wall <= now.Wall }
 	if past(b.bookAt) {
-		b.toBook(plans.Tick{})
+		b.toBook(quotaplan.Tick{})
 	}
 	if past(b.ledgAt) {
-		b.toLedger(reserve.Tick{})
+		b.toLedger(reservation.Tick{})
 	}
 	in = time.Hour
-	for _, at := range []plans.Now{b.bookAt, b.ledgAt} {
+	for _, at := range []quotaplan.Now{b.bookAt, b.ledgAt} {
 		in = min(in, at.Mono-now.Mono)
 		if at.Wall < now.Wall+int64(time.Hour) {
 			in = min(in, time.Duration(at.Wall-now.Wall))
@@ -363,10 +363,10 @@
 }
 
 // submit hands in a change; f is called in the loop, once it is durable or refused.
-func (b *books) submit(c plans.Change, f func(plans.Reply)) {
+func (b *books) submit(c quotaplan.Change, f func(quotaplan.Reply)) {
 	b.token++
 	b.replies[b.token] = f
-	b.toBook(plans.Submit{Token: b.token, Change: c})
+	b.toBook(quotaplan.Submit{Token: b.token, Change: c})
 }
 
 func (b *books) close() {
--- a/gateway/books_test.go
+++ b/internal/gateway/books_test.go
@@ -12,10 +12,10 @@
 	"testing"
 	"time"
 
-	"winghatch/config"
 	"winghatch/decide"
-	"winghatch/keys"
-	"winghatch/plans"
+	"winghatch/internal/config"
+	"winghatch/internal/credentials"
+	"winghatch/internal/quotaplan"
 )
 
 // trio is three gateways as processes, that keep what they must not forget, with a list and nodes in this one.
@@ -60,7 +60,7 @@
 	return s
 }
 
-func (x *trio) submit(i int, c plans.Change) error {
+func (x *trio) submit(i int, c quotaplan.Change) error {
 	_, err := Ask(x.fleet.Gateways[i].State, x.fleet.Secret, c)
 	return err
 }
@@ -100,26 +100,26 @@
 // TestPlanChanges takes changes in service over three gateways of which one is killed, and one loses its disk.
 func TestPlanChanges(t *testing.T) {
 	x := newTrio(t, nil)
-	if err := x.submit(0, plans.Change{Number: 1, Kind: plans.Move, Member: "poor", Plan: "big"}); err != nil {
+	if err := x.submit(0, quotaplan.Change{Number: 1, Kind: quotaplan.Move, Member: "poor", Plan: "big"}); err != nil {
 		t.Fatal(err)
 	}
 	x.known(1)
-	err := x.submit(1, plans.Change{Number: 1, Kind: plans.Move, Member: "m", Plan: "none"})
+	err := x.submit(1, quotaplan.Change{Number: 1, Kind: quotaplan.Move, Member: "m", Plan: "none"})
 	if err == nil || !strings.Contains(err.Error(), "change 1: number: seen before: change 1: member poor") {
 		t.Errorf("%v", err)
 	}
 	for _, c := range []struct {
-		c    plans.Change
+		c    quotaplan.Change
 		says string
 	}{
-		{plans.Change{Number: 9, Kind: plans.Move, Member: "m", Plan: "gold"}, `change 9: plan: "gold", want one of big, none`},
-		{plans.Change{Number: 9, Kind: plans.Move, Member: "m", Plan: "none", From: 5}, "change 9: from: 1970-01-01"},
+		{quotaplan.Change{Number: 9, Kind: quotaplan.Move, Member: "m", Plan: "gold"}, `change 9: plan: "gold", want one of big, none`},
+		{quotaplan.Change{Number: 9, Kind: quotaplan.Move, Member: "m", Plan: "none", From: 5}, "change 9: from: 1970-01-01"},
 	} {
 		if err := x.submit(2, c.c); err == nil || !strings.Contains(err.Error(), c.says) {
 			t.Errorf("%v, want %s", err, c.says)
 		}
 	}
-	if _, err := Ask(x.fleet.Gateways[0].State, keys.NewSecret(), plans.Change{Number: 9, Kind: plans.Move, Member: "m", Plan: "none"}); err == nil ||
+	if _, err := Ask(x.fleet.Gateways[0].State, credentials.NewSecret(), quotaplan.Change{Number: 9, Kind: quotaplan.Move, Member: "m", Plan: "none"}); err == nil ||
 		!strings.Contains(err.Error(), macHeader) {
 		t.Errorf("a change under another secret: %v", err)
 	}
@@ -131,7 +131,7 @@
 	n := len(x.history(0, "").Entries)
 	// Killed in the middle, it knows from its disk; with an empty one, from the others.
 	x.procs[1].Signal(syscall.SIGKILL)
-	if err := x.submit(0, plans.Change{Number: 2, Kind: plans.Move, Member: "poor", Plan: "none"}); err != nil {
+	if err := x.submit(0, quotaplan.Change{Number: 2, Kind: quotaplan.Move, Member: "poor", Plan: "none"}); err != nil {
 		t.Fatal(err)
 	}
 	if n, _ := c.serve(30, `{}`); n > 14 {
@@ -163,13 +163,13 @@
 	x := newTrio(t, nil)
 	now := time.Now()
 	const units = 40.0
-	err := x.submit(0, plans.Change{Number: 5, Kind: plans.Reserve, Member: "poor", Units: units, From: now.Add(500 * time.Millisecond).UnixNano(),
+	err := x.submit(0, quotaplan.Change{Number: 5, Kind: quotaplan.Reserve, Member: "poor", Units: units, From: now.Add(500 * time.Millisecond).UnixNano(),
 		To: now.Add(60 * time.Second).UnixNano()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	x.known(1)
-	if err := x.submit(1, plans.Change{Number: 6, Kind: plans.Reserve, Member: "poor", Units: 500, From: now.Add(time.Second).UnixNano(),
+	if err := x.submit(1, quotaplan.Change{Number: 6, Kind: quotaplan.Reserve, Member: "poor", Units: 500, From: now.Add(time.Second).UnixNano(),
 		To: now.Add(31 * time.Second).UnixNano()}); err == nil || !strings.Contains(err.Error(), "room for") {
 		t.Errorf("%v, want the room that there is", err)
 	}
@@ -215,7 +215,7 @@
 	if _, last := x.dialAt(1, x.key).serve(1, `{"reserved":true}`); !strings.Contains(last, `"reason":"reserve_none"`) {
 		t.Errorf("a member without a reservation: %s", last)
 	}
-	x.submit(2, plans.Change{Number: 7, Kind: plans.Cancel, Target: 5})
+	x.submit(2, quotaplan.Change{Number: 7, Kind: quotaplan.Cancel, Target: 5})
 	x.known(2)
 	if _, last := cs[2].serve(1, `{"reserved":true}`); !strings.Contains(last, `"reason":"reserve_none"`) {
 		t.Errorf("after it was cancelled: %s", last)
@@ -236,7 +236,7 @@
 	fs.bad.Store(true)
 	done := make(chan error, 1)
 	go func() {
-		_, err := gw.Submit(plans.Change{Number: 1, Kind: plans.Move, Member: "poor", Plan: "big"})
+		_, err := gw.Submit(quotaplan.Change{Number: 1, Kind: quotaplan.Move, Member: "poor", Plan: "big"})
 		done <- err
 	}()
 	eventually(t, "the failure is told", func() bool { return strings.Contains(gw.State().BookLog, "no space") })
@@ -299,7 +299,7 @@
 func TestMarkedCallsEnd(t *testing.T) {
 	b := newBench(t, 1, nil)
 	now := time.Now().UnixNano()
-	if _, err := b.gw.Submit(plans.Change{Number: 1, Kind: plans.Reserve, Member: "m", Units: 1000, From: now + 1e6, To: now + 60e9}); err != nil {
+	if _, err := b.gw.Submit(quotaplan.Change{Number: 1, Kind: quotaplan.Reserve, Member: "m", Units: 1000, From: now + 1e6, To: now + 60e9}); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "it is open", func() bool { r := b.gw.State().Reservations; return len(r) == 1 && r[0].Open })
@@ -316,8 +316,8 @@
 	if sum := r.Free + r.Drawn + r.Spent; math.Abs(sum-1000) > 1e-6 || r.Waiting != 0 {
 		t.Errorf("%+v: %v units", r, sum)
 	}
-	var e *plans.Error
-	if _, err := b.gw.Submit(plans.Change{Number: 1, Kind: plans.Terms, Plan: "big", Terms: decide.Plan{}}); !errors.As(err, &e) {
+	var e *quotaplan.Error
+	if _, err := b.gw.Submit(quotaplan.Change{Number: 1, Kind: quotaplan.Terms, Plan: "big", Terms: decide.Plan{}}); !errors.As(err, &e) {
 		t.Errorf("%v", err)
 	}
 }
--- a/gateway/control.go
+++ b/internal/gateway/control.go
@@ -15,20 +15,20 @@
 	"strings"
 	"time"
 
-	"winghatch/config"
-	"winghatch/config/decode"
-	"winghatch/config/kdl"
 	"winghatch/decide"
-	"winghatch/keys"
-	"winghatch/plans"
-	"winghatch/reserve"
+	"winghatch/internal/config"
+	"winghatch/internal/config/decode"
+	"winghatch/internal/config/kdl"
+	"winghatch/internal/credentials"
+	"winghatch/internal/quotaplan"
+	"winghatch/internal/reservation"
 )
 
 // macHeader carries the keyed hash of what an operator asks. A request that is sent twice does no harm: its number was
 // seen before.
 const macHeader = "Winghatch-Mac"
 
-func mac(s keys.Secret, body []byte) string {
+func mac(s credentials.Secret, body []byte) string {
 	d := s.Operators().Sum(append([]byte("POST /changes\n"), body...))
 	return hex.EncodeToString(d[:])
 }
@@ -63,22 +63,22 @@
 	return time.Unix(0, ns).UTC().Format(time.RFC3339Nano)
 }
 
-func toWire(c *plans.Change) wireChange {
+func toWire(c *quotaplan.Change) wireChange {
 	w := wireChange{Number: c.Number, Kind: c.Kind.String(), Member: c.Member, Plan: c.Plan, From: stamp(c.From), To: stamp(c.To),
 		Units: c.Units, Rate: c.Rate, Target: c.Target}
-	if c.Kind == plans.Terms {
+	if c.Kind == quotaplan.Terms {
 		t := c.Terms
 		w.Terms = &t
 	}
 	return w
 }
 
-func (w *wireChange) change() (c plans.Change, err error) {
-	k, ok := plans.ParseKind(w.Kind)
+func (w *wireChange) change() (c quotaplan.Change, err error) {
+	k, ok := quotaplan.ParseKind(w.Kind)
 	if !ok {
 		return c, fmt.Errorf("change %d: kind: %q, want move, terms, reserve, cancel or shorten", w.Number, w.Kind)
 	}
-	c = plans.Change{Number: w.Number, Kind: k, Member: w.Member, Plan: w.Plan, Units: w.Units, Rate: w.Rate, Target: w.Target}
+	c = quotaplan.Change{Number: w.Number, Kind: k, Member: w.Member, Plan: w.Plan, Units: w.Units, Rate: w.Rate, Target: w.Target}
 	if w.Terms != nil {
 		c.Terms = *w.Terms
 	}
@@ -104,9 +104,9 @@
 var errNotYet = errors.New("not durable yet, as its log can't be written; it may still be taken: ask the history for its number")
 
 // Submit hands in a change and waits until it is durable here. The error of one that is not taken is a *plans.Error.
-func (g *Gateway) Submit(c plans.Change) (plans.Change, error) {
-	done := make(chan plans.Reply, 1)
-	if !g.loop.Ask(func() { g.loop.books.submit(c, func(r plans.Reply) { done <- r }) }) {
+func (g *Gateway) Submit(c quotaplan.Change) (quotaplan.Change, error) {
+	done := make(chan quotaplan.Reply, 1)
+	if !g.loop.Ask(func() { g.loop.books.submit(c, func(r quotaplan.Reply) { done <- r }) }) {
 		return c, errors.New("the gateway has stopped")
 	}
 	select {
@@ -126,7 +126,7 @@
 		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 		return
 	}
-	if !keys.Equal([]byte(r.Header.Get(macHeader)), []byte(mac(g.fleet.Secret, body))) {
+	if !credentials.Equal([]byte(r.Header.Get(macHeader)), []byte(mac(g.fleet.Secret, body))) {
 		http.Error(w, macHeader+": not made with this fleet's secret", http.StatusUnauthorized)
 		return
 	}
@@ -139,7 +139,7 @@
 	if err == nil {
 		c, err = g.Submit(c)
 	}
-	var e *plans.Error
+	var e *quotaplan.Error
 	switch {
 	case errors.As(err, &e):
 		http.Error(w, err.Error(), http.StatusConflict)
@@ -185,7 +185,7 @@
 }
 
 // Ask hands a change to a gateway at its state address and returns the change as it was taken.
-func Ask(addr string, secret keys.Secret, c plans.Change) (plans.Change, error) {
+func Ask(addr string, secret credentials.Secret, c quotaplan.Change) (quotaplan.Change, error) {
 	body, err := json.Marshal(toWire(&c))
 	if err != nil {
 		return c, err
@@ -233,13 +233,13 @@
 // ---- The file of changes.
 
 // ReadChanges reads a file of changes: nodes "change" with the fields of one each. Times are RFC 3339.
-func ReadChanges(file string, src []byte) ([]plans.Change, []kdl.Pos, error) {
+func ReadChanges(file string, src []byte) ([]quotaplan.Change, []kdl.Pos, error) {
 	nodes, err := decode.Parse(file, src)
 	if err != nil {
 		return nil, nil, err
 	}
 	d := &decode.Decoder{File: file}
-	var out []plans.Change
+	var out []quotaplan.Change
 	var at []kdl.Pos
 	seen := map[int]bool{}
 	for _, n := range nodes {
@@ -248,10 +248,10 @@
 			continue
 		}
 		d.Plain("change", n)
-		var c plans.Change
+		var c quotaplan.Change
 		number, target := 0, 0
-		kinds := map[string]plans.Kind{}
-		for k := plans.Move; k <= plans.Shorten; k++ {
+		kinds := map[string]quotaplan.Kind{}
+		for k := quotaplan.Move; k <= quotaplan.Shorten; k++ {
 			kinds[k.String()] = k
 		}
 		const most = 1 << 53 // whole numbers up to there are exact
@@ -269,7 +269,7 @@
 		}
 		seen[number] = true
 		c.Number, c.Target, c.Terms.Name = uint64(number), uint64(target), c.Plan
-		if c.Kind != plans.Terms {
+		if c.Kind != quotaplan.Terms {
 			c.Terms = decide.Plan{}
 		}
 		out = append(out, c)
@@ -331,11 +331,11 @@
 
 // bookOptions are a gateway's, by the fleet's settings.
 func bookOptions(f *config.Fleet, rank int, life uint64, seed int64) BookOptions {
-	o := BookOptions{Plans: plans.Settings{Rank: rank, Gateways: len(f.Gateways), Plans: f.Decide.Plans, Capacity: f.Capacity,
+	o := BookOptions{Plans: quotaplan.Settings{Rank: rank, Gateways: len(f.Gateways), Plans: f.Decide.Plans, Capacity: f.Capacity,
 		MaxUnits: max(1, f.Decide.MaxUnits), Life: life, Seed: seed},
-		Reserve: reserve.Settings{Rank: rank, Gateways: len(f.Gateways), MaxUnits: max(1, f.Decide.MaxUnits), Era: life, Seed: seed}}
+		Reserve: reservation.Settings{Rank: rank, Gateways: len(f.Gateways), MaxUnits: max(1, f.Decide.MaxUnits), Era: life, Seed: seed}}
 	for _, m := range f.Members {
-		o.Plans.Members = append(o.Plans.Members, plans.Member{Name: m.Name, Plan: m.Plan, First: m.First, Spread: m.Spread})
+		o.Plans.Members = append(o.Plans.Members, quotaplan.Member{Name: m.Name, Plan: m.Plan, First: m.First, Spread: m.Spread})
 	}
 	return o
 }
--- a/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -7,17 +7,17 @@
 	"log/slog"
 	"time"
 
-	"winghatch/accounting"
-	"winghatch/config"
-	"winghatch/export"
+	"winghatch/internal/config"
+	"winghatch/internal/usage/outbox"
+	"winghatch/internal/usage/sender"
 )
 
 // DrainResult is what draining a log found and told.
 type DrainResult struct {
 	Life    uint64
 	Records uint64
-	Desk    export.Counts
-	Ship    export.ShipCounts
+	Desk    outbox.Counts
+	Ship    outbox.ShipCounts
 	Holes   int
 	Torn    int64
 	Lost    uint64
@@ -47,11 +47,11 @@
 	if err := l.Sync(10 * time.Second); err != nil {
 		return res, err
 	}
-	c := accounting.New(accounting.Options{Log: l, URL: f.Export.To, Fleet: f.Name, Gateway: rank, Behind: desk.Acked(),
+	c := sender.New(sender.Options{Log: l, URL: f.Export.To, Fleet: f.Name, Gateway: rank, Behind: desk.Acked(),
 		Batch: f.Export.Batch, Timeout: f.Export.Timeout, SetAside: SetAsideFile(o.Dir), SetAsideMost: setAsideMost(f.Export), Empty: true, Seed: int64(o.Life),
 		Acked: func(rec uint64) {
-			for _, a := range desk.Handle(export.Acked{Rec: rec}) {
-				l.Append(a.(export.Append).Payload)
+			for _, a := range desk.Handle(outbox.Acked{Rec: rec}) {
+				l.Append(a.(outbox.Append).Payload)
 			}
 		}, Say: func(text string, args ...any) { log.Error(text, args...) }})
 	c.Run(ctx)
--- a/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -17,17 +17,17 @@
 
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"winghatch/config"
 	"winghatch/decide"
-	"winghatch/front/websocket"
-	"winghatch/link"
-	"winghatch/nodelist"
-	"winghatch/peer"
-	"winghatch/remotewrite"
-	"winghatch/reserve"
-	"winghatch/tape"
-	"winghatch/upstream"
-	"winghatch/wal"
+	"winghatch/internal/config"
+	discoveryws "winghatch/internal/discovery/websocket"
+	frontendws "winghatch/internal/frontend/websocket"
+	"winghatch/internal/gossip"
+	"winghatch/internal/recording"
+	"winghatch/internal/remotewrite"
+	"winghatch/internal/reservation"
+	upstreamws "winghatch/internal/upstream/websocket"
+	"winghatch/internal/wal"
+	"winghatch/internal/wsconn"
 )
 
 // origin is what the clock shows at the start of the process. It is not 0, so that a node's start some time
@@ -61,9 +61,9 @@
 	rank  int
 	log   *slog.Logger
 	loop  *Loop
-	front *websocket.Server
-	pool  *upstream.Pool
-	peers *peer.Link
+	front *frontendws.Server
+	pool  *upstreamws.Pool
+	peers *gossip.Link
 	state *http.Server
 	epoch int64
 	clock Clock
@@ -89,14 +89,14 @@
 	if o.Seed == 0 {
 		o.Seed = g.epoch
 	}
-	var tp *tape.Writer
+	var tp *recording.Writer
 	if o.Tape != nil {
-		if tp, err = tape.NewWriter(o.Tape, cfg, o.Seed); err != nil {
+		if tp, err = recording.NewWriter(o.Tape, cfg, o.Seed); err != nil {
 			return nil, err
 		}
 	}
-	g.pool = upstream.New(upstream.Options{ConnectTimeout: cfg.Limits.ConnectTimeout, Conns: f.Caps.NodeConns,
-		Calls: f.Caps.NodeCalls, Idle: f.Caps.NodeIdle, Ping: f.Caps.Ping, Link: link.Options{Message: int64(f.Caps.Message) * 2,
+	g.pool = upstreamws.New(upstreamws.Options{ConnectTimeout: cfg.Limits.ConnectTimeout, Conns: f.Caps.NodeConns,
+		Calls: f.Caps.NodeCalls, Idle: f.Caps.NodeIdle, Ping: f.Caps.Ping, Link: wsconn.Options{Message: int64(f.Caps.Message) * 2,
 			Queue: 8 * f.Caps.Queue, WriteWait: f.Caps.Write, ReadBuffer: 16 << 10}})
 	ok := false
 	var closers []io.Closer
@@ -125,7 +125,7 @@
 		for _, p := range f.Gateways {
 			addrs = append(addrs, p.Peer)
 		}
-		if g.peers, err = peer.New(pc, peer.Options{Fleet: f.Name, Rank: o.Rank, Peers: addrs, Secret: f.Secret,
+		if g.peers, err = gossip.New(pc, gossip.Options{Fleet: f.Name, Rank: o.Rank, Peers: addrs, Secret: f.Secret,
 			Intake: cfg.PeerIntake}); err != nil {
 			return nil, err
 		}
@@ -179,7 +179,7 @@
 func (g *Gateway) run(ln, sl net.Listener) {
 	ctx, stop := context.WithCancel(context.Background())
 	g.stop = stop
-	g.front = websocket.New(g.fleet, g.rank, fmt.Sprintf("%d-%x-", g.rank, g.epoch), g.loop,
+	g.front = frontendws.New(g.fleet, g.rank, fmt.Sprintf("%d-%x-", g.rank, g.epoch), g.loop,
 		g.clock.Now, g.log)
 	goes := func(f func()) {
 		g.wg.Add(1)
@@ -196,7 +196,7 @@
 			kept = strings.ReplaceAll(g.fleet.ListKept, "%d", fmt.Sprint(g.rank))
 		}
 		goes(func() {
-			nodelist.Follow(ctx, nodelist.Options{Addr: g.fleet.List, Kept: kept, Rank: g.rank, Clock: g.clock.Now,
+			discoveryws.Follow(ctx, discoveryws.Options{Addr: g.fleet.List, Kept: kept, Rank: g.rank, Clock: g.clock.Now,
 				Take: g.loop.Fleet, Log: func(msg string, args ...any) { g.log.Warn(msg, args...) }})
 		})
 	}
@@ -322,15 +322,15 @@
 	Outcomes   map[string]int64  `json:"outcomes"`
 	Late       int64             `json:"late"`
 	NodeConns  int               `json:"node_connections"`
-	Datagrams  peer.Counts       `json:"datagrams"`
+	Datagrams  gossip.Counts     `json:"datagrams"`
 	Names      map[uint64]string `json:"names"` // of customers, by their keys in Core
 	Core       decide.View       `json:"core"`
 
-	Changes      int            `json:"changes"` // in the book of plans
-	ChangesSum   string         `json:"changes_sum"`
-	Reservations []reserve.View `json:"reservations,omitempty"`
-	Export       *ExportState   `json:"export,omitempty"`
-	BookLog      string         `json:"book_log,omitempty"` // why the books' log can't be written
+	Changes      int                `json:"changes"` // in the book of plans
+	ChangesSum   string             `json:"changes_sum"`
+	Reservations []reservation.View `json:"reservations,omitempty"`
+	Export       *ExportState       `json:"export,omitempty"`
+	BookLog      string             `json:"book_log,omitempty"` // why the books' log can't be written
 }
 
 // State asks the loop.
--- a/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -13,26 +13,26 @@
 	"testing"
 	"time"
 
-	"winghatch/config"
 	"winghatch/decide"
-	"winghatch/front"
-	"winghatch/keys"
-	"winghatch/nodelist"
-	"winghatch/standin/list"
-	"winghatch/standin/node"
-	"winghatch/standin/ports"
-	"winghatch/tape"
-	"winghatch/ws"
+	"winghatch/internal/config"
+	"winghatch/internal/credentials"
+	discoveryws "winghatch/internal/discovery/websocket"
+	"winghatch/internal/frontend"
+	"winghatch/internal/recording"
+	"winghatch/internal/testbed/backend"
+	"winghatch/internal/testbed/discovery"
+	"winghatch/internal/testbed/ports"
+	"winghatch/internal/websocket"
 
-	"winghatch/standin/await"
+	"winghatch/internal/testbed/await"
 )
 
 // bench is one gateway with a list and nodes, in this process, on real sockets.
 type bench struct {
 	t     testing.TB
 	fleet *config.Fleet
-	list  *list.List
-	nodes []*node.Node
+	list  *discovery.List
+	nodes []*backend.Node
 	gw    *Gateway
 	key   string
 	tape  bytes.Buffer
@@ -52,7 +52,7 @@
 
 func newBench(t testing.TB, nodes int, change func(*config.Fleet)) *bench {
 	t.Helper()
-	b := &bench{t: t, key: keys.New()}
+	b := &bench{t: t, key: credentials.New()}
 	f, err := config.Parse("bench", []byte(`fleet bench {
 		secret "`+strings.Repeat("0a", 32)+`"
 		max-units 8
@@ -65,8 +65,8 @@
 		limits attempts=4 { cancel #true; retry-after #true; connect-timeout "5s" }
 		caps open=20000 session-open=6000
 		gateway listen="127.0.0.1:1"
-		member m plan=big { key "`+keys.Digest{1}.String()+`" }
-		member poor plan=none { key "`+keys.Digest{2}.String()+`" }
+		member m plan=big { key "`+credentials.Digest{1}.String()+`" }
+		member poor plan=none { key "`+credentials.Digest{2}.String()+`" }
 	}`))
 	if err != nil {
 		t.Fatal(err)
@@ -74,7 +74,7 @@
 	f.Members[0].Keys[0] = f.Secret.Members().Sum([]byte(b.key))
 	f.Members[1].Keys[0] = f.Secret.Members().Sum([]byte("poor"))
 	f.Gateways[0].Listen = freePort(t)
-	if b.list, err = list.Start("127.0.0.1:0", 0, nil); err != nil {
+	if b.list, err = discovery.Start("127.0.0.1:0", 0, nil); err != nil {
 		t.Fatal(err)
 	}
 	f.List = b.list.Addr()
@@ -100,16 +100,16 @@
 }
 
 func (b *bench) addNode(f *config.Fleet) {
-	classes := map[string]node.Class{}
+	classes := map[string]backend.Class{}
 	for _, k := range f.Decide.Classes {
-		classes[k.Name] = node.Class{Work: time.Millisecond, Keyed: k.Effect == decide.Keyed, Window: k.Window}
+		classes[k.Name] = backend.Class{Work: time.Millisecond, Keyed: k.Effect == decide.Keyed, Window: k.Window}
 	}
-	n, err := node.Start(node.Options{Addr: "127.0.0.1:0", Cores: 8, Speed: 1, Queue: 100000, Classes: classes})
+	n, err := backend.Start(backend.Options{Addr: "127.0.0.1:0", Cores: 8, Speed: 1, Queue: 100000, Classes: classes})
 	if err != nil {
 		b.t.Fatal(err)
 	}
 	b.nodes = append(b.nodes, n)
-	b.list.Set(nodelist.Entry{Node: n.Addr(), State: "serving"})
+	b.list.Set(discoveryws.Entry{Node: n.Addr(), State: "serving"})
 }
 
 var eventually = await.Until
@@ -118,7 +118,7 @@
 type client struct {
 	t  testing.TB
 	nc net.Conn
-	r  *ws.Reader
+	r  *websocket.Reader
 }
 
 func (b *bench) dial(key string) *client {
@@ -129,23 +129,23 @@
 	}
 	b.t.Cleanup(func() { nc.Close() })
 	nc.SetDeadline(time.Now().Add(60 * time.Second))
-	req := &ws.Request{Host: "h", Path: "/", Protocol: "jsonrpc", Header: map[string]string{"Authorization": "Bearer " + key}}
+	req := &websocket.Request{Host: "h", Path: "/", Protocol: "jsonrpc", Header: map[string]string{"Authorization": "Bearer " + key}}
 	br := bufio.NewReader(nc)
 	nc.Write(req.Bytes())
 	if err := req.ReadResponse(br); err != nil {
 		b.t.Fatal(err)
 	}
-	return &client{b.t, nc, ws.NewReader(br, ws.Client, 1<<20)}
+	return &client{b.t, nc, websocket.NewReader(br, websocket.Client, 1<<20)}
 }
 
-func frame(op ws.Op, s string) []byte {
-	return ws.AppendFrame(nil, true, op, []byte(s), &[4]byte{7, 1, 8, 2})
+func frame(op websocket.Op, s string) []byte {
+	return websocket.AppendFrame(nil, true, op, []byte(s), &[4]byte{7, 1, 8, 2})
 }
 
 func (c *client) send(msgs ...string) {
 	var b []byte
 	for _, m := range msgs {
-		b = append(b, frame(ws.Text, m)...)
+		b = append(b, frame(websocket.Text, m)...)
 	}
 	if _, err := c.nc.Write(b); err != nil {
 		c.t.Error(err)
@@ -222,7 +222,7 @@
 // TestOpenID sends a call whose id is open: the open one keeps its one answer, the other is told apart.
 func TestOpenID(t *testing.T) {
 	b := newBench(t, 1, nil)
-	b.nodes[0].Set(func(x *node.Trouble) { x.Slow = 100 })
+	b.nodes[0].Set(func(x *backend.Trouble) { x.Slow = 100 })
 	c := b.dial(b.key)
 	c.send(call("x", "folio", `{}`), `{"jsonrpc":"2.0","method":"folio","id":"\u0078"}`)
 	first, second := c.read(), c.read()
@@ -258,7 +258,7 @@
 func TestClientsThatLeave(t *testing.T) {
 	b := newBench(t, 100, func(f *config.Fleet) { f.Caps.NodeIdle = 20 * time.Millisecond })
 	for _, n := range b.nodes {
-		n.Set(func(x *node.Trouble) { x.Silent = true })
+		n.Set(func(x *backend.Trouble) { x.Silent = true })
 	}
 	leaves := []struct {
 		name string
@@ -266,13 +266,13 @@
 	}{
 		{"vanishes", func(c *client) { c.nc.(*net.TCPConn).SetLinger(0); c.nc.Close() }},
 		{"closes in mid-message", func(c *client) {
-			f := frame(ws.Text, call(9, "look", `{}`))
+			f := frame(websocket.Text, call(9, "look", `{}`))
 			c.nc.Write(f[:len(f)/2])
 			c.nc.Close()
 		}},
 		{"half-closes", func(c *client) { c.nc.(*net.TCPConn).CloseWrite() }},
 		{"sends a call with its close", func(c *client) {
-			c.nc.Write(append(frame(ws.Text, call("z", "folio", `{}`)), frame(ws.Close, "\x03\xe8")...))
+			c.nc.Write(append(frame(websocket.Text, call("z", "folio", `{}`)), frame(websocket.Close, "\x03\xe8")...))
 		}},
 		{"breaks the protocol", func(c *client) { c.nc.Write([]byte{0xff, 0xff}) }},
 	}
@@ -335,7 +335,7 @@
 // TestAnswerAndTimer answers right at the deadline, many times: one final answer each, whichever came first.
 func TestAnswerAndTimer(t *testing.T) {
 	b := newBench(t, 1, nil)
-	b.nodes[0].Set(func(x *node.Trouble) { x.Slow = 60 })
+	b.nodes[0].Set(func(x *backend.Trouble) { x.Slow = 60 })
 	c := b.dial(b.key)
 	const n = 400
 	for i := range n {
@@ -356,7 +356,7 @@
 func TestDrainOnSignal(t *testing.T) {
 	b := newBench(t, 2, nil)
 	for _, n := range b.nodes {
-		n.Set(func(x *node.Trouble) { x.Slow = 150 })
+		n.Set(func(x *backend.Trouble) { x.Slow = 150 })
 	}
 	c := b.dial(b.key)
 	idle := b.dial(b.key)
@@ -381,7 +381,7 @@
 		t.Errorf("%d served, %d refused", served, refused)
 	}
 	for _, x := range []*client{c, idle} {
-		if m, err := x.r.Next(); err != nil || m.Op != ws.Close || m.Data[1] != 0xe9 {
+		if m, err := x.r.Next(); err != nil || m.Op != websocket.Close || m.Data[1] != 0xe9 {
 			t.Errorf("%v %v, want a close frame with 1001", m, err)
 		}
 		x.nc.Close()
@@ -410,7 +410,7 @@
 		defer wg.Done()
 		for i := range 10_000 {
 			// An error answer of some size to each; the write fails once the session is cut.
-			if _, err := flood.nc.Write(frame(ws.Text, call(pad+fmt.Sprint(i), "nothing", `{}`))); err != nil {
+			if _, err := flood.nc.Write(frame(websocket.Text, call(pad+fmt.Sprint(i), "nothing", `{}`))); err != nil {
 				return
 			}
 		}
@@ -432,7 +432,7 @@
 		f.Caps.Open, f.Caps.SessionOpen, f.Caps.Sessions, f.Caps.Message = 15, 10, 2, 2000
 	})
 	for _, n := range b.nodes {
-		n.Set(func(x *node.Trouble) { x.Silent = true })
+		n.Set(func(x *backend.Trouble) { x.Silent = true })
 	}
 	one, two := b.dial(b.key), b.dial(b.key)
 	for i := range 12 {
@@ -455,7 +455,7 @@
 		t.Errorf("a third session is answered %q", raw)
 	}
 	two.send(`{"x":"` + strings.Repeat("x", 3000) + `"}`)
-	if m, err := two.r.Next(); err != nil || m.Op != ws.Close || int(m.Data[0])<<8|int(m.Data[1]) != ws.CodeTooBig {
+	if m, err := two.r.Next(); err != nil || m.Op != websocket.Close || int(m.Data[0])<<8|int(m.Data[1]) != websocket.CodeTooBig {
 		t.Errorf("%v %v, want a close frame with 1009", m, err)
 	}
 	eventually(t, "one session's calls are left", func() bool { return b.gw.State().Open == 10 })
@@ -501,10 +501,10 @@
 		}()
 	}
 	b.nodes[0].Cut()
-	b.nodes[1].Set(func(x *node.Trouble) { x.Errors = 0.5 })
+	b.nodes[1].Set(func(x *backend.Trouble) { x.Errors = 0.5 })
 	wg.Wait()
 	b.gw.Stop()
-	n, err := tape.Replay(&b.tape)
+	n, err := recording.Replay(&b.tape)
 	if err != nil || n.Cut != nil || n.ByKind["Request"] != 800 {
 		t.Errorf("%+v, %v", n, err)
 	}
@@ -514,13 +514,13 @@
 func TestBadList(t *testing.T) {
 	b := newBench(t, 2, nil)
 	v := b.list.Version()
-	gone := nodelist.Entry{Node: b.nodes[0].Addr(), State: "gone"}
-	for _, u := range []nodelist.Update{{Version: v, Nodes: []nodelist.Entry{gone}}, {Version: 1, Nodes: []nodelist.Entry{gone}},
-		{Version: v + 1, Nodes: []nodelist.Entry{gone, gone}}, {Version: v + 1, Nodes: []nodelist.Entry{{Node: "bad", State: "gone"}, gone}},
-		{Version: v + 9, Nodes: []nodelist.Entry{gone}}} {
-		b.list.Raw(nodelist.MethodChange, u)
+	gone := discoveryws.Entry{Node: b.nodes[0].Addr(), State: "gone"}
+	for _, u := range []discoveryws.Update{{Version: v, Nodes: []discoveryws.Entry{gone}}, {Version: 1, Nodes: []discoveryws.Entry{gone}},
+		{Version: v + 1, Nodes: []discoveryws.Entry{gone, gone}}, {Version: v + 1, Nodes: []discoveryws.Entry{{Node: "bad", State: "gone"}, gone}},
+		{Version: v + 9, Nodes: []discoveryws.Entry{gone}}} {
+		b.list.Raw(discoveryws.MethodChange, u)
 	}
-	third := nodelist.Entry{Node: "127.0.0.1:9", State: "draining"}
+	third := discoveryws.Entry{Node: "127.0.0.1:9", State: "draining"}
 	b.list.Set(third)
 	eventually(t, "the change behind them is taken", func() bool { return len(b.gw.State().Core.Servers) == 3 })
 	for _, s := range b.gw.State().Core.Servers {
@@ -535,12 +535,12 @@
 	b := newBench(t, 1, nil)
 	n := 0
 	b.gw.loop.Ask(func() {
-		o := &open{Call: &front.Call{ID: "x", Done: func(front.Final) { n++ }}}
+		o := &open{Call: &frontend.Call{ID: "x", Done: func(frontend.Final) { n++ }}}
 		b.gw.loop.opens["x"] = o
 		b.gw.loop.Open.Add(1)
 		b.gw.loop.carry(decide.Refuse{ID: "x"})
 		b.gw.loop.carry(decide.Fail{ID: "x"})
-		b.gw.loop.final(o, front.Final{})
+		b.gw.loop.final(o, frontend.Final{})
 	})
 	if n != 1 || b.gw.loop.Open.Load() != 0 {
 		t.Errorf("%d answers", n)
--- a/gateway/late_test.go
+++ b/internal/gateway/late_test.go
@@ -9,15 +9,15 @@
 	"time"
 
 	"winghatch/decide"
-	"winghatch/front"
-	"winghatch/upstream"
+	"winghatch/internal/frontend"
+	upstreamws "winghatch/internal/upstream/websocket"
 )
 
 // held keeps the attempts that it is to carry.
-type held struct{ sent chan *upstream.Call }
+type held struct{ sent chan *upstreamws.Call }
 
-func (h *held) Send(c *upstream.Call) { h.sent <- c }
-func (h *held) Abandon(c *upstream.Call) upstream.Given {
+func (h *held) Send(c *upstreamws.Call) { h.sent <- c }
+func (h *held) Abandon(c *upstreamws.Call) upstreamws.Given {
 	return c.GiveUp()
 }
 func (h *held) CloseIdle(string) {}
@@ -44,15 +44,15 @@
 func TestAttemptsAreFormedAtTheirWrite(t *testing.T) {
 	var now atomic.Int64
 	now.Store(int64(time.Hour))
-	h := &held{sent: make(chan *upstream.Call, 10)}
+	h := &held{sent: make(chan *upstreamws.Call, 10)}
 	l := NewLoop(decide.Config{Limits: decide.Limits{MaxAttempts: 3}}, sends{}, func() time.Duration { return time.Duration(now.Load()) }, h, nil, nil,
 		slog.New(slog.DiscardHandler))
 	l.Limit(10)
 	go l.Run()
 	t.Cleanup(l.Stop)
 	var left atomic.Bool
-	ask := func(id string) *upstream.Call {
-		l.Call(&front.Call{ID: id, Deadline: time.Duration(now.Load()) + 400*time.Millisecond, Left: left.Load, Done: func(front.Final) {},
+	ask := func(id string) *upstreamws.Call {
+		l.Call(&frontend.Call{ID: id, Deadline: time.Duration(now.Load()) + 400*time.Millisecond, Left: left.Load, Done: func(frontend.Final) {},
 			Form: func(_ int, left time.Duration) []byte { return fmt.Append(nil, left.Milliseconds()) }})
 		return <-h.sent
 	}
--- a/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -17,21 +17,21 @@
 	"go.opentelemetry.io/otel/trace"
 
 	"winghatch/decide"
-	"winghatch/export"
-	"winghatch/front"
-	"winghatch/measures"
-	"winghatch/plans"
-	"winghatch/reserve"
-	"winghatch/sums"
-	"winghatch/tape"
-	"winghatch/traces"
-	"winghatch/upstream"
+	"winghatch/internal/aggregate"
+	"winghatch/internal/frontend"
+	"winghatch/internal/metrics"
+	"winghatch/internal/quotaplan"
+	"winghatch/internal/recording"
+	"winghatch/internal/reservation"
+	"winghatch/internal/tracing"
+	upstreamws "winghatch/internal/upstream/websocket"
+	"winghatch/internal/usage/outbox"
 )
 
 // Nodes carries attempts to nodes; package upstream does.
 type Nodes interface {
-	Send(*upstream.Call)
-	Abandon(*upstream.Call) upstream.Given
+	Send(*upstreamws.Call)
+	Abandon(*upstreamws.Call) upstreamws.Given
 	CloseIdle(node string)
 }
 
@@ -42,11 +42,11 @@
 
 // The inputs of the loop.
 type (
-	inCall struct{ call *front.Call }
+	inCall struct{ call *frontend.Call }
 	inGone struct{ id string }
 	inEnd  struct {
 		try *try
-		res upstream.Result
+		res upstreamws.Result
 	}
 	inPeer struct {
 		from int
@@ -65,7 +65,7 @@
 
 // open is a call that has no final answer yet, or attempts out.
 type open struct {
-	*front.Call
+	*frontend.Call
 	tries    []*try
 	out      int
 	finished bool
@@ -73,7 +73,7 @@
 
 	reserving bool // it waits for units that are set aside; the core does not know it yet
 	// Of its trace, if there are traces.
-	trace    traces.Context
+	trace    tracing.Context
 	sampled  bool
 	end      time.Duration
 	outcome  string
@@ -90,9 +90,9 @@
 	node string
 	at   time.Duration
 	over bool
-	call *upstream.Call
+	call *upstreamws.Call
 
-	owe   export.ID // its name at the export's desk; 0: nothing is exported of it
+	owe   outbox.ID // its name at the export's desk; 0: nothing is exported of it
 	took  time.Duration
 	ended string // its outcome
 	span  trace.SpanID
@@ -115,7 +115,7 @@
 type Tamper struct {
 	Event   func(decide.Event) decide.Event // nil: the core is not told
 	Actions func(decide.Event, []decide.Action) []decide.Action
-	Final   func(f front.Final, done func(front.Final))
+	Final   func(f frontend.Final, done func(frontend.Final))
 }
 
 // Counters are read by anyone.
@@ -137,7 +137,7 @@
 	clock    func() time.Duration
 	nodes    Nodes
 	peers    Peers
-	tape     *tape.Writer
+	tape     *recording.Writer
 	log      *slog.Logger
 	chatty   bool // the log takes debug lines
 	q        *queue
@@ -151,18 +151,18 @@
 	turn     time.Duration
 	limit    int64 // calls open at once
 	tamper   Tamper
-	books    *books        // nil: no changes in service
-	owed     *owed         // nil: nothing is exported
-	measures *measures.Set // nil: nothing is measured
-	sums     *sums.Summer  // nil as measures
-	traces   *traced       // nil: no traces
-	homes    bool          // customers have homes
+	books    *books            // nil: no changes in service
+	owed     *owed             // nil: nothing is exported
+	measures *metrics.Set      // nil: nothing is measured
+	sums     *aggregate.Summer // nil as measures
+	traces   *traced           // nil: no traces
+	homes    bool              // customers have homes
 	done     chan struct{}
 	quit     chan struct{}
 }
 
 // NewLoop returns a loop that Run starts. tape may be nil.
-func NewLoop(cfg decide.Config, core Core, clock func() time.Duration, nodes Nodes, peers Peers, tp *tape.Writer,
+func NewLoop(cfg decide.Config, core Core, clock func() time.Duration, nodes Nodes, peers Peers, tp *recording.Writer,
 	log *slog.Logger) *Loop {
 	l := &Loop{cfg: cfg, core: core, clock: clock, nodes: nodes, peers: peers, tape: tp, log: log, q: newQueue(),
 		opens: map[string]*open{}, reasons: map[string]int64{}, ends: map[string]int64{},
@@ -183,7 +183,7 @@
 }
 
 // Call hands a call to the loop.
-func (l *Loop) Call(c *front.Call) { l.q.post(inCall{c}) }
+func (l *Loop) Call(c *frontend.Call) { l.q.post(inCall{c}) }
 
 // Gone says that the client of a call left.
 func (l *Loop) Gone(id string) { l.q.post(inGone{id}) }
@@ -290,7 +290,7 @@
 			l.Counters.Gone.Add(1)
 			l.Open.Add(-1)
 			l.finalTrace(o, "gone", "", 0)
-			l.measureFinal(o, "gone", front.Final{})
+			l.measureFinal(o, "gone", frontend.Final{})
 			l.callOff(o)
 		}
 	case inEnd:
@@ -302,7 +302,7 @@
 	case inKept:
 		l.books.durable(in.rec)
 	case inNotKept:
-		l.books.toBook(plans.NotKept{Number: in.number, Why: in.why})
+		l.books.toBook(quotaplan.NotKept{Number: in.number, Why: in.why})
 	case inBookLog:
 		if l.books.failure = ""; in.err != nil {
 			l.books.failure = in.err.Error()
@@ -319,7 +319,7 @@
 	case inAcked:
 		l.owed.acked(in.rec)
 	case inUnreserve:
-		l.books.toLedger(reserve.Ended{ID: in.id})
+		l.books.toLedger(reservation.Ended{ID: in.id})
 	}
 }
 
@@ -336,7 +336,7 @@
 	l.Ask(func() {
 		for _, id := range slices.Sorted(maps.Keys(l.opens)) {
 			if o := l.opens[id]; o != nil && !o.finished {
-				l.final(o, front.Final{Kind: front.Failed})
+				l.final(o, frontend.Final{Kind: frontend.Failed})
 				l.callOff(o)
 			}
 		}
@@ -355,40 +355,40 @@
 
 // abandon gives an attempt up. One that provably never left did not run, whatever the clock says. One whose
 // end is on its way through the queue is left to that: what has come counts as come.
-func (l *Loop) abandon(t *try, as decide.Outcome) (upstream.Result, bool) {
+func (l *Loop) abandon(t *try, as decide.Outcome) (upstreamws.Result, bool) {
 	switch {
 	case t.held:
 		t.held = false
-		return upstream.Result{Outcome: decide.NoConnection}, true
+		return upstreamws.Result{Outcome: decide.NoConnection}, true
 	case t.denied:
-		return upstream.Result{}, false
+		return upstreamws.Result{}, false
 	}
 	switch l.nodes.Abandon(t.call) {
-	case upstream.NeverLeft:
-		return upstream.Result{Outcome: decide.NoConnection}, true
-	case upstream.MayRun:
-		return upstream.Result{Outcome: as}, true
+	case upstreamws.NeverLeft:
+		return upstreamws.Result{Outcome: decide.NoConnection}, true
+	case upstreamws.MayRun:
+		return upstreamws.Result{Outcome: as}, true
 	}
-	return upstream.Result{}, false
+	return upstreamws.Result{}, false
 }
 
-func (l *Loop) request(c *front.Call) {
+func (l *Loop) request(c *frontend.Call) {
 	o := &open{Call: c, at: l.now}
 	l.opens[c.ID] = o
 	if l.traces != nil {
-		o.trace = traces.Accept(c.TraceParent, l.traces.rng)
+		o.trace = tracing.Accept(c.TraceParent, l.traces.rng)
 	}
 	if l.refuseUncovered(o) {
 		return
 	}
 	if c.Reserved {
 		if l.books == nil {
-			l.final(o, front.Final{Kind: front.Refused, Reason: string(reserve.None)})
+			l.final(o, frontend.Final{Kind: frontend.Refused, Reason: string(reservation.None)})
 			l.forget(o)
 			return
 		}
 		o.reserving = true
-		l.books.toLedger(reserve.Call{ID: c.ID, Member: c.Member, Units: c.Units, Until: c.Deadline - answerMargin})
+		l.books.toLedger(reservation.Call{ID: c.ID, Member: c.Member, Units: c.Units, Until: c.Deadline - answerMargin})
 		return
 	}
 	l.admit(o)
@@ -407,7 +407,7 @@
 }
 
 // ended takes the end of an attempt. The first OK is the call's final answer.
-func (l *Loop) ended(t *try, res upstream.Result) {
+func (l *Loop) ended(t *try, res upstreamws.Result) {
 	if t.over {
 		l.Late.Add(1)
 		return
@@ -435,14 +435,14 @@
 		if l.cfg.SettledLater {
 			ev.TrueUnits = res.TrueUnits
 		}
-		l.final(o, front.Final{Kind: front.Served, Body: res.Body, Units: res.TrueUnits})
+		l.final(o, frontend.Final{Kind: frontend.Served, Body: res.Body, Units: res.TrueUnits})
 	}
 	l.handle(ev)
 	l.forget(o)
 }
 
 // settle notes what a try took of units set aside: what its answer told, or its guess where it may have run.
-func (o *open) settle(res upstream.Result, told bool) {
+func (o *open) settle(res upstreamws.Result, told bool) {
 	switch res.Outcome {
 	case decide.Full, decide.NoConnection, decide.Moot:
 	case decide.OK:
@@ -455,7 +455,7 @@
 }
 
 // final gives the one final answer; a second one is dropped and said.
-func (l *Loop) final(o *open, f front.Final) {
+func (l *Loop) final(o *open, f frontend.Final) {
 	if o.finished {
 		l.log.Error("a second final answer was held back", "request", o.ID, "kind", f.Kind.String())
 		return
@@ -463,12 +463,12 @@
 	o.finished = true
 	l.Open.Add(-1)
 	switch f.Kind {
-	case front.Served:
+	case frontend.Served:
 		l.Served.Add(1)
-	case front.Refused:
+	case frontend.Refused:
 		l.Refused.Add(1)
 		l.reasons[f.Reason]++
-	case front.Failed:
+	case frontend.Failed:
 		l.Failed.Add(1)
 	}
 	l.finalTrace(o, f.Kind.String(), f.Reason, f.Units)
@@ -490,7 +490,7 @@
 		delete(l.opens, o.ID)
 		l.tellTrace(o)
 		if o.Reserved && l.books != nil {
-			l.books.toLedger(reserve.Ended{ID: o.ID, Used: o.used})
+			l.books.toLedger(reservation.Ended{ID: o.ID, Used: o.used})
 		}
 	}
 }
@@ -524,12 +524,12 @@
 		l.cancel(a)
 	case decide.Refuse:
 		if o := l.opens[a.ID]; o != nil {
-			l.final(o, front.Final{Kind: front.Refused, RetryAfter: a.RetryAfter, Reason: string(a.Reason)})
+			l.final(o, frontend.Final{Kind: frontend.Refused, RetryAfter: a.RetryAfter, Reason: string(a.Reason)})
 			l.forget(o)
 		}
 	case decide.Fail:
 		if o := l.opens[a.ID]; o != nil {
-			l.final(o, front.Final{Kind: front.Failed})
+			l.final(o, frontend.Final{Kind: frontend.Failed})
 			l.forget(o)
 		}
 	case decide.SetTimer:
@@ -560,7 +560,7 @@
 	t := &try{o: o, n: len(o.tries), node: a.Server, at: l.now}
 	o.tries = append(o.tries, t)
 	if l.traces != nil {
-		t.span = traces.NewSpan(l.traces.rng)
+		t.span = tracing.NewSpan(l.traces.rng)
 	}
 	o.out++
 	left := o.Deadline - l.now
@@ -568,12 +568,12 @@
 		left = min(left, a.Timeout)
 	}
 	if o.finished || left <= 0 || len(o.tries) > l.cfg.Limits.MaxAttempts {
-		l.q.post(inEnd{t, upstream.Result{Outcome: decide.Moot}})
+		l.q.post(inEnd{t, upstreamws.Result{Outcome: decide.Moot}})
 		return
 	}
 	l.Tries.Add(1)
-	t.call = &upstream.Call{Node: a.Server, Method: o.Class,
-		Done: func(r upstream.Result) { l.q.post(inEnd{t, r}) }}
+	t.call = &upstreamws.Call{Node: a.Server, Method: o.Class,
+		Done: func(r upstreamws.Result) { l.q.post(inEnd{t, r}) }}
 	due := l.now + left
 	t.call.Late = func() bool {
 		now := l.clock()
--- a/gateway/measured.go
+++ b/internal/gateway/measured.go
@@ -6,31 +6,31 @@
 	"strconv"
 	"time"
 
-	"winghatch/config"
 	"winghatch/decide"
-	"winghatch/front"
-	"winghatch/measures"
-	"winghatch/remotewrite"
-	"winghatch/sums"
-	"winghatch/upstream"
+	"winghatch/internal/aggregate"
+	"winghatch/internal/config"
+	"winghatch/internal/frontend"
+	"winghatch/internal/metrics"
+	"winghatch/internal/remotewrite"
+	upstreamws "winghatch/internal/upstream/websocket"
 )
 
 // openMeasures makes the measures of a gateway, whose gauges are read from its state.
-func (g *Gateway) openMeasures() *measures.Set {
-	o := measures.Options{Members: g.fleet.Measures.Members}
+func (g *Gateway) openMeasures() *metrics.Set {
+	o := metrics.Options{Members: g.fleet.Measures.Members}
 	for _, k := range g.fleet.Decide.Classes {
 		o.Classes = append(o.Classes, k.Name)
 	}
 	for _, p := range g.fleet.Decide.Plans {
 		o.Plans = append(o.Plans, p.Name)
 	}
-	return measures.New(o, g.view)
+	return metrics.New(o, g.view)
 }
 
-func (g *Gateway) view() measures.View {
+func (g *Gateway) view() metrics.View {
 	s := g.State()
-	v := measures.View{Sessions: s.Sessions, Open: int(s.Open), Queue: s.Queue, Late: s.Late, Pressed: s.Core.Pressed, Silent: len(s.Core.Silent),
-		Nodes: map[string]int{}, TurnedAway: s.TurnedAway, Plans: map[string]measures.Plan{}, Changes: s.Changes,
+	v := metrics.View{Sessions: s.Sessions, Open: int(s.Open), Queue: s.Queue, Late: s.Late, Pressed: s.Core.Pressed, Silent: len(s.Core.Silent),
+		Nodes: map[string]int{}, TurnedAway: s.TurnedAway, Plans: map[string]metrics.Plan{}, Changes: s.Changes,
 		Peers: map[string]int64{"sent": s.Datagrams.Sent, "unsent": s.Datagrams.Unsent, "taken": s.Datagrams.Taken, "forged": s.Datagrams.Forged,
 			"foreign": s.Datagrams.Foreign, "repeated": s.Datagrams.Repeated, "over_intake": s.Datagrams.OverIntake}}
 	for _, n := range s.Core.Servers {
@@ -67,7 +67,7 @@
 		}
 	}
 	if e := s.Export; e != nil {
-		v.Export = &measures.Export{Records: float64(e.Records) - float64(e.Acked), Bytes: float64(e.Bytes), Open: float64(e.Open),
+		v.Export = &metrics.Export{Records: float64(e.Records) - float64(e.Acked), Bytes: float64(e.Bytes), Open: float64(e.Open),
 			UncoveredUnits: e.Desk.UncoveredUnits, UncoveredTries: float64(e.Desk.Uncovered), Refusing: e.Refusing}
 	}
 	g.loop.Ask(func() { v.Sums = g.loop.sums.Sums() })
@@ -92,7 +92,7 @@
 func (g *Gateway) runWriter(ctx context.Context) { g.writer.Run(ctx, flushMeasures) }
 
 // measureEnd counts an attempt's end.
-func (l *Loop) measureEnd(t *try, res upstream.Result) {
+func (l *Loop) measureEnd(t *try, res upstreamws.Result) {
 	t.took, t.ended = l.now-t.at, outcomeNames[res.Outcome]
 	if l.measures != nil {
 		l.measures.Attempt(t.o.Class, t.ended, t.took)
@@ -112,11 +112,11 @@
 }
 
 // measureFinal counts a call's end.
-func (l *Loop) measureFinal(o *open, outcome string, f front.Final) {
+func (l *Loop) measureFinal(o *open, outcome string, f frontend.Final) {
 	if l.measures == nil {
 		return
 	}
-	c := measures.Call{Class: o.Class, Plan: l.planOf(o), Member: o.Member, Outcome: outcome, Reason: f.Reason, Units: f.Units, Took: l.now - o.at}
+	c := metrics.Call{Class: o.Class, Plan: l.planOf(o), Member: o.Member, Outcome: outcome, Reason: f.Reason, Units: f.Units, Took: l.now - o.at}
 	if o.sampled {
 		c.Trace = o.trace.Trace.String()
 	}
@@ -128,7 +128,7 @@
 		}
 	}
 	l.measures.Final(c)
-	t := sums.Totals{Units: max(0, f.Units)}
+	t := aggregate.Totals{Units: max(0, f.Units)}
 	switch outcome {
 	case "served":
 		t.Served = 1
@@ -139,8 +139,8 @@
 	default:
 		return
 	}
-	l.sums.Add(l.now, sums.Name{Class: true, Name: o.Class}, t)
-	l.sums.Add(l.now, sums.Name{Name: o.Member}, t)
+	l.sums.Add(l.now, aggregate.Name{Class: true, Name: o.Class}, t)
+	l.sums.Add(l.now, aggregate.Name{Name: o.Member}, t)
 }
 
 // tellSums tells the homes of names what this gateway counted, if it is time.
@@ -151,13 +151,13 @@
 }
 
 // openSums makes the summer of a gateway. Without peers its own counts are all that it sums.
-func (g *Gateway) openSums(life uint64, seed int64) *sums.Summer {
-	s := sums.Settings{Rank: g.rank, Gateways: len(g.fleet.Gateways), Life: life, Intake: g.fleet.Decide.PeerIntake, Seed: seed}
+func (g *Gateway) openSums(life uint64, seed int64) *aggregate.Summer {
+	s := aggregate.Settings{Rank: g.rank, Gateways: len(g.fleet.Gateways), Life: life, Intake: g.fleet.Decide.PeerIntake, Seed: seed}
 	for _, k := range g.fleet.Decide.Classes {
-		s.Names = append(s.Names, sums.Name{Class: true, Name: k.Name})
+		s.Names = append(s.Names, aggregate.Name{Class: true, Name: k.Name})
 	}
 	for _, m := range g.fleet.Members {
-		s.Names = append(s.Names, sums.Name{Name: m.Name})
+		s.Names = append(s.Names, aggregate.Name{Name: m.Name})
 	}
-	return sums.New(s)
+	return aggregate.New(s)
 }
--- a/gateway/measured_test.go
+++ b/internal/gateway/measured_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"winghatch/config"
-	"winghatch/standin/node"
-	"winghatch/standin/remotewrite"
+	"winghatch/internal/config"
+	"winghatch/internal/testbed/backend"
+	"winghatch/internal/testbed/metricsreceiver"
 )
 
 // TestMeasuresAgree compares what the receiver of measures has with what clients and nodes counted, to the unit: on a quiet
@@ -17,7 +17,7 @@
 func TestMeasuresAgree(t *testing.T) {
 	for _, bad := range []bool{false, true} {
 		t.Run(fmt.Sprintf("bad %t", bad), func(t *testing.T) {
-			recv, err := remotewrite.Start("127.0.0.1:0")
+			recv, err := metricsreceiver.Start("127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -28,8 +28,8 @@
 				f.Measures.MaxAge, f.Measures.Timeout, f.Measures.Members = time.Minute, time.Second, 10
 			})
 			if bad {
-				b.nodes[0].Set(func(x *node.Trouble) { x.Errors = 0.5 })
-				recv.Set(func(x *remotewrite.Trouble) { x.Status = 503 })
+				b.nodes[0].Set(func(x *backend.Trouble) { x.Errors = 0.5 })
+				recv.Set(func(x *metricsreceiver.Trouble) { x.Status = 503 })
 			}
 			c, poor := b.dial(b.key), b.dial("poor")
 			served, units := 0, 0.0
@@ -44,7 +44,7 @@
 			}
 			few, _ := poor.serve(40, `{}`)
 			if bad {
-				recv.Set(func(x *remotewrite.Trouble) { x.Status = 0 })
+				recv.Set(func(x *metricsreceiver.Trouble) { x.Status = 0 })
 			}
 			attempts, refused := b.gw.State().Attempts, refusals(b.gw.State())
 			c.nc.Close()
@@ -86,7 +86,7 @@
 
 // TestSumsOverGateways sums what three gateways counted, at both homes of each name, while one of them is stopped and started.
 func TestSumsOverGateways(t *testing.T) {
-	recv, err := remotewrite.Start("127.0.0.1:0")
+	recv, err := metricsreceiver.Start("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/gateway/owed.go
+++ b/internal/gateway/owed.go
@@ -7,28 +7,28 @@
 	"path/filepath"
 	"sync/atomic"
 
-	"winghatch/accounting"
-	"winghatch/config"
 	"winghatch/decide"
-	"winghatch/export"
-	"winghatch/front"
-	"winghatch/upstream"
-	"winghatch/wal"
+	"winghatch/internal/config"
+	"winghatch/internal/frontend"
+	upstreamws "winghatch/internal/upstream/websocket"
+	"winghatch/internal/usage/outbox"
+	"winghatch/internal/usage/sender"
+	"winghatch/internal/wal"
 )
 
 // owed carries out what the export's desk wants done, for the loop that owns it: no byte of a try leaves before its
 // intent is durable, and its settlement follows its end.
 type owed struct {
 	l       *Loop
-	desk    *export.Desk
+	desk    *outbox.Desk
 	log     *wal.Log
-	courier *accounting.Courier
+	courier *sender.Courier
 	wall    func() int64
 	slog    *slog.Logger
 	bound   int64
 
-	tries    map[export.ID]*try
-	next     export.ID
+	tries    map[outbox.ID]*try
+	next     outbox.ID
 	keepFrom atomic.Uint64 // first record that is still needed
 	snapAt   uint64
 	twice    bool // the last snapshot was the second one of a state
@@ -67,8 +67,8 @@
 }
 
 // OpenDesk recovers a desk from its log and begins a life. keep, durable and failed are the log's Options of these names.
-func OpenDesk(o OwedOptions, keep func() uint64, durable func(uint64), failed func(error)) (*export.Desk, *wal.Log, *wal.Recovery, error) {
-	d := export.NewDesk(export.DeskSettings{Policy: o.Export.Unwritable, Life: o.Life})
+func OpenDesk(o OwedOptions, keep func() uint64, durable func(uint64), failed func(error)) (*outbox.Desk, *wal.Log, *wal.Recovery, error) {
+	d := outbox.NewDesk(outbox.DeskSettings{Policy: o.Export.Unwritable, Life: o.Life})
 	bound := int64(o.Export.Disk)
 	log, rec, err := wal.Open(filepath.Join(o.Dir, "use"), wal.Options{Mode: o.Export.Durability, Every: o.Export.Every, Bound: bound,
 		Segment: min(16<<20, max(256<<10, bound/16)), FS: o.FS, Keep: keep, Durable: durable, Failed: failed},
@@ -82,7 +82,7 @@
 		return nil, nil, nil, err
 	}
 	rec.Report(o.Log, "export", o.Dir)
-	appendAll(d, log, o.Log, d.Begin(o.Wall()), func(export.DeskAction) {})
+	appendAll(d, log, o.Log, d.Begin(o.Wall()), func(outbox.DeskAction) {})
 	if n := d.Counts.Orphans; n > 0 {
 		o.Log.Warn("tries of a former life are exported at their guesses", "tries", n)
 	}
@@ -96,7 +96,7 @@
 func setAsideMost(e config.Export) int64 { return int64(e.Disk) / 8 }
 
 func openOwed(l *Loop, o OwedOptions) (*owed, error) {
-	w := &owed{l: l, wall: o.Wall, slog: o.Log, bound: int64(o.Export.Disk), tries: map[export.ID]*try{}}
+	w := &owed{l: l, wall: o.Wall, slog: o.Log, bound: int64(o.Export.Disk), tries: map[outbox.ID]*try{}}
 	var err error
 	var rec *wal.Recovery
 	w.desk, w.log, rec, err = OpenDesk(o, w.keepFrom.Load, func(no uint64) { l.q.post(inOwed{no}) },
@@ -106,7 +106,7 @@
 	}
 	w.Holes, w.Torn, w.snapAt = len(rec.Holes), rec.Torn, rec.Covered
 	w.keepFrom.Store(w.desk.Acked() + 1)
-	w.courier = accounting.New(accounting.Options{Log: w.log, URL: o.Export.To, Fleet: o.Fleet, Gateway: o.Gateway,
+	w.courier = sender.New(sender.Options{Log: w.log, URL: o.Export.To, Fleet: o.Fleet, Gateway: o.Gateway,
 		Behind: w.desk.Acked(), Batch: o.Export.Batch, Timeout: o.Export.Timeout, SetAside: SetAsideFile(o.Dir), SetAsideMost: setAsideMost(o.Export), Seed: int64(o.Life),
 		Acked: func(rec uint64) { l.q.post(inAcked{rec}) }, Say: func(text string, args ...any) { o.Log.Error(text, args...) }})
 	return w, nil
@@ -124,16 +124,16 @@
 
 // appendAll hands a desk's records to its log, and what that says to the desk, before what comes behind them; other
 // takes all other actions.
-func appendAll(d *export.Desk, log *wal.Log, say *slog.Logger, acts []export.DeskAction, other func(export.DeskAction)) {
+func appendAll(d *outbox.Desk, log *wal.Log, say *slog.Logger, acts []outbox.DeskAction, other func(outbox.DeskAction)) {
 	for len(acts) > 0 {
-		a, ok := acts[0].(export.Append)
+		a, ok := acts[0].(outbox.Append)
 		if !ok {
 			other(acts[0])
 			acts = acts[1:]
 			continue
 		}
 		no, err := log.Append(a.Payload)
-		ev := export.Appended{ID: a.ID, Rec: no}
+		ev := outbox.Appended{ID: a.ID, Rec: no}
 		if err != nil {
 			if ev.Failed = err.Error(); !errors.Is(err, wal.ErrFull) {
 				say.Warn("the export's log takes nothing", "err", err)
@@ -146,19 +146,19 @@
 	}
 }
 
-func (w *owed) do(acts []export.DeskAction) { appendAll(w.desk, w.log, w.slog, acts, w.act) }
+func (w *owed) do(acts []outbox.DeskAction) { appendAll(w.desk, w.log, w.slog, acts, w.act) }
 
-func (w *owed) act(a export.DeskAction) {
+func (w *owed) act(a outbox.DeskAction) {
 	switch a := a.(type) {
-	case export.Release:
+	case outbox.Release:
 		if t := w.tries[a.ID]; t != nil && t.held {
 			t.held = false
 			w.l.nodes.Send(t.call)
 		}
-	case export.Deny:
+	case outbox.Deny:
 		if t := w.tries[a.ID]; t != nil && t.held {
 			t.held, t.denied = false, true
-			w.l.q.post(inEnd{t, upstream.Result{Outcome: decide.NoConnection}}) // it provably never left
+			w.l.q.post(inEnd{t, upstreamws.Result{Outcome: decide.NoConnection}}) // it provably never left
 		}
 	}
 }
@@ -169,31 +169,31 @@
 	t.owe, t.held = w.next, true
 	w.tries[t.owe] = t
 	o := t.o
-	w.do(w.desk.Handle(export.Intend{ID: t.owe, Room: w.room(), Try: export.Try{Request: o.ID, Attempt: t.n, Member: o.Member,
+	w.do(w.desk.Handle(outbox.Intend{ID: t.owe, Room: w.room(), Try: outbox.Try{Request: o.ID, Attempt: t.n, Member: o.Member,
 		Plan: w.l.planOf(o), Class: o.Class, Node: t.node, Units: o.Units, Reserved: o.Reserved}}))
 }
 
 // settle ends a try.
-func (w *owed) settle(t *try, res upstream.Result) {
+func (w *owed) settle(t *try, res upstreamws.Result) {
 	delete(w.tries, t.owe)
-	s := export.Settle{ID: t.owe, Used: t.o.Units, Wall: w.wall()}
+	s := outbox.Settle{ID: t.owe, Used: t.o.Units, Wall: w.wall()}
 	switch res.Outcome {
 	case decide.OK:
-		if s.Outcome = export.Sized; w.l.cfg.SettledLater && res.TrueUnits > 0 {
+		if s.Outcome = outbox.Sized; w.l.cfg.SettledLater && res.TrueUnits > 0 {
 			s.Used = res.TrueUnits
 		}
 	case decide.Error:
-		s.Outcome = export.Failed
+		s.Outcome = outbox.Failed
 	case decide.Full, decide.NoConnection, decide.Moot:
-		s.Outcome = export.Skipped
+		s.Outcome = outbox.Skipped
 	default:
-		s.Outcome = export.Silent
+		s.Outcome = outbox.Silent
 	}
 	w.do(w.desk.Handle(s))
 }
 
 func (w *owed) durable(rec uint64) {
-	w.do(w.desk.Handle(export.Durable{Rec: rec}))
+	w.do(w.desk.Handle(outbox.Durable{Rec: rec}))
 	w.courier.More()
 	if rec-w.snapAt >= owedSnapshot {
 		w.twice = false
@@ -208,11 +208,11 @@
 	} else {
 		w.slog.Info("the export's log works again")
 	}
-	w.do(w.desk.Handle(export.Broken{Why: w.failure}))
+	w.do(w.desk.Handle(outbox.Broken{Why: w.failure}))
 }
 
 func (w *owed) acked(rec uint64) {
-	w.do(w.desk.Handle(export.Acked{Rec: rec}))
+	w.do(w.desk.Handle(outbox.Acked{Rec: rec}))
 	if behind := rec + 1 - w.keepFrom.Load(); behind >= owedSnapshot || behind > 0 && !w.room() {
 		w.twice = false
 		w.snapshot()
@@ -266,8 +266,8 @@
 	Bound    int64             `json:"bound"`
 	Refusing bool              `json:"refusing"`
 	Failure  string            `json:"failure,omitempty"`
-	Desk     export.Counts     `json:"desk"`
-	Ship     export.ShipCounts `json:"ship"`
+	Desk     outbox.Counts     `json:"desk"`
+	Ship     outbox.ShipCounts `json:"ship"`
 	Lost     uint64            `json:"lost_records"`
 	Holes    int               `json:"holes"`
 	Torn     int64             `json:"torn_bytes"`
@@ -286,7 +286,7 @@
 	if l.owed == nil || !l.owed.refuses() {
 		return false
 	}
-	l.final(o, front.Final{Kind: front.Refused, Reason: uncovered, RetryAfter: l.cfg.Limits.MaxRetryAfter})
+	l.final(o, frontend.Final{Kind: frontend.Refused, Reason: uncovered, RetryAfter: l.cfg.Limits.MaxRetryAfter})
 	l.forget(o)
 	return true
 }
--- a/gateway/owed_test.go
+++ b/internal/gateway/owed_test.go
@@ -11,23 +11,23 @@
 	"testing"
 	"time"
 
-	"winghatch/config"
-	"winghatch/export"
-	"winghatch/standin/accounting"
-	"winghatch/standin/node"
-	"winghatch/wal"
+	"winghatch/internal/config"
+	"winghatch/internal/testbed/backend"
+	"winghatch/internal/testbed/usagereceiver"
+	"winghatch/internal/usage/outbox"
+	"winghatch/internal/wal"
 )
 
 // counted is a bench whose gateway exports.
 type counted struct {
 	*bench
-	recv *accounting.Receiver
+	recv *usagereceiver.Receiver
 	fs   *badDisk
 }
 
 func newCounted(t *testing.T, change func(*config.Fleet)) *counted {
 	dir := t.TempDir()
-	recv, err := accounting.Start("127.0.0.1:0", filepath.Join(dir, "events"))
+	recv, err := usagereceiver.Start("127.0.0.1:0", filepath.Join(dir, "events"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,10 +51,10 @@
 	return x
 }
 
-func (x *counted) uses() (out []export.Use) {
+func (x *counted) uses() (out []outbox.Use) {
 	for _, e := range x.recv.Events() {
-		var u export.Use
-		if e.Type == export.TypeUse && json.Unmarshal(e.Data, &u) == nil {
+		var u outbox.Use
+		if e.Type == outbox.TypeUse && json.Unmarshal(e.Data, &u) == nil {
 			out = append(out, u)
 		}
 	}
@@ -69,11 +69,11 @@
 		t.Fatal(last)
 	}
 	for _, n := range x.nodes {
-		n.Set(func(t *node.Trouble) { t.Errors = 1 })
+		n.Set(func(t *backend.Trouble) { t.Errors = 1 })
 	}
 	c.serve(1, `{"units":3}`)
 	for _, n := range x.nodes {
-		n.Set(func(t *node.Trouble) { t.Errors, t.Silent = 0, true })
+		n.Set(func(t *backend.Trouble) { t.Errors, t.Silent = 0, true })
 	}
 	c.send(call(1, "quick", `{"units":4}`))
 	c.read()
@@ -98,8 +98,8 @@
 
 // TestExportDiskFull refuses at once, or serves and tells how much is not covered, while the log can't be written.
 func TestExportDiskFull(t *testing.T) {
-	for _, policy := range []export.Policy{export.Refuse, export.Serve} {
-		t.Run(map[export.Policy]string{export.Refuse: "refuse", export.Serve: "serve"}[policy], func(t *testing.T) {
+	for _, policy := range []outbox.Policy{outbox.Refuse, outbox.Serve} {
+		t.Run(map[outbox.Policy]string{outbox.Refuse: "refuse", outbox.Serve: "serve"}[policy], func(t *testing.T) {
 			x := newCounted(t, func(f *config.Fleet) { f.Export.Unwritable = policy })
 			c := x.dial(x.key)
 			if n, last := c.serve(5, `{}`); n != 5 {
@@ -112,10 +112,10 @@
 			ran := x.nodes[0].Ran() + x.nodes[1].Ran()
 			n, last := c.serve(10, `{"units":2}`)
 			ran = x.nodes[0].Ran() + x.nodes[1].Ran() - ran
-			if policy == export.Refuse && (n != 0 || ran != 0 || !strings.Contains(last, `"reason":"export"`)) {
+			if policy == outbox.Refuse && (n != 0 || ran != 0 || !strings.Contains(last, `"reason":"export"`)) {
 				t.Errorf("%d served, %d ran: %s", n, ran, last)
 			}
-			if policy == export.Serve && n != 10 {
+			if policy == outbox.Serve && n != 10 {
 				t.Errorf("%d served: %s", n, last)
 			}
 			x.fs.bad.Store(false)
@@ -123,11 +123,11 @@
 			if n, last := c.serve(5, `{}`); n != 5 {
 				t.Error(last)
 			}
-			if policy == export.Serve {
+			if policy == outbox.Serve {
 				eventually(t, "the gap is told", func() bool {
 					for _, e := range x.recv.Events() {
-						var g export.Uncovered
-						if e.Type == export.TypeGap && json.Unmarshal(e.Data, &g) == nil && g.Units >= 20 {
+						var g outbox.Uncovered
+						if e.Type == outbox.TypeGap && json.Unmarshal(e.Data, &g) == nil && g.Units >= 20 {
 							return true
 						}
 					}
@@ -143,7 +143,7 @@
 // it, and when the receiver is back all is exported and calls are served again.
 func TestExportBound(t *testing.T) {
 	x := newCounted(t, func(f *config.Fleet) { f.Export.Disk, f.Export.Durability, f.Export.Batch = 1<<20, wal.Interval, 1000 })
-	x.recv.Set(func(t *accounting.Trouble) { t.Status = 503 })
+	x.recv.Set(func(t *usagereceiver.Trouble) { t.Status = 503 })
 	c := x.dial(x.key)
 	work := `{"work":{"try":"` + strings.Repeat("x", 20) + `"}}`
 	served, last := 0, ""
@@ -163,7 +163,7 @@
 	if s := x.gw.State().Export; s.Bytes > s.Bound {
 		t.Errorf("%d bytes, the bound is %d", s.Bytes, s.Bound)
 	}
-	x.recv.Set(func(t *accounting.Trouble) { t.Status = 0 })
+	x.recv.Set(func(t *usagereceiver.Trouble) { t.Status = 0 })
 	eventually(t, "all is exported", func() bool { return len(x.recv.Events()) == served })
 	eventually(t, "there is room again", func() bool { return !x.gw.State().Export.Refusing })
 	if n, last := c.serve(3, `{}`); n != 3 {
@@ -175,7 +175,7 @@
 func TestDrainExport(t *testing.T) {
 	x := newCounted(t, nil)
 	x.gw.Stop()
-	x.recv.Set(func(t *accounting.Trouble) { t.Status = 503 })
+	x.recv.Set(func(t *usagereceiver.Trouble) { t.Status = 503 })
 	p := spawn(t, x.fleet, 0)
 	eventually(t, "it has the list", func() bool { return strings.Contains(stateOf(x.fleet, 0), x.nodes[1].Addr()) })
 	c := x.dial(x.key)
@@ -183,7 +183,7 @@
 		t.Fatal(last)
 	}
 	for _, n := range x.nodes {
-		n.Set(func(t *node.Trouble) { t.Silent = true })
+		n.Set(func(t *backend.Trouble) { t.Silent = true })
 	}
 	for i := range 3 {
 		c.send(call(i, "folio", `{"units":6}`))
@@ -200,7 +200,7 @@
 		t.Errorf("%v, want the receiver's answer", err)
 	}
 	stop()
-	x.recv.Set(func(t *accounting.Trouble) { t.Status = 0 })
+	x.recv.Set(func(t *usagereceiver.Trouble) { t.Status = 0 })
 	for range 2 { // a second time there is nothing to tell
 		if _, err := DrainExport(context.Background(), x.fleet, 0, slog.New(slog.DiscardHandler)); err != nil {
 			t.Fatal(err)
@@ -209,9 +209,9 @@
 	orphans, sized := 0, 0
 	for _, u := range x.uses() {
 		switch {
-		case u.Outcome == export.Orphan.String() && u.Units == 6 && u.Guess:
+		case u.Outcome == outbox.Orphan.String() && u.Units == 6 && u.Guess:
 			orphans++
-		case u.Outcome == export.Sized.String() && u.Units == 2:
+		case u.Outcome == outbox.Sized.String() && u.Units == 2:
 			sized++
 		default:
 			t.Errorf("%+v", u)
@@ -228,7 +228,7 @@
 // TestExportReadOnly starts on a disk that takes no file: it refuses, or serves uncovered, and goes on when the disk takes them;
 // a place that can't be a directory is an error that names it.
 func TestExportReadOnly(t *testing.T) {
-	for _, policy := range []export.Policy{export.Refuse, export.Serve} {
+	for _, policy := range []outbox.Policy{outbox.Refuse, outbox.Serve} {
 		x := newCounted(t, func(f *config.Fleet) { f.Export.Unwritable = policy })
 		x.gw.Stop()
 		x.fs.readOnly.Store(true)
@@ -239,7 +239,7 @@
 		x.gw = gw
 		eventually(t, "it has the list", func() bool { return len(gw.State().Core.Servers) == 2 })
 		c := x.dial(x.key)
-		if n, last := c.serve(3, `{}`); n != map[export.Policy]int{export.Refuse: 0, export.Serve: 3}[policy] {
+		if n, last := c.serve(3, `{}`); n != map[outbox.Policy]int{outbox.Refuse: 0, outbox.Serve: 3}[policy] {
 			t.Errorf("policy %d: %d served: %s", policy, n, last)
 		}
 		x.fs.readOnly.Store(false)
--- a/gateway/process_test.go
+++ b/internal/gateway/process_test.go
@@ -17,10 +17,10 @@
 	"testing"
 	"time"
 
-	"winghatch/config"
-	"winghatch/nodelist"
-	"winghatch/standin/node"
-	"winghatch/wal"
+	"winghatch/internal/config"
+	discoveryws "winghatch/internal/discovery/websocket"
+	"winghatch/internal/testbed/backend"
+	"winghatch/internal/wal"
 )
 
 // TestMain is also a gateway's program, for tests that stop or kill one.
@@ -139,7 +139,7 @@
 		f.Members = append(f.Members, m)
 	})
 	eventually(t, "the list is kept", func() bool {
-		u, err := nodelist.Kept(strings.ReplaceAll(kept, "%d", "0"))
+		u, err := discoveryws.Kept(strings.ReplaceAll(kept, "%d", "0"))
 		return err == nil && len(u.Nodes) == 1
 	})
 	b.gw.Stop()
@@ -174,7 +174,7 @@
 func TestVanished(t *testing.T) {
 	b := newBench(t, 1, func(f *config.Fleet) { f.Caps.Ping = 50 * time.Millisecond })
 	gone, here := b.dial(b.key), b.dial(b.key)
-	b.nodes[0].Set(func(x *node.Trouble) { x.Slow = 3000 })
+	b.nodes[0].Set(func(x *backend.Trouble) { x.Slow = 3000 })
 	gone.send(call(1, "folio", `{}`))
 	eventually(t, "its call is open", func() bool { return b.gw.State().Open == 1 })
 	// here reads, and so answers pings; gone does neither from now on.
--- a/gateway/traced.go
+++ b/internal/gateway/traced.go
@@ -6,25 +6,25 @@
 	"math/rand/v2"
 	"time"
 
-	"winghatch/config"
-	"winghatch/traces"
+	"winghatch/internal/config"
+	"winghatch/internal/tracing"
 )
 
 // traced is the loop's part of traces: it draws ids, decides by a call's end whether it is told, and tells it.
 type traced struct {
-	teller  *traces.Teller
-	sampler traces.Sampler
+	teller  *tracing.Teller
+	sampler tracing.Sampler
 	rng     *rand.Rand
 	base    time.Time // wall clock at 0 of the loop's
 	aims    map[string]time.Duration
 }
 
 func openTraces(f *config.Fleet, rank int, now time.Duration, seed int64, log *slog.Logger) (*traced, error) {
-	t, err := traces.New(context.Background(), traces.Options{URL: f.Traces.To, Fleet: f.Name, Gateway: rank, Queue: f.Traces.Queue, Timeout: f.Traces.Timeout, Log: log})
+	t, err := tracing.New(context.Background(), tracing.Options{URL: f.Traces.To, Fleet: f.Name, Gateway: rank, Queue: f.Traces.Queue, Timeout: f.Traces.Timeout, Log: log})
 	if err != nil {
 		return nil, err
 	}
-	x := &traced{teller: t, sampler: traces.Sampler{Share: f.Traces.Share, Rate: f.Traces.Rate}, rng: rand.New(rand.NewPCG(uint64(seed), 7)),
+	x := &traced{teller: t, sampler: tracing.Sampler{Share: f.Traces.Share, Rate: f.Traces.Rate}, rng: rand.New(rand.NewPCG(uint64(seed), 7)),
 		base: time.Now().Add(-now), aims: map[string]time.Duration{}}
 	for _, k := range f.Decide.Classes {
 		x.aims[k.Name] = k.Aim
@@ -50,14 +50,14 @@
 		return
 	}
 	x := l.traces
-	c := traces.Call{Context: o.trace, Request: o.ID, Class: o.Class, Member: o.Member, Plan: l.planOf(o), Outcome: o.outcome, Reason: o.reason, Units: o.answered,
+	c := tracing.Call{Context: o.trace, Request: o.ID, Class: o.Class, Member: o.Member, Plan: l.planOf(o), Outcome: o.outcome, Reason: o.reason, Units: o.answered,
 		Reserved: o.Reserved, At: x.wall(o.at), End: x.wall(o.end), Home: l.homes}
 	after := ""
 	for _, t := range o.tries {
 		if c.Sent.IsZero() {
 			c.Sent = x.wall(t.at)
 		}
-		c.Attempts = append(c.Attempts, traces.Attempt{Span: t.span, Node: t.node, Outcome: t.ended, After: after, At: x.wall(t.at), End: x.wall(t.at + t.took)})
+		c.Attempts = append(c.Attempts, tracing.Attempt{Span: t.span, Node: t.node, Outcome: t.ended, After: after, At: x.wall(t.at), End: x.wall(t.at + t.took)})
 		after = t.ended
 	}
 	x.teller.Tell(c)
--- a/gateway/traced_test.go
+++ b/internal/gateway/traced_test.go
@@ -6,21 +6,21 @@
 	"testing"
 	"time"
 
-	"winghatch/config"
-	"winghatch/standin/node"
-	"winghatch/standin/otlp"
-	"winghatch/standin/remotewrite"
+	"winghatch/internal/config"
+	"winghatch/internal/testbed/backend"
+	"winghatch/internal/testbed/metricsreceiver"
+	"winghatch/internal/testbed/tracereceiver"
 )
 
 // TestTraces follows a client's trace through a call with a failed attempt, finds the cause of a refusal in its span and the
 // trace of a histogram's exemplar, and holds nobody up while the receiver is away.
 func TestTraces(t *testing.T) {
-	recv, err := otlp.Start("127.0.0.1:0")
+	recv, err := tracereceiver.Start("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer recv.Stop()
-	meter, err := remotewrite.Start("127.0.0.1:0")
+	meter, err := metricsreceiver.Start("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -34,14 +34,14 @@
 		t.Fatal(last)
 	}
 	for _, n := range b.nodes {
-		n.Set(func(x *node.Trouble) { x.Errors = 1 })
+		n.Set(func(x *backend.Trouble) { x.Errors = 1 })
 	}
 	const traceID, parent = "4bf92f3577b34da6a3ce929d0e0e4736", "00f067aa0ba902b7"
 	ctx := `{"traceparent":"00-` + traceID + `-` + parent + `-01"}`
 	c.send(call("bad", "look", ctx))
 	bad := c.read()
 	for _, n := range b.nodes {
-		n.Set(func(x *node.Trouble) { x.Errors = 0 })
+		n.Set(func(x *backend.Trouble) { x.Errors = 0 })
 	}
 	c.send(call("good", "look", ctx))
 	if s := c.read(); !strings.Contains(s, `"result"`) || strings.Contains(bad, `"result"`) {
@@ -49,7 +49,7 @@
 	}
 	poor := b.dial("poor")
 	poor.serve(5, `{}`)
-	var refused otlp.Span
+	var refused tracereceiver.Span
 	eventually(t, "the spans are there", func() bool {
 		calls := 0
 		for _, s := range recv.Spans() {
@@ -63,7 +63,7 @@
 		return calls == 2 && refused.Trace != ""
 	})
 	attempts, good := 0, 0
-	byID := map[string]otlp.Span{}
+	byID := map[string]tracereceiver.Span{}
 	for _, s := range recv.Spans() {
 		byID[s.ID] = s
 	}
--- a/peer/peer.go
+++ b/internal/gossip/peer.go
@@ -4,7 +4,7 @@
 // A datagram: "WHP1", fleet of 8 bytes, from and to of 2 bytes each, epoch and number of 8 bytes each, text,
 // keyed hash of 32 bytes; numbers are big-endian. The epoch is when the sender's life began, in
 // nanoseconds of Unix time; the number counts its datagrams to that receiver.
-package peer
+package gossip
 
 import (
 	"bytes"
@@ -16,7 +16,7 @@
 	"sync/atomic"
 	"time"
 
-	"winghatch/keys"
+	"winghatch/internal/credentials"
 )
 
 const (
@@ -34,7 +34,7 @@
 	seq      uint64
 }
 
-func appendDatagram(dst []byte, h head, text string, hash keys.Hasher) []byte {
+func appendDatagram(dst []byte, h head, text string, hash credentials.Hasher) []byte {
 	from := len(dst)
 	dst = append(append(dst, magic...), h.fleet[:]...)
 	dst = binary.BigEndian.AppendUint16(dst, uint16(h.from))
@@ -47,12 +47,12 @@
 }
 
 // parse checks form and hash. The hash covers the header too, so nothing of it can be changed.
-func parse(b []byte, hash keys.Hasher) (h head, text string, ok bool) {
+func parse(b []byte, hash credentials.Hasher) (h head, text string, ok bool) {
 	if len(b) < headLen+sumLen || len(b) > headLen+maxText+sumLen || !bytes.HasPrefix(b, []byte(magic)) {
 		return h, "", false
 	}
 	body := b[:len(b)-sumLen]
-	if sum := hash.Sum(body); !keys.Equal(sum[:], b[len(body):]) {
+	if sum := hash.Sum(body); !credentials.Equal(sum[:], b[len(body):]) {
 		return h, "", false
 	}
 	copy(h.fleet[:], body[4:])
@@ -146,7 +146,7 @@
 	Fleet  string
 	Rank   int
 	Peers  []string // addresses by rank
-	Secret keys.Secret
+	Secret credentials.Secret
 	Intake float64 // messages a second
 	Now    func() time.Time
 }
@@ -155,7 +155,7 @@
 type Link struct {
 	o      Options
 	pc     net.PacketConn
-	hash   keys.Hasher
+	hash   credentials.Hasher
 	fleet  [8]byte
 	epoch  uint64
 	addrs  []net.Addr
--- a/peer/peer_test.go
+++ b/internal/gossip/peer_test.go
@@ -1,13 +1,13 @@
-package peer
+package gossip
 
 import (
 	"net"
 	"testing"
 	"time"
 
-	"winghatch/keys"
+	"winghatch/internal/credentials"
 
-	"winghatch/standin/await"
+	"winghatch/internal/testbed/await"
 )
 
 func pair(t *testing.T, intake float64) (a, b *Link, got chan string, aAddr, bAddr net.Addr) {
@@ -21,7 +21,7 @@
 		}
 		pcs, addrs = append(pcs, pc), append(addrs, pc.LocalAddr().String())
 	}
-	o := Options{Fleet: "f", Peers: addrs, Secret: keys.Secret{1}, Intake: intake}
+	o := Options{Fleet: "f", Peers: addrs, Secret: credentials.Secret{1}, Intake: intake}
 	a, err := New(pcs[0], o)
 	if err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 	self.from = 1
 	sends := [][]byte{good, good, bad, good[:20], nil, append(good, 'x'), appendDatagram(nil, foreign, "x", a.hash),
 		appendDatagram(nil, other, "x", a.hash), appendDatagram(nil, old, "x", a.hash), appendDatagram(nil, self, "x", a.hash),
-		appendDatagram(nil, h, "x", keys.Secret{2}.Peers())}
+		appendDatagram(nil, h, "x", credentials.Secret{2}.Peers())}
 	for _, s := range sends {
 		if _, err := a.pc.WriteTo(s, to); err != nil {
 			t.Fatal(err)
@@ -116,7 +116,7 @@
 }
 
 func FuzzDatagram(f *testing.F) {
-	hash := keys.Secret{1}.Peers()
+	hash := credentials.Secret{1}.Peers()
 	f.Add(appendDatagram(nil, head{from: 1, to: 2, epoch: 3, seq: 4}, "hi", hash))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		if h, text, ok := parse(in, hash); ok {
--- a/httpout/httpout.go
+++ b/internal/httppost/httpout.go
@@ -1,5 +1,5 @@
 // Package httpout posts what a receiver must not be believed to have before it has read it.
-package httpout
+package httppost
 
 import (
 	"bytes"
--- a/audit/judge.go
+++ b/internal/invariant/judge.go
@@ -1,4 +1,4 @@
-package audit
+package invariant
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"winghatch/config"
 	"winghatch/decide"
+	"winghatch/internal/config"
 )
 
 // Breach is one thing that broke a rule.
--- a/audit/judge_test.go
+++ b/internal/invariant/judge_test.go
@@ -1,12 +1,12 @@
-package audit
+package invariant
 
 import (
 	"strings"
 	"testing"
 	"time"
 
-	"winghatch/config"
-	"winghatch/keys"
+	"winghatch/internal/config"
+	"winghatch/internal/credentials"
 )
 
 func fleet(t *testing.T) *config.Fleet {
@@ -20,7 +20,7 @@
 		limits { attempts 3; retry-after #true; max-retry-after "500ms" }
 		safety { drain-grace "1s"; answer-slack "20ms"; cold-from 0.2; cold-for "10s"; fall-multiple 2; fall-window "1s" }
 		gateway listen="127.0.0.1:1"
-		member m plan=p { key "`+keys.Digest{}.String()+`" }
+		member m plan=p { key "`+credentials.Digest{}.String()+`" }
 	}`))
 	if err != nil {
 		t.Fatal(err)
--- a/audit/record.go
+++ b/internal/invariant/record.go
@@ -1,6 +1,6 @@
 // Package audit judges the five rules by what passed sockets at clients and nodes, what nodes ran, and when
 // each gateway was told of a change. It sees nothing of a gateway's inside.
-package audit
+package invariant
 
 import (
 	"bufio"
--- a/audit/use.go
+++ b/internal/invariant/use.go
@@ -1,4 +1,4 @@
-package audit
+package invariant
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"sort"
 	"strconv"
 
-	"winghatch/export"
+	"winghatch/internal/usage/outbox"
 )
 
 // Exported is an event at the accounting.
@@ -78,13 +78,13 @@
 			u.breach("number", "%s: id %q is none", e.Source, e.ID)
 		}
 		numbers[e.Source] = append(numbers[e.Source], n)
-		if e.Type == export.TypeGap {
-			var g export.Uncovered
+		if e.Type == outbox.TypeGap {
+			var g outbox.Uncovered
 			json.Unmarshal(e.Data, &g)
 			u.Gaps += g.Units
 			continue
 		}
-		var d export.Use
+		var d outbox.Use
 		if err := json.Unmarshal(e.Data, &d); err != nil {
 			u.breach("data", "%s %s: %v", e.Source, e.ID, err)
 			continue
@@ -98,9 +98,9 @@
 		found[k] = true
 		t := tries[k]
 		switch {
-		case d.Outcome == export.Orphan.String() && !killed(d.Request):
+		case d.Outcome == outbox.Orphan.String() && !killed(d.Request):
 			u.breach("orphan", "try %d of %s is exported as left by a life that ended", d.Attempt, d.Request)
-		case d.Outcome == export.Failed.String() && t != nil && t.turned:
+		case d.Outcome == outbox.Failed.String() && t != nil && t.turned:
 			u.breach("unseen", "try %d of %s was turned away unseen and is exported", d.Attempt, d.Request)
 		case d.Guess:
 			if u.Guessed++; t == nil || !t.answered {
--- a/measures/measures.go
+++ b/internal/metrics/measures.go
@@ -1,7 +1,7 @@
 // Package measures is what a gateway counts and times, on prometheus/client_golang: counters and native histograms
 // that the loop feeds, and gauges that are read from the gateway's state when they are gathered. No label holds what
 // a caller chooses: classes, plans and reasons are the settings' and the program's own, members are capped.
-package measures
+package metrics
 
 import (
 	"sync"
@@ -10,7 +10,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/collectors"
 
-	"winghatch/sums"
+	"winghatch/internal/aggregate"
 )
 
 // Options say what labels there may be.
@@ -74,8 +74,8 @@
 	Changes               int
 	Reserved              float64 // tokens of reservations here
 	Send                  map[string]float64
-	Waiting               int        // samples for remote write
-	Sums                  []sums.Sum // of all gateways, of names whose home this one is
+	Waiting               int             // samples for remote write
+	Sums                  []aggregate.Sum // of all gateways, of names whose home this one is
 }
 
 // Plan is what the customers of one have in this gateway.
@@ -341,7 +341,7 @@
 		gauge(dWaiting, float64(v.Waiting))
 	}
 	type key struct{ kind, name, replica string }
-	totals := map[key]sums.Totals{}
+	totals := map[key]aggregate.Totals{}
 	for _, s := range v.Sums {
 		k := key{"class", s.Name.Name, "1"}
 		if s.First {
--- a/measures/measures_test.go
+++ b/internal/metrics/measures_test.go
@@ -1,4 +1,4 @@
-package measures
+package metrics
 
 import (
 	"fmt"
--- a/platform/config.go
+++ b/internal/platform/config.go
@@ -9,8 +9,8 @@
 	"os"
 
 	"winghatch/decide"
-	"winghatch/nodelist/registry"
-	"winghatch/platform/settings"
+	discoveryhttp "winghatch/internal/discovery/http"
+	"winghatch/internal/platform/settings"
 )
 
 // Config is what one gateway is told, checked.
@@ -21,7 +21,7 @@
 	MemoryMB, Sockets       int
 	PeerListen              string
 	Peers                   []string
-	Known                   registry.List
+	Known                   discoveryhttp.List
 	Decide                  decide.Config
 	Bounds                  settings.Bounds
 }
@@ -37,10 +37,10 @@
 		MemoryMB int     `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	PeerListen string          `json:"peer_listen"`
-	Peers      []string        `json:"peers"`
-	Known      registry.List   `json:"known"`
-	Settings   json.RawMessage `json:"settings"`
+	PeerListen string             `json:"peer_listen"`
+	Peers      []string           `json:"peers"`
+	Known      discoveryhttp.List `json:"known"`
+	Settings   json.RawMessage    `json:"settings"`
 }
 
 // Load reads and checks the file. Errors name file, field and value.
--- a/platform/fault_test.go
+++ b/internal/platform/fault_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"winghatch/sock"
+	"winghatch/internal/socket"
 )
 
 // failCalls makes every third system call on this process's sockets fail for a moment, by turns for want of buffers and of
@@ -25,9 +25,9 @@
 		}
 		return nil
 	}
-	write, read, recv := sock.Write, sock.Read, sock.Recv
+	write, read, recv := socket.Write, socket.Read, socket.Recv
 	var writes atomic.Int64
-	sock.Write = func(fd int, b []byte) (int, error) {
+	socket.Write = func(fd int, b []byte) (int, error) {
 		if err := fails(); err != nil {
 			return -1, err
 		}
@@ -36,13 +36,13 @@
 		}
 		return write(fd, b)
 	}
-	sock.Read = func(fd int, b []byte) (int, error) {
+	socket.Read = func(fd int, b []byte) (int, error) {
 		if err := fails(); err != nil {
 			return -1, err
 		}
 		return read(fd, b)
 	}
-	sock.Recv = func(fd int, b []byte, flags int) (int, error) {
+	socket.Recv = func(fd int, b []byte, flags int) (int, error) {
 		if err := fails(); err != nil {
 			return -1, err
 		}
--- a/platform/platform.go
+++ b/internal/platform/platform.go
@@ -14,12 +14,12 @@
 	"time"
 
 	"winghatch/decide"
-	fronthttp "winghatch/front/http"
-	"winghatch/gateway"
-	"winghatch/nodelist/registry"
-	"winghatch/peer/plain"
-	"winghatch/platform/settings"
-	uphttp "winghatch/upstream/http"
+	discoveryhttp "winghatch/internal/discovery/http"
+	frontendhttp "winghatch/internal/frontend/http"
+	"winghatch/internal/gateway"
+	"winghatch/internal/gossip/plain"
+	"winghatch/internal/platform/settings"
+	upstreamhttp "winghatch/internal/upstream/http"
 )
 
 const (
@@ -42,10 +42,10 @@
 	c       *Config
 	log     *slog.Logger
 	loop    *gateway.Loop
-	front   *fronthttp.Server
-	pool    *uphttp.Pool
+	front   *frontendhttp.Server
+	pool    *upstreamhttp.Pool
 	peers   *plain.Link
-	watch   *registry.Watch
+	watch   *discoveryhttp.Watch
 	ln      *net.TCPListener
 	unheard chan struct{} // closed once nothing is accepted any more
 	heard   atomic.Bool   // the list
@@ -90,18 +90,18 @@
 	}
 	bodies := int64(bodyPart * float64(cmp.Or(c.MemoryMB, usualMemory)) * (1 << 20))
 	free := float64(cmp.Or(c.Sockets, usualSockets) - ownSockets)
-	g.pool = uphttp.New(uphttp.Options{ConnectTimeout: cmp.Or(c.Decide.Limits.ConnectTimeout, time.Second),
+	g.pool = upstreamhttp.New(upstreamhttp.Options{ConnectTimeout: cmp.Or(c.Decide.Limits.ConnectTimeout, time.Second),
 		Conns: int((1 - clientPart) * free), Idle: time.Duration(idlePart * float64(cmp.Or(c.Bounds.Idle, usualIdle))),
 		Body: answerMost, Bodies: bodies, Units: c.Decide.MaxUnits, Figure: settings.ReportName})
 	g.loop = gateway.NewLoop(c.Decide, core, clock.Now, g.pool, peers, nil, log)
 	g.loop.Limit(cmp.Or(c.Bounds.Open, 1<<20))
-	starts := registry.NewStarts(c.Decide.Safety.ColdFor, time.Now)
-	take := func(l *registry.List, kind decide.FleetKind, gap time.Duration) {
+	starts := discoveryhttp.NewStarts(c.Decide.Safety.ColdFor, time.Now)
+	take := func(l *discoveryhttp.List, kind decide.FleetKind, gap time.Duration) {
 		// The pool first and past the loop's queue: a drain that has come holds for what the loop sends meanwhile.
 		g.pool.Take(l.Servers(), kind != decide.FleetDelta)
 		g.loop.Fleet(starts.Update(l, kind, clock.Now(), gap))
 	}
-	g.watch = registry.New(c.Discovery, registry.Options{Log: log, Take: func(l *registry.List, gap time.Duration) {
+	g.watch = discoveryhttp.New(c.Discovery, discoveryhttp.Options{Log: log, Take: func(l *discoveryhttp.List, gap time.Duration) {
 		kind := decide.FleetDelta
 		if l.All {
 			kind = decide.FleetFull
@@ -109,7 +109,7 @@
 		take(l, kind, gap)
 		g.heard.Store(true)
 	}})
-	g.front = fronthttp.New(fronthttp.NewRules(&c.Decide), g.loop, fronthttp.Options{Conns: int(clientPart * free), Bodies: bodies},
+	g.front = frontendhttp.New(frontendhttp.NewRules(&c.Decide), g.loop, frontendhttp.Options{Conns: int(clientPart * free), Bodies: bodies},
 		clock.Now, g.Ready, log)
 	ctx, stop := context.WithCancel(context.Background())
 	g.stop = stop
--- a/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"winghatch/standin/ports"
+	"winghatch/internal/testbed/ports"
 )
 
 // The test's own program is the gateway's process, as the command's is.
--- a/platform/soak_test.go
+++ b/internal/platform/soak_test.go
@@ -17,7 +17,7 @@
 	"testing"
 	"time"
 
-	"winghatch/sock"
+	"winghatch/internal/socket"
 )
 
 // The soak plays seeded troubles against a gateway's process and holds what clients and servers saw against the page's rules.
@@ -224,7 +224,7 @@
 	if err != nil {
 		return true
 	}
-	_, ended := sock.Peek(raw)
+	_, ended := socket.Peek(raw)
 	return ended
 }
 
--- a/plans/change.go
+++ b/internal/quotaplan/change.go
@@ -2,7 +2,7 @@
 // set aside for whom. Every gateway keeps the whole book. A change is a numbered record that never alters; what holds
 // at a moment follows from the set of changes alone, so gateways that know the same changes hold the same to be true,
 // whatever way and order they came. The package does no I/O, reads no clock and starts no goroutine.
-package plans
+package quotaplan
 
 import (
 	"encoding/binary"
@@ -15,7 +15,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"winghatch/decide"
-	"winghatch/pack"
+	"winghatch/internal/encoding"
 )
 
 // Kind says what a change does.
@@ -123,7 +123,7 @@
 func (c *Change) Append(b []byte) []byte {
 	b = append(b, changeVersion, byte(c.Kind))
 	b = binary.AppendUvarint(b, c.Number)
-	b = pack.String(pack.String(b, c.Member), c.Plan)
+	b = encoding.String(encoding.String(b, c.Member), c.Plan)
 	b = binary.AppendVarint(binary.AppendVarint(b, c.From), c.To)
 	b = appendFloats(b, c.Units, c.Rate)
 	b = binary.AppendUvarint(b, c.Target)
@@ -139,7 +139,7 @@
 
 func appendFloats(b []byte, vs ...float64) []byte {
 	for _, v := range vs {
-		b = pack.Float(b, v)
+		b = encoding.Float(b, v)
 	}
 	return b
 }
@@ -152,7 +152,7 @@
 		return c, nil, errCut
 	}
 	c.Kind = Kind(b[1])
-	r := &pack.Reader{B: b[2:]}
+	r := &encoding.Reader{B: b[2:]}
 	c.Number = r.Uvarint(any64)
 	c.Member, c.Plan = r.String(maxName), r.String(maxName)
 	c.From, c.To = r.Varint(), r.Varint()
--- a/plans/plans_test.go
+++ b/internal/quotaplan/plans_test.go
@@ -1,4 +1,4 @@
-package plans
+package quotaplan
 
 import (
 	"fmt"
--- a/tape/tape.go
+++ b/internal/recording/tape.go
@@ -4,7 +4,7 @@
 // A tape is lines of text, each the XXH64 of its JSON in 16 hexadecimal digits, a space and the JSON. The
 // first line holds the settings and the seed, every other the time, an event and its actions. A tape may be
 // cut anywhere, as by a kill; it reads up to its last whole line.
-package tape
+package recording
 
 import (
 	"bufio"
--- a/tape/tape_test.go
+++ b/internal/recording/tape_test.go
@@ -1,4 +1,4 @@
-package tape
+package recording
 
 import (
 	"bytes"
--- a/sendq/sendq.go
+++ b/internal/remotewrite/queue/sendq.go
@@ -1,7 +1,7 @@
 // Package sendq decides what of a stream of samples goes to a receiver, when it is tried again and what is given up:
 // bounded queues, the oldest dropped first, batches, backoff with jitter, halves to find what a refusal is for. It does no
 // I/O, reads no clock and starts no goroutine.
-package sendq
+package queue
 
 import (
 	"math/rand"
--- a/sendq/sendq_test.go
+++ b/internal/remotewrite/queue/sendq_test.go
@@ -1,4 +1,4 @@
-package sendq
+package queue
 
 import (
 	"testing"
--- a/remotewrite/remotewrite.go
+++ b/internal/remotewrite/remotewrite.go
@@ -13,8 +13,8 @@
 	"github.com/golang/snappy"
 	"github.com/prometheus/client_golang/prometheus"
 
-	"winghatch/httpout"
-	"winghatch/sendq"
+	"winghatch/internal/httppost"
+	"winghatch/internal/remotewrite/queue"
 )
 
 var errSymbol = errors.New("remotewrite: a label's symbol is not in the table")
@@ -55,7 +55,7 @@
 type shard struct {
 	w    *Writer
 	mu   sync.Mutex
-	q    *sendq.Queue
+	q    *queue.Queue
 	wake chan struct{}
 }
 
@@ -64,19 +64,19 @@
 	if o.Wall == nil {
 		o.Wall = time.Now
 	}
-	w := &Writer{o: o, began: time.Now(), client: httpout.Client(o.Timeout, max(1, o.Shards))}
+	w := &Writer{o: o, began: time.Now(), client: httppost.Client(o.Timeout, max(1, o.Shards))}
 	w.conv = converter{outer: o.Labels, start: o.Wall().UnixMilli(), known: map[string]*Series{}}
 	w.old.Store(o.Old)
 	n := max(1, o.Shards)
 	for i := range n {
-		w.shards = append(w.shards, &shard{w: w, wake: make(chan struct{}, 1), q: sendq.New(sendq.Settings{Items: o.Items / n, Bytes: o.Bytes / n,
+		w.shards = append(w.shards, &shard{w: w, wake: make(chan struct{}, 1), q: queue.New(queue.Settings{Items: o.Items / n, Bytes: o.Bytes / n,
 			Batch: o.Batch, MaxAge: o.MaxAge, Seed: o.Seed + int64(i)})})
 	}
 	return w
 }
 
 // Counts sums what became of samples.
-func (w *Writer) Counts() (c sendq.Counts) {
+func (w *Writer) Counts() (c queue.Counts) {
 	for _, s := range w.shards {
 		s.mu.Lock()
 		x := s.q.Counts()
@@ -149,10 +149,10 @@
 
 func (w *Writer) put(samples []*Sample) {
 	now := time.Since(w.began)
-	parts := make([][]sendq.Item, len(w.shards))
+	parts := make([][]queue.Item, len(w.shards))
 	for _, s := range samples {
 		i := s.Series.hash % uint64(len(parts))
-		parts[i] = append(parts[i], sendq.Item{At: now, Size: s.size(), Data: s})
+		parts[i] = append(parts[i], queue.Item{At: now, Size: s.size(), Data: s})
 	}
 	for i, s := range w.shards {
 		s.mu.Lock()
@@ -194,11 +194,11 @@
 		v, wait := s.q.Answered(a)
 		s.mu.Unlock()
 		switch v {
-		case sendq.Older:
+		case queue.Older:
 			if !s.w.old.Swap(true) {
 				s.w.o.Log.Warn("the receiver of measures speaks remote write 1.0 only", "answer", why)
 			}
-		case sendq.Reject:
+		case queue.Reject:
 			s.w.o.Log.Warn("the receiver refuses measures", "answer", why, "samples", len(batch))
 		}
 		if wait > 0 {
@@ -224,7 +224,7 @@
 	type2       = "application/x-protobuf;proto=io.prometheus.write.v2.Request"
 )
 
-func (w *Writer) send(ctx context.Context, batch []*Sample) (sendq.Answer, string) {
+func (w *Writer) send(ctx context.Context, batch []*Sample) (queue.Answer, string) {
 	old := w.old.Load()
 	encode, form, version := encode2, type2, "2.0.0"
 	if old {
@@ -232,10 +232,10 @@
 	}
 	raw, err := encode(batch)
 	if err != nil {
-		return sendq.Answer{Status: http.StatusBadRequest}, err.Error() // never sent, and never will be
+		return queue.Answer{Status: http.StatusBadRequest}, err.Error() // never sent, and never will be
 	}
-	res := httpout.Post(ctx, &w.client, w.o.URL, http.Header{"Content-Type": {form}, "Content-Encoding": {"snappy"},
+	res := httppost.Post(ctx, &w.client, w.o.URL, http.Header{"Content-Type": {form}, "Content-Encoding": {"snappy"},
 		headVersion: {version}, "User-Agent": {"winghatch"}}, snappy.Encode(nil, raw))
 	written := res.Header.Get(headSamples) != "" || res.Header.Get(headHists) != ""
-	return sendq.Answer{Status: res.Status, Whole: res.Whole, Two: !old, Written: written, RetryAfter: res.RetryAfter}, res.Why
+	return queue.Answer{Status: res.Status, Whole: res.Whole, Two: !old, Written: written, RetryAfter: res.RetryAfter}, res.Why
 }
--- a/remotewrite/remotewrite_test.go
+++ b/internal/remotewrite/remotewrite_test.go
@@ -11,10 +11,10 @@
 
 	"github.com/prometheus/client_golang/prometheus"
 
-	"winghatch/remotewrite"
-	standin "winghatch/standin/remotewrite"
+	"winghatch/internal/remotewrite"
+	metricsreceiver "winghatch/internal/testbed/metricsreceiver"
 
-	"winghatch/standin/await"
+	"winghatch/internal/testbed/await"
 )
 
 var eventually = await.Until
@@ -22,15 +22,15 @@
 // rig is a writer of a counter, a gauge and a histogram with some series each, to a receiver.
 type rig struct {
 	t     *testing.T
-	recv  *standin.Receiver
+	recv  *metricsreceiver.Receiver
 	w     *remotewrite.Writer
 	count *prometheus.CounterVec
 	hist  prometheus.Histogram
 	stop  func()
 }
 
-func newRig(t *testing.T, change func(*remotewrite.Options, *standin.Trouble)) *rig {
-	recv, err := standin.Start("127.0.0.1:0")
+func newRig(t *testing.T, change func(*remotewrite.Options, *metricsreceiver.Trouble)) *rig {
+	recv, err := metricsreceiver.Start("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,11 +44,11 @@
 	}
 	o := remotewrite.Options{URL: recv.URL(), Every: 20 * time.Millisecond, Timeout: 300 * time.Millisecond, Shards: 2, Items: 2000, Bytes: 1 << 20,
 		Batch: 10, MaxAge: time.Hour, Gather: reg, Log: slog.New(slog.DiscardHandler), Labels: []remotewrite.Label{{Name: "gateway", Value: "1"}}}
-	var tr standin.Trouble
+	var tr metricsreceiver.Trouble
 	if change != nil {
 		change(&o, &tr)
 	}
-	recv.Set(func(x *standin.Trouble) { *x = tr })
+	recv.Set(func(x *metricsreceiver.Trouble) { *x = tr })
 	r.w = remotewrite.New(o)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -68,7 +68,7 @@
 // TestProtocols sends counters and native histograms in both protocols, and ends each series with a stale marker.
 func TestProtocols(t *testing.T) {
 	for _, old := range []bool{false, true} {
-		r := newRig(t, func(o *remotewrite.Options, _ *standin.Trouble) { o.Old = old })
+		r := newRig(t, func(o *remotewrite.Options, _ *metricsreceiver.Trouble) { o.Old = old })
 		for i := range 100 {
 			r.hist.Observe(float64(i))
 		}
@@ -96,7 +96,7 @@
 // TestFallsBack speaks 1.0 to a receiver that answers 415 to 2.0, and to one that takes 2.0 for 1.0 without a word.
 func TestFallsBack(t *testing.T) {
 	for _, blind := range []bool{false, true} {
-		r := newRig(t, func(_ *remotewrite.Options, x *standin.Trouble) { x.OnlyOne, x.Blind = !blind, blind })
+		r := newRig(t, func(_ *remotewrite.Options, x *metricsreceiver.Trouble) { x.OnlyOne, x.Blind = !blind, blind })
 		eventually(t, "it is sent in 1.0", func() bool { return r.recv.Sum("x_total") == 190 })
 		r.stop()
 		if r.recv.Batches["0.1.0"] == 0 || r.recv.Batches["2.0.0"] > 0 {
@@ -107,13 +107,13 @@
 
 // TestReceiversFaults plays each fault for a while, of which nothing may be lost or come out of order.
 func TestReceiversFaults(t *testing.T) {
-	for name, trouble := range map[string]standin.Trouble{"500": {Status: 500}, "429": {Status: 429, RetryAfter: "0"}, "redirect": {Status: 307},
+	for name, trouble := range map[string]metricsreceiver.Trouble{"500": {Status: 500}, "429": {Status: 429, RetryAfter: "0"}, "redirect": {Status: 307},
 		"cut": {Cut: true}, "early": {Early: true}, "slow": {Slow: 500 * time.Millisecond}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := newRig(t, func(_ *remotewrite.Options, x *standin.Trouble) { *x = trouble })
+			r := newRig(t, func(_ *remotewrite.Options, x *metricsreceiver.Trouble) { *x = trouble })
 			eventually(t, "it is tried again", func() bool { return r.w.Counts().Again >= 4 })
-			r.recv.Set(func(x *standin.Trouble) { *x = standin.Trouble{} })
+			r.recv.Set(func(x *metricsreceiver.Trouble) { *x = metricsreceiver.Trouble{} })
 			eventually(t, "all is there", func() bool { c := r.w.Counts(); return c.Sent > 0 && c.Waiting < 50 && r.recv.Sum("x_total") == 190 })
 			r.stop()
 			c := r.w.Counts()
@@ -136,7 +136,7 @@
 
 // TestOneBadSeries gives up the samples of one series that the receiver refuses, and no other; a 413 makes batches smaller.
 func TestOneBadSeries(t *testing.T) {
-	r := newRig(t, func(_ *remotewrite.Options, x *standin.Trouble) { x.Reject, x.Most = `k="v13"`, 4 })
+	r := newRig(t, func(_ *remotewrite.Options, x *metricsreceiver.Trouble) { x.Reject, x.Most = `k="v13"`, 4 })
 	eventually(t, "all others are there", func() bool { return r.recv.Sum("x_total") == 190-13 && r.w.Counts().Rejected > 0 })
 	r.stop()
 	for _, n := range r.recv.Names() {
@@ -148,14 +148,14 @@
 
 // TestOutage keeps the newest within the bounds while the receiver is away, and tells what was dropped.
 func TestOutage(t *testing.T) {
-	r := newRig(t, func(o *remotewrite.Options, x *standin.Trouble) {
+	r := newRig(t, func(o *remotewrite.Options, x *metricsreceiver.Trouble) {
 		o.Items, o.Every, x.Status = 400, 2*time.Millisecond, 503
 	})
 	eventually(t, "old ones are dropped", func() bool { return r.w.Counts().DroppedFull > 1000 })
 	if c := r.w.Counts(); c.Waiting > 400 {
 		t.Errorf("%+v waits", c)
 	}
-	r.recv.Set(func(x *standin.Trouble) { x.Status = 0 })
+	r.recv.Set(func(x *metricsreceiver.Trouble) { x.Status = 0 })
 	eventually(t, "it comes again", func() bool { return r.recv.Sum("x_total") == 190 })
 	r.stop()
 	if c := r.w.Counts(); c.Put != c.Sent+c.DroppedFull+uint64(c.Waiting) || r.recv.Unsorted > 0 {
@@ -166,7 +166,7 @@
 // TestClockSteps lets the wall clock step back and forth: times of samples never go back.
 func TestClockSteps(t *testing.T) {
 	var off atomic.Int64
-	r := newRig(t, func(o *remotewrite.Options, _ *standin.Trouble) {
+	r := newRig(t, func(o *remotewrite.Options, _ *metricsreceiver.Trouble) {
 		o.Wall = func() time.Time { return time.Now().Add(time.Duration(off.Load())) }
 	})
 	for _, d := range []time.Duration{-time.Hour, time.Minute, -2 * time.Hour} {
@@ -182,12 +182,12 @@
 
 // TestStopWithAFullQueue stops while the receiver is away: within the time to flush, whatever waits.
 func TestStopWithAFullQueue(t *testing.T) {
-	recv, err := standin.Start("127.0.0.1:0")
+	recv, err := metricsreceiver.Start("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer recv.Stop()
-	recv.Set(func(x *standin.Trouble) { x.Status = 503 })
+	recv.Set(func(x *metricsreceiver.Trouble) { x.Status = 503 })
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(prometheus.NewGauge(prometheus.GaugeOpts{Name: "g", Help: "g"}))
 	w := remotewrite.New(remotewrite.Options{URL: recv.URL(), Every: time.Millisecond, Timeout: time.Second, Shards: 1, Items: 100, Batch: 10,
--- a/reserve/ledger.go
+++ b/internal/reservation/ledger.go
@@ -5,7 +5,7 @@
 //
 // What must outlive a crash is handed out as a whole state of a reservation to keep; what depends on it (spending
 // tokens that were drawn, telling another gateway of tokens sent, thanking it for tokens got) waits until it is kept.
-package reserve
+package reservation
 
 import (
 	"cmp"
@@ -16,8 +16,8 @@
 	"slices"
 	"time"
 
-	"winghatch/pack"
-	"winghatch/plans"
+	"winghatch/internal/encoding"
+	"winghatch/internal/quotaplan"
 )
 
 const (
@@ -66,7 +66,7 @@
 type (
 	// Hold says that a reservation is known. Slices tell where the member's ceiling is kept.
 	Hold struct {
-		plans.Reservation
+		quotaplan.Reservation
 		Slices []Slice
 	}
 	// Cut says that a reservation is of Units now.
@@ -121,7 +121,7 @@
 		Units  float64
 	}
 	// Wake asks for a Tick. Wall is Unix nanoseconds; whichever comes first counts.
-	Wake struct{ At plans.Now }
+	Wake struct{ At quotaplan.Now }
 )
 
 func (Hold) event()  {}
@@ -182,7 +182,7 @@
 
 // hold is a reservation as this gateway has it.
 type hold struct {
-	plans.Reservation
+	quotaplan.Reservation
 	slices []Slice
 	known  bool // the book told of it; else only its kept state is there
 
@@ -247,7 +247,7 @@
 type Ledger struct {
 	s       Settings
 	rng     *rand.Rand
-	now     plans.Now
+	now     quotaplan.Now
 	out     []Action
 	holds   map[uint64]*hold
 	order   []*hold // by end, then ID
@@ -281,7 +281,7 @@
 }
 
 // Handle takes an event and returns what is to be done, in order.
-func (l *Ledger) Handle(now plans.Now, ev Event) []Action {
+func (l *Ledger) Handle(now quotaplan.Now, ev Event) []Action {
 	l.out = nil
 	now.Mono = max(now.Mono, l.now.Mono)
 	l.now = now
@@ -348,16 +348,16 @@
 		flags |= 2
 	}
 	b = append(b, flags)
-	b = pack.Float(pack.Float(b, h.cut), h.free)
+	b = encoding.Float(encoding.Float(b, h.cut), h.free)
 	b = binary.AppendUvarint(b, uint64(len(h.sent)))
 	for _, k := range sortedKeys(h.sent) {
 		b = binary.AppendUvarint(b, uint64(k.from))
-		b = pack.Float(binary.LittleEndian.AppendUint64(b, k.era), h.sent[k].total)
+		b = encoding.Float(binary.LittleEndian.AppendUint64(b, k.era), h.sent[k].total)
 	}
 	b = binary.AppendUvarint(b, uint64(len(h.got)))
 	for _, k := range sortedKeys(h.got) {
 		b = binary.AppendUvarint(b, uint64(k.from))
-		b = pack.Float(binary.LittleEndian.AppendUint64(b, k.era), h.got[k])
+		b = encoding.Float(binary.LittleEndian.AppendUint64(b, k.era), h.got[k])
 	}
 	return b
 }
@@ -377,7 +377,7 @@
 	if len(state) < 18 || state[0] != stateVersion {
 		return fmt.Errorf("reserve: a state of %d bytes and version %v, want version %d", len(state), state[:min(1, len(state))], stateVersion)
 	}
-	r := &pack.Reader{B: state[1:]}
+	r := &encoding.Reader{B: state[1:]}
 	id, era := r.U64(), r.U64()
 	flags := r.Byte()
 	delete(l.holds, id)
@@ -875,11 +875,11 @@
 }
 
 func appendOffer(id uint64, tokens float64) []byte {
-	return pack.Float(appendWords(msgOffer, id), tokens)
+	return encoding.Float(appendWords(msgOffer, id), tokens)
 }
 
 func appendAsk(id, no, era uint64, tokens, room float64) []byte {
-	return pack.Float(pack.Float(appendWords(msgAsk, id, no, era), tokens), room)
+	return encoding.Float(encoding.Float(appendWords(msgAsk, id, no, era), tokens), room)
 }
 
 func (l *Ledger) give(h *hold, to key, no uint64, room float64) []byte {
@@ -888,9 +888,9 @@
 	if t := h.sent[to]; t != nil {
 		total = t.total
 	}
-	b = pack.Float(pack.Float(pack.Float(b, total), room), max(0, h.free))
+	b = encoding.Float(encoding.Float(encoding.Float(b, total), room), max(0, h.free))
 	who, free := l.richest(h, to.from)
-	return pack.Float(binary.LittleEndian.AppendUint64(b, uint64(who+1)), free)
+	return encoding.Float(binary.LittleEndian.AppendUint64(b, uint64(who+1)), free)
 }
 
 // richest is the gateway that has most, by what they told lately; -1: none is known. Whoever asks is told of it, or
@@ -911,7 +911,7 @@
 	if e.From < 0 || e.From >= l.s.Gateways || e.From == l.s.Rank || len(e.Data) == 0 {
 		return
 	}
-	r := &pack.Reader{B: e.Data[1:]}
+	r := &encoding.Reader{B: e.Data[1:]}
 	id := r.U64()
 	switch e.Data[0] {
 	case msgOffer:
@@ -1010,7 +1010,7 @@
 	if total == 0 {
 		return
 	}
-	thanks := pack.Float(appendWords(msgThanks, h.ID, k.era, h.era), max(total, h.got[k]))
+	thanks := encoding.Float(appendWords(msgThanks, h.ID, k.era, h.era), max(total, h.got[k]))
 	if news <= 0 {
 		l.later(l.keepNo, k.from, thanks)
 		return
@@ -1075,8 +1075,8 @@
 }
 
 // next is when something comes by itself.
-func (l *Ledger) next() plans.Now {
-	n := plans.Now{Mono: math.MaxInt64, Wall: math.MaxInt64}
+func (l *Ledger) next() quotaplan.Now {
+	n := quotaplan.Now{Mono: math.MaxInt64, Wall: math.MaxInt64}
 	for _, h := range l.order {
 		if h.ended {
 			continue
@@ -1093,7 +1093,7 @@
 
 // View is a reservation as a gateway has it.
 type View struct {
-	plans.Reservation
+	quotaplan.Reservation
 	Open, Ended bool
 	Free, Drawn float64 // tokens here, kept and drawn
 	Out         int     // calls
--- a/reserve/ledger_test.go
+++ b/internal/reservation/ledger_test.go
@@ -1,4 +1,4 @@
-package reserve
+package reservation
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"winghatch/plans"
+	"winghatch/internal/quotaplan"
 )
 
 const sec = int64(time.Second)
@@ -22,13 +22,13 @@
 	written []time.Duration
 	own     []bool // the book's word that the reservation is its own is on the disk
 	rng     *rand.Rand
-	now     plans.Now
+	now     quotaplan.Now
 	due     []letter
 	loss    float64
 	side    []int
 	down    []bool
 	stalled []bool
-	res     plans.Reservation
+	res     quotaplan.Reservation
 	units   float64 // by the last cut
 	slices  []Slice
 	next    int
@@ -62,8 +62,8 @@
 	ev   Event
 }
 
-func newWorld(n int, seed int64, res plans.Reservation) *world {
-	w := &world{n: n, rng: rand.New(rand.NewSource(seed)), now: plans.Now{Mono: time.Hour, Wall: 1000 * sec}, ls: make([]*Ledger, n),
+func newWorld(n int, seed int64, res quotaplan.Reservation) *world {
+	w := &world{n: n, rng: rand.New(rand.NewSource(seed)), now: quotaplan.Now{Mono: time.Hour, Wall: 1000 * sec}, ls: make([]*Ledger, n),
 		disks: make([][][]byte, n), written: make([]time.Duration, n), own: make([]bool, n), side: make([]int, n), down: make([]bool, n), stalled: make([]bool, n),
 		refused: map[Reason]int{}, open: map[string]call{}, hold: 30 * time.Millisecond, units: res.Units, res: res}
 	w.res.ID, w.res.Member, w.res.Spread = 77, "m", n
@@ -236,7 +236,7 @@
 func TestConserved(t *testing.T) {
 	play := func(rt *rapid.T, badDisk, twice bool) string {
 		n := rapid.IntRange(1, 6).Draw(rt, "gateways")
-		w := newWorld(n, rapid.Int64().Draw(rt, "seed"), plans.Reservation{Units: 200})
+		w := newWorld(n, rapid.Int64().Draw(rt, "seed"), quotaplan.Reservation{Units: 200})
 		w.loss = rapid.SampledFrom([]float64{0, 0.1, 0.4}).Draw(rt, "loss")
 		w.badDisk, w.twice = badDisk, twice
 		for range rapid.IntRange(2, 20).Draw(rt, "steps") {
@@ -355,7 +355,7 @@
 				}
 			}},
 		} {
-			w := newWorld(n, 9, plans.Reservation{Units: units})
+			w := newWorld(n, 9, quotaplan.Reservation{Units: units})
 			w.loss = 0.02
 			w.run(1100 * time.Millisecond)
 			w.load(4*time.Second, 200, 2, c.pick(w))
@@ -381,7 +381,7 @@
 			"evenly": func(w *world) func() int { return func() int { return w.rng.Intn(n) } },
 			"at one": func(*world) func() int { return func() int { return n - 1 } },
 		} {
-			w := newWorld(n, 3, plans.Reservation{Units: 1e6, Rate: 40, Burst: 60, Ceiling: true})
+			w := newWorld(n, 3, quotaplan.Reservation{Units: 1e6, Rate: 40, Burst: 60, Ceiling: true})
 			w.loss = 0.02
 			w.run(time.Second)
 			for k := range 6 { // restarts begin with an empty store
@@ -405,7 +405,7 @@
 
 // TestCut shortens a reservation below its use and cancels one while calls are out.
 func TestCut(t *testing.T) {
-	w := newWorld(3, 1, plans.Reservation{Units: 300})
+	w := newWorld(3, 1, quotaplan.Reservation{Units: 300})
 	w.run(1100 * time.Millisecond)
 	w.load(time.Second, 150, 2, func() int { return 0 })
 	before := w.used
@@ -428,7 +428,7 @@
 	if w.back != 0 {
 		t.Errorf("%v returned", w.back)
 	}
-	w = newWorld(3, 1, plans.Reservation{Units: 300})
+	w = newWorld(3, 1, quotaplan.Reservation{Units: 300})
 	w.run(1100 * time.Millisecond)
 	w.hold = 500 * time.Millisecond
 	w.load(300*time.Millisecond, 200, 2, func() int { return w.rng.Intn(3) })
@@ -443,7 +443,7 @@
 
 // TestEnd passes the end with calls out: they settle, what is left is returned, later calls are refused.
 func TestEnd(t *testing.T) {
-	w := newWorld(3, 1, plans.Reservation{Units: 300})
+	w := newWorld(3, 1, quotaplan.Reservation{Units: 300})
 	w.run(1100 * time.Millisecond)
 	w.hold = 300 * time.Millisecond
 	w.load(200*time.Millisecond, 200, 2, func() int { return w.rng.Intn(3) })
@@ -466,8 +466,8 @@
 // TestDiskStands bounds what waits for a disk that takes nothing, while others ask and ask.
 func TestDiskStands(t *testing.T) {
 	l := New(Settings{Rank: 0, Gateways: 2, MaxUnits: 8, Era: 1})
-	now := plans.Now{Mono: time.Hour, Wall: 1000 * sec}
-	r := plans.Reservation{ID: 77, Member: "m", Units: 1e6, From: 1000 * sec, To: 2000 * sec, Spread: 2, Mine: true}
+	now := quotaplan.Now{Mono: time.Hour, Wall: 1000 * sec}
+	r := quotaplan.Reservation{ID: 77, Member: "m", Units: 1e6, From: 1000 * sec, To: 2000 * sec, Spread: 2, Mine: true}
 	l.Handle(now, Hold{Reservation: r})
 	for i := range 3 * effectsMost {
 		now.Mono += time.Millisecond
@@ -487,7 +487,7 @@
 	f.Add(append([]byte{msgGive}, make([]byte, 72)...), 2)
 	f.Add(append([]byte{msgThanks}, make([]byte, 32)...), 0)
 	f.Fuzz(func(t *testing.T, data []byte, from int) {
-		w := newWorld(3, 1, plans.Reservation{Units: 30})
+		w := newWorld(3, 1, quotaplan.Reservation{Units: 30})
 		w.handle(0, Heard{from, data})
 		w.run(50 * time.Millisecond)
 		for _, s := range w.ls[0].States() {
--- a/day/day_test.go
+++ b/internal/scenario/day_test.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"context"
@@ -14,11 +14,11 @@
 	"testing"
 	"time"
 
-	"winghatch/config"
 	"winghatch/decide"
-	"winghatch/front"
-	"winghatch/gateway"
-	"winghatch/tape"
+	"winghatch/internal/config"
+	"winghatch/internal/frontend"
+	"winghatch/internal/gateway"
+	"winghatch/internal/recording"
 )
 
 // TestMain is also the gateway's program: a day starts this binary as its gateways, whole or broken.
@@ -103,20 +103,20 @@
 	n := 0
 	switch how {
 	case "no answer":
-		t.Final = func(f front.Final, done func(front.Final)) {
+		t.Final = func(f frontend.Final, done func(frontend.Final)) {
 			if n++; n%20 != 0 {
 				done(f)
 			}
 		}
 	case "two answers":
-		t.Final = func(f front.Final, done func(front.Final)) {
+		t.Final = func(f frontend.Final, done func(frontend.Final)) {
 			done(f)
 			if n++; n%20 == 0 {
 				done(f)
 			}
 		}
 	case "late answers":
-		t.Final = func(f front.Final, done func(front.Final)) {
+		t.Final = func(f frontend.Final, done func(frontend.Final)) {
 			if n++; n%20 == 0 {
 				time.AfterFunc(6*time.Second, func() { done(f) })
 				return
@@ -124,7 +124,7 @@
 			done(f)
 		}
 	case "long waits":
-		t.Final = func(f front.Final, done func(front.Final)) {
+		t.Final = func(f frontend.Final, done func(frontend.Final)) {
 			f.RetryAfter = time.Minute
 			done(f)
 		}
@@ -234,7 +234,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if n, err := tape.Replay(in); err != nil || n.Events == 0 {
+			if n, err := recording.Replay(in); err != nil || n.Events == 0 {
 				t.Errorf("%s: %+v, %v", filepath.Base(file), n, err)
 			}
 			in.Close()
--- a/day/files.go
+++ b/internal/scenario/files.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"embed"
--- a/day/run.go
+++ b/internal/scenario/run.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"context"
@@ -16,16 +16,16 @@
 	"syscall"
 	"time"
 
-	"winghatch/audit"
-	"winghatch/config"
 	"winghatch/decide"
-	"winghatch/keys"
-	"winghatch/nodelist"
-	"winghatch/standin/list"
-	"winghatch/standin/node"
-	"winghatch/standin/ports"
-	"winghatch/standin/remotewrite"
-	"winghatch/standin/school"
+	"winghatch/internal/config"
+	"winghatch/internal/credentials"
+	discoveryws "winghatch/internal/discovery/websocket"
+	"winghatch/internal/invariant"
+	"winghatch/internal/testbed/backend"
+	"winghatch/internal/testbed/client"
+	"winghatch/internal/testbed/discovery"
+	"winghatch/internal/testbed/metricsreceiver"
+	"winghatch/internal/testbed/ports"
 )
 
 // Options say how a day is played.
@@ -39,15 +39,15 @@
 
 // Outcome is a day played.
 type Outcome struct {
-	Stats    school.Stats
-	Verdict  *audit.Verdict
+	Stats    client.Stats
+	Verdict  *invariant.Verdict
 	Attempts int
 	Records  int
 	Tapes    []string
 
-	Use      *audit.Use // of an accounting, if the fleet has one
-	Repeats  int        // events that it was sent again
-	Kills    int        // of gateways, by kill storms
+	Use      *invariant.Use // of an accounting, if the fleet has one
+	Repeats  int            // events that it was sent again
+	Kills    int            // of gateways, by kill storms
 	Reserved []Reserved
 }
 
@@ -55,12 +55,12 @@
 type player struct {
 	s      *Script
 	o      Options
-	log    *audit.Log
+	log    *invariant.Log
 	fleet  *config.Fleet
 	file   string
-	list   *list.List
+	list   *discovery.List
 	listAt string
-	school *school.School
+	school *client.School
 	relays []*relay
 	rng    *rand.Rand
 	mu     sync.Mutex
@@ -70,12 +70,12 @@
 	errs   []error
 	wg     sync.WaitGroup
 	ctx    context.Context
-	memory map[string]*node.Memory
-	meter  *node.Meter
+	memory map[string]*backend.Memory
+	meter  *backend.Meter
 	ports  ports.Reserved
 
 	ledger   *ledger
-	metrics  *remotewrite.Receiver
+	metrics  *metricsreceiver.Receiver
 	killed   bool
 	kills    int
 	changes  uint64
@@ -84,8 +84,8 @@
 
 // slot is a node's place: what runs there comes and goes.
 type slot struct {
-	o    node.Options
-	n    *node.Node
+	o    backend.Options
+	n    *backend.Node
 	busy bool // with a trouble that takes it away
 }
 
@@ -122,8 +122,8 @@
 	defer out.Close()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	p := &player{s: s, o: o, log: audit.NewLog(out), rng: rand.New(rand.NewPCG(uint64(o.Seed), 3)), ctx: ctx,
-		memory: map[string]*node.Memory{}}
+	p := &player{s: s, o: o, log: invariant.NewLog(out), rng: rand.New(rand.NewPCG(uint64(o.Seed), 3)), ctx: ctx,
+		memory: map[string]*backend.Memory{}}
 	watch := make(chan struct{})
 	go p.log.Watch(watch)
 	defer close(watch)
@@ -140,9 +140,9 @@
 		return nil, err
 	}
 	recs := p.log.Records()
-	res := &Outcome{Stats: p.school.Stats(), Verdict: audit.Judge(p.fleet, recs), Records: len(recs), Tapes: p.tapes}
+	res := &Outcome{Stats: p.school.Stats(), Verdict: invariant.Judge(p.fleet, recs), Records: len(recs), Tapes: p.tapes}
 	for _, r := range recs {
-		if r.K == audit.Arrive {
+		if r.K == invariant.Arrive {
 			res.Attempts++
 		}
 	}
@@ -155,14 +155,14 @@
 func (p *player) setUp() error {
 	f := *p.s.Fleet
 	p.fleet = &f
-	f.Secret = keys.NewSecret()
+	f.Secret = credentials.NewSecret()
 	f.Gateways = append([]config.Gateway(nil), f.Gateways...)
 	f.Members = append([]config.Member(nil), f.Members...)
 	var err error
 	if p.listAt, err = p.ports.Addr(); err != nil {
 		return err
 	}
-	if p.list, err = list.Start(p.listAt, p.s.ListLag, p.log); err != nil {
+	if p.list, err = discovery.Start(p.listAt, p.s.ListLag, p.log); err != nil {
 		return err
 	}
 	f.List = p.listAt
@@ -192,12 +192,12 @@
 		}
 		addrs = append(addrs, g.Listen)
 	}
-	var members []school.Member
+	var members []client.Member
 	for i := range f.Members {
 		m := &f.Members[i]
-		key := keys.New()
-		m.Keys = []keys.Digest{f.Secret.Members().Sum([]byte(key))}
-		members = append(members, school.Member{Name: m.Name, Key: key, First: m.First, Spread: m.Spread})
+		key := credentials.New()
+		m.Keys = []credentials.Digest{f.Secret.Members().Sum([]byte(key))}
+		members = append(members, client.Member{Name: m.Name, Key: key, First: m.First, Spread: m.Spread})
 	}
 	p.file = filepath.Join(p.o.Dir, "fleet.kdl")
 	if err := os.WriteFile(p.file, config.Format(&f), 0o600); err != nil {
@@ -221,16 +221,16 @@
 			return err
 		}
 	}
-	p.school = school.New(school.Options{Gateways: addrs, Members: members, Classes: p.classes(), Rate: p.s.Load.Rate,
+	p.school = client.New(client.Options{Gateways: addrs, Members: members, Classes: p.classes(), Rate: p.s.Load.Rate,
 		Retries: p.s.Load.Retries, Wait: p.s.Load.Wait, Seed: uint64(p.o.Seed), Log: p.log})
 	return nil
 }
 
-func (p *player) classes() (out []school.Class) {
+func (p *player) classes() (out []client.Class) {
 	for _, c := range p.s.Load.Classes {
 		for _, k := range p.fleet.Decide.Classes {
 			if k.Name == c.Class {
-				out = append(out, school.Class{Name: k.Name, Share: c.Share, Effect: k.Effect, Group: k.Group, Window: k.Window,
+				out = append(out, client.Class{Name: k.Name, Share: c.Share, Effect: k.Effect, Group: k.Group, Window: k.Window,
 					Aim: k.Aim, Deadline: k.Deadline, MaxUnits: c.Units})
 			}
 		}
@@ -248,16 +248,16 @@
 				}
 			}
 		}
-		p.meter = node.NewMeter(d, rates)
+		p.meter = backend.NewMeter(d, rates)
 	}
-	var all []nodelist.Entry
+	var all []discoveryws.Entry
 	for _, n := range p.s.Nodes {
 		for range n.Count {
 			sl, err := p.newSlot(n)
 			if err != nil {
 				return err
 			}
-			if sl.n, err = node.Start(sl.o); err != nil {
+			if sl.n, err = backend.Start(sl.o); err != nil {
 				return err
 			}
 			p.nodes = append(p.nodes, sl)
@@ -271,8 +271,8 @@
 	return nil
 }
 
-func entry(o node.Options, state string, started time.Time) nodelist.Entry {
-	e := nodelist.Entry{Node: o.Addr, Zone: o.Zone, Cell: o.Cell, State: state}
+func entry(o backend.Options, state string, started time.Time) discoveryws.Entry {
+	e := discoveryws.Entry{Node: o.Addr, Zone: o.Zone, Cell: o.Cell, State: state}
 	if !started.IsZero() {
 		e.Started = started.UnixMilli()
 	}
@@ -285,11 +285,11 @@
 	if err != nil {
 		return nil, err
 	}
-	o := node.Options{Addr: addr, Zone: n.Zone, Cell: n.Cell, Cores: n.Cores, Speed: n.Speed, Queue: n.Queue,
-		Classes: map[string]node.Class{}, Seed: p.rng.Uint64(), Log: p.log, Meter: p.meter}
+	o := backend.Options{Addr: addr, Zone: n.Zone, Cell: n.Cell, Cores: n.Cores, Speed: n.Speed, Queue: n.Queue,
+		Classes: map[string]backend.Class{}, Seed: p.rng.Uint64(), Log: p.log, Meter: p.meter}
 	group := "all"
 	for _, k := range p.fleet.Decide.Classes {
-		o.Classes[k.Name] = node.Class{Work: n.Work[k.Name], Keyed: k.Effect == decide.Keyed, Window: k.Window}
+		o.Classes[k.Name] = backend.Class{Work: n.Work[k.Name], Keyed: k.Effect == decide.Keyed, Window: k.Window}
 		switch {
 		case k.Effect != decide.Keyed:
 		case k.Group == decide.GroupZone:
@@ -299,14 +299,14 @@
 		}
 	}
 	if p.memory[group] == nil {
-		p.memory[group] = node.NewMemory()
+		p.memory[group] = backend.NewMemory()
 	}
 	o.Memory = p.memory[group]
 	return &slot{o: o}, nil
 }
 
 // cold makes options of a cold start.
-func (p *player) cold(o node.Options) node.Options {
+func (p *player) cold(o backend.Options) backend.Options {
 	s := p.fleet.Decide.Safety
 	o.From, o.For, o.FallMultiple, o.FallWindow = s.ColdFrom, s.ColdFor, s.FallMultiple, s.FallWindow
 	return o
@@ -329,7 +329,7 @@
 		f.Close()
 		return fmt.Errorf("day: gateway %d: %w", g.rank, err)
 	}
-	p.log.Add(audit.Record{K: audit.Process, Gateway: g.rank, State: "up"})
+	p.log.Add(invariant.Record{K: invariant.Process, Gateway: g.rank, State: "up"})
 	ended := make(chan struct{})
 	go func() { cmd.Wait(); f.Close(); close(ended) }()
 	p.mu.Lock()
@@ -362,10 +362,10 @@
 func (p *player) signal(g *gate, sig syscall.Signal, word string) {
 	if sig == syscall.SIGCONT {
 		g.cmd.Process.Signal(sig)
-		p.log.Add(audit.Record{K: audit.Process, Gateway: g.rank, State: word})
+		p.log.Add(invariant.Record{K: invariant.Process, Gateway: g.rank, State: word})
 		return
 	}
-	p.log.Add(audit.Record{K: audit.Process, Gateway: g.rank, State: word})
+	p.log.Add(invariant.Record{K: invariant.Process, Gateway: g.rank, State: word})
 	g.cmd.Process.Signal(sig)
 }
 
@@ -382,7 +382,7 @@
 		g.cmd.Process.Kill()
 		<-g.ended
 	}
-	p.log.Add(audit.Record{K: audit.Process, Gateway: g.rank, State: "exit"})
+	p.log.Add(invariant.Record{K: invariant.Process, Gateway: g.rank, State: "exit"})
 }
 
 func (p *player) play() {
@@ -490,7 +490,7 @@
 }
 
 // onNodes sets a trouble of nodes for a while.
-func (p *player) onNodes(t Trouble, on, off func(*node.Trouble)) {
+func (p *player) onNodes(t Trouble, on, off func(*backend.Trouble)) {
 	ss := p.some(t.Count)
 	for _, s := range ss {
 		s.n.Set(on)
@@ -503,7 +503,7 @@
 }
 
 // onSchool sets a trouble of clients for a while.
-func (p *player) onSchool(t Trouble, on, off func(*school.Trouble)) {
+func (p *player) onSchool(t Trouble, on, off func(*client.Trouble)) {
 	p.school.Set(on)
 	p.sleep(t.For)
 	p.school.Set(off)
@@ -519,29 +519,29 @@
 		ss := p.some(t.Count)
 		for i := range steps {
 			for _, s := range ss {
-				s.n.Set(func(x *node.Trouble) { x.Slow = 1 + (t.Size-1)*float64(i+1)/steps })
+				s.n.Set(func(x *backend.Trouble) { x.Slow = 1 + (t.Size-1)*float64(i+1)/steps })
 			}
 			p.sleep(t.For / steps)
 		}
 		for _, s := range ss {
-			s.n.Set(func(x *node.Trouble) { x.Slow = 0 })
+			s.n.Set(func(x *backend.Trouble) { x.Slow = 0 })
 		}
 		p.free(ss)
 	case "slow":
-		p.onNodes(t, func(x *node.Trouble) { x.Slow = t.Size }, func(x *node.Trouble) { x.Slow = 0 })
+		p.onNodes(t, func(x *backend.Trouble) { x.Slow = t.Size }, func(x *backend.Trouble) { x.Slow = 0 })
 	case "shared_slow":
 		t.Count = math.MaxInt32
-		p.onNodes(t, func(x *node.Trouble) { x.Slow = t.Size }, func(x *node.Trouble) { x.Slow = 0 })
+		p.onNodes(t, func(x *backend.Trouble) { x.Slow = t.Size }, func(x *backend.Trouble) { x.Slow = 0 })
 	case "fast_errors":
-		p.onNodes(t, func(x *node.Trouble) { x.Errors = t.Size }, func(x *node.Trouble) { x.Errors = 0 })
+		p.onNodes(t, func(x *backend.Trouble) { x.Errors = t.Size }, func(x *backend.Trouble) { x.Errors = 0 })
 	case "class_fail":
-		p.onNodes(t, func(x *node.Trouble) { x.Mute = map[string]bool{t.Class: true} }, func(x *node.Trouble) { x.Mute = nil })
+		p.onNodes(t, func(x *backend.Trouble) { x.Mute = map[string]bool{t.Class: true} }, func(x *backend.Trouble) { x.Mute = nil })
 	case "report_gap":
-		p.onNodes(t, func(x *node.Trouble) { x.NoReport = true }, func(x *node.Trouble) { x.NoReport = false })
+		p.onNodes(t, func(x *backend.Trouble) { x.NoReport = true }, func(x *backend.Trouble) { x.NoReport = false })
 	case "heavy_tail":
 		t.Count = math.MaxInt32
-		p.onNodes(t, func(x *node.Trouble) { x.Tail, x.TailShare = map[string]float64{t.Class: t.Size}, 0.02 },
-			func(x *node.Trouble) { x.Tail, x.TailShare = nil, 0 })
+		p.onNodes(t, func(x *backend.Trouble) { x.Tail, x.TailShare = map[string]float64{t.Class: t.Size}, 0.02 },
+			func(x *backend.Trouble) { x.Tail, x.TailShare = nil, 0 })
 	case "cut":
 		ss := p.some(t.Count)
 		for _, s := range ss {
@@ -549,29 +549,29 @@
 		}
 		p.free(ss)
 	case "burst":
-		p.onSchool(t, func(x *school.Trouble) { x.Burst = t.Size }, func(x *school.Trouble) { x.Burst = 0 })
+		p.onSchool(t, func(x *client.Trouble) { x.Burst = t.Size }, func(x *client.Trouble) { x.Burst = 0 })
 	case "hot_caller":
 		m := p.membersOf(t.Count)
-		p.onSchool(t, func(x *school.Trouble) {
+		p.onSchool(t, func(x *client.Trouble) {
 			x.Gather = map[string]bool{}
 			for _, name := range m {
 				x.Gather[name] = true
 			}
-		}, func(x *school.Trouble) { x.Gather = nil })
+		}, func(x *client.Trouble) { x.Gather = nil })
 	case "hot_key", "tenant_burst":
 		if t.Kind == "hot_key" {
 			t.Count = 1
 		}
 		m := p.membersOf(t.Count)
 		all := float64(len(p.fleet.Members))
-		p.onSchool(t, func(x *school.Trouble) {
+		p.onSchool(t, func(x *client.Trouble) {
 			x.Weight = map[string]float64{}
 			for _, name := range m {
 				x.Weight[name] = t.Size
 			}
 			// What these order comes on top of the others' usual.
 			x.Burst = (all + float64(len(m))*(t.Size-1)) / all
-		}, func(x *school.Trouble) { x.Weight, x.Burst = nil, 0 })
+		}, func(x *client.Trouble) { x.Weight, x.Burst = nil, 0 })
 	case "reconnect":
 		p.school.Reconnect()
 	case "balancer_crash":
@@ -613,7 +613,7 @@
 	case "vanish":
 		ss := p.some(t.Count)
 		for _, s := range ss {
-			s.n.Set(func(x *node.Trouble) { x.Silent = true })
+			s.n.Set(func(x *backend.Trouble) { x.Silent = true })
 		}
 		p.sleep(t.For)
 		for _, s := range ss {
@@ -654,7 +654,7 @@
 // drain tells that nodes drain, lets them finish, takes them away and brings them back cold.
 func (p *player) drain(t Trouble) {
 	ss := p.some(t.Count)
-	var es []nodelist.Entry
+	var es []discoveryws.Entry
 	for _, s := range ss {
 		es = append(es, entry(s.o, "draining", time.Time{}))
 	}
@@ -672,9 +672,9 @@
 
 // comeBack starts nodes anew, cold, at their addresses.
 func (p *player) comeBack(ss []*slot) {
-	var es []nodelist.Entry
+	var es []discoveryws.Entry
 	for _, s := range ss {
-		n, err := node.Start(p.cold(s.o))
+		n, err := backend.Start(p.cold(s.o))
 		if err != nil {
 			p.fail(err)
 			return
@@ -710,7 +710,7 @@
 	es := p.list.Entries()
 	p.list.Stop()
 	p.sleep(t.For)
-	l, err := list.Start(p.listAt, p.s.ListLag, p.log)
+	l, err := discovery.Start(p.listAt, p.s.ListLag, p.log)
 	if err != nil {
 		p.fail(err)
 		return
@@ -730,11 +730,11 @@
 	}
 	gone := es[0]
 	gone.State = "gone"
-	p.list.Raw(nodelist.MethodChange, nodelist.Update{Version: v + 1, Now: now, Nodes: []nodelist.Entry{{Node: "no address", State: "serving"}}})
-	p.list.Raw(nodelist.MethodChange, nodelist.Update{Version: v + 1, Now: now, Nodes: []nodelist.Entry{es[0], gone}})
-	p.list.Raw(nodelist.MethodChange, nodelist.Update{Version: v, Now: now, Nodes: []nodelist.Entry{gone}})
-	p.list.Raw(nodelist.MethodChange, nodelist.Update{Version: v + 5, Now: now, Nodes: []nodelist.Entry{gone}})
-	p.list.Raw(nodelist.MethodFull, nodelist.Update{Version: v - 1, Now: now, Nodes: es[:1]})
+	p.list.Raw(discoveryws.MethodChange, discoveryws.Update{Version: v + 1, Now: now, Nodes: []discoveryws.Entry{{Node: "no address", State: "serving"}}})
+	p.list.Raw(discoveryws.MethodChange, discoveryws.Update{Version: v + 1, Now: now, Nodes: []discoveryws.Entry{es[0], gone}})
+	p.list.Raw(discoveryws.MethodChange, discoveryws.Update{Version: v, Now: now, Nodes: []discoveryws.Entry{gone}})
+	p.list.Raw(discoveryws.MethodChange, discoveryws.Update{Version: v + 5, Now: now, Nodes: []discoveryws.Entry{gone}})
+	p.list.Raw(discoveryws.MethodFull, discoveryws.Update{Version: v - 1, Now: now, Nodes: es[:1]})
 }
 
 // relay stands in front of a gateway's socket for datagrams and loses some.
@@ -790,7 +790,7 @@
 func (r *relay) close() { r.pc.Close() }
 
 // Audit judges again what a day left in a folder.
-func Audit(dir string) (*audit.Verdict, error) {
+func Audit(dir string) (*invariant.Verdict, error) {
 	f, err := config.Load(filepath.Join(dir, "fleet.kdl"))
 	if err != nil {
 		return nil, err
@@ -800,9 +800,9 @@
 		return nil, err
 	}
 	defer in.Close()
-	recs, err := audit.Read(in)
+	recs, err := invariant.Read(in)
 	if err != nil && !errors.Is(err, io.ErrUnexpectedEOF) {
 		return nil, err
 	}
-	return audit.Judge(f, recs), nil
+	return invariant.Judge(f, recs), nil
 }
--- a/day/script.go
+++ b/internal/scenario/script.go
@@ -1,6 +1,6 @@
 // Package day plays days against real processes: gateways as processes of their own, nodes, list and clients
 // on sockets of this one, and troubles by a script; and has the records judged.
-package day
+package scenario
 
 import (
 	"fmt"
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
-	"winghatch/config"
-	"winghatch/config/decode"
-	"winghatch/config/kdl"
+	"winghatch/internal/config"
+	"winghatch/internal/config/decode"
+	"winghatch/internal/config/kdl"
 )
 
 // Script is a day.
--- a/day/trade.go
+++ b/internal/scenario/trade.go
@@ -1,4 +1,4 @@
-package day
+package scenario
 
 import (
 	"context"
@@ -12,13 +12,13 @@
 	"syscall"
 	"time"
 
-	"winghatch/audit"
-	"winghatch/export"
-	"winghatch/gateway"
-	"winghatch/plans"
-	"winghatch/standin/accounting"
-	"winghatch/standin/remotewrite"
-	"winghatch/standin/school"
+	"winghatch/internal/gateway"
+	"winghatch/internal/invariant"
+	"winghatch/internal/quotaplan"
+	"winghatch/internal/testbed/client"
+	"winghatch/internal/testbed/metricsreceiver"
+	"winghatch/internal/testbed/usagereceiver"
+	"winghatch/internal/usage/outbox"
 )
 
 // What days do about plans, reservations and the accounting.
@@ -28,14 +28,14 @@
 	mu   sync.Mutex
 	addr string
 	file string
-	r    *accounting.Receiver
+	r    *usagereceiver.Receiver
 	rep  int // repeats, of receivers that ended
 }
 
 func (l *ledger) start() (err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.r, err = accounting.Start(l.addr, l.file)
+	l.r, err = usagereceiver.Start(l.addr, l.file)
 	return err
 }
 
@@ -49,7 +49,7 @@
 	}
 }
 
-func (l *ledger) set(f func(*accounting.Trouble)) {
+func (l *ledger) set(f func(*usagereceiver.Trouble)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.r != nil {
@@ -73,7 +73,7 @@
 		if err != nil {
 			return err
 		}
-		if p.metrics, err = remotewrite.Start(at); err != nil {
+		if p.metrics, err = metricsreceiver.Start(at); err != nil {
 			return err
 		}
 		f.Measures.To = p.metrics.URL()
@@ -107,11 +107,11 @@
 }
 
 // closeBooks exports what the logs of the gateways still owe, and has it judged.
-func (p *player) closeBooks(recs []audit.Record, res *Outcome) error {
+func (p *player) closeBooks(recs []invariant.Record, res *Outcome) error {
 	if p.ledger == nil {
 		return nil
 	}
-	p.ledger.set(func(t *accounting.Trouble) { *t = accounting.Trouble{} })
+	p.ledger.set(func(t *usagereceiver.Trouble) { *t = usagereceiver.Trouble{} })
 	ctx, stop := context.WithTimeout(p.ctx, time.Minute)
 	defer stop()
 	orphans := uint64(0)
@@ -124,14 +124,14 @@
 	}
 	evs := p.ledger.r.Events()
 	p.ledger.stop()
-	u := audit.JudgeUse(recs, exported(evs), func(request string) bool { return p.killed })
+	u := invariant.JudgeUse(recs, exported(evs), func(request string) bool { return p.killed })
 	res.Use, res.Repeats, res.Kills = &u, p.ledger.rep, p.kills
 	res.Reserved = p.reserved
 	for i := range res.Reserved {
 		r := &res.Reserved[i]
 		for _, e := range evs {
-			var d export.Use
-			if e.Type == export.TypeUse && json.Unmarshal(e.Data, &d) == nil && d.Reserved && d.Member == r.Member {
+			var d outbox.Use
+			if e.Type == outbox.TypeUse && json.Unmarshal(e.Data, &d) == nil && d.Reserved && d.Member == r.Member {
 				r.Used += d.Units
 			}
 		}
@@ -151,19 +151,19 @@
 	return f
 }
 
-func exported(evs []accounting.Event) (out []audit.Exported) {
+func exported(evs []usagereceiver.Event) (out []invariant.Exported) {
 	for _, e := range evs {
-		out = append(out, audit.Exported{Source: e.Source, ID: e.ID, Type: e.Type, Data: e.Data})
+		out = append(out, invariant.Exported{Source: e.Source, ID: e.ID, Type: e.Type, Data: e.Data})
 	}
 	return out
 }
 
 // trade plays the troubles of this file; false: the kind is another's.
 func (p *player) trade(t Trouble) bool {
-	bad := func(set func(*accounting.Trouble)) {
+	bad := func(set func(*usagereceiver.Trouble)) {
 		p.ledger.set(set)
 		p.sleep(t.For)
-		p.ledger.set(func(x *accounting.Trouble) { *x = accounting.Trouble{} })
+		p.ledger.set(func(x *usagereceiver.Trouble) { *x = usagereceiver.Trouble{} })
 	}
 	if needsBooks[t.Kind] && p.ledger == nil {
 		p.fail(fmt.Errorf("day: %s: the fleet has no export", t.Kind))
@@ -189,21 +189,21 @@
 			p.fail(err)
 		}
 	case "accounting_status":
-		bad(func(x *accounting.Trouble) { x.Status, x.RetryAfter, x.Part = int(t.Size), "1", 0.5 })
+		bad(func(x *usagereceiver.Trouble) { x.Status, x.RetryAfter, x.Part = int(t.Size), "1", 0.5 })
 	case "accounting_cut":
-		bad(func(x *accounting.Trouble) { x.Cut, x.Part = true, 0.5 })
+		bad(func(x *usagereceiver.Trouble) { x.Cut, x.Part = true, 0.5 })
 	case "accounting_early":
-		bad(func(x *accounting.Trouble) { x.Early, x.Part = true, 0.5 })
+		bad(func(x *usagereceiver.Trouble) { x.Early, x.Part = true, 0.5 })
 	case "accounting_slow":
-		bad(func(x *accounting.Trouble) { x.Slow = time.Duration(t.Size * float64(time.Second)) })
+		bad(func(x *usagereceiver.Trouble) { x.Slow = time.Duration(t.Size * float64(time.Second)) })
 	case "metrics_down":
 		if p.metrics == nil {
 			p.fail(fmt.Errorf("day: %s: the fleet has no measures", t.Kind))
 			return true
 		}
-		p.metrics.Set(func(x *remotewrite.Trouble) { x.Status = 503 })
+		p.metrics.Set(func(x *metricsreceiver.Trouble) { x.Status = 503 })
 		p.sleep(t.For)
-		p.metrics.Set(func(x *remotewrite.Trouble) { x.Status = 0 })
+		p.metrics.Set(func(x *metricsreceiver.Trouble) { x.Status = 0 })
 	case "plan_change":
 		p.planChange(t)
 	case "reserve":
@@ -244,7 +244,7 @@
 }
 
 // submit hands a change to a gateway that answers, any of them.
-func (p *player) submit(c plans.Change) error {
+func (p *player) submit(c quotaplan.Change) error {
 	var err error
 	for range 20 {
 		g := p.gatesOf(1)[0]
@@ -283,8 +283,8 @@
 					}
 				}
 			}
-			p.log.Add(audit.Record{K: audit.Terms, Member: m, State: plan})
-			if err := p.submit(plans.Change{Number: p.number(), Kind: plans.Move, Member: m, Plan: plan}); err != nil {
+			p.log.Add(invariant.Record{K: invariant.Terms, Member: m, State: plan})
+			if err := p.submit(quotaplan.Change{Number: p.number(), Kind: quotaplan.Move, Member: m, Plan: plan}); err != nil {
 				p.fail(err)
 			}
 		}
@@ -301,7 +301,7 @@
 	from := time.Now().Add(lead)
 	marked := map[string]bool{}
 	for _, m := range names {
-		err := p.submit(plans.Change{Number: p.number(), Kind: plans.Reserve, Member: m, Units: t.Size, From: from.UnixNano(),
+		err := p.submit(quotaplan.Change{Number: p.number(), Kind: quotaplan.Reserve, Member: m, Units: t.Size, From: from.UnixNano(),
 			To: from.Add(t.For).UnixNano()})
 		if err != nil {
 			p.fail(err)
@@ -313,7 +313,7 @@
 		marked[m] = true
 	}
 	p.sleep(lead)
-	p.school.Set(func(x *school.Trouble) { x.Marked = marked })
+	p.school.Set(func(x *client.Trouble) { x.Marked = marked })
 	p.sleep(t.For)
-	p.school.Set(func(x *school.Trouble) { x.Marked = nil })
+	p.school.Set(func(x *client.Trouble) { x.Marked = nil })
 }
--- a/sock/sock.go
+++ b/internal/socket/sock.go
@@ -1,5 +1,5 @@
 // Package sock has what the platform's two sides ask of a socket beyond package net.
-package sock
+package socket
 
 import (
 	"errors"
--- a/sock/sock_test.go
+++ b/internal/socket/sock_test.go
@@ -1,4 +1,4 @@
-package sock
+package socket
 
 import (
 	"bytes"
--- a/standin/node/meter_test.go
+++ b/internal/testbed/backend/meter_test.go
@@ -1,4 +1,4 @@
-package node
+package backend
 
 import (
 	"testing"
--- a/standin/node/node.go
+++ b/internal/testbed/backend/node.go
@@ -1,7 +1,7 @@
 // Package node is an emulated order node: cores, a queue, work that takes time, a cold start and falling over,
 // repeats dropped within a window, and every trouble that a day may bring it. It speaks JSON-RPC over
 // WebSocket as the gateway's nodes do.
-package node
+package backend
 
 import (
 	"encoding/json"
@@ -12,9 +12,9 @@
 	"sync"
 	"time"
 
-	"winghatch/audit"
-	"winghatch/jsonrpc"
-	"winghatch/link"
+	"winghatch/internal/invariant"
+	"winghatch/internal/jsonrpc"
+	"winghatch/internal/wsconn"
 )
 
 // Class says how a node treats a class of work.
@@ -40,7 +40,7 @@
 	FallMultiple float64
 	FallWindow   time.Duration
 	Seed         uint64
-	Log          *audit.Log
+	Log          *invariant.Log
 	Memory       *Memory // shared by the nodes of a group; nil: its own
 	Meter        *Meter  // shared by all nodes; nil: answers tell nothing of it
 }
@@ -117,7 +117,7 @@
 
 type conn struct {
 	n    *Node
-	link *link.Conn
+	link *wsconn.Conn
 	jobs map[string]*job // by JSON-RPC id
 }
 
@@ -156,14 +156,14 @@
 		o.Memory = NewMemory()
 	}
 	if o.Log == nil {
-		o.Log = audit.Discard()
+		o.Log = invariant.Discard()
 	}
 	n := &Node{o: o, ln: ln, addr: ln.Addr().String(), rng: rand.New(rand.NewPCG(o.Seed, 1)), started: time.Now(),
 		conns: map[net.Conn]*conn{}, rateAt: time.Now()}
 	if n.cold() {
-		o.Log.Add(audit.Record{K: audit.Cold, Node: n.addr, Capacity: n.capacity(), From: o.From, For: o.For})
+		o.Log.Add(invariant.Record{K: invariant.Cold, Node: n.addr, Capacity: n.capacity(), From: o.From, For: o.For})
 	}
-	go link.Listen(ln, n.conn)
+	go wsconn.Listen(ln, n.conn)
 	return n, nil
 }
 
@@ -213,7 +213,7 @@
 }
 
 func (n *Node) conn(nc net.Conn) {
-	l, err := link.Accept(nc, "jsonrpc", 5*time.Second, nil, link.Options{Queue: 8 << 20, ReadBuffer: 16 << 10})
+	l, err := wsconn.Accept(nc, "jsonrpc", 5*time.Second, nil, wsconn.Options{Queue: 8 << 20, ReadBuffer: 16 << 10})
 	if err != nil {
 		return
 	}
@@ -251,7 +251,7 @@
 
 func (n *Node) withdraw(j *job) {
 	j.dropped = true
-	n.o.Log.Add(audit.Record{K: audit.Withdrawn, Node: n.addr, Request: j.p.Request, Attempt: j.p.Attempt, Try: j.p.Work.Try})
+	n.o.Log.Add(invariant.Record{K: invariant.Withdrawn, Node: n.addr, Request: j.p.Request, Attempt: j.p.Attempt, Try: j.p.Work.Try})
 }
 
 func (n *Node) take(c *conn, it *jsonrpc.Item) {
@@ -275,7 +275,7 @@
 	}
 	now := time.Now()
 	j.work = n.cost(k, &j.p, it.Method)
-	rec := audit.Record{K: audit.Arrive, Node: n.addr, Zone: n.o.Zone, Cell: n.o.Cell, Request: j.p.Request,
+	rec := invariant.Record{K: invariant.Arrive, Node: n.addr, Zone: n.o.Zone, Cell: n.o.Cell, Request: j.p.Request,
 		Attempt: j.p.Attempt, Member: j.p.Member, Class: it.Method, Key: j.p.Key, Units: j.p.Units, Try: j.p.Work.Try, Work: j.work,
 		T: n.o.Log.Now()}
 	rec.Deadline = rec.T + time.Duration(j.p.Timeout*float64(time.Millisecond))
@@ -290,10 +290,10 @@
 	case n.rng.Float64() < n.trouble.Errors:
 		n.answer(j, jsonrpc.AppendError(nil, j.id, &jsonrpc.Error{Code: jsonrpc.CodeError, Message: "the node fails"}))
 	case k.Keyed && j.p.Key != "" && n.o.Memory.repeat(j.p.Key, k.Window):
-		n.note(audit.Repeat, j)
+		n.note(invariant.Repeat, j)
 		n.answer(j, jsonrpc.AppendResult(nil, j.id, n.result(j)))
 	case n.running >= n.o.Cores && len(n.queue) >= n.o.Queue:
-		n.note(audit.Turned, j)
+		n.note(invariant.Turned, j)
 		n.answer(j, jsonrpc.AppendError(nil, j.id, &jsonrpc.Error{Code: jsonrpc.CodeFull, Message: "queue is full"}))
 	default:
 		n.queue = append(n.queue, j)
@@ -301,8 +301,8 @@
 	}
 }
 
-func (n *Node) note(k audit.Kind, j *job) {
-	n.o.Log.Add(audit.Record{K: k, Node: n.addr, Zone: n.o.Zone, Cell: n.o.Cell, Request: j.p.Request, Attempt: j.p.Attempt,
+func (n *Node) note(k invariant.Kind, j *job) {
+	n.o.Log.Add(invariant.Record{K: k, Node: n.addr, Zone: n.o.Zone, Cell: n.o.Cell, Request: j.p.Request, Attempt: j.p.Attempt,
 		Class: j.class, Key: j.p.Key, Try: j.p.Work.Try, Member: j.p.Member, Work: j.work,
 		Units: j.told})
 }
@@ -334,7 +334,7 @@
 	}
 	if sum.Seconds() > n.o.FallMultiple*n.ramp(now)*n.capacity()*n.o.FallWindow.Seconds()+4*work.Seconds() {
 		n.fallen = true
-		n.o.Log.Add(audit.Record{K: audit.Fell, Node: n.addr})
+		n.o.Log.Add(invariant.Record{K: invariant.Fell, Node: n.addr})
 	}
 }
 
@@ -348,7 +348,7 @@
 			continue
 		}
 		n.running++
-		n.note(audit.Run, j)
+		n.note(invariant.Run, j)
 		slow := max(1, n.trouble.Slow)
 		took := time.Duration(float64(j.work) * slow / (n.o.Speed * n.ramp(time.Now())))
 		time.AfterFunc(took, func() { n.finish(j, took) })
@@ -369,7 +369,7 @@
 	if n.closed {
 		return
 	}
-	n.note(audit.Ran, j)
+	n.note(invariant.Ran, j)
 	n.ran++
 	now := time.Now()
 	n.rate = n.rate*math.Exp(-now.Sub(n.rateAt).Seconds()) + 1
@@ -406,6 +406,6 @@
 	if j.gone {
 		return
 	}
-	n.note(audit.Replied, j)
+	n.note(invariant.Replied, j)
 	j.c.link.Send(data)
 }
