--- a/standin/school/school.go
+++ b/internal/testbed/client/school.go
@@ -1,6 +1,6 @@
 // Package school is an emulated ordering program of many members: sessions to their gateways, orders at a
 // rate that does not wait for answers, tries again where the protocol says that they are harmless.
-package school
+package client
 
 import (
 	"context"
@@ -15,11 +15,11 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"winghatch/audit"
 	"winghatch/decide"
-	"winghatch/jsonrpc"
-	"winghatch/link"
-	"winghatch/ws"
+	"winghatch/internal/invariant"
+	"winghatch/internal/jsonrpc"
+	"winghatch/internal/websocket"
+	"winghatch/internal/wsconn"
 )
 
 // Member is who orders.
@@ -50,7 +50,7 @@
 	Retries  int
 	Wait     time.Duration // before a try again, where nothing longer is advised
 	Seed     uint64
-	Log      *audit.Log
+	Log      *invariant.Log
 }
 
 // Trouble is what the school does beyond its usual.
@@ -86,7 +86,7 @@
 // New returns a school that Run starts.
 func New(o Options) *School {
 	if o.Log == nil {
-		o.Log = audit.Discard()
+		o.Log = invariant.Discard()
 	}
 	ctx, shut := context.WithCancel(context.Background())
 	return &School{o: o, rng: rand.New(rand.NewPCG(o.Seed, 2)), sess: map[string]*session{}, ctx: ctx, shut: shut,
@@ -297,7 +297,7 @@
 	s.mu.Unlock()
 	p := fmt.Appendf(nil, `{"reserved":%t,"units":%d,"deadline_ms":%.3f,"at_ms":%.3f,"key":"%s","again":%t,"work":{"try":"%s","true_units":%d}}`,
 		marked, o.units, limit.Seconds()*1000, float64(s.o.Log.Now())/1e6, o.key, n > 0, label, o.truth)
-	rec := audit.Record{K: audit.Call, Gateway: o.rank, Session: x.name, Try: label, Member: o.member.Name, Class: o.class.Name,
+	rec := invariant.Record{K: invariant.Call, Gateway: o.rank, Session: x.name, Try: label, Member: o.member.Name, Class: o.class.Name,
 		Key: o.key, Units: float64(o.units), T: s.o.Log.Now()}
 	rec.Deadline = rec.T + limit
 	if !x.call(label, o.class.Name, p, rec, got) {
@@ -335,7 +335,7 @@
 	name  string
 	ready chan struct{}
 	err   error
-	link  *link.Conn
+	link  *wsconn.Conn
 
 	mu    sync.Mutex
 	calls map[string]chan answer
@@ -345,8 +345,8 @@
 
 func (x *session) run(key, secret string) {
 	ctx, cancel := context.WithTimeout(x.s.ctx, time.Second)
-	x.link, x.err = link.Dial(ctx, x.s.o.Gateways[x.rank], &ws.Request{Host: x.s.o.Gateways[x.rank], Path: "/",
-		Protocol: "jsonrpc", Header: map[string]string{"Authorization": "Bearer " + secret}}, link.Options{ReadBuffer: 4 << 10})
+	x.link, x.err = wsconn.Dial(ctx, x.s.o.Gateways[x.rank], &websocket.Request{Host: x.s.o.Gateways[x.rank], Path: "/",
+		Protocol: "jsonrpc", Header: map[string]string{"Authorization": "Bearer " + secret}}, wsconn.Options{ReadBuffer: 4 << 10})
 	cancel()
 	close(x.ready)
 	if x.err == nil {
@@ -360,11 +360,11 @@
 }
 
 func (x *session) read() {
-	code := ws.CodeAbnormal
+	code := websocket.CodeAbnormal
 	for {
 		data, err := x.link.Read()
 		if err != nil {
-			var pc *link.PeerClosed
+			var pc *wsconn.PeerClosed
 			if errors.As(err, &pc) {
 				code = pc.Code
 			}
@@ -372,7 +372,7 @@
 		}
 		items, _, bad := jsonrpc.Parse(data, 4096)
 		if bad != nil {
-			x.s.o.Log.Add(audit.Record{K: audit.Answer, Session: x.name, Gateway: x.rank, Answer: "malformed"})
+			x.s.o.Log.Add(invariant.Record{K: invariant.Answer, Session: x.name, Gateway: x.rank, Answer: "malformed"})
 			continue
 		}
 		for i := range items {
@@ -381,7 +381,7 @@
 	}
 	x.mu.Lock()
 	if !x.left {
-		x.s.o.Log.Add(audit.Record{K: audit.Down, Session: x.name, Gateway: x.rank, Code: code})
+		x.s.o.Log.Add(invariant.Record{K: invariant.Down, Session: x.name, Gateway: x.rank, Code: code})
 	}
 	x.down = true
 	calls := x.calls
@@ -418,13 +418,13 @@
 	ch := x.calls[label]
 	delete(x.calls, label)
 	x.mu.Unlock()
-	x.s.o.Log.Add(audit.Record{K: audit.Answer, Session: x.name, Gateway: x.rank, Try: label, Answer: a.kind, State: a.reason, For: a.wait})
+	x.s.o.Log.Add(invariant.Record{K: invariant.Answer, Session: x.name, Gateway: x.rank, Try: label, Answer: a.kind, State: a.reason, For: a.wait})
 	if ch != nil {
 		ch <- a
 	}
 }
 
-func (x *session) call(label, method string, params []byte, rec audit.Record, got chan answer) bool {
+func (x *session) call(label, method string, params []byte, rec invariant.Record, got chan answer) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.left || x.down {
@@ -435,7 +435,7 @@
 	x.s.o.Log.Add(rec)
 	if x.link.Send(jsonrpc.AppendCall(nil, jsonrpc.ID(strconv.Quote(label)), method, params)) != nil {
 		delete(x.calls, label)
-		x.s.o.Log.Add(audit.Record{K: audit.Withdrawn, Session: x.name, Gateway: x.rank, Try: label})
+		x.s.o.Log.Add(invariant.Record{K: invariant.Withdrawn, Session: x.name, Gateway: x.rank, Try: label})
 		return false
 	}
 	return true
@@ -448,7 +448,7 @@
 	x.left = true
 	x.mu.Unlock()
 	if x.err == nil {
-		x.s.o.Log.Add(audit.Record{K: audit.Leave, Session: x.name, Gateway: x.rank})
-		x.link.Close(ws.CodeNormal, "")
+		x.s.o.Log.Add(invariant.Record{K: invariant.Leave, Session: x.name, Gateway: x.rank})
+		x.link.Close(websocket.CodeNormal, "")
 	}
 }
--- a/standin/list/list.go
+++ b/internal/testbed/discovery/list.go
@@ -1,6 +1,6 @@
 // Package list is an emulated list of nodes: it tells each gateway the whole list and then what changes, and
 // can be late, silent, stale or wrong.
-package list
+package discovery
 
 import (
 	"encoding/json"
@@ -10,40 +10,40 @@
 	"sync"
 	"time"
 
-	"winghatch/audit"
-	"winghatch/jsonrpc"
-	"winghatch/link"
-	"winghatch/nodelist"
-	"winghatch/ws"
+	discoveryws "winghatch/internal/discovery/websocket"
+	"winghatch/internal/invariant"
+	"winghatch/internal/jsonrpc"
+	"winghatch/internal/websocket"
+	"winghatch/internal/wsconn"
 )
 
 // List is a running one.
 type List struct {
 	ln   net.Listener
-	log  *audit.Log
+	log  *invariant.Log
 	lag  time.Duration
 	mu   sync.Mutex
 	ver  uint64
-	all  map[string]nodelist.Entry
+	all  map[string]discoveryws.Entry
 	ever map[string]bool
-	subs map[*link.Conn]int // rank
+	subs map[*wsconn.Conn]int // rank
 	nets map[net.Conn]bool
 	mute bool
 	down bool
 }
 
 // Start runs a list; what changes is told after the lag.
-func Start(addr string, lag time.Duration, log *audit.Log) (*List, error) {
+func Start(addr string, lag time.Duration, log *invariant.Log) (*List, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	if log == nil {
-		log = audit.Discard()
+		log = invariant.Discard()
 	}
-	l := &List{ln: ln, log: log, lag: lag, all: map[string]nodelist.Entry{}, ever: map[string]bool{}, subs: map[*link.Conn]int{},
+	l := &List{ln: ln, log: log, lag: lag, all: map[string]discoveryws.Entry{}, ever: map[string]bool{}, subs: map[*wsconn.Conn]int{},
 		nets: map[net.Conn]bool{}}
-	go link.Listen(ln, l.conn)
+	go wsconn.Listen(ln, l.conn)
 	return l, nil
 }
 
@@ -55,7 +55,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.mute = on; !on {
-		l.tellAll(nodelist.MethodFull, l.whole())
+		l.tellAll(discoveryws.MethodFull, l.whole())
 	}
 }
 
@@ -71,7 +71,7 @@
 }
 
 // Set changes entries and tells of them after the lag.
-func (l *List) Set(es ...nodelist.Entry) {
+func (l *List) Set(es ...discoveryws.Entry) {
 	change := func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -82,7 +82,7 @@
 				delete(l.all, e.Node)
 			}
 		}
-		l.tellAll(nodelist.MethodChange, nodelist.Update{Version: l.ver, Now: time.Now().UnixMilli(), Nodes: es})
+		l.tellAll(discoveryws.MethodChange, discoveryws.Update{Version: l.ver, Now: time.Now().UnixMilli(), Nodes: es})
 	}
 	l.mu.Lock()
 	lag := l.lag
@@ -102,18 +102,18 @@
 }
 
 // Fill takes entries at once, as a list does that starts anew and finds them.
-func (l *List) Fill(es []nodelist.Entry) {
+func (l *List) Fill(es []discoveryws.Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ver++
 	for _, e := range es {
 		l.all[e.Node], l.ever[e.Node] = e, true
 	}
-	l.tellAll(nodelist.MethodFull, l.whole())
+	l.tellAll(discoveryws.MethodFull, l.whole())
 }
 
 // Raw sends an update as it is, right or wrong, without taking it itself.
-func (l *List) Raw(method string, u nodelist.Update) {
+func (l *List) Raw(method string, u discoveryws.Update) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.subs {
@@ -132,14 +132,14 @@
 }
 
 // Entries are all nodes on it.
-func (l *List) Entries() []nodelist.Entry {
+func (l *List) Entries() []discoveryws.Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.whole().Nodes
 }
 
-func (l *List) whole() nodelist.Update {
-	u := nodelist.Update{Version: l.ver, Now: time.Now().UnixMilli()}
+func (l *List) whole() discoveryws.Update {
+	u := discoveryws.Update{Version: l.ver, Now: time.Now().UnixMilli()}
 	for _, e := range l.all {
 		u.Nodes = append(u.Nodes, e)
 	}
@@ -147,7 +147,7 @@
 	return u
 }
 
-func (l *List) tellAll(method string, u nodelist.Update) {
+func (l *List) tellAll(method string, u discoveryws.Update) {
 	if l.mute || l.down {
 		return
 	}
@@ -156,7 +156,7 @@
 	}
 }
 
-func (l *List) tell(c *link.Conn, rank int, method string, u nodelist.Update) {
+func (l *List) tell(c *wsconn.Conn, rank int, method string, u discoveryws.Update) {
 	raw, err := json.Marshal(u)
 	if err != nil || c.Send(jsonrpc.AppendCall(nil, "", method, raw)) != nil {
 		return
@@ -164,12 +164,12 @@
 	listed := map[string]bool{}
 	for _, e := range u.Nodes {
 		listed[e.Node] = true
-		l.log.Add(audit.Record{K: audit.Told, Gateway: rank, Node: e.Node, State: e.State})
+		l.log.Add(invariant.Record{K: invariant.Told, Gateway: rank, Node: e.Node, State: e.State})
 	}
-	if method == nodelist.MethodFull {
+	if method == discoveryws.MethodFull {
 		for node := range l.ever { // a whole list without a node says that it is gone
 			if !listed[node] {
-				l.log.Add(audit.Record{K: audit.Told, Gateway: rank, Node: node, State: "gone"})
+				l.log.Add(invariant.Record{K: invariant.Told, Gateway: rank, Node: node, State: "gone"})
 			}
 		}
 	}
@@ -177,17 +177,17 @@
 
 func (l *List) conn(nc net.Conn) {
 	rank := 0
-	c, err := link.Accept(nc, "jsonrpc", 5*time.Second, func(u *ws.Upgrade) (err error) {
+	c, err := wsconn.Accept(nc, "jsonrpc", 5*time.Second, func(u *websocket.Upgrade) (err error) {
 		rank, err = strconv.Atoi(u.Header["x-gateway-rank"])
 		return err
-	}, link.Options{Queue: 8 << 20})
+	}, wsconn.Options{Queue: 8 << 20})
 	if err != nil {
 		return
 	}
 	l.mu.Lock()
 	l.subs[c], l.nets[nc] = rank, true
 	if !l.mute && !l.down {
-		l.tell(c, rank, nodelist.MethodFull, l.whole())
+		l.tell(c, rank, discoveryws.MethodFull, l.whole())
 	}
 	l.mu.Unlock()
 	for {
@@ -197,10 +197,10 @@
 		}
 		items, _, _ := jsonrpc.Parse(data, 16)
 		for _, it := range items {
-			if it.Method == nodelist.MethodFetch {
+			if it.Method == discoveryws.MethodFetch {
 				l.mu.Lock()
 				if !l.mute {
-					l.tell(c, rank, nodelist.MethodFull, l.whole())
+					l.tell(c, rank, discoveryws.MethodFull, l.whole())
 				}
 				l.mu.Unlock()
 			}
--- a/standin/remotewrite/remotewrite.go
+++ b/internal/testbed/metricsreceiver/remotewrite.go
@@ -1,6 +1,6 @@
 // Package remotewrite is a stand-in receiver of Prometheus remote write, 1.0 and 2.0: it keeps the samples of each series and
 // has the faults that a receiver may have.
-package remotewrite
+package metricsreceiver
 
 import (
 	"encoding/json"
@@ -17,7 +17,7 @@
 	"github.com/golang/snappy"
 	"google.golang.org/protobuf/proto"
 
-	"winghatch/remotewrite"
+	"winghatch/internal/remotewrite"
 )
 
 // Trouble is what is wrong; the zero value is nothing.
--- a/standin/otlp/otlp.go
+++ b/internal/testbed/tracereceiver/otlp.go
@@ -1,5 +1,5 @@
 // Package otlp is a stand-in receiver of OpenTelemetry traces: OTLP over HTTP with protobuf.
-package otlp
+package tracereceiver
 
 import (
 	"compress/gzip"
--- a/standin/accounting/accounting.go
+++ b/internal/testbed/usagereceiver/accounting.go
@@ -1,6 +1,6 @@
 // Package accounting is a stand-in for the members' accounting: it takes CloudEvents 1.0 in JSON batches over HTTP,
 // keeps each event once in a file that outlives it, and has the faults that such a receiver may have.
-package accounting
+package usagereceiver
 
 import (
 	"bufio"
--- a/traces/traces.go
+++ b/internal/tracing/traces.go
@@ -1,7 +1,7 @@
 // Package traces tells calls as OpenTelemetry traces: a span for the call, one for the wait at its customer's home, one for each
 // attempt. Spans are made at a call's end, from the times that the loop has anyway: a call that is not sampled costs two
 // random numbers. Context is W3C Trace Context (traceparent), taken from clients and passed to nodes.
-package traces
+package tracing
 
 import (
 	"context"
--- a/traces/traces_test.go
+++ b/internal/tracing/traces_test.go
@@ -1,4 +1,4 @@
-package traces
+package tracing
 
 import (
 	"math/rand/v2"
--- a/upstream/http/pool.go
+++ b/internal/upstream/http/pool.go
@@ -19,10 +19,10 @@
 	"time"
 
 	"winghatch/decide"
-	"winghatch/http1"
-	"winghatch/keep"
-	"winghatch/sock"
-	"winghatch/upstream"
+	"winghatch/internal/http1"
+	"winghatch/internal/socket"
+	"winghatch/internal/upstream/idletimeout"
+	upstreamws "winghatch/internal/upstream/websocket"
 )
 
 // writeFor is the time that a server has to take what its socket's buffer did not; an attempt's own is shorter.
@@ -64,7 +64,7 @@
 	servers map[string]*server
 	all     map[*conn]struct{} // also those to servers that are gone
 	idle    *list.List         // connections at rest, longest first
-	keep    keep.Book          // for how long those are good
+	keep    idletimeout.Book   // for how long those are good
 	began   time.Time
 	closed  bool
 	bodies  atomic.Int64 // bytes of answers that are being read
@@ -84,13 +84,13 @@
 	nc       *net.TCPConn
 	raw      syscall.RawConn
 	rd       *http1.Reader
-	call     *upstream.Call // p.mu guards the fields from here on
-	at       *list.Element  // in Pool.idle; nil while it carries an attempt or connects
-	rest     time.Time      // since then
-	answered time.Time      // its last answer came; zero: none
-	lain     time.Duration  // it had rested before the attempt under way
-	came     bool           // bytes or the end came while it was at rest
-	rests    bool           // a writeRest is under way
+	call     *upstreamws.Call // p.mu guards the fields from here on
+	at       *list.Element    // in Pool.idle; nil while it carries an attempt or connects
+	rest     time.Time        // since then
+	answered time.Time        // its last answer came; zero: none
+	lain     time.Duration    // it had rested before the attempt under way
+	came     bool             // bytes or the end came while it was at rest
+	rests    bool             // a writeRest is under way
 	dead     bool
 
 	begun bool  // an answer has begun; the reader's own
@@ -115,7 +115,7 @@
 // Take is told of servers before the loop is. What is no longer ready gets nothing new from now on: attempts that
 // still wait for a connection to it end, and connections at rest are closed. With full set, those not named are gone.
 func (p *Pool) Take(servers []Server, full bool) {
-	var ended []*upstream.Call
+	var ended []*upstreamws.Call
 	p.mu.Lock()
 	named := map[string]bool{}
 	for _, n := range servers {
@@ -152,7 +152,7 @@
 }
 
 // drop forgets a server; attempts written to it go on.
-func (p *Pool) drop(s *server) []*upstream.Call {
+func (p *Pool) drop(s *server) []*upstreamws.Call {
 	s.State = decide.Gone
 	if p.servers[s.ID] == s {
 		delete(p.servers, s.ID)
@@ -161,7 +161,7 @@
 }
 
 // hush closes what is at rest and returns the attempts that wait for a connection.
-func (p *Pool) hush(s *server) (out []*upstream.Call) {
+func (p *Pool) hush(s *server) (out []*upstreamws.Call) {
 	for len(s.idle) > 0 {
 		s.idle[len(s.idle)-1].kill()
 	}
@@ -210,7 +210,7 @@
 }
 
 // Send starts an attempt. It never blocks.
-func (p *Pool) Send(c *upstream.Call) {
+func (p *Pool) Send(c *upstreamws.Call) {
 	p.mu.Lock()
 	s := p.servers[c.Node]
 	if s == nil || s.State != decide.Serving || p.closed {
@@ -220,7 +220,7 @@
 	}
 	if c.Late != nil && c.Late() {
 		p.mu.Unlock()
-		c.Finish(upstream.Result{Outcome: decide.Moot})
+		c.Finish(upstreamws.Result{Outcome: decide.Moot})
 		return
 	}
 	now := time.Since(p.began)
@@ -278,7 +278,7 @@
 	if k.came {
 		return false
 	}
-	unread, ended := sock.Peek(k.raw)
+	unread, ended := socket.Peek(k.raw)
 	if unread || ended {
 		k.p.Stray.Add(1)
 	}
@@ -292,12 +292,12 @@
 	if c.Form != nil {
 		b = c.Form()
 	}
-	n, err := sock.WriteNow(k.raw, b)
+	n, err := socket.WriteNow(k.raw, b)
 	if n == len(b) {
 		c.Begin()
 		return
 	}
-	if err != nil && !sock.Transient(err) {
+	if err != nil && !socket.Transient(err) {
 		// The connection broke before the last byte was written: it never ran. Its reader ends the attempt.
 		k.shut()
 		return
@@ -308,11 +308,11 @@
 }
 
 // writeRest writes what the socket's buffer did not take. Until its last byte the attempt can't have run.
-func (k *conn) writeRest(c *upstream.Call, b []byte) {
+func (k *conn) writeRest(c *upstreamws.Call, b []byte) {
 	defer k.p.wg.Done()
 	defer func() { k.p.mu.Lock(); k.rests = false; k.p.mu.Unlock() }()
 	if len(b) > 1 {
-		if err := sock.WriteAll(k.nc, b[:len(b)-1], writeFor); err != nil {
+		if err := socket.WriteAll(k.nc, b[:len(b)-1], writeFor); err != nil {
 			k.nc.Close()
 			return
 		}
@@ -322,18 +322,18 @@
 		k.call = nil
 		k.kill()
 		k.p.mu.Unlock()
-		c.Finish(upstream.Result{Outcome: decide.Moot})
+		c.Finish(upstreamws.Result{Outcome: decide.Moot})
 		return
 	}
 	if c.Begin() {
-		if err := sock.WriteAll(k.nc, b[len(b)-1:], writeFor); err != nil {
+		if err := socket.WriteAll(k.nc, b[len(b)-1:], writeFor); err != nil {
 			k.nc.Close()
 		}
 	}
 }
 
 // Abandon gives an attempt up and closes its connection at once.
-func (p *Pool) Abandon(c *upstream.Call) upstream.Given {
+func (p *Pool) Abandon(c *upstreamws.Call) upstreamws.Given {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	given := c.GiveUp() // under the lock, so that it is never between the write of an attempt and the note of it
@@ -388,7 +388,7 @@
 	}
 	p.mu.Unlock()
 	if late != nil {
-		late.Finish(upstream.Result{Outcome: decide.Moot})
+		late.Finish(upstreamws.Result{Outcome: decide.Moot})
 	}
 	for k.answer() {
 		p.bodies.Add(-k.held)
@@ -416,8 +416,8 @@
 		if err := k.raw.Read(k.step); err != nil {
 			return 0, err
 		}
-		if k.err != nil && sock.Transient(k.err) {
-			time.Sleep(sock.RetryPause)
+		if k.err != nil && socket.Transient(k.err) {
+			time.Sleep(socket.RetryPause)
 			continue
 		}
 		if k.n == 0 && k.err == nil {
@@ -430,11 +430,11 @@
 func (k *conn) readStep(fd uintptr) bool {
 	k.p.mu.Lock()
 	defer k.p.mu.Unlock()
-	k.n, k.err = sock.ReadNow(fd, k.buf)
+	k.n, k.err = socket.ReadNow(fd, k.buf)
 	if k.err == syscall.EAGAIN {
 		return false
 	}
-	if k.call == nil && !(k.err != nil && sock.Transient(k.err)) {
+	if k.call == nil && !(k.err != nil && socket.Transient(k.err)) {
 		k.came = true
 	}
 	return true
@@ -468,7 +468,7 @@
 		k.call = nil
 		k.kill()
 		p.mu.Unlock()
-		c.Finish(upstream.Result{Outcome: decide.Error})
+		c.Finish(upstreamws.Result{Outcome: decide.Error})
 		return false
 	}
 	res := p.result(r)
@@ -497,7 +497,7 @@
 }
 
 // end ends a connection that broke, and what it carried.
-func (k *conn) end(c *upstream.Call) {
+func (k *conn) end(c *upstreamws.Call) {
 	k.p.mu.Lock()
 	if k.call == c {
 		k.call = nil
@@ -513,8 +513,8 @@
 }
 
 // result reads an answer as an outcome. Figures on load and use that can't be read are left out, the answer counts.
-func (p *Pool) result(r *http1.Response) upstream.Result {
-	var res upstream.Result
+func (p *Pool) result(r *http1.Response) upstreamws.Result {
+	var res upstreamws.Result
 	away, _ := r.Get("X-Turned-Away")
 	switch {
 	case r.Status == 200:
--- a/upstream/http/pool_test.go
+++ b/internal/upstream/http/pool_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"winghatch/decide"
-	"winghatch/upstream"
+	upstreamws "winghatch/internal/upstream/websocket"
 )
 
 // scripted is a server that answers each connection's requests by a function of its own.
@@ -84,20 +84,20 @@
 	return p
 }
 
-func attempt(node, txn string) (*upstream.Call, chan upstream.Result) {
-	ch := make(chan upstream.Result, 2)
-	return &upstream.Call{Node: node, Params: []byte("GET /api HTTP/1.1\r\nHost: s\r\nX-Txn: " + txn + "\r\n\r\n"),
-		Done: func(r upstream.Result) { ch <- r }}, ch
+func attempt(node, txn string) (*upstreamws.Call, chan upstreamws.Result) {
+	ch := make(chan upstreamws.Result, 2)
+	return &upstreamws.Call{Node: node, Params: []byte("GET /api HTTP/1.1\r\nHost: s\r\nX-Txn: " + txn + "\r\n\r\n"),
+		Done: func(r upstreamws.Result) { ch <- r }}, ch
 }
 
-func wait(t *testing.T, ch chan upstream.Result) upstream.Result {
+func wait(t *testing.T, ch chan upstreamws.Result) upstreamws.Result {
 	t.Helper()
 	select {
 	case r := <-ch:
 		return r
 	case <-time.After(10 * time.Second):
 		t.Fatal("no end of the attempt within 10 s")
-		return upstream.Result{}
+		return upstreamws.Result{}
 	}
 }
 
@@ -121,13 +121,13 @@
 		for i := range 20000 {
 			c, _ := attempt("a", fmt.Sprint(i))
 			over := make(chan struct{})
-			c.Done = func(upstream.Result) { ended.Add(1); close(over) }
+			c.Done = func(upstreamws.Result) { ended.Add(1); close(over) }
 			p.Send(c)
 			if i%2 == 0 {
 				for range i % 97 {
 					p.Conns.Load() // about as long as an answer takes
 				}
-				if p.Abandon(c) != upstream.Ended {
+				if p.Abandon(c) != upstreamws.Ended {
 					continue
 				}
 			}
@@ -171,27 +171,27 @@
 	}
 	for _, c := range []struct {
 		name, addr string
-		want       upstream.Result
+		want       upstreamws.Result
 	}{
-		{"served", say(fine + "\r\nhi"), upstream.Result{Outcome: decide.OK, Body: []byte("hi")}},
+		{"served", say(fine + "\r\nhi"), upstreamws.Result{Outcome: decide.OK, Body: []byte("hi")}},
 		{"figures", say(fine + "X-Quota-Used: 85\r\nX-Units-Charged: 3\r\nX-Pressure: inflight=7,util=0.5\r\n\r\nhi"),
-			upstream.Result{Outcome: decide.OK, Body: []byte("hi"), Metered: 86, TrueUnits: 3,
+			upstreamws.Result{Outcome: decide.OK, Body: []byte("hi"), Metered: 86, TrueUnits: 3,
 				Report: decide.Report{"inflight": 7, "util": 0.5}}},
 		{"figures that can't be read", say(fine + "X-Quota-Used: -3\r\nX-Units-Charged: many\r\nX-Pressure: a=b;;\r\n\r\nhi"),
-			upstream.Result{Outcome: decide.OK, Body: []byte("hi")}},
-		{"units beyond the most", say(fine + "X-Units-Charged: 9000\r\n\r\nhi"), upstream.Result{Outcome: decide.OK, Body: []byte("hi")}},
-		{"interim answers", say("HTTP/1.1 103 E\r\n\r\n" + fine + "\r\nhi"), upstream.Result{Outcome: decide.OK, Body: []byte("hi")}},
-		{"error", say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), upstream.Result{Outcome: decide.Error}},
-		{"turned away", say("HTTP/1.1 503 E\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"), upstream.Result{Outcome: decide.Full}},
-		{"503 without the mark", say("HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n"), upstream.Result{Outcome: decide.Error}},
-		{"another status", say("HTTP/1.1 404 E\r\nContent-Length: 0\r\n\r\n"), upstream.Result{Outcome: decide.Error}},
-		{"noise", say("\x01\x02\x03\r\n\r\n"), upstream.Result{Outcome: decide.Error}},
-		{"3 GB", say("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx"), upstream.Result{Outcome: decide.Error}},
-		{"endless head", say("HTTP/1.1 200 OK\r\n" + strings.Repeat("X: yyyyyyyyyyyyyyyyyyyyyyyy\r\n", 1000)), upstream.Result{Outcome: decide.Error}},
-		{"break after the last byte", once(t, func(nc net.Conn, _ string) { nc.Close() }), upstream.Result{Outcome: decide.Reset}},
+			upstreamws.Result{Outcome: decide.OK, Body: []byte("hi")}},
+		{"units beyond the most", say(fine + "X-Units-Charged: 9000\r\n\r\nhi"), upstreamws.Result{Outcome: decide.OK, Body: []byte("hi")}},
+		{"interim answers", say("HTTP/1.1 103 E\r\n\r\n" + fine + "\r\nhi"), upstreamws.Result{Outcome: decide.OK, Body: []byte("hi")}},
+		{"error", say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), upstreamws.Result{Outcome: decide.Error}},
+		{"turned away", say("HTTP/1.1 503 E\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"), upstreamws.Result{Outcome: decide.Full}},
+		{"503 without the mark", say("HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n"), upstreamws.Result{Outcome: decide.Error}},
+		{"another status", say("HTTP/1.1 404 E\r\nContent-Length: 0\r\n\r\n"), upstreamws.Result{Outcome: decide.Error}},
+		{"noise", say("\x01\x02\x03\r\n\r\n"), upstreamws.Result{Outcome: decide.Error}},
+		{"3 GB", say("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx"), upstreamws.Result{Outcome: decide.Error}},
+		{"endless head", say("HTTP/1.1 200 OK\r\n" + strings.Repeat("X: yyyyyyyyyyyyyyyyyyyyyyyy\r\n", 1000)), upstreamws.Result{Outcome: decide.Error}},
+		{"break after the last byte", once(t, func(nc net.Conn, _ string) { nc.Close() }), upstreamws.Result{Outcome: decide.Reset}},
 		{"break within the answer", once(t, func(nc net.Conn, _ string) { io.WriteString(nc, fine+"\r\nh"); nc.Close() }),
-			upstream.Result{Outcome: decide.Reset}},
-		{"refused", refused, upstream.Result{Outcome: decide.NoConnection}},
+			upstreamws.Result{Outcome: decide.Reset}},
+		{"refused", refused, upstreamws.Result{Outcome: decide.NoConnection}},
 	} {
 		p := newPool(t, Options{Units: 8}, Server{ID: "a", Addr: c.addr})
 		call, ch := attempt("a", "1")
@@ -338,7 +338,7 @@
 			t.Errorf("%s: outcome %v with %d connections", node, got.Outcome, p.Conns.Load())
 		}
 	}
-	var held []chan upstream.Result
+	var held []chan upstreamws.Result
 	for _, node := range []string{"a", "b"} {
 		call, ch := attempt(node, "hold")
 		p.Send(call)
@@ -405,7 +405,7 @@
 	call.Params = append([]byte("POST / HTTP/1.1\r\nContent-Length: 33554432\r\n\r\n"), make([]byte, 32<<20)...)
 	p.Send(call)
 	<-got
-	if given := p.Abandon(call); given != upstream.NeverLeft {
-		t.Errorf("given up: %v, want %v", given, upstream.NeverLeft)
+	if given := p.Abandon(call); given != upstreamws.NeverLeft {
+		t.Errorf("given up: %v, want %v", given, upstreamws.NeverLeft)
 	}
 }
--- a/keep/keep.go
+++ b/internal/upstream/idletimeout/keep.go
@@ -7,7 +7,7 @@
 // all rests alike; where those beyond some rest break clearly more often than those below, that rest is the limit. Counts
 // fade, so that a limit is tried again after a while. It should also catch a server or middlebox with a short time-out of
 // its own; it could harm, by connections opened anew, where servers break by chance just what had rested.
-package keep
+package idletimeout
 
 import (
 	"math"
--- a/keep/keep_test.go
+++ b/internal/upstream/idletimeout/keep_test.go
@@ -1,4 +1,4 @@
-package keep
+package idletimeout
 
 import (
 	"math/rand"
--- a/upstream/upstream.go
+++ b/internal/upstream/websocket/upstream.go
@@ -1,7 +1,7 @@
 // Package upstream carries calls to nodes: a pool of WebSocket connections, many calls on each. It tells the
 // end of each call truly: NoConnection only of what provably never left, Full only of what the node turned
 // away unseen, Reset where a byte may have left before the break. It chooses no node.
-package upstream
+package websocket
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 	"time"
 
 	"winghatch/decide"
-	"winghatch/jsonrpc"
-	"winghatch/link"
-	"winghatch/ws"
+	"winghatch/internal/jsonrpc"
+	"winghatch/internal/websocket"
+	"winghatch/internal/wsconn"
 )
 
 // Protocol is the subprotocol of every WebSocket connection of the program.
@@ -28,7 +28,7 @@
 	Calls          int // calls at once on a connection before another is opened
 	Idle           time.Duration
 	Ping           time.Duration // see link.Keep; 0: none
-	Link           link.Options
+	Link           wsconn.Options
 	Path           string
 }
 
@@ -127,7 +127,7 @@
 type conn struct {
 	pool    *Pool
 	node    *node
-	link    *link.Conn // nil while connecting
+	link    *wsconn.Conn // nil while connecting
 	calls   map[uint64]*Call
 	pending []*Call // until connected
 	next    uint64
@@ -144,13 +144,13 @@
 	p := &Pool{o: o, nodes: map[string]*node{}, ctx: ctx, stop: stop}
 	if o.Ping > 0 {
 		p.wg.Add(1)
-		go func() { defer p.wg.Done(); link.Keep(ctx, o.Ping, p.links, nil) }()
+		go func() { defer p.wg.Done(); wsconn.Keep(ctx, o.Ping, p.links, nil) }()
 	}
 	return p
 }
 
 // links are the connections that are open.
-func (p *Pool) links() (out []*link.Conn) {
+func (p *Pool) links() (out []*wsconn.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, n := range p.nodes {
@@ -212,7 +212,7 @@
 	return best
 }
 
-func (k *conn) write(l *link.Conn, c *Call) {
+func (k *conn) write(l *wsconn.Conn, c *Call) {
 	if c.Late != nil && c.Late() {
 		k.drop(c)
 		c.Finish(Result{Outcome: decide.Moot})
@@ -246,7 +246,7 @@
 	defer k.pool.mu.Unlock()
 	if len(k.calls) == 0 && !k.dead {
 		k.remove()
-		k.link.Close(ws.CodeNormal, "idle")
+		k.link.Close(websocket.CodeNormal, "idle")
 	}
 }
 
@@ -299,7 +299,7 @@
 	defer k.pool.wg.Done()
 	p := k.pool
 	ctx, cancel := context.WithTimeout(p.ctx, p.o.ConnectTimeout)
-	l, err := link.Dial(ctx, k.node.addr, &ws.Request{Host: k.node.addr, Path: p.o.Path, Protocol: Protocol}, p.o.Link)
+	l, err := wsconn.Dial(ctx, k.node.addr, &websocket.Request{Host: k.node.addr, Path: p.o.Path, Protocol: Protocol}, p.o.Link)
 	cancel()
 	if err != nil {
 		k.end()
@@ -311,7 +311,7 @@
 	k.pending = nil
 	k.rest()
 	p.mu.Unlock()
-	stop := context.AfterFunc(p.ctx, func() { l.Close(ws.CodeGoingAway, "") })
+	stop := context.AfterFunc(p.ctx, func() { l.Close(websocket.CodeGoingAway, "") })
 	defer stop()
 	for _, c := range first {
 		if c.state.Load() == waiting {
@@ -325,7 +325,7 @@
 		}
 		items, _, bad := jsonrpc.Parse(data, 4096)
 		if bad != nil {
-			l.Close(ws.CodeInvalidData, "not JSON-RPC")
+			l.Close(websocket.CodeInvalidData, "not JSON-RPC")
 			break
 		}
 		for i := range items {
@@ -425,7 +425,7 @@
 		for _, k := range append([]*conn(nil), n.conns...) {
 			if len(k.calls) == 0 && k.link != nil {
 				k.remove()
-				k.link.Close(ws.CodeNormal, "")
+				k.link.Close(websocket.CodeNormal, "")
 			}
 		}
 	}
--- a/upstream/upstream_test.go
+++ b/internal/upstream/websocket/upstream_test.go
@@ -1,4 +1,4 @@
-package upstream
+package websocket
 
 import (
 	"bufio"
@@ -10,16 +10,16 @@
 	"testing"
 	"time"
 
-	"winghatch/audit"
 	"winghatch/decide"
-	"winghatch/link"
-	emulated "winghatch/standin/node"
-	"winghatch/ws"
+	"winghatch/internal/invariant"
+	backend "winghatch/internal/testbed/backend"
+	"winghatch/internal/websocket"
+	"winghatch/internal/wsconn"
 )
 
 func options() Options {
 	return Options{ConnectTimeout: 2 * time.Second, Conns: 2, Calls: 1000, Idle: time.Minute,
-		Link: link.Options{WriteWait: 5 * time.Second}}
+		Link: wsconn.Options{WriteWait: 5 * time.Second}}
 }
 
 func send(p *Pool, addr, params string) (*Call, chan Result) {
@@ -60,7 +60,7 @@
 			go func() {
 				defer nc.Close()
 				br := bufio.NewReader(nc)
-				u, err := ws.ReadUpgrade(br)
+				u, err := websocket.ReadUpgrade(br)
 				if err != nil {
 					return
 				}
@@ -74,7 +74,7 @@
 
 // answerTo is the answer to the first call of a connection, as bytes of a frame.
 func answerTo(id int) []byte {
-	return ws.AppendFrame(nil, true, ws.Text, fmt.Appendf(nil, `{"jsonrpc":"2.0","result":{"units":2,"metered":3,"load":{"queue":1},"body":7},"id":%d}`, id), nil)
+	return websocket.AppendFrame(nil, true, websocket.Text, fmt.Appendf(nil, `{"jsonrpc":"2.0","result":{"units":2,"metered":3,"load":{"queue":1},"body":7},"id":%d}`, id), nil)
 }
 
 // TestCutInAnswer breaks a connection behind every byte of an answer: Reset until the last, then OK.
@@ -85,7 +85,7 @@
 			at = len(whole)
 		}
 		addr := server(t, func(nc net.Conn, br *bufio.Reader) {
-			r := ws.NewReader(br, ws.Server, 1<<20)
+			r := websocket.NewReader(br, websocket.Server, 1<<20)
 			if _, err := r.Next(); err == nil {
 				nc.Write(whole[:at])
 			}
@@ -114,7 +114,7 @@
 	addr := server(t, func(nc net.Conn, br *bufio.Reader) {
 		nc.(*net.TCPConn).SetReadBuffer(4 << 10)
 		<-cut
-		r := ws.NewReader(br, ws.Server, 1<<20)
+		r := websocket.NewReader(br, websocket.Server, 1<<20)
 		nc.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 		for {
 			m, err := r.Next()
@@ -188,7 +188,7 @@
 			if err != nil {
 				return
 			}
-			nc.Write((&ws.Refusal{Status: 503, Reason: "no"}).Response())
+			nc.Write((&websocket.Refusal{Status: 503, Reason: "no"}).Response())
 			nc.Close()
 		}
 	}()
@@ -209,7 +209,7 @@
 func TestAbandon(t *testing.T) {
 	first := make(chan struct{})
 	addr := server(t, func(nc net.Conn, br *bufio.Reader) {
-		r := ws.NewReader(br, ws.Server, 1<<20)
+		r := websocket.NewReader(br, websocket.Server, 1<<20)
 		if _, err := r.Next(); err != nil {
 			return
 		}
@@ -248,9 +248,9 @@
 
 // TestNode runs calls through an emulated node: many at once on few connections, full, failing, closed when idle.
 func TestNode(t *testing.T) {
-	log := audit.NewLog(nil)
-	n, err := emulated.Start(emulated.Options{Addr: "127.0.0.1:0", Log: log, Cores: 4, Speed: 1, Queue: 1000,
-		Classes: map[string]emulated.Class{"m": {Work: 100 * time.Microsecond}}})
+	log := invariant.NewLog(nil)
+	n, err := backend.Start(backend.Options{Addr: "127.0.0.1:0", Log: log, Cores: 4, Speed: 1, Queue: 1000,
+		Classes: map[string]backend.Class{"m": {Work: 100 * time.Microsecond}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -269,14 +269,14 @@
 			t.Fatalf("%+v", r)
 		}
 	}
-	n.Set(func(x *emulated.Trouble) { x.Errors = 1 })
+	n.Set(func(x *backend.Trouble) { x.Errors = 1 })
 	_, ch := send(p, n.Addr(), `{"request":"e"}`)
 	want(t, ch, decide.Error)
 	until(t, "idle ones are closed", func() bool { return p.Conns() == 0 })
-	n.Set(func(x *emulated.Trouble) { x.Errors, x.Silent = 0, true })
+	n.Set(func(x *backend.Trouble) { x.Errors, x.Silent = 0, true })
 	_, ch = send(p, n.Addr(), `{"request":"s"}`)
 	until(t, "the call arrived", func() bool {
-		return slices.ContainsFunc(log.Records(), func(r audit.Record) bool { return r.K == audit.Arrive && r.Request == "s" })
+		return slices.ContainsFunc(log.Records(), func(r invariant.Record) bool { return r.K == invariant.Arrive && r.Request == "s" })
 	})
 	p.CloseIdle(n.Addr()) // it carries a call, so it stays
 	if p.Conns() != 1 {
@@ -294,9 +294,9 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	go link.Listen(ln, func(nc net.Conn) {
+	go wsconn.Listen(ln, func(nc net.Conn) {
 		<-shake
-		if l, err := link.Accept(nc, Protocol, 5*time.Second, nil, link.Options{}); err == nil {
+		if l, err := wsconn.Accept(nc, Protocol, 5*time.Second, nil, wsconn.Options{}); err == nil {
 			l.Read()
 		}
 	})
--- a/export/desk.go
+++ b/internal/usage/outbox/desk.go
@@ -1,4 +1,4 @@
-package export
+package outbox
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 	"math"
 	"slices"
 
-	"winghatch/pack"
+	"winghatch/internal/encoding"
 )
 
 // Policy says what happens to calls while the log can't be written.
@@ -379,7 +379,7 @@
 
 // RestoreSnapshot takes what Snapshot wrote, before the records behind it.
 func (d *Desk) RestoreSnapshot(p []byte) error {
-	r := &pack.Reader{B: p}
+	r := &encoding.Reader{B: p}
 	d.lastOld, d.acked = r.Uvarint(any64), r.Uvarint(any64)
 	for n := r.Uvarint(any64); n > 0 && !r.Bad; n-- {
 		rec := r.Uvarint(any64)
--- a/export/export_test.go
+++ b/internal/usage/outbox/export_test.go
@@ -1,4 +1,4 @@
-package export
+package outbox
 
 import (
 	"encoding/json"
--- a/export/record.go
+++ b/internal/usage/outbox/record.go
@@ -3,7 +3,7 @@
 // decides which settled ones go to the receiver, when they are tried again and when they may be forgotten. Both are
 // told of everything and do no I/O, read no clock and start no goroutine. What they owe lies in a log that package wal
 // writes; this file holds its records.
-package export
+package outbox
 
 import (
 	"encoding/binary"
@@ -15,7 +15,7 @@
 	"strconv"
 	"time"
 
-	"winghatch/pack"
+	"winghatch/internal/encoding"
 )
 
 // Try is an attempt as it is exported.
@@ -82,10 +82,10 @@
 )
 
 func (t *Try) append(b []byte) []byte {
-	b = pack.String(b, t.Request)
+	b = encoding.String(b, t.Request)
 	b = binary.AppendUvarint(b, uint64(t.Attempt))
-	b = pack.String(pack.String(pack.String(pack.String(b, t.Member), t.Plan), t.Class), t.Node)
-	b = pack.Float(b, t.Units)
+	b = encoding.String(encoding.String(encoding.String(encoding.String(b, t.Member), t.Plan), t.Class), t.Node)
+	b = encoding.Float(b, t.Units)
 	flags := byte(0)
 	if t.Reserved {
 		flags = 1
@@ -96,16 +96,16 @@
 func (s *Settlement) append(b []byte) []byte {
 	b = append(b, recSettle)
 	b = binary.AppendUvarint(binary.AppendUvarint(binary.AppendUvarint(b, s.Intent), s.Life), s.Seq)
-	b = pack.Float(append(b, byte(s.Outcome)), s.Used)
+	b = encoding.Float(append(b, byte(s.Outcome)), s.Used)
 	return s.Try.append(binary.AppendVarint(b, s.Wall))
 }
 
 func (g *Gap) append(b []byte) []byte {
 	b = binary.AppendUvarint(binary.AppendUvarint(binary.AppendUvarint(append(b, recGap), g.Life), g.Seq), g.Tries)
-	return binary.AppendVarint(pack.Float(b, g.Units), g.Wall)
+	return binary.AppendVarint(encoding.Float(b, g.Units), g.Wall)
 }
 
-func readTry(r *pack.Reader) (t Try) {
+func readTry(r *encoding.Reader) (t Try) {
 	t.Request = r.String(any64)
 	t.Attempt = int(r.Uvarint(math.MaxInt32))
 	t.Member, t.Plan, t.Class, t.Node = r.String(any64), r.String(any64), r.String(any64), r.String(any64)
@@ -129,7 +129,7 @@
 }
 
 func parse(p []byte) (rec record, err error) {
-	r := &pack.Reader{B: p}
+	r := &encoding.Reader{B: p}
 	switch rec.kind = r.Byte(); rec.kind {
 	case recIntent:
 		rec.try = readTry(r)
--- a/accounting/courier.go
+++ b/internal/usage/sender/courier.go
@@ -1,7 +1,7 @@
 // Package accounting carries what is owed from the export's log to the receiver: CloudEvents 1.0 in JSON batches over
 // HTTP (the HTTP protocol binding, section 3.3). When something is sent, tried again, set aside or forgotten is decided
 // by package export.
-package accounting
+package sender
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 	"sync/atomic"
 	"time"
 
-	"winghatch/export"
-	"winghatch/httpout"
-	"winghatch/wal"
+	"winghatch/internal/httppost"
+	"winghatch/internal/usage/outbox"
+	"winghatch/internal/wal"
 )
 
 // BatchType is the media type of a batch.
@@ -48,14 +48,14 @@
 	cursor *wal.Cursor
 
 	mu     sync.Mutex
-	counts export.ShipCounts
+	counts outbox.ShipCounts
 	Lost   atomic.Uint64 // records that the log lost, by their numbers
 }
 
 // New returns a courier; Run starts it.
 func New(o Options) *Courier {
 	c := &Courier{o: o, more: make(chan struct{}, 1)}
-	c.client = httpout.Client(o.Timeout, 1)
+	c.client = httppost.Client(o.Timeout, 1)
 	return c
 }
 
@@ -68,7 +68,7 @@
 }
 
 // Counts are as of the last step.
-func (c *Courier) Counts() export.ShipCounts {
+func (c *Courier) Counts() outbox.ShipCounts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.counts
@@ -76,7 +76,7 @@
 
 // Run carries until the context ends.
 func (c *Courier) Run(ctx context.Context) {
-	s := export.NewShipper(export.ShipSettings{Behind: c.o.Behind, Batch: c.o.Batch, Seed: c.o.Seed})
+	s := outbox.NewShipper(outbox.ShipSettings{Behind: c.o.Behind, Batch: c.o.Batch, Seed: c.o.Seed})
 	c.cursor = c.o.Log.Read(c.o.Behind + 1)
 	c.cursor.Lost = func(h wal.Hole) {
 		c.Lost.Add(h.To - h.From + 1)
@@ -84,7 +84,7 @@
 	}
 	defer c.cursor.Close()
 	defer c.client.CloseIdleConnections()
-	var next export.ShipEvent = export.Start{}
+	var next outbox.ShipEvent = outbox.Start{}
 	for ctx.Err() == nil {
 		acts := s.Handle(next)
 		c.mu.Lock()
@@ -92,15 +92,15 @@
 		c.mu.Unlock()
 		for _, a := range acts {
 			switch a := a.(type) {
-			case export.Ack:
+			case outbox.Ack:
 				c.o.Acked(a.Rec)
-			case export.Fetch:
+			case outbox.Fetch:
 				next = c.fetch(a)
-			case export.Post:
+			case outbox.Post:
 				next = c.post(ctx, a.Events)
-			case export.SetAside:
+			case outbox.SetAside:
 				next = c.setAside(a)
-			case export.Sleep:
+			case outbox.Sleep:
 				if a.Idle && c.o.Empty {
 					return
 				}
@@ -113,8 +113,8 @@
 // fetchMost is how many records are looked at in one go; most are intents, which are no events.
 const fetchMost = 20000
 
-func (c *Courier) fetch(a export.Fetch) export.ShipEvent {
-	f := export.Fetched{To: a.Behind}
+func (c *Courier) fetch(a outbox.Fetch) outbox.ShipEvent {
+	f := outbox.Fetched{To: a.Behind}
 	for n := 0; n < fetchMost && len(f.Events) < a.Most; n++ {
 		r, ok, err := c.cursor.Next()
 		if err != nil {
@@ -124,7 +124,7 @@
 		if !ok {
 			break
 		}
-		ev, isEvent, err := export.Encode(c.o.Fleet, c.o.Gateway, r.No, r.Payload)
+		ev, isEvent, err := outbox.Encode(c.o.Fleet, c.o.Gateway, r.No, r.Payload)
 		if err != nil {
 			c.o.Say("a record of the export's log can't be read and is not exported", "record", r.No, "err", err)
 		} else if isEvent {
@@ -135,7 +135,7 @@
 	return f
 }
 
-func (c *Courier) sleep(ctx context.Context, a export.Sleep) export.ShipEvent {
+func (c *Courier) sleep(ctx context.Context, a outbox.Sleep) outbox.ShipEvent {
 	t := time.NewTimer(a.For)
 	defer t.Stop()
 	more := c.more
@@ -146,12 +146,12 @@
 	case <-ctx.Done():
 	case <-t.C:
 	case <-more:
-		return export.More{}
+		return outbox.More{}
 	}
-	return export.Woken{}
+	return outbox.Woken{}
 }
 
-func (c *Courier) post(ctx context.Context, evs []export.Event) export.ShipEvent {
+func (c *Courier) post(ctx context.Context, evs []outbox.Event) outbox.ShipEvent {
 	raw := []byte{'['}
 	for i, ev := range evs {
 		if i > 0 {
@@ -159,16 +159,16 @@
 		}
 		raw = append(raw, ev.JSON...)
 	}
-	res := httpout.Post(ctx, &c.client, c.o.URL, http.Header{"Content-Type": {BatchType}}, append(raw, ']'))
-	return export.Posted{Status: res.Status, RetryAfter: res.RetryAfter, Whole: res.Whole, Why: res.Why}
+	res := httppost.Post(ctx, &c.client, c.o.URL, http.Header{"Content-Type": {BatchType}}, append(raw, ']'))
+	return outbox.Posted{Status: res.Status, RetryAfter: res.RetryAfter, Whole: res.Whole, Why: res.Why}
 }
 
 // setAside keeps an event where an operator finds it, a line each, before it is acknowledged. One that is written and
 // whose acknowledgement is lost comes twice; its key tells.
-func (c *Courier) setAside(a export.SetAside) export.ShipEvent {
+func (c *Courier) setAside(a outbox.SetAside) outbox.ShipEvent {
 	f, err := os.OpenFile(c.o.SetAside, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return export.Stored{Err: err.Error()}
+		return outbox.Stored{Err: err.Error()}
 	}
 	info, err := f.Stat()
 	if err == nil && info.Size()+int64(len(a.Event.JSON)) >= c.o.SetAsideMost {
@@ -181,8 +181,8 @@
 		err = f.Sync()
 	}
 	if err = errors.Join(err, f.Close()); err != nil {
-		return export.Stored{Err: err.Error()}
+		return outbox.Stored{Err: err.Error()}
 	}
 	c.o.Say("the receiver does not take an event, it is set aside", "file", c.o.SetAside, "record", a.Event.Rec, "why", a.Why)
-	return export.Stored{}
+	return outbox.Stored{}
 }
--- a/accounting/courier_test.go
+++ b/internal/usage/sender/courier_test.go
@@ -1,4 +1,4 @@
-package accounting_test
+package sender_test
 
 import (
 	"bytes"
@@ -11,37 +11,37 @@
 	"testing"
 	"time"
 
-	"winghatch/accounting"
-	"winghatch/export"
-	standin "winghatch/standin/accounting"
-	"winghatch/wal"
+	usagereceiver "winghatch/internal/testbed/usagereceiver"
+	"winghatch/internal/usage/outbox"
+	"winghatch/internal/usage/sender"
+	"winghatch/internal/wal"
 
-	"winghatch/standin/await"
+	"winghatch/internal/testbed/await"
 )
 
 var eventually = await.Until
 
 // owe fills a log with the settled tries of one life, by the desk itself.
 func owe(t testing.TB, l *wal.Log, n int) {
-	d := export.NewDesk(export.DeskSettings{Life: 5})
-	do := func(acts []export.DeskAction) {
+	d := outbox.NewDesk(outbox.DeskSettings{Life: 5})
+	do := func(acts []outbox.DeskAction) {
 		for _, a := range acts {
-			if a, ok := a.(export.Append); ok {
+			if a, ok := a.(outbox.Append); ok {
 				no, err := l.Append(a.Payload)
 				if err != nil {
 					t.Fatal(err)
 				}
 				if a.ID != 0 {
-					d.Handle(export.Appended{ID: a.ID, Rec: no})
+					d.Handle(outbox.Appended{ID: a.ID, Rec: no})
 				}
 			}
 		}
 	}
 	do(d.Begin(1))
 	for i := 1; i <= n; i++ {
-		id := export.ID(i)
-		do(d.Handle(export.Intend{ID: id, Room: true, Try: export.Try{Request: fmt.Sprint("r-", i, "-"), Member: "m", Units: 1}}))
-		do(d.Handle(export.Settle{ID: id, Outcome: export.Sized, Used: 2}))
+		id := outbox.ID(i)
+		do(d.Handle(outbox.Intend{ID: id, Room: true, Try: outbox.Try{Request: fmt.Sprint("r-", i, "-"), Member: "m", Units: 1}}))
+		do(d.Handle(outbox.Settle{ID: id, Outcome: outbox.Sized, Used: 2}))
 	}
 	if err := l.Sync(10 * time.Second); err != nil {
 		t.Fatal(err)
@@ -52,7 +52,7 @@
 	t     *testing.T
 	dir   string
 	log   *wal.Log
-	recv  *standin.Receiver
+	recv  *usagereceiver.Receiver
 	acked chan uint64
 }
 
@@ -62,7 +62,7 @@
 	if r.log, _, err = wal.Open(filepath.Join(r.dir, "use"), wal.Options{}, nil, nil); err != nil {
 		t.Fatal(err)
 	}
-	if r.recv, err = standin.Start("127.0.0.1:0", filepath.Join(r.dir, "events")); err != nil {
+	if r.recv, err = usagereceiver.Start("127.0.0.1:0", filepath.Join(r.dir, "events")); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { r.log.Close(); r.recv.Stop() })
@@ -70,7 +70,7 @@
 	return r
 }
 
-func (r *rig) run(o accounting.Options) *accounting.Courier {
+func (r *rig) run(o sender.Options) *sender.Courier {
 	o.Log, o.URL, o.Fleet, o.Gateway = r.log, r.recv.URL(), "f", 1
 	o.SetAside = filepath.Join(r.dir, "aside")
 	o.Acked = func(rec uint64) { r.acked <- rec }
@@ -84,7 +84,7 @@
 	if o.Timeout == 0 {
 		o.Timeout = 2 * time.Second
 	}
-	c := accounting.New(o)
+	c := sender.New(o)
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { c.Run(ctx); close(done) }()
@@ -108,15 +108,15 @@
 
 // TestReceiversFaults plays each fault for a while; then all is there once, in order.
 func TestReceiversFaults(t *testing.T) {
-	for name, trouble := range map[string]standin.Trouble{
+	for name, trouble := range map[string]usagereceiver.Trouble{
 		"500": {Status: 500}, "429 with Retry-After": {Status: 429, RetryAfter: "0"}, "a redirect": {Status: 302}, "404": {Status: 404},
 		"keeps and cuts": {Cut: true}, "answers before it reads": {Early: true}, "slow": {Slow: 300 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := newRig(t, 35)
-			r.recv.Set(func(x *standin.Trouble) { *x = trouble })
-			c := r.run(accounting.Options{Timeout: 200 * time.Millisecond})
+			r.recv.Set(func(x *usagereceiver.Trouble) { *x = trouble })
+			c := r.run(sender.Options{Timeout: 200 * time.Millisecond})
 			eventually(t, "it is tried again", func() bool { return c.Counts().Again >= 2 })
 			if len(r.acked) > 0 {
 				t.Error("acknowledged without an answer")
@@ -124,7 +124,7 @@
 			if strings.HasPrefix(name, "answers before") && len(r.recv.Events()) > 0 {
 				t.Error("events are there")
 			}
-			r.recv.Set(func(x *standin.Trouble) { *x = standin.Trouble{} })
+			r.recv.Set(func(x *usagereceiver.Trouble) { *x = usagereceiver.Trouble{} })
 			r.whole(35)
 			if name == "keeps and cuts" && r.recv.Repeats == 0 {
 				t.Error("nothing came twice")
@@ -136,8 +136,8 @@
 // TestSetAside keeps the one event that the receiver refuses where an operator finds it, and holds up no other.
 func TestSetAside(t *testing.T) {
 	r := newRig(t, 35)
-	r.recv.Set(func(x *standin.Trouble) { x.Reject = "r-17-" })
-	c := r.run(accounting.Options{})
+	r.recv.Set(func(x *usagereceiver.Trouble) { x.Reject = "r-17-" })
+	c := r.run(sender.Options{})
 	eventually(t, "all others are there", func() bool { return len(r.recv.Events()) == 34 })
 	eventually(t, "it is said", func() bool { return c.Counts().SetAside == 1 })
 	raw, err := os.ReadFile(filepath.Join(r.dir, "aside"))
@@ -149,31 +149,31 @@
 // TestSetAsideBound holds the log where a receiver refuses everything: it must not all be set aside.
 func TestSetAsideBound(t *testing.T) {
 	r := newRig(t, 35)
-	r.recv.Set(func(x *standin.Trouble) { x.Reject = "r-" })
-	c := r.run(accounting.Options{SetAsideMost: 1000})
+	r.recv.Set(func(x *usagereceiver.Trouble) { x.Reject = "r-" })
+	c := r.run(sender.Options{SetAsideMost: 1000})
 	eventually(t, "the bound is told", func() bool { return strings.Contains(c.Counts().LastWhy, "1000 at most") })
 	if n := c.Counts().SetAside; n == 0 || n > 3 {
 		t.Errorf("%d events set aside in 1000 bytes", n)
 	}
 	os.Rename(filepath.Join(r.dir, "aside"), filepath.Join(r.dir, "moved"))
-	r.recv.Set(func(x *standin.Trouble) { x.Reject = "" })
+	r.recv.Set(func(x *usagereceiver.Trouble) { x.Reject = "" })
 	eventually(t, "the others are told", func() bool { return len(r.recv.Events()) == 35-int(c.Counts().SetAside) })
 }
 
 // TestReceiverKilled stops the receiver in the middle, over and over, with its file left behind.
 func TestReceiverKilled(t *testing.T) {
 	r := newRig(t, 200)
-	r.recv.Set(func(x *standin.Trouble) { x.Slow = 2 * time.Millisecond })
+	r.recv.Set(func(x *usagereceiver.Trouble) { x.Slow = 2 * time.Millisecond })
 	addr := r.recv.Addr()
-	r.run(accounting.Options{Batch: 4})
+	r.run(sender.Options{Batch: 4})
 	for i := range 6 {
 		eventually(t, "some more are there", func() bool { return len(r.recv.Events()) > 20*i })
 		r.recv.Stop()
 		var err error
-		if r.recv, err = standin.Start(addr, filepath.Join(r.dir, "events")); err != nil {
+		if r.recv, err = usagereceiver.Start(addr, filepath.Join(r.dir, "events")); err != nil {
 			t.Fatal(err)
 		}
-		r.recv.Set(func(x *standin.Trouble) { x.Slow = 2 * time.Millisecond })
+		r.recv.Set(func(x *usagereceiver.Trouble) { x.Slow = 2 * time.Millisecond })
 	}
 	r.whole(200)
 }
@@ -192,7 +192,7 @@
 		t.Fatalf("%+v %v", rec, err)
 	}
 	r.log = l
-	c := r.run(accounting.Options{Empty: true})
+	c := r.run(sender.Options{Empty: true})
 	eventually(t, "the rest is there", func() bool { return len(r.recv.Events()) >= 29 })
 	if c.Lost.Load() == 0 || len(r.recv.Events()) > 30 {
 		t.Errorf("%d records said to be lost, %d events", c.Lost.Load(), len(r.recv.Events()))
--- a/ws/frame.go
+++ b/internal/websocket/frame.go
@@ -1,7 +1,7 @@
 // Package ws is a codec of the WebSocket protocol (RFC 6455): frames, messages and the opening handshake, for
 // both roles. It reads from a bufio.Reader and writes to byte slices; it opens no socket, reads no clock and
 // starts no goroutine.
-package ws
+package websocket
 
 import (
 	"bufio"
--- a/ws/handshake.go
+++ b/internal/websocket/handshake.go
@@ -1,4 +1,4 @@
-package ws
+package websocket
 
 import (
 	"bufio"
--- a/link/link.go
+++ b/internal/wsconn/link.go
@@ -1,6 +1,6 @@
 // Package link guards one WebSocket connection: one goroutine reads it, writes wait in a bounded queue, and a
 // peer that does not take them is cut off. Both ends of every connection of the program use it.
-package link
+package wsconn
 
 import (
 	"bufio"
@@ -14,8 +14,8 @@
 	"sync/atomic"
 	"time"
 
-	"winghatch/sock"
-	"winghatch/ws"
+	"winghatch/internal/socket"
+	"winghatch/internal/websocket"
 )
 
 // Options bound what a connection may hold. A zero takes the default.
@@ -65,7 +65,7 @@
 }
 
 type item struct {
-	op    ws.Op
+	op    websocket.Op
 	data  []byte
 	begin func() bool // false: no longer wanted, nothing of it is written
 }
@@ -77,8 +77,8 @@
 // Conn is a guarded connection. Read is for one goroutine; all else is safe for concurrent use.
 type Conn struct {
 	nc   net.Conn
-	r    *ws.Reader
-	role ws.Role
+	r    *websocket.Reader
+	role websocket.Role
 	o    Options
 
 	mu      sync.Mutex
@@ -95,13 +95,13 @@
 }
 
 // New guards a connection whose handshake is done. br holds what was read of it.
-func New(nc net.Conn, br *bufio.Reader, role ws.Role, o Options) *Conn {
+func New(nc net.Conn, br *bufio.Reader, role websocket.Role, o Options) *Conn {
 	o = o.filled()
-	c := &Conn{nc: nc, r: ws.NewReader(br, role, o.Message), role: role, o: o}
+	c := &Conn{nc: nc, r: websocket.NewReader(br, role, o.Message), role: role, o: o}
 	if o.Frame > 0 {
 		c.r.LimitFrames(o.Frame)
 	}
-	if role == ws.Client {
+	if role == websocket.Client {
 		var seed [32]byte
 		crand.Read(seed[:]) // masks must not be foreseen (RFC 6455 section 10.3)
 		c.masks = rand.NewChaCha8(seed)
@@ -110,14 +110,14 @@
 }
 
 // Dial opens a connection and does the client's handshake within the context.
-func Dial(ctx context.Context, addr string, req *ws.Request, o Options) (*Conn, error) {
+func Dial(ctx context.Context, addr string, req *websocket.Request, o Options) (*Conn, error) {
 	o = o.filled()
 	var d net.Dialer
 	raw, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	nc := sock.Patient(raw)
+	nc := socket.Patient(raw)
 	stop := context.AfterFunc(ctx, func() { nc.SetDeadline(time.Unix(1, 0)) })
 	br := bufio.NewReaderSize(nc, o.ReadBuffer)
 	if _, err = nc.Write(req.Bytes()); err == nil {
@@ -130,17 +130,17 @@
 		nc.Close()
 		return nil, err
 	}
-	return New(nc, br, ws.Client, o), nil
+	return New(nc, br, websocket.Client, o), nil
 }
 
 // Accept does the server's handshake within the time. check, if any, may refuse it by a *ws.Refusal, which is
 // the caller's to write.
-func Accept(nc net.Conn, protocol string, within time.Duration, check func(*ws.Upgrade) error, o Options) (*Conn, error) {
+func Accept(nc net.Conn, protocol string, within time.Duration, check func(*websocket.Upgrade) error, o Options) (*Conn, error) {
 	o = o.filled()
-	nc = sock.Patient(nc)
+	nc = socket.Patient(nc)
 	br := bufio.NewReaderSize(nc, o.ReadBuffer)
 	nc.SetDeadline(time.Now().Add(within))
-	u, err := ws.ReadUpgrade(br)
+	u, err := websocket.ReadUpgrade(br)
 	if err == nil && check != nil {
 		err = check(u)
 	}
@@ -151,7 +151,7 @@
 		return nil, err
 	}
 	nc.SetDeadline(time.Time{})
-	return New(nc, br, ws.Server, o), nil
+	return New(nc, br, websocket.Server, o), nil
 }
 
 // Listen hands each connection to f, in a goroutine of its own, until the listener is closed.
@@ -175,7 +175,7 @@
 // SendIf queues a text message; begin is asked right before its first byte may be written, and where it says
 // false nothing of the message is.
 func (c *Conn) SendIf(data []byte, begin func() bool) error {
-	return c.push(item{ws.Text, data, begin})
+	return c.push(item{websocket.Text, data, begin})
 }
 
 func (c *Conn) push(it item) error {
@@ -188,7 +188,7 @@
 		c.cut()
 		return ErrSlow
 	}
-	c.closing = it.op == ws.Close
+	c.closing = it.op == websocket.Close
 	c.waiting += it.size()
 	c.queue = append(c.queue, it)
 	if !c.writing {
@@ -254,12 +254,12 @@
 			continue
 		}
 		var mask *[4]byte
-		if c.role == ws.Client {
+		if c.role == websocket.Client {
 			v := uint32(c.masks.Uint64())
 			mask = &[4]byte{byte(v), byte(v >> 8), byte(v >> 16), byte(v >> 24)}
 		}
-		out = ws.AppendFrame(out, true, it.op, it.data, mask)
-		last = it.op == ws.Close
+		out = websocket.AppendFrame(out, true, it.op, it.data, mask)
+		last = it.op == websocket.Close
 	}
 	if cap(out) <= 2*maxBatch {
 		*buf = out
@@ -287,7 +287,7 @@
 // Close queues a close frame behind what waits. The reader goes on until the peer answers it or time is up.
 func (c *Conn) Close(code int, reason string) {
 	// A writer that hangs is ended by WriteWait, a peer that is silent by the deadline that flush sets.
-	c.push(item{ws.Close, ws.ClosePayload(code, reason), nil})
+	c.push(item{websocket.Close, websocket.ClosePayload(code, reason), nil})
 }
 
 // Read returns the next text message, good until the next call. It answers pings and close frames by itself.
@@ -301,24 +301,24 @@
 		}
 		c.heard.Store(true)
 		switch m.Op {
-		case ws.Text:
+		case websocket.Text:
 			return m.Data, nil
-		case ws.Binary:
-			err := &ws.Error{Code: ws.CodeUnsupported, Text: "binary message, want text"}
+		case websocket.Binary:
+			err := &websocket.Error{Code: websocket.CodeUnsupported, Text: "binary message, want text"}
 			c.end(err)
 			return nil, err
-		case ws.Ping:
-			c.push(item{ws.Pong, append([]byte(nil), m.Data...), nil})
-		case ws.Close:
-			code, reason := ws.ParseClose(m.Data)
-			c.end(&ws.Error{Code: code})
+		case websocket.Ping:
+			c.push(item{websocket.Pong, append([]byte(nil), m.Data...), nil})
+		case websocket.Close:
+			code, reason := websocket.ParseClose(m.Data)
+			c.end(&websocket.Error{Code: code})
 			return nil, &PeerClosed{code, reason}
 		}
 	}
 }
 
 // Ping queues a ping.
-func (c *Conn) Ping() error { return c.push(item{ws.Ping, nil, nil}) }
+func (c *Conn) Ping() error { return c.push(item{websocket.Ping, nil, nil}) }
 
 // pings is how many go unanswered before a peer counts as gone: one may wait behind a long message.
 const pings = 2
@@ -355,13 +355,13 @@
 
 // end closes after the reader's last word: with a close frame where the connection still bears one.
 func (c *Conn) end(err error) {
-	code := ws.CloseCode(err)
-	var e *ws.Error
+	code := websocket.CloseCode(err)
+	var e *websocket.Error
 	if !errors.As(err, &e) {
 		c.Abort()
 		return
 	}
-	c.push(item{ws.Close, ws.ClosePayload(code, e.Text), nil})
+	c.push(item{websocket.Close, websocket.ClosePayload(code, e.Text), nil})
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.ended = true; !c.writing {
--- a/link/link_test.go
+++ b/internal/wsconn/link_test.go
@@ -1,4 +1,4 @@
-package link
+package wsconn
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"winghatch/ws"
+	"winghatch/internal/websocket"
 )
 
 // ends are both ends of a connection over a real socket.
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { a.Close(); b.Close() })
-	return New(a, bufio.NewReader(a), ws.Client, o), New(b, bufio.NewReader(b), ws.Server, o)
+	return New(a, bufio.NewReader(a), websocket.Client, o), New(b, bufio.NewReader(b), websocket.Server, o)
 }
 
 func TestOrder(t *testing.T) {
@@ -44,7 +44,7 @@
 				c.Ping()
 			}
 		}
-		c.Close(ws.CodeNormal, "done")
+		c.Close(websocket.CodeNormal, "done")
 	}()
 	for i := range n {
 		m, err := s.Read()
@@ -53,11 +53,11 @@
 		}
 	}
 	var pc *PeerClosed
-	if _, err := s.Read(); !errors.As(err, &pc) || pc.Code != ws.CodeNormal || pc.Reason != "done" {
+	if _, err := s.Read(); !errors.As(err, &pc) || pc.Code != websocket.CodeNormal || pc.Reason != "done" {
 		t.Fatalf("%v", err)
 	}
 	// The close handshake is done whole: the closing side reads the answer to its close frame.
-	if _, err := c.Read(); !errors.As(err, &pc) || pc.Code != ws.CodeNormal {
+	if _, err := c.Read(); !errors.As(err, &pc) || pc.Code != websocket.CodeNormal {
 		t.Errorf("%v", err)
 	}
 	if c.Send([]byte("x")) != ErrClosed || s.Send([]byte("x")) != ErrClosed {
@@ -102,7 +102,7 @@
 // TestSilentClose closes towards a peer that does not answer: the reader ends all the same.
 func TestSilentClose(t *testing.T) {
 	c, _ := ends(t, Options{CloseWait: 50 * time.Millisecond})
-	c.Close(ws.CodeNormal, "")
+	c.Close(websocket.CodeNormal, "")
 	if _, err := c.Read(); err == nil {
 		t.Error("no end")
 	}
@@ -110,13 +110,13 @@
 
 func TestRefusedMessages(t *testing.T) {
 	for code, raw := range map[int][]byte{
-		ws.CodeUnsupported: ws.AppendFrame(nil, true, ws.Binary, []byte("x"), &[4]byte{1}),
-		ws.CodeProtocol:    ws.AppendFrame(nil, true, ws.Text, []byte("x"), nil),
-		ws.CodeTooBig:      ws.AppendFrame(nil, true, ws.Text, make([]byte, 200), &[4]byte{1}),
+		websocket.CodeUnsupported: websocket.AppendFrame(nil, true, websocket.Binary, []byte("x"), &[4]byte{1}),
+		websocket.CodeProtocol:    websocket.AppendFrame(nil, true, websocket.Text, []byte("x"), nil),
+		websocket.CodeTooBig:      websocket.AppendFrame(nil, true, websocket.Text, make([]byte, 200), &[4]byte{1}),
 	} {
 		c, s := ends(t, Options{Message: 100})
 		c.nc.Write(raw)
-		if _, err := s.Read(); ws.CloseCode(err) != code {
+		if _, err := s.Read(); websocket.CloseCode(err) != code {
 			t.Errorf("%v, want close code %d", err, code)
 		}
 		var pc *PeerClosed
@@ -133,7 +133,7 @@
 func TestEmptyPings(t *testing.T) {
 	c, s := ends(t, Options{Queue: 64 << 10, WriteWait: time.Minute})
 	go func() {
-		ping := ws.AppendFrame(nil, true, ws.Ping, nil, &[4]byte{1})
+		ping := websocket.AppendFrame(nil, true, websocket.Ping, nil, &[4]byte{1})
 		for {
 			if _, err := c.nc.Write(ping); err != nil {
 				return
@@ -189,8 +189,8 @@
 		t.Errorf("%q %v", m, err)
 	}
 	c.Send([]byte("0123456789a"))
-	var e *ws.Error
-	if _, err := s.Read(); !errors.As(err, &e) || e.Code != ws.CodeTooBig {
+	var e *websocket.Error
+	if _, err := s.Read(); !errors.As(err, &e) || e.Code != websocket.CodeTooBig {
 		t.Errorf("%v, want 1009", err)
 	}
 }
