--- a/bench/child.go
+++ b/bench/child.go
@@ -161,7 +161,7 @@
 
 func (c *plain) Handle(now time.Duration, ev decide.Event) []decide.Action {
 	switch e := ev.(type) {
-	case decide.FleetUpdate:
+	case decide.EndpointUpdate:
 		c.servers = nil
 		for _, s := range e.Servers {
 			c.servers = append(c.servers, s.ID)
@@ -170,15 +170,15 @@
 		c.n++
 		return []decide.Action{decide.Send{ID: e.ID, Server: c.servers[c.n%len(c.servers)]}}
 	case decide.AttemptEnded:
-		if !e.Done {
+		if !e.RequestDone {
 			return []decide.Action{decide.Fail{ID: e.ID}}
 		}
 	}
 	return nil
 }
 
-func (c *plain) View() decide.View {
-	return decide.View{Servers: make([]decide.ServerView, len(c.servers))}
+func (c *plain) Status() decide.Status {
+	return decide.Status{Servers: make([]decide.ServerStatus, len(c.servers))}
 }
 
 // relay passes calls on as a program on coder/websocket would: the same JSON-RPC, ids mapped, two connections
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -140,7 +140,7 @@
 	o := backend.Options{Addr: c.Listen, Zone: c.Zone, Cores: c.Cores, Speed: c.Speed, Queue: c.Queue, Classes: map[string]backend.Class{},
 		Seed: uint64(time.Now().UnixNano())}
 	for _, k := range f.Decide.Classes {
-		o.Classes[k.Name] = backend.Class{Work: c.Work, Keyed: k.Window > 0, Window: k.Window}
+		o.Classes[k.Name] = backend.Class{Work: c.Work, Keyed: k.DedupWindow > 0, Window: k.DedupWindow}
 	}
 	n, err := backend.Start(o)
 	if err != nil {
@@ -232,8 +232,8 @@
 		o.Gateways = append(o.Gateways, g.Listen)
 	}
 	for _, k := range f.Decide.Classes {
-		o.Classes = append(o.Classes, client.Class{Name: k.Name, Share: 1 / float64(len(f.Decide.Classes)), Effect: k.Effect,
-			Group: k.Group, Window: k.Window, Aim: k.Aim, Deadline: k.Deadline, MaxUnits: c.Units})
+		o.Classes = append(o.Classes, client.Class{Name: k.Name, Share: 1 / float64(len(f.Decide.Classes)), Effect: k.Idempotency,
+			Group: k.DedupScope, Window: k.DedupWindow, Aim: k.LatencyObjective, Deadline: k.Deadline, MaxUnits: c.Units})
 	}
 	for _, m := range f.Members {
 		if key := c.Key[m.Name]; key != "" {
--- a/cmd/winghatch/gateway.go
+++ b/cmd/winghatch/gateway.go
@@ -178,21 +178,21 @@
 func printState(s *gateway.State) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	defer w.Flush()
-	fmt.Fprintf(w, "fleet %s, gateway %d %s, up %v, mesh %t\n", s.Fleet, s.Rank, s.Zone, s.Up.Round(time.Second), s.Core.Mesh)
-	fmt.Fprintf(w, "open\t%d\tsessions\t%d\tqueue\t%d\tpressed\t%.2f\n", s.Open, s.Sessions, s.Queue, s.Core.Pressed)
+	fmt.Fprintf(w, "fleet %s, gateway %d %s, up %v, mesh %t\n", s.Fleet, s.Rank, s.Zone, s.Up.Round(time.Second), s.Core.FullGossip)
+	fmt.Fprintf(w, "open\t%d\tsessions\t%d\tqueue\t%d\tpressed\t%.2f\n", s.Open, s.Sessions, s.Queue, s.Core.Pressure)
 	fmt.Fprintf(w, "served\t%d\tfailed\t%d\tclients gone\t%d\tlate answers\t%d\n", s.Served, s.Failed, s.Gone, s.Late)
-	fmt.Fprintf(w, "attempts\t%d\toutcomes\t%v\tretry budget\t%.1f\n", s.Attempts, s.Outcomes, s.Core.Budget)
+	fmt.Fprintf(w, "attempts\t%d\toutcomes\t%v\tretry budget\t%.1f\n", s.Attempts, s.Outcomes, s.Core.RetryBudget)
 	fmt.Fprintf(w, "refused\t%v\tturned away\t%v\n", s.Refused, s.TurnedAway)
 	fmt.Fprintf(w, "datagrams\t%+v\n", s.Datagrams)
 	fmt.Fprintln(w, "\nserver\tzone\tstate\tout\tghosts\tslow\tmissed\tcold for\tbudget")
-	states := map[decide.State]string{decide.Serving: "serving", decide.Draining: "draining", decide.Gone: "gone"}
+	states := map[decide.ServerState]string{decide.Serving: "serving", decide.Draining: "draining", decide.Removed: "gone"}
 	for _, v := range s.Core.Servers {
 		cold := "-"
 		budget := "-"
-		if v.Cold > 0 {
-			cold, budget = v.Cold.Round(time.Millisecond).String(), fmt.Sprintf("%.2f", v.Budget)
+		if v.SlowStartLeft > 0 {
+			cold, budget = v.SlowStartLeft.Round(time.Millisecond).String(), fmt.Sprintf("%.2f", v.WarmUpBudget)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%.2f\t%.2f\t%s\t%s\n", v.ID, v.Zone, states[v.State], v.Out, v.Ghosts, v.Slow, v.Missed,
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%.2f\t%.2f\t%s\t%s\n", v.ID, v.Zone, states[v.State], v.InFlight, v.Orphaned, v.Slowness, v.FailureRatio,
 			cold, budget)
 	}
 	fmt.Fprintln(w, "\ncustomer\tplan\tlevel\tmark\tpart\twhole\tstore\topen")
@@ -201,7 +201,7 @@
 		if name == "" {
 			name = fmt.Sprintf("#%x", v.Key)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%.1f\t%.1f\t%.2f\t%.1f\t%.1f\t%d\n", name, v.Plan, v.Level, v.Mark, v.Part, v.Whole, v.Store, v.Open)
+		fmt.Fprintf(w, "%s\t%s\t%.1f\t%.1f\t%.2f\t%.1f\t%.1f\t%d\n", name, v.Plan, v.Level, v.HighWaterMark, v.Share, v.FleetLevel, v.CeilingTokens, v.InFlight)
 	}
 	fmt.Fprintf(w, "\nplan changes\t%d\tsum\t%s\t%s\n", s.Changes, s.ChangesSum, s.BookLog)
 	if len(s.Reservations) > 0 {
@@ -219,12 +219,12 @@
 		fmt.Fprintf(w, "  not covered\t%d tries\t%.6g units\tdenied %d\torphans %d\tlost records %d\n", e.Desk.Uncovered, e.Desk.UncoveredUnits,
 			e.Desk.Denied, e.Desk.Orphans, e.Lost)
 	}
-	if len(s.Core.Silent) > 0 {
-		fmt.Fprintf(w, "\nhomes that are not asked for now\t%v\n", s.Core.Silent)
+	if len(s.Core.UnresponsiveOwners) > 0 {
+		fmt.Fprintf(w, "\nhomes that are not asked for now\t%v\n", s.Core.UnresponsiveOwners)
 	}
 	fmt.Fprintln(w, "\npeer\tknown\theard ago\tto tell")
 	for _, v := range s.Core.Peers {
-		fmt.Fprintf(w, "%d\t%t\t%v\t%d\n", v.Rank, v.Known, v.Heard.Round(time.Millisecond), v.Queue)
+		fmt.Fprintf(w, "%d\t%t\t%v\t%d\n", v.Rank, v.Known, v.SinceHeard.Round(time.Millisecond), v.QueueLength)
 	}
 }
 
--- a/cmd/winghatch/plan.go
+++ b/cmd/winghatch/plan.go
@@ -151,7 +151,7 @@
 	}
 	return c.submit(quotaplan.Change{Number: c.Number, Kind: quotaplan.Terms, Plan: c.Plan, From: from, Terms: decide.Plan{Name: c.Plan,
 		Rate: c.Rate, Burst: c.Burst, CeilingRate: c.CeilingRate, CeilingBurst: c.CeilingBurst, CeilingSlack: c.CeilingSlack,
-		MaxOpen: c.MaxOpen, Price: c.Price}})
+		MaxInFlight: c.MaxOpen, PriorityWeight: c.Price}})
 }
 
 type planCancelCmd struct {
@@ -225,7 +225,7 @@
 			continue
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, p.Name, figure(p.Rate), figure(p.Burst), figure(p.CeilingRate),
-			figure(p.CeilingBurst), figure(float64(p.MaxOpen)))
+			figure(p.CeilingBurst), figure(float64(p.MaxInFlight)))
 	}
 	return nil
 }
--- a/cmd/wirehost/wire.go
+++ b/cmd/wirehost/wire.go
@@ -129,11 +129,11 @@
 }
 
 // stats reads a load report: an object, or pairs of name and value.
-func stats(raw map[string]float64) decide.Report {
+func stats(raw map[string]float64) decide.LoadReport {
 	if len(raw) == 0 {
 		return nil
 	}
-	r := decide.Report{}
+	r := decide.LoadReport{}
 	for name, v := range raw {
 		r[settings.ReportName(name)] = v
 	}
@@ -154,14 +154,14 @@
 			DurationNs  int64
 		}
 		err := json.Unmarshal(raw, &e)
-		return decide.AnswerStarted{ID: e.Xid, Server: e.Server, Attempt: e.Trial,
-			Took: time.Duration(e.DurationNs)}, err
+		return decide.ResponseStarted{ID: e.Xid, Server: e.Server, Attempt: e.Trial,
+			Duration: time.Duration(e.DurationNs)}, err
 	case "Returned":
 		return parseEnded(raw)
 	case "ClientLeft":
 		var e struct{ Xid string }
 		err := json.Unmarshal(raw, &e)
-		return decide.ClientGone{ID: e.Xid}, err
+		return decide.ClientDisconnected{ID: e.Xid}, err
 	case "Elapsed":
 		var e struct{ Tag uint64 }
 		err := json.Unmarshal(raw, &e)
@@ -174,15 +174,15 @@
 			ServerStats map[string]float64
 		}
 		err := json.Unmarshal(raw, &e)
-		return decide.ProbeEnded{Server: e.Server, Outcome: decide.Outcome(e.StateCode),
-			Took: time.Duration(e.DurationNs), Report: stats(e.ServerStats)}, err
+		return decide.HealthCheckEnded{Server: e.Server, Outcome: decide.Outcome(e.StateCode),
+			Duration: time.Duration(e.DurationNs), LoadReport: stats(e.ServerStats)}, err
 	case "Datagram":
 		var e struct {
 			Src  int
 			Blob string
 		}
 		err := json.Unmarshal(raw, &e)
-		return decide.PeerMessage{From: e.Src, Text: e.Blob}, err
+		return decide.GossipReceived{From: e.Src, Text: e.Blob}, err
 	case "Tallied":
 		var e struct {
 			Counter    uint64
@@ -191,8 +191,8 @@
 			DurationNs int64
 		}
 		err := json.Unmarshal(raw, &e)
-		return decide.Counted{Name: e.Counter, Outcome: decide.Outcome(e.StateCode), Total: e.NowAt,
-			Took: time.Duration(e.DurationNs)}, err
+		return decide.CounterUpdated{Name: e.Counter, Outcome: decide.Outcome(e.StateCode), Total: e.NowAt,
+			Duration: time.Duration(e.DurationNs)}, err
 	}
 	return nil, nil
 }
@@ -211,21 +211,21 @@
 	if err := json.Unmarshal(raw, &e); err != nil {
 		return nil, err
 	}
-	kinds := map[string]decide.FleetKind{"patch": decide.FleetDelta, "whole": decide.FleetFull,
-		"stale_copy": decide.FleetStale, "broken": decide.FleetFailed}
+	kinds := map[string]decide.UpdateKind{"patch": decide.DeltaUpdate, "whole": decide.FullUpdate,
+		"stale_copy": decide.StaleUpdate, "broken": decide.FailedUpdate}
 	kind, ok := kinds[e.Kind]
 	if !ok {
 		return nil, fmt.Errorf("field \"Kind\": unknown %q", e.Kind)
 	}
-	u := decide.FleetUpdate{Kind: kind, Version: e.Stamp}
-	states := map[string]decide.State{"IN": decide.Serving, "LAME": decide.Draining, "OUT": decide.Gone}
+	u := decide.EndpointUpdate{Kind: kind, Version: e.Stamp}
+	states := map[string]decide.ServerState{"IN": decide.Serving, "LAME": decide.Draining, "OUT": decide.Removed}
 	for _, n := range e.NodesList {
 		state, ok := states[n.StageState]
 		if !ok {
 			return nil, fmt.Errorf("field \"StageState\": unknown %q", n.StageState)
 		}
 		u.Servers = append(u.Servers, decide.Server{ID: n.Server, Zone: n.Az, Cell: n.Stripe, Kind: n.Model,
-			State: state, Started: time.Duration(n.StartTimeNs), Weight: n.CapacityHint})
+			State: state, StartedAt: time.Duration(n.StartTimeNs), Weight: n.CapacityHint})
 	}
 	return u, nil
 }
@@ -240,8 +240,8 @@
 	}
 	err := json.Unmarshal(raw, &e)
 	return decide.Request{ID: e.Xid, Class: e.Type, Plan: e.Tier, Customer: e.Account, Units: e.SizeUnits,
-		Deadline: time.Duration(e.DeadlineNs), First: e.FromNo, Spread: e.EntryPoints,
-		Again: e.AgainByClient, Write: e.Mutates}, err
+		Deadline: time.Duration(e.DeadlineNs), FirstGateway: e.FromNo, GatewayCount: e.EntryPoints,
+		IsRetry: e.AgainByClient, Mutates: e.Mutates}, err
 }
 
 func parseEnded(raw json.RawMessage) (decide.Event, error) {
@@ -257,8 +257,8 @@
 	}
 	err := json.Unmarshal(raw, &e)
 	return decide.AttemptEnded{ID: e.Xid, Server: e.Server, Attempt: e.Trial,
-		Outcome: decide.Outcome(e.StateCode), Took: time.Duration(e.DurationNs), Done: e.Ended,
-		Metered: e.Metered, TrueUnits: e.Actual, Report: stats(e.ServerStats)}, err
+		Outcome: decide.Outcome(e.StateCode), Duration: time.Duration(e.DurationNs), RequestDone: e.Ended,
+		ReportedUsage: e.Metered, ActualUnits: e.Actual, LoadReport: stats(e.ServerStats)}, err
 }
 
 // wireAction writes an action in the wire's words.
@@ -269,13 +269,13 @@
 		return msg{"m": "Assign", "Xid": a.ID, "Server": a.Server, "AllowForNs": int64(a.Timeout)}
 	case decide.Cancel:
 		return msg{"m": "Withdraw", "Xid": a.ID, "Trial": a.Attempt}
-	case decide.Refuse:
+	case decide.Reject:
 		return msg{"m": "Busy", "Xid": a.ID, "RetryInNs": int64(a.RetryAfter)}
 	case decide.Fail:
 		return msg{"m": "ReportFailure", "Xid": a.ID}
 	case decide.SetTimer:
 		return msg{"m": "SetAlarm", "FireAtNs": int64(a.At), "Tag": a.Token}
-	case decide.Probe:
+	case decide.HealthCheck:
 		return msg{"m": "AskLoad", "Server": a.Server}
 	case decide.CloseIdle:
 		return msg{"m": "LetGo", "Server": a.Server}
@@ -283,9 +283,9 @@
 		return msg{"m": "Listen", "Want": a.On}
 	case decide.FetchList:
 		return msg{"m": "Snapshot"}
-	case decide.Tell:
+	case decide.SendGossip:
 		return msg{"m": "Tell", "To": a.To, "Blob": a.Text}
-	case decide.Count:
+	case decide.AddToCounter:
 		return msg{"m": "Enter", "Counter": a.Name, "Step": a.Add, "TtlNs": int64(a.TTL)}
 	case decide.Log:
 		return msg{"m": "Log", "Words": a.Text}
--- a/cmd/wirehost/wire_test.go
+++ b/cmd/wirehost/wire_test.go
@@ -92,7 +92,7 @@
 
 func TestPanicIsABug(t *testing.T) {
 	g := &instance{gw: &decide.Gateway{}} // not made by New
-	out, err := json.Marshal(g.handle(1, decide.FleetUpdate{Servers: []decide.Server{{ID: "s"}}}))
+	out, err := json.Marshal(g.handle(1, decide.EndpointUpdate{Servers: []decide.Server{{ID: "s"}}}))
 	if err != nil || !strings.Contains(string(out), `"Bug"`) {
 		t.Errorf("got %s, %v, want a Bug", out, err)
 	}
@@ -102,15 +102,15 @@
 	for want, a := range map[string]decide.Action{
 		`{"AllowForNs":5,"Server":"s","Xid":"x","m":"Assign"}`:        decide.Send{ID: "x", Server: "s", Timeout: 5},
 		`{"Trial":2,"Xid":"x","m":"Withdraw"}`:                        decide.Cancel{ID: "x", Attempt: 2},
-		`{"RetryInNs":7,"Xid":"x","m":"Busy"}`:                        decide.Refuse{ID: "x", RetryAfter: 7},
+		`{"RetryInNs":7,"Xid":"x","m":"Busy"}`:                        decide.Reject{ID: "x", RetryAfter: 7},
 		`{"Xid":"x","m":"ReportFailure"}`:                             decide.Fail{ID: "x"},
 		`{"FireAtNs":9,"Tag":9007199254740993,"m":"SetAlarm"}`:        decide.SetTimer{At: 9, Token: 9007199254740993},
-		`{"Server":"s","m":"AskLoad"}`:                                decide.Probe{Server: "s"},
+		`{"Server":"s","m":"AskLoad"}`:                                decide.HealthCheck{Server: "s"},
 		`{"Server":"s","m":"LetGo"}`:                                  decide.CloseIdle{Server: "s"},
 		`{"Want":true,"m":"Listen"}`:                                  decide.Subscribe{On: true},
 		`{"m":"Snapshot"}`:                                            decide.FetchList{},
-		`{"Blob":"hi","To":1,"m":"Tell"}`:                             decide.Tell{To: 1, Text: "hi"},
-		`{"Counter":9007199254740993,"Step":2,"TtlNs":3,"m":"Enter"}`: decide.Count{Name: 9007199254740993, Add: 2, TTL: 3},
+		`{"Blob":"hi","To":1,"m":"Tell"}`:                             decide.SendGossip{To: 1, Text: "hi"},
+		`{"Counter":9007199254740993,"Step":2,"TtlNs":3,"m":"Enter"}`: decide.AddToCounter{Name: 9007199254740993, Add: 2, TTL: 3},
 		`{"Words":"w","m":"Log"}`:                                     decide.Log{Text: "w"},
 	} {
 		if got, err := json.Marshal(wireAction(a)); err != nil || string(got) != want {
@@ -125,14 +125,14 @@
 		want   decide.Event
 	}{
 		{"Headers", `{"Xid":"x","Trial":1,"DurationNs":5,"Server":"s"}`,
-			decide.AnswerStarted{ID: "x", Server: "s", Attempt: 1, Took: 5}},
-		{"ClientLeft", `{"Xid":"x"}`, decide.ClientGone{ID: "x"}},
+			decide.ResponseStarted{ID: "x", Server: "s", Attempt: 1, Duration: 5}},
+		{"ClientLeft", `{"Xid":"x"}`, decide.ClientDisconnected{ID: "x"}},
 		{"Elapsed", `{"Tag":9223372036854775808}`, decide.TimerFired{Token: 1 << 63}},
-		{"Datagram", `{"Src":2,"Blob":"hi"}`, decide.PeerMessage{From: 2, Text: "hi"}},
+		{"Datagram", `{"Src":2,"Blob":"hi"}`, decide.GossipReceived{From: 2, Text: "hi"}},
 		{"Tallied", `{"Counter":9007199254740993,"StateCode":4,"NowAt":3.5,"DurationNs":2}`,
-			decide.Counted{Name: 9007199254740993, Outcome: decide.TimedOut, Total: 3.5, Took: 2}},
+			decide.CounterUpdated{Name: 9007199254740993, Outcome: decide.OutcomeTimedOut, Total: 3.5, Duration: 2}},
 		{"Query", `{"Xid":"x","Tier":"p","DeadlineNs":5,"EntryPoints":3,"AgainByClient":true,"SizeUnits":2,"FromNo":1,"Mutates":true,"Type":"k","Account":"a"}`,
-			decide.Request{ID: "x", Class: "k", Plan: "p", Customer: "a", Units: 2, Deadline: 5, First: 1, Spread: 3, Again: true, Write: true}},
+			decide.Request{ID: "x", Class: "k", Plan: "p", Customer: "a", Units: 2, Deadline: 5, FirstGateway: 1, GatewayCount: 3, IsRetry: true, Mutates: true}},
 	} {
 		if got, err := parseEvent(c.m, []byte(c.raw)); err != nil || got != c.want {
 			t.Errorf("%s: got %#v, %v, want %#v", c.m, got, err, c.want)
@@ -140,17 +140,17 @@
 	}
 	got, err := parseEvent("Returned", []byte(`{"Xid":"x","Trial":1,"Server":"s","StateCode":6,"DurationNs":4,"Metered":86,"Actual":3,"ServerStats":{"recent_ms":2,"odd":1}}`))
 	e := got.(decide.AttemptEnded)
-	if err != nil || e.Outcome != decide.Reset || e.Metered != 86 || e.TrueUnits != 3 || e.Took != 4*time.Nanosecond ||
-		e.Report["latency_ms"] != 2 || e.Report["odd"] != 1 {
+	if err != nil || e.Outcome != decide.OutcomeReset || e.ReportedUsage != 86 || e.ActualUnits != 3 || e.Duration != 4*time.Nanosecond ||
+		e.LoadReport["latency_ms"] != 2 || e.LoadReport["odd"] != 1 {
 		t.Errorf("Returned: got %#v, %v", got, err)
 	}
 	got, err = parseEvent("Sampled", []byte(`{"Server":"s","StateCode":1,"ServerStats":{"utilization":0.5}}`))
-	if p := got.(decide.ProbeEnded); err != nil || p.Report["util"] != 0.5 {
+	if p := got.(decide.HealthCheckEnded); err != nil || p.LoadReport["util"] != 0.5 {
 		t.Errorf("Sampled: got %#v, %v", got, err)
 	}
 	got, err = parseEvent("PeersKnown", []byte(`{"Kind":"patch","Stamp":4,"NodesList":[{"StartTimeNs":6,"Model":"m","Az":"z","StageState":"LAME","Server":"s","Stripe":2,"CapacityHint":1.5}]}`))
-	if u := got.(decide.FleetUpdate); err != nil || u.Kind != decide.FleetDelta || len(u.Servers) != 1 ||
-		u.Servers[0] != (decide.Server{ID: "s", Zone: "z", Cell: 2, Kind: "m", State: decide.Draining, Started: 6, Weight: 1.5}) {
+	if u := got.(decide.EndpointUpdate); err != nil || u.Kind != decide.DeltaUpdate || len(u.Servers) != 1 ||
+		u.Servers[0] != (decide.Server{ID: "s", Zone: "z", Cell: 2, Kind: "m", State: decide.Draining, StartedAt: 6, Weight: 1.5}) {
 		t.Errorf("PeersKnown: got %#v, %v", got, err)
 	}
 }
--- a/decide/aims_test.go
+++ b/decide/aims_test.go
@@ -11,7 +11,7 @@
 	return newRig(t, func(c *Config) {
 		for i := range c.Classes {
 			k := &c.Classes[i]
-			k.Aim, k.Deadline = time.Duration(by*float64(k.Aim)), time.Duration(by*float64(k.Deadline))
+			k.LatencyObjective, k.Deadline = time.Duration(by*float64(k.LatencyObjective)), time.Duration(by*float64(k.Deadline))
 		}
 	})
 }
@@ -24,7 +24,7 @@
 		r := scaled(t, by)
 		aim := time.Duration(by * float64(time.Second))
 		id, s := r.send("get", "wide")
-		r.end(id, 0, s.Server, Cancelled)
+		r.end(id, 0, s.Server, OutcomeCancelled)
 		node := r.g.servers[s.Server]
 		if len(node.ghosts) != 1 {
 			t.Fatalf("aims times %g: no ghost of an attempt that was called off", by)
@@ -37,7 +37,7 @@
 		var advice time.Duration
 		for range 200 {
 			_, acts := r.ask("get", "small", "greedy", 1)
-			for _, a := range find[Refuse](acts) {
+			for _, a := range find[Reject](acts) {
 				advice = a.RetryAfter
 			}
 		}
@@ -61,7 +61,7 @@
 		ask := func(left time.Duration, again bool) []Action {
 			r.n++
 			return r.do(Request{ID: fmt.Sprint("q", r.n), Class: "get", Plan: "wide", Customer: "c", Units: 1, Deadline: r.now + left,
-				Spread: 3, Again: again})
+				GatewayCount: 3, IsRetry: again})
 		}
 		ask(3500*ms, false)
 		level := r.g.customers[shortKey("c")].level
@@ -70,7 +70,7 @@
 			t.Errorf("%v left, a repeat %v: sent on %v, want %v", c.left, c.again, got, c.sent)
 		}
 		for _, s := range find[Send](acts) {
-			if most := r.g.classes["get"].Aim - (4*time.Second - c.left); c.again && c.left < 3480*ms && s.Timeout > most {
+			if most := r.g.classes["get"].LatencyObjective - (4*time.Second - c.left); c.again && c.left < 3480*ms && s.Timeout > most {
 				t.Errorf("%v left, a repeat: waits %v for an answer, want %v at most", c.left, s.Timeout, most)
 			}
 		}
--- a/decide/alone_test.go
+++ b/decide/alone_test.go
@@ -17,11 +17,11 @@
 		ask        [2]float64 // requests a second of customers that ask for much and for little
 		most, fair float64    // of what is let in: times the quota of those, share of these
 	}{
-		{Plan{Name: "p", MaxOpen: 2}, [2]float64{30, 1}, 2, 0.35},
+		{Plan{Name: "p", MaxInFlight: 2}, [2]float64{30, 1}, 2, 0.35},
 		{Plan{Name: "p", Rate: 4, Burst: 8}, [2]float64{40, 1}, 2, 0.6},
 	} {
 		cfg := testConfig()
-		cfg.Plans, cfg.Limits.Peers, cfg.Gateways, cfg.MeterPeriod, cfg.SettledLater = []Plan{c.plan}, false, gateways, time.Second, false
+		cfg.Plans, cfg.Limits.Gossip, cfg.Gateways, cfg.UsageReportPeriod, cfg.SettledOnResponse = []Plan{c.plan}, false, gateways, time.Second, false
 		rng := rand.New(rand.NewSource(3))
 		var gws []*Gateway
 		for i := range gateways {
@@ -34,7 +34,7 @@
 			for n := range 40 {
 				servers = append(servers, Server{ID: fmt.Sprint("s", n), Zone: "a"})
 			}
-			g.Handle(0, FleetUpdate{Kind: FleetFull, Servers: servers})
+			g.Handle(0, EndpointUpdate{Kind: FullUpdate, Servers: servers})
 			gws = append(gws, g)
 		}
 		type answer struct {
@@ -50,15 +50,15 @@
 		for now := step; now < seconds*time.Second; now += step {
 			if now%time.Second == 0 {
 				for i := range customers {
-					if told[i] = 1 + 100*used[i]/max(c.plan.Rate, 1); c.plan.MaxOpen > 0 {
-						told[i] = 1 + 100*peak[i]/float64(c.plan.MaxOpen)
+					if told[i] = 1 + 100*used[i]/max(c.plan.Rate, 1); c.plan.MaxInFlight > 0 {
+						told[i] = 1 + 100*peak[i]/float64(c.plan.MaxInFlight)
 					}
 					peak[i], used[i] = out[i], 0
 				}
 			}
 			for _, a := range due[now] {
 				out[a.customer]--
-				gws[a.g].Handle(now, AttemptEnded{ID: a.id, Server: a.server, Outcome: OK, Took: service, Done: true, Metered: int(told[a.customer])})
+				gws[a.g].Handle(now, AttemptEnded{ID: a.id, Server: a.server, Outcome: OutcomeOK, Duration: service, RequestDone: true, ReportedUsage: int(told[a.customer])})
 			}
 			delete(due, now)
 			if now%(100*ms) == 0 {
@@ -71,7 +71,7 @@
 					g := rng.Intn(gateways)
 					id := fmt.Sprint(now, i, g, rng.Int())
 					acts := gws[g].Handle(now, Request{ID: id, Class: "get", Plan: "p", Customer: fmt.Sprint("c", i), Units: 1,
-						Deadline: now + 2*time.Second, Spread: gateways})
+						Deadline: now + 2*time.Second, GatewayCount: gateways})
 					late := now >= from*time.Second
 					asked[i%2] += float64(b2i(late))
 					for _, s := range find[Send](acts) {
@@ -87,7 +87,7 @@
 				}
 			}
 		}
-		quota := float64(c.plan.MaxOpen)
+		quota := float64(c.plan.MaxInFlight)
 		got := busy[0] / (customers / 2) / (seconds - from)
 		if c.plan.Rate > 0 {
 			quota, got = c.plan.Rate, let[0]/(customers/2)/(seconds-from)
--- a/decide/codec.go
+++ b/decide/codec.go
@@ -143,7 +143,7 @@
 	copy(w.v[:], v)
 	w.sights, w.seen = g.news.v, g.news.n
 	w.open, w.done = g.all.open, g.done.get(g.now)
-	g.do(Tell{to, w.text()})
+	g.do(SendGossip{to, w.text()})
 }
 
 // What peers tell all others: a head, and an entry for each customer of which something changed.
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -16,7 +16,7 @@
 		servers = append(servers, Server{ID: fmt.Sprint("s", i), Zone: "a"})
 	}
 	cfg := testConfig()
-	cfg.Limits.Peers = false // the quota is no matter here
+	cfg.Limits.Gossip = false // the quota is no matter here
 	cfg.Gateways = 300
 	cold, warm := 0, 0
 	for i := 0; i < cfg.Gateways; i++ {
@@ -25,27 +25,27 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.Handle(0, FleetUpdate{Kind: FleetFull, Servers: servers})
+		g.Handle(0, EndpointUpdate{Kind: FullUpdate, Servers: servers})
 		for n := 0; n < 30; n++ {
 			now := time.Duration(n+1) * 400 * ms
 			g.Handle(now, TimerFired{beatToken})
 			if n == 25 {
-				g.Handle(now, FleetUpdate{Kind: FleetDelta, Servers: []Server{{ID: "s0", Zone: "a", Started: now}}})
+				g.Handle(now, EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: "s0", Zone: "a", StartedAt: now}}})
 			}
 			id := fmt.Sprint(n)
 			for _, s := range find[Send](g.Handle(now, Request{ID: id, Class: "get", Plan: "wide", Customer: "x",
-				Units: 1, Deadline: now + time.Second, Spread: 1})) {
+				Units: 1, Deadline: now + time.Second, GatewayCount: 1})) {
 				if n >= 25 && s.Server == "s0" {
 					cold++
 				} else if n >= 25 {
 					warm++
 				}
-				g.Handle(now+50*ms, AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Took: 50 * ms, Done: true})
+				g.Handle(now+50*ms, AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: 50 * ms, RequestDone: true})
 			}
 		}
 	}
 	usual := float64(warm) / 19
-	if most := cfg.Safety.FallMultiple * 0.4 * usual; float64(cold) > most || cold == 0 {
+	if most := cfg.Safety.OverloadMultiple * 0.4 * usual; float64(cold) > most || cold == 0 {
 		t.Errorf("the cold server got %d in 2 s, a warm one %v: want some, %v at most", cold, usual, most)
 	}
 }
@@ -68,7 +68,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	g.Handle(f.now, FleetUpdate{Kind: FleetFull, Servers: servers})
+	g.Handle(f.now, EndpointUpdate{Kind: FullUpdate, Servers: servers})
 	f.gws[i] = g
 }
 
@@ -88,10 +88,10 @@
 		f.n++
 		id, g := fmt.Sprint(f.n), f.gws[rng.Intn(len(f.gws))]
 		for _, s := range find[Send](g.Handle(f.now, Request{ID: id, Class: "get", Plan: "wide", Customer: id, Units: 1,
-			Deadline: f.now + 2*time.Second, Spread: 1})) {
+			Deadline: f.now + 2*time.Second, GatewayCount: 1})) {
 			f.sent[s.Server]++
 			f.due[f.now+50*ms] = append(f.due[f.now+50*ms], func() {
-				g.Handle(f.now, AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Took: 50 * ms, Done: true})
+				g.Handle(f.now, AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: 50 * ms, RequestDone: true})
 			})
 		}
 	}
@@ -108,7 +108,7 @@
 		}{{"even", 1, 0}, {"burst", 2.4, 0}, {"restarts", 1, 0.3}} {
 			rng := rand.New(rand.NewSource(int64(gateways)))
 			cfg := testConfig()
-			cfg.Limits.Peers, cfg.Gateways = false, gateways // the quota is no matter here
+			cfg.Limits.Gossip, cfg.Gateways = false, gateways // the quota is no matter here
 			f := &coldFleet{t: t, cfg: cfg, gws: make([]*Gateway, gateways), due: map[time.Duration][]func(){}, sent: map[string]int{}}
 			var list []Server
 			for i := range servers {
@@ -120,25 +120,25 @@
 			for f.now < 15*time.Second {
 				f.step(rng, servers*perServer)
 			}
-			list[0].Started = f.now
+			list[0].StartedAt = f.now
 			for _, g := range f.gws {
-				g.Handle(f.now, FleetUpdate{Kind: FleetDelta, Servers: list[:1]})
+				g.Handle(f.now, EndpointUpdate{Kind: DeltaUpdate, Servers: list[:1]})
 			}
 			began, before := f.now, f.sent["s0"]
 			for f.now < began+4*time.Second {
 				from := f.sent["s0"]
-				for end := f.now + cfg.Safety.FallWindow; f.now < end; {
+				for end := f.now + cfg.Safety.OverloadWindow; f.now < end; {
 					f.step(rng, c.burst*servers*perServer)
 					if c.restart > 0 && rng.Float64() < c.restart*float64(gateways)/100 {
 						f.start(rng.Intn(gateways), list)
 					}
 				}
 				// A warm server of like size takes what it got before the burst.
-				can := cfg.Safety.ColdFrom + (1-cfg.Safety.ColdFrom)*float64(f.now-began-cfg.Safety.FallWindow)/float64(cfg.Safety.ColdFor)
-				n := cfg.Safety.FallMultiple * can * perServer * cfg.Safety.FallWindow.Seconds()
+				can := cfg.Safety.SlowStartCapacity + (1-cfg.Safety.SlowStartCapacity)*float64(f.now-began-cfg.Safety.OverloadWindow)/float64(cfg.Safety.SlowStartDuration)
+				n := cfg.Safety.OverloadMultiple * can * perServer * cfg.Safety.OverloadWindow.Seconds()
 				if got := float64(f.sent["s0"] - from); got > n+2*math.Sqrt(n)+2 {
 					t.Errorf("%d gateways, %s: the cold server got %.0f within %v at %v, want %.1f and chance at most", gateways, c.name, got,
-						cfg.Safety.FallWindow, f.now-began, n)
+						cfg.Safety.OverloadWindow, f.now-began, n)
 				}
 			}
 			if f.sent["s0"] == before {
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -113,24 +113,24 @@
 		g.do(SetTimer{g.now + g.beatEvery(), beatToken})
 	}
 	switch e := ev.(type) {
-	case FleetUpdate:
+	case EndpointUpdate:
 		g.fleet(e)
 	case Request:
 		g.request(e)
-	case AnswerStarted:
+	case ResponseStarted:
 		if a := g.attempt(e.ID, e.Attempt); a != nil {
 			g.requests[e.ID].streaming = true
 			a.server.lastGood = g.now
 		}
 	case AttemptEnded:
 		g.ended(e)
-	case ClientGone:
+	case ClientDisconnected:
 		g.finish(g.requests[e.ID])
 	case TimerFired:
 		g.timer(e.Token)
-	case PeerMessage:
+	case GossipReceived:
 		g.heard(e)
-	case Terms:
+	case PlanChange:
 		g.newTerms(e)
 	}
 	return g.out
@@ -205,13 +205,13 @@
 	}
 	if r.why = c.lacks(r.units); r.why == "" && c.plan.CeilingRate > 0 && // an even slice, empty at a start
 		c.store+slackPart*c.plan.CeilingSlack/float64(c.spread) < r.units {
-		r.why = OverTop
+		r.why = ReasonOverCeiling
 	}
 	if g.alone(c) {
 		c.asks = 1 + c.asks*math.Exp(-(g.now-c.askedAt).Seconds()/demandFor.Seconds())
 		c.askedAt = g.now
 		if r.why == "" && g.rng.Float64()*g.demand(c) >= 1 {
-			r.why = OverMark
+			r.why = ReasonOverQuota
 		}
 	}
 	return r.why == ""
@@ -219,7 +219,7 @@
 
 // alone reports that a customer's gateways hear nothing of each other but by the meter.
 func (g *Gateway) alone(c *customer) bool {
-	return g.cfg.MeterPeriod > 0 && c.spread > 1 && g.mesh && len(g.peers) == 0
+	return g.cfg.UsageReportPeriod > 0 && c.spread > 1 && g.mesh && len(g.peers) == 0
 }
 
 // demand is what a customer asks for over what its quota allows, as the meter tells of all gateways. Its
@@ -234,12 +234,12 @@
 
 // lacks tells what of this gateway's part, of rate or cap, does not bear the units. Its part of the cap on
 // attempts out is rounded down, though one may always be out: rounded up, all gateways are far beyond it.
-func (c *customer) lacks(units float64) Reason {
+func (c *customer) lacks(units float64) RejectReason {
 	switch {
 	case c.plan.Rate > 0 && c.level+c.part*units > c.part*c.plan.Burst:
-		return OverMark
-	case c.plan.MaxOpen > 0 && float64(c.open) >= max(1, math.Floor(c.part*float64(c.plan.MaxOpen))):
-		return OverCap
+		return ReasonOverQuota
+	case c.plan.MaxInFlight > 0 && float64(c.open) >= max(1, math.Floor(c.part*float64(c.plan.MaxInFlight))):
+		return ReasonTooManyInFlight
 	}
 	return ""
 }
@@ -250,7 +250,7 @@
 	if was := g.demand(c); g.alone(c) && c.asks > 0 {
 		gain := min(1, float64(g.now-c.demandAt)/float64(meterStale))
 		if c.plan.Rate > 0 { // a burst is no more than the mark bears
-			gain *= min(1, g.cfg.MeterPeriod.Seconds()*c.plan.Rate/c.plan.Burst)
+			gain *= min(1, g.cfg.UsageReportPeriod.Seconds()*c.plan.Rate/c.plan.Burst)
 		}
 		let := min(1, 1/was) // of what it asked for, while that was metered
 		c.demand = max(demandLeast, was+gain*(float64(percent-1)/100/let-was))
@@ -279,7 +279,7 @@
 // they have leaked at the new rate, under a higher one only the difference is new, and a change there and
 // back gives nothing. Without a rate nothing leaks, so a level from then counts up to the mark. Attempts out
 // go on and count under the new cap, a home's grants stay. A store under a ceiling is cut, never filled.
-func (g *Gateway) newTerms(e Terms) {
+func (g *Gateway) newTerms(e PlanChange) {
 	no, ok := g.plans[e.Plan.Name]
 	if !ok || e.Plan.validate("Terms") != nil {
 		return
@@ -295,7 +295,7 @@
 	if c.plan, c.planNo = &t.Plan, no; !had {
 		c.level, c.whole = min(c.level, c.part*c.plan.Burst), min(c.whole, c.plan.Burst)
 	}
-	c.level, c.whole = max(0, c.level-e.Return), max(0, c.whole-e.Return)
+	c.level, c.whole = max(0, c.level-e.ReturnedUnits), max(0, c.whole-e.ReturnedUnits)
 	g.leak(c)
 }
 
@@ -303,14 +303,14 @@
 
 // tellsAll reports whether the intake lets every gateway tell every other often enough.
 func (g *Gateway) tellsAll() bool {
-	return !g.cfg.Limits.Peers || intakePart*g.cfg.PeerIntake >= meshPace*float64(g.cfg.Gateways-1)
+	return !g.cfg.Limits.Gossip || intakePart*g.cfg.GossipCapacity >= meshPace*float64(g.cfg.Gateways-1)
 }
 
 func (g *Gateway) beatEvery() time.Duration {
 	if !g.mesh {
 		return homeBeat
 	}
-	perS := intakePart * g.cfg.PeerIntake / float64(max(1, g.cfg.Gateways-1))
+	perS := intakePart * g.cfg.GossipCapacity / float64(max(1, g.cfg.Gateways-1))
 	return time.Duration(float64(time.Second) / max(perS, 1))
 }
 
@@ -332,7 +332,7 @@
 			continue
 		}
 		p.sent, p.mySeq = g.now, (p.mySeq+1)%4096
-		g.do(Tell{i, g.message(i, p)})
+		g.do(SendGossip{i, g.message(i, p)})
 	}
 	g.forgetGone()
 	g.survey()
@@ -355,7 +355,7 @@
 
 // heard takes a peer's message. Totals make lost and repeated messages harmless, the number makes late
 // ones so, the epoch a restart of the peer.
-func (g *Gateway) heard(e PeerMessage) {
+func (g *Gateway) heard(e GossipReceived) {
 	epoch, seq, ok := parseHead(e.Text)
 	other := e.From >= 0 && e.From < g.cfg.Gateways && e.From != g.cfg.Rank
 	if other && !g.mesh {
@@ -458,7 +458,7 @@
 	r.asking = false
 	g.leak(c)
 	if r.why = c.lacks(r.units); c.plan.CeilingRate > 0 {
-		r.why = OverTop
+		r.why = ReasonOverCeiling
 	}
 	g.decide(r, r.why == "")
 }
@@ -493,23 +493,23 @@
 	c.grants = slices.DeleteFunc(c.grants, func(d grant) bool { return g.now-d.at > grantsKept })
 	c.fleet.add(g.now, units)
 	ok = (c.plan.Rate == 0 || c.whole+units <= c.plan.Burst) &&
-		(c.plan.MaxOpen == 0 || out < c.plan.MaxOpen) && (c.plan.CeilingRate == 0 || c.store >= units)
+		(c.plan.MaxInFlight == 0 || out < c.plan.MaxInFlight) && (c.plan.CeilingRate == 0 || c.store >= units)
 	if ok {
 		c.whole += units
 		c.store -= units
 	}
-	if !ok && g.askRate.get(g.now) > askIntake*g.cfg.PeerIntake {
+	if !ok && g.askRate.get(g.now) > askIntake*g.cfg.GossipCapacity {
 		c.wait = min(waitMost.Seconds(), max(c.wait, waitLeast)*waitGrow)
 	} else {
 		c.wait *= waitShrink
 	}
-	c.grants = append(c.grants, grant{from, no, g.now, ok, ok && c.plan.MaxOpen > 0})
+	c.grants = append(c.grants, grant{from, no, g.now, ok, ok && c.plan.MaxInFlight > 0})
 	return ok, c.wait
 }
 
 // tellEnd settles a request with the home that granted it: true units, and that its attempt is over.
 func (g *Gateway) tellEnd(r *request, more float64) {
-	if r.granted < 0 || (more == 0 && r.cust.plan.MaxOpen == 0) {
+	if r.granted < 0 || (more == 0 && r.cust.plan.MaxInFlight == 0) {
 		return
 	}
 	if r.granted == g.cfg.Rank {
@@ -584,24 +584,24 @@
 
 // ---- Choice and health of servers.
 
-func (g *Gateway) fleet(e FleetUpdate) {
-	if e.Kind == FleetFailed {
+func (g *Gateway) fleet(e EndpointUpdate) {
+	if e.Kind == FailedUpdate {
 		return
 	}
 	listed := map[string]bool{}
 	for _, s := range e.Servers {
 		listed[s.ID] = true
-		g.listed(s, e.Kind == FleetStale)
+		g.listed(s, e.Kind == StaleUpdate)
 	}
 	g.serving = 0
 	for _, s := range g.order {
-		if e.Kind != FleetDelta && !listed[s.ID] {
-			s.State = Gone
+		if e.Kind != DeltaUpdate && !listed[s.ID] {
+			s.State = Removed
 		}
 		switch s.State {
 		case Serving:
 			g.serving++
-		case Gone:
+		case Removed:
 			g.leaving = true
 		}
 	}
@@ -610,13 +610,13 @@
 
 func (g *Gateway) listed(e Server, stale bool) {
 	s := g.server(e.ID)
-	if e.Started > s.Started && e.Started+g.cfg.Safety.ColdFor > g.now {
-		s.coldUntil, s.budget, s.budgetAt = e.Started+g.cfg.Safety.ColdFor, g.rng.Float64(), g.now
+	if e.StartedAt > s.StartedAt && e.StartedAt+g.cfg.Safety.SlowStartDuration > g.now {
+		s.coldUntil, s.budget, s.budgetAt = e.StartedAt+g.cfg.Safety.SlowStartDuration, g.rng.Float64(), g.now
 		s.slow = 1
 		clear(s.miss)
 		g.uses(s)
-	} else if e.Started > 0 && e.Started < s.Started { // it is older than was known at first
-		s.coldUntil = min(s.coldUntil, e.Started+g.cfg.Safety.ColdFor)
+	} else if e.StartedAt > 0 && e.StartedAt < s.StartedAt { // it is older than was known at first
+		s.coldUntil = min(s.coldUntil, e.StartedAt+g.cfg.Safety.SlowStartDuration)
 	}
 	s.Server = e
 }
@@ -629,7 +629,7 @@
 // base is a class's usual time. A long one fades without new answers: once it makes every request hopeless,
 // none come, and the gateway would turn the class away for good. It guards against any spell that ended.
 func (g *Gateway) base(k *class) float64 {
-	first := firstGuess * k.Aim.Seconds()
+	first := firstGuess * k.LatencyObjective.Seconds()
 	return min(k.base, first+(k.base-first)*math.Exp(-(g.now-k.at).Seconds()/g.memory()))
 }
 
@@ -696,9 +696,9 @@
 // within the multiple without agreement.
 func (g *Gateway) coldRate(s *server) float64 {
 	warm := g.all.sends / max(g.all.warm, 1)
-	f := g.cfg.Safety.ColdFrom
-	age := 1 - (s.coldUntil-g.now).Seconds()/g.cfg.Safety.ColdFor.Seconds()
-	return coldMargin * g.cfg.Safety.FallMultiple * (f + (1-f)*age) * warm
+	f := g.cfg.Safety.SlowStartCapacity
+	age := 1 - (s.coldUntil-g.now).Seconds()/g.cfg.Safety.SlowStartDuration.Seconds()
+	return coldMargin * g.cfg.Safety.OverloadMultiple * (f + (1-f)*age) * warm
 }
 
 // survey sums up the servers, by those that were used of late or are cold: of thousands a gateway uses few.
@@ -796,23 +796,24 @@
 	}
 	k, planNo, ok := g.classes[e.Class], 0, false
 	if planNo, ok = g.plans[e.Plan]; k == nil || !ok {
-		g.do(Refuse{ID: e.ID, Reason: NotOffered})
+		g.do(Reject{ID: e.ID, Reason: ReasonUnknownClassOrPlan})
 		return
 	}
-	r := &request{Request: e, class: k, units: max(0, e.Units), until: e.Deadline, why: OverMark}
-	if k.LateWorth == 0 && !k.Stream && k.AimStretch == 0 {
-		r.until = min(e.Deadline, g.now+max(0, k.Aim-aimMargin-g.age(k, e)))
+	r := &request{Request: e, class: k, units: max(0, e.Units), until: e.Deadline, why: ReasonOverQuota}
+	if k.LateWeight == 0 && !k.Streaming && k.ObjectiveStretch == 0 {
+		r.until = min(e.Deadline, g.now+max(0, k.LatencyObjective-aimMargin-g.age(k, e)))
 	}
 	c := g.customer(shortKey(e.Customer), planNo)
-	if e.Spread > 0 && e.Spread <= g.cfg.Gateways && (c.spread != e.Spread || c.first != e.First) {
-		c.first, c.spread = e.First%g.cfg.Gateways, e.Spread
+	if e.GatewayCount > 0 && e.GatewayCount <= g.cfg.Gateways &&
+		(c.spread != e.GatewayCount || c.first != e.FirstGateway) {
+		c.first, c.spread = e.FirstGateway%g.cfg.Gateways, e.GatewayCount
 		c.store = min(c.store, c.plan.CeilingBurst/float64(c.spread))
 	}
 	r.cust, r.granted = c, -1
 	g.requests[e.ID] = r
 	switch {
-	case r.until <= g.now && e.Again:
-		r.why = Hopeless
+	case r.until <= g.now && e.IsRetry:
+		r.why = ReasonDeadlineUnreachable
 		g.decide(r, false)
 	case e.Reserved:
 		g.decide(r, true)
@@ -820,7 +821,7 @@
 		g.decide(r, g.admit(c, r))
 	case c.shut > g.now || g.shed(r): // a home is not asked in vain
 		if c.asked.add(g.now, r.units); c.shut <= g.now {
-			r.why = Shed
+			r.why = ReasonLoadShed
 		}
 		g.decide(r, false)
 	default:
@@ -839,7 +840,7 @@
 // and clients that repeat for long; it could harm where clients give their tries unequal times.
 func (g *Gateway) age(k *class, e Request) time.Duration {
 	left := e.Deadline - g.now
-	if e.Again {
+	if e.IsRetry {
 		if k.left-left > leftNoise {
 			return max(0, k.Deadline-left)
 		}
@@ -861,11 +862,11 @@
 	switch {
 	case !room:
 	case s == nil:
-		r.why = NoServer
+		r.why = ReasonNoServer
 	case cost > shedTo*(r.until-g.now).Seconds():
-		r.why, s = Hopeless, nil
+		r.why, s = ReasonDeadlineUnreachable, nil
 	case (g.mesh || r.Reserved) && g.shed(r):
-		r.why, s = Shed, nil
+		r.why, s = ReasonLoadShed, nil
 	}
 	if s == nil {
 		r.more = -r.units
@@ -907,7 +908,7 @@
 
 // shed decides whether the wait is too long for what the request is worth.
 func (g *Gateway) shed(r *request) bool {
-	value := r.class.Worth * r.cust.plan.Price * r.units / max(r.class.base, 1e-6)
+	value := r.class.PriorityWeight * r.cust.plan.PriorityWeight * r.units / max(r.class.base, 1e-6)
 	g.value += 0.01 * (value - g.value)
 	bears := shedFrom + (1-shedFrom)*min(1, value/max(g.value, 1e-9))
 	if r.Reserved {
@@ -916,8 +917,8 @@
 	return g.pressed() > bears
 }
 
-func (g *Gateway) refuse(id string, why Reason) {
-	a := Refuse{ID: id, Reason: why}
+func (g *Gateway) refuse(id string, why RejectReason) {
+	a := Reject{ID: id, Reason: why}
 	if g.cfg.Limits.RetryAfter {
 		a.RetryAfter = min(g.cfg.Limits.MaxRetryAfter, g.aims(retryAdvice))
 	}
@@ -968,10 +969,10 @@
 		}
 		return
 	}
-	if r.finished || r.streaming || g.budget < 1 || r.class.Effect == Unsafe {
+	if r.finished || r.streaming || g.budget < 1 || r.class.Idempotency == NotIdempotent {
 		return
 	}
-	if !g.cfg.Limits.Parallel {
+	if !g.cfg.Limits.Hedging {
 		if g.cfg.Limits.Cancel {
 			g.do(Cancel{r.ID, a.n}) // its end, as Cancelled, brings the next attempt
 		}
@@ -984,7 +985,7 @@
 // price, allow one. The budget guards servers against work done twice; where none got any, the next attempt
 // is free. This should catch servers that are down, full of connections or behind a cut link.
 func (g *Gateway) again(r *request, last *server, price float64) bool {
-	most, overlaps := g.cfg.Limits.MaxAttempts, r.out > 0 && !g.cfg.Limits.Parallel
+	most, overlaps := g.cfg.Limits.MaxAttempts, r.out > 0 && !g.cfg.Limits.Hedging
 	if g.budget < price || len(r.attempts) >= most || overlaps {
 		return false
 	}
@@ -1009,31 +1010,31 @@
 	g.all.open--
 	r.cust.open--
 	g.judge(r, a, e)
-	if e.TrueUnits > 0 && g.cfg.SettledLater && !r.Reserved {
-		g.charge(r.cust, e.TrueUnits-r.units)
-		r.more += e.TrueUnits - r.units
-		r.units = e.TrueUnits
+	if e.ActualUnits > 0 && g.cfg.SettledOnResponse && !r.Reserved {
+		g.charge(r.cust, e.ActualUnits-r.units)
+		r.more += e.ActualUnits - r.units
+		r.units = e.ActualUnits
 	}
-	if e.Metered > 0 {
-		g.meter(r.cust, e.Metered)
+	if e.ReportedUsage > 0 {
+		g.meter(r.cust, e.ReportedUsage)
 	}
-	if e.Done {
+	if e.RequestDone {
 		g.finish(r)
 	}
 	if r.finished {
 		g.forget(r)
 		return
 	}
-	if e.Outcome == Moot && len(r.attempts) == 1 && !r.Reserved {
+	if e.Outcome == OutcomeNotDispatched && len(r.attempts) == 1 && !r.Reserved {
 		g.charge(r.cust, -r.units) // nothing was sent, so the quota took nothing
 		r.cust.store += r.units
 		r.more = -r.units
 	}
 	price := 1.0
-	if e.Outcome == NoConnection {
+	if e.Outcome == OutcomeConnectFailed {
 		price = 0 // it cost no server anything
 	}
-	if r.out > 0 || (e.Outcome != Moot && g.again(r, a.server, price)) {
+	if r.out > 0 || (e.Outcome != OutcomeNotDispatched && g.again(r, a.server, price)) {
 		return
 	}
 	g.giveUp(r)
@@ -1043,24 +1044,24 @@
 func (g *Gateway) judge(r *request, a *attempt, e AttemptEnded) {
 	s := a.server
 	switch e.Outcome {
-	case OK:
+	case OutcomeOK:
 		s.lastGood = g.now
 		g.done.add(g.now, 1)
 		before := len(s.ghosts)
 		s.ghosts = slices.DeleteFunc(s.ghosts, func(at time.Duration) bool { return at < a.at })
 		g.all.open -= float64(before - len(s.ghosts))
-		g.saw(s, r.class, e.Took, false)
-	case Error:
-		g.saw(s, r.class, e.Took, true)
+		g.saw(s, r.class, e.Duration, false)
+	case OutcomeError:
+		g.saw(s, r.class, e.Duration, true)
 		s.lastGood = g.now
-	case Full:
-		g.saw(s, r.class, e.Took, true)
+	case OutcomeRejected:
+		g.saw(s, r.class, e.Duration, true)
 		s.lastGood = g.now
-	case NoConnection, Reset:
-		g.saw(s, r.class, e.Took, true)
-	case TimedOut, Cancelled:
-		if e.Outcome == TimedOut {
-			g.saw(s, r.class, e.Took, true)
+	case OutcomeConnectFailed, OutcomeReset:
+		g.saw(s, r.class, e.Duration, true)
+	case OutcomeTimedOut, OutcomeCancelled:
+		if e.Outcome == OutcomeTimedOut {
+			g.saw(s, r.class, e.Duration, true)
 		}
 		s.ghosts = append(s.ghosts, a.at)
 		g.all.open++
@@ -1073,12 +1074,13 @@
 // may have run.
 func (g *Gateway) mayRepeatAt(r *request, s *server) bool {
 	for _, a := range r.attempts {
-		if r.class.Effect == Safe || !a.ran {
+		if r.class.Idempotency == Idempotent || !a.ran {
 			continue
 		}
-		same := r.class.Group == GroupAll || (r.class.Group == GroupZone && s.Zone == a.server.Zone) ||
-			(r.class.Group == GroupCell && s.Cell == a.server.Cell)
-		if r.class.Effect == Unsafe || !same || g.now-a.at >= r.class.Window-aimMargin {
+		same := r.class.DedupScope == DedupInFleet ||
+			(r.class.DedupScope == DedupInZone && s.Zone == a.server.Zone) ||
+			(r.class.DedupScope == DedupInCell && s.Cell == a.server.Cell)
+		if r.class.Idempotency == NotIdempotent || !same || g.now-a.at >= r.class.DedupWindow-aimMargin {
 			return false
 		}
 	}
@@ -1089,8 +1091,8 @@
 // window after the first attempt that may have run; one written later runs again. 0: no such bound.
 func (r *request) repeatBefore() time.Duration {
 	for _, a := range r.attempts[:len(r.attempts)-1] {
-		if a.ran && r.class.Effect == Keyed {
-			return a.at + r.class.Window - aimMargin
+		if a.ran && r.class.Idempotency == IdempotentByKey {
+			return a.at + r.class.DedupWindow - aimMargin
 		}
 	}
 	return 0
@@ -1099,10 +1101,10 @@
 // giveUp gives the final answer: a refusal where that may be promised, else a failure.
 func (g *Gateway) giveUp(r *request) {
 	mayRun := func(a *attempt) bool { return a.ran }
-	promise := r.class.Effect == Safe || !slices.ContainsFunc(r.attempts, mayRun) ||
-		(r.class.Effect == Keyed && r.class.Group == GroupAll)
+	promise := r.class.Idempotency == Idempotent || !slices.ContainsFunc(r.attempts, mayRun) ||
+		(r.class.Idempotency == IdempotentByKey && r.class.DedupScope == DedupInFleet)
 	if promise && r.out == 0 {
-		g.refuse(r.ID, InVain)
+		g.refuse(r.ID, ReasonNeverExecuted)
 	} else {
 		g.do(Fail{r.ID})
 	}
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -13,22 +13,22 @@
 const ms = time.Millisecond
 
 func testConfig() Config {
-	return Config{Gateways: 3, Zone: "a", PeerIntake: 40, MaxUnits: 8, SettledLater: true,
+	return Config{Gateways: 3, Zone: "a", GossipCapacity: 40, MaxUnits: 8, SettledOnResponse: true,
 		Classes: []Class{
-			{Name: "get", Effect: Safe, Aim: time.Second, Deadline: 4 * time.Second, Worth: 1},
-			{Name: "put", Effect: Keyed, Group: GroupCell, Window: 2 * time.Second, Aim: time.Second,
-				Deadline: 4 * time.Second, Worth: 2},
-			{Name: "putall", Effect: Keyed, Group: GroupAll, Window: 2 * time.Second, Aim: time.Second,
-				Deadline: 4 * time.Second, Worth: 2},
-			{Name: "pay", Effect: Unsafe, Aim: time.Second, Deadline: 4 * time.Second, Worth: 2}},
+			{Name: "get", Idempotency: Idempotent, LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1},
+			{Name: "put", Idempotency: IdempotentByKey, DedupScope: DedupInCell, DedupWindow: 2 * time.Second, LatencyObjective: time.Second,
+				Deadline: 4 * time.Second, PriorityWeight: 2},
+			{Name: "putall", Idempotency: IdempotentByKey, DedupScope: DedupInFleet, DedupWindow: 2 * time.Second, LatencyObjective: time.Second,
+				Deadline: 4 * time.Second, PriorityWeight: 2},
+			{Name: "pay", Idempotency: NotIdempotent, LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 2}},
 		Plans: []Plan{
-			{Name: "wide", Rate: 1000, Burst: 3000, Price: 1},
-			{Name: "small", Rate: 3, Burst: 12, Price: 1},
-			{Name: "hard", Rate: 30, Burst: 60, CeilingRate: 30, CeilingBurst: 60, CeilingSlack: 6, Price: 1},
-			{Name: "open", MaxOpen: 3, Price: 1}},
-		Limits: Limits{MaxAttempts: 3, Cancel: true, Peers: true, RetryAfter: true, MaxRetryAfter: time.Second},
-		Safety: Safety{AnswerSlack: 16 * ms, ColdFrom: 0.2, ColdFor: 10 * time.Second, FallMultiple: 2,
-			FallWindow: time.Second}}
+			{Name: "wide", Rate: 1000, Burst: 3000, PriorityWeight: 1},
+			{Name: "small", Rate: 3, Burst: 12, PriorityWeight: 1},
+			{Name: "hard", Rate: 30, Burst: 60, CeilingRate: 30, CeilingBurst: 60, CeilingSlack: 6, PriorityWeight: 1},
+			{Name: "open", MaxInFlight: 3, PriorityWeight: 1}},
+		Limits: Limits{MaxAttempts: 3, Cancel: true, Gossip: true, RetryAfter: true, MaxRetryAfter: time.Second},
+		Safety: Safety{AnswerSlack: 16 * ms, SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 2,
+			OverloadWindow: time.Second}}
 }
 
 // rig drives a gateway by hand.
@@ -53,7 +53,7 @@
 		servers = []Server{{ID: "s1", Zone: "a"}, {ID: "s2", Zone: "a"}, {ID: "s3", Zone: "a", Cell: 1}}
 	}
 	r := &rig{t: t, g: g, now: time.Hour}
-	r.do(FleetUpdate{Kind: FleetStale, Servers: servers})
+	r.do(EndpointUpdate{Kind: StaleUpdate, Servers: servers})
 	return r
 }
 
@@ -63,7 +63,7 @@
 	r.n++
 	id := fmt.Sprint("q", r.n)
 	return id, r.do(Request{ID: id, Class: class, Plan: plan, Customer: customer, Units: units,
-		Deadline: r.now + 2*time.Second, Spread: 3})
+		Deadline: r.now + 2*time.Second, GatewayCount: 3})
 }
 
 func find[A Action](acts []Action) (out []A) {
@@ -91,13 +91,13 @@
 	id, acts := r.ask(class, plan, customer, units)
 	s := find[Send](acts)
 	if len(s) == 1 {
-		r.end(id, 0, s[0].Server, OK)
+		r.end(id, 0, s[0].Server, OutcomeOK)
 	}
 	return len(s) == 1
 }
 
 func (r *rig) end(id string, n int, server string, o Outcome) []Action {
-	return r.do(AttemptEnded{ID: id, Attempt: n, Server: server, Outcome: o, Took: 20 * ms, Done: o == OK})
+	return r.do(AttemptEnded{ID: id, Attempt: n, Server: server, Outcome: o, Duration: 20 * ms, RequestDone: o == OutcomeOK})
 }
 
 func TestBucket(t *testing.T) {
@@ -130,19 +130,19 @@
 	id, s := r.send("get", "wide")
 	c := r.g.customers[shortKey("c")]
 	before := c.level
-	r.do(AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Took: ms, Done: true, TrueUnits: 6})
+	r.do(AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: ms, RequestDone: true, ActualUnits: 6})
 	if got := c.level - before; got != 5 {
 		t.Errorf("settling 1 unit to 6 moved the level by %v, want 5", got)
 	}
 	id, s = r.send("get", "wide")
 	before = c.level
-	r.end(id, 0, s.Server, Moot)
+	r.end(id, 0, s.Server, OutcomeNotDispatched)
 	if got := before - c.level; got != 1 {
 		t.Errorf("a moot send gave back %v, want 1", got)
 	}
 	id, _ = r.send("pay", "wide")
 	before = c.level
-	r.end(id, 0, "s1", Error)
+	r.end(id, 0, "s1", OutcomeError)
 	if c.level != before {
 		t.Errorf("a failed send moved the level from %v to %v, want it kept", before, c.level)
 	}
@@ -170,9 +170,9 @@
 	r := newRig(t, nil)
 	r.ask("get", "wide", "x", 100)
 	c := r.g.customers[shortKey("x")]
-	r.do(PeerMessage{From: 1, Text: message(1, 1, entry("x", 0, 0, 0, 0))})
-	r.do(PeerMessage{From: 2, Text: message(1, 1)})
-	r.do(PeerMessage{From: 1, Text: message(1, 2, entry("x", 0, 0, 900, 0))})
+	r.do(GossipReceived{From: 1, Text: message(1, 1, entry("x", 0, 0, 0, 0))})
+	r.do(GossipReceived{From: 2, Text: message(1, 1)})
+	r.do(GossipReceived{From: 1, Text: message(1, 2, entry("x", 0, 0, 900, 0))})
 	r.g.leak(c)
 	if math.Abs(c.part-1.0/3) > 1e-9 {
 		t.Errorf("part is %v with a tenth of the demand, want the even floor", c.part)
@@ -192,15 +192,15 @@
 
 func TestToldUseSettlesTheLevel(t *testing.T) {
 	r := newRig(t, nil)
-	r.do(PeerMessage{From: 1, Text: message(1, 1, entry("x", 1, 0, 0, 0))})
-	r.do(PeerMessage{From: 2, Text: message(1, 1)})
+	r.do(GossipReceived{From: 1, Text: message(1, 1, entry("x", 1, 0, 0, 0))})
+	r.do(GossipReceived{From: 2, Text: message(1, 1)})
 	_, acts := r.ask("get", "small", "x", 1)
 	if len(find[Send](acts)) != 1 {
 		t.Fatalf("refused though all peers told that nothing was used: %#v", acts)
 	}
 	r.now += 100 * ms
-	r.do(PeerMessage{From: 1, Text: message(1, 2, entry("x", 1, 12, 12, 0))})
-	r.do(PeerMessage{From: 2, Text: message(1, 2)})
+	r.do(GossipReceived{From: 1, Text: message(1, 2, entry("x", 1, 12, 12, 0))})
+	r.do(GossipReceived{From: 2, Text: message(1, 2)})
 	if _, acts = r.ask("get", "small", "x", 1); len(find[Send](acts)) != 0 {
 		t.Errorf("sent on though a peer told that the whole burst is used")
 	}
@@ -212,10 +212,10 @@
 
 func TestPeerMessagesDoNoHarm(t *testing.T) {
 	r := newRig(t, nil)
-	r.do(PeerMessage{From: 1, Text: message(1, 5, entry("x", 1, 0, 0, 0))})
-	r.do(PeerMessage{From: 1, Text: message(1, 6, entry("x", 1, 4, 4, 0))})
+	r.do(GossipReceived{From: 1, Text: message(1, 5, entry("x", 1, 0, 0, 0))})
+	r.do(GossipReceived{From: 1, Text: message(1, 6, entry("x", 1, 4, 4, 0))})
 	c := r.g.customers[shortKey("x")]
-	for _, e := range []PeerMessage{
+	for _, e := range []GossipReceived{
 		{From: 1, Text: message(1, 6, entry("x", 1, 4, 4, 0))},  // again
 		{From: 1, Text: message(1, 5, entry("x", 1, 0, 0, 0))},  // late
 		{From: 0, Text: message(1, 9, entry("x", 1, 9, 9, 0))},  // own rank
@@ -231,9 +231,9 @@
 			t.Fatalf("after %#v the whole bucket holds %v, want 4", e, c.whole)
 		}
 	}
-	r.do(PeerMessage{From: 1, Text: message(1, 7, entry("y", 60, 9, 9, 0))}) // plan unknown here
+	r.do(GossipReceived{From: 1, Text: message(1, 7, entry("y", 60, 9, 9, 0))}) // plan unknown here
 	// A new life of the peer counts from 0 again, and all that it used since is news.
-	r.do(PeerMessage{From: 1, Text: message(2, 1, entry("x", 1, 3, 3, 0))})
+	r.do(GossipReceived{From: 1, Text: message(2, 1, entry("x", 1, 3, 3, 0))})
 	if c.whole != 7 {
 		t.Errorf("after the peer's restart the whole bucket holds %v, want 7", c.whole)
 	}
@@ -241,8 +241,8 @@
 
 func TestRestartLearnsWhatPeersKnow(t *testing.T) {
 	r := newRig(t, nil)
-	r.do(PeerMessage{From: 1, Text: message(1, 40, entry("x", 1, 700, 800, 30))})
-	r.do(PeerMessage{From: 2, Text: message(3, 50)})
+	r.do(GossipReceived{From: 1, Text: message(1, 40, entry("x", 1, 700, 800, 30))})
+	r.do(GossipReceived{From: 2, Text: message(3, 50)})
 	if _, acts := r.ask("get", "small", "x", 1); len(find[Send](acts)) != 0 {
 		t.Error("a restarted gateway sent on though its peers told that the burst is used up")
 	}
@@ -256,7 +256,7 @@
 	told := map[int]int{}
 	for i := 0; i < 20; i++ {
 		r.now += 200 * ms
-		for _, m := range find[Tell](r.do(TimerFired{beatToken})) {
+		for _, m := range find[SendGossip](r.do(TimerFired{beatToken})) {
 			if len(m.Text) > maxMessage {
 				t.Fatalf("message of %d bytes, want %d at most", len(m.Text), maxMessage)
 			}
@@ -271,21 +271,21 @@
 func TestOpenCap(t *testing.T) {
 	r := newRig(t, nil)
 	r.send("get", "open")
-	if _, acts := r.ask("get", "open", "c", 1); len(find[Refuse](acts)) != 1 {
+	if _, acts := r.ask("get", "open", "c", 1); len(find[Reject](acts)) != 1 {
 		t.Errorf("a second attempt out with a third of 3: got %#v, want Refuse", acts)
 	}
-	r.end("q1", 0, "s1", OK)
+	r.end("q1", 0, "s1", OutcomeOK)
 	r.send("get", "open")
 }
 
 // TestOpenCapIsRoundedDown: of a cap of four three gateways may not have two out each, yet one each.
 func TestOpenCapIsRoundedDown(t *testing.T) {
-	r := newRig(t, func(c *Config) { c.Plans[3].MaxOpen = 4 })
+	r := newRig(t, func(c *Config) { c.Plans[3].MaxInFlight = 4 })
 	r.send("get", "open")
-	if _, acts := r.ask("get", "open", "c", 1); len(find[Refuse](acts)) != 1 {
+	if _, acts := r.ask("get", "open", "c", 1); len(find[Reject](acts)) != 1 {
 		t.Errorf("a second attempt out with a third of 4: got %#v, want Refuse", acts)
 	}
-	r = newRig(t, func(c *Config) { c.Plans[3].MaxOpen = 2 })
+	r = newRig(t, func(c *Config) { c.Plans[3].MaxInFlight = 2 })
 	r.send("get", "open") // a third of 2 is less than one, but one may always be out
 }
 
@@ -299,7 +299,7 @@
 		id, acts := r.ask("get", "hard", "x", 4)
 		if s := find[Send](acts); len(s) == 1 {
 			sent += 4
-			r.end(id, 0, s[0].Server, OK)
+			r.end(id, 0, s[0].Server, OutcomeOK)
 		}
 		if most := 10*(r.now-start).Seconds() + 2; sent > most+1e-6 {
 			t.Fatalf("passed on %v by %v, want a third of the ceiling: %v", sent, r.now-start, most)
@@ -317,11 +317,11 @@
 		again   bool // a further attempt is allowed
 		refuse  bool // else: a refusal is allowed
 	}{
-		{"get", Error, true, true}, {"get", TimedOut, true, true}, {"get", Full, true, true},
-		{"put", Error, true, false}, {"put", Full, true, true}, {"put", Reset, true, false},
-		{"putall", Error, true, true}, {"putall", NoConnection, true, true},
-		{"pay", Error, false, false}, {"pay", TimedOut, false, false}, {"pay", Reset, false, false},
-		{"pay", Cancelled, false, false}, {"pay", Full, true, true}, {"pay", NoConnection, true, true},
+		{"get", OutcomeError, true, true}, {"get", OutcomeTimedOut, true, true}, {"get", OutcomeRejected, true, true},
+		{"put", OutcomeError, true, false}, {"put", OutcomeRejected, true, true}, {"put", OutcomeReset, true, false},
+		{"putall", OutcomeError, true, true}, {"putall", OutcomeConnectFailed, true, true},
+		{"pay", OutcomeError, false, false}, {"pay", OutcomeTimedOut, false, false}, {"pay", OutcomeReset, false, false},
+		{"pay", OutcomeCancelled, false, false}, {"pay", OutcomeRejected, true, true}, {"pay", OutcomeConnectFailed, true, true},
 	} {
 		r := newRig(t, nil)
 		id, s := r.send(c.class, "wide")
@@ -338,17 +338,17 @@
 			acts = r.end(id, i, more[0].Server, c.outcome)
 			more = find[Send](acts)
 		}
-		if len(find[Refuse](acts)) != b2i(c.refuse) || len(find[Fail](acts)) != b2i(!c.refuse) {
+		if len(find[Reject](acts)) != b2i(c.refuse) || len(find[Fail](acts)) != b2i(!c.refuse) {
 			t.Errorf("%s after %v: final %#v, want refuse=%v", c.class, c.outcome, acts, c.refuse)
 		}
 	}
 }
 
 func TestKeyedWindow(t *testing.T) {
-	r := newRig(t, func(c *Config) { c.Classes[2].Aim, c.Classes[2].Window = 3*time.Second, time.Second })
+	r := newRig(t, func(c *Config) { c.Classes[2].LatencyObjective, c.Classes[2].DedupWindow = 3*time.Second, time.Second })
 	id, s := r.send("putall", "wide")
 	r.now += 1100 * ms
-	if acts := r.end(id, 0, s.Server, Error); len(find[Send](acts)) != 0 {
+	if acts := r.end(id, 0, s.Server, OutcomeError); len(find[Send](acts)) != 0 {
 		t.Errorf("sent again after the window: %#v", acts)
 	}
 }
@@ -360,19 +360,19 @@
 		class  string
 		first  Outcome
 		window bool
-	}{{"put", Cancelled, true}, {"put", Reset, true}, {"put", NoConnection, false}, {"get", Reset, false}} {
+	}{{"put", OutcomeCancelled, true}, {"put", OutcomeReset, true}, {"put", OutcomeConnectFailed, false}, {"get", OutcomeReset, false}} {
 		r := newRig(t, nil)
 		id, s := r.send(c.class, "wide")
 		at := r.now
-		if s.Before != 0 {
-			t.Errorf("%s: the first attempt may be written until %v, want no bound", c.class, s.Before)
+		if s.WriteBefore != 0 {
+			t.Errorf("%s: the first attempt may be written until %v, want no bound", c.class, s.WriteBefore)
 		}
 		r.now += 700 * ms
 		again := find[Send](r.end(id, 0, s.Server, c.first))
 		if len(again) != 1 {
 			t.Fatalf("%s behind %v: %d sent, want 1", c.class, c.first, len(again))
 		}
-		got, bounded := again[0].Before-at, again[0].Before != 0
+		got, bounded := again[0].WriteBefore-at, again[0].WriteBefore != 0
 		if bounded != c.window || bounded && (got > 2*time.Second || got < 1900*ms) {
 			t.Errorf("%s behind %v: the repeat may be written until %v after the first, want the window: %t", c.class, c.first, got, c.window)
 		}
@@ -381,27 +381,27 @@
 
 func TestNoServer(t *testing.T) {
 	r := newRig(t, nil, []Server{}...)
-	r.do(FleetUpdate{Kind: FleetFull})
-	if _, acts := r.ask("get", "wide", "c", 1); len(find[Refuse](acts)) != 1 {
+	r.do(EndpointUpdate{Kind: FullUpdate})
+	if _, acts := r.ask("get", "wide", "c", 1); len(find[Reject](acts)) != 1 {
 		t.Errorf("without servers: got %#v, want Refuse", acts)
 	}
 }
 
 func TestDrains(t *testing.T) {
 	r := newRig(t, nil)
-	r.do(FleetUpdate{Kind: FleetDelta, Servers: []Server{{ID: "s1", State: Draining}}})
-	r.do(FleetUpdate{Kind: FleetDelta, Servers: []Server{{ID: "s2", State: Gone}}})
+	r.do(EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: "s1", State: Draining}}})
+	r.do(EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: "s2", State: Removed}}})
 	for i := 0; i < 8; i++ {
 		if _, s := r.send("get", "wide"); s.Server != "s3" {
 			t.Fatalf("sent to %s, want s3", s.Server)
 		}
-		r.end(fmt.Sprint("q", r.n), 0, "s3", OK)
+		r.end(fmt.Sprint("q", r.n), 0, "s3", OutcomeOK)
 	}
-	r.do(FleetUpdate{Kind: FleetFull, Servers: []Server{{ID: "s2"}}})
+	r.do(EndpointUpdate{Kind: FullUpdate, Servers: []Server{{ID: "s2"}}})
 	if _, s := r.send("get", "wide"); s.Server != "s2" {
 		t.Errorf("sent to %s, which a full list left out, want s2", s.Server)
 	}
-	r.do(FleetUpdate{Kind: FleetFailed})
+	r.do(EndpointUpdate{Kind: FailedUpdate})
 	if _, acts := r.ask("get", "wide", "c", 1); len(find[Send](acts)) != 1 {
 		t.Errorf("a failed list call lost the former list: %#v", acts)
 	}
@@ -415,12 +415,12 @@
 			id, s := r.send("get", "wide")
 			n[s.Server]++
 			r.now += 5 * ms
-			r.end(id, 0, s.Server, OK)
+			r.end(id, 0, s.Server, OutcomeOK)
 		}
 		return n
 	}
 	run(10 * time.Second)
-	r.do(FleetUpdate{Kind: FleetDelta, Servers: []Server{{ID: "s1", Zone: "a", Started: r.now - ms}}})
+	r.do(EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: "s1", Zone: "a", StartedAt: r.now - ms}}})
 	n := run(time.Second)
 	warm := float64(n["s2"]+n["s3"]) / 2
 	if most := coldMargin * 2 * 0.3 * warm * 1.2; float64(n["s1"]) > most+1 {
@@ -439,12 +439,12 @@
 		id, s := r.send("get", "wide")
 		r.now += 20 * ms
 		if s.Server != "s1" {
-			r.end(id, 0, s.Server, OK)
+			r.end(id, 0, s.Server, OutcomeOK)
 			continue
 		}
 		fails++
-		for _, m := range find[Send](r.end(id, 0, "s1", Error)) {
-			r.end(id, 1, m.Server, OK)
+		for _, m := range find[Send](r.end(id, 0, "s1", OutcomeError)) {
+			r.end(id, 1, m.Server, OutcomeOK)
 		}
 	}
 	if fails > 12 {
@@ -455,14 +455,14 @@
 		id, acts := all.ask("pay", "wide", "c", 1)
 		all.now += 20 * ms
 		if s := find[Send](acts); len(s) == 1 {
-			all.end(id, 0, s[0].Server, Error)
+			all.end(id, 0, s[0].Server, OutcomeError)
 		}
 	}
 	got := map[string]bool{}
 	for i := 0; i < 60; i++ {
 		if _, acts := all.ask("pay", "wide", "c", 1); len(find[Send](acts)) == 1 {
 			got[find[Send](acts)[0].Server] = true
-			all.end(fmt.Sprint("q", all.n), 0, find[Send](acts)[0].Server, Error)
+			all.end(fmt.Sprint("q", all.n), 0, find[Send](acts)[0].Server, OutcomeError)
 		}
 	}
 	if len(got) < 3 {
@@ -477,7 +477,7 @@
 		id, s := r.send("get", "wide")
 		r.now += 30 * ms
 		if s.Server != "s1" {
-			r.end(id, 0, s.Server, OK)
+			r.end(id, 0, s.Server, OutcomeOK)
 		} else {
 			lost++
 		}
@@ -511,10 +511,10 @@
 	for i := 0; i < 6; i++ {
 		id, acts := r.ask("get", "wide", "c", 1)
 		if s := find[Send](acts); len(s) == 1 {
-			r.end(id, 0, s[0].Server, Cancelled)
+			r.end(id, 0, s[0].Server, OutcomeCancelled)
 		}
 	}
-	if _, acts := r.ask("get", "wide", "c", 1); len(find[Refuse](acts)) != 1 {
+	if _, acts := r.ask("get", "wide", "c", 1); len(find[Reject](acts)) != 1 {
 		t.Errorf("sent on to servers that still work on what nobody waits for: %#v", acts)
 	}
 	r.now += r.g.aims(ghostFor) + time.Second
@@ -524,22 +524,22 @@
 func TestBadInput(t *testing.T) {
 	r := newRig(t, nil)
 	for _, e := range []Request{{ID: "a", Class: "none", Plan: "wide"}, {ID: "b", Class: "get", Plan: "none"}} {
-		if acts := r.do(e); len(find[Refuse](acts)) != 1 {
+		if acts := r.do(e); len(find[Reject](acts)) != 1 {
 			t.Errorf("%#v: got %#v, want Refuse", e, acts)
 		}
 	}
-	for _, e := range []Event{AttemptEnded{ID: "zz", Outcome: OK}, ClientGone{"zz"}, TimerFired{1 << 60},
-		AnswerStarted{ID: "zz"}, ProbeEnded{Server: "zz"}, Counted{Name: 4}, AttemptEnded{ID: "zz", Attempt: -1}} {
+	for _, e := range []Event{AttemptEnded{ID: "zz", Outcome: OutcomeOK}, ClientDisconnected{"zz"}, TimerFired{1 << 60},
+		ResponseStarted{ID: "zz"}, HealthCheckEnded{Server: "zz"}, CounterUpdated{Name: 4}, AttemptEnded{ID: "zz", Attempt: -1}} {
 		if acts := r.do(e); len(acts) != 0 {
 			t.Errorf("%#v: got %#v, want nothing", e, acts)
 		}
 	}
 	id, s := r.send("get", "wide")
-	r.do(ClientGone{id})
-	if acts := r.end(id, 0, s.Server, TimedOut); len(acts) != 0 {
+	r.do(ClientDisconnected{id})
+	if acts := r.end(id, 0, s.Server, OutcomeTimedOut); len(acts) != 0 {
 		t.Errorf("answered a request whose client is gone: %#v", acts)
 	}
-	if acts := r.end(id, 0, s.Server, TimedOut); len(acts) != 0 {
+	if acts := r.end(id, 0, s.Server, OutcomeTimedOut); len(acts) != 0 {
 		t.Errorf("answered an outcome told twice: %#v", acts)
 	}
 }
@@ -551,7 +551,7 @@
 		"Gateways is 0":                func(c *Config) { c.Gateways = 0 },
 		"Plans[1].Rate is -1":          func(c *Config) { c.Plans[1].Rate = -1 },
 		"Plans[2].CeilingBurst is NaN": func(c *Config) { c.Plans[2].CeilingBurst = math.NaN() },
-		"Classes[0].Aim is 0s":         func(c *Config) { c.Classes[0].Aim = 0 },
+		"Classes[0].Aim is 0s":         func(c *Config) { c.Classes[0].LatencyObjective = 0 },
 		"Limits.MaxAttempts is 0":      func(c *Config) { c.Limits.MaxAttempts = 0 },
 	} {
 		cfg := testConfig()
@@ -593,7 +593,7 @@
 	t.Helper()
 	rnd := rand.New(rand.NewSource(seed))
 	cfg := testConfig()
-	cfg.Limits.Parallel = seed%2 == 0
+	cfg.Limits.Hedging = seed%2 == 0
 	g, err := New(cfg, seed)
 	if err != nil {
 		t.Fatal(err)
@@ -601,7 +601,7 @@
 	now, start := time.Duration(0), time.Duration(0)
 	flights := map[string]*flight{}
 	var order []string
-	state := map[string]State{}
+	state := map[string]ServerState{}
 	cells := map[string]int{}
 	var servers []Server
 	for i := 0; i < 5; i++ {
@@ -620,15 +620,15 @@
 			if state[a.Server] != Serving {
 				t.Fatalf("seed %d: Send to %s, which drains or is gone", seed, a.Server)
 			}
-			if len(f.attempts) >= cfg.Limits.MaxAttempts || (!cfg.Limits.Parallel && len(f.out) > 0) {
+			if len(f.attempts) >= cfg.Limits.MaxAttempts || (!cfg.Limits.Hedging && len(f.out) > 0) {
 				t.Fatalf("seed %d: attempt %d with %d out", seed, len(f.attempts), len(f.out))
 			}
 			for n := range f.attempts {
-				if !f.mayRun[n] || f.class.Effect == Safe {
+				if !f.mayRun[n] || f.class.Idempotency == Idempotent {
 					continue
 				}
-				if f.class.Effect == Unsafe || now-f.at[n] > f.class.Window ||
-					(f.class.Group == GroupCell && cells[a.Server] != cells[f.attempts[n].Server]) {
+				if f.class.Idempotency == NotIdempotent || now-f.at[n] > f.class.DedupWindow ||
+					(f.class.DedupScope == DedupInCell && cells[a.Server] != cells[f.attempts[n].Server]) {
 					t.Fatalf("seed %d: %s sent to %s after attempt %d may have run", seed, f.class.Name, a.Server, n)
 				}
 			}
@@ -641,13 +641,13 @@
 			n := len(f.attempts)
 			f.attempts, f.at = append(f.attempts, a), append(f.at, now)
 			f.out[n], f.mayRun[n] = true, true
-		case Refuse:
+		case Reject:
 			f := flights[a.ID]
 			if f.done {
 				t.Fatalf("seed %d: second final answer for %s", seed, a.ID)
 			}
 			for n := range f.attempts {
-				if f.mayRun[n] && (f.class.Effect == Unsafe || (f.class.Effect == Keyed && f.class.Group != GroupAll)) {
+				if f.mayRun[n] && (f.class.Idempotency == NotIdempotent || (f.class.Idempotency == IdempotentByKey && f.class.DedupScope != DedupInFleet)) {
 					t.Fatalf("seed %d: refused %s after attempt %d may have run", seed, f.class.Name, n)
 				}
 			}
@@ -666,16 +666,16 @@
 			check(a)
 		}
 	}
-	handle(FleetUpdate{Kind: FleetStale, Servers: servers})
+	handle(EndpointUpdate{Kind: StaleUpdate, Servers: servers})
 	end := func(id string, n int, o Outcome) {
 		f := flights[id]
 		delete(f.out, n)
 		if o.neverRan() {
 			f.mayRun[n] = false
 		}
-		f.done = f.done || o == OK
-		handle(AttemptEnded{ID: id, Attempt: n, Server: f.attempts[n].Server, Outcome: o, Took: now - f.at[n],
-			Done: f.done, TrueUnits: float64(1 + rnd.Intn(8))})
+		f.done = f.done || o == OutcomeOK
+		handle(AttemptEnded{ID: id, Attempt: n, Server: f.attempts[n].Server, Outcome: o, Duration: now - f.at[n],
+			RequestDone: f.done, ActualUnits: float64(1 + rnd.Intn(8))})
 	}
 	for i := 0; i < 3000; i++ {
 		now += time.Duration(rnd.Intn(20)) * ms
@@ -685,21 +685,21 @@
 			id := fmt.Sprint("q", i)
 			q := Request{ID: id, Class: c.Name, Plan: cfg.Plans[rnd.Intn(len(cfg.Plans))].Name,
 				Customer: fmt.Sprint("c", rnd.Intn(6)), Units: float64(1 + rnd.Intn(4)),
-				Deadline: now + time.Duration(500+rnd.Intn(1000))*ms, Spread: 3}
+				Deadline: now + time.Duration(500+rnd.Intn(1000))*ms, GatewayCount: 3}
 			q.Customer += q.Plan
 			flights[id] = &flight{req: q, class: c, out: map[int]bool{}, mayRun: map[int]bool{}}
 			order = append(order, id)
 			handle(q)
 		case k < 11:
 			s := &servers[rnd.Intn(len(servers))]
-			s.State = State(rnd.Intn(3))
+			s.State = ServerState(rnd.Intn(3))
 			if rnd.Intn(2) == 0 {
-				s.State, s.Started = Serving, now
+				s.State, s.StartedAt = Serving, now
 			}
 			state[s.ID] = s.State
-			handle(FleetUpdate{Kind: FleetDelta, Servers: []Server{*s}})
+			handle(EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{*s}})
 		case k < 12:
-			handle(PeerMessage{From: 1 + rnd.Intn(2), Text: message(rnd.Intn(2), rnd.Intn(4096),
+			handle(GossipReceived{From: 1 + rnd.Intn(2), Text: message(rnd.Intn(2), rnd.Intn(4096),
 				entry("c1hard", 2, rnd.Intn(4096), rnd.Intn(4096), rnd.Intn(64)))})
 		case k < 13:
 			handle(TimerFired{beatToken})
@@ -711,7 +711,7 @@
 					continue
 				}
 				if now >= f.at[n]+f.attempts[n].Timeout {
-					end(id, n, TimedOut)
+					end(id, n, OutcomeTimedOut)
 				} else if rnd.Intn(12) == 0 {
 					end(id, n, Outcome(1+rnd.Intn(7)))
 				}
@@ -745,7 +745,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.Handle(time.Second, PeerMessage{From: 1, Text: text})
+		g.Handle(time.Second, GossipReceived{From: 1, Text: text})
 		for _, c := range g.queue {
 			if c.whole < 0 || math.IsNaN(c.whole) {
 				t.Errorf("whole bucket is %v", c.whole)
@@ -758,7 +758,7 @@
 	for metered, want := range map[int]float64{1 + 100: 0.9, 1 + 1000: 1.0 / 3, 0: 1.0 / 3} {
 		r := newRig(t, nil)
 		id, s := r.send("get", "wide")
-		r.do(AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Took: ms, Done: true, Metered: metered})
+		r.do(AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: ms, RequestDone: true, ReportedUsage: metered})
 		c := r.g.customers[shortKey("c")]
 		r.g.charge(c, 1800) // 900 units a second over the memory, of a rate of 1000
 		if r.g.leak(c); math.Abs(c.part-want) > 0.01 {
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -11,10 +11,10 @@
 func Example() {
 	cfg := decide.Config{
 		Gateways: 1,
-		Classes:  []decide.Class{{Name: "read", Effect: decide.Safe, Aim: time.Second, Deadline: 4 * time.Second, Worth: 1}},
-		Plans:    []decide.Plan{{Name: "basic", Rate: 5, Burst: 20, Price: 1}},
+		Classes:  []decide.Class{{Name: "read", Idempotency: decide.Idempotent, LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1}},
+		Plans:    []decide.Plan{{Name: "basic", Rate: 5, Burst: 20, PriorityWeight: 1}},
 		Limits:   decide.Limits{MaxAttempts: 3},
-		Safety:   decide.Safety{ColdFrom: 0.2, ColdFor: 10 * time.Second, FallMultiple: 2, FallWindow: time.Second},
+		Safety:   decide.Safety{SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 2, OverloadWindow: time.Second},
 	}
 	g, err := decide.New(cfg, 1)
 	if err != nil {
@@ -22,18 +22,18 @@
 		return
 	}
 	now := time.Minute // since an origin of the caller's choice
-	g.Handle(now, decide.FleetUpdate{Kind: decide.FleetFull, Servers: []decide.Server{{ID: "10.0.0.1:80"}}})
+	g.Handle(now, decide.EndpointUpdate{Kind: decide.FullUpdate, Servers: []decide.Server{{ID: "10.0.0.1:80"}}})
 	for _, a := range g.Handle(now, decide.Request{ID: "r1", Class: "read", Plan: "basic", Customer: "ada",
-		Units: 1, Deadline: now + 4*time.Second, Spread: 1}) {
+		Units: 1, Deadline: now + 4*time.Second, GatewayCount: 1}) {
 		switch a := a.(type) {
 		case decide.Send:
 			fmt.Println("send", a.ID, "to", a.Server)
-		case decide.Refuse:
+		case decide.Reject:
 			fmt.Println("refuse", a.ID)
 		}
 	}
 	// Tell the gateway how the attempt ended; Done says that its answer went to the client.
-	g.Handle(now+20*time.Millisecond, decide.AttemptEnded{ID: "r1", Server: "10.0.0.1:80", Outcome: decide.OK,
-		Took: 20 * time.Millisecond, Done: true})
+	g.Handle(now+20*time.Millisecond, decide.AttemptEnded{ID: "r1", Server: "10.0.0.1:80", Outcome: decide.OutcomeOK,
+		Duration: 20 * time.Millisecond, RequestDone: true})
 	// Output: send r1 to 10.0.0.1:80
 }
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -53,7 +53,7 @@
 	}
 	j.gws[i] = g
 	j.due = keepLetters(j.due, func(l letter) bool { return l.to != i })
-	j.handle(i, FleetUpdate{Kind: FleetStale, Servers: []Server{{ID: "s1", Zone: "a"}, {ID: "s2", Zone: "a"}}})
+	j.handle(i, EndpointUpdate{Kind: StaleUpdate, Servers: []Server{{ID: "s1", Zone: "a"}, {ID: "s2", Zone: "a"}}})
 }
 
 func keepLetters(ls []letter, want func(letter) bool) (out []letter) {
@@ -68,19 +68,19 @@
 func (j *joined) handle(i int, ev Event) {
 	for _, a := range j.gws[i].Handle(j.now, ev) {
 		switch a := a.(type) {
-		case Tell:
+		case SendGossip:
 			j.taken[a.To]++
 			if j.rnd.Float64() >= j.loss && !j.down[a.To] && (j.apart == nil || !j.apart(i, a.To)) {
 				late := time.Duration(2+j.rnd.Intn(16)) * ms
-				j.due = append(j.due, letter{at: j.now + late, to: a.To, ev: PeerMessage{i, a.Text}})
+				j.due = append(j.due, letter{at: j.now + late, to: a.To, ev: GossipReceived{i, a.Text}})
 			}
 		case SetTimer:
 			j.due = append(j.due, letter{at: a.At, to: i, ev: TimerFired{a.Token}})
 		case Send:
 			j.used += j.inFlight[a.ID]
 			j.due = append(j.due, letter{at: j.now + 30*ms, to: i, ev: AttemptEnded{ID: a.ID, Server: a.Server,
-				Outcome: OK, Took: 30 * ms, Done: true}})
-		case Refuse:
+				Outcome: OutcomeOK, Duration: 30 * ms, RequestDone: true}})
+		case Reject:
 			j.refused++
 		}
 	}
@@ -93,7 +93,7 @@
 			id := fmt.Sprint(j.now, "-", n)
 			j.inFlight[id] = units
 			j.handle(i, Request{ID: id, Class: "get", Plan: plan, Customer: "x", Units: units,
-				Deadline: j.now + 2*time.Second, Spread: len(j.gws)})
+				Deadline: j.now + 2*time.Second, GatewayCount: len(j.gws)})
 		}
 		for next := j.now + gap; j.now < next; j.now += 4 * ms {
 			var ready []letter
@@ -143,8 +143,8 @@
 	}
 	j.run(5*time.Second, 4*ms, "small", 2, func(int) int { return j.rnd.Intn(300) })
 	for i, n := range j.taken {
-		if float64(n)/5 > j.cfg.PeerIntake {
-			t.Errorf("gateway %d was sent %d messages in 5 s, want %v a second at most", i, n, j.cfg.PeerIntake)
+		if float64(n)/5 > j.cfg.GossipCapacity {
+			t.Errorf("gateway %d was sent %d messages in 5 s, want %v a second at most", i, n, j.cfg.GossipCapacity)
 		}
 	}
 }
@@ -204,17 +204,17 @@
 	for _, text := range []string{"", "a", ask.text()[:11], ask.text() + "!!", "Z" + ask.text()[1:], other.text(),
 		word{kind: 'a', key: key + 1, plan: 1, n: 1}.text(), word{kind: 'r', key: key, n: 4}.text(),
 		word{kind: 'a', key: key, plan: 1, n: 1, v: [4]float64{-2}}.text()} {
-		if acts := home.Handle(j.now, PeerMessage{From: 299, Text: text}); len(acts) != 0 || len(home.customers) > 0 {
+		if acts := home.Handle(j.now, GossipReceived{From: 299, Text: text}); len(acts) != 0 || len(home.customers) > 0 {
 			t.Errorf("%q: got %#v, %d customers", text, acts, len(home.customers))
 		}
 	}
 	for _, from := range []int{-1, 300, home.cfg.Rank} {
-		if acts := home.Handle(j.now, PeerMessage{From: from, Text: ask.text()}); len(acts) != 0 {
+		if acts := home.Handle(j.now, GossipReceived{From: from, Text: ask.text()}); len(acts) != 0 {
 			t.Errorf("from %d: got %#v", from, acts)
 		}
 	}
-	first := home.Handle(j.now, PeerMessage{From: 9, Text: ask.text()})
-	again := home.Handle(j.now, PeerMessage{From: 9, Text: ask.text()})
+	first := home.Handle(j.now, GossipReceived{From: 9, Text: ask.text()})
+	again := home.Handle(j.now, GossipReceived{From: 9, Text: ask.text()})
 	if len(first) != 1 || len(again) != 1 || home.customers[key].whole > startLevel*12+2 {
 		t.Errorf("the same question twice: %#v, %#v, whole %v", first, again, home.customers[key].whole)
 	}
@@ -225,12 +225,12 @@
 	g := join(t, 300, nil).gws[4]
 	until := time.Hour + 30*ms
 	acts := g.Handle(time.Hour, Request{ID: "q", Class: "get", Plan: "small", Customer: "x", Units: 2,
-		Deadline: until, Spread: 300})
+		Deadline: until, GatewayCount: 300})
 	for i := 0; i < 5; i++ {
 		if timers := find[SetTimer](acts); len(timers) > 0 && timers[0].At <= until {
 			acts = g.Handle(timers[0].At, TimerFired{timers[0].Token})
 		}
-		if len(find[Refuse](acts)) == 1 {
+		if len(find[Reject](acts)) == 1 {
 			return
 		}
 	}
@@ -245,7 +245,7 @@
 	told := func(open, done float64) {
 		for i := 0; i < 40; i++ {
 			w := word{kind: 'd', key: 1, plan: 0, n: 1, open: open, done: done}
-			g.Handle(j.now, PeerMessage{From: 9, Text: w.text()})
+			g.Handle(j.now, GossipReceived{From: 9, Text: w.text()})
 		}
 	}
 	total := 0
@@ -253,8 +253,8 @@
 		for i := 0; i < 100; i++ {
 			total++
 			id := fmt.Sprint("r", total)
-			n += len(find[Tell](g.Handle(j.now, Request{ID: id, Class: "get", Plan: "wide", Customer: id, Units: 1,
-				Deadline: j.now + time.Second, Spread: 300})))
+			n += len(find[SendGossip](g.Handle(j.now, Request{ID: id, Class: "get", Plan: "wide", Customer: id, Units: 1,
+				Deadline: j.now + time.Second, GatewayCount: 300})))
 		}
 		return n
 	}
@@ -287,7 +287,7 @@
 		for _, class := range []string{"pay", "get"} {
 			id, s := r.send(class, "wide")
 			got[class+s.Server]++
-			r.end(id, 0, s.Server, OK)
+			r.end(id, 0, s.Server, OutcomeOK)
 		}
 	}
 	if got["pays1"] > 0 {
@@ -306,20 +306,20 @@
 	for i := 0; i < 100; i++ {
 		servers = append(servers, Server{ID: fmt.Sprint("s", i), Zone: "a"})
 	}
-	g.Handle(time.Second, FleetUpdate{Kind: FleetFull, Servers: servers})
+	g.Handle(time.Second, EndpointUpdate{Kind: FullUpdate, Servers: servers})
 	b.ReportAllocs()
 	for i := 0; i < b.N; i++ {
 		now := time.Second + time.Duration(i)*ms
 		id := fmt.Sprint(i)
 		key := fmt.Sprint("c", i%2000)
 		g.Handle(now, Request{ID: id, Class: "get", Plan: "wide", Customer: key, Units: 1,
-			Deadline: now + time.Second, Spread: 200})
+			Deadline: now + time.Second, GatewayCount: 200})
 		for no, r := range g.asks {
 			w := word{kind: 'r', key: r.cust.key, no: no, n: 4, v: [4]float64{1}}
-			g.Handle(now, PeerMessage{From: g.home(r.cust.key, 0), Text: w.text()})
+			g.Handle(now, GossipReceived{From: g.home(r.cust.key, 0), Text: w.text()})
 		}
 		if r := g.requests[id]; r != nil && len(r.attempts) > 0 {
-			g.Handle(now, AttemptEnded{ID: id, Server: r.attempts[0].server.ID, Outcome: OK, Took: ms, Done: true})
+			g.Handle(now, AttemptEnded{ID: id, Server: r.attempts[0].server.ID, Outcome: OutcomeOK, Duration: ms, RequestDone: true})
 		}
 	}
 }
@@ -332,7 +332,7 @@
 	g := j.gws[0]
 	ask := func(home, no int) bool {
 		w := word{kind: 'a', key: key, plan: 1, no: uint64(no), n: 1, v: [4]float64{2}}
-		for _, a := range find[Tell](j.gws[home].Handle(j.now, PeerMessage{From: 9, Text: w.text()})) {
+		for _, a := range find[SendGossip](j.gws[home].Handle(j.now, GossipReceived{From: 9, Text: w.text()})) {
 			if r, ok := parseWord(a.Text); ok && r.kind == 'r' {
 				return r.v[0] > 0
 			}
@@ -357,7 +357,7 @@
 // end, or nobody can wait for it any more: slow servers keep attempts out longer than the quickest class waits.
 func TestHomeHoldsCapWhileAnswersAreSlow(t *testing.T) {
 	j := join(t, 300, func(c *Config) {
-		c.Classes = append(c.Classes, Class{Name: "quick", Effect: Safe, Aim: 200 * ms, Deadline: time.Second, Worth: 1})
+		c.Classes = append(c.Classes, Class{Name: "quick", Idempotency: Idempotent, LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 1})
 	})
 	key, no := shortKey("someone"), uint64(0)
 	home := j.gws[j.gws[0].home(key, 0)]
@@ -365,7 +365,7 @@
 		for i := 0; i < n; i++ {
 			no++
 			w := word{kind: 'a', key: key, plan: 3, no: no, n: 1, v: [4]float64{1}}
-			for _, a := range find[Tell](home.Handle(j.now, PeerMessage{From: 9, Text: w.text()})) {
+			for _, a := range find[SendGossip](home.Handle(j.now, GossipReceived{From: 9, Text: w.text()})) {
 				if r, ok := parseWord(a.Text); ok && r.kind == 'r' && r.v[0] > 0 {
 					granted++
 				}
@@ -415,7 +415,7 @@
 	for i, set := range [][2]int{{0, 0}, {1, -2}, {2, 9}, {7, 2}} {
 		id := fmt.Sprint("set", i)
 		acts := r.do(Request{ID: id, Class: "get", Plan: "wide", Customer: id, Units: 1, Deadline: r.now + 2*time.Second,
-			First: set[0], Spread: set[1]})
+			FirstGateway: set[0], GatewayCount: set[1]})
 		c := r.g.customers[shortKey(id)]
 		if c.spread < 1 || c.spread > 3 || c.first < 0 || c.first > 2 || len(find[Send](acts)) != 1 {
 			t.Errorf("first %d, spread %d: taken as %d of %d, did %#v", set[0], set[1], c.spread, c.first, acts)
@@ -429,14 +429,14 @@
 	id, s := r.send("get", "wide")
 	for i := range 1000 {
 		r.now += 100 * ms
-		r.do(FleetUpdate{Kind: FleetDelta, Servers: []Server{{ID: fmt.Sprint("new", i), Zone: "a"}, {ID: fmt.Sprint("new", i-1), State: Gone},
-			{ID: "s1", State: Gone}, {ID: "s2", State: Gone}, {ID: "s3", State: Gone}}})
+		r.do(EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: fmt.Sprint("new", i), Zone: "a"}, {ID: fmt.Sprint("new", i-1), State: Removed},
+			{ID: "s1", State: Removed}, {ID: "s2", State: Removed}, {ID: "s3", State: Removed}}})
 		r.do(TimerFired{beatToken})
 	}
 	if n := len(r.g.order); n != 2 || len(r.g.servers) != 2 || len(r.g.shorts) != 2 {
 		t.Errorf("%d servers are kept, want the one that is listed and the one that still holds an attempt", n)
 	}
-	r.end(id, 0, s.Server, OK)
+	r.end(id, 0, s.Server, OutcomeOK)
 	r.do(TimerFired{beatToken})
 	if n := len(r.g.order); n != 1 {
 		t.Errorf("%d servers are kept, want 1", n)
--- a/decide/state.go
+++ b/decide/state.go
@@ -168,9 +168,9 @@
 	asked               int    // questions put
 	askedAt             time.Duration
 	asking              bool
-	granted             int     // the home that let it in, or -1
-	more                float64 // units used beyond those told at first
-	why                 Reason  // of its refusal, if it comes to that
+	granted             int          // the home that let it in, or -1
+	more                float64      // units used beyond those told at first
+	why                 RejectReason // of its refusal, if it comes to that
 }
 
 // aims is a time in quickest aims. Times that belong to one request are told so, as sites differ in scale.
@@ -192,14 +192,14 @@
 		timers: map[uint64]attemptRef{}, nextToken: beatToken + 1, customers: map[uint64]*customer{},
 		asks: map[uint64]*request{}, terms: map[uint64]*terms{}, shorts: map[uint64]*server{},
 		silent: map[int]time.Duration{}, trip: askFirst, budget: budgetMost}
-	if g.mesh = g.tellsAll(); g.mesh && cfg.Limits.Peers {
+	if g.mesh = g.tellsAll(); g.mesh && cfg.Limits.Gossip {
 		g.peers = make([]peer, cfg.Gateways)
 	}
 	for i, k := range cfg.Classes {
-		g.classes[k.Name] = &class{no: i, Class: k, base: firstGuess * k.Aim.Seconds()}
-		g.longest = max(g.longest, k.Aim)
-		if g.quickest == 0 || k.Aim.Seconds() < g.quickest {
-			g.quickest = k.Aim.Seconds()
+		g.classes[k.Name] = &class{no: i, Class: k, base: firstGuess * k.LatencyObjective.Seconds()}
+		g.longest = max(g.longest, k.LatencyObjective)
+		if g.quickest == 0 || k.LatencyObjective.Seconds() < g.quickest {
+			g.quickest = k.LatencyObjective.Seconds()
 		}
 	}
 	g.perAsk = slices.Repeat([]float64{math.Log(askAtStart)}, len(cfg.Plans))
@@ -289,7 +289,7 @@
 	}
 	g.leaving = false
 	g.order = slices.DeleteFunc(g.order, func(s *server) bool {
-		if s.State != Gone {
+		if s.State != Removed {
 			return false
 		}
 		if g.load(s) > 0 {
--- a/decide/stuck_test.go
+++ b/decide/stuck_test.go
@@ -16,7 +16,7 @@
 				r.now += 20 * ms
 				r.do(TimerFired{beatToken})
 			}
-			r.do(AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Took: 980 * ms, Done: true})
+			r.do(AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: 980 * ms, RequestDone: true})
 		}
 	}
 	let, last := 0, r.now
@@ -26,7 +26,7 @@
 		for _, s := range find[Send](acts) {
 			let++
 			last = r.now
-			r.do(AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Took: 50 * ms, Done: true})
+			r.do(AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: 50 * ms, RequestDone: true})
 		}
 	}
 	if let < 50 || r.now-last > time.Second {
--- a/decide/terms_test.go
+++ b/decide/terms_test.go
@@ -8,7 +8,7 @@
 
 func (r *rig) customerOf(name string) *customer { return r.g.customers[shortKey(name)] }
 
-func alone(c *Config) { c.Gateways, c.Limits.Peers = 1, false }
+func alone(c *Config) { c.Gateways, c.Limits.Gossip = 1, false }
 
 // plansOf returns the test's plan of that name, changed.
 func planOf(name string, edit func(*Plan)) Plan {
@@ -34,11 +34,11 @@
 // the new rate, and no unit is given back.
 func TestTermsShrink(t *testing.T) {
 	r := newRig(t, alone)
-	r.do(Terms{Customer: "x", Plan: planOf("wide", nil)})
+	r.do(PlanChange{Customer: "x", Plan: planOf("wide", nil)})
 	r.serve("get", "small", "x", 1)
 	c := r.customerOf("x")
 	c.level = 100
-	r.do(Terms{Customer: "x", Plan: planOf("small", nil)})
+	r.do(PlanChange{Customer: "x", Plan: planOf("small", nil)})
 	if c.level != 100 || c.plan.Name != "small" {
 		t.Fatalf("level %v on plan %s, want 100 on small", c.level, c.plan.Name)
 	}
@@ -62,8 +62,8 @@
 		for range 20 {
 			up := up
 			up.Name = "small"
-			r.do(Terms{Customer: "x", Plan: up})
-			r.do(Terms{Customer: "x", Plan: planOf("small", nil)})
+			r.do(PlanChange{Customer: "x", Plan: up})
+			r.do(PlanChange{Customer: "x", Plan: planOf("small", nil)})
 		}
 		if c.level != before || r.serve("get", "small", "x", 1) {
 			t.Errorf("rate %v and back moved the level from %v to %v", up.Rate, before, c.level)
@@ -74,11 +74,11 @@
 // TestTermsFromNoRate: without a rate nothing leaks, so a level from then counts up to the mark and no further.
 func TestTermsFromNoRate(t *testing.T) {
 	r := newRig(t, alone)
-	r.do(Terms{Customer: "x", Plan: planOf("small", func(p *Plan) { p.Rate, p.Burst = 0, 0 })})
+	r.do(PlanChange{Customer: "x", Plan: planOf("small", func(p *Plan) { p.Rate, p.Burst = 0, 0 })})
 	for range 500 {
 		r.serve("get", "small", "x", 1)
 	}
-	r.do(Terms{Customer: "x", Plan: planOf("small", nil)})
+	r.do(PlanChange{Customer: "x", Plan: planOf("small", nil)})
 	if c := r.customerOf("x"); c.level != 12 {
 		t.Errorf("level %v, want the mark of 12", c.level)
 	}
@@ -90,21 +90,21 @@
 	r.fill("x")
 	c := r.customerOf("x")
 	before := c.level
-	r.do(Terms{Customer: "x", Plan: planOf("small", nil), Return: 2})
+	r.do(PlanChange{Customer: "x", Plan: planOf("small", nil), ReturnedUnits: 2})
 	if c.level != before-2 {
 		t.Errorf("level %v, want %v", c.level, before-2)
 	}
-	r.do(Terms{Customer: "x", Plan: planOf("small", nil), Return: 1e9})
+	r.do(PlanChange{Customer: "x", Plan: planOf("small", nil), ReturnedUnits: 1e9})
 	if c.level != 0 || c.whole < 0 {
 		t.Errorf("level %v, whole %v", c.level, c.whole)
 	}
 	for _, p := range []Plan{{Name: "unknown", Rate: 1, Burst: 1}, {Name: "small", Rate: -1}} {
-		r.do(Terms{Customer: "x", Plan: p})
+		r.do(PlanChange{Customer: "x", Plan: p})
 		if c.plan.Name != "small" || c.plan.Rate != 3 {
 			t.Errorf("%+v was taken", p)
 		}
 	}
-	r.do(Terms{Customer: "new", Plan: planOf("hard", nil)})
+	r.do(PlanChange{Customer: "new", Plan: planOf("hard", nil)})
 	r.serve("get", "small", "new", 1)
 	if c := r.customerOf("new"); c.plan.Name != "hard" {
 		t.Errorf("a customer that is met after its terms is on %s, want hard", c.plan.Name)
@@ -119,11 +119,11 @@
 	r.serve("get", "hard", "x", 1)
 	c := r.customerOf("x")
 	full := c.store
-	r.do(Terms{Customer: "x", Plan: planOf("hard", func(p *Plan) { p.CeilingBurst = 20 })})
+	r.do(PlanChange{Customer: "x", Plan: planOf("hard", func(p *Plan) { p.CeilingBurst = 20 })})
 	if c.store != 20 {
 		t.Errorf("store %v, want 20", c.store)
 	}
-	r.do(Terms{Customer: "x", Plan: planOf("hard", func(p *Plan) { p.CeilingBurst = 500 })})
+	r.do(PlanChange{Customer: "x", Plan: planOf("hard", func(p *Plan) { p.CeilingBurst = 500 })})
 	if c.store > 20 || full < 50 {
 		t.Errorf("store %v under a higher ceiling, want 20", c.store)
 	}
@@ -136,12 +136,12 @@
 	c := r.customerOf("x")
 	level, store := c.level, c.store
 	acts := r.do(Request{ID: "r", Class: "get", Plan: "small", Customer: "x", Units: 5, Deadline: r.now + time.Second,
-		Spread: 1, Reserved: true})
+		GatewayCount: 1, Reserved: true})
 	s := find[Send](acts)
 	if len(s) != 1 {
 		t.Fatalf("%v", acts)
 	}
-	r.do(AttemptEnded{ID: "r", Server: s[0].Server, Outcome: OK, Took: ms, Done: true, TrueUnits: 9})
+	r.do(AttemptEnded{ID: "r", Server: s[0].Server, Outcome: OutcomeOK, Duration: ms, RequestDone: true, ActualUnits: 9})
 	if c.level != level || c.store != store || c.open != 0 {
 		t.Errorf("level %v, store %v, open %d; want %v, %v, 0", c.level, c.store, c.open, level, store)
 	}
@@ -149,9 +149,9 @@
 		r := newRig(t, alone)
 		for ; n < 5000; n++ {
 			acts := r.do(Request{ID: fmt.Sprint(n), Class: "get", Plan: "wide", Customer: "y", Units: 0.1,
-				Deadline: r.now + 2*time.Second, Spread: 1, Reserved: reserved})
-			if f := find[Refuse](acts); len(f) > 0 {
-				if f[0].Reason != Shed {
+				Deadline: r.now + 2*time.Second, GatewayCount: 1, Reserved: reserved})
+			if f := find[Reject](acts); len(f) > 0 {
+				if f[0].Reason != ReasonLoadShed {
 					t.Errorf("refused as %s", f[0].Reason)
 				}
 				return n
@@ -180,7 +180,7 @@
 			before := j.used
 			tell := func(from, to int) {
 				for k := from; k < to; k++ {
-					j.handle(k, Terms{Customer: "x", Plan: low})
+					j.handle(k, PlanChange{Customer: "x", Plan: low})
 					if !split {
 						j.run(late/time.Duration(n), 20*ms, "small", 2, pick)
 					}
--- a/decide/thin_test.go
+++ b/decide/thin_test.go
@@ -14,7 +14,7 @@
 		servers = append(servers, Server{ID: fmt.Sprint("s", i), Zone: "a"})
 	}
 	return newRig(t, func(c *Config) {
-		c.Limits.Peers = false // the quota is no matter here
+		c.Limits.Gossip = false // the quota is no matter here
 		if edit != nil {
 			edit(c)
 		}
@@ -52,7 +52,7 @@
 // answered nothing since; where it was sent little the attempt is looked at again, and nothing more.
 func TestSilenceIsJudgedByTheAnswersThatShouldHaveCome(t *testing.T) {
 	for sent, want := range map[int]bool{100: true, 6: false} {
-		r := newRig(t, func(c *Config) { c.Limits.Peers = false })
+		r := newRig(t, func(c *Config) { c.Limits.Gossip = false })
 		for i := 0; i < sent; i++ {
 			r.now += 20 * ms
 			r.serve("get", "wide", "c", 1)
@@ -87,7 +87,7 @@
 			}
 		}
 		got[n%2]++
-		r.end(id, 0, s.Server, OK)
+		r.end(id, 0, s.Server, OutcomeOK)
 	}
 	if x := got[1] / got[0]; x < 0.4 || x > 0.65 {
 		t.Errorf("servers of twice the time got %v of the others' share, want about a half", x)
@@ -97,7 +97,7 @@
 // TestAgeAfterStandingStill: a gateway that stood still finds all requests at once. Those too old for their aim are
 // refused, each at once, the others sent on; and the late answers it finds don't count against their servers.
 func TestAgeAfterStandingStill(t *testing.T) {
-	r := newRig(t, func(c *Config) { c.Limits.Peers = false })
+	r := newRig(t, func(c *Config) { c.Limits.Gossip = false })
 	r.serve("get", "wide", "c", 1) // comes with two seconds
 	id, s := r.send("get", "wide")
 	slow := r.g.servers[s.Server].slow
@@ -106,14 +106,14 @@
 		r.do(TimerFired{beatToken})
 	}
 	r.now += 2*r.g.beatEvery() + 1500*ms
-	r.do(AttemptEnded{ID: id, Server: s.Server, Outcome: OK, Took: 1600 * ms, Done: true})
+	r.do(AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: 1600 * ms, RequestDone: true})
 	if got := r.g.servers[s.Server].slow; got != slow {
 		t.Errorf("a late answer found after standing still raised the server's slowness from %v to %v", slow, got)
 	}
 	for _, left := range []time.Duration{900 * ms, 1100 * ms, 1900 * ms} {
 		acts := r.do(Request{ID: left.String(), Class: "get", Plan: "wide", Customer: "c", Units: 1,
-			Deadline: r.now + left, Spread: 3})
-		if sent, want := len(find[Send](acts)), b2i(left > time.Second); sent != want || len(find[Refuse](acts)) != 1-want {
+			Deadline: r.now + left, GatewayCount: 3})
+		if sent, want := len(find[Send](acts)), b2i(left > time.Second); sent != want || len(find[Reject](acts)) != 1-want {
 			t.Errorf("with %v of 2 s left: sent %d, want %d, else a refusal: %v", left, sent, want, acts)
 		}
 	}
@@ -130,7 +130,7 @@
 			return acts
 		},
 		"no server": func(r *rig) []Action {
-			r.do(FleetUpdate{Kind: FleetFull})
+			r.do(EndpointUpdate{Kind: FullUpdate})
 			_, acts := r.ask("get", "wide", "c", 1)
 			return acts
 		},
@@ -144,20 +144,20 @@
 		"unanswered, not to be repeated": func(r *rig) []Action {
 			id, s := r.send("pay", "wide")
 			r.now += s.Timeout
-			return r.end(id, 0, s.Server, TimedOut)
+			return r.end(id, 0, s.Server, OutcomeTimedOut)
 		},
 		"unanswered, safe, no time left": func(r *rig) []Action {
 			id, s := r.send("get", "wide")
 			r.now += s.Timeout
-			return r.end(id, 0, s.Server, TimedOut)
+			return r.end(id, 0, s.Server, OutcomeTimedOut)
 		},
 	} {
-		r := newRig(t, func(c *Config) { c.Limits.Peers = false })
+		r := newRig(t, func(c *Config) { c.Limits.Gossip = false })
 		acts := give(r)
-		if len(find[Refuse](acts))+len(find[Fail](acts)) != 1 || len(find[Send](acts)) > 0 {
+		if len(find[Reject](acts))+len(find[Fail](acts)) != 1 || len(find[Send](acts)) > 0 {
 			t.Errorf("%s: got %#v, want one final answer at once", name, acts)
 		}
-		for _, a := range find[Refuse](acts) {
+		for _, a := range find[Reject](acts) {
 			if a.RetryAfter <= 0 || a.RetryAfter > r.g.cfg.Limits.MaxRetryAfter {
 				t.Errorf("%s: come back after %v, want more than 0, %v at most", name, a.RetryAfter,
 					r.g.cfg.Limits.MaxRetryAfter)
@@ -175,17 +175,17 @@
 	g := j.gws[3]
 	req := func(id string) []Action {
 		return g.Handle(j.now, Request{ID: id, Class: "get", Plan: "small", Customer: "far", Units: 4,
-			Deadline: j.now + 4*time.Second, Spread: 300})
+			Deadline: j.now + 4*time.Second, GatewayCount: 300})
 	}
 	req("first")
 	for no, r := range g.asks {
 		w := word{kind: 'r', key: r.cust.key, plan: r.cust.planNo, no: no, n: 4, v: [4]float64{0, 12, 9, 1}}
-		acts := g.Handle(j.now+20*ms, PeerMessage{From: g.home(r.cust.key, 0), Text: w.text()})
-		if len(find[Refuse](acts)) != 1 {
+		acts := g.Handle(j.now+20*ms, GossipReceived{From: g.home(r.cust.key, 0), Text: w.text()})
+		if len(find[Reject](acts)) != 1 {
 			t.Errorf("refused by the home: got %#v, want one refusal at once", acts)
 		}
 	}
-	if acts := req("second"); len(find[Refuse](acts)) != 1 {
+	if acts := req("second"); len(find[Reject](acts)) != 1 {
 		t.Errorf("while the home refuses: got %#v, want one refusal at once", acts)
 	}
 }
@@ -193,8 +193,8 @@
 // TestNoConnectionCostsNoRetryBudget: without any budget left a request whose attempt got no connection, so cost no
 // server anything, is sent elsewhere; one that timed out is not.
 func TestNoConnectionCostsNoRetryBudget(t *testing.T) {
-	for outcome, want := range map[Outcome]int{NoConnection: 1, Reset: 0} {
-		r := newRig(t, func(c *Config) { c.Limits.Peers = false })
+	for outcome, want := range map[Outcome]int{OutcomeConnectFailed: 1, OutcomeReset: 0} {
+		r := newRig(t, func(c *Config) { c.Limits.Gossip = false })
 		r.g.budget = 0
 		id, s := r.send("get", "wide")
 		r.now += 3 * ms
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -222,9 +222,9 @@
 		"kept":      decode.Text(&f.Kept),
 		"capacity":  decode.Rate(&f.Capacity),
 		"max-units": decode.Number(&c.MaxUnits, 0, most),
-		"settled":   decode.Flag(&c.SettledLater),
-		"intake":    decode.Rate(&c.PeerIntake),
-		"meter":     decode.Duration(&c.MeterPeriod, time.Millisecond),
+		"settled":   decode.Flag(&c.SettledOnResponse),
+		"intake":    decode.Rate(&c.GossipCapacity),
+		"meter":     decode.Duration(&c.UsageReportPeriod, time.Millisecond),
 		"log":       decode.Choice(&f.Log.JSON, map[string]bool{"json": true, "text": false}),
 		"log-level": decode.Choice(&f.Log.Level, map[string]string{"debug": "debug", "info": "info", "warn": "warn", "error": "error"}),
 	}, decode.Blocks{
@@ -284,11 +284,11 @@
 		d.Fail(n.Pos, "kept", "%q, want %%d in it, which stands for the rank: each gateway has its own", f.Kept)
 	}
 	for i, g := range f.Gateways {
-		if c.Limits.Peers && g.Peer == "" && !d.draft {
+		if c.Limits.Gossip && g.Peer == "" && !d.draft {
 			d.Fail(n.Pos, fmt.Sprintf("gateway[%d].peer", i), "missing, limits.peers is #true")
 		}
 	}
-	if c.Limits.Peers && c.PeerIntake == 0 && !d.Has("intake") {
+	if c.Limits.Gossip && c.GossipCapacity == 0 && !d.Has("intake") {
 		d.Fail(n.Pos, "intake", "missing, limits.peers is #true")
 	}
 }
@@ -306,41 +306,41 @@
 }
 
 func (d *decoder) class(name string, n *kdl.Node) decide.Class {
-	k := decide.Class{Name: name, Worth: 1, Group: decide.GroupAll}
+	k := decide.Class{Name: name, PriorityWeight: 1, DedupScope: decide.DedupInFleet}
 	at := "class " + name
 	group := false
 	d.Block(at, n, decode.Fields{
-		"effect": decode.Choice(&k.Effect, map[string]decide.Effect{"safe": decide.Safe, "keyed": decide.Keyed, "unsafe": decide.Unsafe}),
+		"effect": decode.Choice(&k.Idempotency, map[string]decide.Idempotency{"safe": decide.Idempotent, "keyed": decide.IdempotentByKey, "unsafe": decide.NotIdempotent}),
 		"group": func(s decode.Setting) {
 			group = true
-			decode.Choice(&k.Group, map[string]decide.Group{"all": decide.GroupAll, "zone": decide.GroupZone, "cell": decide.GroupCell})(s)
+			decode.Choice(&k.DedupScope, map[string]decide.DedupScope{"all": decide.DedupInFleet, "zone": decide.DedupInZone, "cell": decide.DedupInCell})(s)
 		},
-		"window":     decode.Duration(&k.Window, time.Millisecond),
-		"aim":        decode.Duration(&k.Aim, time.Millisecond),
+		"window":     decode.Duration(&k.DedupWindow, time.Millisecond),
+		"aim":        decode.Duration(&k.LatencyObjective, time.Millisecond),
 		"deadline":   decode.Duration(&k.Deadline, time.Millisecond),
-		"worth":      decode.Number(&k.Worth, 0, most),
-		"late-worth": decode.Number(&k.LateWorth, 0, 1),
+		"worth":      decode.Number(&k.PriorityWeight, 0, most),
+		"late-worth": decode.Number(&k.LateWeight, 0, 1),
 	}, nil, "effect", "aim", "deadline")
 	switch {
-	case k.Effect == decide.Keyed && k.Window == 0:
+	case k.Idempotency == decide.IdempotentByKey && k.DedupWindow == 0:
 		d.Fail(n.Pos, at+".window", "missing, the effect is keyed")
-	case k.Effect != decide.Keyed && (k.Window > 0 || group):
+	case k.Idempotency != decide.IdempotentByKey && (k.DedupWindow > 0 || group):
 		d.Fail(n.Pos, at+".effect", "not keyed, yet window or group is given")
-	case k.Deadline > 0 && k.Deadline < k.Aim:
-		d.Fail(n.Pos, at+".deadline", "%v, want the aim of %v or more", k.Deadline, k.Aim)
+	case k.Deadline > 0 && k.Deadline < k.LatencyObjective:
+		d.Fail(n.Pos, at+".deadline", "%v, want the aim of %v or more", k.Deadline, k.LatencyObjective)
 	}
 	return k
 }
 
 func (d *decoder) plan(name string, n *kdl.Node) decide.Plan {
-	p := decide.Plan{Name: name, Price: 1}
+	p := decide.Plan{Name: name, PriorityWeight: 1}
 	at := "plan " + name
 	d.Block(at, n, decode.Fields{
 		"rate": decode.Rate(&p.Rate), "burst": decode.Number(&p.Burst, 0, most),
 		"ceiling-rate": decode.Rate(&p.CeilingRate), "ceiling-burst": decode.Number(&p.CeilingBurst, 0, most),
-		"ceiling-slack": decode.Number(&p.CeilingSlack, 0, most), "max-open": decode.Whole(&p.MaxOpen, 0, most),
-		"price": decode.Number(&p.Price, 0, most), "over-worth": decode.Number(&p.OverWorth, 0, most),
-		"over-cost": decode.Number(&p.OverCost, 0, most),
+		"ceiling-slack": decode.Number(&p.CeilingSlack, 0, most), "max-open": decode.Whole(&p.MaxInFlight, 0, most),
+		"price": decode.Number(&p.PriorityWeight, 0, most), "over-worth": decode.Number(&p.OverQuotaValue, 0, most),
+		"over-cost": decode.Number(&p.OverQuotaCost, 0, most),
 	}, nil)
 	if (p.Rate > 0) != (p.Burst > 0) {
 		d.Fail(n.Pos, at+".burst", "rate %v and burst %v, want both or neither", p.Rate, p.Burst)
@@ -389,8 +389,8 @@
 
 func (d *decoder) limits(at string, n *kdl.Node, l *decide.Limits) {
 	d.Plain(at, n)
-	d.Block(at, n, decode.Fields{"attempts": decode.Whole(&l.MaxAttempts, 1, 100), "parallel": decode.Flag(&l.Parallel),
-		"cancel": decode.Flag(&l.Cancel), "peers": decode.Flag(&l.Peers), "retry-after": decode.Flag(&l.RetryAfter),
+	d.Block(at, n, decode.Fields{"attempts": decode.Whole(&l.MaxAttempts, 1, 100), "parallel": decode.Flag(&l.Hedging),
+		"cancel": decode.Flag(&l.Cancel), "peers": decode.Flag(&l.Gossip), "retry-after": decode.Flag(&l.RetryAfter),
 		"max-retry-after": decode.Duration(&l.MaxRetryAfter, 0),
 		"connect-timeout": decode.Duration(&l.ConnectTimeout, time.Millisecond)}, nil)
 }
@@ -398,16 +398,16 @@
 func (d *decoder) safety(at string, n *kdl.Node, s *decide.Safety) {
 	d.Plain(at, n)
 	d.Block(at, n, decode.Fields{"answer-slack": decode.Duration(&s.AnswerSlack, 0), "drain-grace": decode.Duration(&s.DrainGrace, 0),
-		"cold-from": decode.Number(&s.ColdFrom, 0, 1), "cold-for": decode.Duration(&s.ColdFor, 0),
-		"fall-multiple": decode.Number(&s.FallMultiple, 0, most), "fall-window": decode.Duration(&s.FallWindow, 0),
-		"ask-within": decode.Duration(&s.AskWithin, 0)}, nil)
+		"cold-from": decode.Number(&s.SlowStartCapacity, 0, 1), "cold-for": decode.Duration(&s.SlowStartDuration, 0),
+		"fall-multiple": decode.Number(&s.OverloadMultiple, 0, most), "fall-window": decode.Duration(&s.OverloadWindow, 0),
+		"ask-within": decode.Duration(&s.ListMaxAge, 0)}, nil)
 }
 
 func (d *decoder) prices(at string, n *kdl.Node, p *decide.Prices) {
 	d.Plain(at, n)
 	d.Block(at, n, decode.Fields{"cross-zone": decode.Number(&p.CrossZone, 0, most), "waste": decode.Number(&p.Waste, 0, most),
-		"probe": decode.Number(&p.Probe, 0, most), "peer": decode.Number(&p.Peer, 0, most),
-		"late-fail": decode.Number(&p.LateFail, 0, most), "counter": decode.Number(&p.Counter, 0, most)}, nil)
+		"probe": decode.Number(&p.HealthCheck, 0, most), "peer": decode.Number(&p.Gossip, 0, most),
+		"late-fail": decode.Number(&p.LateFailure, 0, most), "counter": decode.Number(&p.Counter, 0, most)}, nil)
 }
 
 func (d *decoder) export(at string, n *kdl.Node, e *Export) {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -42,8 +42,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Decide.Plans[0].Rate != 1.5 || f.Decide.Classes[1].Group != decide.GroupZone || f.Caps.Message != 64<<10 ||
-		f.Members[0].First != 1 || f.Decide.Classes[1].Window != 1500*time.Millisecond {
+	if f.Decide.Plans[0].Rate != 1.5 || f.Decide.Classes[1].DedupScope != decide.DedupInZone || f.Caps.Message != 64<<10 ||
+		f.Members[0].First != 1 || f.Decide.Classes[1].DedupWindow != 1500*time.Millisecond {
 		t.Errorf("%+v", f)
 	}
 	back, err := Parse("f", Format(f))
@@ -127,10 +127,10 @@
 		f.Decide.Gateways = n
 		num := rapid.Float64Range(0, 1e6)
 		aim := time.Duration(rapid.Int64Range(1e6, 1e12).Draw(t, "aim"))
-		f.Decide.Classes = []decide.Class{{Name: name.Draw(t, "class"), Effect: decide.Safe, Group: decide.GroupAll, Aim: aim,
-			Deadline: 2 * aim, Worth: num.Draw(t, "worth")}}
+		f.Decide.Classes = []decide.Class{{Name: name.Draw(t, "class"), Idempotency: decide.Idempotent, DedupScope: decide.DedupInFleet, LatencyObjective: aim,
+			Deadline: 2 * aim, PriorityWeight: num.Draw(t, "worth")}}
 		f.Decide.Plans = []decide.Plan{{Name: name.Draw(t, "plan"), Rate: 1 + num.Draw(t, "rate"), Burst: 1 + num.Draw(t, "burst"),
-			Price: num.Draw(t, "price")}}
+			PriorityWeight: num.Draw(t, "price")}}
 		f.Members = []Member{{Name: name.Draw(t, "member"), Plan: f.Decide.Plans[0].Name, Spread: n,
 			Keys: []credentials.Digest{f.Secret.Members().Sum(nil)}}}
 		back, err := Parse("f", Format(f))
--- a/internal/config/format.go
+++ b/internal/config/format.go
@@ -25,10 +25,10 @@
 	w.set("log", quote(map[bool]string{true: "json", false: "text"}[f.Log.JSON]))
 	w.text("log-level", f.Log.Level)
 	w.number("max-units", c.MaxUnits)
-	w.flag("settled", c.SettledLater)
-	w.rate("intake", c.PeerIntake)
-	if c.MeterPeriod > 0 {
-		w.duration("meter", c.MeterPeriod)
+	w.flag("settled", c.SettledOnResponse)
+	w.rate("intake", c.GossipCapacity)
+	if c.UsageReportPeriod > 0 {
+		w.duration("meter", c.UsageReportPeriod)
 	}
 	for _, k := range c.Classes {
 		w.class(k)
@@ -39,9 +39,9 @@
 	l := c.Limits
 	w.open("limits")
 	w.set("attempts", strconv.Itoa(l.MaxAttempts))
-	w.flag("parallel", l.Parallel)
+	w.flag("parallel", l.Hedging)
 	w.flag("cancel", l.Cancel)
-	w.flag("peers", l.Peers)
+	w.flag("peers", l.Gossip)
 	w.flag("retry-after", l.RetryAfter)
 	w.duration("max-retry-after", l.MaxRetryAfter)
 	w.duration("connect-timeout", l.ConnectTimeout)
@@ -50,19 +50,19 @@
 	w.open("safety")
 	w.duration("answer-slack", s.AnswerSlack)
 	w.duration("drain-grace", s.DrainGrace)
-	w.number("cold-from", s.ColdFrom)
-	w.duration("cold-for", s.ColdFor)
-	w.number("fall-multiple", s.FallMultiple)
-	w.duration("fall-window", s.FallWindow)
-	w.duration("ask-within", s.AskWithin)
+	w.number("cold-from", s.SlowStartCapacity)
+	w.duration("cold-for", s.SlowStartDuration)
+	w.number("fall-multiple", s.OverloadMultiple)
+	w.duration("fall-window", s.OverloadWindow)
+	w.duration("ask-within", s.ListMaxAge)
 	w.close()
 	p := c.Prices
 	w.open("prices")
 	w.number("cross-zone", p.CrossZone)
 	w.number("waste", p.Waste)
-	w.number("probe", p.Probe)
-	w.number("peer", p.Peer)
-	w.number("late-fail", p.LateFail)
+	w.number("probe", p.HealthCheck)
+	w.number("peer", p.Gossip)
+	w.number("late-fail", p.LateFailure)
 	w.number("counter", p.Counter)
 	w.close()
 	w.caps(f.Caps)
@@ -162,15 +162,15 @@
 
 func (w *writer) class(k decide.Class) {
 	w.open("class %s", quote(k.Name))
-	w.set("effect", quote([...]string{"unsafe", "keyed", "safe"}[k.Effect]))
-	if k.Effect == decide.Keyed {
-		w.set("group", quote([...]string{"cell", "zone", "all"}[k.Group]))
-		w.duration("window", k.Window)
+	w.set("effect", quote([...]string{"unsafe", "keyed", "safe"}[k.Idempotency]))
+	if k.Idempotency == decide.IdempotentByKey {
+		w.set("group", quote([...]string{"cell", "zone", "all"}[k.DedupScope]))
+		w.duration("window", k.DedupWindow)
 	}
-	w.duration("aim", k.Aim)
+	w.duration("aim", k.LatencyObjective)
 	w.duration("deadline", k.Deadline)
-	w.number("worth", k.Worth)
-	w.number("late-worth", k.LateWorth)
+	w.number("worth", k.PriorityWeight)
+	w.number("late-worth", k.LateWeight)
 	w.close()
 }
 
@@ -181,10 +181,10 @@
 	w.rate("ceiling-rate", p.CeilingRate)
 	w.number("ceiling-burst", p.CeilingBurst)
 	w.number("ceiling-slack", p.CeilingSlack)
-	w.set("max-open", strconv.Itoa(p.MaxOpen))
-	w.number("price", p.Price)
-	w.number("over-worth", p.OverWorth)
-	w.number("over-cost", p.OverCost)
+	w.set("max-open", strconv.Itoa(p.MaxInFlight))
+	w.number("price", p.PriorityWeight)
+	w.number("over-worth", p.OverQuotaValue)
+	w.number("over-cost", p.OverQuotaCost)
 	w.close()
 }
 
--- a/internal/discovery/http/list.go
+++ b/internal/discovery/http/list.go
@@ -40,7 +40,7 @@
 	bootUnknown = 1
 )
 
-var states = map[string]decide.State{"ready": decide.Serving, "draining": decide.Draining, "gone": decide.Gone}
+var states = map[string]decide.ServerState{"ready": decide.Serving, "draining": decide.Draining, "gone": decide.Removed}
 
 // fault says which field of an entry can't be used.
 type fault struct {
--- a/internal/discovery/http/starts.go
+++ b/internal/discovery/http/starts.go
@@ -40,22 +40,22 @@
 }
 
 // Update is a list as the core is told it. gap is the time since discovery was last heard.
-func (s *Starts) Update(l *List, kind decide.FleetKind, now, gap time.Duration) decide.FleetUpdate {
+func (s *Starts) Update(l *List, kind decide.UpdateKind, now, gap time.Duration) decide.EndpointUpdate {
 	first := !s.live
-	if s.live = kind != decide.FleetStale; first {
+	if s.live = kind != decide.StaleUpdate; first {
 		s.estimate(l, now)
 		gap = now // any age is possible
 	} else {
 		s.observe(l, now)
 	}
 	s.updates++
-	u := decide.FleetUpdate{Kind: kind, Version: l.Rev, Servers: make([]decide.Server, 0, len(l.Targets))}
+	u := decide.EndpointUpdate{Kind: kind, Version: l.Rev, Servers: make([]decide.Server, 0, len(l.Targets))}
 	for i := range l.Targets {
 		e := &l.Targets[i]
 		u.Servers = append(u.Servers, decide.Server{ID: e.UID, Zone: e.Zone, Cell: e.Cell, Kind: e.Model, State: states[e.State],
-			Started: s.at(e, first, now, now-gap), Weight: e.Hint})
+			StartedAt: s.at(e, first, now, now-gap), Weight: e.Hint})
 	}
-	s.forget(kind != decide.FleetDelta, now)
+	s.forget(kind != decide.DeltaUpdate, now)
 	return u
 }
 
--- a/internal/discovery/websocket/nodelist.go
+++ b/internal/discovery/websocket/nodelist.go
@@ -44,7 +44,7 @@
 	MethodFetch  = "list.fetch" // a call of the gateway: asks for the whole list
 )
 
-var states = map[string]decide.State{"serving": decide.Serving, "draining": decide.Draining, "gone": decide.Gone}
+var states = map[string]decide.ServerState{"serving": decide.Serving, "draining": decide.Draining, "gone": decide.Removed}
 
 // Check reports what makes an update unusable.
 func (u *Update) Check() error {
@@ -89,14 +89,14 @@
 
 // Take checks an update and returns the event it makes. fresh marks the first whole list of a connection,
 // which counts whatever its version is: the list itself may have begun anew.
-func (b *Book) Take(now time.Duration, full, fresh bool, u *Update) (decide.FleetUpdate, error) {
-	ev := decide.FleetUpdate{Kind: decide.FleetDelta, Version: u.Version}
+func (b *Book) Take(now time.Duration, full, fresh bool, u *Update) (decide.EndpointUpdate, error) {
+	ev := decide.EndpointUpdate{Kind: decide.DeltaUpdate, Version: u.Version}
 	if err := u.Check(); err != nil {
 		return ev, err
 	}
 	switch {
 	case full && (fresh || !b.known || u.Version > b.version):
-		ev.Kind = decide.FleetFull
+		ev.Kind = decide.FullUpdate
 		b.nodes = map[string]Entry{}
 	case full || b.known && u.Version <= b.version:
 		return ev, ErrOld
@@ -132,7 +132,7 @@
 			st = start{e.Started, max(1, now-age)}
 			b.starts[e.Node] = st
 		}
-		s.Started = st.at
+		s.StartedAt = st.at
 	}
 	return s
 }
@@ -189,7 +189,7 @@
 	Kept  string // file; empty: nothing is kept
 	Rank  int
 	Clock func() time.Duration // the gateway's
-	Take  func(decide.FleetUpdate)
+	Take  func(decide.EndpointUpdate)
 	Log   func(msg string, args ...any)
 }
 
@@ -203,7 +203,7 @@
 			// The wall clock that told the starts may have been another: an age is never negative.
 			u.Now = time.Now().UnixMilli()
 			ev, _ := book.Take(o.Clock(), true, true, &u)
-			ev.Kind = decide.FleetStale
+			ev.Kind = decide.StaleUpdate
 			o.Take(ev)
 			o.Log("started with the list last kept", "version", u.Version, "nodes", len(u.Nodes))
 		case !errors.Is(err, os.ErrNotExist):
@@ -231,7 +231,7 @@
 		"X-Gateway-Rank": fmt.Sprint(o.Rank)}}
 	l, err := wsconn.Dial(dial, o.Addr, req, wsconn.Options{Message: 8 << 20})
 	if err != nil {
-		o.Take(decide.FleetUpdate{Kind: decide.FleetFailed})
+		o.Take(decide.EndpointUpdate{Kind: decide.FailedUpdate})
 		return false
 	}
 	defer l.Abort()
--- a/internal/discovery/websocket/nodelist_test.go
+++ b/internal/discovery/websocket/nodelist_test.go
@@ -24,18 +24,18 @@
 		version     uint64
 		nodes       []Entry
 		err         error
-		kind        decide.FleetKind
+		kind        decide.UpdateKind
 	}{
 		{"a change before any list", false, false, 3, []Entry{a}, ErrGap, 0},
-		{"the whole", true, true, 3, []Entry{a, c}, nil, decide.FleetFull},
-		{"a change", false, false, 4, []Entry{entry("10.0.0.1:1", "draining", 0)}, nil, decide.FleetDelta},
+		{"the whole", true, true, 3, []Entry{a, c}, nil, decide.FullUpdate},
+		{"a change", false, false, 4, []Entry{entry("10.0.0.1:1", "draining", 0)}, nil, decide.DeltaUpdate},
 		{"the same again", false, false, 4, []Entry{a}, ErrOld, 0},
 		{"an older one", false, false, 2, []Entry{a}, ErrOld, 0},
 		{"a gap", false, false, 6, []Entry{a}, ErrGap, 0},
 		{"an older whole", true, false, 3, nil, ErrOld, 0},
-		{"a newer whole", true, false, 9, []Entry{c}, nil, decide.FleetFull},
-		{"a list that began anew", true, true, 1, []Entry{c}, nil, decide.FleetFull},
-		{"a change of it", false, false, 2, []Entry{a}, nil, decide.FleetDelta},
+		{"a newer whole", true, false, 9, []Entry{c}, nil, decide.FullUpdate},
+		{"a list that began anew", true, true, 1, []Entry{c}, nil, decide.FullUpdate},
+		{"a change of it", false, false, 2, []Entry{a}, nil, decide.DeltaUpdate},
 	}
 	for _, s := range steps {
 		ev, err := b.Take(time.Hour, s.full, s.fresh, &Update{Version: s.version, Now: 8000, Nodes: s.nodes})
@@ -53,7 +53,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return ev.Servers[0].Started
+		return ev.Servers[0].StartedAt
 	}
 	at := first(time.Hour, 8000, 5000, 1)
 	if at != time.Hour-3*time.Second {
--- a/internal/frontend/http/request.go
+++ b/internal/frontend/http/request.go
@@ -97,7 +97,7 @@
 		return nil, nil, fault(400, "X-Remaining-Ms is %.40q, want a whole number of 1 to %g", left, most)
 	}
 	c := &frontend.Call{Class: name, Plan: plan, Member: who, Deadline: now + time.Duration(ms)*time.Millisecond,
-		Write: class.Effect != decide.Safe}
+		Write: class.Idempotency != decide.Idempotent}
 	if c.Units, c.Spread, c.First, err = r.quota(q); err != nil {
 		return nil, nil, err
 	}
@@ -115,7 +115,7 @@
 		p.kind, _ = q.Get("Content-Type")
 	}
 	want := "POST"
-	if class.Effect == decide.Safe {
+	if class.Idempotency == decide.Idempotent {
 		want = "GET"
 	}
 	if p.method != want {
@@ -124,7 +124,7 @@
 	if want == "GET" && len(p.body) > 0 {
 		return fault(400, "a body of %d bytes with GET", len(p.body))
 	}
-	if class.Effect != decide.Keyed {
+	if class.Idempotency != decide.IdempotentByKey {
 		if keys > 0 {
 			return fault(400, "Idempotency-Key with class %q, which has none", class.Name)
 		}
--- a/internal/frontend/http/server_test.go
+++ b/internal/frontend/http/server_test.go
@@ -40,8 +40,8 @@
 func start(t *testing.T, seats int) (*core, *Server, string) {
 	t.Helper()
 	cfg := &decide.Config{Gateways: 3, MaxUnits: 8, Plans: []decide.Plan{{Name: "team"}}, Classes: []decide.Class{
-		{Name: "get", Effect: decide.Safe, Deadline: 4 * time.Second}, {Name: "put", Effect: decide.Keyed, Deadline: time.Second},
-		{Name: "pay", Effect: decide.Unsafe, Deadline: time.Second}}}
+		{Name: "get", Idempotency: decide.Idempotent, Deadline: 4 * time.Second}, {Name: "put", Idempotency: decide.IdempotentByKey, Deadline: time.Second},
+		{Name: "pay", Idempotency: decide.NotIdempotent, Deadline: time.Second}}}
 	c := &core{came: make(chan *frontend.Call, 1000), left: make(chan string, 1000)}
 	s := New(NewRules(cfg), c, Options{Conns: seats}, func() time.Duration { return time.Since(began) }, func() bool { return true },
 		slog.New(slog.DiscardHandler))
--- a/internal/frontend/websocket/session.go
+++ b/internal/frontend/websocket/session.go
@@ -182,7 +182,7 @@
 	switch {
 	case p.Units != nil && most > 0 && *p.Units > most:
 		return fmt.Errorf("params.units: %v, want %v at most", *p.Units, most)
-	case k.Effect == decide.Keyed && p.Key == "":
+	case k.Idempotency == decide.IdempotentByKey && p.Key == "":
 		return fmt.Errorf("params.key: missing, %s is keyed", k.Name)
 	case len(p.Key) > maxKey:
 		return fmt.Errorf("params.key: %d bytes, want %d at most", len(p.Key), maxKey)
--- a/internal/gateway/books.go
+++ b/internal/gateway/books.go
@@ -195,7 +195,7 @@
 			if stands++; stands <= manyStands { // a plan's new terms are those of all who are on it
 				b.slog.Info("terms", "member", a.Member, "plan", a.Plan.Name, "rate", a.Plan.Rate, "burst", a.Plan.Burst, "change", a.Change)
 			}
-			b.l.handle(decide.Terms{Customer: a.Member, Plan: a.Plan})
+			b.l.handle(decide.PlanChange{Customer: a.Member, Plan: a.Plan})
 		case quotaplan.Hold:
 			b.slog.Info("reservation", "member", a.Member, "number", a.Number, "units", a.Units)
 			b.toLedger(reservation.Hold{Reservation: a.Reservation, Slices: b.slices(a.Reservation)})
@@ -212,7 +212,7 @@
 // slices are where the core keeps a member's ceiling; even parts, for a core that tells nothing of it.
 func (b *books) slices(r quotaplan.Reservation) (out []reservation.Slice) {
 	c, ok := b.l.core.(interface {
-		Slices(customer string, first, spread int) []decide.Slice
+		CeilingShares(customer string, first, spread int) []decide.CeilingShare
 	})
 	if !ok {
 		for i := range max(1, r.Spread) {
@@ -220,8 +220,8 @@
 		}
 		return out
 	}
-	for _, s := range c.Slices(r.Member, r.First, r.Spread) {
-		out = append(out, reservation.Slice{Rank: s.Rank, Part: s.Part})
+	for _, s := range c.CeilingShares(r.Member, r.First, r.Spread) {
+		out = append(out, reservation.Slice{Rank: s.Rank, Part: s.Fraction})
 	}
 	return out
 }
@@ -253,7 +253,7 @@
 			b.l.tell(a.To, chanReserve, a.Data)
 		case reservation.Return:
 			b.slog.Info("reserved units return", "member", a.Member, "units", a.Units)
-			b.l.handle(decide.Terms{Customer: a.Member, Plan: b.book.Stands(a.Member), Return: a.Units})
+			b.l.handle(decide.PlanChange{Customer: a.Member, Plan: b.book.Stands(a.Member), ReturnedUnits: a.Units})
 		case reservation.Wake:
 			b.ledgAt = a.At
 		}
@@ -290,7 +290,7 @@
 		if l.measures != nil {
 			l.measures.Word(text, "in")
 		}
-		l.handle(decide.PeerMessage{From: from, Text: text})
+		l.handle(decide.GossipReceived{From: from, Text: text})
 	}
 }
 
--- a/internal/gateway/books_test.go
+++ b/internal/gateway/books_test.go
@@ -28,7 +28,7 @@
 	dir := t.TempDir()
 	b := newBench(t, 4, func(f *config.Fleet) {
 		f.Kept = filepath.Join(dir, "kept-%d")
-		f.Decide.Gateways, f.Decide.Limits.Peers, f.Decide.PeerIntake = 3, true, 200
+		f.Decide.Gateways, f.Decide.Limits.Gossip, f.Decide.GossipCapacity = 3, true, 200
 		f.Decide.Plans[0].Rate, f.Decide.Plans[0].Burst = 60, 60
 		f.Decide.Plans[1].Rate, f.Decide.Plans[1].Burst = 3, 6
 		f.Gateways = nil
@@ -310,7 +310,7 @@
 	c.nc.Close()
 	eventually(t, "none is open", func() bool {
 		s := b.gw.State()
-		return s.Open == 0 && s.Core.Requests == 0 && s.Reservations[0].Out == 0
+		return s.Open == 0 && s.Core.OpenRequests == 0 && s.Reservations[0].Out == 0
 	})
 	r := b.gw.State().Reservations[0]
 	if sum := r.Free + r.Drawn + r.Spent; math.Abs(sum-1000) > 1e-6 || r.Waiting != 0 {
--- a/internal/gateway/brief.go
+++ b/internal/gateway/brief.go
@@ -17,8 +17,8 @@
 // Brief asks the loop.
 func (l *Loop) Brief() (b Brief) {
 	l.Ask(func() {
-		v := l.core.View()
-		b = Brief{maps.Clone(l.reasons), maps.Clone(l.ends), v.Pressed, v.Budget, len(l.opens), l.lag, l.turn}
+		v := l.core.Status()
+		b = Brief{maps.Clone(l.reasons), maps.Clone(l.ends), v.Pressure, v.RetryBudget, len(l.opens), l.lag, l.turn}
 		l.lag, l.turn = 0, 0
 	})
 	return b
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -261,8 +261,8 @@
 			"from": moment(&c.From), "to": moment(&c.To), "units": decode.Number(&c.Units, 0, 1e12), "use-rate": decode.Rate(&c.Rate),
 			"rate": decode.Rate(&c.Terms.Rate), "burst": decode.Number(&c.Terms.Burst, 0, 1e9),
 			"ceiling-rate": decode.Rate(&c.Terms.CeilingRate), "ceiling-burst": decode.Number(&c.Terms.CeilingBurst, 0, 1e9),
-			"ceiling-slack": decode.Number(&c.Terms.CeilingSlack, 0, 1e9), "max-open": decode.Whole(&c.Terms.MaxOpen, 0, 1<<31-1),
-			"price": decode.Number(&c.Terms.Price, 0, 1e9),
+			"ceiling-slack": decode.Number(&c.Terms.CeilingSlack, 0, 1e9), "max-open": decode.Whole(&c.Terms.MaxInFlight, 0, 1<<31-1),
+			"price": decode.Number(&c.Terms.PriorityWeight, 0, 1e9),
 		}, nil, "number", "kind")
 		if seen[number] && number > 0 {
 			d.Fail(n.Pos, "change.number", "%d, given before in this file", number)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -115,7 +115,7 @@
 	}
 	closers = append(closers, ln)
 	var peers Peers
-	if cfg.Limits.Peers {
+	if cfg.Limits.Gossip {
 		pc, err := net.ListenPacket("udp", cmp.Or(me.Bind, me.Peer))
 		if err != nil {
 			return nil, fmt.Errorf("gateway %d: peer: %w", o.Rank, err)
@@ -126,7 +126,7 @@
 			addrs = append(addrs, p.Peer)
 		}
 		if g.peers, err = gossip.New(pc, gossip.Options{Fleet: f.Name, Rank: o.Rank, Peers: addrs, Secret: f.Secret,
-			Intake: cfg.PeerIntake}); err != nil {
+			Intake: cfg.GossipCapacity}); err != nil {
 			return nil, err
 		}
 		peers = g.peers
@@ -163,7 +163,7 @@
 			return nil, fmt.Errorf("gateway %d: traces: %w", o.Rank, err)
 		}
 	}
-	g.loop.homes = !o.Core.View().Mesh
+	g.loop.homes = !o.Core.Status().FullGossip
 	if f.Measures.On {
 		g.loop.sums, g.loop.measures = g.openSums(uint64(g.epoch), o.Seed), g.openMeasures()
 		if f.Measures.To != "" {
@@ -324,7 +324,7 @@
 	NodeConns  int               `json:"node_connections"`
 	Datagrams  gossip.Counts     `json:"datagrams"`
 	Names      map[uint64]string `json:"names"` // of customers, by their keys in Core
-	Core       decide.View       `json:"core"`
+	Core       CoreState         `json:"core"`
 
 	Changes      int                `json:"changes"` // in the book of plans
 	ChangesSum   string             `json:"changes_sum"`
@@ -346,7 +346,7 @@
 	}
 	g.loop.Ask(func() {
 		l := g.loop
-		s.Queue, s.Turns, s.Core = l.q.len(), l.turns, l.core.View()
+		s.Queue, s.Turns, s.Core = l.q.len(), l.turns, CoreState{l.core.Status()}
 		if l.owed != nil {
 			s.Export = l.owed.state()
 		}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -102,7 +102,7 @@
 func (b *bench) addNode(f *config.Fleet) {
 	classes := map[string]backend.Class{}
 	for _, k := range f.Decide.Classes {
-		classes[k.Name] = backend.Class{Work: time.Millisecond, Keyed: k.Effect == decide.Keyed, Window: k.Window}
+		classes[k.Name] = backend.Class{Work: time.Millisecond, Keyed: k.Idempotency == decide.IdempotentByKey, Window: k.DedupWindow}
 	}
 	n, err := backend.Start(backend.Options{Addr: "127.0.0.1:0", Cores: 8, Speed: 1, Queue: 100000, Classes: classes})
 	if err != nil {
@@ -278,7 +278,7 @@
 	}
 	goroutines := 0
 	for _, x := range append(leaves, leaves[0]) {
-		eventually(t, "work that nobody waits for is forgotten", func() bool { return b.gw.State().Core.Pressed == 0 })
+		eventually(t, "work that nobody waits for is forgotten", func() bool { return b.gw.State().Core.Pressure == 0 })
 		before := b.gw.State()
 		c := b.dial(b.key)
 		var msgs []string
@@ -538,7 +538,7 @@
 		o := &open{Call: &frontend.Call{ID: "x", Done: func(frontend.Final) { n++ }}}
 		b.gw.loop.opens["x"] = o
 		b.gw.loop.Open.Add(1)
-		b.gw.loop.carry(decide.Refuse{ID: "x"})
+		b.gw.loop.carry(decide.Reject{ID: "x"})
 		b.gw.loop.carry(decide.Fail{ID: "x"})
 		b.gw.loop.final(o, frontend.Final{})
 	})
--- a/internal/gateway/late_test.go
+++ b/internal/gateway/late_test.go
@@ -31,13 +31,13 @@
 	if r, ok := ev.(decide.Request); ok {
 		s := decide.Send{ID: r.ID, Server: "s", Timeout: 500 * time.Millisecond}
 		if !unbounded.Load() {
-			s.Before = now + 200*time.Millisecond
+			s.WriteBefore = now + 200*time.Millisecond
 		}
 		return []decide.Action{s}
 	}
 	return nil
 }
-func (sends) View() decide.View { return decide.View{} }
+func (sends) Status() decide.Status { return decide.Status{} }
 
 // What an attempt tells its server, and whether it may leave at all, is settled when it is written, not when it was
 // decided: connecting takes time.
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -108,7 +108,7 @@
 // Core decides; *decide.Gateway does. Measurements put one that decides nothing in its place.
 type Core interface {
 	Handle(now time.Duration, ev decide.Event) []decide.Action
-	View() decide.View
+	Status() decide.Status
 }
 
 // Tamper breaks a gateway on purpose, to try the judge of the rules; nothing else sets it.
@@ -193,7 +193,7 @@
 
 // Fleet hands on news of the list of nodes and returns when it is taken: a list that talks without end waits
 // for the loop and does not fill its queue.
-func (l *Loop) Fleet(ev decide.FleetUpdate) { l.Ask(func() { l.handle(ev) }) }
+func (l *Loop) Fleet(ev decide.EndpointUpdate) { l.Ask(func() { l.handle(ev) }) }
 
 // Ask runs f in the loop and returns after it; false if the loop has ended.
 func (l *Loop) Ask(f func()) bool {
@@ -326,7 +326,7 @@
 // callOff ends what the core still does for a finished call.
 func (l *Loop) callOff(o *open) {
 	if !o.reserving {
-		l.handle(decide.ClientGone{ID: o.ID})
+		l.handle(decide.ClientDisconnected{ID: o.ID})
 	}
 	l.forget(o)
 }
@@ -348,7 +348,7 @@
 		l.handle(decide.TimerFired{Token: token})
 		return
 	}
-	if res, ok := l.abandon(t, decide.TimedOut); ok {
+	if res, ok := l.abandon(t, decide.OutcomeTimedOut); ok {
 		l.ended(t, res)
 	}
 }
@@ -359,13 +359,13 @@
 	switch {
 	case t.held:
 		t.held = false
-		return upstreamws.Result{Outcome: decide.NoConnection}, true
+		return upstreamws.Result{Outcome: decide.OutcomeConnectFailed}, true
 	case t.denied:
 		return upstreamws.Result{}, false
 	}
 	switch l.nodes.Abandon(t.call) {
 	case upstreamws.NeverLeft:
-		return upstreamws.Result{Outcome: decide.NoConnection}, true
+		return upstreamws.Result{Outcome: decide.OutcomeConnectFailed}, true
 	case upstreamws.MayRun:
 		return upstreamws.Result{Outcome: as}, true
 	}
@@ -402,7 +402,7 @@
 	c := o.Call
 	o.reserving = false
 	l.handle(decide.Request{ID: c.ID, Class: c.Class, Plan: c.Plan, Customer: c.Member, Units: c.Units,
-		Deadline: c.Deadline, First: c.First, Spread: c.Spread, Again: c.Again, Write: c.Write,
+		Deadline: c.Deadline, FirstGateway: c.First, GatewayCount: c.Spread, IsRetry: c.Again, Mutates: c.Write,
 		Reserved: c.Reserved})
 }
 
@@ -422,18 +422,18 @@
 		l.log.Debug("attempt", "request", o.ID, "attempt", t.n, "member", o.Member, "server", t.node,
 			"class", o.Class, "outcome", outcomeNames[res.Outcome], "took", l.now-t.at, "report", res.Report)
 	}
-	ev := decide.AttemptEnded{ID: o.ID, Server: t.node, Attempt: t.n, Outcome: res.Outcome, Took: l.now - t.at,
-		Metered: res.Metered, Report: res.Report, Done: o.finished}
+	ev := decide.AttemptEnded{ID: o.ID, Server: t.node, Attempt: t.n, Outcome: res.Outcome, Duration: l.now - t.at,
+		ReportedUsage: res.Metered, LoadReport: res.Report, RequestDone: o.finished}
 	if t.owe != 0 {
 		l.owed.settle(t, res)
 	}
 	if o.Reserved {
-		o.settle(res, l.cfg.SettledLater)
+		o.settle(res, l.cfg.SettledOnResponse)
 	}
-	if res.Outcome == decide.OK && !o.finished {
-		ev.Done = true
-		if l.cfg.SettledLater {
-			ev.TrueUnits = res.TrueUnits
+	if res.Outcome == decide.OutcomeOK && !o.finished {
+		ev.RequestDone = true
+		if l.cfg.SettledOnResponse {
+			ev.ActualUnits = res.TrueUnits
 		}
 		l.final(o, frontend.Final{Kind: frontend.Served, Body: res.Body, Units: res.TrueUnits})
 	}
@@ -444,8 +444,8 @@
 // settle notes what a try took of units set aside: what its answer told, or its guess where it may have run.
 func (o *open) settle(res upstreamws.Result, told bool) {
 	switch res.Outcome {
-	case decide.Full, decide.NoConnection, decide.Moot:
-	case decide.OK:
+	case decide.OutcomeRejected, decide.OutcomeConnectFailed, decide.OutcomeNotDispatched:
+	case decide.OutcomeOK:
 		if o.used = o.Units; told && res.TrueUnits > 0 {
 			o.used = res.TrueUnits
 		}
@@ -522,7 +522,7 @@
 		l.send(a)
 	case decide.Cancel:
 		l.cancel(a)
-	case decide.Refuse:
+	case decide.Reject:
 		if o := l.opens[a.ID]; o != nil {
 			l.final(o, frontend.Final{Kind: frontend.Refused, RetryAfter: a.RetryAfter, Reason: string(a.Reason)})
 			l.forget(o)
@@ -536,7 +536,7 @@
 		l.timers.set(a.At, a.Token)
 	case decide.CloseIdle:
 		l.nodes.CloseIdle(a.Server)
-	case decide.Tell:
+	case decide.SendGossip:
 		if l.peers != nil {
 			if l.measures != nil {
 				l.measures.Word(a.Text, "out")
@@ -568,7 +568,7 @@
 		left = min(left, a.Timeout)
 	}
 	if o.finished || left <= 0 || len(o.tries) > l.cfg.Limits.MaxAttempts {
-		l.q.post(inEnd{t, upstreamws.Result{Outcome: decide.Moot}})
+		l.q.post(inEnd{t, upstreamws.Result{Outcome: decide.OutcomeNotDispatched}})
 		return
 	}
 	l.Tries.Add(1)
@@ -577,7 +577,7 @@
 	due := l.now + left
 	t.call.Late = func() bool {
 		now := l.clock()
-		return due-now < leastTold || a.Before > 0 && now >= a.Before || o.Left != nil && o.Left()
+		return due-now < leastTold || a.WriteBefore > 0 && now >= a.WriteBefore || o.Left != nil && o.Left()
 	}
 	if o.Form != nil {
 		t.call.Form = func() []byte { return o.Form(t.n, due-l.clock()) }
@@ -638,11 +638,11 @@
 	if t.over || t.call == nil {
 		return
 	}
-	if res, ok := l.abandon(t, decide.Cancelled); ok {
+	if res, ok := l.abandon(t, decide.OutcomeCancelled); ok {
 		l.q.post(inEnd{t, res}) // its end comes in an event of its own, behind the actions under way
 	}
 }
 
-var outcomeNames = map[decide.Outcome]string{decide.OK: "ok", decide.Error: "error", decide.Full: "full",
-	decide.TimedOut: "timed_out", decide.NoConnection: "no_connection", decide.Reset: "reset",
-	decide.Cancelled: "cancelled", decide.Moot: "moot"}
+var outcomeNames = map[decide.Outcome]string{decide.OutcomeOK: "ok", decide.OutcomeError: "error", decide.OutcomeRejected: "full",
+	decide.OutcomeTimedOut: "timed_out", decide.OutcomeConnectFailed: "no_connection", decide.OutcomeReset: "reset",
+	decide.OutcomeCancelled: "cancelled", decide.OutcomeNotDispatched: "moot"}
--- a/internal/gateway/measured.go
+++ b/internal/gateway/measured.go
@@ -29,7 +29,7 @@
 
 func (g *Gateway) view() metrics.View {
 	s := g.State()
-	v := metrics.View{Sessions: s.Sessions, Open: int(s.Open), Queue: s.Queue, Late: s.Late, Pressed: s.Core.Pressed, Silent: len(s.Core.Silent),
+	v := metrics.View{Sessions: s.Sessions, Open: int(s.Open), Queue: s.Queue, Late: s.Late, Pressed: s.Core.Pressure, Silent: len(s.Core.UnresponsiveOwners),
 		Nodes: map[string]int{}, TurnedAway: s.TurnedAway, Plans: map[string]metrics.Plan{}, Changes: s.Changes,
 		Peers: map[string]int64{"sent": s.Datagrams.Sent, "unsent": s.Datagrams.Unsent, "taken": s.Datagrams.Taken, "forged": s.Datagrams.Forged,
 			"foreign": s.Datagrams.Foreign, "repeated": s.Datagrams.Repeated, "over_intake": s.Datagrams.OverIntake}}
@@ -38,9 +38,9 @@
 		switch {
 		case n.State == decide.Draining:
 			state = "draining"
-		case n.State == decide.Gone:
+		case n.State == decide.Removed:
 			state = "gone"
-		case n.Cold > 0:
+		case n.SlowStartLeft > 0:
 			state = "cold"
 		case n.Ejected:
 			state = "ejected"
@@ -51,8 +51,8 @@
 	for _, c := range s.Core.Customers {
 		p := v.Plans[c.Plan]
 		p.Level += c.Level
-		p.Room += max(0, c.Mark-c.Level)
-		p.Part += c.Part
+		p.Room += max(0, c.HighWaterMark-c.Level)
+		p.Part += c.Share
 		v.Plans[c.Plan] = p
 		count[c.Plan]++
 	}
@@ -152,7 +152,7 @@
 
 // openSums makes the summer of a gateway. Without peers its own counts are all that it sums.
 func (g *Gateway) openSums(life uint64, seed int64) *aggregate.Summer {
-	s := aggregate.Settings{Rank: g.rank, Gateways: len(g.fleet.Gateways), Life: life, Intake: g.fleet.Decide.PeerIntake, Seed: seed}
+	s := aggregate.Settings{Rank: g.rank, Gateways: len(g.fleet.Gateways), Life: life, Intake: g.fleet.Decide.GossipCapacity, Seed: seed}
 	for _, k := range g.fleet.Decide.Classes {
 		s.Names = append(s.Names, aggregate.Name{Class: true, Name: k.Name})
 	}
--- a/internal/gateway/owed.go
+++ b/internal/gateway/owed.go
@@ -158,7 +158,7 @@
 	case outbox.Deny:
 		if t := w.tries[a.ID]; t != nil && t.held {
 			t.held, t.denied = false, true
-			w.l.q.post(inEnd{t, upstreamws.Result{Outcome: decide.NoConnection}}) // it provably never left
+			w.l.q.post(inEnd{t, upstreamws.Result{Outcome: decide.OutcomeConnectFailed}}) // it provably never left
 		}
 	}
 }
@@ -178,13 +178,13 @@
 	delete(w.tries, t.owe)
 	s := outbox.Settle{ID: t.owe, Used: t.o.Units, Wall: w.wall()}
 	switch res.Outcome {
-	case decide.OK:
-		if s.Outcome = outbox.Sized; w.l.cfg.SettledLater && res.TrueUnits > 0 {
+	case decide.OutcomeOK:
+		if s.Outcome = outbox.Sized; w.l.cfg.SettledOnResponse && res.TrueUnits > 0 {
 			s.Used = res.TrueUnits
 		}
-	case decide.Error:
+	case decide.OutcomeError:
 		s.Outcome = outbox.Failed
-	case decide.Full, decide.NoConnection, decide.Moot:
+	case decide.OutcomeRejected, decide.OutcomeConnectFailed, decide.OutcomeNotDispatched:
 		s.Outcome = outbox.Skipped
 	default:
 		s.Outcome = outbox.Silent
--- a/internal/gateway/owed_test.go
+++ b/internal/gateway/owed_test.go
@@ -87,7 +87,7 @@
 		}
 	}
 	want := 2.0
-	if x.fleet.Decide.SettledLater {
+	if x.fleet.Decide.SettledOnResponse {
 		want = 5
 	}
 	if kinds[fmt.Sprint("answered ", want, " false")] != 20 || kinds["error 3 true"] == 0 || kinds["unanswered 4 true"] != 1 {
--- a/internal/gateway/traced.go
+++ b/internal/gateway/traced.go
@@ -27,7 +27,7 @@
 	x := &traced{teller: t, sampler: tracing.Sampler{Share: f.Traces.Share, Rate: f.Traces.Rate}, rng: rand.New(rand.NewPCG(uint64(seed), 7)),
 		base: time.Now().Add(-now), aims: map[string]time.Duration{}}
 	for _, k := range f.Decide.Classes {
-		x.aims[k.Name] = k.Aim
+		x.aims[k.Name] = k.LatencyObjective
 	}
 	return x, nil
 }
--- a/internal/invariant/judge.go
+++ b/internal/invariant/judge.go
@@ -274,7 +274,7 @@
 	for key, rs := range runs {
 		k := class[rs[0].Class]
 		j.v.Seen[2]++
-		if k.Effect == decide.Unsafe && len(rs) > 1 {
+		if k.Idempotency == decide.NotIdempotent && len(rs) > 1 {
 			j.breach(2, rs[1].T, "%s with key %s ran %d times, at %s and %s", k.Name, key, len(rs), rs[0].Node, rs[1].Node)
 		}
 	}
@@ -282,23 +282,23 @@
 		k := class[parts[0].Class]
 		for i, p := range parts[1:] {
 			for _, before := range parts[:i+1] {
-				if !j.f.Decide.Limits.Parallel && p.T+Transit+j.lateIn(before.T, p.T) < before.ended {
+				if !j.f.Decide.Limits.Hedging && p.T+Transit+j.lateIn(before.T, p.T) < before.ended {
 					j.breach(2, p.T, "attempts %d and %d of %s (%s) were out at once", before.Attempt, p.Attempt, id, k.Name)
 				}
-				if turned[fmt.Sprint(before.Request, before.Attempt)] || k.Effect == decide.Safe {
+				if turned[fmt.Sprint(before.Request, before.Attempt)] || k.Idempotency == decide.Idempotent {
 					continue
 				}
-				same := k.Group == decide.GroupAll || k.Group == decide.GroupZone && p.Zone == before.Zone ||
-					k.Group == decide.GroupCell && p.Cell == before.Cell
+				same := k.DedupScope == decide.DedupInFleet || k.DedupScope == decide.DedupInZone && p.Zone == before.Zone ||
+					k.DedupScope == decide.DedupInCell && p.Cell == before.Cell
 				switch {
-				case k.Effect == decide.Unsafe:
+				case k.Idempotency == decide.NotIdempotent:
 					j.breach(2, p.T, "attempt %d of %s (%s) was sent though attempt %d may have run", p.Attempt, id, k.Name,
 						before.Attempt)
 				case !same:
 					j.breach(2, p.T, "attempt %d of %s (%s) left the group that drops its repeats", p.Attempt, id, k.Name)
-				case p.T-before.T > k.Window+Transit:
+				case p.T-before.T > k.DedupWindow+Transit:
 					j.breach(2, p.T, "attempt %d of %s (%s) was sent %v after attempt %d, the window is %v", p.Attempt, id, k.Name,
-						p.T-before.T, before.Attempt, k.Window)
+						p.T-before.T, before.Attempt, k.DedupWindow)
 				}
 			}
 		}
@@ -310,7 +310,7 @@
 		j.v.Seen[2]++
 		for _, run := range ranOf[r.Try] {
 			k := class[run.Class]
-			if k.Effect == decide.Unsafe || k.Effect == decide.Keyed && k.Group != decide.GroupAll {
+			if k.Idempotency == decide.NotIdempotent || k.Idempotency == decide.IdempotentByKey && k.DedupScope != decide.DedupInFleet {
 				j.breach(2, r.T, "try %s (%s) was refused though it ran at %s", r.Try, k.Name, run.Node)
 			}
 		}
@@ -374,7 +374,7 @@
 // cold judges rule 4: work that reaches a cold node within any window, of all gateways together.
 func (j *judge) cold() {
 	s := j.f.Decide.Safety
-	if s.FallWindow <= 0 || s.FallMultiple <= 0 {
+	if s.OverloadWindow <= 0 || s.OverloadMultiple <= 0 {
 		return
 	}
 	starts := map[string]Record{}
@@ -392,7 +392,7 @@
 			}
 			j.v.Seen[4]++
 			list := append(sent[r.Node], r)
-			for r.T-list[0].T > s.FallWindow {
+			for r.T-list[0].T > s.OverloadWindow {
 				list = list[1:]
 			}
 			sent[r.Node] = list
@@ -403,8 +403,8 @@
 			}
 			ramp := min(1, c.From+(1-c.From)*(r.T-c.T).Seconds()/c.For.Seconds())
 			// Chance: work is drawn, so the largest call of the window is let off.
-			if bound := s.FallMultiple*ramp*c.Capacity*s.FallWindow.Seconds() + largest; sum > bound {
-				j.breach(4, r.T, "%s got %.2f s of work within %v, it bears %.2f s", r.Node, sum, s.FallWindow, bound)
+			if bound := s.OverloadMultiple*ramp*c.Capacity*s.OverloadWindow.Seconds() + largest; sum > bound {
+				j.breach(4, r.T, "%s got %.2f s of work within %v, it bears %.2f s", r.Node, sum, s.OverloadWindow, bound)
 			}
 		}
 	}
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -97,7 +97,7 @@
 	if err = c.Decide.Validate(); err != nil {
 		return nil, fmt.Errorf("field \"settings\": %w", err)
 	}
-	if c.Decide.Limits.Peers && c.Decide.Gateways > 1 {
+	if c.Decide.Limits.Gossip && c.Decide.Gateways > 1 {
 		if len(c.Peers) != c.Decide.Gateways {
 			return nil, fmt.Errorf("field \"peers\" has %d addresses, want %d", len(c.Peers), c.Decide.Gateways)
 		}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -75,13 +75,13 @@
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	var peers gateway.Peers
-	if c.Decide.Limits.Peers && c.Decide.Gateways > 1 {
+	if c.Decide.Limits.Gossip && c.Decide.Gateways > 1 {
 		pc, err := listenPeers(c.PeerListen, log)
 		if err != nil {
 			g.ln.Close()
 			return nil, fmt.Errorf("peer_listen: %w", err)
 		}
-		if g.peers, err = plain.New(pc, c.Decide.Rank, c.Peers, c.Decide.PeerIntake); err != nil {
+		if g.peers, err = plain.New(pc, c.Decide.Rank, c.Peers, c.Decide.GossipCapacity); err != nil {
 			pc.Close()
 			g.ln.Close()
 			return nil, err
@@ -95,16 +95,16 @@
 		Body: answerMost, Bodies: bodies, Units: c.Decide.MaxUnits, Figure: settings.ReportName})
 	g.loop = gateway.NewLoop(c.Decide, core, clock.Now, g.pool, peers, nil, log)
 	g.loop.Limit(cmp.Or(c.Bounds.Open, 1<<20))
-	starts := discoveryhttp.NewStarts(c.Decide.Safety.ColdFor, time.Now)
-	take := func(l *discoveryhttp.List, kind decide.FleetKind, gap time.Duration) {
+	starts := discoveryhttp.NewStarts(c.Decide.Safety.SlowStartDuration, time.Now)
+	take := func(l *discoveryhttp.List, kind decide.UpdateKind, gap time.Duration) {
 		// The pool first and past the loop's queue: a drain that has come holds for what the loop sends meanwhile.
-		g.pool.Take(l.Servers(), kind != decide.FleetDelta)
+		g.pool.Take(l.Servers(), kind != decide.DeltaUpdate)
 		g.loop.Fleet(starts.Update(l, kind, clock.Now(), gap))
 	}
 	g.watch = discoveryhttp.New(c.Discovery, discoveryhttp.Options{Log: log, Take: func(l *discoveryhttp.List, gap time.Duration) {
-		kind := decide.FleetDelta
+		kind := decide.DeltaUpdate
 		if l.All {
-			kind = decide.FleetFull
+			kind = decide.FullUpdate
 		}
 		take(l, kind, gap)
 		g.heard.Store(true)
@@ -114,7 +114,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	g.stop = stop
 	g.goes(g.loop.Run)
-	take(&c.Known, decide.FleetStale, 0)
+	take(&c.Known, decide.StaleUpdate, 0)
 	if g.peers != nil {
 		g.goes(func() { g.peers.Serve(g.loop.Peer) })
 	}
@@ -189,7 +189,7 @@
 // aims tells the classes' wanted times and ends, which differ from site to site.
 func aims(c *Config) (out []string) {
 	for _, k := range c.Decide.Classes {
-		out = append(out, fmt.Sprintf("%s %v/%v", k.Name, k.Aim, k.Deadline))
+		out = append(out, fmt.Sprintf("%s %v/%v", k.Name, k.LatencyObjective, k.Deadline))
 	}
 	return out
 }
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -70,23 +70,23 @@
 		return decide.Config{}, Bounds{}, FieldOf(err)
 	}
 	b := Bounds{s.Limits.OpenCap, time.Duration(s.Limits.ConnIdleNs)}
-	c := decide.Config{Rank: s.Rank, Gateways: s.Instances, Zone: s.Zone, SettledLater: s.Extra.CostAfter,
-		MaxUnits: s.Extra.UnitsTop, MeterPeriod: time.Duration(s.Extra.MeterNs), PeerIntake: s.Extra.PeerIntake,
+	c := decide.Config{Rank: s.Rank, Gateways: s.Instances, Zone: s.Zone, SettledOnResponse: s.Extra.CostAfter,
+		MaxUnits: s.Extra.UnitsTop, UsageReportPeriod: time.Duration(s.Extra.MeterNs), GossipCapacity: s.Extra.PeerIntake,
 		Counter: s.Extra.HasCounter, CounterTimeout: time.Duration(s.Extra.CountWaitNs),
 		ReportsOnProbe: s.Telemetry.How == "probe", Subscribe: s.MembershipMode == "subscribe"}
-	c.Limits = decide.Limits{MaxAttempts: s.Limits.SendCap, Parallel: s.Limits.ParallelTries,
-		Cancel: s.Limits.MayCancel, Peers: s.Limits.Peers, Probes: s.Limits.Probes,
+	c.Limits = decide.Limits{MaxAttempts: s.Limits.SendCap, Hedging: s.Limits.ParallelTries,
+		Cancel: s.Limits.MayCancel, Gossip: s.Limits.Peers, HealthChecks: s.Limits.Probes,
 		RetryAfter: s.Limits.RetryAfter, MaxRetryAfter: time.Duration(s.Limits.MaxRetryAfterNs),
 		ConnectTimeout: time.Duration(s.Limits.ConnectTimeoutNs)}
 	c.Safety = decide.Safety{AnswerSlack: time.Duration(s.Safety.AnswerSlackNs),
-		DrainGrace: time.Duration(s.Safety.DrainGraceNs), ColdFrom: s.Safety.ColdFrom,
-		ColdFor: time.Duration(s.Safety.ColdNs), FallMultiple: s.Safety.FallMultiple,
-		FallWindow: time.Duration(s.Safety.FallNs), AskWithin: time.Duration(s.Safety.AskWithinNs)}
-	c.Prices = decide.Prices{CrossZone: s.Prices.CrossZone, Waste: s.Prices.Waste, Probe: s.Prices.Probe,
-		Peer: s.Prices.Peer, LateFail: s.Prices.LateFail, Counter: s.Extra.CounterPrice}
-	effects := map[string]decide.Effect{"safe": decide.Safe, "keyed": decide.Keyed, "unsafe": decide.Unsafe}
-	groups := map[string]decide.Group{"all": decide.GroupAll, "zone": decide.GroupZone,
-		"cell": decide.GroupCell, "": decide.GroupCell}
+		DrainGrace: time.Duration(s.Safety.DrainGraceNs), SlowStartCapacity: s.Safety.ColdFrom,
+		SlowStartDuration: time.Duration(s.Safety.ColdNs), OverloadMultiple: s.Safety.FallMultiple,
+		OverloadWindow: time.Duration(s.Safety.FallNs), ListMaxAge: time.Duration(s.Safety.AskWithinNs)}
+	c.Prices = decide.Prices{CrossZone: s.Prices.CrossZone, Waste: s.Prices.Waste, HealthCheck: s.Prices.Probe,
+		Gossip: s.Prices.Peer, LateFailure: s.Prices.LateFail, Counter: s.Extra.CounterPrice}
+	effects := map[string]decide.Idempotency{"safe": decide.Idempotent, "keyed": decide.IdempotentByKey, "unsafe": decide.NotIdempotent}
+	groups := map[string]decide.DedupScope{"all": decide.DedupInFleet, "zone": decide.DedupInZone,
+		"cell": decide.DedupInCell, "": decide.DedupInCell}
 	for _, l := range []struct {
 		name string
 		v    int64
@@ -114,9 +114,9 @@
 		if !ok {
 			return c, b, fmt.Errorf("Classes[%d].Group: unknown %q", i, k.Group)
 		}
-		c.Classes = append(c.Classes, decide.Class{Name: k.Name, Effect: effect, Group: group,
-			Window: time.Duration(k.WindowNs), Aim: time.Duration(k.AimNs), AimStretch: k.AimStretch,
-			Deadline: time.Duration(k.GiveUpNs), Worth: k.Importance, LateWorth: k.LateWorth, Stream: k.Stream})
+		c.Classes = append(c.Classes, decide.Class{Name: k.Name, Idempotency: effect, DedupScope: group,
+			DedupWindow: time.Duration(k.WindowNs), LatencyObjective: time.Duration(k.AimNs), ObjectiveStretch: k.AimStretch,
+			Deadline: time.Duration(k.GiveUpNs), PriorityWeight: k.Importance, LateWeight: k.LateWorth, Streaming: k.Stream})
 	}
 	clear(named)
 	for i, p := range s.TiersOfService {
@@ -126,7 +126,7 @@
 		named[p.Name] = true
 		c.Plans = append(c.Plans, decide.Plan{Name: p.Name, Rate: p.Refill, Burst: p.MostAtOnce,
 			CeilingRate: p.NeverOverRate, CeilingBurst: p.NeverOverDepth, CeilingSlack: p.HardSlack,
-			MaxOpen: p.Parallel, Price: p.Pays, OverWorth: p.BeyondEarns, OverCost: p.ExcessCost})
+			MaxInFlight: p.Parallel, PriorityWeight: p.Pays, OverQuotaValue: p.BeyondEarns, OverQuotaCost: p.ExcessCost})
 	}
 	return c, b, nil
 }
--- a/internal/quotaplan/change.go
+++ b/internal/quotaplan/change.go
@@ -131,8 +131,8 @@
 	b = binary.AppendUvarint(binary.AppendUvarint(b, uint64(c.Origin)), c.Life)
 	if c.Kind == Terms {
 		p := &c.Terms
-		b = appendFloats(b, p.Rate, p.Burst, p.CeilingRate, p.CeilingBurst, p.CeilingSlack, float64(p.MaxOpen),
-			p.Price, p.OverWorth, p.OverCost)
+		b = appendFloats(b, p.Rate, p.Burst, p.CeilingRate, p.CeilingBurst, p.CeilingSlack, float64(p.MaxInFlight),
+			p.PriorityWeight, p.OverQuotaValue, p.OverQuotaCost)
 	}
 	return b
 }
@@ -166,13 +166,13 @@
 		p.Name = c.Plan
 		open := 0.0
 		for _, v := range []*float64{&p.Rate, &p.Burst, &p.CeilingRate, &p.CeilingBurst, &p.CeilingSlack, &open,
-			&p.Price, &p.OverWorth, &p.OverCost} {
+			&p.PriorityWeight, &p.OverQuotaValue, &p.OverQuotaCost} {
 			*v = r.Float()
 		}
 		if !(open >= 0 && open <= math.MaxInt32) {
 			return c, nil, errCut
 		}
-		p.MaxOpen = int(open)
+		p.MaxInFlight = int(open)
 	}
 	if r.Bad || kindNames[c.Kind] == "" || c.Number == 0 || !c.finite() {
 		return c, nil, errCut
@@ -183,8 +183,8 @@
 // finite reports whether all figures are numbers of 0 or more.
 func (c *Change) finite() bool {
 	p := &c.Terms
-	for _, v := range []float64{c.Units, c.Rate, p.Rate, p.Burst, p.CeilingRate, p.CeilingBurst, p.CeilingSlack, p.Price,
-		p.OverWorth, p.OverCost} {
+	for _, v := range []float64{c.Units, c.Rate, p.Rate, p.Burst, p.CeilingRate, p.CeilingBurst, p.CeilingSlack, p.PriorityWeight,
+		p.OverQuotaValue, p.OverQuotaCost} {
 		if !(v >= 0) || math.IsInf(v, 0) {
 			return false
 		}
--- a/internal/quotaplan/plans_test.go
+++ b/internal/quotaplan/plans_test.go
@@ -17,7 +17,7 @@
 
 func settings(rank, n int) Settings {
 	return Settings{Rank: rank, Gateways: n, Life: uint64(rank + 1), Seed: int64(rank), Capacity: 1000, MaxUnits: 8,
-		Plans: []decide.Plan{{Name: "small", Rate: 3, Burst: 12, Price: 1}, {Name: "wide", Rate: 100, Burst: 300, Price: 1},
+		Plans: []decide.Plan{{Name: "small", Rate: 3, Burst: 12, PriorityWeight: 1}, {Name: "wide", Rate: 100, Burst: 300, PriorityWeight: 1},
 			{Name: "hard", Rate: 30, Burst: 60, CeilingRate: 60, CeilingBurst: 120, CeilingSlack: 6}},
 		Members: []Member{{"a", "small", 0, n}, {"b", "wide", 0, n}, {"c", "hard", 0, n}}}
 }
@@ -479,7 +479,7 @@
 			Rate: f.Draw(rt, "rate"), Target: rapid.Uint64().Draw(rt, "target"), Stamp: rapid.Int64().Draw(rt, "stamp"),
 			Origin: rapid.IntRange(0, 65535).Draw(rt, "origin"), Life: rapid.Uint64().Draw(rt, "life")}
 		if c.Kind == Terms {
-			c.Terms = decide.Plan{Name: c.Plan, Rate: f.Draw(rt, "r"), Burst: 3, MaxOpen: rapid.IntRange(0, 1e6).Draw(rt, "o"), Price: 2}
+			c.Terms = decide.Plan{Name: c.Plan, Rate: f.Draw(rt, "r"), Burst: 3, MaxInFlight: rapid.IntRange(0, 1e6).Draw(rt, "o"), PriorityWeight: 2}
 		}
 		raw := c.Append(nil)
 		got, rest, err := ParseChange(append(raw, "more"...))
--- a/internal/recording/tape.go
+++ b/internal/recording/tape.go
@@ -36,6 +36,12 @@
 	Actions []decide.Action
 }
 
+type storedHeader struct {
+	Version int
+	Seed    int64
+	Config  storedConfig
+}
+
 const version = 1
 
 type typed struct {
@@ -49,33 +55,13 @@
 	A []typed `json:"a,omitempty"`
 }
 
-var events, actions = map[string]reflect.Type{}, map[string]reflect.Type{}
-
-func init() {
-	for _, e := range []decide.Event{decide.FleetUpdate{}, decide.Request{}, decide.AnswerStarted{}, decide.AttemptEnded{},
-		decide.ClientGone{}, decide.TimerFired{}, decide.ProbeEnded{}, decide.PeerMessage{}, decide.Counted{}, decide.Terms{}} {
-		events[reflect.TypeOf(e).Name()] = reflect.TypeOf(e)
-	}
-	for _, a := range []decide.Action{decide.Send{}, decide.Cancel{}, decide.Refuse{}, decide.Fail{}, decide.SetTimer{},
-		decide.Probe{}, decide.CloseIdle{}, decide.Subscribe{}, decide.FetchList{}, decide.Tell{}, decide.Count{},
-		decide.Log{}} {
-		actions[reflect.TypeOf(a).Name()] = reflect.TypeOf(a)
-	}
-}
-
 func pack(v any) (typed, error) {
-	raw, err := json.Marshal(v)
-	return typed{reflect.TypeOf(v).Name(), raw}, err
-}
-
-func unpack(t typed, from map[string]reflect.Type) (any, error) {
-	kind, ok := from[t.K]
-	if !ok {
-		return nil, fmt.Errorf("kind %q is not known", t.K)
+	kind, stored := storedKind(v)
+	if kind == "" {
+		return typed{}, fmt.Errorf("tape: %T has no stored form", v)
 	}
-	v := reflect.New(kind)
-	err := json.Unmarshal(t.V, v.Interface())
-	return v.Elem().Interface(), err
+	raw, err := json.Marshal(stored)
+	return typed{kind, raw}, err
 }
 
 // Writer writes a tape. It is not safe for concurrent use.
@@ -84,7 +70,7 @@
 // NewWriter writes the first record.
 func NewWriter(w io.Writer, cfg decide.Config, seed int64) (*Writer, error) {
 	t := &Writer{bufio.NewWriterSize(w, 64<<10)}
-	return t, t.line(Header{version, seed, cfg})
+	return t, t.line(storedHeader{version, seed, storeConfig(cfg)})
 }
 
 func (t *Writer) line(v any) error {
@@ -144,9 +130,11 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := json.Unmarshal(raw, &t.Header); err != nil || t.Version != version {
-		return nil, fmt.Errorf("tape: line 1: version %d, want %d", t.Version, version)
+	var h storedHeader
+	if err := json.Unmarshal(raw, &h); err != nil || h.Version != version {
+		return nil, fmt.Errorf("tape: line 1: version %d, want %d", h.Version, version)
 	}
+	t.Header = Header{h.Version, h.Seed, h.Config.load()}
 	return t, nil
 }
 
@@ -181,17 +169,15 @@
 		return Record{}, &ErrCut{t.line, err.Error()}
 	}
 	r := Record{At: time.Duration(w.T)}
-	ev, err := unpack(w.E, events)
-	if err != nil {
+	if r.Event, err = loadTyped(w.E, eventLoaders); err != nil {
 		return r, &ErrCut{t.line, err.Error()}
 	}
-	r.Event = ev.(decide.Event)
 	for _, p := range w.A {
-		a, err := unpack(p, actions)
+		a, err := loadTyped(p, actionLoaders)
 		if err != nil {
 			return r, &ErrCut{t.line, err.Error()}
 		}
-		r.Actions = append(r.Actions, a.(decide.Action))
+		r.Actions = append(r.Actions, a)
 	}
 	return r, nil
 }
@@ -203,6 +189,11 @@
 	Cut             *ErrCut // the tape was cut; the rest was replayed
 }
 
+func (c *Counts) count(v any) {
+	kind, _ := storedKind(v)
+	c.ByKind[kind]++
+}
+
 // Difference is the first record at which a fresh core did otherwise.
 type Difference struct {
 	Record    int
@@ -244,9 +235,9 @@
 			return c, &Difference{c.Events, rec.At, rec.Event, rec.Actions, got}
 		}
 		c.Actions += len(got)
-		c.ByKind[reflect.TypeOf(rec.Event).Name()]++
+		c.count(rec.Event)
 		for _, a := range got {
-			c.ByKind[reflect.TypeOf(a).Name()]++
+			c.count(a)
 		}
 	}
 }
--- a/internal/recording/tape_test.go
+++ b/internal/recording/tape_test.go
@@ -11,8 +11,8 @@
 )
 
 func cfg() decide.Config {
-	return decide.Config{Gateways: 1, Classes: []decide.Class{{Name: "c", Effect: decide.Safe, Aim: time.Second}},
-		Plans: []decide.Plan{{Name: "p", Rate: 100, Burst: 300, Price: 1}}, Limits: decide.Limits{MaxAttempts: 3}}
+	return decide.Config{Gateways: 1, Classes: []decide.Class{{Name: "c", Idempotency: decide.Idempotent, LatencyObjective: time.Second}},
+		Plans: []decide.Plan{{Name: "p", Rate: 100, Burst: 300, PriorityWeight: 1}}, Limits: decide.Limits{MaxAttempts: 3}}
 }
 
 // record plays a small day into a core and a tape.
@@ -31,14 +31,14 @@
 		}
 		return acts
 	}
-	turn(time.Second, decide.FleetUpdate{Kind: decide.FleetFull, Servers: []decide.Server{{ID: "a:1"}, {ID: "b:1"}}})
+	turn(time.Second, decide.EndpointUpdate{Kind: decide.FullUpdate, Servers: []decide.Server{{ID: "a:1"}, {ID: "b:1"}}})
 	for i := range 20 {
 		at := time.Second + time.Duration(i)*7*time.Millisecond
 		id := strings.Repeat("x", i+1)
-		for _, a := range turn(at, decide.Request{ID: id, Class: "c", Plan: "p", Customer: "m", Units: 1.25, Deadline: at + time.Second, Spread: 1}) {
+		for _, a := range turn(at, decide.Request{ID: id, Class: "c", Plan: "p", Customer: "m", Units: 1.25, Deadline: at + time.Second, GatewayCount: 1}) {
 			if s, ok := a.(decide.Send); ok {
-				turn(at+3*time.Millisecond, decide.AttemptEnded{ID: id, Server: s.Server, Outcome: decide.OK, Took: 3 * time.Millisecond,
-					Done: true, Report: decide.Report{"queue": 0.1}})
+				turn(at+3*time.Millisecond, decide.AttemptEnded{ID: id, Server: s.Server, Outcome: decide.OutcomeOK, Duration: 3 * time.Millisecond,
+					RequestDone: true, LoadReport: decide.LoadReport{"queue": 0.1}})
 			}
 		}
 	}
--- /dev/null
+++ b/internal/recording/wire.go
@@ -0,0 +1,357 @@
+package recording
+
+import (
+	"encoding/json"
+	"fmt"
+	"time"
+
+	"winghatch/decide"
+)
+
+// The stored form of the settings, the events and the actions of package decide. A stored key never changes, so that recordings of
+// earlier versions stay readable; a field of decide that is renamed keeps its key here. Each type has the fields of its counterpart
+// in decide, in the same order: a field that is added there and forgotten here does not compile.
+
+type storedClass struct {
+	Name             string             `json:"Name"`
+	Idempotency      decide.Idempotency `json:"Effect"`
+	DedupScope       decide.DedupScope  `json:"Group"`
+	DedupWindow      time.Duration      `json:"Window"`
+	LatencyObjective time.Duration      `json:"Aim"`
+	ObjectiveStretch float64            `json:"AimStretch"`
+	Deadline         time.Duration      `json:"Deadline"`
+	PriorityWeight   float64            `json:"Worth"`
+	LateWeight       float64            `json:"LateWorth"`
+	Streaming        bool               `json:"Stream"`
+}
+
+type storedPlan struct {
+	Name           string  `json:"Name"`
+	Rate           float64 `json:"Rate"`
+	Burst          float64 `json:"Burst"`
+	CeilingRate    float64 `json:"CeilingRate"`
+	CeilingBurst   float64 `json:"CeilingBurst"`
+	CeilingSlack   float64 `json:"CeilingSlack"`
+	MaxInFlight    int     `json:"MaxOpen"`
+	PriorityWeight float64 `json:"Price"`
+	OverQuotaValue float64 `json:"OverWorth"`
+	OverQuotaCost  float64 `json:"OverCost"`
+}
+
+type storedLimits struct {
+	MaxAttempts    int           `json:"MaxAttempts"`
+	Hedging        bool          `json:"Parallel"`
+	Cancel         bool          `json:"Cancel"`
+	Gossip         bool          `json:"Peers"`
+	HealthChecks   bool          `json:"Probes"`
+	RetryAfter     bool          `json:"RetryAfter"`
+	MaxRetryAfter  time.Duration `json:"MaxRetryAfter"`
+	ConnectTimeout time.Duration `json:"ConnectTimeout"`
+}
+
+type storedSafety struct {
+	AnswerSlack       time.Duration `json:"AnswerSlack"`
+	DrainGrace        time.Duration `json:"DrainGrace"`
+	SlowStartCapacity float64       `json:"ColdFrom"`
+	SlowStartDuration time.Duration `json:"ColdFor"`
+	OverloadMultiple  float64       `json:"FallMultiple"`
+	OverloadWindow    time.Duration `json:"FallWindow"`
+	ListMaxAge        time.Duration `json:"AskWithin"`
+}
+
+type storedPrices struct {
+	CrossZone   float64 `json:"CrossZone"`
+	Waste       float64 `json:"Waste"`
+	HealthCheck float64 `json:"Probe"`
+	Gossip      float64 `json:"Peer"`
+	LateFailure float64 `json:"LateFail"`
+	Counter     float64 `json:"Counter"`
+}
+
+type storedConfig struct {
+	Rank              int           `json:"Rank"`
+	Gateways          int           `json:"Gateways"`
+	Zone              string        `json:"Zone"`
+	Classes           []storedClass `json:"Classes"`
+	Plans             []storedPlan  `json:"Plans"`
+	SettledOnResponse bool          `json:"SettledLater"`
+	MaxUnits          float64       `json:"MaxUnits"`
+	UsageReportPeriod time.Duration `json:"MeterPeriod"`
+	GossipCapacity    float64       `json:"PeerIntake"`
+	Counter           bool          `json:"Counter"`
+	CounterTimeout    time.Duration `json:"CounterTimeout"`
+	Limits            storedLimits  `json:"Limits"`
+	Safety            storedSafety  `json:"Safety"`
+	Prices            storedPrices  `json:"Prices"`
+	ReportsOnProbe    bool          `json:"ReportsOnProbe"`
+	Subscribe         bool          `json:"Subscribe"`
+}
+
+type storedServer struct {
+	ID        string             `json:"ID"`
+	Zone      string             `json:"Zone"`
+	Cell      int                `json:"Cell"`
+	Kind      string             `json:"Kind"`
+	State     decide.ServerState `json:"State"`
+	StartedAt time.Duration      `json:"Started"`
+	Weight    float64            `json:"Weight"`
+}
+
+type (
+	storedEndpointUpdate struct {
+		Kind    decide.UpdateKind `json:"Kind"`
+		Version uint64            `json:"Version"`
+		Servers []storedServer    `json:"Servers"`
+	}
+	storedRequest struct {
+		ID           string        `json:"ID"`
+		Class        string        `json:"Class"`
+		Plan         string        `json:"Plan"`
+		Customer     string        `json:"Customer"`
+		Units        float64       `json:"Units"`
+		Deadline     time.Duration `json:"Deadline"`
+		FirstGateway int           `json:"First"`
+		GatewayCount int           `json:"Spread"`
+		IsRetry      bool          `json:"Again"`
+		Mutates      bool          `json:"Write"`
+		Reserved     bool          `json:"Reserved"`
+	}
+	storedPlanChange struct {
+		Customer      string     `json:"Customer"`
+		Plan          storedPlan `json:"Plan"`
+		ReturnedUnits float64    `json:"Return"`
+	}
+	storedResponseStarted struct {
+		ID       string        `json:"ID"`
+		Server   string        `json:"Server"`
+		Attempt  int           `json:"Attempt"`
+		Duration time.Duration `json:"Took"`
+	}
+	storedAttemptEnded struct {
+		ID            string            `json:"ID"`
+		Server        string            `json:"Server"`
+		Attempt       int               `json:"Attempt"`
+		Outcome       decide.Outcome    `json:"Outcome"`
+		Duration      time.Duration     `json:"Took"`
+		RequestDone   bool              `json:"Done"`
+		ReportedUsage int               `json:"Metered"`
+		ActualUnits   float64           `json:"TrueUnits"`
+		LoadReport    decide.LoadReport `json:"Report"`
+	}
+	storedClientDisconnected struct{ ID string }
+	storedTimerFired         struct{ Token uint64 }
+	storedHealthCheckEnded   struct {
+		Server     string            `json:"Server"`
+		Outcome    decide.Outcome    `json:"Outcome"`
+		Duration   time.Duration     `json:"Took"`
+		LoadReport decide.LoadReport `json:"Report"`
+	}
+	storedGossipReceived struct {
+		From int    `json:"From"`
+		Text string `json:"Text"`
+	}
+	storedCounterUpdated struct {
+		Name     uint64         `json:"Name"`
+		Outcome  decide.Outcome `json:"Outcome"`
+		Total    float64        `json:"Total"`
+		Duration time.Duration  `json:"Took"`
+	}
+)
+
+type (
+	storedSend struct {
+		ID          string        `json:"ID"`
+		Server      string        `json:"Server"`
+		Timeout     time.Duration `json:"Timeout"`
+		WriteBefore time.Duration `json:"Before"`
+	}
+	storedCancel struct {
+		ID      string `json:"ID"`
+		Attempt int    `json:"Attempt"`
+	}
+	storedReject struct {
+		ID         string              `json:"ID"`
+		RetryAfter time.Duration       `json:"RetryAfter"`
+		Reason     decide.RejectReason `json:"Reason"`
+	}
+	storedFail     struct{ ID string }
+	storedSetTimer struct {
+		At    time.Duration `json:"At"`
+		Token uint64        `json:"Token"`
+	}
+	storedHealthCheck struct{ Server string }
+	storedCloseIdle   struct{ Server string }
+	storedSubscribe   struct{ On bool }
+	storedFetchList   struct{}
+	storedSendGossip  struct {
+		To   int    `json:"To"`
+		Text string `json:"Text"`
+	}
+	storedAddToCounter struct {
+		Name uint64        `json:"Name"`
+		Add  float64       `json:"Add"`
+		TTL  time.Duration `json:"TTL"`
+	}
+	storedLog struct{ Text string }
+)
+
+// convert applies one conversion to each element and keeps nil as nil.
+func convert[From, To any](from []From, one func(From) To) []To {
+	if from == nil {
+		return nil
+	}
+	to := make([]To, len(from))
+	for i, v := range from {
+		to[i] = one(v)
+	}
+	return to
+}
+
+func storeConfig(c decide.Config) storedConfig {
+	return storedConfig{
+		Rank:              c.Rank,
+		Gateways:          c.Gateways,
+		Zone:              c.Zone,
+		Classes:           convert(c.Classes, func(k decide.Class) storedClass { return storedClass(k) }),
+		Plans:             convert(c.Plans, func(p decide.Plan) storedPlan { return storedPlan(p) }),
+		SettledOnResponse: c.SettledOnResponse,
+		MaxUnits:          c.MaxUnits,
+		UsageReportPeriod: c.UsageReportPeriod,
+		GossipCapacity:    c.GossipCapacity,
+		Counter:           c.Counter,
+		CounterTimeout:    c.CounterTimeout,
+		Limits:            storedLimits(c.Limits),
+		Safety:            storedSafety(c.Safety),
+		Prices:            storedPrices(c.Prices),
+		ReportsOnProbe:    c.ReportsOnProbe,
+		Subscribe:         c.Subscribe,
+	}
+}
+
+func (c storedConfig) load() decide.Config {
+	return decide.Config{
+		Rank:              c.Rank,
+		Gateways:          c.Gateways,
+		Zone:              c.Zone,
+		Classes:           convert(c.Classes, func(k storedClass) decide.Class { return decide.Class(k) }),
+		Plans:             convert(c.Plans, func(p storedPlan) decide.Plan { return decide.Plan(p) }),
+		SettledOnResponse: c.SettledOnResponse,
+		MaxUnits:          c.MaxUnits,
+		UsageReportPeriod: c.UsageReportPeriod,
+		GossipCapacity:    c.GossipCapacity,
+		Counter:           c.Counter,
+		CounterTimeout:    c.CounterTimeout,
+		Limits:            decide.Limits(c.Limits),
+		Safety:            decide.Safety(c.Safety),
+		Prices:            decide.Prices(c.Prices),
+		ReportsOnProbe:    c.ReportsOnProbe,
+		Subscribe:         c.Subscribe,
+	}
+}
+
+// storedKind tells the stored name of an event or an action, and returns its stored form.
+func storedKind(v any) (kind string, stored any) {
+	switch v := v.(type) {
+	case decide.EndpointUpdate:
+		servers := convert(v.Servers, func(s decide.Server) storedServer { return storedServer(s) })
+		return "FleetUpdate", storedEndpointUpdate{v.Kind, v.Version, servers}
+	case decide.Request:
+		return "Request", storedRequest(v)
+	case decide.PlanChange:
+		return "Terms", storedPlanChange{v.Customer, storedPlan(v.Plan), v.ReturnedUnits}
+	case decide.ResponseStarted:
+		return "AnswerStarted", storedResponseStarted(v)
+	case decide.AttemptEnded:
+		return "AttemptEnded", storedAttemptEnded(v)
+	case decide.ClientDisconnected:
+		return "ClientGone", storedClientDisconnected(v)
+	case decide.TimerFired:
+		return "TimerFired", storedTimerFired(v)
+	case decide.HealthCheckEnded:
+		return "ProbeEnded", storedHealthCheckEnded(v)
+	case decide.GossipReceived:
+		return "PeerMessage", storedGossipReceived(v)
+	case decide.CounterUpdated:
+		return "Counted", storedCounterUpdated(v)
+	case decide.Send:
+		return "Send", storedSend(v)
+	case decide.Cancel:
+		return "Cancel", storedCancel(v)
+	case decide.Reject:
+		return "Refuse", storedReject(v)
+	case decide.Fail:
+		return "Fail", storedFail(v)
+	case decide.SetTimer:
+		return "SetTimer", storedSetTimer(v)
+	case decide.HealthCheck:
+		return "Probe", storedHealthCheck(v)
+	case decide.CloseIdle:
+		return "CloseIdle", storedCloseIdle(v)
+	case decide.Subscribe:
+		return "Subscribe", storedSubscribe(v)
+	case decide.FetchList:
+		return "FetchList", storedFetchList(v)
+	case decide.SendGossip:
+		return "Tell", storedSendGossip(v)
+	case decide.AddToCounter:
+		return "Count", storedAddToCounter(v)
+	case decide.Log:
+		return "Log", storedLog(v)
+	}
+	return "", nil
+}
+
+// loader reads the stored form of one kind.
+type loader[T any] func(raw json.RawMessage) (T, error)
+
+// load makes the loader of a kind whose stored form converts to an event or an action.
+func load[Stored, T any](convert func(Stored) T) loader[T] {
+	return func(raw json.RawMessage) (T, error) {
+		var s Stored
+		err := json.Unmarshal(raw, &s)
+		return convert(s), err
+	}
+}
+
+var eventLoaders = map[string]loader[decide.Event]{
+	"FleetUpdate": load(func(s storedEndpointUpdate) decide.Event {
+		servers := convert(s.Servers, func(v storedServer) decide.Server { return decide.Server(v) })
+		return decide.EndpointUpdate{Kind: s.Kind, Version: s.Version, Servers: servers}
+	}),
+	"Request": load(func(s storedRequest) decide.Event { return decide.Request(s) }),
+	"Terms": load(func(s storedPlanChange) decide.Event {
+		return decide.PlanChange{Customer: s.Customer, Plan: decide.Plan(s.Plan), ReturnedUnits: s.ReturnedUnits}
+	}),
+	"AnswerStarted": load(func(s storedResponseStarted) decide.Event { return decide.ResponseStarted(s) }),
+	"AttemptEnded":  load(func(s storedAttemptEnded) decide.Event { return decide.AttemptEnded(s) }),
+	"ClientGone":    load(func(s storedClientDisconnected) decide.Event { return decide.ClientDisconnected(s) }),
+	"TimerFired":    load(func(s storedTimerFired) decide.Event { return decide.TimerFired(s) }),
+	"ProbeEnded":    load(func(s storedHealthCheckEnded) decide.Event { return decide.HealthCheckEnded(s) }),
+	"PeerMessage":   load(func(s storedGossipReceived) decide.Event { return decide.GossipReceived(s) }),
+	"Counted":       load(func(s storedCounterUpdated) decide.Event { return decide.CounterUpdated(s) }),
+}
+
+var actionLoaders = map[string]loader[decide.Action]{
+	"Send":      load(func(s storedSend) decide.Action { return decide.Send(s) }),
+	"Cancel":    load(func(s storedCancel) decide.Action { return decide.Cancel(s) }),
+	"Refuse":    load(func(s storedReject) decide.Action { return decide.Reject(s) }),
+	"Fail":      load(func(s storedFail) decide.Action { return decide.Fail(s) }),
+	"SetTimer":  load(func(s storedSetTimer) decide.Action { return decide.SetTimer(s) }),
+	"Probe":     load(func(s storedHealthCheck) decide.Action { return decide.HealthCheck(s) }),
+	"CloseIdle": load(func(s storedCloseIdle) decide.Action { return decide.CloseIdle(s) }),
+	"Subscribe": load(func(s storedSubscribe) decide.Action { return decide.Subscribe(s) }),
+	"FetchList": load(func(s storedFetchList) decide.Action { return decide.FetchList(s) }),
+	"Tell":      load(func(s storedSendGossip) decide.Action { return decide.SendGossip(s) }),
+	"Count":     load(func(s storedAddToCounter) decide.Action { return decide.AddToCounter(s) }),
+	"Log":       load(func(s storedLog) decide.Action { return decide.Log(s) }),
+}
+
+// loadTyped reads a stored value by the loader of its kind.
+func loadTyped[T any](t typed, loaders map[string]loader[T]) (T, error) {
+	load, ok := loaders[t.K]
+	if !ok {
+		var none T
+		return none, fmt.Errorf("kind %q is not known", t.K)
+	}
+	return load(t.V)
+}
--- a/internal/scenario/day_test.go
+++ b/internal/scenario/day_test.go
@@ -72,7 +72,7 @@
 	requests := map[string]decide.Request{}
 	note := func(ev decide.Event) {
 		switch e := ev.(type) {
-		case decide.FleetUpdate:
+		case decide.EndpointUpdate:
 			for _, s := range e.Servers {
 				if !serverOf[s.ID] {
 					serverOf[s.ID] = true
@@ -147,13 +147,13 @@
 	case "refuses what ran": // by a Refuse in place of a Fail
 		each(func(_ decide.Event, a decide.Action) []decide.Action {
 			if f, ok := a.(decide.Fail); ok {
-				return []decide.Action{decide.Refuse{ID: f.ID}}
+				return []decide.Action{decide.Reject{ID: f.ID}}
 			}
 			return []decide.Action{a}
 		})
 	case "deaf to drains":
 		t.Event = func(ev decide.Event) decide.Event {
-			if e, ok := ev.(decide.FleetUpdate); ok && e.Kind == decide.FleetDelta {
+			if e, ok := ev.(decide.EndpointUpdate); ok && e.Kind == decide.DeltaUpdate {
 				return nil
 			}
 			return ev
@@ -161,7 +161,7 @@
 	case "sends to who drains":
 		var draining string
 		t.Event = func(ev decide.Event) decide.Event {
-			if e, ok := ev.(decide.FleetUpdate); ok {
+			if e, ok := ev.(decide.EndpointUpdate); ok {
 				for _, s := range e.Servers {
 					if s.State == decide.Draining {
 						draining = s.ID
@@ -182,9 +182,9 @@
 	case "all to the cold", "most to the cold":
 		cold, spared := "", map[string]int{"all to the cold": 0, "most to the cold": 3}[how]
 		t.Event = func(ev decide.Event) decide.Event {
-			if e, ok := ev.(decide.FleetUpdate); ok {
+			if e, ok := ev.(decide.EndpointUpdate); ok {
 				for _, s := range e.Servers {
-					if s.Started > 0 {
+					if s.StartedAt > 0 {
 						cold = s.ID
 					}
 				}
@@ -202,7 +202,7 @@
 		})
 	case "over the mark": // whom the core refuses is sent on all the same
 		each(func(_ decide.Event, a decide.Action) []decide.Action {
-			if r, ok := a.(decide.Refuse); ok && (r.Reason == decide.OverMark || r.Reason == decide.OverTop) {
+			if r, ok := a.(decide.Reject); ok && (r.Reason == decide.ReasonOverQuota || r.Reason == decide.ReasonOverCeiling) {
 				return []decide.Action{decide.Send{ID: r.ID, Server: other("")}}
 			}
 			return []decide.Action{a}
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -179,7 +179,7 @@
 		if g.State, err = p.ports.Addr(); err != nil {
 			return err
 		}
-		if f.Decide.Limits.Peers {
+		if f.Decide.Limits.Gossip {
 			if g.Bind, err = p.ports.Addr(); err != nil {
 				return err
 			}
@@ -230,8 +230,8 @@
 	for _, c := range p.s.Load.Classes {
 		for _, k := range p.fleet.Decide.Classes {
 			if k.Name == c.Class {
-				out = append(out, client.Class{Name: k.Name, Share: c.Share, Effect: k.Effect, Group: k.Group, Window: k.Window,
-					Aim: k.Aim, Deadline: k.Deadline, MaxUnits: c.Units})
+				out = append(out, client.Class{Name: k.Name, Share: c.Share, Effect: k.Idempotency, Group: k.DedupScope, Window: k.DedupWindow,
+					Aim: k.LatencyObjective, Deadline: k.Deadline, MaxUnits: c.Units})
 			}
 		}
 	}
@@ -239,7 +239,7 @@
 }
 
 func (p *player) startNodes() error {
-	if d := p.fleet.Decide.MeterPeriod; d > 0 {
+	if d := p.fleet.Decide.UsageReportPeriod; d > 0 {
 		rates := map[string]float64{}
 		for _, m := range p.fleet.Members {
 			for _, plan := range p.fleet.Decide.Plans {
@@ -289,12 +289,12 @@
 		Classes: map[string]backend.Class{}, Seed: p.rng.Uint64(), Log: p.log, Meter: p.meter}
 	group := "all"
 	for _, k := range p.fleet.Decide.Classes {
-		o.Classes[k.Name] = backend.Class{Work: n.Work[k.Name], Keyed: k.Effect == decide.Keyed, Window: k.Window}
+		o.Classes[k.Name] = backend.Class{Work: n.Work[k.Name], Keyed: k.Idempotency == decide.IdempotentByKey, Window: k.DedupWindow}
 		switch {
-		case k.Effect != decide.Keyed:
-		case k.Group == decide.GroupZone:
+		case k.Idempotency != decide.IdempotentByKey:
+		case k.DedupScope == decide.DedupInZone:
 			group = "zone " + n.Zone
-		case k.Group == decide.GroupCell:
+		case k.DedupScope == decide.DedupInCell:
 			group = fmt.Sprint("cell ", n.Cell)
 		}
 	}
@@ -308,7 +308,7 @@
 // cold makes options of a cold start.
 func (p *player) cold(o backend.Options) backend.Options {
 	s := p.fleet.Decide.Safety
-	o.From, o.For, o.FallMultiple, o.FallWindow = s.ColdFrom, s.ColdFor, s.FallMultiple, s.FallWindow
+	o.From, o.For, o.FallMultiple, o.FallWindow = s.SlowStartCapacity, s.SlowStartDuration, s.OverloadMultiple, s.OverloadWindow
 	return o
 }
 
--- a/internal/testbed/client/school.go
+++ b/internal/testbed/client/school.go
@@ -33,8 +33,8 @@
 type Class struct {
 	Name     string
 	Share    float64
-	Effect   decide.Effect
-	Group    decide.Group
+	Effect   decide.Idempotency
+	Group    decide.DedupScope
 	Window   time.Duration
 	Aim      time.Duration
 	Deadline time.Duration
@@ -277,9 +277,9 @@
 		return false
 	case a.kind == "refused" || a.kind == "unreachable":
 		return true
-	case o.class.Effect == decide.Safe:
+	case o.class.Effect == decide.Idempotent:
 		return true
-	case o.class.Effect == decide.Keyed && o.class.Group == decide.GroupAll:
+	case o.class.Effect == decide.IdempotentByKey && o.class.Group == decide.DedupInFleet:
 		return since < o.class.Window/2
 	}
 	return false
--- a/internal/upstream/http/late_test.go
+++ b/internal/upstream/http/late_test.go
@@ -78,16 +78,16 @@
 			io.WriteString(nc, fine+"\r\nhi")
 		}
 	})
-	if got := wait(t, ch); got.Outcome != decide.Moot {
-		t.Errorf("outcome %v, want %v", got.Outcome, decide.Moot)
+	if got := wait(t, ch); got.Outcome != decide.OutcomeNotDispatched {
+		t.Errorf("outcome %v, want %v", got.Outcome, decide.OutcomeNotDispatched)
 	}
 	// Its connection is good for the next, whose bytes are made at the write.
 	call, ch = attempt("a", "next")
 	next := call.Params
 	call.Params, call.Form = nil, func() []byte { return next }
 	p.Send(call)
-	if got := wait(t, ch); got.Outcome != decide.OK {
-		t.Errorf("the next: outcome %v, want %v", got.Outcome, decide.OK)
+	if got := wait(t, ch); got.Outcome != decide.OutcomeOK {
+		t.Errorf("the next: outcome %v, want %v", got.Outcome, decide.OutcomeOK)
 	}
 	if txn := <-came; txn != "next" || len(came) > 0 {
 		t.Errorf("the server got %q, want the next alone", txn)
@@ -99,8 +99,8 @@
 	call, ch = attempt("a", "rests") // on the connection that rests now
 	call.Late = late.Load
 	p.Send(call)
-	if got := wait(t, ch); got.Outcome != decide.Moot || len(came) > 0 {
-		t.Errorf("outcome %v with %d at the server, want %v and none", got.Outcome, len(came), decide.Moot)
+	if got := wait(t, ch); got.Outcome != decide.OutcomeNotDispatched || len(came) > 0 {
+		t.Errorf("outcome %v with %d at the server, want %v and none", got.Outcome, len(came), decide.OutcomeNotDispatched)
 	}
 }
 
@@ -133,8 +133,8 @@
 	}
 	late.Store(true)
 	close(begin)
-	if got := wait(t, ch); got.Outcome != decide.Moot {
-		t.Errorf("outcome %v, want %v", got.Outcome, decide.Moot)
+	if got := wait(t, ch); got.Outcome != decide.OutcomeNotDispatched {
+		t.Errorf("outcome %v, want %v", got.Outcome, decide.OutcomeNotDispatched)
 	}
 	if err := <-ended; err == nil {
 		t.Error("the whole request reached the server")
@@ -169,7 +169,7 @@
 		txn  string
 		want decide.Outcome
 		body string
-	}{{"end", decide.OK, "hi"}, {"long", decide.OK, long}, {"reset", decide.Reset, ""}, {"endless", decide.Error, ""}} {
+	}{{"end", decide.OutcomeOK, "hi"}, {"long", decide.OutcomeOK, long}, {"reset", decide.OutcomeReset, ""}, {"endless", decide.OutcomeError, ""}} {
 		call, ch := attempt("a", c.txn)
 		p.Send(call)
 		if got := wait(t, ch); got.Outcome != c.want || string(got.Body) != c.body {
@@ -184,8 +184,8 @@
 	p.o.Bodies = 100 << 10
 	call, ch := attempt("a", "long")
 	p.Send(call)
-	if got := wait(t, ch); got.Outcome != decide.Error {
-		t.Errorf("beyond the sum: outcome %v, want %v", got.Outcome, decide.Error)
+	if got := wait(t, ch); got.Outcome != decide.OutcomeError {
+		t.Errorf("beyond the sum: outcome %v, want %v", got.Outcome, decide.OutcomeError)
 	}
 }
 
@@ -214,7 +214,7 @@
 	for i := range 40 {
 		c, ch := attempt("a", fmt.Sprint("t", i))
 		p.Send(c)
-		if r := wait(t, ch); r.Outcome != decide.OK || string(r.Body) != fmt.Sprint("t", i) {
+		if r := wait(t, ch); r.Outcome != decide.OutcomeOK || string(r.Body) != fmt.Sprint("t", i) {
 			t.Fatalf("attempt t%d ended as %d with %q, want its own answer", i, r.Outcome, r.Body)
 		}
 		time.Sleep(late + flight/2)
--- a/internal/upstream/http/pool.go
+++ b/internal/upstream/http/pool.go
@@ -48,7 +48,7 @@
 type Server struct {
 	ID, Addr string
 	Started  int64
-	State    decide.State
+	State    decide.ServerState
 }
 
 // Counts are what operators are told of the pool.
@@ -125,7 +125,7 @@
 			ended = append(ended, p.drop(s)...)
 			s = nil
 		}
-		if s == nil && n.State != decide.Gone {
+		if s == nil && n.State != decide.Removed {
 			s = &server{}
 			p.servers[n.ID] = s
 		}
@@ -133,7 +133,7 @@
 			if s.Server = n; n.State != decide.Serving {
 				ended = append(ended, p.hush(s)...)
 			}
-			if n.State == decide.Gone {
+			if n.State == decide.Removed {
 				delete(p.servers, n.ID)
 			}
 		}
@@ -153,7 +153,7 @@
 
 // drop forgets a server; attempts written to it go on.
 func (p *Pool) drop(s *server) []*upstreamws.Call {
-	s.State = decide.Gone
+	s.State = decide.Removed
 	if p.servers[s.ID] == s {
 		delete(p.servers, s.ID)
 	}
@@ -220,7 +220,7 @@
 	}
 	if c.Late != nil && c.Late() {
 		p.mu.Unlock()
-		c.Finish(upstreamws.Result{Outcome: decide.Moot})
+		c.Finish(upstreamws.Result{Outcome: decide.OutcomeNotDispatched})
 		return
 	}
 	now := time.Since(p.began)
@@ -322,7 +322,7 @@
 		k.call = nil
 		k.kill()
 		k.p.mu.Unlock()
-		c.Finish(upstreamws.Result{Outcome: decide.Moot})
+		c.Finish(upstreamws.Result{Outcome: decide.OutcomeNotDispatched})
 		return
 	}
 	if c.Begin() {
@@ -388,7 +388,7 @@
 	}
 	p.mu.Unlock()
 	if late != nil {
-		late.Finish(upstreamws.Result{Outcome: decide.Moot})
+		late.Finish(upstreamws.Result{Outcome: decide.OutcomeNotDispatched})
 	}
 	for k.answer() {
 		p.bodies.Add(-k.held)
@@ -468,7 +468,7 @@
 		k.call = nil
 		k.kill()
 		p.mu.Unlock()
-		c.Finish(upstreamws.Result{Outcome: decide.Error})
+		c.Finish(upstreamws.Result{Outcome: decide.OutcomeError})
 		return false
 	}
 	res := p.result(r)
@@ -518,12 +518,12 @@
 	away, _ := r.Get("X-Turned-Away")
 	switch {
 	case r.Status == 200:
-		res.Outcome = decide.OK
+		res.Outcome = decide.OutcomeOK
 		res.Body = r.Body
 	case (r.Status == 503 || r.Status == 504) && away == "1":
-		res.Outcome = decide.Full
+		res.Outcome = decide.OutcomeRejected
 	default:
-		res.Outcome = decide.Error
+		res.Outcome = decide.OutcomeError
 	}
 	if v, n := r.Get("X-Quota-Used"); n == 1 {
 		if u, err := strconv.ParseUint(v, 10, 31); err == nil {
@@ -542,8 +542,8 @@
 }
 
 // report reads "inflight=7,queue=2"; one that can't be read in any part is left out whole.
-func (p *Pool) report(v string) decide.Report {
-	out := decide.Report{}
+func (p *Pool) report(v string) decide.LoadReport {
+	out := decide.LoadReport{}
 	for part := range strings.SplitSeq(v, ",") {
 		name, text, ok := strings.Cut(strings.TrimSpace(part), "=")
 		x, err := strconv.ParseFloat(text, 64)
--- a/internal/upstream/http/pool_test.go
+++ b/internal/upstream/http/pool_test.go
@@ -173,25 +173,25 @@
 		name, addr string
 		want       upstreamws.Result
 	}{
-		{"served", say(fine + "\r\nhi"), upstreamws.Result{Outcome: decide.OK, Body: []byte("hi")}},
+		{"served", say(fine + "\r\nhi"), upstreamws.Result{Outcome: decide.OutcomeOK, Body: []byte("hi")}},
 		{"figures", say(fine + "X-Quota-Used: 85\r\nX-Units-Charged: 3\r\nX-Pressure: inflight=7,util=0.5\r\n\r\nhi"),
-			upstreamws.Result{Outcome: decide.OK, Body: []byte("hi"), Metered: 86, TrueUnits: 3,
-				Report: decide.Report{"inflight": 7, "util": 0.5}}},
+			upstreamws.Result{Outcome: decide.OutcomeOK, Body: []byte("hi"), Metered: 86, TrueUnits: 3,
+				Report: decide.LoadReport{"inflight": 7, "util": 0.5}}},
 		{"figures that can't be read", say(fine + "X-Quota-Used: -3\r\nX-Units-Charged: many\r\nX-Pressure: a=b;;\r\n\r\nhi"),
-			upstreamws.Result{Outcome: decide.OK, Body: []byte("hi")}},
-		{"units beyond the most", say(fine + "X-Units-Charged: 9000\r\n\r\nhi"), upstreamws.Result{Outcome: decide.OK, Body: []byte("hi")}},
-		{"interim answers", say("HTTP/1.1 103 E\r\n\r\n" + fine + "\r\nhi"), upstreamws.Result{Outcome: decide.OK, Body: []byte("hi")}},
-		{"error", say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), upstreamws.Result{Outcome: decide.Error}},
-		{"turned away", say("HTTP/1.1 503 E\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"), upstreamws.Result{Outcome: decide.Full}},
-		{"503 without the mark", say("HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n"), upstreamws.Result{Outcome: decide.Error}},
-		{"another status", say("HTTP/1.1 404 E\r\nContent-Length: 0\r\n\r\n"), upstreamws.Result{Outcome: decide.Error}},
-		{"noise", say("\x01\x02\x03\r\n\r\n"), upstreamws.Result{Outcome: decide.Error}},
-		{"3 GB", say("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx"), upstreamws.Result{Outcome: decide.Error}},
-		{"endless head", say("HTTP/1.1 200 OK\r\n" + strings.Repeat("X: yyyyyyyyyyyyyyyyyyyyyyyy\r\n", 1000)), upstreamws.Result{Outcome: decide.Error}},
-		{"break after the last byte", once(t, func(nc net.Conn, _ string) { nc.Close() }), upstreamws.Result{Outcome: decide.Reset}},
+			upstreamws.Result{Outcome: decide.OutcomeOK, Body: []byte("hi")}},
+		{"units beyond the most", say(fine + "X-Units-Charged: 9000\r\n\r\nhi"), upstreamws.Result{Outcome: decide.OutcomeOK, Body: []byte("hi")}},
+		{"interim answers", say("HTTP/1.1 103 E\r\n\r\n" + fine + "\r\nhi"), upstreamws.Result{Outcome: decide.OutcomeOK, Body: []byte("hi")}},
+		{"error", say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), upstreamws.Result{Outcome: decide.OutcomeError}},
+		{"turned away", say("HTTP/1.1 503 E\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"), upstreamws.Result{Outcome: decide.OutcomeRejected}},
+		{"503 without the mark", say("HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n"), upstreamws.Result{Outcome: decide.OutcomeError}},
+		{"another status", say("HTTP/1.1 404 E\r\nContent-Length: 0\r\n\r\n"), upstreamws.Result{Outcome: decide.OutcomeError}},
+		{"noise", say("\x01\x02\x03\r\n\r\n"), upstreamws.Result{Outcome: decide.OutcomeError}},
+		{"3 GB", say("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx"), upstreamws.Result{Outcome: decide.OutcomeError}},
+		{"endless head", say("HTTP/1.1 200 OK\r\n" + strings.Repeat("X: yyyyyyyyyyyyyyyyyyyyyyyy\r\n", 1000)), upstreamws.Result{Outcome: decide.OutcomeError}},
+		{"break after the last byte", once(t, func(nc net.Conn, _ string) { nc.Close() }), upstreamws.Result{Outcome: decide.OutcomeReset}},
 		{"break within the answer", once(t, func(nc net.Conn, _ string) { io.WriteString(nc, fine+"\r\nh"); nc.Close() }),
-			upstreamws.Result{Outcome: decide.Reset}},
-		{"refused", refused, upstreamws.Result{Outcome: decide.NoConnection}},
+			upstreamws.Result{Outcome: decide.OutcomeReset}},
+		{"refused", refused, upstreamws.Result{Outcome: decide.OutcomeConnectFailed}},
 	} {
 		p := newPool(t, Options{Units: 8}, Server{ID: "a", Addr: c.addr})
 		call, ch := attempt("a", "1")
@@ -221,7 +221,7 @@
 			txn := fmt.Sprint("t", i)
 			call, ch := attempt("a", txn)
 			p.Send(call)
-			if got := wait(t, ch); got.Outcome == decide.OK && string(got.Body) != txn {
+			if got := wait(t, ch); got.Outcome == decide.OutcomeOK && string(got.Body) != txn {
 				t.Fatalf("%s: %q was answered %q", name, txn, got.Body)
 			}
 			<-sent // the copy has left before the next request does
@@ -254,8 +254,8 @@
 	}
 	time.Sleep(quietFor) // what rests now could be used
 	p.Take([]Server{{ID: "new", Addr: addr}}, true)
-	if got := use("old"); got != decide.NoConnection {
-		t.Errorf("a server that is gone: outcome %v, want %v", got, decide.NoConnection)
+	if got := use("old"); got != decide.OutcomeConnectFailed {
+		t.Errorf("a server that is gone: outcome %v, want %v", got, decide.OutcomeConnectFailed)
 	}
 	if use("new"); conns.Load() != 2 {
 		t.Errorf("the new server got a connection of the old one's")
@@ -274,13 +274,13 @@
 	call, ch := attempt("a", "1")
 	p.Send(call)
 	p.Take([]Server{{ID: "a", Addr: addr, State: decide.Draining}}, false)
-	if got := wait(t, ch); got.Outcome != decide.NoConnection {
-		t.Errorf("outcome %v, want %v", got.Outcome, decide.NoConnection)
+	if got := wait(t, ch); got.Outcome != decide.OutcomeConnectFailed {
+		t.Errorf("outcome %v, want %v", got.Outcome, decide.OutcomeConnectFailed)
 	}
 	call, ch = attempt("a", "2")
 	p.Send(call)
-	if got := wait(t, ch); got.Outcome != decide.NoConnection {
-		t.Errorf("a new attempt: outcome %v, want %v", got.Outcome, decide.NoConnection)
+	if got := wait(t, ch); got.Outcome != decide.OutcomeConnectFailed {
+		t.Errorf("a new attempt: outcome %v, want %v", got.Outcome, decide.OutcomeConnectFailed)
 	}
 }
 
@@ -316,8 +316,8 @@
 	p := newPool(t, Options{ConnectTimeout: 50 * time.Millisecond}, Server{ID: "a", Addr: full(t)})
 	call, ch := attempt("a", "1")
 	p.Send(call)
-	if got := wait(t, ch); got.Outcome != decide.NoConnection {
-		t.Errorf("outcome %v, want %v", got.Outcome, decide.NoConnection)
+	if got := wait(t, ch); got.Outcome != decide.OutcomeConnectFailed {
+		t.Errorf("outcome %v, want %v", got.Outcome, decide.OutcomeConnectFailed)
 	}
 }
 
@@ -334,7 +334,7 @@
 	for _, node := range []string{"a", "b", "c", "a", "b"} {
 		call, ch := attempt(node, "1")
 		p.Send(call)
-		if got := wait(t, ch); got.Outcome != decide.OK || p.Conns.Load() > 2 {
+		if got := wait(t, ch); got.Outcome != decide.OutcomeOK || p.Conns.Load() > 2 {
 			t.Errorf("%s: outcome %v with %d connections", node, got.Outcome, p.Conns.Load())
 		}
 	}
@@ -346,13 +346,13 @@
 	}
 	call, ch := attempt("c", "1")
 	p.Send(call)
-	if got := wait(t, ch); got.Outcome != decide.NoConnection {
-		t.Errorf("over the bound: outcome %v, want %v", got.Outcome, decide.NoConnection)
+	if got := wait(t, ch); got.Outcome != decide.OutcomeConnectFailed {
+		t.Errorf("over the bound: outcome %v, want %v", got.Outcome, decide.OutcomeConnectFailed)
 	}
 	close(hold)
 	for _, ch := range held {
-		if got := wait(t, ch); got.Outcome != decide.OK {
-			t.Errorf("held: outcome %v, want %v", got.Outcome, decide.OK)
+		if got := wait(t, ch); got.Outcome != decide.OutcomeOK {
+			t.Errorf("held: outcome %v, want %v", got.Outcome, decide.OutcomeOK)
 		}
 	}
 }
@@ -389,8 +389,8 @@
 	for range 30 {
 		call, ch := attempt("a", "1")
 		p.Send(call)
-		if got := wait(t, ch); got.Outcome != decide.OK {
-			t.Fatalf("outcome %v, want %v", got.Outcome, decide.OK)
+		if got := wait(t, ch); got.Outcome != decide.OutcomeOK {
+			t.Fatalf("outcome %v, want %v", got.Outcome, decide.OutcomeOK)
 		}
 		<-closed
 	}
--- a/internal/upstream/websocket/upstream.go
+++ b/internal/upstream/websocket/upstream.go
@@ -38,7 +38,7 @@
 	Body      json.RawMessage // of the node's answer
 	TrueUnits float64
 	Metered   int
-	Report    decide.Report
+	Report    decide.LoadReport
 }
 
 // The states of a call.
@@ -101,9 +101,9 @@
 	switch was, first := c.end(); {
 	case !first:
 	case was == sent:
-		c.Done(Result{Outcome: decide.Reset})
+		c.Done(Result{Outcome: decide.OutcomeReset})
 	default:
-		c.Done(Result{Outcome: decide.NoConnection})
+		c.Done(Result{Outcome: decide.OutcomeConnectFailed})
 	}
 }
 
@@ -215,7 +215,7 @@
 func (k *conn) write(l *wsconn.Conn, c *Call) {
 	if c.Late != nil && c.Late() {
 		k.drop(c)
-		c.Finish(Result{Outcome: decide.Moot})
+		c.Finish(Result{Outcome: decide.OutcomeNotDispatched})
 		return
 	}
 	data := jsonrpc.AppendCall(nil, jsonrpc.ID(strconv.FormatUint(c.id, 10)), c.Method, c.Params)
@@ -370,15 +370,15 @@
 // read takes a node's answer. What can't be read counts as an error: the work may have run.
 func read(it *jsonrpc.Item) Result {
 	var w struct {
-		Units   float64         `json:"units"`
-		Metered int             `json:"metered"`
-		Load    decide.Report   `json:"load"`
-		Body    json.RawMessage `json:"body"`
+		Units   float64           `json:"units"`
+		Metered int               `json:"metered"`
+		Load    decide.LoadReport `json:"load"`
+		Body    json.RawMessage   `json:"body"`
 	}
 	if it.Err != nil {
-		r := Result{Outcome: decide.Error}
+		r := Result{Outcome: decide.OutcomeError}
 		if it.Err.Code == jsonrpc.CodeFull {
-			r.Outcome = decide.Full
+			r.Outcome = decide.OutcomeRejected
 		}
 		if json.Unmarshal(it.Err.Data, &w) == nil {
 			r.Report = w.Load
@@ -402,9 +402,9 @@
 		return nil
 	})
 	if err != nil || len(it.Result) == 0 || it.Result[0] != '{' || !(w.Units >= 0) || w.Metered < 0 {
-		return Result{Outcome: decide.Error}
+		return Result{Outcome: decide.OutcomeError}
 	}
-	return Result{decide.OK, w.Body, w.Units, w.Metered, w.Load}
+	return Result{decide.OutcomeOK, w.Body, w.Units, w.Metered, w.Load}
 }
 
 // number reads a number of JSON; that it is well formed was seen when the message was parsed.
--- a/internal/upstream/websocket/upstream_test.go
+++ b/internal/upstream/websocket/upstream_test.go
@@ -93,8 +93,8 @@
 		p := New(options())
 		_, got := send(p, addr, `{}`)
 		if at < len(whole) {
-			want(t, got, decide.Reset)
-		} else if r := want(t, got, decide.OK); r.TrueUnits != 2 || r.Metered != 3 || r.Report["queue"] != 1 || string(r.Body) != "7" {
+			want(t, got, decide.OutcomeReset)
+		} else if r := want(t, got, decide.OutcomeOK); r.TrueUnits != 2 || r.Metered != 3 || r.Report["queue"] != 1 || string(r.Body) != "7" {
 			t.Errorf("%+v", r)
 		}
 		p.Close()
@@ -148,11 +148,11 @@
 		mu.Lock()
 		arrived := got[fmt.Sprintf(`"n":%06d`, i)]
 		mu.Unlock()
-		if arrived && r.Outcome != decide.Reset {
+		if arrived && r.Outcome != decide.OutcomeReset {
 			t.Fatalf("call %d arrived and is told as outcome %d", i, r.Outcome)
 		}
 	}
-	if count[decide.Reset] == 0 || count[decide.NoConnection] == 0 || len(count) != 2 {
+	if count[decide.OutcomeReset] == 0 || count[decide.OutcomeConnectFailed] == 0 || len(count) != 2 {
 		t.Errorf("outcomes %v, want some of each", count)
 	}
 }
@@ -199,7 +199,7 @@
 	for _, addr := range []string{silent, gone.Addr().String(), rude.Addr().String()} {
 		for range 3 {
 			_, got := send(p, addr, `{}`)
-			want(t, got, decide.NoConnection)
+			want(t, got, decide.OutcomeConnectFailed)
 		}
 	}
 	until(t, "none is left", func() bool { return p.Conns() == 0 })
@@ -265,13 +265,13 @@
 		outs = append(outs, ch)
 	}
 	for _, ch := range outs {
-		if r := want(t, ch, decide.OK); r.TrueUnits != 2 {
+		if r := want(t, ch, decide.OutcomeOK); r.TrueUnits != 2 {
 			t.Fatalf("%+v", r)
 		}
 	}
 	n.Set(func(x *backend.Trouble) { x.Errors = 1 })
 	_, ch := send(p, n.Addr(), `{"request":"e"}`)
-	want(t, ch, decide.Error)
+	want(t, ch, decide.OutcomeError)
 	until(t, "idle ones are closed", func() bool { return p.Conns() == 0 })
 	n.Set(func(x *backend.Trouble) { x.Errors, x.Silent = 0, true })
 	_, ch = send(p, n.Addr(), `{"request":"s"}`)
@@ -283,7 +283,7 @@
 		t.Error("a connection with a call was closed as idle")
 	}
 	n.Stop()
-	want(t, ch, decide.Reset)
+	want(t, ch, decide.OutcomeReset)
 }
 
 // TestIdleFromTheStart gives every call up while its connection is being opened: it is closed as idle all the same.
