--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -35,16 +35,16 @@
 
 // wireChange is a change as operators hand it in and are told it.
 type wireChange struct {
-	Number uint64       `json:"number"`
-	Kind   string       `json:"kind"`
-	Member string       `json:"member,omitempty"`
-	Plan   string       `json:"plan,omitempty"`
-	Terms  *decide.Plan `json:"terms,omitempty"`
-	From   string       `json:"from,omitempty"` // RFC 3339
-	To     string       `json:"to,omitempty"`
-	Units  float64      `json:"units,omitempty"`
-	Rate   float64      `json:"rate,omitempty"`
-	Target uint64       `json:"target,omitempty"`
+	Number uint64     `json:"number"`
+	Kind   string     `json:"kind"`
+	Member string     `json:"member,omitempty"`
+	Plan   string     `json:"plan,omitempty"`
+	Terms  *PlanTerms `json:"terms,omitempty"`
+	From   string     `json:"from,omitempty"` // RFC 3339
+	To     string     `json:"to,omitempty"`
+	Units  float64    `json:"units,omitempty"`
+	Rate   float64    `json:"rate,omitempty"`
+	Target uint64     `json:"target,omitempty"`
 }
 
 // ToldChange is a change and what became of it.
@@ -67,8 +67,7 @@
 	w := wireChange{Number: c.Number, Kind: c.Kind.String(), Member: c.Member, Plan: c.Plan, From: stamp(c.From), To: stamp(c.To),
 		Units: c.Units, Rate: c.Rate, Target: c.Target}
 	if c.Kind == quotaplan.Terms {
-		t := c.Terms
-		w.Terms = &t
+		w.Terms = &PlanTerms{c.Terms}
 	}
 	return w
 }
@@ -80,7 +79,7 @@
 	}
 	c = quotaplan.Change{Number: w.Number, Kind: k, Member: w.Member, Plan: w.Plan, Units: w.Units, Rate: w.Rate, Target: w.Target}
 	if w.Terms != nil {
-		c.Terms = *w.Terms
+		c.Terms = w.Terms.Plan
 	}
 	for _, t := range []struct {
 		field, text string
@@ -155,14 +154,14 @@
 
 // History is what a gateway tells of its book.
 type History struct {
-	Changes int                    `json:"changes"`
-	Sum     string                 `json:"sum"` // gateways that tell the same hold the same
-	Stands  map[string]decide.Plan `json:"stands"`
-	Entries []ToldChange           `json:"entries"`
+	Changes int                  `json:"changes"`
+	Sum     string               `json:"sum"` // gateways that tell the same hold the same
+	Stands  map[string]PlanTerms `json:"stands"`
+	Entries []ToldChange         `json:"entries"`
 }
 
 func (g *Gateway) history(member string) (h History) {
-	h.Stands = map[string]decide.Plan{}
+	h.Stands = map[string]PlanTerms{}
 	g.loop.Ask(func() {
 		b := g.loop.books.book
 		n, sum := b.Version()
@@ -172,7 +171,7 @@
 		}
 		for _, m := range g.fleet.Members {
 			if member == "" || m.Name == member {
-				h.Stands[m.Name] = b.Stands(m.Name)
+				h.Stands[m.Name] = PlanTerms{b.Stands(m.Name)}
 			}
 		}
 	})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -24,7 +24,6 @@
 	"winghatch/internal/gossip"
 	"winghatch/internal/recording"
 	"winghatch/internal/remotewrite"
-	"winghatch/internal/reservation"
 	upstreamws "winghatch/internal/upstream/websocket"
 	"winghatch/internal/wal"
 	"winghatch/internal/wsconn"
@@ -322,13 +321,13 @@
 	Outcomes   map[string]int64  `json:"outcomes"`
 	Late       int64             `json:"late"`
 	NodeConns  int               `json:"node_connections"`
-	Datagrams  gossip.Counts     `json:"datagrams"`
+	Datagrams  DatagramCounts    `json:"datagrams"`
 	Names      map[uint64]string `json:"names"` // of customers, by their keys in Core
 	Core       CoreState         `json:"core"`
 
 	Changes      int                `json:"changes"` // in the book of plans
 	ChangesSum   string             `json:"changes_sum"`
-	Reservations []reservation.View `json:"reservations,omitempty"`
+	Reservations []ReservationState `json:"reservations,omitempty"`
 	Export       *ExportState       `json:"export,omitempty"`
 	BookLog      string             `json:"book_log,omitempty"` // why the books' log can't be written
 }
@@ -339,7 +338,7 @@
 		Sessions: g.front.Sessions(), TurnedAway: g.front.TurnedAway(), NodeConns: g.pool.Conns(),
 		Refused: map[string]int64{}, Outcomes: map[string]int64{}, Names: map[uint64]string{}}
 	if g.peers != nil {
-		s.Datagrams = g.peers.Counts()
+		s.Datagrams = datagramCounts(g.peers.Counts())
 	}
 	for _, m := range g.fleet.Members {
 		s.Names[decide.CustomerKey(m.Name)] = m.Name
@@ -352,7 +351,7 @@
 		}
 		n, sum := l.books.book.Version()
 		s.Changes, s.ChangesSum = n, strconv.FormatUint(sum, 16)
-		s.Reservations, s.BookLog = l.books.ledger.Views(), l.books.failure
+		s.Reservations, s.BookLog = convertAll(l.books.ledger.Views(), reservationState), l.books.failure
 		for k, v := range l.reasons {
 			s.Refused[k] = v
 		}
--- a/internal/usage/outbox/desk.go
+++ b/internal/usage/outbox/desk.go
@@ -125,11 +125,13 @@
 
 // Counts are for operators.
 type Counts struct {
-	Intents, Settled, Skipped uint64
-	Orphans                   uint64 // exported at their guess after the life that sent them ended
-	Denied                    uint64
-	Uncovered                 uint64 // tries
-	UncoveredUnits            float64
+	Intents        uint64  `json:"Intents"`
+	Settled        uint64  `json:"Settled"`
+	Skipped        uint64  `json:"Skipped"`
+	Orphans        uint64  `json:"Orphans"` // exported at their guess after the life that sent them ended
+	Denied         uint64  `json:"Denied"`
+	Uncovered      uint64  `json:"Uncovered"` // tries
+	UncoveredUnits float64 `json:"UncoveredUnits"`
 }
 
 // NewDesk returns a desk that is to be told what its log holds by Restore, and then begun.
--- a/internal/usage/outbox/ship.go
+++ b/internal/usage/outbox/ship.go
@@ -99,10 +99,13 @@
 
 // ShipCounts are for operators.
 type ShipCounts struct {
-	Sent, Batches, Again, SetAside uint64
-	LastStatus                     int
-	LastWhy                        string
-	Backoff                        time.Duration
+	Sent       uint64        `json:"Sent"`
+	Batches    uint64        `json:"Batches"`
+	Again      uint64        `json:"Again"`
+	SetAside   uint64        `json:"SetAside"`
+	LastStatus int           `json:"LastStatus"`
+	LastWhy    string        `json:"LastWhy"`
+	Backoff    time.Duration `json:"Backoff"`
 }
 
 // NewShipper returns a shipper.
