--- a/bench/export.go
+++ b/bench/export.go
@@ -44,13 +44,13 @@
 }
 
 // exporting writes settings like file's with an export.
-func exporting(file, dir, to string, m wal.Mode, disk int) (string, error) {
+func exporting(file, dir, to string, m wal.SyncMode, disk int) (string, error) {
 	f, err := config.Load(file)
 	if err != nil {
 		return "", err
 	}
-	f.Kept = filepath.Join(dir, "kept-"+m.String()+"-%d")
-	f.Export.To, f.Export.Durability, f.Export.Disk = "http://"+to+"/use", m, disk
+	f.StateDirPattern = filepath.Join(dir, "kept-"+m.String()+"-%d")
+	f.UsageExport.URL, f.UsageExport.Durability, f.UsageExport.MaxLogBytes = "http://"+to+"/use", m, disk
 	out := filepath.Join(dir, "export-"+m.String()+".kdl")
 	return out, os.WriteFile(out, config.Format(f), 0o600)
 }
@@ -62,7 +62,7 @@
 		return err
 	}
 	files := map[string]string{"off": file}
-	for _, m := range []wal.Mode{wal.None, wal.Interval, wal.Each} {
+	for _, m := range []wal.SyncMode{wal.SyncNever, wal.SyncInterval, wal.SyncAlways} {
 		if files[m.String()], err = exporting(file, dir, s.addr, m, 2<<30-1); err != nil {
 			return err
 		}
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	f.Measures.On, f.Measures.To, f.Measures.Every, f.Measures.Old = true, "http://"+s.addr+"/api/v1/write", time.Second, true
+	f.Metrics.Enabled, f.Metrics.URL, f.Metrics.Interval, f.Metrics.VersionOne = true, "http://"+s.addr+"/api/v1/write", time.Second, true
 	files["on"] = filepath.Join(dir, "measures.kdl")
 	if err := os.WriteFile(files["on"], config.Format(f), 0o600); err != nil {
 		return err
@@ -186,8 +186,8 @@
 				row += fmt.Sprintf(" %d |", size)
 			}
 			began := time.Now()
-			_, l, rec, err := gateway.OpenDesk(gateway.OwedOptions{Export: config.Export{}, Dir: kept, Life: 1 << 62,
-				Wall: func() int64 { return 1 }, Log: slog.New(slog.DiscardHandler)}, nil, nil, nil)
+			_, l, rec, err := gateway.OpenOutbox(gateway.OutboxOptions{Export: config.UsageExport{}, Dir: kept, Incarnation: 1 << 62,
+				WallClock: func() int64 { return 1 }, Log: slog.New(slog.DiscardHandler)}, nil, nil, nil)
 			if err != nil {
 				return err
 			}
@@ -203,13 +203,13 @@
 
 // owe fills a log with settled tries of which the receiver has none.
 func owe(dir string, n int, snaps bool) (int64, error) {
-	l, _, err := wal.Open(dir, wal.Options{Mode: wal.None, Keep: func() uint64 { return 1 }}, nil, nil)
+	l, _, err := wal.Open(dir, wal.Options{Mode: wal.SyncNever, RetainFrom: func() uint64 { return 1 }}, nil, nil)
 	if err != nil {
 		return 0, err
 	}
 	defer l.Close()
-	d := outbox.NewDesk(outbox.DeskSettings{Life: 1})
-	do := func(acts []outbox.DeskAction) error {
+	d := outbox.New(outbox.OutboxSettings{Incarnation: 1})
+	do := func(acts []outbox.OutboxAction) error {
 		for _, a := range acts {
 			a, ok := a.(outbox.Append)
 			if !ok {
@@ -223,26 +223,26 @@
 			if err != nil {
 				return err
 			}
-			d.Handle(outbox.Appended{ID: a.ID, Rec: no})
+			d.Handle(outbox.Appended{ID: a.ID, Record: no})
 		}
 		return nil
 	}
-	if err := do(d.Begin(1)); err != nil {
+	if err := do(d.Start(1)); err != nil {
 		return 0, err
 	}
-	t := outbox.Try{Request: "0-18ed2c564500847d-5i", Member: "editorial", Plan: "imprenta", Class: "order-submit", Node: "127.0.0.1:12345", Units: 1}
+	t := outbox.Attempt{Request: "0-18ed2c564500847d-5i", Member: "editorial", Plan: "imprenta", Class: "order-submit", Server: "127.0.0.1:12345", Units: 1}
 	for i := 1; i <= n; i++ {
-		if err := do(d.Handle(outbox.Intend{ID: outbox.ID(i), Room: true, Try: t})); err != nil {
+		if err := do(d.Handle(outbox.RecordIntent{ID: outbox.ID(i), HasRoom: true, Attempt: t})); err != nil {
 			return 0, err
 		}
-		if err := do(d.Handle(outbox.Settle{ID: outbox.ID(i), Outcome: outbox.Sized, Used: 2, Wall: 1})); err != nil {
+		if err := do(d.Handle(outbox.Settle{ID: outbox.ID(i), Outcome: outbox.OutcomeAnswered, UsedUnits: 2, WallTime: 1})); err != nil {
 			return 0, err
 		}
 		if snaps && i%25000 == 0 {
 			if err := l.Sync(time.Minute); err != nil {
 				return 0, err
 			}
-			if err := l.Snapshot(l.Next()-1, d.Snapshot()); err != nil {
+			if err := l.Snapshot(l.NextNumber()-1, d.Snapshot()); err != nil {
 				return 0, err
 			}
 		}
@@ -259,7 +259,7 @@
 	if err != nil {
 		return err
 	}
-	with, err := exporting(file, dir, s.addr, wal.Interval, 2<<30-1)
+	with, err := exporting(file, dir, s.addr, wal.SyncInterval, 2<<30-1)
 	if err != nil {
 		return err
 	}
--- a/bench/main.go
+++ b/bench/main.go
@@ -65,8 +65,8 @@
 	if err != nil {
 		return "", err
 	}
-	go wsconn.Listen(ln, func(nc net.Conn) {
-		l, err := wsconn.Accept(nc, "jsonrpc", 5*time.Second, nil, wsconn.Options{Queue: 64 << 20, ReadBuffer: 16 << 10})
+	go wsconn.Serve(ln, func(nc net.Conn) {
+		l, err := wsconn.Accept(nc, "jsonrpc", 5*time.Second, nil, wsconn.Options{MaxQueue: 64 << 20, ReadBuffer: 16 << 10})
 		if err != nil {
 			return
 		}
@@ -166,11 +166,11 @@
 	if err != nil {
 		return "", nil, err
 	}
-	var es []discoveryws.Entry
+	var es []discoveryws.Endpoint
 	for _, n := range nodes {
-		es = append(es, discoveryws.Entry{Node: n, State: "serving"})
+		es = append(es, discoveryws.Endpoint{Address: n, State: "serving"})
 	}
-	l.Fill(es)
+	l.Replace(es)
 	f, err := config.Parse("bench", []byte(`fleet bench {
 		secret "`+strings.Repeat("0b", 32)+`"
 		class look effect=safe { aim "10s"; deadline "20s" }
@@ -183,8 +183,8 @@
 	if err != nil {
 		return "", nil, err
 	}
-	f.Members[0].Keys[0] = f.Secret.Members().Sum([]byte(memberKey))
-	f.List = l.Addr()
+	f.Members[0].Keys[0] = f.Secret.MemberKeyHasher().Sum([]byte(memberKey))
+	f.EndpointList = l.Addr()
 	file := filepath.Join(dir, "fleet.kdl")
 	return file, l.Stop, os.WriteFile(file, config.Format(f), 0o600)
 }
@@ -213,7 +213,7 @@
 			defer cancel()
 			var err error
 			c.links[i], err = wsconn.Dial(ctx, addr, &websocket.Request{Host: addr, Path: "/", Protocol: "jsonrpc",
-				Header: map[string]string{"Authorization": "Bearer " + memberKey}}, wsconn.Options{Queue: 64 << 20})
+				Header: map[string]string{"Authorization": "Bearer " + memberKey}}, wsconn.Options{MaxQueue: 64 << 20})
 			errs <- err
 		}()
 	}
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -25,11 +25,11 @@
 )
 
 type command struct {
-	Node       nodeCmd       `cmd:"" help:"Run an emulated node."`
-	List       listCmd       `cmd:"" help:"Run a list of nodes; lines on standard input change it: NODE serving|draining|gone."`
-	Metrics    metricsCmd    `cmd:"" help:"Take Prometheus remote write and print the sums of some series each second."`
-	Accounting accountingCmd `cmd:"" help:"Take exported use, keep each event once in a file, and print an account each second."`
-	School     schoolCmd     `cmd:"" help:"Order from a fleet's gateways and print an account each second."`
+	Node       backendCmd   `cmd:"" help:"Run an emulated node."`
+	List       discoveryCmd `cmd:"" help:"Run a list of nodes; lines on standard input change it: NODE serving|draining|gone."`
+	Metrics    metricsCmd   `cmd:"" help:"Take Prometheus remote write and print the sums of some series each second."`
+	Accounting usageCmd     `cmd:"" help:"Take exported use, keep each event once in a file, and print an account each second."`
+	School     clientCmd    `cmd:"" help:"Order from a fleet's gateways and print an account each second."`
 }
 
 func main() {
@@ -61,7 +61,7 @@
 	}
 }
 
-type nodeCmd struct {
+type backendCmd struct {
 	Listen string             `required:"" help:"host:port on loopback."`
 	Config string             `required:"" help:"The fleet's settings; the node does its classes."`
 	Work   time.Duration      `default:"50ms" help:"Mean work of a call."`
@@ -87,7 +87,7 @@
 		return err
 	}
 	defer r.Stop()
-	r.Set(func(t *metricsreceiver.Trouble) { t.Status = c.Status })
+	r.SetFault(func(t *metricsreceiver.Fault) { t.Status = c.Status })
 	fmt.Printf("takes writes at %s; all series at http://%s/series\n", r.URL(), r.Addr())
 	eachSecond(func() {
 		line := fmt.Sprintf("series %d", len(r.Names()))
@@ -99,7 +99,7 @@
 	return nil
 }
 
-type accountingCmd struct {
+type usageCmd struct {
 	Listen     string        `required:"" help:"host:port on loopback."`
 	File       string        `required:"" help:"Keeps the events."`
 	Status     int           `help:"Answer this and keep nothing; 0: take all."`
@@ -107,22 +107,22 @@
 	Slow       time.Duration `help:"Take so long for a batch."`
 }
 
-func (c *accountingCmd) Run() error {
+func (c *usageCmd) Run() error {
 	r, err := usagereceiver.Start(c.Listen, c.File)
 	if err != nil {
 		return err
 	}
 	defer r.Stop()
-	r.Set(func(t *usagereceiver.Trouble) { t.Status, t.RetryAfter, t.Slow = c.Status, c.RetryAfter, c.Slow })
+	r.SetFault(func(t *usagereceiver.Fault) { t.Status, t.RetryAfter, t.Delay = c.Status, c.RetryAfter, c.Slow })
 	fmt.Println("takes batches at", r.URL())
 	eachSecond(func() {
 		units, guessed := map[string]float64{}, 0
 		evs := r.Events()
 		for _, e := range evs {
-			var u outbox.Use
-			if e.Type == outbox.TypeUse && json.Unmarshal(e.Data, &u) == nil {
+			var u outbox.UsageData
+			if e.Type == outbox.TypeUsage && json.Unmarshal(e.Data, &u) == nil {
 				units[u.Member] += u.Units
-				if u.Guess {
+				if u.Estimated {
 					guessed++
 				}
 			}
@@ -132,24 +132,24 @@
 	return nil
 }
 
-func (c *nodeCmd) Run() error {
+func (c *backendCmd) Run() error {
 	f, err := config.Load(c.Config)
 	if err != nil {
 		return err
 	}
-	o := backend.Options{Addr: c.Listen, Zone: c.Zone, Cores: c.Cores, Speed: c.Speed, Queue: c.Queue, Classes: map[string]backend.Class{},
+	o := backend.Options{Address: c.Listen, Zone: c.Zone, Cores: c.Cores, Speed: c.Speed, Queue: c.Queue, Classes: map[string]backend.Class{},
 		Seed: uint64(time.Now().UnixNano())}
 	for _, k := range f.Decide.Classes {
-		o.Classes[k.Name] = backend.Class{Work: c.Work, Keyed: k.DedupWindow > 0, Window: k.DedupWindow}
+		o.Classes[k.Name] = backend.Class{MeanWork: c.Work, Deduplicates: k.DedupWindow > 0, DedupWindow: k.DedupWindow}
 	}
 	n, err := backend.Start(o)
 	if err != nil {
 		return err
 	}
-	n.Set(func(t *backend.Trouble) {
-		t.Slow, t.Errors, t.Tail, t.TailShare, t.Mute = c.Slow, c.Errors, c.Tail, 0.02, map[string]bool{}
+	n.SetFault(func(t *backend.Fault) {
+		t.Slowdown, t.ErrorShare, t.TailFactor, t.TailShare, t.UnansweredClasses = c.Slow, c.Errors, c.Tail, 0.02, map[string]bool{}
 		for _, m := range c.Mute {
-			t.Mute[m] = true
+			t.UnansweredClasses[m] = true
 		}
 	})
 	fmt.Println("node listens on", n.Addr())
@@ -160,30 +160,30 @@
 	return nil
 }
 
-type listCmd struct {
+type discoveryCmd struct {
 	Listen string        `required:"" help:"host:port on loopback."`
 	Lag    time.Duration `help:"Changes are told so much later."`
 	Nodes  []string      `arg:"" optional:"" help:"Nodes at the start, host:port or host:port@ZONE."`
 }
 
-func (c *listCmd) Run() error {
+func (c *discoveryCmd) Run() error {
 	l, err := discovery.Start(c.Listen, c.Lag, nil)
 	if err != nil {
 		return err
 	}
-	parse := func(s, state string) discoveryws.Entry {
+	parse := func(s, state string) discoveryws.Endpoint {
 		addr, zone, _ := strings.Cut(s, "@")
-		return discoveryws.Entry{Node: addr, Zone: zone, State: state}
+		return discoveryws.Endpoint{Address: addr, Zone: zone, State: state}
 	}
-	var es []discoveryws.Entry
+	var es []discoveryws.Endpoint
 	for _, n := range c.Nodes {
 		es = append(es, parse(n, "serving"))
 	}
-	u := discoveryws.Update{Nodes: es}
+	u := discoveryws.Update{Endpoints: es}
 	if err := u.Check(); err != nil {
 		return err
 	}
-	l.Fill(es)
+	l.Replace(es)
 	fmt.Println("list listens on", l.Addr())
 	go func() {
 		for {
@@ -196,14 +196,14 @@
 			}
 			e := parse(n, state)
 			if state == "serving" {
-				e.Started = time.Now().UnixMilli()
+				e.StartedMs = time.Now().UnixMilli()
 			}
-			one := discoveryws.Update{Nodes: []discoveryws.Entry{e}}
+			one := discoveryws.Update{Endpoints: []discoveryws.Endpoint{e}}
 			if err := one.Check(); err != nil {
 				fmt.Println(err)
 				continue
 			}
-			l.Set(e)
+			l.Update(e)
 		}
 	}()
 	ctx, stop := interrupted()
@@ -213,7 +213,7 @@
 	return nil
 }
 
-type schoolCmd struct {
+type clientCmd struct {
 	Config  string            `required:"" help:"The fleet's settings."`
 	Key     map[string]string `required:"" help:"MEMBER=KEY, for each member that orders."`
 	Rate    float64           `default:"20" help:"Orders a second."`
@@ -222,22 +222,22 @@
 	For     time.Duration     `help:"Stop after so long; 0 goes on."`
 }
 
-func (c *schoolCmd) Run() error {
+func (c *clientCmd) Run() error {
 	f, err := config.Load(c.Config)
 	if err != nil {
 		return err
 	}
-	o := client.Options{Rate: c.Rate, Retries: c.Retries, Wait: 100 * time.Millisecond, Seed: uint64(time.Now().UnixNano())}
+	o := client.Options{Rate: c.Rate, Retries: c.Retries, RetryDelay: 100 * time.Millisecond, Seed: uint64(time.Now().UnixNano())}
 	for _, g := range f.Gateways {
 		o.Gateways = append(o.Gateways, g.Listen)
 	}
 	for _, k := range f.Decide.Classes {
-		o.Classes = append(o.Classes, client.Class{Name: k.Name, Share: 1 / float64(len(f.Decide.Classes)), Effect: k.Idempotency,
-			Group: k.DedupScope, Window: k.DedupWindow, Aim: k.LatencyObjective, Deadline: k.Deadline, MaxUnits: c.Units})
+		o.Classes = append(o.Classes, client.Class{Name: k.Name, Share: 1 / float64(len(f.Decide.Classes)), Idempotency: k.Idempotency,
+			DedupScope: k.DedupScope, DedupWindow: k.DedupWindow, LatencyObjective: k.LatencyObjective, Deadline: k.Deadline, MaxUnits: c.Units})
 	}
 	for _, m := range f.Members {
 		if key := c.Key[m.Name]; key != "" {
-			o.Members = append(o.Members, client.Member{Name: m.Name, Key: key, First: m.First, Spread: m.Spread})
+			o.Members = append(o.Members, client.Member{Name: m.Name, Key: key, FirstGateway: m.First, GatewayCount: m.Spread})
 		}
 	}
 	if len(o.Members) != len(c.Key) {
@@ -255,7 +255,7 @@
 		for ctx.Err() == nil {
 			time.Sleep(time.Second)
 			st := s.Stats()
-			fmt.Printf("asked %d  served %d  refused %d %v  failed %d  lost %d  unreachable %d  p50 %dus  p99 %dus\n", st.Asked, st.Served,
+			fmt.Printf("asked %d  served %d  refused %d %v  failed %d  lost %d  unreachable %d  p50 %dus  p99 %dus\n", st.Requests, st.Served,
 				st.Refused, st.Reasons, st.Failed, st.Lost, st.Unreachable, st.Latency.ValueAtQuantile(50), st.Latency.ValueAtQuantile(99))
 		}
 	}()
--- a/cmd/winghatch/day.go
+++ b/cmd/winghatch/day.go
@@ -18,24 +18,24 @@
 	Seed int `help:"Of the day; 0 takes its own."`
 }
 
-func (c *demoCmd) Run() error { return playDay("drain", c.Seed, "") }
+func (c *demoCmd) Run() error { return runScenario("drain", c.Seed, "") }
 
-type dayCmd struct {
+type scenarioCmd struct {
 	File   string `arg:"" help:"A day's file, or the name of one of the built-in days."`
 	Seed   int    `help:"Of the day; 0 takes the file's."`
 	Record string `help:"Keep settings, traffic, tapes and logs in this folder."`
 }
 
-func (c *dayCmd) Run() error { return playDay(c.File, c.Seed, c.Record) }
+func (c *scenarioCmd) Run() error { return runScenario(c.File, c.Seed, c.Record) }
 
-type daysCmd struct {
+type scenariosCmd struct {
 	Names []string `arg:"" optional:"" help:"Files or built-in days; without any, all that are built in."`
 	Seed  int      `help:"Of the days; 0 takes their own."`
 }
 
-func (c *daysCmd) Run() error {
+func (c *scenariosCmd) Run() error {
 	if len(c.Names) == 0 {
-		c.Names = scenario.Names()
+		c.Names = scenario.BuiltinNames()
 	}
 	exe, err := os.Executable()
 	if err != nil {
@@ -47,31 +47,31 @@
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	code := 0
 	for _, name := range c.Names {
-		res, err := playOne(ctx, exe, name, c.Seed)
+		res, err := runQuietly(ctx, exe, name, c.Seed)
 		if err != nil {
 			fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
 			code = 2
 			continue
 		}
 		st := res.Stats
-		part := func(n int64) string { return fmt.Sprintf("%.1f%%", 100*float64(n)/max(1, float64(st.Asked))) }
+		part := func(n int64) string { return fmt.Sprintf("%.1f%%", 100*float64(n)/max(1, float64(st.Requests))) }
 		at := func(q float64) time.Duration {
 			return (time.Duration(st.Latency.ValueAtQuantile(q)) * time.Microsecond).Round(time.Millisecond)
 		}
-		fmt.Printf("| %s | %d | %s | %s | %s | %s | %s | %d | %v | %v | %d of 5 |\n", name, st.Asked, part(st.InAim), part(st.Refused),
-			part(st.Failed), part(st.Lost), part(st.Unreachable), res.Attempts, at(50), at(99), res.Verdict.Kept())
-		if res.Verdict.Kept() < 5 {
+		fmt.Printf("| %s | %d | %s | %s | %s | %s | %s | %d | %v | %v | %d of 5 |\n", name, st.Requests, part(st.WithinObjective), part(st.Refused),
+			part(st.Failed), part(st.Lost), part(st.Unreachable), res.Attempts, at(50), at(99), res.Verdict.RulesKept())
+		if res.Verdict.RulesKept() < 5 {
 			fmt.Fprint(os.Stderr, res.Verdict)
 			code = max(code, 1)
 		}
 	}
 	if code != 0 {
-		return exit(code)
+		return exitCode(code)
 	}
 	return nil
 }
 
-func playOne(ctx context.Context, exe, name string, seed int) (*scenario.Outcome, error) {
+func runQuietly(ctx context.Context, exe, name string, seed int) (*scenario.Result, error) {
 	s, err := scenario.Open(name)
 	if err != nil {
 		return nil, err
@@ -81,32 +81,32 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	return scenario.Play(ctx, s, scenario.Options{Seed: seed, Dir: dir,
+	return scenario.Run(ctx, s, scenario.Options{Seed: seed, Dir: dir,
 		Command: func(args ...string) *exec.Cmd { return exec.Command(exe, args...) }})
 }
 
-type auditCmd struct {
+type verifyCmd struct {
 	Dir string `arg:"" help:"The folder that day --record filled."`
 }
 
-func (c *auditCmd) Run() error {
-	v, err := scenario.Audit(c.Dir)
+func (c *verifyCmd) Run() error {
+	v, err := scenario.Verify(c.Dir)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return exit(2)
+		return exitCode(2)
 	}
 	fmt.Print(v)
-	if v.Kept() < 5 {
-		return exit(1)
+	if v.RulesKept() < 5 {
+		return exitCode(1)
 	}
 	return nil
 }
 
 // playDay plays, prints and tells by its exit code: 1 a rule was broken, 2 the day could not be played.
-func playDay(name string, seed int, dir string) error {
+func runScenario(name string, seed int, dir string) error {
 	fail := func(err error) error {
 		fmt.Fprintln(os.Stderr, err)
-		return exit(2)
+		return exitCode(2)
 	}
 	s, err := scenario.Open(name)
 	if err != nil {
@@ -128,52 +128,52 @@
 	defer stop()
 	fmt.Printf("day %s: %d gateways, %d members, %.0f orders a second, %v\n", s.Name, len(s.Fleet.Gateways), len(s.Fleet.Members),
 		s.Load.Rate, s.Length)
-	res, err := scenario.Play(ctx, s, scenario.Options{Seed: seed, Dir: dir,
+	res, err := scenario.Run(ctx, s, scenario.Options{Seed: seed, Dir: dir,
 		Command: func(args ...string) *exec.Cmd { return exec.Command(exe, args...) },
-		Say:     func(format string, args ...any) { fmt.Printf(format+"\n", args...) }})
+		Logf:    func(format string, args ...any) { fmt.Printf(format+"\n", args...) }})
 	if err != nil {
 		return fail(err)
 	}
-	printDay(res)
-	printUse(res)
-	if res.Verdict.Kept() < 5 || res.Use != nil && len(res.Use.Breaches) > 0 {
-		return exit(1)
+	printResult(res)
+	printUsage(res)
+	if res.Verdict.RulesKept() < 5 || res.Usage != nil && len(res.Usage.Violations) > 0 {
+		return exitCode(1)
 	}
 	return nil
 }
 
 // printUse tells what the accounting had at the end.
-func printUse(res *scenario.Outcome) {
-	for _, r := range res.Reserved {
+func printUsage(res *scenario.Result) {
+	for _, r := range res.Reservations {
 		fmt.Printf("reserved for %s: %.6g of %.6g units used\n", r.Member, r.Used, r.Units)
 	}
-	u := res.Use
+	u := res.Usage
 	if u == nil {
 		return
 	}
 	fmt.Printf("exported: %d tries, %d at their answered size, %d at a guess (%d of them answered by no node), %.6g units, %.6g not covered\n",
-		u.Tries, u.Sized, u.Guessed, u.Unanswered, u.Units, u.Gaps)
-	fmt.Printf("kills of gateways: %d; events that the accounting was sent again: %d\n", res.Kills, res.Repeats)
-	if len(u.Breaches) == 0 {
+		u.Attempts, u.Confirmed, u.Estimated, u.Unanswered, u.Units, u.UncoveredUnits)
+	fmt.Printf("kills of gateways: %d; events that the accounting was sent again: %d\n", res.Kills, res.DuplicateEvents)
+	if len(u.Violations) == 0 {
 		fmt.Println("use exported exactly once: kept")
 		return
 	}
 	fmt.Println("use exported exactly once: BROKEN")
-	for _, b := range u.Breaches {
+	for _, b := range u.Violations {
 		fmt.Println("  " + b)
 	}
 }
 
-func printDay(res *scenario.Outcome) {
+func printResult(res *scenario.Result) {
 	st := res.Stats
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	row := func(name string, n int64) {
-		fmt.Fprintf(w, "%s\t%d\t%.1f%%\n", name, n, 100*float64(n)/max(1, float64(st.Asked)))
+		fmt.Fprintf(w, "%s\t%d\t%.1f%%\n", name, n, 100*float64(n)/max(1, float64(st.Requests)))
 	}
 	fmt.Fprintln(w)
-	row("orders asked", st.Asked)
+	row("orders asked", st.Requests)
 	row("served", st.Served)
-	row("served within the aim", st.InAim)
+	row("served within the aim", st.WithinObjective)
 	row("refused at last", st.Refused)
 	var reasons []string
 	for r := range st.Reasons {
@@ -186,7 +186,7 @@
 	row("failed", st.Failed)
 	row("lost with their session", st.Lost)
 	row("no gateway reached", st.Unreachable)
-	row("clients' tries", st.Tries)
+	row("clients' tries", st.Attempts)
 	row("attempts at nodes", int64(res.Attempts))
 	for _, q := range []float64{50, 90, 99, 99.9} {
 		fmt.Fprintf(w, "latency p%v\t%v\n", q, time.Duration(st.Latency.ValueAtQuantile(q))*time.Microsecond)
--- a/cmd/winghatch/gateway.go
+++ b/cmd/winghatch/gateway.go
@@ -55,7 +55,7 @@
 			return err
 		}
 		defer out.Close()
-		o.Tape = out
+		o.Recording = out
 	}
 	if os.Getenv("GOGC") == "" {
 		// Little lives long and much is made for each call: at the default the collector runs twenty times a
@@ -87,25 +87,25 @@
 	f, err := config.Load(c.File)
 	if err != nil {
 		fmt.Println(err)
-		return exit(1)
+		return exitCode(1)
 	}
 	fmt.Printf("%s: fleet %q: %d gateways, %d classes, %d plans, %d members\n", c.File, f.Name, len(f.Gateways),
 		len(f.Decide.Classes), len(f.Decide.Plans), len(f.Members))
-	if f.Kept == "" {
+	if f.StateDirPattern == "" {
 		fmt.Println("kept: not set: plan changes and reservations end with the gateways' processes")
 	} else {
-		fmt.Printf("kept: %s and so on for each gateway\n", f.Dir(0))
+		fmt.Printf("kept: %s and so on for each gateway\n", f.StateDir(0))
 	}
-	if m := f.Measures; !m.On {
+	if m := f.Metrics; !m.Enabled {
 		fmt.Println("measures: not set: nothing is counted for Prometheus")
 	} else {
-		fmt.Printf("measures: every %v to %q, at most %d samples and about %d bytes wait\n", m.Every, m.To, m.Queue, m.Memory)
+		fmt.Printf("measures: every %v to %q, at most %d samples and about %d bytes wait\n", m.Interval, m.URL, m.MaxSamples, m.MaxBytes)
 	}
-	if e := f.Export; e.To == "" {
+	if e := f.UsageExport; e.URL == "" {
 		fmt.Println("export: not set: use is told to nobody")
 	} else {
-		fmt.Printf("export: to %s, durability %v, %d bytes of disk, unwritable: %s\n", e.To, e.Durability, e.Disk,
-			map[outbox.Policy]string{outbox.Refuse: "refuse", outbox.Serve: "serve, uncovered"}[e.Unwritable])
+		fmt.Printf("export: to %s, durability %v, %d bytes of disk, unwritable: %s\n", e.URL, e.Durability, e.MaxLogBytes,
+			map[outbox.Policy]string{outbox.PolicyReject: "refuse", outbox.PolicyServe: "serve, uncovered"}[e.OnUnwritable])
 	}
 	return nil
 }
@@ -121,10 +121,10 @@
 	}
 	defer in.Close()
 	n, err := recording.Replay(in)
-	var diff *recording.Difference
+	var diff *recording.MismatchError
 	if errors.As(err, &diff) {
 		fmt.Println(err)
-		return exit(1)
+		return exitCode(1)
 	}
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.Tape, err)
@@ -138,8 +138,8 @@
 	for _, k := range kinds {
 		fmt.Printf("  %-14s %d\n", k, n.ByKind[k])
 	}
-	if n.Cut != nil {
-		fmt.Println(n.Cut)
+	if n.Truncated != nil {
+		fmt.Println(n.Truncated)
 	}
 	return nil
 }
@@ -178,11 +178,11 @@
 func printState(s *gateway.State) {
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	defer w.Flush()
-	fmt.Fprintf(w, "fleet %s, gateway %d %s, up %v, mesh %t\n", s.Fleet, s.Rank, s.Zone, s.Up.Round(time.Second), s.Core.FullGossip)
-	fmt.Fprintf(w, "open\t%d\tsessions\t%d\tqueue\t%d\tpressed\t%.2f\n", s.Open, s.Sessions, s.Queue, s.Core.Pressure)
-	fmt.Fprintf(w, "served\t%d\tfailed\t%d\tclients gone\t%d\tlate answers\t%d\n", s.Served, s.Failed, s.Gone, s.Late)
+	fmt.Fprintf(w, "fleet %s, gateway %d %s, up %v, mesh %t\n", s.Fleet, s.Rank, s.Zone, s.Uptime.Round(time.Second), s.Core.FullGossip)
+	fmt.Fprintf(w, "open\t%d\tsessions\t%d\tqueue\t%d\tpressed\t%.2f\n", s.OpenRequests, s.Sessions, s.QueueLength, s.Core.Pressure)
+	fmt.Fprintf(w, "served\t%d\tfailed\t%d\tclients gone\t%d\tlate answers\t%d\n", s.Served, s.Failed, s.Abandoned, s.LateResponses)
 	fmt.Fprintf(w, "attempts\t%d\toutcomes\t%v\tretry budget\t%.1f\n", s.Attempts, s.Outcomes, s.Core.RetryBudget)
-	fmt.Fprintf(w, "refused\t%v\tturned away\t%v\n", s.Refused, s.TurnedAway)
+	fmt.Fprintf(w, "refused\t%v\tturned away\t%v\n", s.Rejected, s.FrontendRejections)
 	fmt.Fprintf(w, "datagrams\t%+v\n", s.Datagrams)
 	fmt.Fprintln(w, "\nserver\tzone\tstate\tout\tghosts\tslow\tmissed\tcold for\tbudget")
 	states := map[decide.ServerState]string{decide.Serving: "serving", decide.Draining: "draining", decide.Removed: "gone"}
@@ -197,27 +197,27 @@
 	}
 	fmt.Fprintln(w, "\ncustomer\tplan\tlevel\tmark\tpart\twhole\tstore\topen")
 	for _, v := range s.Core.Customers {
-		name := s.Names[v.Key]
+		name := s.CustomerNames[v.Key]
 		if name == "" {
 			name = fmt.Sprintf("#%x", v.Key)
 		}
 		fmt.Fprintf(w, "%s\t%s\t%.1f\t%.1f\t%.2f\t%.1f\t%.1f\t%d\n", name, v.Plan, v.Level, v.HighWaterMark, v.Share, v.FleetLevel, v.CeilingTokens, v.InFlight)
 	}
-	fmt.Fprintf(w, "\nplan changes\t%d\tsum\t%s\t%s\n", s.Changes, s.ChangesSum, s.BookLog)
+	fmt.Fprintf(w, "\nplan changes\t%d\tsum\t%s\t%s\n", s.PlanChanges, s.PlanDigest, s.PlanLogFailure)
 	if len(s.Reservations) > 0 {
 		fmt.Fprintln(w, "\nreservation\tmember\tunits\tto\topen\tfree here\tdrawn\tout\tused here\tgiven")
 		for _, v := range s.Reservations {
 			fmt.Fprintf(w, "%d\t%s\t%.6g\t%s\t%t\t%.1f\t%.1f\t%d\t%.1f\t%.1f\n", v.Number, v.Member, v.Units,
-				time.Unix(0, v.To).UTC().Format(time.RFC3339), v.Open, v.Free, v.Drawn, v.Out, v.Spent, v.Given)
+				time.Unix(0, v.To).UTC().Format(time.RFC3339), v.Open, v.HeldTokens, v.DrawnTokens, v.InFlight, v.UsedUnits, v.GivenUnits)
 		}
 	}
-	if e := s.Export; e != nil {
-		fmt.Fprintf(w, "\nexport\tlife %d\topen tries %d\trecords %d\treceiver has %d\t%d of %d bytes\trefusing %t\t%s\n", e.Life, e.Open,
-			e.Records, e.Acked, e.Bytes, e.Bound, e.Refusing, e.Failure)
-		fmt.Fprintf(w, "  sent\t%d events\t%d batches\t%d again\t%d set aside\tlast answer %d %s\n", e.Ship.Sent, e.Ship.Batches, e.Ship.Again,
-			e.Ship.SetAside, e.Ship.LastStatus, e.Ship.LastWhy)
-		fmt.Fprintf(w, "  not covered\t%d tries\t%.6g units\tdenied %d\torphans %d\tlost records %d\n", e.Desk.Uncovered, e.Desk.UncoveredUnits,
-			e.Desk.Denied, e.Desk.Orphans, e.Lost)
+	if e := s.Usage; e != nil {
+		fmt.Fprintf(w, "\nexport\tlife %d\topen tries %d\trecords %d\treceiver has %d\t%d of %d bytes\trefusing %t\t%s\n", e.Incarnation, e.OpenAttempts,
+			e.Records, e.Acknowledged, e.Bytes, e.MaxBytes, e.Rejecting, e.Failure)
+		fmt.Fprintf(w, "  sent\t%d events\t%d batches\t%d again\t%d set aside\tlast answer %d %s\n", e.Delivery.Sent, e.Delivery.Batches, e.Delivery.Retries,
+			e.Delivery.DeadLetters, e.Delivery.LastStatus, e.Delivery.LastReason)
+		fmt.Fprintf(w, "  not covered\t%d tries\t%.6g units\tdenied %d\torphans %d\tlost records %d\n", e.Outbox.UncoveredAttempts, e.Outbox.UncoveredUnits,
+			e.Outbox.Denied, e.Outbox.Orphans, e.LostRecords)
 	}
 	if len(s.Core.UnresponsiveOwners) > 0 {
 		fmt.Fprintf(w, "\nhomes that are not asked for now\t%v\n", s.Core.UnresponsiveOwners)
@@ -249,11 +249,11 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("key     %s\ndigest  %s\n", key, f.Secret.Members().Sum([]byte(key)))
+	fmt.Printf("key     %s\ndigest  %s\n", key, f.Secret.MemberKeyHasher().Sum([]byte(key)))
 	return nil
 }
 
-func (c *keyNewCmd) Run() error { return printKey(c.Config, credentials.New()) }
+func (c *keyNewCmd) Run() error { return printKey(c.Config, credentials.NewMemberKey()) }
 
 func (c *keyDigestCmd) Run() error {
 	raw, err := io.ReadAll(io.LimitReader(os.Stdin, 4096))
--- a/cmd/winghatch/main.go
+++ b/cmd/winghatch/main.go
@@ -11,25 +11,25 @@
 )
 
 type command struct {
-	Gateway gatewayCmd `cmd:"" help:"Run one gateway of a fleet."`
-	Serve   serveCmd   `cmd:"" help:"Run one gateway of the platform, as its configuration tells."`
-	Check   checkCmd   `cmd:"" help:"Check a settings file as the gateway does at its start."`
-	Replay  replayCmd  `cmd:"" help:"Replay a recorded tape into a fresh core and compare all actions."`
-	State   stateCmd   `cmd:"" help:"Ask a running gateway its state."`
-	Demo    demoCmd    `cmd:"" help:"Play the drain day on loopback: 3 gateways, 6 nodes, a list and a school, in about 20 s."`
-	Day     dayCmd     `cmd:"" help:"Play a day file against real processes and judge it."`
-	Days    daysCmd    `cmd:"" help:"Play many days one after the other and print a table."`
-	Audit   auditCmd   `cmd:"" help:"Judge again what a day left in a folder."`
-	Plan    planCmd    `cmd:"" help:"Change plans in service, show them and what became of changes."`
-	Reserve reserveCmd `cmd:"" help:"Set units aside for a member's marked calls."`
-	Export  exportCmd  `cmd:"" help:"Export the use that a gateway owes which does not run."`
-	Key     keyCmd     `cmd:"" help:"Make keys of members and secrets of fleets."`
+	Gateway gatewayCmd   `cmd:"" help:"Run one gateway of a fleet."`
+	Serve   serveCmd     `cmd:"" help:"Run one gateway of the platform, as its configuration tells."`
+	Check   checkCmd     `cmd:"" help:"Check a settings file as the gateway does at its start."`
+	Replay  replayCmd    `cmd:"" help:"Replay a recorded tape into a fresh core and compare all actions."`
+	State   stateCmd     `cmd:"" help:"Ask a running gateway its state."`
+	Demo    demoCmd      `cmd:"" help:"Play the drain day on loopback: 3 gateways, 6 nodes, a list and a school, in about 20 s."`
+	Day     scenarioCmd  `cmd:"" help:"Play a day file against real processes and judge it."`
+	Days    scenariosCmd `cmd:"" help:"Play many days one after the other and print a table."`
+	Audit   verifyCmd    `cmd:"" help:"Judge again what a day left in a folder."`
+	Plan    planCmd      `cmd:"" help:"Change plans in service, show them and what became of changes."`
+	Reserve reserveCmd   `cmd:"" help:"Set units aside for a member's marked calls."`
+	Export  exportCmd    `cmd:"" help:"Export the use that a gateway owes which does not run."`
+	Key     keyCmd       `cmd:"" help:"Make keys of members and secrets of fleets."`
 }
 
 // exit is an error that says with what code to end; the text, if any, was said.
-type exit int
+type exitCode int
 
-func (e exit) Error() string { return fmt.Sprintf("exit code %d", int(e)) }
+func (e exitCode) Error() string { return fmt.Sprintf("exit code %d", int(e)) }
 
 func main() {
 	var c command
@@ -39,7 +39,7 @@
 			"  winghatch state --at 127.0.0.1:7300\n  winghatch demo"),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
 	err := k.Run()
-	var e exit
+	var e exitCode
 	if errors.As(err, &e) {
 		os.Exit(int(e))
 	}
--- a/cmd/winghatch/plan.go
+++ b/cmd/winghatch/plan.go
@@ -18,13 +18,13 @@
 )
 
 // asked is whom an operator asks: a gateway by its state address, with the fleet's secret.
-type asked struct {
+type gatewayTarget struct {
 	Config string `required:"" help:"The fleet's settings, for its secret and addresses."`
 	Rank   int    `help:"The gateway that is asked." default:"0"`
 	At     string `help:"Its state address, if it is another than the settings'."`
 }
 
-func (a *asked) fleet() (*config.Fleet, string, error) {
+func (a *gatewayTarget) fleet() (*config.Fleet, string, error) {
 	f, err := config.Load(a.Config)
 	if err != nil {
 		return nil, "", err
@@ -35,14 +35,14 @@
 	if a.Rank < 0 || a.Rank >= len(f.Gateways) {
 		return nil, "", fmt.Errorf("rank: %d, want 0 to %d", a.Rank, len(f.Gateways)-1)
 	}
-	if f.Gateways[a.Rank].State == "" {
+	if f.Gateways[a.Rank].StateAddress == "" {
 		return nil, "", fmt.Errorf("%s: gateway %d has no state address, and none is given by --at", a.Config, a.Rank)
 	}
-	return f, f.Gateways[a.Rank].State, nil
+	return f, f.Gateways[a.Rank].StateAddress, nil
 }
 
 // submit hands a change in. Its number is the time in microseconds where none is given.
-func (a *asked) submit(c quotaplan.Change) error {
+func (a *gatewayTarget) submit(c quotaplan.Change) error {
 	f, at, err := a.fleet()
 	if err != nil {
 		return err
@@ -50,7 +50,7 @@
 	if c.Number == 0 {
 		c.Number = uint64(time.Now().UnixMicro())
 	}
-	got, err := gateway.Ask(at, f.Secret, c)
+	got, err := gateway.SubmitChange(at, f.Secret, c)
 	if err != nil {
 		return err
 	}
@@ -59,9 +59,9 @@
 }
 
 // moment is a time that a flag gives.
-type moment string
+type flagTime string
 
-func (m moment) unix(field string) (int64, error) {
+func (m flagTime) unix(field string) (int64, error) {
 	if m == "" {
 		return 0, nil
 	}
@@ -85,11 +85,11 @@
 }
 
 type planSetCmd struct {
-	asked
-	Member string `arg:""`
-	Plan   string `arg:""`
-	From   moment `help:"From when on, as 2026-12-07T08:00:00Z or +90m; else at once."`
-	Number uint64 `help:"The change's number, used once in the life of the fleet; else the time in microseconds."`
+	gatewayTarget
+	Member string   `arg:""`
+	Plan   string   `arg:""`
+	From   flagTime `help:"From when on, as 2026-12-07T08:00:00Z or +90m; else at once."`
+	Number uint64   `help:"The change's number, used once in the life of the fleet; else the time in microseconds."`
 }
 
 func (c *planSetCmd) Run() error {
@@ -131,17 +131,17 @@
 }
 
 type planTermsCmd struct {
-	asked
-	Plan         string  `arg:""`
-	Rate         float64 `required:"" help:"Units a second; 0: no such quota."`
-	Burst        float64 `required:"" help:"Units at once."`
-	CeilingRate  float64 `help:"Hard ceiling, units a second."`
-	CeilingBurst float64 `help:"Hard ceiling, units at once."`
-	CeilingSlack float64 `help:"What the ceiling may be passed by."`
-	MaxOpen      int     `help:"Attempts out at once; 0: no such quota."`
-	Price        float64 `default:"1" help:"Worth of its work beside that of others."`
-	From         moment  `help:"From when on; else at once."`
-	Number       uint64  `help:"The change's number."`
+	gatewayTarget
+	Plan         string   `arg:""`
+	Rate         float64  `required:"" help:"Units a second; 0: no such quota."`
+	Burst        float64  `required:"" help:"Units at once."`
+	CeilingRate  float64  `help:"Hard ceiling, units a second."`
+	CeilingBurst float64  `help:"Hard ceiling, units at once."`
+	CeilingSlack float64  `help:"What the ceiling may be passed by."`
+	MaxOpen      int      `help:"Attempts out at once; 0: no such quota."`
+	Price        float64  `default:"1" help:"Worth of its work beside that of others."`
+	From         flagTime `help:"From when on; else at once."`
+	Number       uint64   `help:"The change's number."`
 }
 
 func (c *planTermsCmd) Run() error {
@@ -155,7 +155,7 @@
 }
 
 type planCancelCmd struct {
-	asked
+	gatewayTarget
 	Target uint64 `arg:"" help:"Number of the change that is taken back."`
 	Number uint64 `help:"This change's own number."`
 }
@@ -165,7 +165,7 @@
 }
 
 type planShortenCmd struct {
-	asked
+	gatewayTarget
 	Target uint64  `arg:"" help:"Number of the reservation."`
 	Units  float64 `required:"" help:"What it is of from now on."`
 	Number uint64  `help:"This change's own number."`
@@ -176,13 +176,13 @@
 }
 
 type reserveCmd struct {
-	asked
-	Member  string  `arg:""`
-	Units   float64 `required:"" help:"Units set aside for the member's marked calls."`
-	From    moment  `required:"" help:"Begin of the window, as 2026-12-07T08:00:00Z or +90m."`
-	To      moment  `required:"" help:"End of the window."`
-	UseRate float64 `name:"rate" help:"Units a second at which they may be used; under a ceiling a quarter of it, or twice the mean, if none is given."`
-	Number  uint64  `help:"The reservation's number."`
+	gatewayTarget
+	Member  string   `arg:""`
+	Units   float64  `required:"" help:"Units set aside for the member's marked calls."`
+	From    flagTime `required:"" help:"Begin of the window, as 2026-12-07T08:00:00Z or +90m."`
+	To      flagTime `required:"" help:"End of the window."`
+	UseRate float64  `name:"rate" help:"Units a second at which they may be used; under a ceiling a quarter of it, or twice the mean, if none is given."`
+	Number  uint64   `help:"The reservation's number."`
 }
 
 func (c *reserveCmd) Run() error {
@@ -198,14 +198,14 @@
 }
 
 type planShowCmd struct {
-	asked
+	gatewayTarget
 	Member string `arg:"" optional:""`
 }
 
 // history asks a gateway its book.
-func (a *asked) history(member string) (f *config.Fleet, at string, h gateway.History, err error) {
+func (a *gatewayTarget) history(member string) (f *config.Fleet, at string, h gateway.History, err error) {
 	if f, at, err = a.fleet(); err == nil {
-		h, err = gateway.AskHistory(at, member)
+		h, err = gateway.FetchHistory(at, member)
 	}
 	return f, at, h, err
 }
@@ -217,20 +217,20 @@
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	defer w.Flush()
-	fmt.Fprintf(w, "gateway %s knows %d changes, sum %s\n\n", at, h.Changes, h.Sum)
+	fmt.Fprintf(w, "gateway %s knows %d changes, sum %s\n\n", at, h.Changes, h.Digest)
 	fmt.Fprintln(w, "member\tplan\trate\tburst\tceiling rate\tceiling burst\tmost open")
 	for _, m := range f.Members {
-		p, ok := h.Stands[m.Name]
+		p, ok := h.Plans[m.Name]
 		if !ok {
 			continue
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, p.Name, figure(p.Rate), figure(p.Burst), figure(p.CeilingRate),
-			figure(p.CeilingBurst), figure(float64(p.MaxInFlight)))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, p.Name, formatNumber(p.Rate), formatNumber(p.Burst), formatNumber(p.CeilingRate),
+			formatNumber(p.CeilingBurst), formatNumber(float64(p.MaxInFlight)))
 	}
 	return nil
 }
 
-func figure(v float64) string {
+func formatNumber(v float64) string {
 	if v == 0 {
 		return "-"
 	}
@@ -238,7 +238,7 @@
 }
 
 type planHistoryCmd struct {
-	asked
+	gatewayTarget
 	Member string `arg:"" optional:""`
 }
 
@@ -255,8 +255,8 @@
 		if e.Target > 0 {
 			target = fmt.Sprint(e.Target)
 		}
-		fmt.Fprintf(w, "%d\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", e.Number, e.Taken, e.Gateway, e.Kind, e.Member, e.Plan, e.From, e.To,
-			figure(e.Units), target, join(e.Status, e.Why))
+		fmt.Fprintf(w, "%d\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", e.Number, e.AcceptedAt, e.Gateway, e.Kind, e.Member, e.Plan, e.From, e.To,
+			formatNumber(e.Units), target, withReason(e.Status, e.Reason))
 	}
 	return nil
 }
@@ -282,22 +282,22 @@
 		if _, err := os.Stat(filepath.Join(c.Dir, "use")); err != nil {
 			return fmt.Errorf("%s: no export's log here: %w", c.Dir, err)
 		}
-		f.Kept = c.Dir
+		f.StateDirPattern = c.Dir
 	}
 	if c.To != "" {
-		f.Export.To = c.To
+		f.UsageExport.URL = c.To
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	ctx, cancel := context.WithTimeout(ctx, c.Within)
 	defer cancel()
-	res, err := gateway.DrainExport(ctx, f, c.Rank, logger(f, ""))
+	res, err := gateway.DrainOutbox(ctx, f, c.Rank, logger(f, ""))
 	fmt.Printf("events told %d in %d batches, %d times again; set aside %d; at a guess, left by an ended life %d; records lost %d, torn bytes %d\n",
-		res.Ship.Sent, res.Ship.Batches, res.Ship.Again, res.Ship.SetAside, res.Desk.Orphans, res.Lost, res.Torn)
+		res.Delivery.Sent, res.Delivery.Batches, res.Delivery.Retries, res.Delivery.DeadLetters, res.Outbox.Orphans, res.LostRecords, res.TornBytes)
 	return err
 }
 
-func join(status, why string) string {
+func withReason(status, why string) string {
 	if why == "" {
 		return status
 	}
--- a/cmd/winghatch/serve.go
+++ b/cmd/winghatch/serve.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		return fmt.Errorf("serve: %w", err)
 	}
-	platform.Fit(cfg)
+	platform.ApplyLimits(cfg)
 	g, err := platform.Start(cfg, log)
 	if err != nil {
 		return fmt.Errorf("serve: %w", err)
--- a/cmd/wirehost/wire.go
+++ b/cmd/wirehost/wire.go
@@ -12,7 +12,7 @@
 // host keeps the gateways of this process. They share nothing.
 type host struct{ gateways map[int]*instance }
 
-type instance struct{ gw *decide.Gateway }
+type instance struct{ gateway *decide.Gateway }
 
 func newHost() *host { return &host{gateways: map[int]*instance{}} }
 
@@ -39,7 +39,7 @@
 func (h *host) batch(line []byte) ([]byte, error) {
 	var b batch
 	if err := json.Unmarshal(line, &b); err != nil {
-		return nil, fmt.Errorf("batch %q: %w", b.Batch, settings.FieldOf(err))
+		return nil, fmt.Errorf("batch %q: %w", b.Batch, settings.FieldError(err))
 	}
 	if b.Batch == "" {
 		return nil, fmt.Errorf("batch %q: field \"batch\" is missing", b.Batch)
@@ -67,7 +67,7 @@
 		M string `json:"m"`
 	}
 	if err := json.Unmarshal(raw, &head); err != nil {
-		return nil, fmt.Errorf("field \"happened\": %w", settings.FieldOf(err))
+		return nil, fmt.Errorf("field \"happened\": %w", settings.FieldError(err))
 	}
 	switch head.M {
 	case "NewInstance":
@@ -78,10 +78,10 @@
 	}
 	ev, err := parseEvent(head.M, raw)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", head.M, settings.FieldOf(err))
+		return nil, fmt.Errorf("%s: %w", head.M, settings.FieldError(err))
 	}
 	g := h.gateways[i]
-	if ev == nil || g == nil || g.gw == nil {
+	if ev == nil || g == nil || g.gateway == nil {
 		return nil, nil
 	}
 	return g.handle(now, ev), nil
@@ -91,16 +91,16 @@
 func (g *instance) handle(now time.Duration, ev decide.Event) (out []any) {
 	defer func() {
 		if p := recover(); p != nil {
-			out = []any{bug(fmt.Sprint(p))}
+			out = []any{bugMessage(fmt.Sprint(p))}
 		}
 	}()
-	for _, a := range g.gw.Handle(now, ev) {
+	for _, a := range g.gateway.Handle(now, ev) {
 		out = append(out, wireAction(a))
 	}
 	return out
 }
 
-func bug(words string) any {
+func bugMessage(words string) any {
 	return struct {
 		M     string `json:"m"`
 		Words string
@@ -113,29 +113,29 @@
 		ProfileData json.RawMessage
 	}
 	if err := json.Unmarshal(raw, &e); err != nil {
-		return nil, fmt.Errorf("NewInstance: %w", settings.FieldOf(err))
+		return nil, fmt.Errorf("NewInstance: %w", settings.FieldError(err))
 	}
 	h.gateways[i] = &instance{}
 	cfg, _, err := settings.Parse(e.ProfileData)
 	if err != nil {
-		return []any{bug("ProfileData: " + err.Error())}, nil
+		return []any{bugMessage("ProfileData: " + err.Error())}, nil
 	}
 	gw, err := decide.New(cfg, int64(e.RandomSeed))
 	if err != nil {
-		return []any{bug(err.Error())}, nil
+		return []any{bugMessage(err.Error())}, nil
 	}
-	h.gateways[i].gw = gw
+	h.gateways[i].gateway = gw
 	return nil, nil
 }
 
 // stats reads a load report: an object, or pairs of name and value.
-func stats(raw map[string]float64) decide.LoadReport {
+func loadReport(raw map[string]float64) decide.LoadReport {
 	if len(raw) == 0 {
 		return nil
 	}
 	r := decide.LoadReport{}
 	for name, v := range raw {
-		r[settings.ReportName(name)] = v
+		r[settings.LoadReportField(name)] = v
 	}
 	return r
 }
@@ -144,7 +144,7 @@
 func parseEvent(m string, raw json.RawMessage) (decide.Event, error) {
 	switch m {
 	case "PeersKnown":
-		return parseFleet(raw)
+		return parseEndpointUpdate(raw)
 	case "Query":
 		return parseRequest(raw)
 	case "Headers":
@@ -157,7 +157,7 @@
 		return decide.ResponseStarted{ID: e.Xid, Server: e.Server, Attempt: e.Trial,
 			Duration: time.Duration(e.DurationNs)}, err
 	case "Returned":
-		return parseEnded(raw)
+		return parseAttemptEnded(raw)
 	case "ClientLeft":
 		var e struct{ Xid string }
 		err := json.Unmarshal(raw, &e)
@@ -175,7 +175,7 @@
 		}
 		err := json.Unmarshal(raw, &e)
 		return decide.HealthCheckEnded{Server: e.Server, Outcome: decide.Outcome(e.StateCode),
-			Duration: time.Duration(e.DurationNs), LoadReport: stats(e.ServerStats)}, err
+			Duration: time.Duration(e.DurationNs), LoadReport: loadReport(e.ServerStats)}, err
 	case "Datagram":
 		var e struct {
 			Src  int
@@ -197,7 +197,7 @@
 	return nil, nil
 }
 
-func parseFleet(raw json.RawMessage) (decide.Event, error) {
+func parseEndpointUpdate(raw json.RawMessage) (decide.Event, error) {
 	var e struct {
 		Kind      string
 		Stamp     uint64
@@ -244,7 +244,7 @@
 		IsRetry: e.AgainByClient, Mutates: e.Mutates}, err
 }
 
-func parseEnded(raw json.RawMessage) (decide.Event, error) {
+func parseAttemptEnded(raw json.RawMessage) (decide.Event, error) {
 	var e struct {
 		Xid, Server string
 		Trial       int
@@ -258,7 +258,7 @@
 	err := json.Unmarshal(raw, &e)
 	return decide.AttemptEnded{ID: e.Xid, Server: e.Server, Attempt: e.Trial,
 		Outcome: decide.Outcome(e.StateCode), Duration: time.Duration(e.DurationNs), RequestDone: e.Ended,
-		ReportedUsage: e.Metered, ActualUnits: e.Actual, LoadReport: stats(e.ServerStats)}, err
+		ReportedUsage: e.Metered, ActualUnits: e.Actual, LoadReport: loadReport(e.ServerStats)}, err
 }
 
 // wireAction writes an action in the wire's words.
@@ -290,5 +290,5 @@
 	case decide.Log:
 		return msg{"m": "Log", "Words": a.Text}
 	}
-	return bug(fmt.Sprintf("unknown action %T", a))
+	return bugMessage(fmt.Sprintf("unknown action %T", a))
 }
--- a/cmd/wirehost/wire_test.go
+++ b/cmd/wirehost/wire_test.go
@@ -91,7 +91,7 @@
 }
 
 func TestPanicIsABug(t *testing.T) {
-	g := &instance{gw: &decide.Gateway{}} // not made by New
+	g := &instance{gateway: &decide.Gateway{}} // not made by New
 	out, err := json.Marshal(g.handle(1, decide.EndpointUpdate{Servers: []decide.Server{{ID: "s"}}}))
 	if err != nil || !strings.Contains(string(out), `"Bug"`) {
 		t.Errorf("got %s, %v, want a Bug", out, err)
--- a/decide/aims_test.go
+++ b/decide/aims_test.go
@@ -7,8 +7,8 @@
 )
 
 // scaled is a rig whose settings' times are so many times those of the usual one.
-func scaled(t *testing.T, by float64) *rig {
-	return newRig(t, func(c *Config) {
+func newScaledHarness(t *testing.T, by float64) *harness {
+	return newHarness(t, func(c *Config) {
 		for i := range c.Classes {
 			k := &c.Classes[i]
 			k.LatencyObjective, k.Deadline = time.Duration(by*float64(k.LatencyObjective)), time.Duration(by*float64(k.Deadline))
@@ -21,23 +21,23 @@
 // when their aim was nearly over, and ghosts filled the cap: half of all refusals were at idle servers.
 func TestTimesFollowTheAims(t *testing.T) {
 	for _, by := range []float64{0.2, 0.35, 1, 2} {
-		r := scaled(t, by)
+		r := newScaledHarness(t, by)
 		aim := time.Duration(by * float64(time.Second))
-		id, s := r.send("get", "wide")
-		r.end(id, 0, s.Server, OutcomeCancelled)
-		node := r.g.servers[s.Server]
-		if len(node.ghosts) != 1 {
+		id, s := r.mustSend("get", "wide")
+		r.endAttempt(id, 0, s.Server, OutcomeCancelled)
+		node := r.g.endpointByID[s.Server]
+		if len(node.orphans) != 1 {
 			t.Fatalf("aims times %g: no ghost of an attempt that was called off", by)
 		}
 		r.now += 4 * aim
-		r.do(TimerFired{beatToken})
-		if r.g.load(node); len(node.ghosts) != 0 {
+		r.handle(TimerFired{heartbeatToken})
+		if r.g.outstanding(node); len(node.orphans) != 0 {
 			t.Errorf("aims times %g: a ghost is load 4 aims after its attempt was sent", by)
 		}
 		var advice time.Duration
 		for range 200 {
-			_, acts := r.ask("get", "small", "greedy", 1)
-			for _, a := range find[Reject](acts) {
+			_, acts := r.request("get", "small", "greedy", 1)
+			for _, a := range actionsOf[Reject](acts) {
 				advice = a.RetryAfter
 			}
 		}
@@ -57,24 +57,24 @@
 		{3400 * ms, true, true}, {3300 * ms, true, true}, {2990 * ms, true, false}, {1000 * ms, true, false},
 		{1000 * ms, false, true}, // a first try of an impatient client
 	} {
-		r := newRig(t, nil)
+		r := newHarness(t, nil)
 		ask := func(left time.Duration, again bool) []Action {
 			r.n++
-			return r.do(Request{ID: fmt.Sprint("q", r.n), Class: "get", Plan: "wide", Customer: "c", Units: 1, Deadline: r.now + left,
+			return r.handle(Request{ID: fmt.Sprint("q", r.n), Class: "get", Plan: "wide", Customer: "c", Units: 1, Deadline: r.now + left,
 				GatewayCount: 3, IsRetry: again})
 		}
 		ask(3500*ms, false)
-		level := r.g.customers[shortKey("c")].level
+		level := r.g.customers[hashKey("c")].level
 		acts := ask(c.left, c.again)
-		if got := len(find[Send](acts)) > 0; got != c.sent {
+		if got := len(actionsOf[Send](acts)) > 0; got != c.sent {
 			t.Errorf("%v left, a repeat %v: sent on %v, want %v", c.left, c.again, got, c.sent)
 		}
-		for _, s := range find[Send](acts) {
+		for _, s := range actionsOf[Send](acts) {
 			if most := r.g.classes["get"].LatencyObjective - (4*time.Second - c.left); c.again && c.left < 3480*ms && s.Timeout > most {
 				t.Errorf("%v left, a repeat: waits %v for an answer, want %v at most", c.left, s.Timeout, most)
 			}
 		}
-		if !c.sent && r.g.customers[shortKey("c")].level != level {
+		if !c.sent && r.g.customers[hashKey("c")].level != level {
 			t.Errorf("%v left, a repeat: it was refused and charged", c.left)
 		}
 	}
--- a/decide/alone_test.go
+++ b/decide/alone_test.go
@@ -63,7 +63,7 @@
 			delete(due, now)
 			if now%(100*ms) == 0 {
 				for _, g := range gws {
-					g.Handle(now, TimerFired{beatToken})
+					g.Handle(now, TimerFired{heartbeatToken})
 				}
 			}
 			for i := range customers {
@@ -73,12 +73,12 @@
 					acts := gws[g].Handle(now, Request{ID: id, Class: "get", Plan: "p", Customer: fmt.Sprint("c", i), Units: 1,
 						Deadline: now + 2*time.Second, GatewayCount: gateways})
 					late := now >= from*time.Second
-					asked[i%2] += float64(b2i(late))
-					for _, s := range find[Send](acts) {
+					asked[i%2] += float64(boolToInt(late))
+					for _, s := range actionsOf[Send](acts) {
 						out[i]++
 						used[i]++
 						peak[i] = max(peak[i], out[i])
-						let[i%2] += float64(b2i(late))
+						let[i%2] += float64(boolToInt(late))
 						due[now+service] = append(due[now+service], answer{g, id, s.Server, i})
 					}
 				}
--- a/decide/api.go
+++ b/decide/api.go
@@ -110,7 +110,7 @@
 	Subscribe         bool // list changes come only when asked for
 }
 
-func finite(field string, v float64) error {
+func checkNonNegative(field string, v float64) error {
 	if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 		return fmt.Errorf("decide: %s is %v, want a number of 0 or more", field, v)
 	}
@@ -139,7 +139,7 @@
 		v    float64
 	}{{"Safety.ColdFrom", c.Safety.SlowStartCapacity}, {"Safety.FallMultiple", c.Safety.OverloadMultiple},
 		{"PeerIntake", c.GossipCapacity}, {"MaxUnits", c.MaxUnits}} {
-		if err := finite(f.name, f.v); err != nil {
+		if err := checkNonNegative(f.name, f.v); err != nil {
 			return err
 		}
 	}
@@ -163,7 +163,7 @@
 	if k.LatencyObjective <= 0 {
 		return fmt.Errorf("decide: %s.Aim is %v, want more than 0", at, k.LatencyObjective)
 	}
-	return finite(at+".Worth", k.PriorityWeight)
+	return checkNonNegative(at+".Worth", k.PriorityWeight)
 }
 
 func (p *Plan) validate(at string) error {
@@ -176,7 +176,7 @@
 	}{{"Rate", p.Rate}, {"Burst", p.Burst}, {"CeilingRate", p.CeilingRate},
 		{"CeilingBurst", p.CeilingBurst}, {"CeilingSlack", p.CeilingSlack}, {"MaxOpen", float64(p.MaxInFlight)},
 		{"Price", p.PriorityWeight}, {"OverWorth", p.OverQuotaValue}, {"OverCost", p.OverQuotaCost}} {
-		if err := finite(at+"."+f.name, f.v); err != nil {
+		if err := checkNonNegative(at+"."+f.name, f.v); err != nil {
 			return err
 		}
 	}
--- a/decide/cold_test.go
+++ b/decide/cold_test.go
@@ -28,12 +28,12 @@
 		g.Handle(0, EndpointUpdate{Kind: FullUpdate, Servers: servers})
 		for n := 0; n < 30; n++ {
 			now := time.Duration(n+1) * 400 * ms
-			g.Handle(now, TimerFired{beatToken})
+			g.Handle(now, TimerFired{heartbeatToken})
 			if n == 25 {
 				g.Handle(now, EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: "s0", Zone: "a", StartedAt: now}}})
 			}
 			id := fmt.Sprint(n)
-			for _, s := range find[Send](g.Handle(now, Request{ID: id, Class: "get", Plan: "wide", Customer: "x",
+			for _, s := range actionsOf[Send](g.Handle(now, Request{ID: id, Class: "get", Plan: "wide", Customer: "x",
 				Units: 1, Deadline: now + time.Second, GatewayCount: 1})) {
 				if n >= 25 && s.Server == "s0" {
 					cold++
@@ -51,17 +51,17 @@
 }
 
 // coldFleet is many gateways that send what comes to them, to servers that all answer in time.
-type coldFleet struct {
-	t    *testing.T
-	cfg  Config
-	gws  []*Gateway
-	due  map[time.Duration][]func()
-	now  time.Duration
-	n    int
-	sent map[string]int
+type slowStartFleet struct {
+	t        *testing.T
+	cfg      Config
+	gateways []*Gateway
+	pending  map[time.Duration][]func()
+	now      time.Duration
+	n        int
+	sentTo   map[string]int
 }
 
-func (f *coldFleet) start(i int, servers []Server) {
+func (f *slowStartFleet) start(i int, servers []Server) {
 	f.cfg.Rank = i
 	f.n++
 	g, err := New(f.cfg, int64(f.n))
@@ -69,28 +69,28 @@
 		f.t.Fatal(err)
 	}
 	g.Handle(f.now, EndpointUpdate{Kind: FullUpdate, Servers: servers})
-	f.gws[i] = g
+	f.gateways[i] = g
 }
 
 // step lets ten milliseconds pass in which requests come at a rate of so many a second, at gateways by chance.
-func (f *coldFleet) step(rng *rand.Rand, rate float64) {
+func (f *slowStartFleet) step(rng *rand.Rand, rate float64) {
 	f.now += 10 * ms
-	for _, do := range f.due[f.now] {
+	for _, do := range f.pending[f.now] {
 		do()
 	}
-	delete(f.due, f.now)
+	delete(f.pending, f.now)
 	if f.now%(100*ms) == 0 {
-		for _, g := range f.gws {
-			g.Handle(f.now, TimerFired{beatToken})
+		for _, g := range f.gateways {
+			g.Handle(f.now, TimerFired{heartbeatToken})
 		}
 	}
 	for range poisson(rng, rate/100) {
 		f.n++
-		id, g := fmt.Sprint(f.n), f.gws[rng.Intn(len(f.gws))]
-		for _, s := range find[Send](g.Handle(f.now, Request{ID: id, Class: "get", Plan: "wide", Customer: id, Units: 1,
+		id, g := fmt.Sprint(f.n), f.gateways[rng.Intn(len(f.gateways))]
+		for _, s := range actionsOf[Send](g.Handle(f.now, Request{ID: id, Class: "get", Plan: "wide", Customer: id, Units: 1,
 			Deadline: f.now + 2*time.Second, GatewayCount: 1})) {
-			f.sent[s.Server]++
-			f.due[f.now+50*ms] = append(f.due[f.now+50*ms], func() {
+			f.sentTo[s.Server]++
+			f.pending[f.now+50*ms] = append(f.pending[f.now+50*ms], func() {
 				g.Handle(f.now, AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: 50 * ms, RequestDone: true})
 			})
 		}
@@ -109,7 +109,7 @@
 			rng := rand.New(rand.NewSource(int64(gateways)))
 			cfg := testConfig()
 			cfg.Limits.Gossip, cfg.Gateways = false, gateways // the quota is no matter here
-			f := &coldFleet{t: t, cfg: cfg, gws: make([]*Gateway, gateways), due: map[time.Duration][]func(){}, sent: map[string]int{}}
+			f := &slowStartFleet{t: t, cfg: cfg, gateways: make([]*Gateway, gateways), pending: map[time.Duration][]func(){}, sentTo: map[string]int{}}
 			var list []Server
 			for i := range servers {
 				list = append(list, Server{ID: fmt.Sprint("s", i), Zone: "a"})
@@ -121,12 +121,12 @@
 				f.step(rng, servers*perServer)
 			}
 			list[0].StartedAt = f.now
-			for _, g := range f.gws {
+			for _, g := range f.gateways {
 				g.Handle(f.now, EndpointUpdate{Kind: DeltaUpdate, Servers: list[:1]})
 			}
-			began, before := f.now, f.sent["s0"]
+			began, before := f.now, f.sentTo["s0"]
 			for f.now < began+4*time.Second {
-				from := f.sent["s0"]
+				from := f.sentTo["s0"]
 				for end := f.now + cfg.Safety.OverloadWindow; f.now < end; {
 					f.step(rng, c.burst*servers*perServer)
 					if c.restart > 0 && rng.Float64() < c.restart*float64(gateways)/100 {
@@ -136,12 +136,12 @@
 				// A warm server of like size takes what it got before the burst.
 				can := cfg.Safety.SlowStartCapacity + (1-cfg.Safety.SlowStartCapacity)*float64(f.now-began-cfg.Safety.OverloadWindow)/float64(cfg.Safety.SlowStartDuration)
 				n := cfg.Safety.OverloadMultiple * can * perServer * cfg.Safety.OverloadWindow.Seconds()
-				if got := float64(f.sent["s0"] - from); got > n+2*math.Sqrt(n)+2 {
+				if got := float64(f.sentTo["s0"] - from); got > n+2*math.Sqrt(n)+2 {
 					t.Errorf("%d gateways, %s: the cold server got %.0f within %v at %v, want %.1f and chance at most", gateways, c.name, got,
 						cfg.Safety.OverloadWindow, f.now-began, n)
 				}
 			}
-			if f.sent["s0"] == before {
+			if f.sentTo["s0"] == before {
 				t.Errorf("%d gateways, %s: the cold server got nothing", gateways, c.name)
 			}
 		}
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -32,14 +32,14 @@
 }
 
 // rig drives a gateway by hand.
-type rig struct {
+type harness struct {
 	t   *testing.T
 	g   *Gateway
 	now time.Duration
 	n   int
 }
 
-func newRig(t *testing.T, edit func(*Config), servers ...Server) *rig {
+func newHarness(t *testing.T, edit func(*Config), servers ...Server) *harness {
 	t.Helper()
 	cfg := testConfig()
 	if edit != nil {
@@ -52,21 +52,21 @@
 	if servers == nil {
 		servers = []Server{{ID: "s1", Zone: "a"}, {ID: "s2", Zone: "a"}, {ID: "s3", Zone: "a", Cell: 1}}
 	}
-	r := &rig{t: t, g: g, now: time.Hour}
-	r.do(EndpointUpdate{Kind: StaleUpdate, Servers: servers})
+	r := &harness{t: t, g: g, now: time.Hour}
+	r.handle(EndpointUpdate{Kind: StaleUpdate, Servers: servers})
 	return r
 }
 
-func (r *rig) do(ev Event) []Action { return r.g.Handle(r.now, ev) }
+func (r *harness) handle(ev Event) []Action { return r.g.Handle(r.now, ev) }
 
-func (r *rig) ask(class, plan, customer string, units float64) (string, []Action) {
+func (r *harness) request(class, plan, customer string, units float64) (string, []Action) {
 	r.n++
 	id := fmt.Sprint("q", r.n)
-	return id, r.do(Request{ID: id, Class: class, Plan: plan, Customer: customer, Units: units,
+	return id, r.handle(Request{ID: id, Class: class, Plan: plan, Customer: customer, Units: units,
 		Deadline: r.now + 2*time.Second, GatewayCount: 3})
 }
 
-func find[A Action](acts []Action) (out []A) {
+func actionsOf[A Action](acts []Action) (out []A) {
 	for _, a := range acts {
 		if x, ok := a.(A); ok {
 			out = append(out, x)
@@ -76,10 +76,10 @@
 }
 
 // send asks and fails the test unless the request is sent on.
-func (r *rig) send(class, plan string) (string, Send) {
+func (r *harness) mustSend(class, plan string) (string, Send) {
 	r.t.Helper()
-	id, acts := r.ask(class, plan, "c", 1)
-	s := find[Send](acts)
+	id, acts := r.request(class, plan, "c", 1)
+	s := actionsOf[Send](acts)
 	if len(s) != 1 {
 		r.t.Fatalf("%s on %s: got %#v, want one Send", class, plan, acts)
 	}
@@ -87,21 +87,21 @@
 }
 
 // serve asks, answers at once if the request is sent on, and tells whether it was.
-func (r *rig) serve(class, plan, customer string, units float64) bool {
-	id, acts := r.ask(class, plan, customer, units)
-	s := find[Send](acts)
+func (r *harness) serve(class, plan, customer string, units float64) bool {
+	id, acts := r.request(class, plan, customer, units)
+	s := actionsOf[Send](acts)
 	if len(s) == 1 {
-		r.end(id, 0, s[0].Server, OutcomeOK)
+		r.endAttempt(id, 0, s[0].Server, OutcomeOK)
 	}
 	return len(s) == 1
 }
 
-func (r *rig) end(id string, n int, server string, o Outcome) []Action {
-	return r.do(AttemptEnded{ID: id, Attempt: n, Server: server, Outcome: o, Duration: 20 * ms, RequestDone: o == OutcomeOK})
+func (r *harness) endAttempt(id string, n int, server string, o Outcome) []Action {
+	return r.handle(AttemptEnded{ID: id, Attempt: n, Server: server, Outcome: o, Duration: 20 * ms, RequestDone: o == OutcomeOK})
 }
 
 func TestBucket(t *testing.T) {
-	r := newRig(t, nil)
+	r := newHarness(t, nil)
 	admitted := 0
 	for i := 0; i < 20; i++ {
 		if r.serve("get", "small", "x", 1) {
@@ -126,141 +126,141 @@
 }
 
 func TestSettlement(t *testing.T) {
-	r := newRig(t, nil)
-	id, s := r.send("get", "wide")
-	c := r.g.customers[shortKey("c")]
+	r := newHarness(t, nil)
+	id, s := r.mustSend("get", "wide")
+	c := r.g.customers[hashKey("c")]
 	before := c.level
-	r.do(AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: ms, RequestDone: true, ActualUnits: 6})
+	r.handle(AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: ms, RequestDone: true, ActualUnits: 6})
 	if got := c.level - before; got != 5 {
 		t.Errorf("settling 1 unit to 6 moved the level by %v, want 5", got)
 	}
-	id, s = r.send("get", "wide")
+	id, s = r.mustSend("get", "wide")
 	before = c.level
-	r.end(id, 0, s.Server, OutcomeNotDispatched)
+	r.endAttempt(id, 0, s.Server, OutcomeNotDispatched)
 	if got := before - c.level; got != 1 {
 		t.Errorf("a moot send gave back %v, want 1", got)
 	}
-	id, _ = r.send("pay", "wide")
+	id, _ = r.mustSend("pay", "wide")
 	before = c.level
-	r.end(id, 0, "s1", OutcomeError)
+	r.endAttempt(id, 0, "s1", OutcomeError)
 	if c.level != before {
 		t.Errorf("a failed send moved the level from %v to %v, want it kept", before, c.level)
 	}
 }
 
-func entry(key string, plan, used, asked, level int) string {
+func gossipEntry(key string, plan, used, asked, level int) string {
 	var b strings.Builder
-	encode(&b, shortKey(key), 6)
-	encode(&b, uint64(plan), 1)
-	encode(&b, uint64(used), 2)
-	encode(&b, uint64(asked), 2)
-	encode(&b, uint64(level), 1)
+	encodeDigits(&b, hashKey(key), 6)
+	encodeDigits(&b, uint64(plan), 1)
+	encodeDigits(&b, uint64(used), 2)
+	encodeDigits(&b, uint64(asked), 2)
+	encodeDigits(&b, uint64(level), 1)
 	return b.String()
 }
 
-func message(epoch, seq int, entries ...string) string {
+func gossipMessage(epoch, seq int, entries ...string) string {
 	var b strings.Builder
-	b.WriteString(msgVersion)
-	encode(&b, uint64(epoch), 2)
-	encode(&b, uint64(seq), 2)
+	b.WriteString(gossipVersion)
+	encodeDigits(&b, uint64(epoch), 2)
+	encodeDigits(&b, uint64(seq), 2)
 	return b.String() + strings.Join(entries, "")
 }
 
 func TestPartFollowsDemand(t *testing.T) {
-	r := newRig(t, nil)
-	r.ask("get", "wide", "x", 100)
-	c := r.g.customers[shortKey("x")]
-	r.do(GossipReceived{From: 1, Text: message(1, 1, entry("x", 0, 0, 0, 0))})
-	r.do(GossipReceived{From: 2, Text: message(1, 1)})
-	r.do(GossipReceived{From: 1, Text: message(1, 2, entry("x", 0, 0, 900, 0))})
+	r := newHarness(t, nil)
+	r.request("get", "wide", "x", 100)
+	c := r.g.customers[hashKey("x")]
+	r.handle(GossipReceived{From: 1, Text: gossipMessage(1, 1, gossipEntry("x", 0, 0, 0, 0))})
+	r.handle(GossipReceived{From: 2, Text: gossipMessage(1, 1)})
+	r.handle(GossipReceived{From: 1, Text: gossipMessage(1, 2, gossipEntry("x", 0, 0, 900, 0))})
 	r.g.leak(c)
-	if math.Abs(c.part-1.0/3) > 1e-9 {
-		t.Errorf("part is %v with a tenth of the demand, want the even floor", c.part)
+	if math.Abs(c.share-1.0/3) > 1e-9 {
+		t.Errorf("part is %v with a tenth of the demand, want the even floor", c.share)
 	}
-	r.ask("get", "wide", "x", 2700)
+	r.request("get", "wide", "x", 2700)
 	r.g.leak(c)
-	if c.part < 0.65 || c.part > 0.8 {
-		t.Errorf("part is %v with three quarters of the demand, want about 0.73", c.part)
+	if c.share < 0.65 || c.share > 0.8 {
+		t.Errorf("part is %v with three quarters of the demand, want about 0.73", c.share)
 	}
 	r.now += 2 * time.Second
-	r.do(TimerFired{beatToken})
+	r.handle(TimerFired{heartbeatToken})
 	r.g.leak(c)
-	if c.part != 1.0/3 {
-		t.Errorf("part is %v with silent peers, want the even slice", c.part)
+	if c.share != 1.0/3 {
+		t.Errorf("part is %v with silent peers, want the even slice", c.share)
 	}
 }
 
 func TestToldUseSettlesTheLevel(t *testing.T) {
-	r := newRig(t, nil)
-	r.do(GossipReceived{From: 1, Text: message(1, 1, entry("x", 1, 0, 0, 0))})
-	r.do(GossipReceived{From: 2, Text: message(1, 1)})
-	_, acts := r.ask("get", "small", "x", 1)
-	if len(find[Send](acts)) != 1 {
+	r := newHarness(t, nil)
+	r.handle(GossipReceived{From: 1, Text: gossipMessage(1, 1, gossipEntry("x", 1, 0, 0, 0))})
+	r.handle(GossipReceived{From: 2, Text: gossipMessage(1, 1)})
+	_, acts := r.request("get", "small", "x", 1)
+	if len(actionsOf[Send](acts)) != 1 {
 		t.Fatalf("refused though all peers told that nothing was used: %#v", acts)
 	}
 	r.now += 100 * ms
-	r.do(GossipReceived{From: 1, Text: message(1, 2, entry("x", 1, 12, 12, 0))})
-	r.do(GossipReceived{From: 2, Text: message(1, 2)})
-	if _, acts = r.ask("get", "small", "x", 1); len(find[Send](acts)) != 0 {
+	r.handle(GossipReceived{From: 1, Text: gossipMessage(1, 2, gossipEntry("x", 1, 12, 12, 0))})
+	r.handle(GossipReceived{From: 2, Text: gossipMessage(1, 2)})
+	if _, acts = r.request("get", "small", "x", 1); len(actionsOf[Send](acts)) != 0 {
 		t.Errorf("sent on though a peer told that the whole burst is used")
 	}
 	r.now += 2 * time.Second // the peers have fallen silent; their told use leaks away
-	if _, acts = r.ask("get", "small", "x", 1); len(find[Send](acts)) != 1 {
+	if _, acts = r.request("get", "small", "x", 1); len(actionsOf[Send](acts)) != 1 {
 		t.Errorf("refused after two seconds of leaking: %#v", acts)
 	}
 }
 
 func TestPeerMessagesDoNoHarm(t *testing.T) {
-	r := newRig(t, nil)
-	r.do(GossipReceived{From: 1, Text: message(1, 5, entry("x", 1, 0, 0, 0))})
-	r.do(GossipReceived{From: 1, Text: message(1, 6, entry("x", 1, 4, 4, 0))})
-	c := r.g.customers[shortKey("x")]
+	r := newHarness(t, nil)
+	r.handle(GossipReceived{From: 1, Text: gossipMessage(1, 5, gossipEntry("x", 1, 0, 0, 0))})
+	r.handle(GossipReceived{From: 1, Text: gossipMessage(1, 6, gossipEntry("x", 1, 4, 4, 0))})
+	c := r.g.customers[hashKey("x")]
 	for _, e := range []GossipReceived{
-		{From: 1, Text: message(1, 6, entry("x", 1, 4, 4, 0))},  // again
-		{From: 1, Text: message(1, 5, entry("x", 1, 0, 0, 0))},  // late
-		{From: 0, Text: message(1, 9, entry("x", 1, 9, 9, 0))},  // own rank
-		{From: 9, Text: message(1, 9, entry("x", 1, 9, 9, 0))},  // no such gateway
-		{From: -1, Text: message(1, 9, entry("x", 1, 9, 9, 0))}, // nor this
-		{From: 1, Text: "Z" + message(1, 9, entry("x", 1, 9, 9, 0))[1:]},
-		{From: 1, Text: message(1, 9, entry("x", 1, 9, 9, 0)) + "!"},
-		{From: 1, Text: message(1, 9) + "!!!!!!!!!!!!"},
+		{From: 1, Text: gossipMessage(1, 6, gossipEntry("x", 1, 4, 4, 0))},  // again
+		{From: 1, Text: gossipMessage(1, 5, gossipEntry("x", 1, 0, 0, 0))},  // late
+		{From: 0, Text: gossipMessage(1, 9, gossipEntry("x", 1, 9, 9, 0))},  // own rank
+		{From: 9, Text: gossipMessage(1, 9, gossipEntry("x", 1, 9, 9, 0))},  // no such gateway
+		{From: -1, Text: gossipMessage(1, 9, gossipEntry("x", 1, 9, 9, 0))}, // nor this
+		{From: 1, Text: "Z" + gossipMessage(1, 9, gossipEntry("x", 1, 9, 9, 0))[1:]},
+		{From: 1, Text: gossipMessage(1, 9, gossipEntry("x", 1, 9, 9, 0)) + "!"},
+		{From: 1, Text: gossipMessage(1, 9) + "!!!!!!!!!!!!"},
 		{From: 1, Text: ""},
 	} {
-		r.do(e)
-		if c.whole != 4 {
-			t.Fatalf("after %#v the whole bucket holds %v, want 4", e, c.whole)
+		r.handle(e)
+		if c.fleetLevel != 4 {
+			t.Fatalf("after %#v the whole bucket holds %v, want 4", e, c.fleetLevel)
 		}
 	}
-	r.do(GossipReceived{From: 1, Text: message(1, 7, entry("y", 60, 9, 9, 0))}) // plan unknown here
+	r.handle(GossipReceived{From: 1, Text: gossipMessage(1, 7, gossipEntry("y", 60, 9, 9, 0))}) // plan unknown here
 	// A new life of the peer counts from 0 again, and all that it used since is news.
-	r.do(GossipReceived{From: 1, Text: message(2, 1, entry("x", 1, 3, 3, 0))})
-	if c.whole != 7 {
-		t.Errorf("after the peer's restart the whole bucket holds %v, want 7", c.whole)
+	r.handle(GossipReceived{From: 1, Text: gossipMessage(2, 1, gossipEntry("x", 1, 3, 3, 0))})
+	if c.fleetLevel != 7 {
+		t.Errorf("after the peer's restart the whole bucket holds %v, want 7", c.fleetLevel)
 	}
 }
 
 func TestRestartLearnsWhatPeersKnow(t *testing.T) {
-	r := newRig(t, nil)
-	r.do(GossipReceived{From: 1, Text: message(1, 40, entry("x", 1, 700, 800, 30))})
-	r.do(GossipReceived{From: 2, Text: message(3, 50)})
-	if _, acts := r.ask("get", "small", "x", 1); len(find[Send](acts)) != 0 {
+	r := newHarness(t, nil)
+	r.handle(GossipReceived{From: 1, Text: gossipMessage(1, 40, gossipEntry("x", 1, 700, 800, 30))})
+	r.handle(GossipReceived{From: 2, Text: gossipMessage(3, 50)})
+	if _, acts := r.request("get", "small", "x", 1); len(actionsOf[Send](acts)) != 0 {
 		t.Error("a restarted gateway sent on though its peers told that the burst is used up")
 	}
 }
 
 func TestMessagesAreSmall(t *testing.T) {
-	r := newRig(t, nil)
+	r := newHarness(t, nil)
 	for i := 0; i < 100; i++ {
 		r.serve("get", "wide", fmt.Sprint("c", i), 1)
 	}
 	told := map[int]int{}
 	for i := 0; i < 20; i++ {
 		r.now += 200 * ms
-		for _, m := range find[SendGossip](r.do(TimerFired{beatToken})) {
-			if len(m.Text) > maxMessage {
-				t.Fatalf("message of %d bytes, want %d at most", len(m.Text), maxMessage)
+		for _, m := range actionsOf[SendGossip](r.handle(TimerFired{heartbeatToken})) {
+			if len(m.Text) > maxGossipBytes {
+				t.Fatalf("message of %d bytes, want %d at most", len(m.Text), maxGossipBytes)
 			}
-			told[m.To] += (len(m.Text) - msgHead) / msgEntry
+			told[m.To] += (len(m.Text) - gossipHeadLength) / gossipEntryLength
 		}
 	}
 	if told[1] != 100 || told[2] != 100 || told[0] != 0 {
@@ -269,37 +269,37 @@
 }
 
 func TestOpenCap(t *testing.T) {
-	r := newRig(t, nil)
-	r.send("get", "open")
-	if _, acts := r.ask("get", "open", "c", 1); len(find[Reject](acts)) != 1 {
+	r := newHarness(t, nil)
+	r.mustSend("get", "open")
+	if _, acts := r.request("get", "open", "c", 1); len(actionsOf[Reject](acts)) != 1 {
 		t.Errorf("a second attempt out with a third of 3: got %#v, want Refuse", acts)
 	}
-	r.end("q1", 0, "s1", OutcomeOK)
-	r.send("get", "open")
+	r.endAttempt("q1", 0, "s1", OutcomeOK)
+	r.mustSend("get", "open")
 }
 
 // TestOpenCapIsRoundedDown: of a cap of four three gateways may not have two out each, yet one each.
 func TestOpenCapIsRoundedDown(t *testing.T) {
-	r := newRig(t, func(c *Config) { c.Plans[3].MaxInFlight = 4 })
-	r.send("get", "open")
-	if _, acts := r.ask("get", "open", "c", 1); len(find[Reject](acts)) != 1 {
+	r := newHarness(t, func(c *Config) { c.Plans[3].MaxInFlight = 4 })
+	r.mustSend("get", "open")
+	if _, acts := r.request("get", "open", "c", 1); len(actionsOf[Reject](acts)) != 1 {
 		t.Errorf("a second attempt out with a third of 4: got %#v, want Refuse", acts)
 	}
-	r = newRig(t, func(c *Config) { c.Plans[3].MaxInFlight = 2 })
-	r.send("get", "open") // a third of 2 is less than one, but one may always be out
+	r = newHarness(t, func(c *Config) { c.Plans[3].MaxInFlight = 2 })
+	r.mustSend("get", "open") // a third of 2 is less than one, but one may always be out
 }
 
 func TestCeiling(t *testing.T) {
-	r := newRig(t, nil)
-	if _, acts := r.ask("get", "hard", "x", 8); len(find[Send](acts)) != 0 {
+	r := newHarness(t, nil)
+	if _, acts := r.request("get", "hard", "x", 8); len(actionsOf[Send](acts)) != 0 {
 		t.Fatal("sent on from the ceiling's store at the start, when it must count as empty")
 	}
 	sent, start := 0.0, r.now
 	for ; r.now < start+20*time.Second; r.now += 50 * ms {
-		id, acts := r.ask("get", "hard", "x", 4)
-		if s := find[Send](acts); len(s) == 1 {
+		id, acts := r.request("get", "hard", "x", 4)
+		if s := actionsOf[Send](acts); len(s) == 1 {
 			sent += 4
-			r.end(id, 0, s[0].Server, OutcomeOK)
+			r.endAttempt(id, 0, s[0].Server, OutcomeOK)
 		}
 		if most := 10*(r.now-start).Seconds() + 2; sent > most+1e-6 {
 			t.Fatalf("passed on %v by %v, want a third of the ceiling: %v", sent, r.now-start, most)
@@ -323,32 +323,32 @@
 		{"pay", OutcomeError, false, false}, {"pay", OutcomeTimedOut, false, false}, {"pay", OutcomeReset, false, false},
 		{"pay", OutcomeCancelled, false, false}, {"pay", OutcomeRejected, true, true}, {"pay", OutcomeConnectFailed, true, true},
 	} {
-		r := newRig(t, nil)
-		id, s := r.send(c.class, "wide")
-		acts := r.end(id, 0, s.Server, c.outcome)
-		more := find[Send](acts)
+		r := newHarness(t, nil)
+		id, s := r.mustSend(c.class, "wide")
+		acts := r.endAttempt(id, 0, s.Server, c.outcome)
+		more := actionsOf[Send](acts)
 		if (len(more) == 1) != c.again {
 			t.Errorf("%s after %v: got %#v, want again=%v", c.class, c.outcome, acts, c.again)
 		}
 		if len(more) == 1 && c.class == "put" && !c.outcome.neverRan() && (more[0].Server == "s3") != (s.Server == "s3") {
 			t.Errorf("%s after %v: sent to %s after %s, another cell", c.class, c.outcome, more[0].Server, s.Server)
 		}
-		r.g.budget = 0 // no further attempts: the final answer
+		r.g.retryBudget = 0 // no further attempts: the final answer
 		for i := 1; len(more) == 1; i++ {
-			acts = r.end(id, i, more[0].Server, c.outcome)
-			more = find[Send](acts)
+			acts = r.endAttempt(id, i, more[0].Server, c.outcome)
+			more = actionsOf[Send](acts)
 		}
-		if len(find[Reject](acts)) != b2i(c.refuse) || len(find[Fail](acts)) != b2i(!c.refuse) {
+		if len(actionsOf[Reject](acts)) != boolToInt(c.refuse) || len(actionsOf[Fail](acts)) != boolToInt(!c.refuse) {
 			t.Errorf("%s after %v: final %#v, want refuse=%v", c.class, c.outcome, acts, c.refuse)
 		}
 	}
 }
 
 func TestKeyedWindow(t *testing.T) {
-	r := newRig(t, func(c *Config) { c.Classes[2].LatencyObjective, c.Classes[2].DedupWindow = 3*time.Second, time.Second })
-	id, s := r.send("putall", "wide")
+	r := newHarness(t, func(c *Config) { c.Classes[2].LatencyObjective, c.Classes[2].DedupWindow = 3*time.Second, time.Second })
+	id, s := r.mustSend("putall", "wide")
 	r.now += 1100 * ms
-	if acts := r.end(id, 0, s.Server, OutcomeError); len(find[Send](acts)) != 0 {
+	if acts := r.endAttempt(id, 0, s.Server, OutcomeError); len(actionsOf[Send](acts)) != 0 {
 		t.Errorf("sent again after the window: %#v", acts)
 	}
 }
@@ -361,14 +361,14 @@
 		first  Outcome
 		window bool
 	}{{"put", OutcomeCancelled, true}, {"put", OutcomeReset, true}, {"put", OutcomeConnectFailed, false}, {"get", OutcomeReset, false}} {
-		r := newRig(t, nil)
-		id, s := r.send(c.class, "wide")
+		r := newHarness(t, nil)
+		id, s := r.mustSend(c.class, "wide")
 		at := r.now
 		if s.WriteBefore != 0 {
 			t.Errorf("%s: the first attempt may be written until %v, want no bound", c.class, s.WriteBefore)
 		}
 		r.now += 700 * ms
-		again := find[Send](r.end(id, 0, s.Server, c.first))
+		again := actionsOf[Send](r.endAttempt(id, 0, s.Server, c.first))
 		if len(again) != 1 {
 			t.Fatalf("%s behind %v: %d sent, want 1", c.class, c.first, len(again))
 		}
@@ -380,50 +380,50 @@
 }
 
 func TestNoServer(t *testing.T) {
-	r := newRig(t, nil, []Server{}...)
-	r.do(EndpointUpdate{Kind: FullUpdate})
-	if _, acts := r.ask("get", "wide", "c", 1); len(find[Reject](acts)) != 1 {
+	r := newHarness(t, nil, []Server{}...)
+	r.handle(EndpointUpdate{Kind: FullUpdate})
+	if _, acts := r.request("get", "wide", "c", 1); len(actionsOf[Reject](acts)) != 1 {
 		t.Errorf("without servers: got %#v, want Refuse", acts)
 	}
 }
 
 func TestDrains(t *testing.T) {
-	r := newRig(t, nil)
-	r.do(EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: "s1", State: Draining}}})
-	r.do(EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: "s2", State: Removed}}})
+	r := newHarness(t, nil)
+	r.handle(EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: "s1", State: Draining}}})
+	r.handle(EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: "s2", State: Removed}}})
 	for i := 0; i < 8; i++ {
-		if _, s := r.send("get", "wide"); s.Server != "s3" {
+		if _, s := r.mustSend("get", "wide"); s.Server != "s3" {
 			t.Fatalf("sent to %s, want s3", s.Server)
 		}
-		r.end(fmt.Sprint("q", r.n), 0, "s3", OutcomeOK)
+		r.endAttempt(fmt.Sprint("q", r.n), 0, "s3", OutcomeOK)
 	}
-	r.do(EndpointUpdate{Kind: FullUpdate, Servers: []Server{{ID: "s2"}}})
-	if _, s := r.send("get", "wide"); s.Server != "s2" {
+	r.handle(EndpointUpdate{Kind: FullUpdate, Servers: []Server{{ID: "s2"}}})
+	if _, s := r.mustSend("get", "wide"); s.Server != "s2" {
 		t.Errorf("sent to %s, which a full list left out, want s2", s.Server)
 	}
-	r.do(EndpointUpdate{Kind: FailedUpdate})
-	if _, acts := r.ask("get", "wide", "c", 1); len(find[Send](acts)) != 1 {
+	r.handle(EndpointUpdate{Kind: FailedUpdate})
+	if _, acts := r.request("get", "wide", "c", 1); len(actionsOf[Send](acts)) != 1 {
 		t.Errorf("a failed list call lost the former list: %#v", acts)
 	}
 }
 
 func TestSlowStart(t *testing.T) {
-	r := newRig(t, nil)
+	r := newHarness(t, nil)
 	run := func(d time.Duration) map[string]int {
 		n := map[string]int{}
 		for end := r.now + d; r.now < end; r.now += 20 * ms {
-			id, s := r.send("get", "wide")
+			id, s := r.mustSend("get", "wide")
 			n[s.Server]++
 			r.now += 5 * ms
-			r.end(id, 0, s.Server, OutcomeOK)
+			r.endAttempt(id, 0, s.Server, OutcomeOK)
 		}
 		return n
 	}
 	run(10 * time.Second)
-	r.do(EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: "s1", Zone: "a", StartedAt: r.now - ms}}})
+	r.handle(EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: "s1", Zone: "a", StartedAt: r.now - ms}}})
 	n := run(time.Second)
 	warm := float64(n["s2"]+n["s3"]) / 2
-	if most := coldMargin * 2 * 0.3 * warm * 1.2; float64(n["s1"]) > most+1 {
+	if most := slowStartMargin * 2 * 0.3 * warm * 1.2; float64(n["s1"]) > most+1 {
 		t.Errorf("cold server got %d in its first second, want %v at most", n["s1"], most)
 	}
 	run(10 * time.Second)
@@ -433,36 +433,36 @@
 }
 
 func TestOutlierEjection(t *testing.T) {
-	r := newRig(t, nil)
+	r := newHarness(t, nil)
 	fails := 0
 	for i := 0; i < 200; i++ {
-		id, s := r.send("get", "wide")
+		id, s := r.mustSend("get", "wide")
 		r.now += 20 * ms
 		if s.Server != "s1" {
-			r.end(id, 0, s.Server, OutcomeOK)
+			r.endAttempt(id, 0, s.Server, OutcomeOK)
 			continue
 		}
 		fails++
-		for _, m := range find[Send](r.end(id, 0, "s1", OutcomeError)) {
-			r.end(id, 1, m.Server, OutcomeOK)
+		for _, m := range actionsOf[Send](r.endAttempt(id, 0, "s1", OutcomeError)) {
+			r.endAttempt(id, 1, m.Server, OutcomeOK)
 		}
 	}
 	if fails > 12 {
 		t.Errorf("%d of 200 went to a server that fails all, quickly", fails)
 	}
-	all := newRig(t, nil)
+	all := newHarness(t, nil)
 	for i := 0; i < 100; i++ {
-		id, acts := all.ask("pay", "wide", "c", 1)
+		id, acts := all.request("pay", "wide", "c", 1)
 		all.now += 20 * ms
-		if s := find[Send](acts); len(s) == 1 {
-			all.end(id, 0, s[0].Server, OutcomeError)
+		if s := actionsOf[Send](acts); len(s) == 1 {
+			all.endAttempt(id, 0, s[0].Server, OutcomeError)
 		}
 	}
 	got := map[string]bool{}
 	for i := 0; i < 60; i++ {
-		if _, acts := all.ask("pay", "wide", "c", 1); len(find[Send](acts)) == 1 {
-			got[find[Send](acts)[0].Server] = true
-			all.end(fmt.Sprint("q", all.n), 0, find[Send](acts)[0].Server, OutcomeError)
+		if _, acts := all.request("pay", "wide", "c", 1); len(actionsOf[Send](acts)) == 1 {
+			got[actionsOf[Send](acts)[0].Server] = true
+			all.endAttempt(fmt.Sprint("q", all.n), 0, actionsOf[Send](acts)[0].Server, OutcomeError)
 		}
 	}
 	if len(got) < 3 {
@@ -471,19 +471,19 @@
 }
 
 func TestSilentServerIsLeft(t *testing.T) {
-	r := newRig(t, nil)
+	r := newHarness(t, nil)
 	lost := 0
 	for i := 0; i < 200; i++ {
-		id, s := r.send("get", "wide")
+		id, s := r.mustSend("get", "wide")
 		r.now += 30 * ms
 		if s.Server != "s1" {
-			r.end(id, 0, s.Server, OutcomeOK)
+			r.endAttempt(id, 0, s.Server, OutcomeOK)
 		} else {
 			lost++
 		}
 		for token, ref := range r.g.timers {
-			if a := r.g.attempt(ref.id, ref.n); a != nil && r.now > a.at+time.Second {
-				r.do(TimerFired{token})
+			if a := r.g.findAttempt(ref.requestID, ref.attempt); a != nil && r.now > a.sentAt+time.Second {
+				r.handle(TimerFired{token})
 			}
 		}
 	}
@@ -493,53 +493,53 @@
 }
 
 func TestSlownessFades(t *testing.T) {
-	r := newRig(t, nil)
-	s := r.g.order[0]
+	r := newHarness(t, nil)
+	s := r.g.endpoints[0]
 	for i := 0; i < 10; i++ {
-		r.g.saw(s, r.g.classes["get"], 3*time.Second, false)
+		r.g.observeOwn(s, r.g.classes["get"], 3*time.Second, false)
 	}
 	slow := r.g.slowness(s)
 	r.now += time.Minute
-	r.do(TimerFired{beatToken})
+	r.handle(TimerFired{heartbeatToken})
 	if got := r.g.slowness(s); slow < 1.3 || got > 1.1 {
 		t.Errorf("slowness went from %v to %v in a minute without answers, want it to fade to about 1", slow, got)
 	}
 }
 
 func TestGhostsCloseTheCap(t *testing.T) {
-	r := newRig(t, nil)
+	r := newHarness(t, nil)
 	for i := 0; i < 6; i++ {
-		id, acts := r.ask("get", "wide", "c", 1)
-		if s := find[Send](acts); len(s) == 1 {
-			r.end(id, 0, s[0].Server, OutcomeCancelled)
+		id, acts := r.request("get", "wide", "c", 1)
+		if s := actionsOf[Send](acts); len(s) == 1 {
+			r.endAttempt(id, 0, s[0].Server, OutcomeCancelled)
 		}
 	}
-	if _, acts := r.ask("get", "wide", "c", 1); len(find[Reject](acts)) != 1 {
+	if _, acts := r.request("get", "wide", "c", 1); len(actionsOf[Reject](acts)) != 1 {
 		t.Errorf("sent on to servers that still work on what nobody waits for: %#v", acts)
 	}
-	r.now += r.g.aims(ghostFor) + time.Second
-	r.send("get", "wide")
+	r.now += r.g.timesObjective(orphanLifetime) + time.Second
+	r.mustSend("get", "wide")
 }
 
 func TestBadInput(t *testing.T) {
-	r := newRig(t, nil)
+	r := newHarness(t, nil)
 	for _, e := range []Request{{ID: "a", Class: "none", Plan: "wide"}, {ID: "b", Class: "get", Plan: "none"}} {
-		if acts := r.do(e); len(find[Reject](acts)) != 1 {
+		if acts := r.handle(e); len(actionsOf[Reject](acts)) != 1 {
 			t.Errorf("%#v: got %#v, want Refuse", e, acts)
 		}
 	}
 	for _, e := range []Event{AttemptEnded{ID: "zz", Outcome: OutcomeOK}, ClientDisconnected{"zz"}, TimerFired{1 << 60},
 		ResponseStarted{ID: "zz"}, HealthCheckEnded{Server: "zz"}, CounterUpdated{Name: 4}, AttemptEnded{ID: "zz", Attempt: -1}} {
-		if acts := r.do(e); len(acts) != 0 {
+		if acts := r.handle(e); len(acts) != 0 {
 			t.Errorf("%#v: got %#v, want nothing", e, acts)
 		}
 	}
-	id, s := r.send("get", "wide")
-	r.do(ClientDisconnected{id})
-	if acts := r.end(id, 0, s.Server, OutcomeTimedOut); len(acts) != 0 {
+	id, s := r.mustSend("get", "wide")
+	r.handle(ClientDisconnected{id})
+	if acts := r.endAttempt(id, 0, s.Server, OutcomeTimedOut); len(acts) != 0 {
 		t.Errorf("answered a request whose client is gone: %#v", acts)
 	}
-	if acts := r.end(id, 0, s.Server, OutcomeTimedOut); len(acts) != 0 {
+	if acts := r.endAttempt(id, 0, s.Server, OutcomeTimedOut); len(acts) != 0 {
 		t.Errorf("answered an outcome told twice: %#v", acts)
 	}
 }
@@ -578,7 +578,7 @@
 	}
 }
 
-type flight struct {
+type trackedRequest struct {
 	req      Request
 	class    Class
 	attempts []Send
@@ -599,7 +599,7 @@
 		t.Fatal(err)
 	}
 	now, start := time.Duration(0), time.Duration(0)
-	flights := map[string]*flight{}
+	flights := map[string]*trackedRequest{}
 	var order []string
 	state := map[string]ServerState{}
 	cells := map[string]int{}
@@ -687,7 +687,7 @@
 				Customer: fmt.Sprint("c", rnd.Intn(6)), Units: float64(1 + rnd.Intn(4)),
 				Deadline: now + time.Duration(500+rnd.Intn(1000))*ms, GatewayCount: 3}
 			q.Customer += q.Plan
-			flights[id] = &flight{req: q, class: c, out: map[int]bool{}, mayRun: map[int]bool{}}
+			flights[id] = &trackedRequest{req: q, class: c, out: map[int]bool{}, mayRun: map[int]bool{}}
 			order = append(order, id)
 			handle(q)
 		case k < 11:
@@ -699,10 +699,10 @@
 			state[s.ID] = s.State
 			handle(EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{*s}})
 		case k < 12:
-			handle(GossipReceived{From: 1 + rnd.Intn(2), Text: message(rnd.Intn(2), rnd.Intn(4096),
-				entry("c1hard", 2, rnd.Intn(4096), rnd.Intn(4096), rnd.Intn(64)))})
+			handle(GossipReceived{From: 1 + rnd.Intn(2), Text: gossipMessage(rnd.Intn(2), rnd.Intn(4096),
+				gossipEntry("c1hard", 2, rnd.Intn(4096), rnd.Intn(4096), rnd.Intn(64)))})
 		case k < 13:
-			handle(TimerFired{beatToken})
+			handle(TimerFired{heartbeatToken})
 		}
 		for _, id := range order {
 			f := flights[id]
@@ -720,12 +720,12 @@
 				t.Fatalf("seed %d: no final answer for %s", seed, id)
 			}
 		}
-		order = keep(order, func(id string) bool { return !flights[id].done || len(flights[id].out) > 0 })
+		order = filterIDs(order, func(id string) bool { return !flights[id].done || len(flights[id].out) > 0 })
 	}
 	return log
 }
 
-func keep(ids []string, want func(string) bool) (out []string) {
+func filterIDs(ids []string, want func(string) bool) (out []string) {
 	for _, id := range ids {
 		if want(id) {
 			out = append(out, id)
@@ -736,8 +736,8 @@
 
 // FuzzPeerMessage feeds the parser of peers' messages; whatever comes must neither panic nor make units negative.
 func FuzzPeerMessage(f *testing.F) {
-	f.Add(message(1, 1, entry("x", 1, 5, 5, 5)))
-	f.Add(message(4095, 4095))
+	f.Add(gossipMessage(1, 1, gossipEntry("x", 1, 5, 5, 5)))
+	f.Add(gossipMessage(4095, 4095))
 	f.Add("b")
 	f.Add("a0102zzzz")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -746,9 +746,9 @@
 			t.Fatal(err)
 		}
 		g.Handle(time.Second, GossipReceived{From: 1, Text: text})
-		for _, c := range g.queue {
-			if c.whole < 0 || math.IsNaN(c.whole) {
-				t.Errorf("whole bucket is %v", c.whole)
+		for _, c := range g.customerOrder {
+			if c.fleetLevel < 0 || math.IsNaN(c.fleetLevel) {
+				t.Errorf("whole bucket is %v", c.fleetLevel)
 			}
 		}
 	})
@@ -756,13 +756,13 @@
 
 func TestMeterDecidesThePartWherePeersAreSilent(t *testing.T) {
 	for metered, want := range map[int]float64{1 + 100: 0.9, 1 + 1000: 1.0 / 3, 0: 1.0 / 3} {
-		r := newRig(t, nil)
-		id, s := r.send("get", "wide")
-		r.do(AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: ms, RequestDone: true, ReportedUsage: metered})
-		c := r.g.customers[shortKey("c")]
+		r := newHarness(t, nil)
+		id, s := r.mustSend("get", "wide")
+		r.handle(AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: ms, RequestDone: true, ReportedUsage: metered})
+		c := r.g.customers[hashKey("c")]
 		r.g.charge(c, 1800) // 900 units a second over the memory, of a rate of 1000
-		if r.g.leak(c); math.Abs(c.part-want) > 0.01 {
-			t.Errorf("told %d: part is %v, want %v", metered, c.part, want)
+		if r.g.leak(c); math.Abs(c.share-want) > 0.01 {
+			t.Errorf("told %d: part is %v, want %v", metered, c.share, want)
 		}
 	}
 }
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -8,55 +8,55 @@
 )
 
 // joined is a few gateways whose messages reach each other late, some never, in an order that a seed decides.
-type joined struct {
-	t        *testing.T
-	cfg      Config
-	gws      []*Gateway
-	rnd      *rand.Rand
-	now      time.Duration
-	due      []letter
-	taken    []int // messages that each gateway was sent
-	used     float64
-	refused  int
-	inFlight map[string]float64
-	loss     float64
-	down     map[int]bool
-	apart    func(a, b int) bool // they don't hear each other
+type cluster struct {
+	t           *testing.T
+	cfg         Config
+	gateways    []*Gateway
+	rng         *rand.Rand
+	now         time.Duration
+	pending     []delivery
+	received    []int // messages that each gateway was sent
+	used        float64
+	refused     int
+	inFlight    map[string]float64
+	loss        float64
+	down        map[int]bool
+	partitioned func(a, b int) bool // they don't hear each other
 }
 
-type letter struct {
+type delivery struct {
 	at time.Duration
 	to int
 	ev Event
 }
 
-func join(t *testing.T, n int, edit func(*Config)) *joined {
+func newCluster(t *testing.T, n int, edit func(*Config)) *cluster {
 	t.Helper()
-	j := &joined{t: t, cfg: testConfig(), rnd: rand.New(rand.NewSource(5)), now: time.Hour, gws: make([]*Gateway, n),
-		taken: make([]int, n), inFlight: map[string]float64{}, loss: 0.05, down: map[int]bool{}}
+	j := &cluster{t: t, cfg: testConfig(), rng: rand.New(rand.NewSource(5)), now: time.Hour, gateways: make([]*Gateway, n),
+		received: make([]int, n), inFlight: map[string]float64{}, loss: 0.05, down: map[int]bool{}}
 	j.cfg.Gateways = n
 	if edit != nil {
 		edit(&j.cfg)
 	}
-	for i := range j.gws {
+	for i := range j.gateways {
 		j.start(i)
 	}
 	return j
 }
 
-func (j *joined) start(i int) {
+func (j *cluster) start(i int) {
 	cfg := j.cfg
 	cfg.Rank = i
-	g, err := New(cfg, j.rnd.Int63())
+	g, err := New(cfg, j.rng.Int63())
 	if err != nil {
 		j.t.Fatal(err)
 	}
-	j.gws[i] = g
-	j.due = keepLetters(j.due, func(l letter) bool { return l.to != i })
+	j.gateways[i] = g
+	j.pending = filterDeliveries(j.pending, func(l delivery) bool { return l.to != i })
 	j.handle(i, EndpointUpdate{Kind: StaleUpdate, Servers: []Server{{ID: "s1", Zone: "a"}, {ID: "s2", Zone: "a"}}})
 }
 
-func keepLetters(ls []letter, want func(letter) bool) (out []letter) {
+func filterDeliveries(ls []delivery, want func(delivery) bool) (out []delivery) {
 	for _, l := range ls {
 		if want(l) {
 			out = append(out, l)
@@ -65,20 +65,20 @@
 	return out
 }
 
-func (j *joined) handle(i int, ev Event) {
-	for _, a := range j.gws[i].Handle(j.now, ev) {
+func (j *cluster) handle(i int, ev Event) {
+	for _, a := range j.gateways[i].Handle(j.now, ev) {
 		switch a := a.(type) {
 		case SendGossip:
-			j.taken[a.To]++
-			if j.rnd.Float64() >= j.loss && !j.down[a.To] && (j.apart == nil || !j.apart(i, a.To)) {
-				late := time.Duration(2+j.rnd.Intn(16)) * ms
-				j.due = append(j.due, letter{at: j.now + late, to: a.To, ev: GossipReceived{i, a.Text}})
+			j.received[a.To]++
+			if j.rng.Float64() >= j.loss && !j.down[a.To] && (j.partitioned == nil || !j.partitioned(i, a.To)) {
+				late := time.Duration(2+j.rng.Intn(16)) * ms
+				j.pending = append(j.pending, delivery{at: j.now + late, to: a.To, ev: GossipReceived{i, a.Text}})
 			}
 		case SetTimer:
-			j.due = append(j.due, letter{at: a.At, to: i, ev: TimerFired{a.Token}})
+			j.pending = append(j.pending, delivery{at: a.At, to: i, ev: TimerFired{a.Token}})
 		case Send:
 			j.used += j.inFlight[a.ID]
-			j.due = append(j.due, letter{at: j.now + 30*ms, to: i, ev: AttemptEnded{ID: a.ID, Server: a.Server,
+			j.pending = append(j.pending, delivery{at: j.now + 30*ms, to: i, ev: AttemptEnded{ID: a.ID, Server: a.Server,
 				Outcome: OutcomeOK, Duration: 30 * ms, RequestDone: true}})
 		case Reject:
 			j.refused++
@@ -87,17 +87,17 @@
 }
 
 // run plays on to a time, with a request asked for every gap at a gateway that pick names.
-func (j *joined) run(d, gap time.Duration, plan string, units float64, pick func(n int) int) {
+func (j *cluster) run(d, gap time.Duration, plan string, units float64, pick func(n int) int) {
 	for end, n := j.now+d, 0; j.now < end; n++ {
 		if i := pick(n); !j.down[i] {
 			id := fmt.Sprint(j.now, "-", n)
 			j.inFlight[id] = units
 			j.handle(i, Request{ID: id, Class: "get", Plan: plan, Customer: "x", Units: units,
-				Deadline: j.now + 2*time.Second, GatewayCount: len(j.gws)})
+				Deadline: j.now + 2*time.Second, GatewayCount: len(j.gateways)})
 		}
 		for next := j.now + gap; j.now < next; j.now += 4 * ms {
-			var ready []letter
-			j.due = keepLetters(j.due, func(l letter) bool {
+			var ready []delivery
+			j.pending = filterDeliveries(j.pending, func(l delivery) bool {
 				if l.at <= j.now {
 					ready = append(ready, l)
 				}
@@ -117,13 +117,13 @@
 func TestQuotaOverAllGateways(t *testing.T) {
 	for _, n := range []int{3, 300} {
 		for _, ask := range []float64{0.5, 4} { // times the rate
-			j := join(t, n, nil)
+			j := newCluster(t, n, nil)
 			j.run(3*time.Second, 100*ms, "small", 0, func(int) int { return 0 })
 			const rate, units, secs = 3.0, 2.0, 24.0
 			gap := time.Duration(units / (ask * rate) * float64(time.Second))
 			for k := 0; k < 3; k++ { // the traffic gathers on a tenth of the gateways, then on others
 				few := max(1, n/10)
-				j.run(8*time.Second, gap, "small", units, func(int) int { return (k*few + j.rnd.Intn(few)) % n })
+				j.run(8*time.Second, gap, "small", units, func(int) int { return (k*few + j.rng.Intn(few)) % n })
 			}
 			most := rate*secs + 12 + 2*units
 			least := 0.8 * min(ask*rate*secs, rate*secs)
@@ -136,13 +136,13 @@
 
 // TestMessagesStayWithinIntake: one customer that asks for many times its quota at all of 300 gateways.
 func TestMessagesStayWithinIntake(t *testing.T) {
-	j := join(t, 300, nil)
-	j.run(12*time.Second, 4*ms, "small", 2, func(int) int { return j.rnd.Intn(300) })
-	for i := range j.taken {
-		j.taken[i] = 0
+	j := newCluster(t, 300, nil)
+	j.run(12*time.Second, 4*ms, "small", 2, func(int) int { return j.rng.Intn(300) })
+	for i := range j.received {
+		j.received[i] = 0
 	}
-	j.run(5*time.Second, 4*ms, "small", 2, func(int) int { return j.rnd.Intn(300) })
-	for i, n := range j.taken {
+	j.run(5*time.Second, 4*ms, "small", 2, func(int) int { return j.rng.Intn(300) })
+	for i, n := range j.received {
 		if float64(n)/5 > j.cfg.GossipCapacity {
 			t.Errorf("gateway %d was sent %d messages in 5 s, want %v a second at most", i, n, j.cfg.GossipCapacity)
 		}
@@ -152,17 +152,17 @@
 // TestCeilingOverAllGateways: under restarts of most gateways the sum over all stays under the ceiling.
 func TestCeilingOverAllGateways(t *testing.T) {
 	for _, n := range []int{3, 300} {
-		j := join(t, n, nil)
+		j := newCluster(t, n, nil)
 		store, last, used := 60.0, j.now, 0.0
 		for k := 0; k < 60; k++ {
 			if k%10 == 5 {
-				for i := range j.gws {
-					if j.rnd.Float64() < 0.9 {
+				for i := range j.gateways {
+					if j.rng.Float64() < 0.9 {
 						j.start(i)
 					}
 				}
 			}
-			j.run(100*ms, 10*ms, "hard", 4, func(int) int { return j.rnd.Intn(n) })
+			j.run(100*ms, 10*ms, "hard", 4, func(int) int { return j.rng.Intn(n) })
 			store = min(60, store+30*(j.now-last).Seconds()) - (j.used - used)
 			if last, used = j.now, j.used; store < -6 {
 				t.Fatalf("%d gateways: the ceiling's store fell to %v, want -6 at least", n, store)
@@ -176,18 +176,18 @@
 
 // TestDeadHomeCostsLittle: with both homes of a customer down, the bucket of each gateway decides.
 func TestDeadHomeCostsLittle(t *testing.T) {
-	j := join(t, 300, nil)
-	key := shortKey("x")
-	for n := 0; n < homes; n++ {
-		j.down[j.gws[0].home(key, n)] = true
+	j := newCluster(t, 300, nil)
+	key := hashKey("x")
+	for n := 0; n < ownersPerCustomer; n++ {
+		j.down[j.gateways[0].owner(key, n)] = true
 	}
-	j.run(20*time.Second, 1300*ms, "small", 2, func(int) int { return j.rnd.Intn(300) })
+	j.run(20*time.Second, 1300*ms, "small", 2, func(int) int { return j.rng.Intn(300) })
 	if j.used < 20 {
 		t.Errorf("used %v of 60 with both homes down, want 20 or more", j.used)
 	}
 	j.down = map[int]bool{}
 	before := j.used
-	j.run(20*time.Second, 1300*ms, "small", 2, func(int) int { return j.rnd.Intn(300) })
+	j.run(20*time.Second, 1300*ms, "small", 2, func(int) int { return j.rng.Intn(300) })
 	if got := j.used - before; got < 24 {
 		t.Errorf("used %v of 30 asked after the homes came back, want 24 or more", got)
 	}
@@ -195,42 +195,42 @@
 
 // TestWordsDoNoHarm: words that are malformed, of unknown plans or come to the wrong home change nothing.
 func TestWordsDoNoHarm(t *testing.T) {
-	j := join(t, 300, nil)
-	key := shortKey("x")
-	home := j.gws[j.gws[0].home(key, 0)]
-	ask := word{kind: 'a', key: key, plan: 1, no: 7, n: 1, v: [4]float64{2}}
+	j := newCluster(t, 300, nil)
+	key := hashKey("x")
+	home := j.gateways[j.gateways[0].owner(key, 0)]
+	ask := grantMessage{kind: 'a', key: key, plan: 1, number: 7, figureCount: 1, figures: [4]float64{2}}
 	other := ask
 	other.plan = 40
-	for _, text := range []string{"", "a", ask.text()[:11], ask.text() + "!!", "Z" + ask.text()[1:], other.text(),
-		word{kind: 'a', key: key + 1, plan: 1, n: 1}.text(), word{kind: 'r', key: key, n: 4}.text(),
-		word{kind: 'a', key: key, plan: 1, n: 1, v: [4]float64{-2}}.text()} {
+	for _, text := range []string{"", "a", ask.encode()[:11], ask.encode() + "!!", "Z" + ask.encode()[1:], other.encode(),
+		grantMessage{kind: 'a', key: key + 1, plan: 1, figureCount: 1}.encode(), grantMessage{kind: 'r', key: key, figureCount: 4}.encode(),
+		grantMessage{kind: 'a', key: key, plan: 1, figureCount: 1, figures: [4]float64{-2}}.encode()} {
 		if acts := home.Handle(j.now, GossipReceived{From: 299, Text: text}); len(acts) != 0 || len(home.customers) > 0 {
 			t.Errorf("%q: got %#v, %d customers", text, acts, len(home.customers))
 		}
 	}
 	for _, from := range []int{-1, 300, home.cfg.Rank} {
-		if acts := home.Handle(j.now, GossipReceived{From: from, Text: ask.text()}); len(acts) != 0 {
+		if acts := home.Handle(j.now, GossipReceived{From: from, Text: ask.encode()}); len(acts) != 0 {
 			t.Errorf("from %d: got %#v", from, acts)
 		}
 	}
-	first := home.Handle(j.now, GossipReceived{From: 9, Text: ask.text()})
-	again := home.Handle(j.now, GossipReceived{From: 9, Text: ask.text()})
-	if len(first) != 1 || len(again) != 1 || home.customers[key].whole > startLevel*12+2 {
-		t.Errorf("the same question twice: %#v, %#v, whole %v", first, again, home.customers[key].whole)
+	first := home.Handle(j.now, GossipReceived{From: 9, Text: ask.encode()})
+	again := home.Handle(j.now, GossipReceived{From: 9, Text: ask.encode()})
+	if len(first) != 1 || len(again) != 1 || home.customers[key].fleetLevel > initialLevel*12+2 {
+		t.Errorf("the same question twice: %#v, %#v, whole %v", first, again, home.customers[key].fleetLevel)
 	}
 }
 
 // TestWaitForAHomeEndsInTime: with both homes silent a request is still answered before its client leaves.
 func TestWaitForAHomeEndsInTime(t *testing.T) {
-	g := join(t, 300, nil).gws[4]
+	g := newCluster(t, 300, nil).gateways[4]
 	until := time.Hour + 30*ms
 	acts := g.Handle(time.Hour, Request{ID: "q", Class: "get", Plan: "small", Customer: "x", Units: 2,
 		Deadline: until, GatewayCount: 300})
 	for i := 0; i < 5; i++ {
-		if timers := find[SetTimer](acts); len(timers) > 0 && timers[0].At <= until {
+		if timers := actionsOf[SetTimer](acts); len(timers) > 0 && timers[0].At <= until {
 			acts = g.Handle(timers[0].At, TimerFired{timers[0].Token})
 		}
-		if len(find[Reject](acts)) == 1 {
+		if len(actionsOf[Reject](acts)) == 1 {
 			return
 		}
 	}
@@ -240,12 +240,12 @@
 // TestToldOpenWorkSheds: a gateway with nothing out that is told of much open work for the answers that come lets
 // in less, before it has met the jam itself. It opens again when told of little, and by itself when nobody tells.
 func TestToldOpenWorkSheds(t *testing.T) {
-	j := join(t, 300, nil)
-	g := j.gws[3]
+	j := newCluster(t, 300, nil)
+	g := j.gateways[3]
 	told := func(open, done float64) {
 		for i := 0; i < 40; i++ {
-			w := word{kind: 'd', key: 1, plan: 0, n: 1, open: open, done: done}
-			g.Handle(j.now, GossipReceived{From: 9, Text: w.text()})
+			w := grantMessage{kind: 'd', key: 1, plan: 0, figureCount: 1, inFlight: open, responseRate: done}
+			g.Handle(j.now, GossipReceived{From: 9, Text: w.encode()})
 		}
 	}
 	total := 0
@@ -253,7 +253,7 @@
 		for i := 0; i < 100; i++ {
 			total++
 			id := fmt.Sprint("r", total)
-			n += len(find[SendGossip](g.Handle(j.now, Request{ID: id, Class: "get", Plan: "wide", Customer: id, Units: 1,
+			n += len(actionsOf[SendGossip](g.Handle(j.now, Request{ID: id, Class: "get", Plan: "wide", Customer: id, Units: 1,
 				Deadline: j.now + time.Second, GatewayCount: 300})))
 		}
 		return n
@@ -268,8 +268,8 @@
 	}
 	told(5, 2)
 	for i := 0; i < 300; i++ { // long, as two servers for 300 gateways bear little
-		j.now += homeBeat
-		g.Handle(j.now, TimerFired{beatToken})
+		j.now += ownerHeartbeatInterval
+		g.Handle(j.now, TimerFired{heartbeatToken})
 	}
 	if n := asked(); n < 90 {
 		t.Errorf("%d of 100 asked for after 30 s without a word, want 90 or more", n)
@@ -278,16 +278,16 @@
 
 // TestClassFailureIsAvoided: told that a server leaves one class, a gateway sends it the others only.
 func TestClassFailureIsAvoided(t *testing.T) {
-	r := newRig(t, nil)
+	r := newHarness(t, nil)
 	for i := 0; i < 8; i++ {
-		r.g.note(r.g.servers["s1"], r.g.classes["pay"], 5, true)
+		r.g.observe(r.g.endpointByID["s1"], r.g.classes["pay"], 5, true)
 	}
 	got := map[string]int{}
 	for i := 0; i < 30; i++ {
 		for _, class := range []string{"pay", "get"} {
-			id, s := r.send(class, "wide")
+			id, s := r.mustSend(class, "wide")
 			got[class+s.Server]++
-			r.end(id, 0, s.Server, OutcomeOK)
+			r.endAttempt(id, 0, s.Server, OutcomeOK)
 		}
 	}
 	if got["pays1"] > 0 {
@@ -314,12 +314,12 @@
 		key := fmt.Sprint("c", i%2000)
 		g.Handle(now, Request{ID: id, Class: "get", Plan: "wide", Customer: key, Units: 1,
 			Deadline: now + time.Second, GatewayCount: 200})
-		for no, r := range g.asks {
-			w := word{kind: 'r', key: r.cust.key, no: no, n: 4, v: [4]float64{1}}
-			g.Handle(now, GossipReceived{From: g.home(r.cust.key, 0), Text: w.text()})
+		for no, r := range g.pendingGrants {
+			w := grantMessage{kind: 'r', key: r.customer.key, number: no, figureCount: 4, figures: [4]float64{1}}
+			g.Handle(now, GossipReceived{From: g.owner(r.customer.key, 0), Text: w.encode()})
 		}
 		if r := g.requests[id]; r != nil && len(r.attempts) > 0 {
-			g.Handle(now, AttemptEnded{ID: id, Server: r.attempts[0].server.ID, Outcome: OutcomeOK, Duration: ms, RequestDone: true})
+			g.Handle(now, AttemptEnded{ID: id, Server: r.attempts[0].endpoint.ID, Outcome: OutcomeOK, Duration: ms, RequestDone: true})
 		}
 	}
 }
@@ -327,20 +327,20 @@
 // TestStandbyPassesOnOnlyWhatLeaks: a standby that is asked about a customer it does not know hands out no fresh
 // quota, only what leaks; the first home starts at half.
 func TestStandbyPassesOnOnlyWhatLeaks(t *testing.T) {
-	j := join(t, 300, nil)
-	key := shortKey("someone")
-	g := j.gws[0]
+	j := newCluster(t, 300, nil)
+	key := hashKey("someone")
+	g := j.gateways[0]
 	ask := func(home, no int) bool {
-		w := word{kind: 'a', key: key, plan: 1, no: uint64(no), n: 1, v: [4]float64{2}}
-		for _, a := range find[SendGossip](j.gws[home].Handle(j.now, GossipReceived{From: 9, Text: w.text()})) {
-			if r, ok := parseWord(a.Text); ok && r.kind == 'r' {
-				return r.v[0] > 0
+		w := grantMessage{kind: 'a', key: key, plan: 1, number: uint64(no), figureCount: 1, figures: [4]float64{2}}
+		for _, a := range actionsOf[SendGossip](j.gateways[home].Handle(j.now, GossipReceived{From: 9, Text: w.encode()})) {
+			if r, ok := parseGrantMessage(a.Text); ok && r.kind == 'r' {
+				return r.figures[0] > 0
 			}
 		}
 		t.Fatalf("home %d gave no word", home)
 		return false
 	}
-	first, second := g.home(key, 0), g.home(key, 1)
+	first, second := g.owner(key, 0), g.owner(key, 1)
 	if !ask(first, 1) {
 		t.Error("the first home refused at the start, want half of the mark")
 	}
@@ -356,17 +356,17 @@
 // TestHomeHoldsCapWhileAnswersAreSlow: what a home granted under a cap on attempts out counts until it was told of the
 // end, or nobody can wait for it any more: slow servers keep attempts out longer than the quickest class waits.
 func TestHomeHoldsCapWhileAnswersAreSlow(t *testing.T) {
-	j := join(t, 300, func(c *Config) {
+	j := newCluster(t, 300, func(c *Config) {
 		c.Classes = append(c.Classes, Class{Name: "quick", Idempotency: Idempotent, LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 1})
 	})
-	key, no := shortKey("someone"), uint64(0)
-	home := j.gws[j.gws[0].home(key, 0)]
+	key, no := hashKey("someone"), uint64(0)
+	home := j.gateways[j.gateways[0].owner(key, 0)]
 	asked := func(n int) (granted int) {
 		for i := 0; i < n; i++ {
 			no++
-			w := word{kind: 'a', key: key, plan: 3, no: no, n: 1, v: [4]float64{1}}
-			for _, a := range find[SendGossip](home.Handle(j.now, GossipReceived{From: 9, Text: w.text()})) {
-				if r, ok := parseWord(a.Text); ok && r.kind == 'r' && r.v[0] > 0 {
+			w := grantMessage{kind: 'a', key: key, plan: 3, number: no, figureCount: 1, figures: [4]float64{1}}
+			for _, a := range actionsOf[SendGossip](home.Handle(j.now, GossipReceived{From: 9, Text: w.encode()})) {
+				if r, ok := parseGrantMessage(a.Text); ok && r.kind == 'r' && r.figures[0] > 0 {
 					granted++
 				}
 			}
@@ -389,20 +389,20 @@
 // TestRestartsHandOutNoFreshQuota: nine of ten gateways restart, twice; each time a home may be taken for half full.
 func TestRestartsHandOutNoFreshQuota(t *testing.T) {
 	for _, n := range []int{3, 300} {
-		j := join(t, n, nil)
+		j := newCluster(t, n, nil)
 		j.run(3*time.Second, 100*ms, "small", 0, func(int) int { return 0 })
 		for k := 0; k < 3; k++ {
 			if k > 0 {
-				for i := range j.gws {
-					if j.rnd.Float64() < 0.9 {
+				for i := range j.gateways {
+					if j.rng.Float64() < 0.9 {
 						j.start(i)
 					}
 				}
 			}
-			j.run(5*time.Second, 170*ms, "small", 2, func(int) int { return j.rnd.Intn(n) })
+			j.run(5*time.Second, 170*ms, "small", 2, func(int) int { return j.rng.Intn(n) })
 		}
 		const rate, burst, secs = 3.0, 12.0, 15.0
-		if most := 1.15 * (rate*secs + burst + 2*startLevel*burst); j.used > most || j.used < 0.7*rate*secs {
+		if most := 1.15 * (rate*secs + burst + 2*initialLevel*burst); j.used > most || j.used < 0.7*rate*secs {
 			t.Errorf("%d gateways: used %v in 15 s, want %v to %v", n, j.used, 0.7*rate*secs, most)
 		}
 	}
@@ -411,34 +411,34 @@
 // TestSetOutsideTheFleet: a set of no gateways or more than there are is not taken; a first number beyond the last
 // is counted round.
 func TestSetOutsideTheFleet(t *testing.T) {
-	r := newRig(t, nil)
+	r := newHarness(t, nil)
 	for i, set := range [][2]int{{0, 0}, {1, -2}, {2, 9}, {7, 2}} {
 		id := fmt.Sprint("set", i)
-		acts := r.do(Request{ID: id, Class: "get", Plan: "wide", Customer: id, Units: 1, Deadline: r.now + 2*time.Second,
+		acts := r.handle(Request{ID: id, Class: "get", Plan: "wide", Customer: id, Units: 1, Deadline: r.now + 2*time.Second,
 			FirstGateway: set[0], GatewayCount: set[1]})
-		c := r.g.customers[shortKey(id)]
-		if c.spread < 1 || c.spread > 3 || c.first < 0 || c.first > 2 || len(find[Send](acts)) != 1 {
-			t.Errorf("first %d, spread %d: taken as %d of %d, did %#v", set[0], set[1], c.spread, c.first, acts)
+		c := r.g.customers[hashKey(id)]
+		if c.gatewayCount < 1 || c.gatewayCount > 3 || c.firstGateway < 0 || c.firstGateway > 2 || len(actionsOf[Send](acts)) != 1 {
+			t.Errorf("first %d, spread %d: taken as %d of %d, did %#v", set[0], set[1], c.gatewayCount, c.firstGateway, acts)
 		}
 	}
 }
 
 // On a day on which all servers are replaced again and again nothing of those that have gone stays.
 func TestServersThatHaveGoneAreForgotten(t *testing.T) {
-	r := newRig(t, nil)
-	id, s := r.send("get", "wide")
+	r := newHarness(t, nil)
+	id, s := r.mustSend("get", "wide")
 	for i := range 1000 {
 		r.now += 100 * ms
-		r.do(EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: fmt.Sprint("new", i), Zone: "a"}, {ID: fmt.Sprint("new", i-1), State: Removed},
+		r.handle(EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: fmt.Sprint("new", i), Zone: "a"}, {ID: fmt.Sprint("new", i-1), State: Removed},
 			{ID: "s1", State: Removed}, {ID: "s2", State: Removed}, {ID: "s3", State: Removed}}})
-		r.do(TimerFired{beatToken})
+		r.handle(TimerFired{heartbeatToken})
 	}
-	if n := len(r.g.order); n != 2 || len(r.g.servers) != 2 || len(r.g.shorts) != 2 {
+	if n := len(r.g.endpoints); n != 2 || len(r.g.endpointByID) != 2 || len(r.g.endpointByShortID) != 2 {
 		t.Errorf("%d servers are kept, want the one that is listed and the one that still holds an attempt", n)
 	}
-	r.end(id, 0, s.Server, OutcomeOK)
-	r.do(TimerFired{beatToken})
-	if n := len(r.g.order); n != 1 {
+	r.endAttempt(id, 0, s.Server, OutcomeOK)
+	r.handle(TimerFired{heartbeatToken})
+	if n := len(r.g.endpoints); n != 1 {
 		t.Errorf("%d servers are kept, want 1", n)
 	}
 }
--- a/decide/terms_test.go
+++ b/decide/terms_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-func (r *rig) customerOf(name string) *customer { return r.g.customers[shortKey(name)] }
+func (r *harness) customerOf(name string) *customer { return r.g.customers[hashKey(name)] }
 
-func alone(c *Config) { c.Gateways, c.Limits.Gossip = 1, false }
+func singleGateway(c *Config) { c.Gateways, c.Limits.Gossip = 1, false }
 
 // plansOf returns the test's plan of that name, changed.
-func planOf(name string, edit func(*Plan)) Plan {
+func planNamed(name string, edit func(*Plan)) Plan {
 	for _, p := range testConfig().Plans {
 		if p.Name == name {
 			if edit != nil {
@@ -23,7 +23,7 @@
 	panic(name)
 }
 
-func (r *rig) fill(customer string) (n int) {
+func (r *harness) fillQuota(customer string) (n int) {
 	for i := 0; i < 5000 && r.serve("get", "small", customer, 1); i++ {
 		n++
 	}
@@ -33,12 +33,12 @@
 // TestTermsShrink puts a customer on a plan whose mark is below what it has used: refused until that has leaked at
 // the new rate, and no unit is given back.
 func TestTermsShrink(t *testing.T) {
-	r := newRig(t, alone)
-	r.do(PlanChange{Customer: "x", Plan: planOf("wide", nil)})
+	r := newHarness(t, singleGateway)
+	r.handle(PlanChange{Customer: "x", Plan: planNamed("wide", nil)})
 	r.serve("get", "small", "x", 1)
 	c := r.customerOf("x")
 	c.level = 100
-	r.do(PlanChange{Customer: "x", Plan: planOf("small", nil)})
+	r.handle(PlanChange{Customer: "x", Plan: planNamed("small", nil)})
 	if c.level != 100 || c.plan.Name != "small" {
 		t.Fatalf("level %v on plan %s, want 100 on small", c.level, c.plan.Name)
 	}
@@ -54,16 +54,16 @@
 // TestTermsThereAndBack changes terms up and down within a second, many times: it gives no more than the larger plan
 // would have, and leaves the level where it was.
 func TestTermsThereAndBack(t *testing.T) {
-	for _, up := range []Plan{planOf("wide", nil), planOf("wide", func(p *Plan) { p.Rate, p.Burst = 0, 0 })} {
-		r := newRig(t, alone)
-		r.fill("x")
+	for _, up := range []Plan{planNamed("wide", nil), planNamed("wide", func(p *Plan) { p.Rate, p.Burst = 0, 0 })} {
+		r := newHarness(t, singleGateway)
+		r.fillQuota("x")
 		c := r.customerOf("x")
 		before := c.level
 		for range 20 {
 			up := up
 			up.Name = "small"
-			r.do(PlanChange{Customer: "x", Plan: up})
-			r.do(PlanChange{Customer: "x", Plan: planOf("small", nil)})
+			r.handle(PlanChange{Customer: "x", Plan: up})
+			r.handle(PlanChange{Customer: "x", Plan: planNamed("small", nil)})
 		}
 		if c.level != before || r.serve("get", "small", "x", 1) {
 			t.Errorf("rate %v and back moved the level from %v to %v", up.Rate, before, c.level)
@@ -73,12 +73,12 @@
 
 // TestTermsFromNoRate: without a rate nothing leaks, so a level from then counts up to the mark and no further.
 func TestTermsFromNoRate(t *testing.T) {
-	r := newRig(t, alone)
-	r.do(PlanChange{Customer: "x", Plan: planOf("small", func(p *Plan) { p.Rate, p.Burst = 0, 0 })})
+	r := newHarness(t, singleGateway)
+	r.handle(PlanChange{Customer: "x", Plan: planNamed("small", func(p *Plan) { p.Rate, p.Burst = 0, 0 })})
 	for range 500 {
 		r.serve("get", "small", "x", 1)
 	}
-	r.do(PlanChange{Customer: "x", Plan: planOf("small", nil)})
+	r.handle(PlanChange{Customer: "x", Plan: planNamed("small", nil)})
 	if c := r.customerOf("x"); c.level != 12 {
 		t.Errorf("level %v, want the mark of 12", c.level)
 	}
@@ -86,25 +86,25 @@
 
 // TestTermsReturn gives units back and never below nothing; unknown or bad terms change nothing.
 func TestTermsReturn(t *testing.T) {
-	r := newRig(t, alone)
-	r.fill("x")
+	r := newHarness(t, singleGateway)
+	r.fillQuota("x")
 	c := r.customerOf("x")
 	before := c.level
-	r.do(PlanChange{Customer: "x", Plan: planOf("small", nil), ReturnedUnits: 2})
+	r.handle(PlanChange{Customer: "x", Plan: planNamed("small", nil), ReturnedUnits: 2})
 	if c.level != before-2 {
 		t.Errorf("level %v, want %v", c.level, before-2)
 	}
-	r.do(PlanChange{Customer: "x", Plan: planOf("small", nil), ReturnedUnits: 1e9})
-	if c.level != 0 || c.whole < 0 {
-		t.Errorf("level %v, whole %v", c.level, c.whole)
+	r.handle(PlanChange{Customer: "x", Plan: planNamed("small", nil), ReturnedUnits: 1e9})
+	if c.level != 0 || c.fleetLevel < 0 {
+		t.Errorf("level %v, whole %v", c.level, c.fleetLevel)
 	}
 	for _, p := range []Plan{{Name: "unknown", Rate: 1, Burst: 1}, {Name: "small", Rate: -1}} {
-		r.do(PlanChange{Customer: "x", Plan: p})
+		r.handle(PlanChange{Customer: "x", Plan: p})
 		if c.plan.Name != "small" || c.plan.Rate != 3 {
 			t.Errorf("%+v was taken", p)
 		}
 	}
-	r.do(PlanChange{Customer: "new", Plan: planOf("hard", nil)})
+	r.handle(PlanChange{Customer: "new", Plan: planNamed("hard", nil)})
 	r.serve("get", "small", "new", 1)
 	if c := r.customerOf("new"); c.plan.Name != "hard" {
 		t.Errorf("a customer that is met after its terms is on %s, want hard", c.plan.Name)
@@ -113,44 +113,44 @@
 
 // TestTermsCeiling cuts the store under a lower ceiling and never fills it under a higher one.
 func TestTermsCeiling(t *testing.T) {
-	r := newRig(t, alone)
+	r := newHarness(t, singleGateway)
 	r.serve("get", "hard", "x", 1)
 	r.now += 10 * time.Second
 	r.serve("get", "hard", "x", 1)
 	c := r.customerOf("x")
-	full := c.store
-	r.do(PlanChange{Customer: "x", Plan: planOf("hard", func(p *Plan) { p.CeilingBurst = 20 })})
-	if c.store != 20 {
-		t.Errorf("store %v, want 20", c.store)
+	full := c.ceilingTokens
+	r.handle(PlanChange{Customer: "x", Plan: planNamed("hard", func(p *Plan) { p.CeilingBurst = 20 })})
+	if c.ceilingTokens != 20 {
+		t.Errorf("store %v, want 20", c.ceilingTokens)
 	}
-	r.do(PlanChange{Customer: "x", Plan: planOf("hard", func(p *Plan) { p.CeilingBurst = 500 })})
-	if c.store > 20 || full < 50 {
-		t.Errorf("store %v under a higher ceiling, want 20", c.store)
+	r.handle(PlanChange{Customer: "x", Plan: planNamed("hard", func(p *Plan) { p.CeilingBurst = 500 })})
+	if c.ceilingTokens > 20 || full < 50 {
+		t.Errorf("store %v under a higher ceiling, want 20", c.ceilingTokens)
 	}
 }
 
 // TestReserved passes calls of set-aside units by a full bucket, without a charge, and before others under pressure.
 func TestReserved(t *testing.T) {
-	r := newRig(t, alone)
-	r.fill("x")
+	r := newHarness(t, singleGateway)
+	r.fillQuota("x")
 	c := r.customerOf("x")
-	level, store := c.level, c.store
-	acts := r.do(Request{ID: "r", Class: "get", Plan: "small", Customer: "x", Units: 5, Deadline: r.now + time.Second,
+	level, store := c.level, c.ceilingTokens
+	acts := r.handle(Request{ID: "r", Class: "get", Plan: "small", Customer: "x", Units: 5, Deadline: r.now + time.Second,
 		GatewayCount: 1, Reserved: true})
-	s := find[Send](acts)
+	s := actionsOf[Send](acts)
 	if len(s) != 1 {
 		t.Fatalf("%v", acts)
 	}
-	r.do(AttemptEnded{ID: "r", Server: s[0].Server, Outcome: OutcomeOK, Duration: ms, RequestDone: true, ActualUnits: 9})
-	if c.level != level || c.store != store || c.open != 0 {
-		t.Errorf("level %v, store %v, open %d; want %v, %v, 0", c.level, c.store, c.open, level, store)
+	r.handle(AttemptEnded{ID: "r", Server: s[0].Server, Outcome: OutcomeOK, Duration: ms, RequestDone: true, ActualUnits: 9})
+	if c.level != level || c.ceilingTokens != store || c.inFlight != 0 {
+		t.Errorf("level %v, store %v, open %d; want %v, %v, 0", c.level, c.ceilingTokens, c.inFlight, level, store)
 	}
 	first := func(reserved bool) (n int) {
-		r := newRig(t, alone)
+		r := newHarness(t, singleGateway)
 		for ; n < 5000; n++ {
-			acts := r.do(Request{ID: fmt.Sprint(n), Class: "get", Plan: "wide", Customer: "y", Units: 0.1,
+			acts := r.handle(Request{ID: fmt.Sprint(n), Class: "get", Plan: "wide", Customer: "y", Units: 0.1,
 				Deadline: r.now + 2*time.Second, GatewayCount: 1, Reserved: reserved})
-			if f := find[Reject](acts); len(f) > 0 {
+			if f := actionsOf[Reject](acts); len(f) > 0 {
 				if f[0].Reason != ReasonLoadShed {
 					t.Errorf("refused as %s", f[0].Reason)
 				}
@@ -172,10 +172,10 @@
 	const late = 2 * time.Second // until the last gateway has heard
 	for _, n := range []int{3, 50} {
 		for _, split := range []bool{false, true} {
-			big := planOf("small", func(p *Plan) { p.Rate, p.Burst = 30, 60 })
-			low := planOf("small", nil)
-			j := join(t, n, func(c *Config) { c.Plans[1] = big })
-			pick := func(int) int { return j.rnd.Intn(n) }
+			big := planNamed("small", func(p *Plan) { p.Rate, p.Burst = 30, 60 })
+			low := planNamed("small", nil)
+			j := newCluster(t, n, func(c *Config) { c.Plans[1] = big })
+			pick := func(int) int { return j.rng.Intn(n) }
 			j.run(6*time.Second, 20*ms, "small", 2, pick)
 			before := j.used
 			tell := func(from, to int) {
@@ -187,10 +187,10 @@
 				}
 			}
 			if split {
-				j.apart = func(a, b int) bool { return (a < n/2) != (b < n/2) }
+				j.partitioned = func(a, b int) bool { return (a < n/2) != (b < n/2) }
 				tell(0, n/2)
 				j.run(late, 20*ms, "small", 2, pick)
-				j.apart = nil
+				j.partitioned = nil
 				tell(n/2, n)
 			} else {
 				tell(0, n)
--- a/decide/view.go
+++ b/decide/view.go
@@ -54,48 +54,48 @@
 }
 
 // CustomerKey is the name of a customer in messages and views.
-func CustomerKey(customer string) uint64 { return shortKey(customer) }
+func CustomerKey(customer string) uint64 { return hashKey(customer) }
 
 // Status tells the state as of the last event. It is for the goroutine that calls Handle.
 func (g *Gateway) Status() Status {
-	v := Status{FullGossip: g.mesh, OpenRequests: len(g.requests), RetryBudget: g.budget}
-	if g.stoodAt > 0 {
-		v.LastStall = g.stood
+	v := Status{FullGossip: g.fullGossip, OpenRequests: len(g.requests), RetryBudget: g.retryBudget}
+	if g.stallEndedAt > 0 {
+		v.LastStall = g.stallDuration
 	}
-	if g.begun && g.all.serving > 0 { // without a server there is no cap to be pressed against
-		v.Pressure = g.pressed()
+	if g.running && g.totals.serving > 0 { // without a server there is no cap to be pressed against
+		v.Pressure = g.queueingPressure()
 	}
 	least := make([]float64, len(g.cfg.Classes))
 	for i, k := range g.cfg.Classes {
 		least[i] = 1
-		for _, s := range g.order {
+		for _, s := range g.endpoints {
 			if s.State == Serving {
-				least[i] = min(least[i], g.missed(s, g.classes[k.Name]))
+				least[i] = min(least[i], g.failureRatio(s, g.classes[k.Name]))
 			}
 		}
 	}
-	for _, s := range g.order {
-		sv := ServerStatus{ID: s.ID, Zone: s.Zone, State: s.State, InFlight: s.out, Orphaned: len(s.ghosts), Slowness: g.slowness(s),
-			SlowStartLeft: max(0, s.coldUntil-g.now), WarmUpBudget: s.budget}
+	for _, s := range g.endpoints {
+		sv := ServerStatus{ID: s.ID, Zone: s.Zone, State: s.State, InFlight: s.inFlight, Orphaned: len(s.orphans), Slowness: g.slowness(s),
+			SlowStartLeft: max(0, s.slowStartUntil-g.now), WarmUpBudget: s.warmUpBudget}
 		for _, k := range g.cfg.Classes {
-			sv.FailureRatio = append(sv.FailureRatio, g.missed(s, g.classes[k.Name]))
+			sv.FailureRatio = append(sv.FailureRatio, g.failureRatio(s, g.classes[k.Name]))
 		}
 		for i, m := range sv.FailureRatio {
-			sv.Ejected = sv.Ejected || m > least[i]+missNear
+			sv.Ejected = sv.Ejected || m > least[i]+ejectionMargin
 		}
 		v.Servers = append(v.Servers, sv)
 	}
-	for _, c := range g.queue {
-		v.Customers = append(v.Customers, CustomerStatus{Key: c.key, Plan: c.plan.Name, Rate: c.plan.Rate, Level: c.level, Share: c.part,
-			HighWaterMark: c.part * c.plan.Burst, FleetLevel: c.whole, CeilingTokens: c.store, InFlight: c.open})
+	for _, c := range g.customerOrder {
+		v.Customers = append(v.Customers, CustomerStatus{Key: c.key, Plan: c.plan.Name, Rate: c.plan.Rate, Level: c.level, Share: c.share,
+			HighWaterMark: c.share * c.plan.Burst, FleetLevel: c.fleetLevel, CeilingTokens: c.ceilingTokens, InFlight: c.inFlight})
 	}
 	for i, p := range g.peers {
 		if i != g.cfg.Rank {
-			v.Peers = append(v.Peers, PeerStatus{i, p.known, g.now - p.heard, len(p.queue)})
+			v.Peers = append(v.Peers, PeerStatus{i, p.known, g.now - p.lastHeard, len(p.pending)})
 		}
 	}
 	for i := range g.cfg.Gateways {
-		if g.silent[i] > g.now {
+		if g.unresponsiveUntil[i] > g.now {
 			v.UnresponsiveOwners = append(v.UnresponsiveOwners, i)
 		}
 	}
@@ -113,9 +113,9 @@
 	if spread <= 0 || spread > g.cfg.Gateways {
 		spread = g.cfg.Gateways
 	}
-	if !g.mesh {
-		for n := range homes {
-			out = append(out, CeilingShare{g.home(shortKey(customer), n), 1.0 / homes})
+	if !g.fullGossip {
+		for n := range ownersPerCustomer {
+			out = append(out, CeilingShare{g.owner(hashKey(customer), n), 1.0 / ownersPerCustomer})
 		}
 		return out
 	}
--- a/internal/aggregate/sums.go
+++ b/internal/aggregate/sums.go
@@ -15,43 +15,43 @@
 )
 
 const (
-	beatLeast  = 5 * time.Second // totals are told so often, or less often where there are many gateways
-	intakePart = 0.1             // of the stated intake is for totals
-	again      = 3               // beats for which a total that has changed is told: words may be lost
-	refresh    = 8               // totals that have not changed are told again in turn, so many a beat and home
-	homes      = 2
-	maxBytes   = 1000 // of a message
+	minReportInterval   = 5 * time.Second // totals are told so often, or less often where there are many gateways
+	maxCapacityFraction = 0.1             // of the stated intake is for totals
+	changeRepeats       = 3               // beats for which a total that has changed is told: words may be lost
+	refreshCount        = 8               // totals that have not changed are told again in turn, so many a beat and home
+	ownerCount          = 2
+	maxMessageBytes     = 1000 // of a message
 )
 
 // Totals are what a gateway counted of one name.
 type Totals struct {
-	Served, Refused, Failed uint64
-	Units                   float64
+	Served, Rejected, Failed uint64
+	Units                    float64
 }
 
 func (t *Totals) add(o Totals) {
 	t.Served += o.Served
-	t.Refused += o.Refused
+	t.Rejected += o.Rejected
 	t.Failed += o.Failed
 	t.Units += o.Units
 }
 
 // less reports whether any total is smaller: then the other is an older word.
 func (t Totals) less(o Totals) bool {
-	return t.Served < o.Served || t.Refused < o.Refused || t.Failed < o.Failed || t.Units < o.Units
+	return t.Served < o.Served || t.Rejected < o.Rejected || t.Failed < o.Failed || t.Units < o.Units
 }
 
 func (t Totals) minus(o Totals) Totals {
-	return Totals{t.Served - o.Served, t.Refused - o.Refused, t.Failed - o.Failed, t.Units - o.Units}
+	return Totals{t.Served - o.Served, t.Rejected - o.Rejected, t.Failed - o.Failed, t.Units - o.Units}
 }
 
 // Name is a member or a class.
-type Name struct {
+type Key struct {
 	Class bool
 	Name  string
 }
 
-func (n Name) hash() uint64 {
+func (n Key) hash() uint64 {
 	kind := "m/"
 	if n.Class {
 		kind = "c/"
@@ -62,9 +62,9 @@
 // Settings are what a summer starts from. Names are those of the settings; what is told of others is passed over.
 type Settings struct {
 	Rank, Gateways int
-	Names          []Name
-	Life           uint64  // differs from life to life
-	Intake         float64 // messages a second that a gateway takes in
+	Keys           []Key
+	Incarnation    uint64  // differs from life to life
+	GossipCapacity float64 // messages a second that a gateway takes in
 	Seed           int64
 }
 
@@ -75,60 +75,60 @@
 }
 
 // own is a name as this gateway counts it.
-type own struct {
+type localTotals struct {
 	Totals
-	name Name
-	hash uint64
-	tell int // beats for which it is told
+	key     Key
+	hash    uint64
+	repeats int // beats for which it is told
 }
 
 // sum is a name whose home this gateway is.
-type sum struct {
+type ownedTotals struct {
 	Totals
-	name  Name
-	first bool // its first home
-	from  map[int]*told
+	key      Key
+	primary  bool // its first home
+	reported map[int]*reportedTotals
 }
 
 // told is what one gateway last said of a name.
-type told struct {
+type reportedTotals struct {
 	Totals
-	life uint64
+	incarnation uint64
 }
 
 // life is one of another gateway. Of a whole one this gateway heard the first word, or was there before it: whatever it
 // counted counts here, also of a name that it had nothing to tell of at first.
-type life struct {
-	id    uint64
-	whole bool
+type incarnation struct {
+	id       uint64
+	complete bool
 }
 
 // Summer is a gateway's. It is not safe for concurrent use.
-type Summer struct {
-	s      Settings
-	rng    *rand.Rand
-	now    time.Duration
-	began  time.Duration
-	begun  bool
-	beatAt time.Duration
-	seq    map[int]uint32 // of the words to each home
-	lives  map[int]life   // of the others, as heard
-	mine   map[Name]*own
-	order  []*own
-	turn   map[int]int // where the refresh of each home stands
-	sums   map[uint64]*sum
-	known  map[uint64]Name
+type Aggregator struct {
+	settings     Settings
+	random       *rand.Rand
+	now          time.Duration
+	startedAt    time.Duration
+	started      bool
+	reportAt     time.Duration
+	sequence     map[int]uint32      // of the words to each home
+	incarnations map[int]incarnation // of the others, as heard
+	local        map[Key]*localTotals
+	localInOrder []*localTotals
+	refreshTurn  map[int]int // where the refresh of each home stands
+	owned        map[uint64]*ownedTotals
+	names        map[uint64]Key
 }
 
 // New returns a summer that has counted nothing.
-func New(s Settings) *Summer {
-	x := &Summer{s: s, rng: rand.New(rand.NewSource(s.Seed)), seq: map[int]uint32{}, lives: map[int]life{}, mine: map[Name]*own{}, turn: map[int]int{}, sums: map[uint64]*sum{}, known: map[uint64]Name{}}
-	for _, n := range s.Names {
+func New(s Settings) *Aggregator {
+	x := &Aggregator{settings: s, random: rand.New(rand.NewSource(s.Seed)), sequence: map[int]uint32{}, incarnations: map[int]incarnation{}, local: map[Key]*localTotals{}, refreshTurn: map[int]int{}, owned: map[uint64]*ownedTotals{}, names: map[uint64]Key{}}
+	for _, n := range s.Keys {
 		h := n.hash()
-		x.known[h] = n
-		for i := range homes {
-			if x.home(h, i) == s.Rank && (i == 0 || x.home(h, 0) != s.Rank) {
-				x.sums[h] = &sum{name: n, first: i == 0, from: map[int]*told{}}
+		x.names[h] = n
+		for i := range ownerCount {
+			if x.owner(h, i) == s.Rank && (i == 0 || x.owner(h, 0) != s.Rank) {
+				x.owned[h] = &ownedTotals{key: n, primary: i == 0, reported: map[int]*reportedTotals{}}
 			}
 		}
 	}
@@ -136,8 +136,8 @@
 }
 
 // home is the number of the nth gateway that sums a name.
-func (x *Summer) home(h uint64, n int) int {
-	g := uint64(x.s.Gateways)
+func (a *Aggregator) owner(h uint64, n int) int {
+	g := uint64(a.settings.Gateways)
 	first := h % g
 	if n == 0 || g < 2 {
 		return int(first)
@@ -146,62 +146,62 @@
 }
 
 // Beat is how often totals are told, so that all gateways' words to one stay within its intake.
-func (x *Summer) Beat() time.Duration {
-	if x.s.Intake <= 0 {
-		return beatLeast
+func (a *Aggregator) ReportInterval() time.Duration {
+	if a.settings.GossipCapacity <= 0 {
+		return minReportInterval
 	}
-	return max(beatLeast, time.Duration(float64(x.s.Gateways-1)/(intakePart*x.s.Intake)*float64(time.Second)))
+	return max(minReportInterval, time.Duration(float64(a.settings.Gateways-1)/(maxCapacityFraction*a.settings.GossipCapacity)*float64(time.Second)))
 }
 
-func (x *Summer) at(now time.Duration) {
-	if x.now = max(x.now, now); !x.begun {
-		x.begun, x.began = true, x.now
-		x.beatAt = x.now + time.Duration(x.rng.Float64()*float64(x.Beat()))
+func (a *Aggregator) advance(now time.Duration) {
+	if a.now = max(a.now, now); !a.started {
+		a.started, a.startedAt = true, a.now
+		a.reportAt = a.now + time.Duration(a.random.Float64()*float64(a.ReportInterval()))
 	}
 }
 
 // Add counts at this gateway.
-func (x *Summer) Add(now time.Duration, n Name, t Totals) {
-	x.at(now)
-	o := x.mine[n]
+func (a *Aggregator) Add(now time.Duration, n Key, t Totals) {
+	a.advance(now)
+	o := a.local[n]
 	if o == nil {
-		if _, ok := x.known[n.hash()]; !ok {
+		if _, ok := a.names[n.hash()]; !ok {
 			return
 		}
-		o = &own{name: n, hash: n.hash()}
-		x.mine[n] = o
-		x.order = append(x.order, o)
+		o = &localTotals{key: n, hash: n.hash()}
+		a.local[n] = o
+		a.localInOrder = append(a.localInOrder, o)
 	}
 	o.Totals.add(t)
-	o.tell = again
-	if s := x.sums[o.hash]; s != nil {
+	o.repeats = changeRepeats
+	if s := a.owned[o.hash]; s != nil {
 		s.Totals.add(t)
 	}
 }
 
 // Next is when Tick is due.
-func (x *Summer) Next() time.Duration {
-	if !x.begun || x.s.Gateways < 2 {
+func (a *Aggregator) NextTick() time.Duration {
+	if !a.started || a.settings.Gateways < 2 {
 		return math.MaxInt64
 	}
-	return x.beatAt
+	return a.reportAt
 }
 
 // Messages, integers little-endian: life and the sender's age in ns of 8 bytes, its number of 4, then entries: hash of the name
 // of 8, served, refused, failed as varints, units of 8 bytes of IEEE 754.
-const headBytes = 20
+const headerBytes = 20
 
 // Tick tells the totals that are due to be told.
-func (x *Summer) Tick(now time.Duration) (out []Send) {
-	x.at(now)
-	if x.now < x.beatAt {
+func (a *Aggregator) Tick(now time.Duration) (out []Send) {
+	a.advance(now)
+	if a.now < a.reportAt {
 		return nil
 	}
-	x.beatAt = x.now + time.Duration((0.9+0.2*x.rng.Float64())*float64(x.Beat()))
-	byHome := map[int][]*own{}
-	for _, o := range x.order {
-		for i := range min(homes, x.s.Gateways) {
-			if to := x.home(o.hash, i); to != x.s.Rank && (i == 0 || to != x.home(o.hash, 0)) {
+	a.reportAt = a.now + time.Duration((0.9+0.2*a.random.Float64())*float64(a.ReportInterval()))
+	byHome := map[int][]*localTotals{}
+	for _, o := range a.localInOrder {
+		for i := range min(ownerCount, a.settings.Gateways) {
+			if to := a.owner(o.hash, i); to != a.settings.Rank && (i == 0 || to != a.owner(o.hash, 0)) {
 				byHome[to] = append(byHome[to], o)
 			}
 		}
@@ -213,74 +213,74 @@
 	slices.Sort(ranks)
 	for _, to := range ranks {
 		all := byHome[to]
-		var due []*own
+		var due []*localTotals
 		for _, o := range all {
-			if o.tell > 0 {
+			if o.repeats > 0 {
 				due = append(due, o)
 			}
 		}
-		for range min(refresh, len(all)) {
-			x.turn[to]++
-			if o := all[x.turn[to]%len(all)]; o.tell == 0 {
+		for range min(refreshCount, len(all)) {
+			a.refreshTurn[to]++
+			if o := all[a.refreshTurn[to]%len(all)]; o.repeats == 0 {
 				due = append(due, o)
 			}
 		}
-		out = append(out, x.words(to, due)...)
+		out = append(out, a.encodeReports(to, due)...)
 	}
-	for _, o := range x.order {
-		o.tell = max(0, o.tell-1)
+	for _, o := range a.localInOrder {
+		o.repeats = max(0, o.repeats-1)
 	}
 	return out
 }
 
-func (x *Summer) words(to int, due []*own) (out []Send) {
+func (a *Aggregator) encodeReports(to int, due []*localTotals) (out []Send) {
 	if len(due) > 0 {
-		x.seq[to]++ // a beat with nothing to tell is no first word
+		a.sequence[to]++ // a beat with nothing to tell is no first word
 	}
-	head := binary.LittleEndian.AppendUint64(nil, x.s.Life)
-	head = binary.LittleEndian.AppendUint64(head, uint64(x.now-x.began))
-	head = binary.LittleEndian.AppendUint32(head, x.seq[to])
+	head := binary.LittleEndian.AppendUint64(nil, a.settings.Incarnation)
+	head = binary.LittleEndian.AppendUint64(head, uint64(a.now-a.startedAt))
+	head = binary.LittleEndian.AppendUint32(head, a.sequence[to])
 	b := slices.Clone(head)
 	for _, o := range due {
-		if len(b) > maxBytes-50 {
+		if len(b) > maxMessageBytes-50 {
 			out = append(out, Send{to, b})
 			b = slices.Clone(head)
 		}
 		b = binary.LittleEndian.AppendUint64(b, o.hash)
-		b = binary.AppendUvarint(binary.AppendUvarint(binary.AppendUvarint(b, o.Served), o.Refused), o.Failed)
+		b = binary.AppendUvarint(binary.AppendUvarint(binary.AppendUvarint(b, o.Served), o.Rejected), o.Failed)
 		b = binary.LittleEndian.AppendUint64(b, math.Float64bits(o.Units))
 	}
-	if len(b) > headBytes {
+	if len(b) > headerBytes {
 		out = append(out, Send{to, b})
 	}
 	return out
 }
 
 // Heard takes another gateway's totals. What is malformed is dropped from there on.
-func (x *Summer) Heard(now time.Duration, from int, data []byte) {
-	x.at(now)
-	if from < 0 || from >= x.s.Gateways || from == x.s.Rank || len(data) < headBytes {
+func (a *Aggregator) Receive(now time.Duration, from int, data []byte) {
+	a.advance(now)
+	if from < 0 || from >= a.settings.Gateways || from == a.settings.Rank || len(data) < headerBytes {
 		return
 	}
 	id, age := binary.LittleEndian.Uint64(data), time.Duration(binary.LittleEndian.Uint64(data[8:]))
-	l, known := x.lives[from]
+	l, known := a.incarnations[from]
 	if known && id < l.id {
 		return // a word of a former life, late
 	}
 	if !known || id != l.id {
-		l = life{id, age < x.now-x.began || binary.LittleEndian.Uint32(data[16:]) == 1}
-		x.lives[from] = l
+		l = incarnation{id, age < a.now-a.startedAt || binary.LittleEndian.Uint32(data[16:]) == 1}
+		a.incarnations[from] = l
 	}
-	for b := data[headBytes:]; len(b) >= 8; {
+	for b := data[headerBytes:]; len(b) >= 8; {
 		h := binary.LittleEndian.Uint64(b)
 		var t Totals
 		b = b[8:]
-		for _, v := range []*uint64{&t.Served, &t.Refused, &t.Failed} {
-			x, n := binary.Uvarint(b)
+		for _, v := range []*uint64{&t.Served, &t.Rejected, &t.Failed} {
+			a, n := binary.Uvarint(b)
 			if n <= 0 {
 				return
 			}
-			*v, b = x, b[n:]
+			*v, b = a, b[n:]
 		}
 		if len(b) < 8 {
 			return
@@ -289,8 +289,8 @@
 		if !(t.Units >= 0) || math.IsInf(t.Units, 0) {
 			return
 		}
-		if s := x.sums[h]; s != nil {
-			learn(s, from, l, t)
+		if s := a.owned[h]; s != nil {
+			mergeReport(s, from, l, t)
 		}
 	}
 }
@@ -298,42 +298,42 @@
 // learn adds what a gateway's totals grew by. Totals make words that are late, lost or come twice harmless. Of a name that was not
 // heard of in this life all of it counts if the life is whole here; else its past was summed before this gateway began, by
 // its former life or not at all, and only what comes from now on counts.
-func learn(s *sum, from int, l life, t Totals) {
-	k := s.from[from]
+func mergeReport(s *ownedTotals, from int, l incarnation, t Totals) {
+	k := s.reported[from]
 	switch {
-	case k != nil && k.life == l.id:
+	case k != nil && k.incarnation == l.id:
 		if t.less(k.Totals) {
 			return
 		}
 		s.Totals.add(t.minus(k.Totals))
-	case l.whole:
+	case l.complete:
 		s.Totals.add(t)
 	}
-	s.from[from] = &told{t, l.id}
+	s.reported[from] = &reportedTotals{t, l.id}
 }
 
 // Sum is a name whose home this gateway is.
-type Sum struct {
-	Name
-	First bool // this is its first home; the other sums the same
+type FleetTotal struct {
+	Key
+	Primary bool // this is its first home; the other sums the same
 	Totals
 }
 
 // Sums tells all of which something was counted, in order.
-func (x *Summer) Sums() (out []Sum) {
-	for _, s := range x.sums {
+func (a *Aggregator) FleetTotals() (out []FleetTotal) {
+	for _, s := range a.owned {
 		if s.Totals != (Totals{}) {
-			out = append(out, Sum{s.name, s.first, s.Totals})
+			out = append(out, FleetTotal{s.key, s.primary, s.Totals})
 		}
 	}
-	slices.SortFunc(out, func(a, b Sum) int {
+	slices.SortFunc(out, func(a, b FleetTotal) int {
 		switch {
 		case a.Class != b.Class:
 			if a.Class {
 				return -1
 			}
 			return 1
-		case a.Name.Name < b.Name.Name:
+		case a.Key.Name < b.Key.Name:
 			return -1
 		}
 		return 1
--- a/internal/aggregate/sums_test.go
+++ b/internal/aggregate/sums_test.go
@@ -11,7 +11,7 @@
 
 // world is some summers on a network that loses, delays, doubles and splits.
 type world struct {
-	xs    []*Summer
+	xs    []*Aggregator
 	rng   *rand.Rand
 	now   time.Duration
 	due   []letter
@@ -19,8 +19,8 @@
 	twice float64
 	side  []int
 	life  uint64
-	names []Name
-	truth map[Name]Totals
+	names []Key
+	truth map[Key]Totals
 	sent  int
 	bytes int
 }
@@ -32,10 +32,10 @@
 }
 
 func newWorld(n, members int, seed int64) *world {
-	w := &world{xs: make([]*Summer, n), rng: rand.New(rand.NewSource(seed)), now: time.Hour, side: make([]int, n), truth: map[Name]Totals{}}
-	w.names = []Name{{true, "look"}, {true, "submit"}}
+	w := &world{xs: make([]*Aggregator, n), rng: rand.New(rand.NewSource(seed)), now: time.Hour, side: make([]int, n), truth: map[Key]Totals{}}
+	w.names = []Key{{true, "look"}, {true, "submit"}}
 	for i := range members {
-		w.names = append(w.names, Name{false, fmt.Sprint("m", i)})
+		w.names = append(w.names, Key{false, fmt.Sprint("m", i)})
 	}
 	for i := range w.xs {
 		w.start(i)
@@ -45,11 +45,11 @@
 
 func (w *world) start(i int) {
 	w.life++
-	w.xs[i] = New(Settings{Rank: i, Gateways: len(w.xs), Names: w.names, Life: w.life, Intake: 40, Seed: int64(w.life)})
+	w.xs[i] = New(Settings{Rank: i, Gateways: len(w.xs), Keys: w.names, Incarnation: w.life, GossipCapacity: 40, Seed: int64(w.life)})
 	w.xs[i].Tick(w.now)
 }
 
-func (w *world) add(i int, n Name, t Totals) {
+func (w *world) add(i int, n Key, t Totals) {
 	w.xs[i].Add(w.now, n, t)
 	x := w.truth[n]
 	x.add(t)
@@ -66,12 +66,12 @@
 			case l.at > w.now:
 				rest = append(rest, l)
 			case w.side[l.from] == w.side[l.to]:
-				w.xs[l.to].Heard(w.now, l.from, l.data)
+				w.xs[l.to].Receive(w.now, l.from, l.data)
 			}
 		}
 		w.due = rest
 		for i, x := range w.xs {
-			if x.Next() > w.now {
+			if x.NextTick() > w.now {
 				continue
 			}
 			for _, s := range x.Tick(w.now) {
@@ -89,10 +89,10 @@
 }
 
 // sums are by name what each home has; -1 where it has nothing.
-func (w *world) sums(n Name, first bool) (t Totals) {
+func (w *world) sums(n Key, first bool) (t Totals) {
 	for _, x := range w.xs {
-		for _, s := range x.Sums() {
-			if s.Name == n && s.First == first {
+		for _, s := range x.FleetTotals() {
+			if s.Key == n && s.Primary == first {
 				t = s.Totals
 			}
 		}
@@ -127,14 +127,14 @@
 				restarted[i] = true
 			default:
 				name := rapid.SampledFrom(w.names).Draw(rt, "name")
-				w.add(i, name, Totals{Served: 1, Refused: uint64(rapid.IntRange(0, 3).Draw(rt, "refused")), Units: 1.5})
+				w.add(i, name, Totals{Served: 1, Rejected: uint64(rapid.IntRange(0, 3).Draw(rt, "refused")), Units: 1.5})
 				w.run(time.Duration(rapid.IntRange(0, 8000).Draw(rt, "ms")) * time.Millisecond)
 			}
 			for _, name := range w.names {
 				for _, first := range []bool{true, false} {
-					h := w.xs[0].home(name.hash(), map[bool]int{true: 0, false: 1}[first])
+					h := w.xs[0].owner(name.hash(), map[bool]int{true: 0, false: 1}[first])
 					s := w.sums(name, first)
-					k := fmt.Sprint(name, first, w.xs[h].s.Life)
+					k := fmt.Sprint(name, first, w.xs[h].settings.Incarnation)
 					if s.less(last[k]) || w.truth[name].less(s) {
 						rt.Fatalf("%v at its home %d: %+v after %+v, the truth is %+v", name, h, s, last[k], w.truth[name])
 					}
@@ -147,7 +147,7 @@
 		w.run(2 * time.Minute)
 		for _, name := range w.names {
 			for i, first := range []bool{true, false} {
-				if h := w.xs[0].home(name.hash(), i); !restarted[h] && w.sums(name, first) != w.truth[name] {
+				if h := w.xs[0].owner(name.hash(), i); !restarted[h] && w.sums(name, first) != w.truth[name] {
 					rt.Fatalf("%v at its home %d: %+v, the truth is %+v", name, h, w.sums(name, first), w.truth[name])
 				}
 			}
@@ -159,7 +159,7 @@
 // its begin on, nothing twice.
 func TestHomeRestarts(t *testing.T) {
 	w := newWorld(4, 1, 3)
-	m := Name{false, "m0"}
+	m := Key{false, "m0"}
 	feed := func() {
 		for range 20 {
 			w.add(w.rng.Intn(4), m, Totals{Served: 1, Units: 2})
@@ -168,7 +168,7 @@
 		w.run(30 * time.Second)
 	}
 	feed()
-	home := w.xs[0].home(m.hash(), 0)
+	home := w.xs[0].owner(m.hash(), 0)
 	before := w.truth[m]
 	told := w.sums(m, true)
 	if told != before {
@@ -196,7 +196,7 @@
 				continue
 			}
 			w := newWorld(n, members, 1)
-			secs := 2 * w.xs[0].Beat().Seconds()
+			secs := 2 * w.xs[0].ReportInterval().Seconds()
 			for range 20 {
 				for i := range n { // each is used by 40 members over the time
 					w.add(i, w.names[w.rng.Intn(2)], Totals{Served: 1, Units: 1})
@@ -208,7 +208,7 @@
 			if per > 0.25*40+1 {
 				t.Errorf("%d gateways, %d members: each is sent %.1f messages a second, the intake is 40", n, members, per)
 			}
-			t.Logf("%d gateways, %d members: beat %v, to each gateway %.2f messages and %.0f bytes a second", n, members, w.xs[0].Beat(), per,
+			t.Logf("%d gateways, %d members: beat %v, to each gateway %.2f messages and %.0f bytes a second", n, members, w.xs[0].ReportInterval(), per,
 				float64(w.bytes)/secs/float64(n))
 		}
 	}
@@ -218,21 +218,21 @@
 	f.Add(make([]byte, 60), 1)
 	f.Fuzz(func(t *testing.T, b []byte, from int) {
 		w := newWorld(3, 2, 1)
-		w.xs[0].Heard(w.now, from, b)
+		w.xs[0].Receive(w.now, from, b)
 	})
 }
 
 // A gateway that began a moment before its home and had nothing to tell at its first beat: what it counted later, also of a name
 // that it told of last, was taken for the past of a former life and left out for good.
 func TestCountsBehindAnEmptyFirstBeatAreSummed(t *testing.T) {
-	names := []Name{{true, "look"}, {false, "m"}}
+	names := []Key{{true, "look"}, {false, "m"}}
 	for seed := range int64(20) {
 		for _, n := range names {
-			home := New(Settings{Gateways: 3, Names: names, Life: 1, Seed: seed}).home(n.hash(), 0)
+			home := New(Settings{Gateways: 3, Keys: names, Incarnation: 1, Seed: seed}).owner(n.hash(), 0)
 			from := (home + 1) % 3
-			sender := New(Settings{Rank: from, Gateways: 3, Names: names, Life: 7, Seed: seed})
+			sender := New(Settings{Rank: from, Gateways: 3, Keys: names, Incarnation: 7, Seed: seed})
 			sender.Tick(time.Hour) // it begins
-			x := New(Settings{Rank: home, Gateways: 3, Names: names, Life: 8, Seed: seed})
+			x := New(Settings{Rank: home, Gateways: 3, Keys: names, Incarnation: 8, Seed: seed})
 			now := time.Hour + time.Millisecond
 			x.Tick(now)
 			for beat := range 6 {
@@ -242,15 +242,15 @@
 				if beat >= 4 {
 					sender.Add(now, names[1], Totals{Served: 1})
 				}
-				now += 2 * sender.Beat()
+				now += 2 * sender.ReportInterval()
 				for _, s := range sender.Tick(now) {
 					if s.To == home {
-						x.Heard(now, from, s.Data)
+						x.Receive(now, from, s.Data)
 					}
 				}
 			}
-			want := map[Name]uint64{names[0]: 4, names[1]: 2}[n]
-			if got := x.sums[n.hash()].Served; got != want {
+			want := map[Key]uint64{names[0]: 4, names[1]: 2}[n]
+			if got := x.owned[n.hash()].Served; got != want {
 				t.Errorf("seed %d: %v: %d calls summed, want %d", seed, n, got, want)
 			}
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -22,65 +22,65 @@
 
 // Fleet is all settings that the gateways of a fleet share.
 type Fleet struct {
-	Name     string
-	Secret   credentials.Secret // of the keyed hashes of members' keys and of peers' datagrams
-	Decide   decide.Config
-	Gateways []Gateway // by rank
-	Members  []Member
-	List     string  // address of the node list; empty: none
-	Kept     string  // directory of what a gateway must not forget, %d stands for the rank; empty: nothing is kept
-	Capacity float64 // units a second that the fleet is stated to bear, for reservations; 0: not stated
-	ListKept string  // file that keeps the last list, %d stands for the rank; empty: none is kept
-	Caps     Caps
-	Export   Export
-	Measures Measures
-	Traces   Traces
-	Log      Log
+	Name                string
+	Secret              credentials.Secret // of the keyed hashes of members' keys and of peers' datagrams
+	Decide              decide.Config
+	Gateways            []Gateway // by rank
+	Members             []Member
+	EndpointList        string  // address of the node list; empty: none
+	StateDirPattern     string  // directory of what a gateway must not forget, %d stands for the rank; empty: nothing is kept
+	CapacityPerSecond   float64 // units a second that the fleet is stated to bear, for reservations; 0: not stated
+	EndpointListPattern string  // file that keeps the last list, %d stands for the rank; empty: none is kept
+	Caps                ResourceLimits
+	UsageExport         UsageExport
+	Metrics             Metrics
+	Tracing             Tracing
+	Log                 Log
 }
 
 // Measures say what is counted and timed, and where it goes.
-type Measures struct {
-	On      bool
-	To      string // URL of a remote write receiver; empty: they are only told where the state is
-	Every   time.Duration
-	Timeout time.Duration // of a batch
-	MaxAge  time.Duration // older samples are dropped
-	Queue   int           // samples that wait at most
-	Memory  int           // bytes of them
-	Batch   int           // samples
-	Shards  int
-	Members int  // told by name at most
-	Old     bool // speak remote write 1.0
+type Metrics struct {
+	Enabled    bool
+	URL        string // URL of a remote write receiver; empty: they are only told where the state is
+	Interval   time.Duration
+	Timeout    time.Duration // of a batch
+	MaxAge     time.Duration // older samples are dropped
+	MaxSamples int           // samples that wait at most
+	MaxBytes   int           // bytes of them
+	BatchSize  int           // samples
+	Shards     int
+	MaxMembers int  // told by name at most
+	VersionOne bool // speak remote write 1.0
 }
 
 // Traces say which calls are told as traces, and where. Without a URL none are.
-type Traces struct {
-	To      string  // URL of an OTLP receiver
-	Share   float64 // of calls that were served in time
-	Rate    float64 // a second, of all that were refused, failed or late
-	Queue   int     // spans that wait at most
-	Timeout time.Duration
+type Tracing struct {
+	URL            string  // URL of an OTLP receiver
+	SampleFraction float64 // of calls that were served in time
+	MaxPerSecond   float64 // a second, of all that were refused, failed or late
+	MaxSpans       int     // spans that wait at most
+	Timeout        time.Duration
 }
 
 // Export says where use is told and how surely. Without a URL nothing is exported.
-type Export struct {
-	To         string // URL of the receiver
-	Durability wal.Mode
-	Every      time.Duration // of durability interval
-	Disk       int           // bytes that the log may take
-	Batch      int           // events
-	Timeout    time.Duration // of one batch
-	Unwritable outbox.Policy // what happens to calls while the log can't be written
+type UsageExport struct {
+	URL          string // URL of the receiver
+	Durability   wal.SyncMode
+	SyncInterval time.Duration // of durability interval
+	MaxLogBytes  int           // bytes that the log may take
+	BatchSize    int           // events
+	Timeout      time.Duration // of one batch
+	OnUnwritable outbox.Policy // what happens to calls while the log can't be written
 }
 
 // Gateway is one gateway's place.
 type Gateway struct {
-	Zone    string
-	Listen  string // clients' WebSocket, host:port
-	Peer    string // where peers send their datagrams; empty if the fleet has none
-	Bind    string // where this gateway takes them, if that is another address than Peer
-	State   string // what `winghatch state` asks; empty: nothing listens
-	Changes string // file of changes that this gateway watches; empty: none
+	Zone          string
+	Listen        string // clients' WebSocket, host:port
+	GossipAddress string // where peers send their datagrams; empty if the fleet has none
+	GossipBind    string // where this gateway takes them, if that is another address than Peer
+	StateAddress  string // what `winghatch state` asks; empty: nothing listens
+	ChangesFile   string // file of changes that this gateway watches; empty: none
 }
 
 // Member is a customer.
@@ -91,20 +91,20 @@
 }
 
 // Caps bound what may wait or stay open. Times are how long a peer may take.
-type Caps struct {
-	Sessions    int // of clients
-	Open        int // calls, over all sessions
-	SessionOpen int // calls of one session
-	Batch       int // calls in one message
-	Message     int // bytes
-	Frame       int // bytes of one of a message's frames
-	Queue       int // bytes that wait for one peer
-	Handshake   time.Duration
-	Write       time.Duration
-	Ping        time.Duration // silence after which a client or node is pinged; see link.Keep
-	NodeConns   int           // connections to one node
-	NodeCalls   int           // calls at once on one of them
-	NodeIdle    time.Duration
+type ResourceLimits struct {
+	MaxSessions           int // of clients
+	MaxInFlight           int // calls, over all sessions
+	MaxInFlightPerSession int // calls of one session
+	MaxBatch              int // calls in one message
+	MaxMessageBytes       int // bytes
+	MaxFrameBytes         int // bytes of one of a message's frames
+	MaxQueuedBytes        int // bytes that wait for one peer
+	HandshakeTimeout      time.Duration
+	WriteTimeout          time.Duration
+	PingAfter             time.Duration // silence after which a client or node is pinged; see link.Keep
+	MaxConnsPerEndpoint   int           // connections to one node
+	MaxRequestsPerConn    int           // calls at once on one of them
+	EndpointIdleTimeout   time.Duration
 }
 
 // Log says what the log looks like.
@@ -114,7 +114,7 @@
 }
 
 // Rank returns the decisions' settings of one gateway.
-func (f *Fleet) Rank(n int) (decide.Config, error) {
+func (f *Fleet) DecideConfig(n int) (decide.Config, error) {
 	c := f.Decide
 	if n < 0 || n >= len(f.Gateways) {
 		return c, fmt.Errorf("rank: %d, want 0 to %d", n, len(f.Gateways)-1)
@@ -124,7 +124,9 @@
 }
 
 // Dir is what a gateway keeps in, or empty.
-func (f *Fleet) Dir(rank int) string { return strings.ReplaceAll(f.Kept, "%d", strconv.Itoa(rank)) }
+func (f *Fleet) StateDir(rank int) string {
+	return strings.ReplaceAll(f.StateDirPattern, "%d", strconv.Itoa(rank))
+}
 
 // Load reads a file.
 func Load(file string) (*Fleet, error) {
@@ -160,7 +162,7 @@
 		return nil, err
 	}
 	for rank := range f.Gateways {
-		if _, err := f.Rank(rank); err != nil {
+		if _, err := f.DecideConfig(rank); err != nil {
 			return nil, decode.Errors{{File: file, Pos: nodes[0].Pos, Field: "fleet", Text: err.Error()}}
 		}
 	}
@@ -172,24 +174,24 @@
 	f := defaults()
 	x := &decoder{Decoder: *d, draft: true}
 	x.fleet(f, n)
-	d.Errs = x.Errs
+	d.Errors = x.Errors
 	return f
 }
 
 func defaults() *Fleet {
-	f := &Fleet{Caps: Caps{Sessions: 20000, Open: 30000, SessionOpen: 1024, Batch: 256, Message: 64 << 10, Frame: 64 << 10,
-		Queue: 1 << 20, Handshake: 5 * time.Second, Write: 5 * time.Second, Ping: 15 * time.Second, NodeConns: 4, NodeCalls: 256,
-		NodeIdle: 30 * time.Second}, Export: Export{Durability: wal.Interval, Every: 100 * time.Millisecond, Disk: 512 << 20,
-		Batch: 500, Timeout: 10 * time.Second}, Measures: Measures{Every: 15 * time.Second, Timeout: 10 * time.Second, MaxAge: time.Hour,
-		Queue: 100000, Memory: 32 << 20, Batch: 2000, Shards: 2, Members: 200},
-		Traces: Traces{Share: 0.01, Rate: 20, Queue: 2048, Timeout: 5 * time.Second}, Log: Log{Level: "info"}}
+	f := &Fleet{Caps: ResourceLimits{MaxSessions: 20000, MaxInFlight: 30000, MaxInFlightPerSession: 1024, MaxBatch: 256, MaxMessageBytes: 64 << 10, MaxFrameBytes: 64 << 10,
+		MaxQueuedBytes: 1 << 20, HandshakeTimeout: 5 * time.Second, WriteTimeout: 5 * time.Second, PingAfter: 15 * time.Second, MaxConnsPerEndpoint: 4, MaxRequestsPerConn: 256,
+		EndpointIdleTimeout: 30 * time.Second}, UsageExport: UsageExport{Durability: wal.SyncInterval, SyncInterval: 100 * time.Millisecond, MaxLogBytes: 512 << 20,
+		BatchSize: 500, Timeout: 10 * time.Second}, Metrics: Metrics{Interval: 15 * time.Second, Timeout: 10 * time.Second, MaxAge: time.Hour,
+		MaxSamples: 100000, MaxBytes: 32 << 20, BatchSize: 2000, Shards: 2, MaxMembers: 200},
+		Tracing: Tracing{SampleFraction: 0.01, MaxPerSecond: 20, MaxSpans: 2048, Timeout: 5 * time.Second}, Log: Log{Level: "info"}}
 	f.Decide.Limits = decide.Limits{MaxAttempts: 3, Cancel: true, RetryAfter: true,
 		MaxRetryAfter: 500 * time.Millisecond, ConnectTimeout: 250 * time.Millisecond}
 	f.Decide.Safety = decide.Safety{AnswerSlack: 20 * time.Millisecond, DrainGrace: 250 * time.Millisecond}
 	return f
 }
 
-const most = math.MaxInt32
+const maxInteger = math.MaxInt32
 
 // decoder adds the blocks of a fleet. A draft may lack what a runner of days fills in.
 type decoder struct {
@@ -197,7 +199,7 @@
 	draft bool
 }
 
-func (d *decoder) must(names ...string) []string {
+func (d *decoder) required(names ...string) []string {
 	if d.draft {
 		return nil
 	}
@@ -217,12 +219,12 @@
 	var members []plannedMember
 	d.Block("", n, decode.Fields{
 		"secret":    d.secret(&f.Secret),
-		"list":      decode.Address(&f.List),
-		"list-kept": decode.Text(&f.ListKept),
-		"kept":      decode.Text(&f.Kept),
-		"capacity":  decode.Rate(&f.Capacity),
-		"max-units": decode.Number(&c.MaxUnits, 0, most),
-		"settled":   decode.Flag(&c.SettledOnResponse),
+		"list":      decode.Address(&f.EndpointList),
+		"list-kept": decode.String(&f.EndpointListPattern),
+		"kept":      decode.String(&f.StateDirPattern),
+		"capacity":  decode.Rate(&f.CapacityPerSecond),
+		"max-units": decode.Number(&c.MaxUnits, 0, maxInteger),
+		"settled":   decode.Bool(&c.SettledOnResponse),
 		"intake":    decode.Rate(&c.GossipCapacity),
 		"meter":     decode.Duration(&c.UsageReportPeriod, time.Millisecond),
 		"log":       decode.Choice(&f.Log.JSON, map[string]bool{"json": true, "text": false}),
@@ -243,16 +245,16 @@
 		"limits":   func(at string, n *kdl.Node) { d.limits(at, n, &c.Limits) },
 		"safety":   func(at string, n *kdl.Node) { d.safety(at, n, &c.Safety) },
 		"prices":   func(at string, n *kdl.Node) { d.prices(at, n, &c.Prices) },
-		"measures": func(at string, n *kdl.Node) { d.measures(at, n, &f.Measures) },
+		"measures": func(at string, n *kdl.Node) { d.measures(at, n, &f.Metrics) },
 		"traces": func(at string, n *kdl.Node) {
 			d.Plain(at, n)
-			t := &f.Traces
-			d.Block(at, n, decode.Fields{"to": address(&t.To), "share": decode.Number(&t.Share, 0, 1), "rate": decode.Rate(&t.Rate),
-				"queue": decode.Whole(&t.Queue, 1, 1<<20), "timeout": decode.Duration(&t.Timeout, time.Millisecond)}, nil, "to")
+			t := &f.Tracing
+			d.Block(at, n, decode.Fields{"to": address(&t.URL), "share": decode.Number(&t.SampleFraction, 0, 1), "rate": decode.Rate(&t.MaxPerSecond),
+				"queue": decode.Int(&t.MaxSpans, 1, 1<<20), "timeout": decode.Duration(&t.Timeout, time.Millisecond)}, nil, "to")
 		},
-		"export": func(at string, n *kdl.Node) { d.export(at, n, &f.Export) },
+		"export": func(at string, n *kdl.Node) { d.export(at, n, &f.UsageExport) },
 		"caps":   func(at string, n *kdl.Node) { d.caps(at, n, &f.Caps) },
-	}, d.must("secret")...)
+	}, d.required("secret")...)
 	c.Gateways = len(f.Gateways)
 	if len(f.Gateways) == 0 && !d.draft {
 		d.Fail(n.Pos, "gateway", "missing, want one or more")
@@ -260,7 +262,7 @@
 	owner := map[credentials.Digest]string{}
 	for _, p := range members {
 		if !planNames[p.m.Plan] && p.m.Plan != "" {
-			d.Fail(p.pos, p.at+".plan", "%q, want one of %s", p.m.Plan, list(planNames))
+			d.Fail(p.pos, p.at+".plan", "%q, want one of %s", p.m.Plan, quotedNames(planNames))
 		}
 		if p.m.First >= len(f.Gateways) || p.m.Spread > len(f.Gateways) {
 			d.Fail(p.pos, p.at+".spread", "first %d and spread %d, want gateways 0 to %d", p.m.First, p.m.Spread,
@@ -277,14 +279,14 @@
 		}
 		f.Members = append(f.Members, p.m)
 	}
-	if f.Export.To != "" && f.Kept == "" && !d.draft {
+	if f.UsageExport.URL != "" && f.StateDirPattern == "" && !d.draft {
 		d.Fail(n.Pos, "kept", "missing, export is given and has its log there")
 	}
-	if f.Kept != "" && !strings.Contains(f.Kept, "%d") && len(f.Gateways) > 1 {
-		d.Fail(n.Pos, "kept", "%q, want %%d in it, which stands for the rank: each gateway has its own", f.Kept)
+	if f.StateDirPattern != "" && !strings.Contains(f.StateDirPattern, "%d") && len(f.Gateways) > 1 {
+		d.Fail(n.Pos, "kept", "%q, want %%d in it, which stands for the rank: each gateway has its own", f.StateDirPattern)
 	}
 	for i, g := range f.Gateways {
-		if c.Limits.Gossip && g.Peer == "" && !d.draft {
+		if c.Limits.Gossip && g.GossipAddress == "" && !d.draft {
 			d.Fail(n.Pos, fmt.Sprintf("gateway[%d].peer", i), "missing, limits.peers is #true")
 		}
 	}
@@ -318,7 +320,7 @@
 		"window":     decode.Duration(&k.DedupWindow, time.Millisecond),
 		"aim":        decode.Duration(&k.LatencyObjective, time.Millisecond),
 		"deadline":   decode.Duration(&k.Deadline, time.Millisecond),
-		"worth":      decode.Number(&k.PriorityWeight, 0, most),
+		"worth":      decode.Number(&k.PriorityWeight, 0, maxInteger),
 		"late-worth": decode.Number(&k.LateWeight, 0, 1),
 	}, nil, "effect", "aim", "deadline")
 	switch {
@@ -336,11 +338,11 @@
 	p := decide.Plan{Name: name, PriorityWeight: 1}
 	at := "plan " + name
 	d.Block(at, n, decode.Fields{
-		"rate": decode.Rate(&p.Rate), "burst": decode.Number(&p.Burst, 0, most),
-		"ceiling-rate": decode.Rate(&p.CeilingRate), "ceiling-burst": decode.Number(&p.CeilingBurst, 0, most),
-		"ceiling-slack": decode.Number(&p.CeilingSlack, 0, most), "max-open": decode.Whole(&p.MaxInFlight, 0, most),
-		"price": decode.Number(&p.PriorityWeight, 0, most), "over-worth": decode.Number(&p.OverQuotaValue, 0, most),
-		"over-cost": decode.Number(&p.OverQuotaCost, 0, most),
+		"rate": decode.Rate(&p.Rate), "burst": decode.Number(&p.Burst, 0, maxInteger),
+		"ceiling-rate": decode.Rate(&p.CeilingRate), "ceiling-burst": decode.Number(&p.CeilingBurst, 0, maxInteger),
+		"ceiling-slack": decode.Number(&p.CeilingSlack, 0, maxInteger), "max-open": decode.Int(&p.MaxInFlight, 0, maxInteger),
+		"price": decode.Number(&p.PriorityWeight, 0, maxInteger), "over-worth": decode.Number(&p.OverQuotaValue, 0, maxInteger),
+		"over-cost": decode.Number(&p.OverQuotaCost, 0, maxInteger),
 	}, nil)
 	if (p.Rate > 0) != (p.Burst > 0) {
 		d.Fail(n.Pos, at+".burst", "rate %v and burst %v, want both or neither", p.Rate, p.Burst)
@@ -357,20 +359,20 @@
 func (d *decoder) gateway(at string, n *kdl.Node, zones map[string]bool) Gateway {
 	var g Gateway
 	d.Plain(at, n)
-	d.Block(at, n, decode.Fields{"listen": decode.Address(&g.Listen), "peer": decode.Address(&g.Peer), "peer-bind": decode.Address(&g.Bind), "state": decode.Address(&g.State),
-		"changes": decode.Text(&g.Changes),
+	d.Block(at, n, decode.Fields{"listen": decode.Address(&g.Listen), "peer": decode.Address(&g.GossipAddress), "peer-bind": decode.Address(&g.GossipBind), "state": decode.Address(&g.StateAddress),
+		"changes": decode.String(&g.ChangesFile),
 		"zone": func(s decode.Setting) {
-			if decode.Text(&g.Zone)(s); len(zones) > 0 && !zones[g.Zone] {
-				s.Wrong("one of " + list(zones))
+			if decode.String(&g.Zone)(s); len(zones) > 0 && !zones[g.Zone] {
+				s.Reject("one of " + quotedNames(zones))
 			}
-		}}, nil, d.must("listen")...)
+		}}, nil, d.required("listen")...)
 	return g
 }
 
 func (d *decoder) member(name string, n *kdl.Node) Member {
 	m := Member{Name: name}
-	d.Block("member "+name, n, decode.Fields{"plan": decode.Text(&m.Plan), "first": decode.Whole(&m.First, 0, most),
-		"spread": decode.Whole(&m.Spread, 1, most)},
+	d.Block("member "+name, n, decode.Fields{"plan": decode.String(&m.Plan), "first": decode.Int(&m.First, 0, maxInteger),
+		"spread": decode.Int(&m.Spread, 1, maxInteger)},
 		decode.Blocks{"key": func(at string, n *kdl.Node) {
 			for _, v := range n.Args {
 				k, err := credentials.ParseDigest(v.Text)
@@ -389,8 +391,8 @@
 
 func (d *decoder) limits(at string, n *kdl.Node, l *decide.Limits) {
 	d.Plain(at, n)
-	d.Block(at, n, decode.Fields{"attempts": decode.Whole(&l.MaxAttempts, 1, 100), "parallel": decode.Flag(&l.Hedging),
-		"cancel": decode.Flag(&l.Cancel), "peers": decode.Flag(&l.Gossip), "retry-after": decode.Flag(&l.RetryAfter),
+	d.Block(at, n, decode.Fields{"attempts": decode.Int(&l.MaxAttempts, 1, 100), "parallel": decode.Bool(&l.Hedging),
+		"cancel": decode.Bool(&l.Cancel), "peers": decode.Bool(&l.Gossip), "retry-after": decode.Bool(&l.RetryAfter),
 		"max-retry-after": decode.Duration(&l.MaxRetryAfter, 0),
 		"connect-timeout": decode.Duration(&l.ConnectTimeout, time.Millisecond)}, nil)
 }
@@ -399,40 +401,40 @@
 	d.Plain(at, n)
 	d.Block(at, n, decode.Fields{"answer-slack": decode.Duration(&s.AnswerSlack, 0), "drain-grace": decode.Duration(&s.DrainGrace, 0),
 		"cold-from": decode.Number(&s.SlowStartCapacity, 0, 1), "cold-for": decode.Duration(&s.SlowStartDuration, 0),
-		"fall-multiple": decode.Number(&s.OverloadMultiple, 0, most), "fall-window": decode.Duration(&s.OverloadWindow, 0),
+		"fall-multiple": decode.Number(&s.OverloadMultiple, 0, maxInteger), "fall-window": decode.Duration(&s.OverloadWindow, 0),
 		"ask-within": decode.Duration(&s.ListMaxAge, 0)}, nil)
 }
 
 func (d *decoder) prices(at string, n *kdl.Node, p *decide.Prices) {
 	d.Plain(at, n)
-	d.Block(at, n, decode.Fields{"cross-zone": decode.Number(&p.CrossZone, 0, most), "waste": decode.Number(&p.Waste, 0, most),
-		"probe": decode.Number(&p.HealthCheck, 0, most), "peer": decode.Number(&p.Gossip, 0, most),
-		"late-fail": decode.Number(&p.LateFailure, 0, most), "counter": decode.Number(&p.Counter, 0, most)}, nil)
+	d.Block(at, n, decode.Fields{"cross-zone": decode.Number(&p.CrossZone, 0, maxInteger), "waste": decode.Number(&p.Waste, 0, maxInteger),
+		"probe": decode.Number(&p.HealthCheck, 0, maxInteger), "peer": decode.Number(&p.Gossip, 0, maxInteger),
+		"late-fail": decode.Number(&p.LateFailure, 0, maxInteger), "counter": decode.Number(&p.Counter, 0, maxInteger)}, nil)
 }
 
-func (d *decoder) export(at string, n *kdl.Node, e *Export) {
+func (d *decoder) export(at string, n *kdl.Node, e *UsageExport) {
 	d.Plain(at, n)
-	modes := map[string]wal.Mode{}
-	for _, m := range []wal.Mode{wal.Each, wal.Interval, wal.None} {
+	modes := map[string]wal.SyncMode{}
+	for _, m := range []wal.SyncMode{wal.SyncAlways, wal.SyncInterval, wal.SyncNever} {
 		modes[m.String()] = m
 	}
-	d.Block(at, n, decode.Fields{"to": address(&e.To), "durability": decode.Choice(&e.Durability, modes), "every": decode.Duration(&e.Every, time.Millisecond),
+	d.Block(at, n, decode.Fields{"to": address(&e.URL), "durability": decode.Choice(&e.Durability, modes), "every": decode.Duration(&e.SyncInterval, time.Millisecond),
 		"disk": func(s decode.Setting) {
-			if decode.Size(&e.Disk)(s); e.Disk < leastDisk {
-				s.Wrong(fmt.Sprintf("%d bytes or more", leastDisk))
+			if decode.Size(&e.MaxLogBytes)(s); e.MaxLogBytes < leastDisk {
+				s.Reject(fmt.Sprintf("%d bytes or more", leastDisk))
 			}
-		}, "batch": decode.Whole(&e.Batch, 1, 100000), "timeout": decode.Duration(&e.Timeout, time.Millisecond),
-		"unwritable": decode.Choice(&e.Unwritable, map[string]outbox.Policy{"refuse": outbox.Refuse, "serve": outbox.Serve})}, nil, "to")
+		}, "batch": decode.Int(&e.BatchSize, 1, 100000), "timeout": decode.Duration(&e.Timeout, time.Millisecond),
+		"unwritable": decode.Choice(&e.OnUnwritable, map[string]outbox.Policy{"refuse": outbox.PolicyReject, "serve": outbox.PolicyServe})}, nil, "to")
 }
 
-func (d *decoder) measures(at string, n *kdl.Node, m *Measures) {
+func (d *decoder) measures(at string, n *kdl.Node, m *Metrics) {
 	d.Plain(at, n)
-	m.On = true
-	d.Block(at, n, decode.Fields{"to": address(&m.To), "every": decode.Duration(&m.Every, 10*time.Millisecond),
+	m.Enabled = true
+	d.Block(at, n, decode.Fields{"to": address(&m.URL), "every": decode.Duration(&m.Interval, 10*time.Millisecond),
 		"timeout": decode.Duration(&m.Timeout, time.Millisecond), "max-age": decode.Duration(&m.MaxAge, time.Second),
-		"queue": decode.Whole(&m.Queue, 100, most), "memory": decode.Size(&m.Memory), "batch": decode.Whole(&m.Batch, 1, 100000),
-		"shards": decode.Whole(&m.Shards, 1, 64), "members": decode.Whole(&m.Members, 0, 100000),
-		"protocol": decode.Choice(&m.Old, map[string]bool{"1.0": true, "2.0": false})}, nil)
+		"queue": decode.Int(&m.MaxSamples, 100, maxInteger), "memory": decode.Size(&m.MaxBytes), "batch": decode.Int(&m.BatchSize, 1, 100000),
+		"shards": decode.Int(&m.Shards, 1, 64), "members": decode.Int(&m.MaxMembers, 0, 100000),
+		"protocol": decode.Choice(&m.VersionOne, map[string]bool{"1.0": true, "2.0": false})}, nil)
 }
 
 // address reads a URL.
@@ -440,7 +442,7 @@
 	return func(s decode.Setting) {
 		u, err := url.Parse(s.Value.Text)
 		if s.Value.Kind != kdl.String || err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
-			s.Wrong(`a URL such as "http://127.0.0.1:8090/use"`)
+			s.Reject(`a URL such as "http://127.0.0.1:8090/use"`)
 			return
 		}
 		*to = s.Value.Text
@@ -450,18 +452,18 @@
 // leastDisk is the smallest bound on the export's log: four segments.
 const leastDisk = 4 << 20
 
-func (d *decoder) caps(at string, n *kdl.Node, c *Caps) {
+func (d *decoder) caps(at string, n *kdl.Node, c *ResourceLimits) {
 	d.Plain(at, n)
-	d.Block(at, n, decode.Fields{"sessions": decode.Whole(&c.Sessions, 1, most), "open": decode.Whole(&c.Open, 1, most),
-		"session-open": decode.Whole(&c.SessionOpen, 1, most), "batch": decode.Whole(&c.Batch, 1, most),
-		"message": decode.Size(&c.Message), "frame": decode.Size(&c.Frame), "queue": decode.Size(&c.Queue), "handshake": decode.Duration(&c.Handshake, time.Millisecond),
-		"write": decode.Duration(&c.Write, time.Millisecond), "ping": decode.Duration(&c.Ping, 10*time.Millisecond), "node-connections": decode.Whole(&c.NodeConns, 1, 1024),
-		"node-calls": decode.Whole(&c.NodeCalls, 1, most), "node-idle": decode.Duration(&c.NodeIdle, time.Millisecond)}, nil)
+	d.Block(at, n, decode.Fields{"sessions": decode.Int(&c.MaxSessions, 1, maxInteger), "open": decode.Int(&c.MaxInFlight, 1, maxInteger),
+		"session-open": decode.Int(&c.MaxInFlightPerSession, 1, maxInteger), "batch": decode.Int(&c.MaxBatch, 1, maxInteger),
+		"message": decode.Size(&c.MaxMessageBytes), "frame": decode.Size(&c.MaxFrameBytes), "queue": decode.Size(&c.MaxQueuedBytes), "handshake": decode.Duration(&c.HandshakeTimeout, time.Millisecond),
+		"write": decode.Duration(&c.WriteTimeout, time.Millisecond), "ping": decode.Duration(&c.PingAfter, 10*time.Millisecond), "node-connections": decode.Int(&c.MaxConnsPerEndpoint, 1, 1024),
+		"node-calls": decode.Int(&c.MaxRequestsPerConn, 1, maxInteger), "node-idle": decode.Duration(&c.EndpointIdleTimeout, time.Millisecond)}, nil)
 }
 
-func list(m map[string]bool) string {
+func quotedNames(m map[string]bool) string {
 	s := ""
-	for i, k := range decode.Sorted(m) {
+	for i, k := range decode.SortedKeys(m) {
 		if i > 0 {
 			s += ", "
 		}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -15,7 +15,7 @@
 
 const secret = "000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f"
 
-var digest = credentials.Secret{}.Members().Sum([]byte("k")).String()
+var digest = credentials.Secret{}.MemberKeyHasher().Sum([]byte("k")).String()
 
 func good() string {
 	return `fleet "t" {
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Decide.Plans[0].Rate != 1.5 || f.Decide.Classes[1].DedupScope != decide.DedupInZone || f.Caps.Message != 64<<10 ||
+	if f.Decide.Plans[0].Rate != 1.5 || f.Decide.Classes[1].DedupScope != decide.DedupInZone || f.Caps.MaxMessageBytes != 64<<10 ||
 		f.Members[0].First != 1 || f.Decide.Classes[1].DedupWindow != 1500*time.Millisecond {
 		t.Errorf("%+v", f)
 	}
@@ -132,7 +132,7 @@
 		f.Decide.Plans = []decide.Plan{{Name: name.Draw(t, "plan"), Rate: 1 + num.Draw(t, "rate"), Burst: 1 + num.Draw(t, "burst"),
 			PriorityWeight: num.Draw(t, "price")}}
 		f.Members = []Member{{Name: name.Draw(t, "member"), Plan: f.Decide.Plans[0].Name, Spread: n,
-			Keys: []credentials.Digest{f.Secret.Members().Sum(nil)}}}
+			Keys: []credentials.Digest{f.Secret.MemberKeyHasher().Sum(nil)}}}
 		back, err := Parse("f", Format(f))
 		if err != nil || !reflect.DeepEqual(f, back) {
 			t.Fatalf("%v\n%s\n%+v\n%+v", err, Format(f), f, back)
--- a/internal/config/decode/decode.go
+++ b/internal/config/decode/decode.go
@@ -51,32 +51,32 @@
 
 // Decoder turns nodes into settings and keeps every error it meets.
 type Decoder struct {
-	File string
-	Errs Errors
+	File   string
+	Errors Errors
 }
 
 // Err is all that was wrong, in the order of the text, or nil.
 func (d *Decoder) Err() error {
-	if len(d.Errs) == 0 {
+	if len(d.Errors) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(d.Errs, func(a, b *Error) int {
+	slices.SortStableFunc(d.Errors, func(a, b *Error) int {
 		if a.Pos.Line != b.Pos.Line {
 			return a.Pos.Line - b.Pos.Line
 		}
 		return a.Pos.Column - b.Pos.Column
 	})
-	return d.Errs
+	return d.Errors
 }
 
 // Has reports whether an error of the field was noted.
 func (d *Decoder) Has(field string) bool {
-	return slices.ContainsFunc(d.Errs, func(e *Error) bool { return e.Field == field })
+	return slices.ContainsFunc(d.Errors, func(e *Error) bool { return e.Field == field })
 }
 
 // Fail notes an error.
 func (d *Decoder) Fail(p kdl.Pos, field, format string, args ...any) {
-	d.Errs = append(d.Errs, &Error{d.File, p, field, fmt.Sprintf(format, args...)})
+	d.Errors = append(d.Errors, &Error{d.File, p, field, fmt.Sprintf(format, args...)})
 }
 
 // Setting is a field as the text gives it: a property, or a node of one value.
@@ -88,7 +88,7 @@
 }
 
 // Wrong notes that the value is not what is wanted.
-func (s Setting) Wrong(want string) { s.d.Fail(s.Value.Pos, s.Field, "%s, want %s", s.Value, want) }
+func (s Setting) Reject(want string) { s.d.Fail(s.Value.Pos, s.Field, "%s, want %s", s.Value, want) }
 
 // Fields are what a block may hold: settings by name, and blocks by name.
 type Fields map[string]func(Setting)
@@ -203,10 +203,10 @@
 }
 
 // Text reads a string with something in it.
-func Text(to *string) func(Setting) {
+func String(to *string) func(Setting) {
 	return func(s Setting) {
 		if s.Value.Kind != kdl.String || s.Value.Text == "" {
-			s.Wrong("a string with something in it")
+			s.Reject("a string with something in it")
 			return
 		}
 		*to = s.Value.Text
@@ -214,10 +214,10 @@
 }
 
 // Flag reads #true or #false.
-func Flag(to *bool) func(Setting) {
+func Bool(to *bool) func(Setting) {
 	return func(s Setting) {
 		if s.Value.Kind != kdl.Bool {
-			s.Wrong("#true or #false")
+			s.Reject("#true or #false")
 			return
 		}
 		*to = s.Value.Bool
@@ -232,7 +232,7 @@
 func Number(to *float64, least, most float64) func(Setting) {
 	return func(s Setting) {
 		if !finite(s.Value) || s.Value.Num < least || s.Value.Num > most {
-			s.Wrong(span("a number", least, most))
+			s.Reject(describeRange("a number", least, most))
 			return
 		}
 		*to = s.Value.Num
@@ -240,17 +240,17 @@
 }
 
 // Whole reads a whole number within bounds.
-func Whole(to *int, least, most int) func(Setting) {
+func Int(to *int, least, most int) func(Setting) {
 	return func(s Setting) {
 		if v := s.Value.Num; !finite(s.Value) || v != math.Trunc(v) || v < float64(least) || v > float64(most) {
-			s.Wrong(span("a whole number", float64(least), float64(most)))
+			s.Reject(describeRange("a whole number", float64(least), float64(most)))
 			return
 		}
 		*to = int(s.Value.Num)
 	}
 }
 
-func span(what string, least, most float64) string {
+func describeRange(what string, least, most float64) string {
 	if most >= math.MaxInt32 {
 		return fmt.Sprintf("%s of %v or more", what, least)
 	}
@@ -264,7 +264,7 @@
 	return func(s Setting) {
 		v, err := time.ParseDuration(s.Value.Text)
 		if s.Value.Kind != kdl.String || err != nil || v < least || v > maxDuration {
-			s.Wrong(fmt.Sprintf("a duration such as \"500ms\", from %v to %v", least, maxDuration))
+			s.Reject(fmt.Sprintf("a duration such as \"500ms\", from %v to %v", least, maxDuration))
 			return
 		}
 		*to = v
@@ -280,7 +280,7 @@
 		v, err := strconv.ParseFloat(n, 64)
 		per := perUnit[unit]
 		if s.Value.Kind != kdl.String || !ok || err != nil || per == 0 || !(v >= 0) || math.IsInf(v*per, 0) {
-			s.Wrong(`a rate such as "12/s", not below 0, per ms, s, min or h`)
+			s.Reject(`a rate such as "12/s", not below 0, per ms, s, min or h`)
 			return
 		}
 		*to = v * per
@@ -298,7 +298,7 @@
 		}
 		v, err := strconv.Atoi(n)
 		if err != nil || v < 1 || v > math.MaxInt32/unit {
-			s.Wrong(`a size such as "64KiB"`)
+			s.Reject(`a size such as "64KiB"`)
 			return
 		}
 		*to = v * unit
@@ -310,7 +310,7 @@
 	return func(s Setting) {
 		v, ok := from[s.Value.Text]
 		if s.Value.Kind != kdl.String || !ok {
-			s.Wrong("one of " + strings.Join(Sorted(from), ", "))
+			s.Reject("one of " + strings.Join(SortedKeys(from), ", "))
 			return
 		}
 		*to = v
@@ -323,7 +323,7 @@
 		host, port, err := net.SplitHostPort(s.Value.Text)
 		n, perr := strconv.ParseUint(port, 10, 16)
 		if s.Value.Kind != kdl.String || err != nil || perr != nil || host == "" || n > 65535 {
-			s.Wrong(`an address such as "127.0.0.1:8080"`)
+			s.Reject(`an address such as "127.0.0.1:8080"`)
 			return
 		}
 		*to = s.Value.Text
@@ -331,7 +331,7 @@
 }
 
 // Sorted returns the names of a map in order.
-func Sorted[T any](m map[string]T) []string {
+func SortedKeys[T any](m map[string]T) []string {
 	out := make([]string, 0, len(m))
 	for k := range m {
 		out = append(out, k)
@@ -341,7 +341,7 @@
 }
 
 func names(f Fields, b Blocks) []string {
-	out := append(Sorted(f), Sorted(b)...)
+	out := append(SortedKeys(f), SortedKeys(b)...)
 	sort.Strings(out)
 	return out
 }
--- a/internal/credentials/keys.go
+++ b/internal/credentials/keys.go
@@ -32,7 +32,7 @@
 }
 
 // New draws a member's key.
-func New() string {
+func NewMemberKey() string {
 	var raw [keyBytes]byte
 	rand.Read(raw[:])
 	return keyPrefix + base64.RawURLEncoding.EncodeToString(raw[:])
@@ -62,13 +62,13 @@
 type Hasher struct{ key [32]byte }
 
 // Members is the hasher of members' keys.
-func (s Secret) Members() Hasher { return Hasher{s.derive("member key")} }
+func (s Secret) MemberKeyHasher() Hasher { return Hasher{s.derive("member key")} }
 
 // Peers is the hasher of peers' datagrams.
-func (s Secret) Peers() Hasher { return Hasher{s.derive("peer datagram")} }
+func (s Secret) DatagramHasher() Hasher { return Hasher{s.derive("peer datagram")} }
 
 // Operators is the hasher of what operators ask of a gateway.
-func (s Secret) Operators() Hasher { return Hasher{s.derive("operator request")} }
+func (s Secret) OperatorRequestHasher() Hasher { return Hasher{s.derive("operator request")} }
 
 // Sum is the keyed hash of data.
 func (h Hasher) Sum(data []byte) (d Digest) {
@@ -82,9 +82,9 @@
 func Equal(a, b []byte) bool { return subtle.ConstantTimeCompare(a, b) == 1 }
 
 // Book finds members by the keys they present.
-type Book struct {
-	hash Hasher
-	by   map[[8]byte][]entry // by the front of the digest; nobody can steer it without the secret
+type MemberIndex struct {
+	hasher   Hasher
+	byPrefix map[[8]byte][]entry // by the front of the digest; nobody can steer it without the secret
 }
 
 type entry struct {
@@ -93,18 +93,20 @@
 }
 
 // NewBook returns an empty book.
-func NewBook(s Secret) *Book { return &Book{s.Members(), map[[8]byte][]entry{}} }
+func NewMemberIndex(s Secret) *MemberIndex {
+	return &MemberIndex{s.MemberKeyHasher(), map[[8]byte][]entry{}}
+}
 
 // Add enters a digest for a member, who is named by a number.
-func (b *Book) Add(d Digest, member int) {
+func (x *MemberIndex) Add(d Digest, member int) {
 	front := [8]byte(d[:8])
-	b.by[front] = append(b.by[front], entry{d, member})
+	x.byPrefix[front] = append(x.byPrefix[front], entry{d, member})
 }
 
 // Find returns the member of a key; what it finds by the front it compares whole, in constant time.
-func (b *Book) Find(key string) (member int, ok bool) {
-	d := b.hash.Sum([]byte(key))
-	for _, e := range b.by[[8]byte(d[:8])] {
+func (x *MemberIndex) Find(key string) (member int, ok bool) {
+	d := x.hasher.Sum([]byte(key))
+	for _, e := range x.byPrefix[[8]byte(d[:8])] {
 		if Equal(e.digest[:], d[:]) {
 			return e.member, true
 		}
--- a/internal/credentials/keys_test.go
+++ b/internal/credentials/keys_test.go
@@ -7,10 +7,10 @@
 
 func TestBook(t *testing.T) {
 	s := Secret{1}
-	b := NewBook(s)
-	one, two := New(), New()
-	b.Add(s.Members().Sum([]byte(one)), 1)
-	b.Add(s.Members().Sum([]byte(two)), 2)
+	b := NewMemberIndex(s)
+	one, two := NewMemberKey(), NewMemberKey()
+	b.Add(s.MemberKeyHasher().Sum([]byte(one)), 1)
+	b.Add(s.MemberKeyHasher().Sum([]byte(two)), 2)
 	for key, want := range map[string]int{one: 1, two: 2} {
 		if m, ok := b.Find(key); !ok || m != want {
 			t.Errorf("%s is member %d, %v", key, m, ok)
@@ -22,9 +22,9 @@
 		}
 	}
 	// A digest whose front is the same is still another one.
-	d := s.Members().Sum([]byte(one))
+	d := s.MemberKeyHasher().Sum([]byte(one))
 	d[31] ^= 1
-	c := NewBook(s)
+	c := NewMemberIndex(s)
 	c.Add(d, 3)
 	if _, ok := c.Find(one); ok {
 		t.Error("a digest was taken by its front alone")
@@ -34,16 +34,16 @@
 // TestUses keeps the hashes of one use, secret or key from being good for another.
 func TestUses(t *testing.T) {
 	k := []byte("x")
-	if a, b := (Secret{1}).Members().Sum(k), (Secret{1}).Peers().Sum(k); a == b {
+	if a, b := (Secret{1}).MemberKeyHasher().Sum(k), (Secret{1}).DatagramHasher().Sum(k); a == b {
 		t.Error("members' keys and datagrams have one hash")
 	}
-	if a, b := (Secret{1}).Members().Sum(k), (Secret{2}).Members().Sum(k); a == b {
+	if a, b := (Secret{1}).MemberKeyHasher().Sum(k), (Secret{2}).MemberKeyHasher().Sum(k); a == b {
 		t.Error("two secrets have one hash")
 	}
 }
 
 func TestDigestText(t *testing.T) {
-	d := Secret{}.Members().Sum(nil)
+	d := Secret{}.MemberKeyHasher().Sum(nil)
 	if back, err := ParseDigest(d.String()); err != nil || back != d {
 		t.Errorf("%v %v", back, err)
 	}
--- a/internal/discovery/http/owed_test.go
+++ b/internal/discovery/http/owed_test.go
@@ -42,7 +42,7 @@
 			for {
 				l := next(t, f.took)
 				if l.Rev == 44 {
-					if !l.All || len(l.Targets) != 1 || l.Targets[0].UID != "b" {
+					if !l.Full || len(l.Targets) != 1 || l.Targets[0].UID != "b" {
 						t.Errorf("%+v, want the whole list without a", l)
 					}
 					break
@@ -106,24 +106,24 @@
 		}
 	}()
 	f := &trial{took: make(chan *List, 100), asked: make(chan string, 100)}
-	f.run(t, ln.Addr().String(), Options{Hold: 20 * time.Millisecond, Silent: 20 * time.Millisecond, Patience: 20 * time.Millisecond})
+	f.run(t, ln.Addr().String(), Options{LongPoll: 20 * time.Millisecond, ResponseGrace: 20 * time.Millisecond, HedgeDelay: 20 * time.Millisecond})
 	for range 2 {
 		if l := next(t, f.took); l.Rev != 44 {
 			t.Errorf("rev %d, want 44", l.Rev)
 		}
 	}
-	if n := most.Load(); n > callsMost+2 { // two that end while the next begin
-		t.Errorf("%d calls at once, want %d at most", n, callsMost)
+	if n := most.Load(); n > maxCalls+2 { // two that end while the next begin
+		t.Errorf("%d calls at once, want %d at most", n, maxCalls)
 	}
 }
 
 // The same address named anew asks for what was missed at once, beside a watch that may be silent.
 func TestTheSameAddressNamedAnew(t *testing.T) {
-	f := follow(t, Options{Hold: time.Minute}, list(41, true, entry("a", "ready")), "silence", list(44, false, entry("a", "draining")))
+	f := follow(t, Options{LongPoll: time.Minute}, list(41, true, entry("a", "ready")), "silence", list(44, false, entry("a", "draining")))
 	next(t, f.took)
 	next(t, f.asked)
 	next(t, f.asked)
-	f.w.Move(f.w.addr)
+	f.w.SetAddr(f.w.addr)
 	if l := next(t, f.took); l.Rev != 44 {
 		t.Errorf("rev %d, want 44", l.Rev)
 	}
@@ -133,7 +133,7 @@
 func followScript(t *testing.T, script []string) *trial {
 	t.Helper()
 	f := &trial{took: make(chan *List, 100), asked: make(chan string, 100)}
-	f.run(t, agent(t, f.asked, script...), Options{Hold: 50 * time.Millisecond, Silent: 50 * time.Millisecond})
+	f.run(t, agent(t, f.asked, script...), Options{LongPoll: 50 * time.Millisecond, ResponseGrace: 50 * time.Millisecond})
 	return f
 }
 
@@ -194,7 +194,7 @@
 
 // Discovery that was down and comes back at its address with a drain is heard, also where a reload led elsewhere and back.
 func TestAnOutageAndAReloadThereAndBack(t *testing.T) {
-	var port ports.Reserved
+	var port ports.Reservation
 	addr, err := port.Addr()
 	if err != nil {
 		t.Fatal(err)
@@ -217,7 +217,7 @@
 		}
 	}
 	go serve(ln, list(41, true, entry("a", "ready")))
-	f.run(t, addr, Options{Hold: 50 * time.Millisecond, Silent: 50 * time.Millisecond})
+	f.run(t, addr, Options{LongPoll: 50 * time.Millisecond, ResponseGrace: 50 * time.Millisecond})
 	for l := next(t, f.took); l.Rev != 41; l = next(t, f.took) {
 	}
 	ln.Close()
@@ -228,12 +228,12 @@
 	go serve(ln, list(43, true, entry("a", "draining")))
 	for l := next(t, f.took); l.Rev != 43; l = next(t, f.took) {
 	}
-	f.w.Move("127.0.0.1:1")
-	f.w.Move(addr)
+	f.w.SetAddr("127.0.0.1:1")
+	f.w.SetAddr(addr)
 	for len(f.took) > 0 {
 		<-f.took
 	}
-	if l := next(t, f.took); l.Rev != 43 || states[l.Targets[0].State] != decide.Draining {
+	if l := next(t, f.took); l.Rev != 43 || serverStates[l.Targets[0].State] != decide.Draining {
 		t.Errorf("%+v, want the drain again", l)
 	}
 }
--- a/internal/discovery/http/registry_test.go
+++ b/internal/discovery/http/registry_test.go
@@ -58,7 +58,7 @@
 
 // run follows an address until the test ends.
 func (f *trial) run(t *testing.T, addr string, o Options) {
-	o.Take, o.Log, o.Again = func(l *List, _ time.Duration) { f.took <- l }, slog.New(slog.DiscardHandler), time.Millisecond
+	o.OnList, o.Log, o.RetryBackoff = func(l *List, _ time.Duration) { f.took <- l }, slog.New(slog.DiscardHandler), time.Millisecond
 	f.w = New(addr, o)
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -77,11 +77,11 @@
 }
 
 func TestWatch(t *testing.T) {
-	f := follow(t, Options{Hold: 5 * time.Second}, list(41, true, entry("a", "ready")), list(43, false, entry("a", "draining")),
+	f := follow(t, Options{LongPoll: 5 * time.Second}, list(41, true, entry("a", "ready")), list(43, false, entry("a", "draining")),
 		list(43, false), list(50, true, entry("b", "ready")))
 	for i, want := range []uint64{41, 43, 50} {
-		if l := next(t, f.took); l.Rev != want || l.All != (want != 43) {
-			t.Errorf("list %d: rev %d, all %t, want rev %d", i, l.Rev, l.All, want)
+		if l := next(t, f.took); l.Rev != want || l.Full != (want != 43) {
+			t.Errorf("list %d: rev %d, all %t, want rev %d", i, l.Rev, l.Full, want)
 		}
 	}
 	for _, want := range []string{"/registry/instances", "/registry/instances?from=41&hold_ms=5000", "/registry/instances?from=43&hold_ms=5000",
@@ -107,7 +107,7 @@
 // An entry that can't be used in part gets nothing new, and does not hide what the list tells of the others.
 func TestEntriesThatCantBeUsed(t *testing.T) {
 	for _, c := range []struct{ bad, state string }{ // "" stands for an entry that is left out
-		{entry("a", "asleep"), "draining"}, {entry("", "ready"), ""}, {entry(strings.Repeat("a", uidMost+1), "ready"), ""},
+		{entry("a", "asleep"), "draining"}, {entry("", "ready"), ""}, {entry(strings.Repeat("a", maxUIDBytes+1), "ready"), ""},
 		{`{"uid":"a","endpoint":"nowhere","state":"ready"}`, "draining"}, {`{"uid":"a","endpoint":"nowhere","state":"gone"}`, "gone"},
 		{`{"uid":"a","endpoint":"h:1","state":"ready","boot_ms":-1}`, "draining"}, {`{"uid":"a","endpoint":"h:1","state":"ready","boot_ms":"x"}`, "draining"},
 		{`{"uid":"a","endpoint":"h:1","state":"ready","capacity_hint":-1}`, "draining"}, {`{"uid":7,"endpoint":"h:1","state":"ready"}`, ""},
@@ -156,7 +156,7 @@
 		n++
 		return copy(b, fmt.Sprintf(`{"uid":"s%d","state":"gone"},`, n)), nil
 	})
-	if _, _, err := decode(io.MultiReader(strings.NewReader(`{"rev":1,"all":true,"targets":[`), many)); err == nil || n > targetsMost+2 {
+	if _, _, err := decode(io.MultiReader(strings.NewReader(`{"rev":1,"all":true,"targets":[`), many)); err == nil || n > maxTargets+2 {
 		t.Errorf("%v behind %d entries, want an error", err, n)
 	}
 }
@@ -166,7 +166,7 @@
 func (f readerFunc) Read(b []byte) (int, error) { return f(b) }
 
 func TestASilentListIsAskedAgain(t *testing.T) {
-	f := follow(t, Options{Hold: 10 * time.Millisecond, Silent: 20 * time.Millisecond, Patience: 20 * time.Millisecond}, list(41, true, entry("a", "ready")))
+	f := follow(t, Options{LongPoll: 10 * time.Millisecond, ResponseGrace: 20 * time.Millisecond, HedgeDelay: 20 * time.Millisecond}, list(41, true, entry("a", "ready")))
 	next(t, f.took)
 	for _, want := range []string{"/registry/instances", "/registry/instances?from=41&hold_ms=10",
 		"/registry/instances?from=41&hold_ms=100", "/registry/instances"} {
@@ -178,11 +178,11 @@
 
 // A watch that waits is left at once when the configuration names another address, dead ones on the way.
 func TestMove(t *testing.T) {
-	f := follow(t, Options{Hold: time.Minute}, list(41, true, entry("a", "ready")))
+	f := follow(t, Options{LongPoll: time.Minute}, list(41, true, entry("a", "ready")))
 	next(t, f.took)
-	f.w.Move("127.0.0.1:1")
-	f.w.Move("127.0.0.1:1")
-	f.w.Move(agent(t, f.asked, list(45, true, entry("b", "ready"))))
+	f.w.SetAddr("127.0.0.1:1")
+	f.w.SetAddr("127.0.0.1:1")
+	f.w.SetAddr(agent(t, f.asked, list(45, true, entry("b", "ready"))))
 	if l := next(t, f.took); l.Rev != 45 {
 		t.Errorf("rev %d, want 45", l.Rev)
 	}
--- a/internal/discovery/http/starts.go
+++ b/internal/discovery/http/starts.go
@@ -13,36 +13,36 @@
 // In the first list the newest start is taken for this moment, as none can lie ahead: others are at least as old as they
 // are older than it. Where that would put more than half of the servers into slow start, the list is of a fleet that
 // started together, some time ago; then the wall clock decides.
-type Starts struct {
-	coldFor time.Duration
-	wall    func() time.Time
-	offset  time.Duration // Unix time less the gateway's clock is this at least, as far as servers' clocks are right
-	servers map[string]start
-	live    bool // a list was heard, beyond the one that the process was started with
-	updates uint64
-	swept   time.Duration
+type StartTimes struct {
+	slowStart time.Duration
+	wallClock func() time.Time
+	offset    time.Duration // Unix time less the gateway's clock is this at least, as far as servers' clocks are right
+	servers   map[string]serverStart
+	following bool // a list was heard, beyond the one that the process was started with
+	updates   uint64
+	forgotAt  time.Duration
 }
 
 // start is what is known of a server's.
-type start struct {
-	boot   int64 // as told
-	at     time.Duration
-	named  uint64        // the update that named it last
-	goneAt time.Duration // it left the list then; 0: it is on it
+type serverStart struct {
+	bootMS  int64 // as told
+	at      time.Duration
+	namedIn uint64        // the update that named it last
+	goneAt  time.Duration // it left the list then; 0: it is on it
 }
 
 // startsKept is how long a server that left the list is remembered: one that comes back did not start anew.
-const startsKept = 10 * time.Minute
+const startRetention = 10 * time.Minute
 
 // NewStarts returns an empty one. coldFor is how long servers are in slow start.
-func NewStarts(coldFor time.Duration, wall func() time.Time) *Starts {
-	return &Starts{coldFor: coldFor, wall: wall, servers: map[string]start{}}
+func NewStartTimes(coldFor time.Duration, wall func() time.Time) *StartTimes {
+	return &StartTimes{slowStart: coldFor, wallClock: wall, servers: map[string]serverStart{}}
 }
 
 // Update is a list as the core is told it. gap is the time since discovery was last heard.
-func (s *Starts) Update(l *List, kind decide.UpdateKind, now, gap time.Duration) decide.EndpointUpdate {
-	first := !s.live
-	if s.live = kind != decide.StaleUpdate; first {
+func (s *StartTimes) Update(l *List, kind decide.UpdateKind, now, gap time.Duration) decide.EndpointUpdate {
+	first := !s.following
+	if s.following = kind != decide.StaleUpdate; first {
 		s.estimate(l, now)
 		gap = now // any age is possible
 	} else {
@@ -52,51 +52,51 @@
 	u := decide.EndpointUpdate{Kind: kind, Version: l.Rev, Servers: make([]decide.Server, 0, len(l.Targets))}
 	for i := range l.Targets {
 		e := &l.Targets[i]
-		u.Servers = append(u.Servers, decide.Server{ID: e.UID, Zone: e.Zone, Cell: e.Cell, Kind: e.Model, State: states[e.State],
-			StartedAt: s.at(e, first, now, now-gap), Weight: e.Hint})
+		u.Servers = append(u.Servers, decide.Server{ID: e.UID, Zone: e.Zone, Cell: e.Cell, Kind: e.Model, State: serverStates[e.State],
+			StartedAt: s.startedAt(e, first, now, now-gap), Weight: e.CapacityHint})
 	}
 	s.forget(kind != decide.DeltaUpdate, now)
 	return u
 }
 
 // observe learns from a list that is followed: no start lies ahead.
-func (s *Starts) observe(l *List, now time.Duration) {
+func (s *StartTimes) observe(l *List, now time.Duration) {
 	for i := range l.Targets {
 		if boot := l.Targets[i].BootMS; boot > 0 {
-			s.offset = max(s.offset, unix(boot)-now)
+			s.offset = max(s.offset, millis(boot)-now)
 		}
 	}
 }
 
 // estimate sets the offset by a first list.
-func (s *Starts) estimate(l *List, now time.Duration) {
+func (s *StartTimes) estimate(l *List, now time.Duration) {
 	s.offset = -now
 	s.observe(l, now)
 	ready, cold := 0, 0
 	for i := range l.Targets {
 		e := &l.Targets[i]
-		if states[e.State] != decide.Serving {
+		if serverStates[e.State] != decide.Serving {
 			continue
 		}
 		ready++
-		if e.BootMS > 0 && unix(e.BootMS)-s.offset+s.coldFor > now {
+		if e.BootMS > 0 && millis(e.BootMS)-s.offset+s.slowStart > now {
 			cold++
 		}
 	}
 	if 2*cold > ready {
-		s.offset = max(s.offset, time.Duration(s.wall().UnixNano())-now)
+		s.offset = max(s.offset, time.Duration(s.wallClock().UnixNano())-now)
 	}
 }
 
 // at is when a server started; 0 stands for long ago. One that was not known is no older than earliest.
-func (s *Starts) at(e *Entry, first bool, now, earliest time.Duration) time.Duration {
+func (s *StartTimes) startedAt(e *Target, first bool, now, earliest time.Duration) time.Duration {
 	was, known := s.servers[e.UID]
-	x := start{boot: e.BootMS, named: s.updates}
+	x := serverStart{bootMS: e.BootMS, namedIn: s.updates}
 	if e.State == "gone" {
 		x.goneAt = now
 	}
-	told := max(1, unix(e.BootMS)-s.offset)
-	switch same := known && was.boot == e.BootMS; {
+	told := max(1, millis(e.BootMS)-s.offset)
+	switch same := known && was.bootMS == e.BootMS; {
 	case e.BootMS == 0:
 		x.at = 0
 	case same && first: // as on the list that the process was started with
@@ -111,20 +111,20 @@
 }
 
 // forget notes what a whole list does not name, and drops what left the list long ago.
-func (s *Starts) forget(whole bool, now time.Duration) {
-	if !whole && now-s.swept < startsKept {
+func (s *StartTimes) forget(whole bool, now time.Duration) {
+	if !whole && now-s.forgotAt < startRetention {
 		return
 	}
-	s.swept = now
+	s.forgotAt = now
 	for uid, x := range s.servers {
 		switch {
-		case x.goneAt > 0 && now-x.goneAt > startsKept:
+		case x.goneAt > 0 && now-x.goneAt > startRetention:
 			delete(s.servers, uid)
-		case x.goneAt == 0 && whole && x.named != s.updates:
+		case x.goneAt == 0 && whole && x.namedIn != s.updates:
 			x.goneAt = now
 			s.servers[uid] = x
 		}
 	}
 }
 
-func unix(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
+func millis(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
--- a/internal/discovery/http/starts_test.go
+++ b/internal/discovery/http/starts_test.go
@@ -14,13 +14,13 @@
 )
 
 func boots(all bool, boot map[string]time.Duration) *List {
-	l := &List{Rev: 1, All: all}
+	l := &List{Rev: 1, Full: all}
 	for _, uid := range []string{"a", "b", "c", "d", "e"} {
 		switch at, ok := boot[uid]; {
 		case ok && at == 0:
-			l.Targets = append(l.Targets, Entry{UID: uid, State: "ready"})
+			l.Targets = append(l.Targets, Target{UID: uid, State: "ready"})
 		case ok:
-			l.Targets = append(l.Targets, Entry{UID: uid, State: "ready", BootMS: bootMS + at.Milliseconds()})
+			l.Targets = append(l.Targets, Target{UID: uid, State: "ready", BootMS: bootMS + at.Milliseconds()})
 		}
 	}
 	return l
@@ -44,7 +44,7 @@
 func TestStartsOfServersThatAppear(t *testing.T) {
 	for _, wall := range []time.Duration{0, time.Hour, -time.Hour} {
 		for _, boot := range []time.Duration{time.Second, time.Hour, -time.Hour} {
-			s := NewStarts(coldFor, wallOff(wall))
+			s := NewStartTimes(coldFor, wallOff(wall))
 			s.Update(boots(true, map[string]time.Duration{"a": 0, "b": 0}), decide.FullUpdate, now, 0)
 			for _, again := range []time.Duration{0, time.Minute} {
 				got := startsOf(s.Update(boots(false, map[string]time.Duration{"c": boot}), decide.DeltaUpdate, now+10*time.Second+again, 2*time.Second))["c"]
@@ -61,7 +61,7 @@
 
 // After an outage of discovery servers that started meanwhile are as old as they are older than the newest.
 func TestStartsAfterAnOutage(t *testing.T) {
-	s := NewStarts(coldFor, wallOff(time.Hour))
+	s := NewStartTimes(coldFor, wallOff(time.Hour))
 	s.Update(boots(true, map[string]time.Duration{"a": 0}), decide.FullUpdate, now, 0)
 	at := now + time.Minute
 	got := startsOf(s.Update(boots(true, map[string]time.Duration{"a": 0, "b": 30 * time.Second, "c": 50 * time.Second, "d": -time.Hour}), decide.FullUpdate, at, 40*time.Second))
@@ -86,7 +86,7 @@
 		{"all are young", 0, map[string]time.Duration{"a": -time.Second, "b": -2 * time.Second}, map[string]time.Duration{"a": time.Second, "b": 2 * time.Second}},
 		{"all, clock behind", -time.Hour, map[string]time.Duration{"a": -time.Second, "b": -2 * time.Second}, map[string]time.Duration{"a": 0, "b": time.Second}},
 	} {
-		got := startsOf(NewStarts(coldFor, wallOff(c.wall)).Update(boots(true, c.boot), decide.FullUpdate, now, 0))
+		got := startsOf(NewStartTimes(coldFor, wallOff(c.wall)).Update(boots(true, c.boot), decide.FullUpdate, now, 0))
 		for uid, want := range c.want {
 			if got[uid] != now-want {
 				t.Errorf("%s: %s started %v before now, want %v", c.name, uid, now-got[uid], want)
@@ -97,7 +97,7 @@
 
 // The list that a process was started with may be old: the first one heard makes its servers older, never younger.
 func TestStartsOfTheListLastHeld(t *testing.T) {
-	s := NewStarts(coldFor, wallOff(0))
+	s := NewStartTimes(coldFor, wallOff(0))
 	s.Update(boots(true, map[string]time.Duration{"a": 0, "b": 0, "c": -time.Minute}), decide.StaleUpdate, now, 0)
 	got := startsOf(s.Update(boots(true, map[string]time.Duration{"a": 0, "b": 0, "c": -time.Minute, "d": -time.Second}), decide.FullUpdate, now+time.Second, 0))
 	if got["c"] != now+time.Second-59*time.Second || got["d"] != now+time.Second {
@@ -107,14 +107,14 @@
 
 // Servers that are replaced all day are forgotten, and one that comes back soon did not start anew.
 func TestStartsAreForgotten(t *testing.T) {
-	s := NewStarts(coldFor, wallOff(0))
+	s := NewStartTimes(coldFor, wallOff(0))
 	s.Update(boots(true, map[string]time.Duration{"a": 0, "b": -time.Hour, "c": -time.Hour}), decide.FullUpdate, now, 0)
 	had := s.servers["b"].at
 	s.Update(boots(true, map[string]time.Duration{"a": 0, "c": -time.Hour}), decide.FullUpdate, now+time.Minute, time.Second)
 	if got := startsOf(s.Update(boots(false, map[string]time.Duration{"b": -time.Hour}), decide.DeltaUpdate, now+2*time.Minute, time.Second))["b"]; got != had {
 		t.Errorf("one that came back started %v, want %v", got, had)
 	}
-	s.Update(&List{Targets: []Entry{{UID: "b", State: "gone"}}}, decide.DeltaUpdate, now+3*time.Minute, time.Second)
+	s.Update(&List{Targets: []Target{{UID: "b", State: "gone"}}}, decide.DeltaUpdate, now+3*time.Minute, time.Second)
 	s.Update(&List{}, decide.DeltaUpdate, now+14*time.Minute, time.Second)
 	if len(s.servers) != 2 {
 		t.Errorf("%d are kept, want 2", len(s.servers))
