--- a/internal/frontend/connlimit/connlimit.go
+++ b/internal/frontend/connlimit/connlimit.go
@@ -24,7 +24,7 @@
 	// both sides more than keeping it.
 	idleTimeout = 10 * time.Second
 	// Above this part of the seats, those at rest go after tightIdleTimeout.
-	tightFrom        = 0.75
+	tightShare       = 0.75
 	tightIdleTimeout = 2 * time.Second
 )
 
@@ -41,52 +41,52 @@
 	active
 )
 
-type seat struct {
+type entry struct {
 	id    ID
 	state state
 	since time.Duration
-	at    *list.Element // in the line of its state; nil while active
+	elem  *list.Element // in the line of its state; nil while active
 }
 
 // Limiter holds the seats of one gateway.
 type Limiter struct {
-	most  int
-	seats map[ID]*seat
-	lines [active]*list.List // silent, idle, reading: longest first
+	maxConns int
+	entries  map[ID]*entry
+	queues   [active]*list.List // silent, idle, reading: longest first
 }
 
 // New returns a limiter of so many connections.
 func New(most int) *Limiter {
-	l := &Limiter{most: most, seats: map[ID]*seat{}}
-	for st := range l.lines {
-		l.lines[st] = list.New()
+	l := &Limiter{maxConns: most, entries: map[ID]*entry{}}
+	for st := range l.queues {
+		l.queues[st] = list.New()
 	}
 	return l
 }
 
 // Len is how many seats are held.
-func (l *Limiter) Len() int { return len(l.seats) }
+func (l *Limiter) Len() int { return len(l.entries) }
 
 // Accept gives a new connection a seat. If all are held, another is to be closed for it; false says that none may, and the
 // new one is to be closed. unread tells whether a connection's socket holds bytes that nobody has read.
 func (l *Limiter) Accept(now time.Duration, id ID, unread func(ID) bool) (evicted ID, evicts, ok bool) {
-	if len(l.seats) >= l.most {
-		if evicted, evicts = l.weakest(unread); !evicts {
+	if len(l.entries) >= l.maxConns {
+		if evicted, evicts = l.victim(unread); !evicts {
 			return 0, false, false
 		}
-		l.Closed(evicted)
+		l.Remove(evicted)
 	}
-	s := &seat{id: id, since: now}
-	l.seats[id] = s
-	l.enter(s)
+	s := &entry{id: id, since: now}
+	l.entries[id] = s
+	l.enqueue(s)
 	return evicted, evicts, true
 }
 
 // weakest finds the connection that gives way first.
-func (l *Limiter) weakest(unread func(ID) bool) (id ID, ok bool) {
-	for _, line := range l.lines {
+func (l *Limiter) victim(unread func(ID) bool) (id ID, ok bool) {
+	for _, line := range l.queues {
 		for e := line.Front(); e != nil; e = e.Next() {
-			if id := e.Value.(*seat).id; !unread(id) {
+			if id := e.Value.(*entry).id; !unread(id) {
 				return id, true
 			}
 		}
@@ -95,71 +95,71 @@
 }
 
 // Closed takes a seat back.
-func (l *Limiter) Closed(id ID) {
-	if s := l.seats[id]; s != nil {
-		l.leave(s)
-		delete(l.seats, id)
+func (l *Limiter) Remove(id ID) {
+	if s := l.entries[id]; s != nil {
+		l.dequeue(s)
+		delete(l.entries, id)
 	}
 }
 
-func (l *Limiter) leave(s *seat) {
-	if s.at != nil {
-		l.lines[s.state].Remove(s.at)
-		s.at = nil
+func (l *Limiter) dequeue(s *entry) {
+	if s.elem != nil {
+		l.queues[s.state].Remove(s.elem)
+		s.elem = nil
 	}
 }
 
 // enter puts a seat into the line of its state, which is in the order of since.
-func (l *Limiter) enter(s *seat) {
-	line := l.lines[s.state]
+func (l *Limiter) enqueue(s *entry) {
+	line := l.queues[s.state]
 	before := line.Back()
-	for before != nil && before.Value.(*seat).since > s.since {
+	for before != nil && before.Value.(*entry).since > s.since {
 		before = before.Prev()
 	}
 	if before == nil {
-		s.at = line.PushFront(s)
+		s.elem = line.PushFront(s)
 		return
 	}
-	s.at = line.InsertAfter(s, before)
+	s.elem = line.InsertAfter(s, before)
 }
 
-func (l *Limiter) to(id ID, st state, since time.Duration) {
-	s := l.seats[id]
+func (l *Limiter) setState(id ID, st state, since time.Duration) {
+	s := l.entries[id]
 	if s == nil || s.state == st {
 		return
 	}
-	l.leave(s)
+	l.dequeue(s)
 	s.state, s.since = st, since
 	if st != active {
-		l.enter(s)
+		l.enqueue(s)
 	}
 }
 
 // Reading says that the first byte of a request came. A first request's time runs from the connection's coming.
-func (l *Limiter) Reading(now time.Duration, id ID) {
-	if s := l.seats[id]; s != nil && s.state == silent {
+func (l *Limiter) MarkReading(now time.Duration, id ID) {
+	if s := l.entries[id]; s != nil && s.state == silent {
 		now = s.since
 	}
-	l.to(id, reading, now)
+	l.setState(id, reading, now)
 }
 
 // Active says that a request is whole.
-func (l *Limiter) Active(now time.Duration, id ID) { l.to(id, active, now) }
+func (l *Limiter) MarkActive(now time.Duration, id ID) { l.setState(id, active, now) }
 
 // Idle says that its answer is written.
-func (l *Limiter) Idle(now time.Duration, id ID) { l.to(id, idle, now) }
+func (l *Limiter) MarkIdle(now time.Duration, id ID) { l.setState(id, idle, now) }
 
 // Expired takes back the seats whose time is up and returns them. unread is as in Accept.
 func (l *Limiter) Expired(now time.Duration, unread func(ID) bool) (out []ID) {
 	rest := idleTimeout
-	if float64(len(l.seats)) > tightFrom*float64(l.most) {
+	if float64(len(l.entries)) > tightShare*float64(l.maxConns) {
 		rest = tightIdleTimeout
 	}
 	for st, timeout := range [active]time.Duration{silent: requestTimeout, idle: rest, reading: requestTimeout} {
 		var next *list.Element
-		for e := l.lines[st].Front(); e != nil; e = next {
+		for e := l.queues[st].Front(); e != nil; e = next {
 			next = e.Next()
-			s := e.Value.(*seat)
+			s := e.Value.(*entry)
 			over := now - s.since - timeout
 			if over < 0 {
 				break
@@ -168,7 +168,7 @@
 				continue
 			}
 			out = append(out, s.id)
-			l.Closed(s.id)
+			l.Remove(s.id)
 		}
 	}
 	return out
--- a/internal/frontend/connlimit/connlimit_test.go
+++ b/internal/frontend/connlimit/connlimit_test.go
@@ -14,18 +14,18 @@
 	for id := ID(1); id <= 4; id++ {
 		b.Accept(0, id, none)
 	}
-	b.Active(0, 1)
-	b.Active(0, 2)
-	b.Idle(time.Second, 2)
+	b.MarkActive(0, 1)
+	b.MarkActive(0, 2)
+	b.MarkIdle(time.Second, 2)
 	if out, closes, ok := b.Accept(time.Second, 5, none); !ok || !closes || out != 3 {
 		t.Errorf("closed %d (%t, %t), want 3, the longest without a request", out, closes, ok)
 	}
-	b.Active(time.Second, 4)
-	b.Active(time.Second, 5)
+	b.MarkActive(time.Second, 4)
+	b.MarkActive(time.Second, 5)
 	if out, closes, ok := b.Accept(time.Second, 6, none); !ok || !closes || out != 2 {
 		t.Errorf("closed %d (%t, %t), want 2, which rests", out, closes, ok)
 	}
-	b.Active(time.Second, 6)
+	b.MarkActive(time.Second, 6)
 	if _, closes, ok := b.Accept(time.Second, 7, none); ok || closes {
 		t.Errorf("a seat was taken from a connection with an open request")
 	}
@@ -35,14 +35,14 @@
 	b := New(100)
 	b.Accept(0, 1, none)
 	b.Accept(0, 2, none)
-	b.Active(time.Second, 2)
+	b.MarkActive(time.Second, 2)
 	if out := b.Expired(2*time.Second, none); len(out) != 1 || out[0] != 1 {
 		t.Errorf("due after two seconds: %v, want 1, which never asked", out)
 	}
 	if out := b.Expired(time.Hour, none); len(out) != 0 {
 		t.Errorf("due: %v, want none while a request is open", out)
 	}
-	b.Idle(time.Hour, 2)
+	b.MarkIdle(time.Hour, 2)
 	if out := b.Expired(time.Hour+idleTimeout, none); len(out) != 1 || b.Len() != 0 {
 		t.Errorf("due after its rest: %v, %d held, want 2 and none", out, b.Len())
 	}
@@ -54,9 +54,9 @@
 	for id := ID(1); id <= 4; id++ {
 		b.Accept(0, id, none)
 	}
-	b.Reading(0, 1)
-	b.Active(0, 2)
-	b.Idle(0, 2)
+	b.MarkReading(0, 1)
+	b.MarkActive(0, 2)
+	b.MarkIdle(0, 2)
 	unread := map[ID]bool{3: true}
 	for i, want := range []ID{4, 5, 6} {
 		if out, closes, ok := b.Accept(0, ID(5+i), func(id ID) bool { return unread[id] }); !ok || !closes || out != want {
@@ -80,10 +80,10 @@
 	b := New(100)
 	b.Accept(0, 1, none)
 	b.Accept(0, 2, none)
-	b.Reading(time.Second, 2)
+	b.MarkReading(time.Second, 2)
 	b.Accept(0, 3, none)
-	b.Active(0, 3)
-	b.Idle(0, 3)
+	b.MarkActive(0, 3)
+	b.MarkIdle(0, 3)
 	if out := b.Expired(requestTimeout+requestGrace-1, all); len(out) != 0 {
 		t.Errorf("closed %v, want none while bytes wait", out)
 	}
@@ -124,22 +124,22 @@
 					gone = append(gone, out)
 				}
 			case 1:
-				a.Active(now, id+100)
-				b.Active(now, id+100)
-				if a.seats[id+100] != nil {
+				a.MarkActive(now, id+100)
+				b.MarkActive(now, id+100)
+				if a.entries[id+100] != nil {
 					activeOnes[id+100] = true
 				}
 			case 2:
-				a.Idle(now, id+100)
-				b.Idle(now, id+100)
+				a.MarkIdle(now, id+100)
+				b.MarkIdle(now, id+100)
 				delete(activeOnes, id+100)
 			case 3:
-				a.Reading(now, id+100)
-				b.Reading(now, id+100)
+				a.MarkReading(now, id+100)
+				b.MarkReading(now, id+100)
 				delete(activeOnes, id+100)
 			case 4:
-				a.Closed(id + 100)
-				b.Closed(id + 100)
+				a.Remove(id + 100)
+				b.Remove(id + 100)
 				delete(activeOnes, id+100)
 			case 5:
 				gone = a.Expired(now, waits)
@@ -152,8 +152,8 @@
 					t.Fatalf("active %d lost its seat", g)
 				}
 			}
-			if a.Len() > most || a.lines[silent].Len()+a.lines[idle].Len()+a.lines[reading].Len()+len(activeOnes) != a.Len() {
-				t.Fatalf("%d seats of %d, %d silent, %d idle, %d reading, %d active", a.Len(), most, a.lines[silent].Len(), a.lines[idle].Len(), a.lines[reading].Len(), len(activeOnes))
+			if a.Len() > most || a.queues[silent].Len()+a.queues[idle].Len()+a.queues[reading].Len()+len(activeOnes) != a.Len() {
+				t.Fatalf("%d seats of %d, %d silent, %d idle, %d reading, %d active", a.Len(), most, a.queues[silent].Len(), a.queues[idle].Len(), a.queues[reading].Len(), len(activeOnes))
 			}
 		}
 	})
--- a/internal/frontend/http/close_test.go
+++ b/internal/frontend/http/close_test.go
@@ -24,7 +24,7 @@
 func rests(t *testing.T, core *core, addr string) *client {
 	t.Helper()
 	c := dial(t, addr).send(usual("POST /api") + "abc")
-	(<-core.came).Done(frontend.Final{Kind: frontend.Served, Body: []byte("x")})
+	(<-core.came).Done(frontend.Response{Kind: frontend.Served, Body: []byte("x")})
 	if status, _, _ := c.read(); status != 200 {
 		t.Fatalf("%d, want 200", status)
 	}
@@ -57,7 +57,7 @@
 		defer s.mu.Unlock()
 		n := 0
 		for _, c := range s.conns {
-			if c.begun && c.phase == reading {
+			if c.requestBegun && c.phase == reading {
 				n++
 			}
 		}
@@ -83,11 +83,11 @@
 	c := dial(t, addr).send(usual("POST /api") + "abc" + usual("POST /api", "X-Txn: t2") + "abc")
 	first := <-core.came
 	s.Drain()
-	for i, call := range []*frontend.Call{first, nil} {
+	for i, call := range []*frontend.Request{first, nil} {
 		if call == nil {
 			call = <-core.came
 		}
-		call.Done(frontend.Final{Kind: frontend.Served, Body: []byte("x")})
+		call.Done(frontend.Response{Kind: frontend.Served, Body: []byte("x")})
 		if status, _, h := c.read(); status != 200 || (h.Get("Connection") == "close") != (i == 1) {
 			t.Errorf("answer %d: %d, Connection %q, want 200 and close with the last", i, status, h.Get("Connection"))
 		}
@@ -104,7 +104,7 @@
 	t.Cleanup(func() { nc.Close() })
 	io.WriteString(nc, usual("POST /api", "Connection: close")+"abc"+strings.Repeat("behind it ", 600))
 	call := <-core.came
-	call.Done(frontend.Final{Kind: frontend.Served, Body: make([]byte, 1<<20)})
+	call.Done(frontend.Response{Kind: frontend.Served, Body: make([]byte, 1<<20)})
 	io.WriteString(nc, "more")
 	nc.SetDeadline(time.Now().Add(20 * time.Second))
 	all, err := io.ReadAll(nc)
@@ -132,11 +132,11 @@
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			for _, c := range s.conns {
-				return c.watches && !c.unread() || c.pauses
+				return c.watching && !c.hasUnread() || c.paused
 			}
 			return false
 		})
-		if call.Left() {
+		if call.ClientGone() {
 			t.Errorf("%d behind it: it has gone before it left", behind)
 		}
 		c.nc.Close()
@@ -144,8 +144,8 @@
 			t.Errorf("%d behind it: %q has gone, want %q", behind, id, call.ID)
 		}
 		until(t, "the connection is closed", func() bool { return s.Conns.Load() == 0 })
-		if n := core.n(); n != 1 || !call.Left() {
-			t.Errorf("%d behind it: %d requests were sent on, left %t, want 1 and true", behind, n, call.Left())
+		if n := core.n(); n != 1 || !call.ClientGone() {
+			t.Errorf("%d behind it: %d requests were sent on, left %t, want 1 and true", behind, n, call.ClientGone())
 		}
 	}
 }
@@ -160,17 +160,17 @@
 	} {
 		c := dial(t, addr).send(usual("POST /api") + "abc")
 		call := <-core.came
-		if call.Left() {
+		if call.ClientGone() {
 			t.Fatal("it has gone before it left")
 		}
 		leave(c.nc.(*net.TCPConn))
-		until(t, "the client has gone", call.Left)
+		until(t, "the client has gone", call.ClientGone)
 		<-core.left
 	}
 	c := rests(t, core, addr).send(usual("POST /api", "X-Txn: t2") + "abc")
 	call := <-core.came
-	call.Done(frontend.Final{Kind: frontend.Failed})
-	if c.read(); !call.Left() {
+	call.Done(frontend.Response{Kind: frontend.Failed})
+	if c.read(); !call.ClientGone() {
 		t.Error("a request that was answered still has a client")
 	}
 }
@@ -185,16 +185,16 @@
 	} {
 		c, nc := still(t, s)
 		s.mu.Lock()
-		c.open = "x"
-		c.to(active)
+		c.requestID = "x"
+		c.setPhase(active)
 		s.mu.Unlock()
 		io.WriteString(nc, "GET /next")
-		until(t, "bytes wait", func() bool { return c.unread() })
-		if c.left("x") {
+		until(t, "bytes wait", func() bool { return c.hasUnread() })
+		if c.clientLeft("x") {
 			t.Fatal("it has gone before it left")
 		}
 		leave(nc.(*net.TCPConn))
-		until(t, "the client has gone", func() bool { return c.left("x") })
+		until(t, "the client has gone", func() bool { return c.clientLeft("x") })
 	}
 }
 
@@ -209,14 +209,14 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for _, c := range s.conns {
-			return c.begun && !c.unread()
+			return c.requestBegun && !c.hasUnread()
 		}
 		return false
 	})
 	read := s.clock()
 	time.Sleep(waits)
 	c.send(usual("POST /api", "X-Txn: t3")[:20])
-	first.Done(frontend.Final{Kind: frontend.Served})
+	first.Done(frontend.Response{Kind: frontend.Served})
 	if left := (<-core.came).Deadline - read; left > 480*time.Millisecond {
 		t.Errorf("the second's time ends %v after it was read, want the 480 ms that it came with", left)
 	}
@@ -246,11 +246,11 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.next++
-	c := newConn(s, s.next, in.(*net.TCPConn), raw)
+	s.lastID++
+	c := newConn(s, s.lastID, in.(*net.TCPConn), raw)
 	s.conns[c.id] = c
 	s.limit.Accept(s.clock(), c.id, s.unread)
-	c.to(idle)
+	c.setPhase(idle)
 	return c, nc
 }
 
@@ -260,11 +260,11 @@
 	_, s, _ := start(t, 10)
 	c, nc := still(t, s)
 	s.mu.Lock()
-	c.due = s.clock() + writeFor + time.Second
-	c.to(active)
-	c.write(make([]byte, size), c.free)
+	c.deadline = s.clock() + writeTimeout + time.Second
+	c.setPhase(active)
+	c.writeResponse(make([]byte, size), c.finishResponse)
 	s.mu.Unlock()
-	time.Sleep(writeFor + 300*time.Millisecond)
+	time.Sleep(writeTimeout + 300*time.Millisecond)
 	if n, err := io.CopyN(io.Discard, nc, size); err != nil {
 		t.Errorf("%d bytes of %d: %v", n, size, err)
 	}
@@ -280,7 +280,7 @@
 		core, s, _ := start(t, 10)
 		c, nc := still(t, s)
 		io.WriteString(nc, usual("POST /api")+"abc")
-		until(t, "the request has come", func() bool { return c.unread() })
+		until(t, "the request has come", func() bool { return c.hasUnread() })
 		end.do(s, s.clock()+time.Hour)
 		if c.phase == closing {
 			t.Fatalf("%s: a connection was shut over an unread request", end.name)
@@ -293,7 +293,7 @@
 			}
 			continue
 		}
-		(<-core.came).Done(frontend.Final{Kind: frontend.Failed})
+		(<-core.came).Done(frontend.Response{Kind: frontend.Failed})
 
 		c, nc = still(t, s)
 		end.do(s, s.clock()+2*time.Hour)
@@ -301,7 +301,7 @@
 			t.Fatalf("%s: an idle connection was not shut", end.name)
 		}
 		io.WriteString(nc, usual("POST /api", "X-Txn: t2")+"abc")
-		until(t, "the request has come", func() bool { return c.unread() })
+		until(t, "the request has come", func() bool { return c.hasUnread() })
 		s.wg.Add(1)
 		go c.run()
 		if b, err := io.ReadAll(nc); len(b) > 0 || err != nil {
@@ -335,12 +335,12 @@
 	until(t, "all are held", func() bool { return s.Conns.Load() == seats })
 	s.mu.Lock()
 	for _, c := range s.conns {
-		c.turnAway(503, "")
+		c.closeInactive(503, "")
 	}
 	if n := s.lingering.Len(); n != seats {
 		t.Errorf("%d linger, want all %d", n, seats)
 	}
-	s.release()
+	s.unlockAndClose()
 	second := dialAll()
 	until(t, "the second are held", func() bool {
 		lingering, seated := held()
@@ -366,18 +366,18 @@
 // Bodies are bounded in sum: hundreds of large ones must not take the process beyond its memory.
 func TestBodiesAreBoundedInSum(t *testing.T) {
 	core, s, addr := start(t, 40)
-	s.bodyRoom = 100 << 10
+	s.maxBodyBytes = 100 << 10
 	large := usual("POST /api", "Content-Length: 81920") + strings.Repeat("a", 81920)
 	first := dial(t, addr).send(large)
 	call := <-core.came
 	if status, _, _ := dial(t, addr).send(strings.Replace(large, "t1", "t2", 1)).read(); status != 503 {
 		t.Errorf("a second large body: %d, want 503", status)
 	}
-	call.Done(frontend.Final{Kind: frontend.Served})
+	call.Done(frontend.Response{Kind: frontend.Served})
 	first.read()
 	c := dial(t, addr).send(strings.Replace(large, "t1", "t3", 1))
 	call = <-core.came
 	c.nc.Close()
 	<-core.left
-	until(t, "its room is free", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.bodies == 0 })
+	until(t, "its room is free", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return s.bodyBytes == 0 })
 }
--- a/internal/frontend/http/conn.go
+++ b/internal/frontend/http/conn.go
@@ -30,42 +30,42 @@
 )
 
 type conn struct {
-	s   *Server
-	id  connlimit.ID
-	nc  *net.TCPConn
-	raw syscall.RawConn
-	rd  *http1.Reader
+	server *Server
+	id     connlimit.ID
+	nc     *net.TCPConn
+	raw    syscall.RawConn
+	reader *http1.Reader
 
 	// s.mu guards the fields from here on.
-	phase     phase
-	begun     bool          // a byte of the request under way was read; while one is open, of the next
-	open      string        // the core's id of the open request; empty: none
-	txn       string        // its X-Txn
-	due       time.Duration // its time is over; of the last request, where none is open
-	last      bool          // the answer under way is the connection's last
-	gone      bool          // the client has left, or the connection broke
-	watches   bool          // the reader waits in watch and must be woken by an answer ...
-	woken     bool          // ... as it was, by a read deadline that it takes back
-	ended     bool          // its writing side is shut
-	lingers   *list.Element
-	readAhead []chunk // came behind the open request
-	ahead     int     // bytes in readAhead
-	overrun   bool    // more came than is kept: nothing behind that is a request
-	dropped   int     // bytes of it
-	pauses    bool    // the reader waits in pause for freed
-	freed     chan struct{}
-	held      int64 // counted in s.bodies
+	phase          phase
+	requestBegun   bool          // a byte of the request under way was read; while one is open, of the next
+	requestID      string        // the core's id of the open request; empty: none
+	txn            string        // its X-Txn
+	deadline       time.Duration // its time is over; of the last request, where none is open
+	lastResponse   bool          // the answer under way is the connection's last
+	clientGone     bool          // the client has left, or the connection broke
+	watching       bool          // the reader waits in watch and must be woken by an answer ...
+	woken          bool          // ... as it was, by a read deadline that it takes back
+	writeShut      bool          // its writing side is shut
+	lingerElem     *list.Element
+	pipelined      []chunk // came behind the open request
+	pipelinedBytes int     // bytes in readAhead
+	overflowed     bool    // more came than is kept: nothing behind that is a request
+	droppedBytes   int     // bytes of it
+	paused         bool    // the reader waits in pause for freed
+	resume         chan struct{}
+	bodyBytes      int64 // counted in s.bodies
 
-	writes sync.WaitGroup // answers that wait for room in the socket's buffer
+	pendingWrites sync.WaitGroup // answers that wait for room in the socket's buffer
 
 	// The reader's own: when the bytes came that a request was last taken from, when the socket was last read, and the read
 	// under way; see Read.
-	arrived time.Duration
-	readAt  time.Duration
-	buf     []byte
-	n       int
-	err     error
-	step    func(fd uintptr) bool
+	arrivedAt time.Duration
+	readAt    time.Duration
+	readBuf   []byte
+	readN     int
+	readErr   error
+	readFunc  func(fd uintptr) bool
 }
 
 // chunk is what one read brought. A request's time runs from its last byte, also where it waits behind another one.
@@ -75,168 +75,168 @@
 }
 
 func newConn(s *Server, id connlimit.ID, nc *net.TCPConn, raw syscall.RawConn) *conn {
-	c := &conn{s: s, id: id, nc: nc, raw: raw, freed: make(chan struct{}, 1)}
-	c.step = c.readStep
-	c.rd = http1.NewReader(bufio.NewReaderSize(c, lineMost), http1.Limits{Head: headMost, Body: bodyMost, Room: c.room})
+	c := &conn{server: s, id: id, nc: nc, raw: raw, resume: make(chan struct{}, 1)}
+	c.readFunc = c.readStep
+	c.reader = http1.NewReader(bufio.NewReaderSize(c, readBufferBytes), http1.Limits{MaxHeadBytes: maxHeadBytes, MaxBodyBytes: maxBodyBytes, ReserveBody: c.reserveBody})
 	return c
 }
 
 // Read reads what came ahead, then from the socket.
 func (c *conn) Read(b []byte) (int, error) {
-	c.s.mu.Lock()
-	if len(c.readAhead) > 0 {
-		first := &c.readAhead[0]
+	c.server.mu.Lock()
+	if len(c.pipelined) > 0 {
+		first := &c.pipelined[0]
 		n := copy(b, first.bytes)
-		c.arrived = first.at
-		c.ahead -= n
-		c.s.bodies -= int64(n)
+		c.arrivedAt = first.at
+		c.pipelinedBytes -= n
+		c.server.bodyBytes -= int64(n)
 		if first.bytes = first.bytes[n:]; len(first.bytes) == 0 {
-			c.readAhead = c.readAhead[1:]
+			c.pipelined = c.pipelined[1:]
 		}
-		c.s.mu.Unlock()
+		c.server.mu.Unlock()
 		return n, nil
 	}
-	overrun := c.overrun
-	c.s.mu.Unlock()
+	overrun := c.overflowed
+	c.server.mu.Unlock()
 	if overrun {
 		return 0, io.EOF
 	}
-	n, err := c.receive(b)
-	c.arrived = c.readAt
+	n, err := c.readSocket(b)
+	c.arrivedAt = c.readAt
 	return n, err
 }
 
 // receive reads from the socket. Each step holds the lock, so that bytes are either still in the socket, where Peek finds
 // them, or the connection is known to ask.
-func (c *conn) receive(b []byte) (int, error) {
-	c.buf = b
+func (c *conn) readSocket(b []byte) (int, error) {
+	c.readBuf = b
 	for {
-		if err := c.raw.Read(c.step); err != nil {
+		if err := c.raw.Read(c.readFunc); err != nil {
 			return 0, err
 		}
-		if c.err != nil && socket.Transient(c.err) {
+		if c.readErr != nil && socket.IsTransient(c.readErr) {
 			time.Sleep(socket.RetryPause)
 			continue
 		}
-		if c.n == 0 && c.err == nil {
+		if c.readN == 0 && c.readErr == nil {
 			return 0, io.EOF
 		}
-		return c.n, c.err
+		return c.readN, c.readErr
 	}
 }
 
 func (c *conn) readStep(fd uintptr) bool {
-	c.s.mu.Lock()
-	defer c.s.mu.Unlock()
-	c.n, c.err = socket.ReadNow(fd, c.buf)
-	if c.err == syscall.EAGAIN {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	c.readN, c.readErr = socket.ReadNow(fd, c.readBuf)
+	if c.readErr == syscall.EAGAIN {
 		return false
 	}
 	switch {
-	case c.err != nil && socket.Transient(c.err):
+	case c.readErr != nil && socket.IsTransient(c.readErr):
 		return true
-	case c.n == 0:
-		c.gone = true
+	case c.readN == 0:
+		c.clientGone = true
 		return true
-	case c.phase == idle || c.phase == reading && !c.begun:
-		c.to(reading)
+	case c.phase == idle || c.phase == reading && !c.requestBegun:
+		c.setPhase(reading)
 	}
-	c.begun = true
-	c.readAt = c.s.clock()
+	c.requestBegun = true
+	c.readAt = c.server.clock()
 	return true
 }
 
 // unread reports whether bytes wait in the socket; s.mu is held.
-func (c *conn) unread() bool {
+func (c *conn) hasUnread() bool {
 	unread, _ := socket.Peek(c.raw)
 	return unread
 }
 
 // left reports whether the client has gone. The socket is asked too: at the write of an attempt the reader may not have
 // been let run since the client closed.
-func (c *conn) left(open string) bool {
-	c.s.mu.Lock()
-	defer c.s.mu.Unlock()
-	if c.gone || c.open != open {
+func (c *conn) clientLeft(open string) bool {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	if c.clientGone || c.requestID != open {
 		return true
 	}
-	_, c.gone = socket.Peek(c.raw)
-	return c.gone
+	_, c.clientGone = socket.Peek(c.raw)
+	return c.clientGone
 }
 
 // to changes the phase; s.mu is held.
-func (c *conn) to(p phase) {
+func (c *conn) setPhase(p phase) {
 	c.phase = p
-	now := c.s.clock()
+	now := c.server.clock()
 	switch p {
 	case reading:
-		c.s.limit.Reading(now, c.id)
+		c.server.limit.MarkReading(now, c.id)
 	case active:
-		c.s.limit.Active(now, c.id)
+		c.server.limit.MarkActive(now, c.id)
 	case idle:
-		c.s.limit.Idle(now, c.id)
+		c.server.limit.MarkIdle(now, c.id)
 	case closing:
-		c.s.limit.Closed(c.id)
+		c.server.limit.Remove(c.id)
 	}
 }
 
 // room counts bytes of a body in, so that hundreds of large ones don't take the process beyond its memory.
-func (c *conn) room(n int) bool {
-	c.s.mu.Lock()
-	defer c.s.mu.Unlock()
-	if !c.s.hasRoom(n) {
+func (c *conn) reserveBody(n int) bool {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	if !c.server.hasBodyRoom(n) {
 		return false
 	}
-	c.s.bodies += int64(n)
-	c.held += int64(n)
+	c.server.bodyBytes += int64(n)
+	c.bodyBytes += int64(n)
 	return true
 }
 
 func (c *conn) run() {
-	defer c.s.wg.Done()
-	defer c.end()
+	defer c.server.wg.Done()
+	defer c.finish()
 	for {
-		if c.rd.Wait() != nil || c.ends() {
+		if c.reader.Wait() != nil || c.isClosing() {
 			return
 		}
-		q, err := c.rd.Request()
+		q, err := c.reader.ReadRequest()
 		if err != nil {
-			c.reject(err)
+			c.rejectRequest(err)
 			return
 		}
-		if !c.request(q) || !c.watch() {
+		if !c.handleRequest(q) || !c.awaitResponse() {
 			return
 		}
 	}
 }
 
 // ends reports whether nothing that comes is a request any more.
-func (c *conn) ends() bool {
-	c.s.mu.Lock()
-	defer c.s.mu.Unlock()
+func (c *conn) isClosing() bool {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
 	return c.phase == closing
 }
 
 // watch returns once the connection may take its next request: while one is open, the reader waits for the client's end.
 // Bytes that come meanwhile must not hide that end, so they are read on and kept. False ends the connection.
-func (c *conn) watch() bool {
-	s := c.s
+func (c *conn) awaitResponse() bool {
+	s := c.server
 	var b []byte
 	s.mu.Lock()
 	for c.phase == active {
 		goesOn := true
 		switch {
-		case c.dropped > dropMost:
-			goesOn = c.pause()
-		case c.rd.Buffered() == 0 && c.ahead == 0:
+		case c.droppedBytes > maxDroppedBytes:
+			goesOn = c.awaitWithoutReading()
+		case c.reader.Buffered() == 0 && c.pipelinedBytes == 0:
 			s.mu.Unlock()
-			goesOn = c.rd.Wait() == nil
+			goesOn = c.reader.Wait() == nil
 			s.mu.Lock()
 		default:
 			if b == nil {
 				b = make([]byte, 16<<10)
 			}
-			goesOn = c.readOn(b)
+			goesOn = c.readPipelined(b)
 		}
 		if !goesOn {
 			s.mu.Unlock()
@@ -247,13 +247,13 @@
 		c.woken = false
 		until := time.Time{}
 		if c.phase == closing {
-			until = time.Now().Add(lingerFor)
+			until = time.Now().Add(lingerTimeout)
 		}
 		c.nc.SetReadDeadline(until)
 	}
-	if c.phase == idle && (c.rd.Buffered() > 0 || c.ahead > 0) {
-		c.to(reading)
-		c.begun = true
+	if c.phase == idle && (c.reader.Buffered() > 0 || c.pipelinedBytes > 0) {
+		c.setPhase(reading)
+		c.requestBegun = true
 	}
 	ends := c.phase == closing
 	s.mu.Unlock()
@@ -262,108 +262,110 @@
 
 // readOn reads what comes behind the open request, until its answer wakes it; s.mu is held, but while it waits. False says
 // that the client has gone. What is too much to keep is dropped: the connection ends behind what was kept.
-func (c *conn) readOn(b []byte) bool {
-	c.watches = true
-	c.s.mu.Unlock()
-	n, err := c.receive(b)
-	c.s.mu.Lock()
-	c.watches = false
+func (c *conn) readPipelined(b []byte) bool {
+	c.watching = true
+	c.server.mu.Unlock()
+	n, err := c.readSocket(b)
+	c.server.mu.Lock()
+	c.watching = false
 	if err != nil {
 		return errors.Is(err, os.ErrDeadlineExceeded)
 	}
-	if c.overrun = c.overrun || c.ahead+n > aheadMost || !c.s.hasRoom(n); c.overrun {
-		c.dropped += n
+	if c.overflowed = c.overflowed || c.pipelinedBytes+n > maxPipelinedBytes || !c.server.hasBodyRoom(n); c.overflowed {
+		c.droppedBytes += n
 		return true
 	}
-	c.readAhead = append(c.readAhead, chunk{bytes.Clone(b[:n]), c.readAt})
-	c.ahead += n
-	c.s.bodies += int64(n)
+	c.pipelined = append(c.pipelined, chunk{bytes.Clone(b[:n]), c.readAt})
+	c.pipelinedBytes += n
+	c.server.bodyBytes += int64(n)
 	return true
 }
 
 // pause waits for the open request's answer without reading; s.mu is held, but while it waits. False says that the client has
 // gone.
-func (c *conn) pause() bool {
-	c.pauses = true
-	c.s.mu.Unlock()
-	look := time.NewTicker(lookEvery)
+func (c *conn) awaitWithoutReading() bool {
+	c.paused = true
+	c.server.mu.Unlock()
+	look := time.NewTicker(peekInterval)
 	defer look.Stop()
 	for {
 		select {
-		case <-c.freed:
-			c.s.mu.Lock()
+		case <-c.resume:
+			c.server.mu.Lock()
 			return true
 		case <-look.C:
 		}
-		c.s.mu.Lock()
-		if _, c.gone = socket.Peek(c.raw); c.gone {
-			c.pauses = false
+		c.server.mu.Lock()
+		if _, c.clientGone = socket.Peek(c.raw); c.clientGone {
+			c.paused = false
 			return false
 		}
-		c.s.mu.Unlock()
+		c.server.mu.Unlock()
 	}
 }
 
 // hasRoom reports whether so many bytes more may be held; s.mu is held.
-func (s *Server) hasRoom(n int) bool { return s.bodyRoom == 0 || s.bodies+int64(n) <= s.bodyRoom }
+func (s *Server) hasBodyRoom(n int) bool {
+	return s.maxBodyBytes == 0 || s.bodyBytes+int64(n) <= s.maxBodyBytes
+}
 
 // request takes one request whose head was read; false ends the connection.
-func (c *conn) request(q *http1.Request) bool {
-	s := c.s
-	if q.A == "GET" && q.B == "/health/ready" && q.Length == 0 {
-		return c.health(q.Close)
+func (c *conn) handleRequest(q *http1.Request) bool {
+	s := c.server
+	if q.A == "GET" && q.B == "/health/ready" && q.BodyLength == 0 {
+		return c.serveHealth(q.Close)
 	}
-	if q.A == "POST" && q.Length == 0 {
+	if q.A == "POST" && q.BodyLength == 0 {
 		if _, n := q.Get("Content-Length"); n == 0 {
-			c.reject(fault(411, "POST without a length"))
+			c.rejectRequest(requestError(411, "POST without a length"))
 			return false
 		}
 	}
-	if q.Expects && c.rd.Buffered() == 0 {
-		c.tell([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+	if q.ExpectContinue && c.reader.Buffered() == 0 {
+		c.writeInterim([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
-	body, err := c.rd.Body(q.Length)
+	body, err := c.reader.ReadBody(q.BodyLength)
 	if err != nil {
-		c.reject(err)
+		c.rejectRequest(err)
 		return false
 	}
-	call, p, err := s.rules.read(q, body, c.arrived)
+	call, p, err := s.rules.parse(q, body, c.arrivedAt)
 	if err != nil {
-		c.reject(err)
+		c.rejectRequest(err)
 		return false
 	}
 	call.ID = strconv.FormatUint(uint64(c.id), 36) + "-" + p.txn
-	call.Form = func(_ int, left time.Duration) []byte { return p.form(left) }
-	call.Done = func(f frontend.Final) { c.done(call.ID, f) }
-	call.Left = func() bool { return c.left(call.ID) }
-	if err := c.opens(call, p.txn, q.Close); err != nil {
-		c.reject(err)
+	call.EncodeAttempt = func(_ int, left time.Duration) []byte { return p.encode(left) }
+	call.Done = func(f frontend.Response) { c.respond(call.ID, f) }
+	call.ClientGone = func() bool { return c.clientLeft(call.ID) }
+	if err := c.openRequest(call, p.txn, q.Close); err != nil {
+		c.rejectRequest(err)
 		return false
 	}
 	s.Requests.Add(1)
-	s.core.Call(call)
+	s.core.Submit(call)
 	return true
 }
 
 // opens makes a request the connection's open one, or says why it can't be. A request that was read behind the
 // connection's end is none: its client was told that it ended, and asks again elsewhere.
-func (c *conn) opens(call *frontend.Call, txn string, last bool) error {
-	s := c.s
+func (c *conn) openRequest(call *frontend.Request, txn string, last bool) error {
+	s := c.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	switch _, twice := s.ids[txn]; {
+	switch _, twice := s.openTxns[txn]; {
 	case c.phase == closing:
 		return net.ErrClosed
 	case s.stopping:
-		return fault(503, "the gateway stops")
+		return requestError(503, "the gateway stops")
 	case twice:
-		return fault(409, "X-Txn %.64q is open", txn)
-	case !s.core.Enter():
-		return fault(503, "too many requests are open")
+		return requestError(409, "X-Txn %.64q is open", txn)
+	case !s.core.Reserve():
+		return requestError(503, "too many requests are open")
 	}
-	s.ids[txn] = struct{}{}
-	c.open, c.txn, c.due = call.ID, txn, call.Deadline
-	c.last, c.begun = last || c.last, c.rd.Buffered() > 0 || c.ahead > 0
-	c.to(active)
+	s.openTxns[txn] = struct{}{}
+	c.requestID, c.txn, c.deadline = call.ID, txn, call.Deadline
+	c.lastResponse, c.requestBegun = last || c.lastResponse, c.reader.Buffered() > 0 || c.pipelinedBytes > 0
+	c.setPhase(active)
 	return nil
 }
--- a/internal/frontend/http/request.go
+++ b/internal/frontend/http/request.go
@@ -17,12 +17,12 @@
 	classes  map[string]decide.Class
 	plans    map[string]bool
 	gateways int
-	units    float64 // of one request at most; 0: any number
+	maxUnits float64 // of one request at most; 0: any number
 }
 
 // NewRules takes them from the settings.
 func NewRules(c *decide.Config) *Rules {
-	r := &Rules{classes: map[string]decide.Class{}, plans: map[string]bool{}, gateways: c.Gateways, units: c.MaxUnits}
+	r := &Rules{classes: map[string]decide.Class{}, plans: map[string]bool{}, gateways: c.Gateways, maxUnits: c.MaxUnits}
 	for _, k := range c.Classes {
 		r.classes[k.Name] = k
 	}
@@ -33,110 +33,110 @@
 }
 
 // customers is the bound on a customer's number.
-const customers = 1 << 33
+const customerLimit = 1 << 33
 
 // fault is a field that can't be used.
-func fault(status int, form string, args ...any) error {
-	return &http1.Error{Status: status, Why: fmt.Sprintf(form, args...)}
+func requestError(status int, form string, args ...any) error {
+	return &http1.Error{Status: status, Reason: fmt.Sprintf(form, args...)}
 }
 
 // one reads a field that must come just once, of visible characters and not too long.
-func one(q *http1.Request, name string, most int) (string, error) {
+func singleField(q *http1.Request, name string, most int) (string, error) {
 	v, n := q.Get(name)
 	if n != 1 {
-		return "", fault(400, "%d fields %s, want one", n, name)
+		return "", requestError(400, "%d fields %s, want one", n, name)
 	}
 	if v == "" || len(v) > most || strings.ContainsFunc(v, func(c rune) bool { return c <= ' ' || c > '~' }) {
-		return "", fault(400, "%s is %.40q, want 1 to %d visible characters", name, v, most)
+		return "", requestError(400, "%s is %.40q, want 1 to %d visible characters", name, v, most)
 	}
 	return v, nil
 }
 
 // parsed is a request that can be used.
-type parsed struct {
-	txn, method, target, key, kind string
-	body                           []byte
+type parsedRequest struct {
+	txn, method, target, idempotencyKey, contentType string
+	body                                             []byte
 }
 
 // read checks a whole request against the settings, before the core hears of it: what can't be used must neither
 // charge nor make a customer.
-func (r *Rules) read(q *http1.Request, body []byte, now time.Duration) (*frontend.Call, *parsed, error) {
-	p := &parsed{method: q.A, target: q.B, body: body}
+func (r *Rules) parse(q *http1.Request, body []byte, now time.Duration) (*frontend.Request, *parsedRequest, error) {
+	p := &parsedRequest{method: q.A, target: q.B, body: body}
 	var err error
-	if p.txn, err = one(q, "X-Txn", 64); err != nil {
+	if p.txn, err = singleField(q, "X-Txn", 64); err != nil {
 		return nil, nil, err
 	}
-	name, err := one(q, "X-Lane", 128)
+	name, err := singleField(q, "X-Lane", 128)
 	if err != nil {
 		return nil, nil, err
 	}
 	class, ok := r.classes[name]
 	if !ok {
-		return nil, nil, fault(400, "X-Lane: no class %.40q", name)
+		return nil, nil, requestError(400, "X-Lane: no class %.40q", name)
 	}
-	plan, err := one(q, "X-Plan", 128)
+	plan, err := singleField(q, "X-Plan", 128)
 	if err != nil {
 		return nil, nil, err
 	}
 	if !r.plans[plan] {
-		return nil, nil, fault(400, "X-Plan: no plan %.40q", plan)
+		return nil, nil, requestError(400, "X-Plan: no plan %.40q", plan)
 	}
-	who, err := one(q, "X-Customer", 16)
+	who, err := singleField(q, "X-Customer", 16)
 	if err != nil {
 		return nil, nil, err
 	}
-	if n, err := strconv.ParseUint(who, 16, 64); err != nil || len(who) != 16 || n >= customers || who != strings.ToLower(who) {
-		return nil, nil, fault(400, "X-Customer is %.40q, want 16 hex digits of a number under 2^33", who)
+	if n, err := strconv.ParseUint(who, 16, 64); err != nil || len(who) != 16 || n >= customerLimit || who != strings.ToLower(who) {
+		return nil, nil, requestError(400, "X-Customer is %.40q, want 16 hex digits of a number under 2^33", who)
 	}
-	left, err := one(q, "X-Remaining-Ms", 12)
+	left, err := singleField(q, "X-Remaining-Ms", 12)
 	if err != nil {
 		return nil, nil, err
 	}
-	ms, ok := digits(left)
+	ms, ok := parseDigits(left)
 	if most := math.Ceil(float64(class.Deadline) / float64(time.Millisecond)); !ok || ms < 1 || ms > most {
-		return nil, nil, fault(400, "X-Remaining-Ms is %.40q, want a whole number of 1 to %g", left, most)
+		return nil, nil, requestError(400, "X-Remaining-Ms is %.40q, want a whole number of 1 to %g", left, most)
 	}
-	c := &frontend.Call{Class: name, Plan: plan, Member: who, Deadline: now + time.Duration(ms)*time.Millisecond,
-		Write: class.Idempotency != decide.Idempotent}
-	if c.Units, c.Spread, c.First, err = r.quota(q); err != nil {
+	c := &frontend.Request{Class: name, Plan: plan, Customer: who, Deadline: now + time.Duration(ms)*time.Millisecond,
+		Mutates: class.Idempotency != decide.Idempotent}
+	if c.Units, c.GatewayCount, c.FirstGateway, err = r.parseQuota(q); err != nil {
 		return nil, nil, err
 	}
 	if again, n := q.Get("X-Resent"); n > 0 {
-		c.Again = again == "1"
+		c.IsRetry = again == "1"
 	}
-	return c, p, p.fits(q, &class)
+	return c, p, p.checkClass(q, &class)
 }
 
 // fits checks method, body and key against what the class's effect asks for.
-func (p *parsed) fits(q *http1.Request, class *decide.Class) error {
+func (p *parsedRequest) checkClass(q *http1.Request, class *decide.Class) error {
 	_, keys := q.Get("Idempotency-Key")
 	_, types := q.Get("Content-Type")
 	if types == 1 {
-		p.kind, _ = q.Get("Content-Type")
+		p.contentType, _ = q.Get("Content-Type")
 	}
 	want := "POST"
 	if class.Idempotency == decide.Idempotent {
 		want = "GET"
 	}
 	if p.method != want {
-		return fault(405, "method %.20q for class %q, want %s", p.method, class.Name, want)
+		return requestError(405, "method %.20q for class %q, want %s", p.method, class.Name, want)
 	}
 	if want == "GET" && len(p.body) > 0 {
-		return fault(400, "a body of %d bytes with GET", len(p.body))
+		return requestError(400, "a body of %d bytes with GET", len(p.body))
 	}
 	if class.Idempotency != decide.IdempotentByKey {
 		if keys > 0 {
-			return fault(400, "Idempotency-Key with class %q, which has none", class.Name)
+			return requestError(400, "Idempotency-Key with class %q, which has none", class.Name)
 		}
 		return nil
 	}
 	var err error
-	p.key, err = one(q, "Idempotency-Key", 128)
+	p.idempotencyKey, err = singleField(q, "Idempotency-Key", 128)
 	return err
 }
 
 // digits reads a whole number of a few digits.
-func digits(s string) (float64, bool) {
+func parseDigits(s string) (float64, bool) {
 	if s == "" || len(s) > 12 {
 		return 0, false
 	}
@@ -150,8 +150,8 @@
 }
 
 // quota reads "units=2,spread=3,first=1". What else it may hold some day is no concern of ours.
-func (r *Rules) quota(q *http1.Request) (units float64, spread, first int, err error) {
-	text, err := one(q, "X-Quota", 256)
+func (r *Rules) parseQuota(q *http1.Request) (units float64, spread, first int, err error) {
+	text, err := singleField(q, "X-Quota", 256)
 	if err != nil {
 		return 0, 0, 0, err
 	}
@@ -159,15 +159,15 @@
 	for part := range strings.SplitSeq(text, ",") {
 		name, v, ok := strings.Cut(part, "=")
 		if !ok {
-			return 0, 0, 0, fault(400, "X-Quota: %.40q, want name=value", part)
+			return 0, 0, 0, requestError(400, "X-Quota: %.40q, want name=value", part)
 		}
 		if name != "units" && name != "spread" && name != "first" {
 			continue
 		}
 		whole, frac, point := strings.Cut(v, ".")
-		n, ok := digits(whole)
+		n, ok := parseDigits(whole)
 		if point && ok && name == "units" {
-			if _, ok = digits(frac); ok {
+			if _, ok = parseDigits(frac); ok {
 				n, err = strconv.ParseFloat(v, 64)
 				ok = err == nil
 			}
@@ -175,36 +175,36 @@
 			ok = false
 		}
 		if _, twice := got[name]; !ok || twice {
-			return 0, 0, 0, fault(400, "X-Quota: %s is %.40q, want one number", name, v)
+			return 0, 0, 0, requestError(400, "X-Quota: %s is %.40q, want one number", name, v)
 		}
 		got[name] = n
 	}
 	if len(got) != 3 {
-		return 0, 0, 0, fault(400, "X-Quota is %.40q, want units, spread and first", text)
+		return 0, 0, 0, requestError(400, "X-Quota is %.40q, want units, spread and first", text)
 	}
-	if u := got["units"]; u <= 0 || r.units > 0 && u > r.units {
-		return 0, 0, 0, fault(400, "X-Quota: units is %g, want more than 0 and %g at most", u, r.units)
+	if u := got["units"]; u <= 0 || r.maxUnits > 0 && u > r.maxUnits {
+		return 0, 0, 0, requestError(400, "X-Quota: units is %g, want more than 0 and %g at most", u, r.maxUnits)
 	}
 	if s := got["spread"]; s < 1 || s > float64(r.gateways) {
-		return 0, 0, 0, fault(400, "X-Quota: spread is %g, want 1 to %d", s, r.gateways)
+		return 0, 0, 0, requestError(400, "X-Quota: spread is %g, want 1 to %d", s, r.gateways)
 	}
 	if f := got["first"]; f >= float64(r.gateways) {
-		return 0, 0, 0, fault(400, "X-Quota: first is %g, want 0 to %d", f, r.gateways-1)
+		return 0, 0, 0, requestError(400, "X-Quota: first is %g, want 0 to %d", f, r.gateways-1)
 	}
 	return got["units"], int(got["spread"]), int(got["first"]), nil
 }
 
 // form makes the bytes of an attempt: what the client sent goes on unchanged, with the time that is left.
-func (p *parsed) form(left time.Duration) []byte {
-	b := make([]byte, 0, 192+len(p.target)+len(p.txn)+len(p.key)+len(p.body))
+func (p *parsedRequest) encode(left time.Duration) []byte {
+	b := make([]byte, 0, 192+len(p.target)+len(p.txn)+len(p.idempotencyKey)+len(p.body))
 	b = append(append(append(append(b, p.method...), ' '), p.target...), " HTTP/1.1\r\nHost: service.internal\r\nX-Txn: "...)
 	b = append(append(b, p.txn...), "\r\nX-Remaining-Ms: "...)
 	b = strconv.AppendInt(b, max(0, left.Milliseconds()), 10)
-	if p.key != "" {
-		b = append(append(b, "\r\nIdempotency-Key: "...), p.key...)
+	if p.idempotencyKey != "" {
+		b = append(append(b, "\r\nIdempotency-Key: "...), p.idempotencyKey...)
 	}
-	if p.kind != "" {
-		b = append(append(b, "\r\nContent-Type: "...), p.kind...)
+	if p.contentType != "" {
+		b = append(append(b, "\r\nContent-Type: "...), p.contentType...)
 	}
 	if p.method != "GET" {
 		b = strconv.AppendInt(append(b, "\r\nContent-Length: "...), int64(len(p.body)), 10)
--- a/internal/frontend/http/server_test.go
+++ b/internal/frontend/http/server_test.go
@@ -19,21 +19,21 @@
 // core is a loop that answers when it is told to.
 type core struct {
 	mu    sync.Mutex
-	calls []*frontend.Call
+	calls []*frontend.Request
 	gone  []string
-	came  chan *frontend.Call
+	came  chan *frontend.Request
 	left  chan string
 }
 
-func (c *core) Enter() bool { return true }
-func (c *core) Call(f *frontend.Call) {
+func (c *core) Reserve() bool { return true }
+func (c *core) Submit(f *frontend.Request) {
 	c.mu.Lock()
 	c.calls = append(c.calls, f)
 	c.mu.Unlock()
 	c.came <- f
 }
-func (c *core) Gone(id string) { c.left <- id }
-func (c *core) n() int         { c.mu.Lock(); defer c.mu.Unlock(); return len(c.calls) }
+func (c *core) Disconnected(id string) { c.left <- id }
+func (c *core) n() int                 { c.mu.Lock(); defer c.mu.Unlock(); return len(c.calls) }
 
 var began = time.Now()
 
@@ -42,8 +42,8 @@
 	cfg := &decide.Config{Gateways: 3, MaxUnits: 8, Plans: []decide.Plan{{Name: "team"}}, Classes: []decide.Class{
 		{Name: "get", Idempotency: decide.Idempotent, Deadline: 4 * time.Second}, {Name: "put", Idempotency: decide.IdempotentByKey, Deadline: time.Second},
 		{Name: "pay", Idempotency: decide.NotIdempotent, Deadline: time.Second}}}
-	c := &core{came: make(chan *frontend.Call, 1000), left: make(chan string, 1000)}
-	s := New(NewRules(cfg), c, Options{Conns: seats}, func() time.Duration { return time.Since(began) }, func() bool { return true },
+	c := &core{came: make(chan *frontend.Request, 1000), left: make(chan string, 1000)}
+	s := New(NewRules(cfg), c, Options{MaxConns: seats}, func() time.Duration { return time.Since(began) }, func() bool { return true },
 		slog.New(slog.DiscardHandler))
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -113,27 +113,27 @@
 	core, _, addr := start(t, 10)
 	c := dial(t, addr).send(usual("POST /api?x=1", "X-Resent: 1") + "abc")
 	call := <-core.came
-	if call.Class != "put" || call.Plan != "team" || call.Member != "00000000b4d65521" || call.Units != 2 || call.Spread != 3 ||
-		call.First != 1 || !call.Again || !call.Write {
+	if call.Class != "put" || call.Plan != "team" || call.Customer != "00000000b4d65521" || call.Units != 2 || call.GatewayCount != 3 ||
+		call.FirstGateway != 1 || !call.IsRetry || !call.Mutates {
 		t.Errorf("%+v", call)
 	}
 	if left := call.Deadline - time.Since(began); left > 480*time.Millisecond || left < -10*time.Second {
 		t.Errorf("deadline in %v, want 480 ms at most", left)
 	}
 	want := "POST /api?x=1 HTTP/1.1\r\nHost: service.internal\r\nX-Txn: t1\r\nX-Remaining-Ms: 200\r\nIdempotency-Key: k1\r\nContent-Length: 3\r\n\r\nabc"
-	if got := string(call.Form(0, 200*time.Millisecond)); got != want {
+	if got := string(call.EncodeAttempt(0, 200*time.Millisecond)); got != want {
 		t.Errorf("goes on as %q, want %q", got, want)
 	}
-	call.Done(frontend.Final{Kind: frontend.Served, Body: []byte("body")})
+	call.Done(frontend.Response{Kind: frontend.Served, Body: []byte("body")})
 	if status, body, _ := c.read(); status != 200 || body != "body" {
 		t.Errorf("answer %d %q, want 200 and the body unchanged", status, body)
 	}
 	for _, want := range []struct {
-		f      frontend.Final
+		f      frontend.Response
 		status int
 		after  string
-	}{{frontend.Final{Kind: frontend.Refused, RetryAfter: 80 * time.Millisecond}, 429, "0.080"}, {frontend.Final{Kind: frontend.Refused}, 429, ""},
-		{frontend.Final{Kind: frontend.Failed}, 502, ""}} {
+	}{{frontend.Response{Kind: frontend.Rejected, RetryAfter: 80 * time.Millisecond}, 429, "0.080"}, {frontend.Response{Kind: frontend.Rejected}, 429, ""},
+		{frontend.Response{Kind: frontend.Failed}, 502, ""}} {
 		c.send(usual("POST /api") + "abc")
 		(<-core.came).Done(want.f)
 		if status, _, h := c.read(); status != want.status || h.Get("Retry-After") != want.after {
@@ -186,7 +186,7 @@
 	if status, _, _ := dial(t, addr).send(usual("POST /api") + "abc").read(); status != 409 {
 		t.Errorf("the same id: %d, want 409", status)
 	}
-	first.Done(frontend.Final{Kind: frontend.Served, Body: []byte("x")})
+	first.Done(frontend.Response{Kind: frontend.Served, Body: []byte("x")})
 	if status, _, _ := a.read(); status != 200 {
 		t.Errorf("the open request: %d, want 200", status)
 	}
@@ -205,15 +205,15 @@
 	}
 	again := dial(t, addr).send(usual("POST /api") + "abc")
 	second := <-core.came
-	call.Done(frontend.Final{Kind: frontend.Failed}) // crosses it: the id is the second's now
+	call.Done(frontend.Response{Kind: frontend.Failed}) // crosses it: the id is the second's now
 	if status, _, _ := dial(t, addr).send(usual("POST /api") + "abc").read(); status != 409 {
 		t.Errorf("the id while the second is open: %d, want 409", status)
 	}
-	second.Done(frontend.Final{Kind: frontend.Failed})
+	second.Done(frontend.Response{Kind: frontend.Failed})
 	again.read()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n := len(s.ids); n != 0 {
+	if n := len(s.openTxns); n != 0 {
 		t.Errorf("%d ids are held, want none", n)
 	}
 }
@@ -228,8 +228,8 @@
 		t.Fatal("two requests of one connection are open")
 	case <-time.After(50 * time.Millisecond):
 	}
-	first.Done(frontend.Final{Kind: frontend.Served, Body: []byte("1")})
-	(<-core.came).Done(frontend.Final{Kind: frontend.Served, Body: []byte("2")})
+	first.Done(frontend.Response{Kind: frontend.Served, Body: []byte("1")})
+	(<-core.came).Done(frontend.Response{Kind: frontend.Served, Body: []byte("2")})
 	for _, want := range []string{"200 1", "200 2", "400"} {
 		if status, body, _ := c.read(); !strings.HasPrefix(fmt.Sprint(status, " ", body), want) {
 			t.Errorf("%d %q, want %s", status, body, want)
@@ -246,7 +246,7 @@
 		silent = append(silent, dial(t, addr))
 	}
 	c := dial(t, addr).send(usual("POST /api") + "abc")
-	(<-core.came).Done(frontend.Final{Kind: frontend.Served, Body: []byte("x")})
+	(<-core.came).Done(frontend.Response{Kind: frontend.Served, Body: []byte("x")})
 	if status, _, _ := c.read(); status != 200 {
 		t.Errorf("a usual client beside them: %d, want 200", status)
 	}
@@ -271,7 +271,7 @@
 	c.send(usual("POST /api") + "abc")
 	call := <-core.came
 	done := make(chan struct{})
-	go func() { call.Done(frontend.Final{Kind: frontend.Served, Body: make([]byte, 64<<20)}); close(done) }()
+	go func() { call.Done(frontend.Response{Kind: frontend.Served, Body: make([]byte, 64<<20)}); close(done) }()
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
@@ -296,7 +296,7 @@
 		t.Errorf("ready while stopping: %d, want 503", status)
 	}
 	c = dial(t, addr).send(usual("POST /api") + "abc")
-	(<-core.came).Done(frontend.Final{Kind: frontend.Served, Body: []byte("x")})
+	(<-core.came).Done(frontend.Response{Kind: frontend.Served, Body: []byte("x")})
 	if status, _, h := c.read(); status != 200 || h.Get("Connection") != "close" {
 		t.Errorf("while stopping: %d, Connection %q, want 200 and close", status, h.Get("Connection"))
 	}
--- a/internal/frontend/websocket/server.go
+++ b/internal/frontend/websocket/server.go
@@ -27,33 +27,33 @@
 
 // Server takes clients' connections.
 type Server struct {
-	core       frontend.Core
-	clock      func() time.Duration
-	log        *slog.Logger
-	caps       config.Caps
-	rank, size int
-	maxUnits   float64
-	retryAfter time.Duration
-	classes    map[string]*decide.Class
-	members    []config.Member
-	book       *credentials.Book
-	prefix     string
-	ids        atomic.Uint64
+	core               frontend.Core
+	clock              func() time.Duration
+	log                *slog.Logger
+	limits             config.ResourceLimits
+	rank, gatewayCount int
+	maxUnits           float64
+	retryAfter         time.Duration
+	classes            map[string]*decide.Class
+	members            []config.Member
+	keys               *credentials.MemberIndex
+	prefix             string
+	ids                atomic.Uint64
 
-	draining atomic.Bool
-	mu       sync.Mutex
-	ln       net.Listener
-	conns    map[net.Conn]*session // nil while its handshake is under way
-	turned   map[string]int64
-	wg       sync.WaitGroup
+	draining   atomic.Bool
+	mu         sync.Mutex
+	ln         net.Listener
+	conns      map[net.Conn]*session // nil while its handshake is under way
+	rejections map[string]int64
+	wg         sync.WaitGroup
 }
 
 // New returns a server for one gateway of a fleet. prefix begins the ids of its calls and must differ from
 // life to life.
 func New(f *config.Fleet, rank int, prefix string, core frontend.Core, clock func() time.Duration, log *slog.Logger) *Server {
-	s := &Server{core: core, clock: clock, log: log, caps: f.Caps, rank: rank, size: len(f.Gateways),
+	s := &Server{core: core, clock: clock, log: log, limits: f.Caps, rank: rank, gatewayCount: len(f.Gateways),
 		maxUnits: f.Decide.MaxUnits, classes: map[string]*decide.Class{}, members: f.Members,
-		book: credentials.NewBook(f.Secret), prefix: prefix, conns: map[net.Conn]*session{}, turned: map[string]int64{}}
+		keys: credentials.NewMemberIndex(f.Secret), prefix: prefix, conns: map[net.Conn]*session{}, rejections: map[string]int64{}}
 	if f.Decide.Limits.RetryAfter {
 		s.retryAfter = f.Decide.Limits.MaxRetryAfter
 	}
@@ -62,7 +62,7 @@
 	}
 	for i, m := range f.Members {
 		for _, d := range m.Keys {
-			s.book.Add(d, i)
+			s.keys.Add(d, i)
 		}
 	}
 	return s
@@ -70,25 +70,25 @@
 
 func (s *Server) nextID() string { return s.prefix + strconv.FormatUint(s.ids.Add(1), 36) }
 
-func (s *Server) turnedAway(why string) {
+func (s *Server) countRejection(why string) {
 	s.mu.Lock()
-	s.turned[why]++
+	s.rejections[why]++
 	s.mu.Unlock()
 }
 
 // TurnedAway tells how many calls and handshakes the front itself turned away, by reason.
-func (s *Server) TurnedAway() map[string]int64 {
+func (s *Server) Rejections() map[string]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := map[string]int64{}
-	for k, v := range s.turned {
+	for k, v := range s.rejections {
 		out[k] = v
 	}
 	return out
 }
 
 // Sessions is how many connections are held.
-func (s *Server) Sessions() int {
+func (s *Server) SessionCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
@@ -116,46 +116,46 @@
 		}
 		wait = time.Millisecond
 		s.mu.Lock()
-		full := len(s.conns) >= s.caps.Sessions || s.draining.Load()
+		full := len(s.conns) >= s.limits.MaxSessions || s.draining.Load()
 		if !full {
 			s.conns[nc] = nil
 			s.wg.Add(1)
 		}
 		s.mu.Unlock()
 		if full {
-			s.turnedAway("sessions_cap")
+			s.countRejection("sessions_cap")
 			nc.SetWriteDeadline(time.Now().Add(time.Second))
-			nc.Write((&websocket.Refusal{Status: 503, Reason: "no more sessions"}).Response())
+			nc.Write((&websocket.HandshakeError{Status: 503, Reason: "no more sessions"}).Response())
 			nc.Close()
 			continue
 		}
-		go s.session(nc)
+		go s.serveSession(nc)
 	}
 }
 
 // session does the handshake and goes on in a goroutine of its own: what the handshake grew its stack to is not
 // kept for as long as an idle session lasts.
 
-func (s *Server) session(nc net.Conn) {
-	c := s.open(nc)
+func (s *Server) serveSession(nc net.Conn) {
+	c := s.handshake(nc)
 	if c == nil {
 		nc.Close()
-		s.gone(nc)
+		s.removeSession(nc)
 		return
 	}
 	s.mu.Lock()
 	s.conns[nc] = c
 	s.mu.Unlock()
 	if s.draining.Load() {
-		c.link.Close(websocket.CodeGoingAway, "this gateway stops")
+		c.ws.Close(websocket.CodeGoingAway, "this gateway stops")
 	}
 	go func() {
-		c.run()
-		s.gone(nc)
+		c.readLoop()
+		s.removeSession(nc)
 	}()
 }
 
-func (s *Server) gone(nc net.Conn) {
+func (s *Server) removeSession(nc net.Conn) {
 	s.mu.Lock()
 	delete(s.conns, nc)
 	s.mu.Unlock()
@@ -163,19 +163,19 @@
 }
 
 // open does the handshake. Until it is done the peer costs a goroutine and a small buffer, for a bounded time.
-func (s *Server) open(nc net.Conn) *session {
-	c := &session{s: s}
+func (s *Server) handshake(nc net.Conn) *session {
+	c := &session{server: s}
 	var err error
-	c.link, err = wsconn.Accept(nc, protocol, s.caps.Handshake, func(u *websocket.Upgrade) (err error) {
-		c.member, err = s.known(u)
+	c.ws, err = wsconn.Accept(nc, protocol, s.limits.HandshakeTimeout, func(u *websocket.Upgrade) (err error) {
+		c.member, err = s.authenticate(u)
 		return err
-	}, wsconn.Options{Message: int64(s.caps.Message), Frame: int64(s.caps.Frame), Queue: s.caps.Queue, WriteWait: s.caps.Write})
+	}, wsconn.Options{MaxMessage: int64(s.limits.MaxMessageBytes), MaxFrame: int64(s.limits.MaxFrameBytes), MaxQueue: s.limits.MaxQueuedBytes, WriteTimeout: s.limits.WriteTimeout})
 	if err == nil {
 		return c
 	}
-	var r *websocket.Refusal
+	var r *websocket.HandshakeError
 	if errors.As(err, &r) {
-		s.turnedAway("handshake_" + strconv.Itoa(r.Status))
+		s.countRejection("handshake_" + strconv.Itoa(r.Status))
 		nc.Write(r.Response())
 		// What the client still sends is taken for a moment: a reset would take the answer from it.
 		if tc, ok := nc.(*net.TCPConn); ok && tc.CloseWrite() == nil {
@@ -187,22 +187,22 @@
 }
 
 // known finds who a client is.
-func (s *Server) known(u *websocket.Upgrade) (*config.Member, error) {
+func (s *Server) authenticate(u *websocket.Upgrade) (*config.Member, error) {
 	scheme, key, _ := strings.Cut(u.Header["authorization"], " ")
 	i, ok := 0, false
 	if strings.EqualFold(scheme, "Bearer") {
-		i, ok = s.book.Find(strings.TrimSpace(key))
+		i, ok = s.keys.Find(strings.TrimSpace(key))
 	}
 	if !ok {
-		return nil, &websocket.Refusal{Status: 401, Reason: "a key is wanted: Authorization: Bearer KEY",
-			Extra: "WWW-Authenticate: Bearer realm=\"winghatch\"\r\n"}
+		return nil, &websocket.HandshakeError{Status: 401, Reason: "a key is wanted: Authorization: Bearer KEY",
+			ExtraHeader: "WWW-Authenticate: Bearer realm=\"winghatch\"\r\n"}
 	}
 	if !u.Offers(protocol) {
-		return nil, &websocket.Refusal{Status: 400, Reason: "Sec-WebSocket-Protocol: want " + protocol}
+		return nil, &websocket.HandshakeError{Status: 400, Reason: "Sec-WebSocket-Protocol: want " + protocol}
 	}
 	m := &s.members[i]
-	if (s.rank-m.First+s.size)%s.size >= m.Spread {
-		return nil, &websocket.Refusal{Status: 403, Reason: fmt.Sprintf("gateway %d is none of this member's, which are %d from %d on",
+	if (s.rank-m.First+s.gatewayCount)%s.gatewayCount >= m.Spread {
+		return nil, &websocket.HandshakeError{Status: 403, Reason: fmt.Sprintf("gateway %d is none of this member's, which are %d from %d on",
 			s.rank, m.Spread, m.First)}
 	}
 	return m, nil
@@ -210,17 +210,17 @@
 
 // Keep finds sessions whose client vanished without closing, until the context ends. Their calls are called
 // off as those of any client that leaves.
-func (s *Server) Keep(ctx context.Context) {
-	wsconn.Keep(ctx, s.caps.Ping, func() (out []*wsconn.Conn) {
+func (s *Server) PingIdle(ctx context.Context) {
+	wsconn.PingIdle(ctx, s.limits.PingAfter, func() (out []*wsconn.Conn) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for _, c := range s.conns {
 			if c != nil {
-				out = append(out, c.link)
+				out = append(out, c.ws)
 			}
 		}
 		return out
-	}, func() { s.turnedAway("silent") })
+	}, func() { s.countRejection("silent") })
 }
 
 // Drain takes no new session and no new call, and closes each session behind its last answer.
@@ -236,10 +236,10 @@
 			continue
 		}
 		c.mu.Lock()
-		idle := len(c.open)+len(c.quiet) == 0
+		idle := len(c.calls)+len(c.notifications) == 0
 		c.mu.Unlock()
 		if idle {
-			c.link.Close(websocket.CodeGoingAway, "this gateway stops")
+			c.ws.Close(websocket.CodeGoingAway, "this gateway stops")
 		}
 	}
 }
--- a/internal/frontend/websocket/session.go
+++ b/internal/frontend/websocket/session.go
@@ -20,54 +20,54 @@
 
 // session is one client's connection.
 type session struct {
-	s      *Server
-	link   *wsconn.Conn
+	server *Server
+	ws     *wsconn.Conn
 	member *config.Member
-	skew   skew // the reader's
+	skew   clockSkew // the reader's
 
-	mu     sync.Mutex
-	open   map[jsonrpc.ID]string // calls without a final answer: the gateway's id of each
-	quiet  map[string]bool       // open notifications
-	closed bool
+	mu            sync.Mutex
+	calls         map[jsonrpc.ID]string // calls without a final answer: the gateway's id of each
+	notifications map[string]bool       // open notifications
+	closed        bool
 }
 
 // run reads until the connection ends; then no answer is owed any more.
-func (c *session) run() {
+func (c *session) readLoop() {
 	for {
-		data, err := c.link.Read()
+		data, err := c.ws.Read()
 		if err != nil {
 			break
 		}
-		c.message(data)
+		c.handleMessage(data)
 	}
 	c.mu.Lock()
 	c.closed = true
-	open, quiet := c.open, c.quiet
-	c.open, c.quiet = nil, nil
+	open, quiet := c.calls, c.notifications
+	c.calls, c.notifications = nil, nil
 	c.mu.Unlock()
 	for _, id := range open {
-		c.s.core.Gone(id)
+		c.server.core.Disconnected(id)
 	}
 	for id := range quiet {
-		c.s.core.Gone(id)
+		c.server.core.Disconnected(id)
 	}
 }
 
 // batch gathers the answers to a batch; the last one sends them all.
-type batch struct {
-	mu    sync.Mutex
-	left  int
-	parts [][]byte
-	send  func([]byte)
+type batchAnswer struct {
+	mu        sync.Mutex
+	remaining int
+	parts     [][]byte
+	send      func([]byte)
 }
 
-func (b *batch) done(part []byte) {
+func (b *batchAnswer) add(part []byte) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if part != nil {
 		b.parts = append(b.parts, part)
 	}
-	if b.left--; b.left == 0 && len(b.parts) > 0 {
+	if b.remaining--; b.remaining == 0 && len(b.parts) > 0 {
 		b.send(append(append([]byte{'['}, bytes.Join(b.parts, []byte{','})...), ']'))
 	}
 }
@@ -75,66 +75,66 @@
 // send writes an answer; nil, as to a notification, is none. A failed one ends the reader.
 func (c *session) send(data []byte) {
 	if data != nil {
-		c.link.Send(data)
+		c.ws.Send(data)
 	}
 }
 
-func (c *session) message(data []byte) {
-	items, many, bad := jsonrpc.Parse(data, c.s.caps.Batch)
+func (c *session) handleMessage(data []byte) {
+	items, many, bad := jsonrpc.Parse(data, c.server.limits.MaxBatch)
 	if bad != nil {
-		c.send(jsonrpc.AppendError(nil, jsonrpc.Null, bad))
+		c.send(jsonrpc.AppendError(nil, jsonrpc.NullID, bad))
 		return
 	}
 	answer := c.send
 	if many {
-		b := &batch{left: len(items), send: c.send}
-		answer = b.done
+		b := &batchAnswer{remaining: len(items), send: c.send}
+		answer = b.add
 	}
-	now := c.s.clock()
+	now := c.server.clock()
 	for i := range items {
-		c.item(now, &items[i], answer)
+		c.handleItem(now, &items[i], answer)
 	}
 }
 
 // params is what a client says of a call.
-type params struct {
+type callParams struct {
 	Units       *float64
-	Deadline    *float64 // the time left, ms
-	At          *float64 // by the client's own clock, of any origin, ms
+	DeadlineMs  *float64 // the time left, ms
+	AtMs        *float64 // by the client's own clock, of any origin, ms
 	Key         string
-	Again       bool
-	Write       bool
+	IsRetry     bool
+	Mutates     bool
 	Reserved    bool
 	TraceParent string
 	Work        json.RawMessage
 }
 
-func (p *params) read(raw json.RawMessage) error {
+func (p *callParams) parse(raw json.RawMessage) error {
 	if len(raw) > 0 && raw[0] != '{' {
 		return errors.New("params: an array, want an object")
 	}
-	return jsonrpc.Members(raw, func(name string, v json.RawMessage) error {
+	return jsonrpc.ForEachMember(raw, func(name string, v json.RawMessage) error {
 		var to any
 		switch name {
 		case "units":
-			return number(&p.Units, name, v)
+			return parseNumber(&p.Units, name, v)
 		case "deadline_ms":
-			return number(&p.Deadline, name, v)
+			return parseNumber(&p.DeadlineMs, name, v)
 		case "at_ms":
-			return number(&p.At, name, v)
+			return parseNumber(&p.AtMs, name, v)
 		case "work":
 			p.Work = append(p.Work[:0:0], v...) // v is only good until the next message
 			return nil
 		case "key":
-			if plain(v) {
+			if isPlainString(v) {
 				p.Key = string(v[1 : len(v)-1])
 				return nil
 			}
 			to = &p.Key
 		case "again":
-			to = &p.Again
+			to = &p.IsRetry
 		case "write":
-			to = &p.Write
+			to = &p.Mutates
 		case "reserved":
 			to = &p.Reserved
 		case "traceparent":
@@ -150,9 +150,9 @@
 }
 
 // plain reports whether a JSON value is a string that means itself, so that nothing has to be unescaped.
-func plain(v json.RawMessage) bool { return v[0] == '"' && !bytes.ContainsRune(v, '\\') }
+func isPlainString(v json.RawMessage) bool { return v[0] == '"' && !bytes.ContainsRune(v, '\\') }
 
-func number(to **float64, name string, v json.RawMessage) error {
+func parseNumber(to **float64, name string, v json.RawMessage) error {
 	x, err := strconv.ParseFloat(string(v), 64)
 	if err != nil || v[0] == 'n' {
 		if string(v) == "null" {
@@ -164,9 +164,9 @@
 	return nil
 }
 
-const maxKey = 128
+const maxKeyLen = 128
 
-func (p *params) check(k *decide.Class, most float64) error {
+func (p *callParams) validate(k *decide.Class, most float64) error {
 	least := func(field string, v *float64, least float64) error {
 		if v != nil && (!(*v >= least) || math.IsInf(*v, 0)) {
 			return fmt.Errorf("params.%s: %v, want a number of %v or more", field, *v, least)
@@ -176,7 +176,7 @@
 	if err := least("units", p.Units, 0); err != nil {
 		return err
 	}
-	if err := least("deadline_ms", p.Deadline, 0); err != nil {
+	if err := least("deadline_ms", p.DeadlineMs, 0); err != nil {
 		return err
 	}
 	switch {
@@ -184,14 +184,14 @@
 		return fmt.Errorf("params.units: %v, want %v at most", *p.Units, most)
 	case k.Idempotency == decide.IdempotentByKey && p.Key == "":
 		return fmt.Errorf("params.key: missing, %s is keyed", k.Name)
-	case len(p.Key) > maxKey:
-		return fmt.Errorf("params.key: %d bytes, want %d at most", len(p.Key), maxKey)
+	case len(p.Key) > maxKeyLen:
+		return fmt.Errorf("params.key: %d bytes, want %d at most", len(p.Key), maxKeyLen)
 	}
 	return nil
 }
 
-func (c *session) item(now time.Duration, it *jsonrpc.Item, answer func([]byte)) {
-	if it.Bad {
+func (c *session) handleItem(now time.Duration, it *jsonrpc.Message, answer func([]byte)) {
+	if it.Invalid {
 		answer(jsonrpc.AppendError(nil, it.ID, it.Err))
 		return
 	}
@@ -200,50 +200,50 @@
 		return
 	}
 	fail := func(e *jsonrpc.Error) {
-		if it.Notification() {
+		if it.IsNotification() {
 			answer(nil)
 			return
 		}
 		answer(jsonrpc.AppendError(nil, it.ID, e))
 	}
-	k := c.s.classes[it.Method]
+	k := c.server.classes[it.Method]
 	if k == nil {
-		fail(&jsonrpc.Error{Code: jsonrpc.CodeNoMethod, Message: "method not found: " + it.Method})
+		fail(&jsonrpc.Error{Code: jsonrpc.CodeMethodNotFound, Message: "method not found: " + it.Method})
 		return
 	}
-	var p params
-	if err := p.read(it.Params); err != nil {
+	var p callParams
+	if err := p.parse(it.Params); err != nil {
 		fail(&jsonrpc.Error{Code: jsonrpc.CodeInvalidParams, Message: err.Error()})
 		return
 	}
-	if err := p.check(k, c.s.maxUnits); err != nil {
+	if err := p.validate(k, c.server.maxUnits); err != nil {
 		fail(&jsonrpc.Error{Code: jsonrpc.CodeInvalidParams, Message: err.Error()})
 		return
 	}
-	c.call(now, it, k, &p, answer)
+	c.startCall(now, it, k, &p, answer)
 }
 
-func (c *session) call(now time.Duration, it *jsonrpc.Item, k *decide.Class, p *params, answer func([]byte)) {
-	id, quiet := it.ID, it.Notification()
-	call := &frontend.Call{ID: c.s.nextID(), Class: k.Name, Plan: c.member.Plan, Member: c.member.Name, Key: p.Key,
-		Units: 1, First: c.member.First, Spread: c.member.Spread, Again: p.Again, Write: p.Write, Reserved: p.Reserved, TraceParent: p.TraceParent,
-		Work: p.Work}
+func (c *session) startCall(now time.Duration, it *jsonrpc.Message, k *decide.Class, p *callParams, answer func([]byte)) {
+	id, quiet := it.ID, it.IsNotification()
+	call := &frontend.Request{ID: c.server.nextID(), Class: k.Name, Plan: c.member.Plan, Customer: c.member.Name, IdempotencyKey: p.Key,
+		Units: 1, FirstGateway: c.member.First, GatewayCount: c.member.Spread, IsRetry: p.IsRetry, Mutates: p.Mutates, Reserved: p.Reserved, TraceParent: p.TraceParent,
+		Payload: p.Work}
 	if p.Units != nil {
 		call.Units = *p.Units
 	}
 	left := k.Deadline
-	if p.Deadline != nil {
-		left = min(left, time.Duration(min(*p.Deadline, 1e12)*float64(time.Millisecond)))
+	if p.DeadlineMs != nil {
+		left = min(left, time.Duration(min(*p.DeadlineMs, 1e12)*float64(time.Millisecond)))
 	}
-	call.Deadline = now - c.skew.age(now, p.At) + left
-	call.Done = func(f frontend.Final) {
+	call.Deadline = now - c.skew.age(now, p.AtMs) + left
+	call.Done = func(f frontend.Response) {
 		c.mu.Lock()
 		if quiet {
-			delete(c.quiet, call.ID)
+			delete(c.notifications, call.ID)
 		} else {
-			delete(c.open, id)
+			delete(c.calls, id)
 		}
-		closed, last := c.closed, len(c.open)+len(c.quiet) == 0
+		closed, last := c.closed, len(c.calls)+len(c.notifications) == 0
 		c.mu.Unlock()
 		if closed {
 			return
@@ -253,8 +253,8 @@
 		} else {
 			answer(appendFinal(nil, id, f))
 		}
-		if last && c.s.draining.Load() {
-			c.link.Close(websocket.CodeGoingAway, "this gateway stops")
+		if last && c.server.draining.Load() {
+			c.ws.Close(websocket.CodeGoingAway, "this gateway stops")
 		}
 	}
 	c.mu.Lock()
@@ -262,46 +262,46 @@
 	switch {
 	case c.closed:
 		why = "closed"
-	case !quiet && c.open[id] != "":
+	case !quiet && c.calls[id] != "":
 		// An answer with this id belongs to the call that is open; the error names the id beside it.
 		c.mu.Unlock()
 		data, _ := json.Marshal(map[string]json.RawMessage{"id": json.RawMessage(id)})
-		answer(jsonrpc.AppendError(nil, jsonrpc.Null, &jsonrpc.Error{Code: jsonrpc.CodeInvalidRequest,
+		answer(jsonrpc.AppendError(nil, jsonrpc.NullID, &jsonrpc.Error{Code: jsonrpc.CodeInvalidRequest,
 			Message: "a call with this id is open", Data: data}))
 		return
-	case c.s.draining.Load():
+	case c.server.draining.Load():
 		why = "draining"
-	case len(c.open)+len(c.quiet) >= c.s.caps.SessionOpen:
+	case len(c.calls)+len(c.notifications) >= c.server.limits.MaxInFlightPerSession:
 		why = "session_cap"
-	case !c.s.core.Enter():
+	case !c.server.core.Reserve():
 		why = "open_cap"
 	case quiet:
-		if c.quiet == nil {
-			c.quiet = map[string]bool{}
+		if c.notifications == nil {
+			c.notifications = map[string]bool{}
 		}
-		c.quiet[call.ID] = true
+		c.notifications[call.ID] = true
 	default:
-		if c.open == nil {
-			c.open = map[jsonrpc.ID]string{}
+		if c.calls == nil {
+			c.calls = map[jsonrpc.ID]string{}
 		}
-		c.open[id] = call.ID
+		c.calls[id] = call.ID
 	}
 	c.mu.Unlock()
 	if why == "" {
-		c.s.core.Call(call)
+		c.server.core.Submit(call)
 		return
 	}
 	// Nothing of the call has gone anywhere, so it is harmless to repeat.
-	c.s.turnedAway(why)
+	c.server.countRejection(why)
 	if quiet {
 		answer(nil)
 		return
 	}
-	answer(appendFinal(nil, id, frontend.Final{Kind: frontend.Refused, Reason: why, RetryAfter: c.s.retryAfter}))
+	answer(appendFinal(nil, id, frontend.Response{Kind: frontend.Rejected, Reason: why, RetryAfter: c.server.retryAfter}))
 }
 
 // appendFinal writes a final answer as JSON-RPC.
-func appendFinal(dst []byte, id jsonrpc.ID, f frontend.Final) []byte {
+func appendFinal(dst []byte, id jsonrpc.ID, f frontend.Response) []byte {
 	switch f.Kind {
 	case frontend.Served:
 		r := strconv.AppendFloat([]byte(`{"units":`), f.Units, 'g', -1, 64)
@@ -309,12 +309,12 @@
 			r = append(append(r, `,"body":`...), f.Body...)
 		}
 		return jsonrpc.AppendResult(dst, id, append(r, '}'))
-	case frontend.Refused:
+	case frontend.Rejected:
 		data := []byte(`{"reason":"` + f.Reason + `"`)
 		if f.RetryAfter > 0 {
 			data = strconv.AppendInt(append(data, `,"retry_after_ms":`...), f.RetryAfter.Milliseconds(), 10)
 		}
-		return jsonrpc.AppendError(dst, id, &jsonrpc.Error{Code: jsonrpc.CodeRefused, Message: "refused",
+		return jsonrpc.AppendError(dst, id, &jsonrpc.Error{Code: jsonrpc.CodeRejected, Message: "refused",
 			Data: append(data, '}')})
 	}
 	return jsonrpc.AppendError(dst, id, &jsonrpc.Error{Code: jsonrpc.CodeFailed, Message: "failed"})
@@ -323,19 +323,19 @@
 // skew tells how long a call was under way or lay unread, from the client's own clock of any origin: the
 // quickest call of the session is taken to have been under way for no time. A gateway that stood still finds
 // by it how old each call is. A client's clock that steps back begins anew.
-type skew struct {
-	known       bool
-	least, last float64 // ms
+type clockSkew struct {
+	known               bool
+	leastOffset, lastAt float64 // ms
 }
 
-func (s *skew) age(now time.Duration, at *float64) time.Duration {
+func (s *clockSkew) age(now time.Duration, at *float64) time.Duration {
 	if at == nil || math.IsNaN(*at) || math.IsInf(*at, 0) {
 		return 0
 	}
 	d := float64(now)/float64(time.Millisecond) - *at
-	if !s.known || *at < s.last || d < s.least {
-		s.known, s.least = true, d
+	if !s.known || *at < s.lastAt || d < s.leastOffset {
+		s.known, s.leastOffset = true, d
 	}
-	s.last = *at
-	return time.Duration(min(d-s.least, 60_000) * float64(time.Millisecond))
+	s.lastAt = *at
+	return time.Duration(min(d-s.leastOffset, 60_000) * float64(time.Millisecond))
 }
--- a/internal/frontend/websocket/skew_test.go
+++ b/internal/frontend/websocket/skew_test.go
@@ -12,7 +12,7 @@
 
 // TestSkew tells calls by a client's clock of another origin: the quickest is of no age, what lay is old.
 func TestSkew(t *testing.T) {
-	var s skew
+	var s clockSkew
 	at := func(v float64) *float64 { return &v }
 	for i, c := range []struct {
 		now  time.Duration
--- a/internal/gateway/books_test.go
+++ b/internal/gateway/books_test.go
@@ -27,13 +27,13 @@
 func newTrio(t *testing.T, change func(*config.Fleet)) *trio {
 	dir := t.TempDir()
 	b := newBench(t, 4, func(f *config.Fleet) {
-		f.Kept = filepath.Join(dir, "kept-%d")
+		f.StateDirPattern = filepath.Join(dir, "kept-%d")
 		f.Decide.Gateways, f.Decide.Limits.Gossip, f.Decide.GossipCapacity = 3, true, 200
 		f.Decide.Plans[0].Rate, f.Decide.Plans[0].Burst = 60, 60
 		f.Decide.Plans[1].Rate, f.Decide.Plans[1].Burst = 3, 6
 		f.Gateways = nil
 		for range 3 {
-			f.Gateways = append(f.Gateways, config.Gateway{Listen: freePort(t), Peer: freePort(t), State: freePort(t)})
+			f.Gateways = append(f.Gateways, config.Gateway{Listen: freePort(t), GossipAddress: freePort(t), StateAddress: freePort(t)})
 		}
 		for i := range f.Members {
 			f.Members[i].First, f.Members[i].Spread = 0, 3
@@ -61,7 +61,7 @@
 }
 
 func (x *trio) submit(i int, c quotaplan.Change) error {
-	_, err := Ask(x.fleet.Gateways[i].State, x.fleet.Secret, c)
+	_, err := SubmitChange(x.fleet.Gateways[i].StateAddress, x.fleet.Secret, c)
 	return err
 }
 
@@ -70,11 +70,11 @@
 	eventually(x.t, fmt.Sprintf("all know the same %d changes", n), func() bool {
 		a := x.state(0)
 		for i := 1; i < 3; i++ {
-			if b := x.state(i); b.Changes != a.Changes || b.ChangesSum != a.ChangesSum {
+			if b := x.state(i); b.PlanChanges != a.PlanChanges || b.PlanDigest != a.PlanDigest {
 				return false
 			}
 		}
-		return a.Changes == n
+		return a.PlanChanges == n
 	})
 }
 
@@ -119,7 +119,7 @@
 			t.Errorf("%v, want %s", err, c.says)
 		}
 	}
-	if _, err := Ask(x.fleet.Gateways[0].State, credentials.NewSecret(), quotaplan.Change{Number: 9, Kind: quotaplan.Move, Member: "m", Plan: "none"}); err == nil ||
+	if _, err := SubmitChange(x.fleet.Gateways[0].StateAddress, credentials.NewSecret(), quotaplan.Change{Number: 9, Kind: quotaplan.Move, Member: "m", Plan: "none"}); err == nil ||
 		!strings.Contains(err.Error(), macHeader) {
 		t.Errorf("a change under another secret: %v", err)
 	}
@@ -141,16 +141,16 @@
 	x.known(n + 1)
 	x.procs[2].Signal(syscall.SIGKILL)
 	eventually(t, "it is gone", func() bool { return !listens(x.fleet.Gateways[2].Listen) })
-	os.RemoveAll(x.fleet.Dir(2))
+	os.RemoveAll(x.fleet.StateDir(2))
 	x.start(2)
 	x.known(n + 1)
-	if p := x.history(2, "poor").Stands["poor"]; p.Name != "none" || p.Rate != 3 {
+	if p := x.history(2, "poor").Plans["poor"]; p.Name != "none" || p.Rate != 3 {
 		t.Errorf("%+v at a gateway with a new disk", p)
 	}
 }
 
 func (x *trio) history(i int, member string) History {
-	h, err := AskHistory(x.fleet.Gateways[i].State, member)
+	h, err := FetchHistory(x.fleet.Gateways[i].StateAddress, member)
 	if err != nil {
 		x.t.Fatal(err)
 	}
@@ -227,7 +227,7 @@
 	fs := &badDisk{}
 	b := newBench(t, 1, nil)
 	b.gw.Stop()
-	b.fleet.Kept = filepath.Join(t.TempDir(), "kept-%d")
+	b.fleet.StateDirPattern = filepath.Join(t.TempDir(), "kept-%d")
 	gw, err := Start(b.fleet, Options{Seed: 1, FS: fs})
 	if err != nil {
 		t.Fatal(err)
@@ -239,20 +239,20 @@
 		_, err := gw.Submit(quotaplan.Change{Number: 1, Kind: quotaplan.Move, Member: "poor", Plan: "big"})
 		done <- err
 	}()
-	eventually(t, "the failure is told", func() bool { return strings.Contains(gw.State().BookLog, "no space") })
-	if n := gw.State().Changes; n != 0 {
+	eventually(t, "the failure is told", func() bool { return strings.Contains(gw.State().PlanLogFailure, "no space") })
+	if n := gw.State().PlanChanges; n != 0 {
 		t.Errorf("%d changes count", n)
 	}
 	fs.bad.Store(false)
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	eventually(t, "it works again", func() bool { s := gw.State(); return s.BookLog == "" && s.Changes == 1 })
+	eventually(t, "it works again", func() bool { s := gw.State(); return s.PlanLogFailure == "" && s.PlanChanges == 1 })
 }
 
 // TestStateWithoutNodes asks a gateway its state that knows no node: there is nothing to be pressed against.
 func TestStateWithoutNodes(t *testing.T) {
-	b := newBench(t, 0, func(f *config.Fleet) { f.Gateways[0].State = freePort(t); f.Measures.On = true })
+	b := newBench(t, 0, func(f *config.Fleet) { f.Gateways[0].StateAddress = freePort(t); f.Metrics.Enabled = true })
 	if s := stateOf(b.fleet, 0); !strings.Contains(s, `"Mesh":true`) {
 		t.Errorf("%q", s)
 	}
@@ -279,18 +279,18 @@
 // TestWatchedFile takes changes from a file, and those of another version of it, once each.
 func TestWatchedFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "changes.kdl")
-	b := newBench(t, 1, func(f *config.Fleet) { f.Gateways[0].Changes = file })
+	b := newBench(t, 1, func(f *config.Fleet) { f.Gateways[0].ChangesFile = file })
 	put := func(text string) {
 		os.WriteFile(file+".new", []byte(text), 0o600)
 		os.Rename(file+".new", file)
 	}
 	one := "change number=1 kind=move member=poor plan=big\n"
 	put(one)
-	eventually(t, "the change is taken", func() bool { return b.gw.State().Changes == 1 })
+	eventually(t, "the change is taken", func() bool { return b.gw.State().PlanChanges == 1 })
 	put(one + "change number=1 kind=") // cut in the middle of a write
 	put(one + "change number=2 kind=move member=nobody plan=big\nchange number=3 kind=terms plan=big rate=\"7/s\" burst=9\n")
-	eventually(t, "the good one behind a bad one is taken", func() bool { return b.gw.State().Changes == 2 })
-	if h := b.gw.history("poor"); len(h.Entries) != 2 || h.Stands["poor"].Rate != 7 {
+	eventually(t, "the good one behind a bad one is taken", func() bool { return b.gw.State().PlanChanges == 2 })
+	if h := b.gw.planHistory("poor"); len(h.Entries) != 2 || h.Plans["poor"].Rate != 7 {
 		t.Errorf("%+v", h)
 	}
 }
@@ -310,10 +310,10 @@
 	c.nc.Close()
 	eventually(t, "none is open", func() bool {
 		s := b.gw.State()
-		return s.Open == 0 && s.Core.OpenRequests == 0 && s.Reservations[0].Out == 0
+		return s.OpenRequests == 0 && s.Core.OpenRequests == 0 && s.Reservations[0].InFlight == 0
 	})
 	r := b.gw.State().Reservations[0]
-	if sum := r.Free + r.Drawn + r.Spent; math.Abs(sum-1000) > 1e-6 || r.Waiting != 0 {
+	if sum := r.HeldTokens + r.DrawnTokens + r.UsedUnits; math.Abs(sum-1000) > 1e-6 || r.Waiting != 0 {
 		t.Errorf("%+v: %v units", r, sum)
 	}
 	var e *quotaplan.Error
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -28,13 +28,13 @@
 // seen before.
 const macHeader = "Winghatch-Mac"
 
-func mac(s credentials.Secret, body []byte) string {
-	d := s.Operators().Sum(append([]byte("POST /changes\n"), body...))
+func requestMAC(s credentials.Secret, body []byte) string {
+	d := s.OperatorRequestHasher().Sum(append([]byte("POST /changes\n"), body...))
 	return hex.EncodeToString(d[:])
 }
 
 // wireChange is a change as operators hand it in and are told it.
-type wireChange struct {
+type changeJSON struct {
 	Number uint64     `json:"number"`
 	Kind   string     `json:"kind"`
 	Member string     `json:"member,omitempty"`
@@ -48,23 +48,23 @@
 }
 
 // ToldChange is a change and what became of it.
-type ToldChange struct {
-	wireChange
-	Status  string `json:"status"`
-	Why     string `json:"why,omitempty"`
-	Gateway int    `json:"gateway"`
-	Taken   string `json:"taken"`
+type HistoryEntry struct {
+	changeJSON
+	Status     string `json:"status"`
+	Reason     string `json:"why,omitempty"`
+	Gateway    int    `json:"gateway"`
+	AcceptedAt string `json:"taken"`
 }
 
-func stamp(ns int64) string {
+func formatTime(ns int64) string {
 	if ns == 0 {
 		return ""
 	}
 	return time.Unix(0, ns).UTC().Format(time.RFC3339Nano)
 }
 
-func toWire(c *quotaplan.Change) wireChange {
-	w := wireChange{Number: c.Number, Kind: c.Kind.String(), Member: c.Member, Plan: c.Plan, From: stamp(c.From), To: stamp(c.To),
+func newChangeJSON(c *quotaplan.Change) changeJSON {
+	w := changeJSON{Number: c.Number, Kind: c.Kind.String(), Member: c.Member, Plan: c.Plan, From: formatTime(c.From), To: formatTime(c.To),
 		Units: c.Units, Rate: c.Rate, Target: c.Target}
 	if c.Kind == quotaplan.Terms {
 		w.Terms = &PlanTerms{c.Terms}
@@ -72,7 +72,7 @@
 	return w
 }
 
-func (w *wireChange) change() (c quotaplan.Change, err error) {
+func (w *changeJSON) change() (c quotaplan.Change, err error) {
 	k, ok := quotaplan.ParseKind(w.Kind)
 	if !ok {
 		return c, fmt.Errorf("change %d: kind: %q, want move, terms, reserve, cancel or shorten", w.Number, w.Kind)
@@ -98,14 +98,14 @@
 }
 
 // submitWithin is how long an operator waits for a change to be durable.
-const submitWithin = 5 * time.Second
+const submitTimeout = 5 * time.Second
 
-var errNotYet = errors.New("not durable yet, as its log can't be written; it may still be taken: ask the history for its number")
+var errNotDurable = errors.New("not durable yet, as its log can't be written; it may still be taken: ask the history for its number")
 
 // Submit hands in a change and waits until it is durable here. The error of one that is not taken is a *plans.Error.
 func (g *Gateway) Submit(c quotaplan.Change) (quotaplan.Change, error) {
 	done := make(chan quotaplan.Reply, 1)
-	if !g.loop.Ask(func() { g.loop.books.submit(c, func(r quotaplan.Reply) { done <- r }) }) {
+	if !g.loop.Do(func() { g.loop.plans.submit(c, func(r quotaplan.Reply) { done <- r }) }) {
 		return c, errors.New("the gateway has stopped")
 	}
 	select {
@@ -114,8 +114,8 @@
 			return c, r.Err
 		}
 		return r.Change, nil
-	case <-time.After(submitWithin):
-		return c, fmt.Errorf("change %d: log: %w", c.Number, errNotYet)
+	case <-time.After(submitTimeout):
+		return c, fmt.Errorf("change %d: log: %w", c.Number, errNotDurable)
 	}
 }
 
@@ -125,11 +125,11 @@
 		http.Error(w, err.Error(), http.StatusRequestEntityTooLarge)
 		return
 	}
-	if !credentials.Equal([]byte(r.Header.Get(macHeader)), []byte(mac(g.fleet.Secret, body))) {
+	if !credentials.Equal([]byte(r.Header.Get(macHeader)), []byte(requestMAC(g.fleet.Secret, body))) {
 		http.Error(w, macHeader+": not made with this fleet's secret", http.StatusUnauthorized)
 		return
 	}
-	var in wireChange
+	var in changeJSON
 	if err := json.Unmarshal(body, &in); err != nil {
 		http.Error(w, "body: "+err.Error(), http.StatusBadRequest)
 		return
@@ -142,36 +142,36 @@
 	switch {
 	case errors.As(err, &e):
 		http.Error(w, err.Error(), http.StatusConflict)
-	case errors.Is(err, errNotYet):
+	case errors.Is(err, errNotDurable):
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 	case err != nil:
 		http.Error(w, err.Error(), http.StatusBadRequest)
 	default:
 		w.Header().Set("Content-Type", "application/json")
-		json.NewEncoder(w).Encode(toWire(&c))
+		json.NewEncoder(w).Encode(newChangeJSON(&c))
 	}
 }
 
 // History is what a gateway tells of its book.
 type History struct {
 	Changes int                  `json:"changes"`
-	Sum     string               `json:"sum"` // gateways that tell the same hold the same
-	Stands  map[string]PlanTerms `json:"stands"`
-	Entries []ToldChange         `json:"entries"`
+	Digest  string               `json:"sum"` // gateways that tell the same hold the same
+	Plans   map[string]PlanTerms `json:"stands"`
+	Entries []HistoryEntry       `json:"entries"`
 }
 
-func (g *Gateway) history(member string) (h History) {
-	h.Stands = map[string]PlanTerms{}
-	g.loop.Ask(func() {
-		b := g.loop.books.book
-		n, sum := b.Version()
-		h.Changes, h.Sum = n, strconv.FormatUint(sum, 16)
+func (g *Gateway) planHistory(member string) (h History) {
+	h.Plans = map[string]PlanTerms{}
+	g.loop.Do(func() {
+		b := g.loop.plans.replica
+		n, sum := b.Digest()
+		h.Changes, h.Digest = n, strconv.FormatUint(sum, 16)
 		for _, e := range b.History(member) {
-			h.Entries = append(h.Entries, ToldChange{toWire(&e.Change), string(e.Status), e.Why, e.Origin, stamp(e.Stamp)})
+			h.Entries = append(h.Entries, HistoryEntry{newChangeJSON(&e.Change), string(e.Status), e.Reason, e.Origin, formatTime(e.Stamp)})
 		}
 		for _, m := range g.fleet.Members {
 			if member == "" || m.Name == member {
-				h.Stands[m.Name] = PlanTerms{b.Stands(m.Name)}
+				h.Plans[m.Name] = PlanTerms{b.EffectivePlan(m.Name)}
 			}
 		}
 	})
@@ -180,17 +180,17 @@
 
 func (g *Gateway) getHistory(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	json.NewEncoder(w).Encode(g.history(r.URL.Query().Get("member")))
+	json.NewEncoder(w).Encode(g.planHistory(r.URL.Query().Get("member")))
 }
 
 // Ask hands a change to a gateway at its state address and returns the change as it was taken.
-func Ask(addr string, secret credentials.Secret, c quotaplan.Change) (quotaplan.Change, error) {
-	body, err := json.Marshal(toWire(&c))
+func SubmitChange(addr string, secret credentials.Secret, c quotaplan.Change) (quotaplan.Change, error) {
+	body, err := json.Marshal(newChangeJSON(&c))
 	if err != nil {
 		return c, err
 	}
-	var out wireChange
-	err = request(http.MethodPost, "http://"+addr+"/changes", body, mac(secret, body), &out)
+	var out changeJSON
+	err = doRequest(http.MethodPost, "http://"+addr+"/changes", body, requestMAC(secret, body), &out)
 	if err != nil {
 		return c, err
 	}
@@ -198,11 +198,11 @@
 }
 
 // AskHistory asks a gateway its book, of one member or, with an empty name, of all.
-func AskHistory(addr, member string) (h History, err error) {
-	return h, request(http.MethodGet, "http://"+addr+"/changes?"+url.Values{"member": {member}}.Encode(), nil, "", &h)
+func FetchHistory(addr, member string) (h History, err error) {
+	return h, doRequest(http.MethodGet, "http://"+addr+"/changes?"+url.Values{"member": {member}}.Encode(), nil, "", &h)
 }
 
-func request(method, url string, body []byte, mac string, to any) error {
+func doRequest(method, url string, body []byte, mac string, out any) error {
 	req, err := http.NewRequest(method, url, nil)
 	if err != nil {
 		return err
@@ -213,7 +213,7 @@
 		}
 		req.Header.Set(macHeader, mac)
 	}
-	client := http.Client{Timeout: submitWithin + 5*time.Second}
+	client := http.Client{Timeout: submitTimeout + 5*time.Second}
 	res, err := client.Do(req)
 	if err != nil {
 		return err
@@ -226,7 +226,7 @@
 	if res.StatusCode != http.StatusOK {
 		return errors.New(strings.TrimSpace(string(raw)))
 	}
-	return json.Unmarshal(raw, to)
+	return json.Unmarshal(raw, out)
 }
 
 // ---- The file of changes.
@@ -255,12 +255,12 @@
 		}
 		const most = 1 << 53 // whole numbers up to there are exact
 		d.Block("change", n, decode.Fields{
-			"number": decode.Whole(&number, 1, most), "kind": decode.Choice(&c.Kind, kinds), "target": decode.Whole(&target, 1, most),
-			"member": decode.Text(&c.Member), "plan": decode.Text(&c.Plan),
-			"from": moment(&c.From), "to": moment(&c.To), "units": decode.Number(&c.Units, 0, 1e12), "use-rate": decode.Rate(&c.Rate),
+			"number": decode.Int(&number, 1, most), "kind": decode.Choice(&c.Kind, kinds), "target": decode.Int(&target, 1, most),
+			"member": decode.String(&c.Member), "plan": decode.String(&c.Plan),
+			"from": timeSetting(&c.From), "to": timeSetting(&c.To), "units": decode.Number(&c.Units, 0, 1e12), "use-rate": decode.Rate(&c.Rate),
 			"rate": decode.Rate(&c.Terms.Rate), "burst": decode.Number(&c.Terms.Burst, 0, 1e9),
 			"ceiling-rate": decode.Rate(&c.Terms.CeilingRate), "ceiling-burst": decode.Number(&c.Terms.CeilingBurst, 0, 1e9),
-			"ceiling-slack": decode.Number(&c.Terms.CeilingSlack, 0, 1e9), "max-open": decode.Whole(&c.Terms.MaxInFlight, 0, 1<<31-1),
+			"ceiling-slack": decode.Number(&c.Terms.CeilingSlack, 0, 1e9), "max-open": decode.Int(&c.Terms.MaxInFlight, 0, 1<<31-1),
 			"price": decode.Number(&c.Terms.PriorityWeight, 0, 1e9),
 		}, nil, "number", "kind")
 		if seen[number] && number > 0 {
@@ -277,27 +277,27 @@
 	return out, at, d.Err()
 }
 
-func moment(to *int64) func(decode.Setting) {
+func timeSetting(to *int64) func(decode.Setting) {
 	return func(s decode.Setting) {
 		at, err := time.Parse(time.RFC3339Nano, s.Value.Text)
 		if err != nil {
-			s.Wrong("a time such as \"2026-12-07T08:00:00Z\"")
+			s.Reject("a time such as \"2026-12-07T08:00:00Z\"")
 			return
 		}
 		*to = at.UnixNano()
 	}
 }
 
-const lookEvery = 500 * time.Millisecond
+const changesPollInterval = 500 * time.Millisecond
 
 // watch hands in the changes of a file whenever it is another one than before. A file that can't be read whole changes
 // nothing; of one that can, each change stands for itself, and those that the book has already are passed over.
-func (g *Gateway) watch(ctx context.Context, file string) {
+func (g *Gateway) watchChanges(ctx context.Context, file string) {
 	var last string
 	for {
 		if src, err := os.ReadFile(file); err == nil && string(src) != last {
 			last = string(src)
-			g.takeFile(file, src)
+			g.applyChanges(file, src)
 		} else if err != nil && !errors.Is(err, os.ErrNotExist) && last != err.Error() {
 			last = err.Error()
 			g.log.Error("the file of changes can't be read", "err", err)
@@ -305,12 +305,12 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(lookEvery):
+		case <-time.After(changesPollInterval):
 		}
 	}
 }
 
-func (g *Gateway) takeFile(file string, src []byte) {
+func (g *Gateway) applyChanges(file string, src []byte) {
 	cs, at, err := ReadChanges(file, src)
 	if err != nil {
 		g.log.Error("the file of changes is wrong, nothing of it is taken", "err", err)
@@ -318,7 +318,7 @@
 	}
 	for i, c := range cs {
 		known := false
-		g.loop.Ask(func() { known = g.loop.books.book.Known(c) })
+		g.loop.Do(func() { known = g.loop.plans.replica.Contains(c) })
 		if known {
 			continue
 		}
@@ -329,10 +329,10 @@
 }
 
 // bookOptions are a gateway's, by the fleet's settings.
-func bookOptions(f *config.Fleet, rank int, life uint64, seed int64) BookOptions {
-	o := BookOptions{Plans: quotaplan.Settings{Rank: rank, Gateways: len(f.Gateways), Plans: f.Decide.Plans, Capacity: f.Capacity,
-		MaxUnits: max(1, f.Decide.MaxUnits), Life: life, Seed: seed},
-		Reserve: reservation.Settings{Rank: rank, Gateways: len(f.Gateways), MaxUnits: max(1, f.Decide.MaxUnits), Era: life, Seed: seed}}
+func newPlanOptions(f *config.Fleet, rank int, life uint64, seed int64) PlanOptions {
+	o := PlanOptions{Plans: quotaplan.Settings{Rank: rank, Gateways: len(f.Gateways), Plans: f.Decide.Plans, Capacity: f.CapacityPerSecond,
+		MaxRequestUnits: max(1, f.Decide.MaxUnits), Incarnation: life, Seed: seed},
+		Reservations: reservation.Settings{Rank: rank, Gateways: len(f.Gateways), MaxRequestUnits: max(1, f.Decide.MaxUnits), Epoch: life, Seed: seed}}
 	for _, m := range f.Members {
 		o.Plans.Members = append(o.Plans.Members, quotaplan.Member{Name: m.Name, Plan: m.Plan, First: m.First, Spread: m.Spread})
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -31,23 +31,23 @@
 
 // origin is what the clock shows at the start of the process. It is not 0, so that a node's start some time
 // before this gateway's own has a time of its own: to the core 0 means long ago.
-const origin = 24 * time.Hour
+const clockOrigin = 24 * time.Hour
 
 // Clock is the gateway's time: monotonic, origin at its making.
-type Clock struct{ began time.Time }
+type Clock struct{ startedAt time.Time }
 
 // NewClock starts a clock.
 func NewClock() Clock { return Clock{time.Now()} }
 
 // Now is the time since the origin.
-func (c Clock) Now() time.Duration { return origin + time.Since(c.began) }
+func (c Clock) Now() time.Duration { return clockOrigin + time.Since(c.startedAt) }
 
 // Options are what one gateway is given beside the fleet's settings.
 type Options struct {
-	Rank int
-	Seed int64     // 0: from the time
-	Tape io.Writer // nil: nothing is recorded
-	Log  *slog.Logger
+	Rank      int
+	Seed      int64     // 0: from the time
+	Recording io.Writer // nil: nothing is recorded
+	Log       *slog.Logger
 
 	FS     wal.FS // nil: the disk
 	Core   Core   // nil: the module's
@@ -56,27 +56,27 @@
 
 // Gateway is a whole running gateway.
 type Gateway struct {
-	fleet *config.Fleet
-	rank  int
-	log   *slog.Logger
-	loop  *Loop
-	front *frontendws.Server
-	pool  *upstreamws.Pool
-	peers *gossip.Link
-	state *http.Server
-	epoch int64
-	clock Clock
+	fleet       *config.Fleet
+	rank        int
+	log         *slog.Logger
+	loop        *Loop
+	frontend    *frontendws.Server
+	upstream    *upstreamws.Pool
+	peers       *gossip.Transport
+	control     *http.Server
+	incarnation int64
+	clock       Clock
 
-	writer     *remotewrite.Writer // nil: measures go nowhere
-	writerStop context.CancelFunc
-	writerDone chan struct{}
-	stop       context.CancelFunc
-	wg         sync.WaitGroup
+	remoteWriter     *remotewrite.Writer // nil: measures go nowhere
+	stopRemoteWriter context.CancelFunc
+	remoteWriterDone chan struct{}
+	stop             context.CancelFunc
+	wg               sync.WaitGroup
 }
 
 // Start binds the sockets that the settings name and runs a gateway on them.
 func Start(f *config.Fleet, o Options) (*Gateway, error) {
-	cfg, err := f.Rank(o.Rank)
+	cfg, err := f.DecideConfig(o.Rank)
 	if err != nil {
 		return nil, err
 	}
@@ -84,19 +84,19 @@
 		o.Log = slog.New(slog.DiscardHandler)
 	}
 	me := f.Gateways[o.Rank]
-	g := &Gateway{fleet: f, rank: o.Rank, log: o.Log.With("gateway", o.Rank), clock: NewClock(), epoch: time.Now().UnixNano()}
+	g := &Gateway{fleet: f, rank: o.Rank, log: o.Log.With("gateway", o.Rank), clock: NewClock(), incarnation: time.Now().UnixNano()}
 	if o.Seed == 0 {
-		o.Seed = g.epoch
+		o.Seed = g.incarnation
 	}
 	var tp *recording.Writer
-	if o.Tape != nil {
-		if tp, err = recording.NewWriter(o.Tape, cfg, o.Seed); err != nil {
+	if o.Recording != nil {
+		if tp, err = recording.NewWriter(o.Recording, cfg, o.Seed); err != nil {
 			return nil, err
 		}
 	}
-	g.pool = upstreamws.New(upstreamws.Options{ConnectTimeout: cfg.Limits.ConnectTimeout, Conns: f.Caps.NodeConns,
-		Calls: f.Caps.NodeCalls, Idle: f.Caps.NodeIdle, Ping: f.Caps.Ping, Link: wsconn.Options{Message: int64(f.Caps.Message) * 2,
-			Queue: 8 * f.Caps.Queue, WriteWait: f.Caps.Write, ReadBuffer: 16 << 10}})
+	g.upstream = upstreamws.New(upstreamws.Options{ConnectTimeout: cfg.Limits.ConnectTimeout, MaxConns: f.Caps.MaxConnsPerEndpoint,
+		CallsPerConn: f.Caps.MaxRequestsPerConn, IdleTimeout: f.Caps.EndpointIdleTimeout, PingInterval: f.Caps.PingAfter, Conn: wsconn.Options{MaxMessage: int64(f.Caps.MaxMessageBytes) * 2,
+			MaxQueue: 8 * f.Caps.MaxQueuedBytes, WriteTimeout: f.Caps.WriteTimeout, ReadBuffer: 16 << 10}})
 	ok := false
 	var closers []io.Closer
 	defer func() {
@@ -104,8 +104,8 @@
 			for _, c := range closers {
 				c.Close()
 			}
-			g.pool.Close()
-			g.closeKept()
+			g.upstream.Close()
+			g.closeLogs()
 		}
 	}()
 	ln, err := net.Listen("tcp", me.Listen)
@@ -115,24 +115,24 @@
 	closers = append(closers, ln)
 	var peers Peers
 	if cfg.Limits.Gossip {
-		pc, err := net.ListenPacket("udp", cmp.Or(me.Bind, me.Peer))
+		pc, err := net.ListenPacket("udp", cmp.Or(me.GossipBind, me.GossipAddress))
 		if err != nil {
 			return nil, fmt.Errorf("gateway %d: peer: %w", o.Rank, err)
 		}
 		closers = append(closers, pc)
 		var addrs []string
 		for _, p := range f.Gateways {
-			addrs = append(addrs, p.Peer)
+			addrs = append(addrs, p.GossipAddress)
 		}
 		if g.peers, err = gossip.New(pc, gossip.Options{Fleet: f.Name, Rank: o.Rank, Peers: addrs, Secret: f.Secret,
-			Intake: cfg.GossipCapacity}); err != nil {
+			MaxMessageRate: cfg.GossipCapacity}); err != nil {
 			return nil, err
 		}
 		peers = g.peers
 	}
 	var sl net.Listener
-	if me.State != "" {
-		if sl, err = net.Listen("tcp", me.State); err != nil {
+	if me.StateAddress != "" {
+		if sl, err = net.Listen("tcp", me.StateAddress); err != nil {
 			return nil, fmt.Errorf("gateway %d: state: %w", o.Rank, err)
 		}
 		closers = append(closers, sl)
@@ -142,34 +142,34 @@
 			return nil, err
 		}
 	}
-	g.loop = NewLoop(cfg, o.Core, g.clock.Now, g.pool, peers, tp, g.log)
-	bo := bookOptions(f, o.Rank, uint64(g.epoch), o.Seed)
-	bo.Log, bo.Wall, bo.FS = g.log, func() int64 { return time.Now().UnixNano() }, o.FS
-	if f.Kept != "" {
-		bo.Dir = filepath.Join(f.Dir(o.Rank), "book")
+	g.loop = NewLoop(cfg, o.Core, g.clock.Now, g.upstream, peers, tp, g.log)
+	bo := newPlanOptions(f, o.Rank, uint64(g.incarnation), o.Seed)
+	bo.Log, bo.WallClock, bo.FS = g.log, func() int64 { return time.Now().UnixNano() }, o.FS
+	if f.StateDirPattern != "" {
+		bo.Dir = filepath.Join(f.StateDir(o.Rank), "book")
 	}
-	if g.loop.books, err = openBooks(g.loop, bo); err != nil {
+	if g.loop.plans, err = openPlans(g.loop, bo); err != nil {
 		return nil, fmt.Errorf("gateway %d: kept: %w", o.Rank, err)
 	}
-	if f.Export.To != "" {
-		oo := OwedOptions{Export: f.Export, Fleet: f.Name, Gateway: o.Rank, Dir: f.Dir(o.Rank), FS: o.FS, Life: uint64(g.epoch), Wall: bo.Wall, Log: g.log}
-		if g.loop.owed, err = openOwed(g.loop, oo); err != nil {
+	if f.UsageExport.URL != "" {
+		oo := OutboxOptions{Export: f.UsageExport, Fleet: f.Name, Gateway: o.Rank, Dir: f.StateDir(o.Rank), FS: o.FS, Incarnation: uint64(g.incarnation), WallClock: bo.WallClock, Log: g.log}
+		if g.loop.usage, err = openUsageOutbox(g.loop, oo); err != nil {
 			return nil, fmt.Errorf("gateway %d: kept: %w", o.Rank, err)
 		}
 	}
-	if f.Traces.To != "" {
-		if g.loop.traces, err = openTraces(f, o.Rank, g.clock.Now(), o.Seed, g.log); err != nil {
+	if f.Tracing.URL != "" {
+		if g.loop.tracer, err = openTracer(f, o.Rank, g.clock.Now(), o.Seed, g.log); err != nil {
 			return nil, fmt.Errorf("gateway %d: traces: %w", o.Rank, err)
 		}
 	}
-	g.loop.homes = !o.Core.Status().FullGossip
-	if f.Measures.On {
-		g.loop.sums, g.loop.measures = g.openSums(uint64(g.epoch), o.Seed), g.openMeasures()
-		if f.Measures.To != "" {
-			g.writer = g.openWriter(f.Measures, g.log)
+	g.loop.hasQuotaOwners = !o.Core.Status().FullGossip
+	if f.Metrics.Enabled {
+		g.loop.totals, g.loop.metrics = g.newAggregator(uint64(g.incarnation), o.Seed), g.newMetrics()
+		if f.Metrics.URL != "" {
+			g.remoteWriter = g.newRemoteWriter(f.Metrics, g.log)
 		}
 	}
-	g.loop.limit, g.loop.tamper = int64(f.Caps.Open), o.Tamper
+	g.loop.maxOpenRequests, g.loop.tamper = int64(f.Caps.MaxInFlight), o.Tamper
 	ok = true
 	g.run(ln, sl)
 	return g, nil
@@ -178,25 +178,25 @@
 func (g *Gateway) run(ln, sl net.Listener) {
 	ctx, stop := context.WithCancel(context.Background())
 	g.stop = stop
-	g.front = frontendws.New(g.fleet, g.rank, fmt.Sprintf("%d-%x-", g.rank, g.epoch), g.loop,
+	g.frontend = frontendws.New(g.fleet, g.rank, fmt.Sprintf("%d-%x-", g.rank, g.incarnation), g.loop,
 		g.clock.Now, g.log)
 	goes := func(f func()) {
 		g.wg.Add(1)
 		go func() { defer g.wg.Done(); f() }()
 	}
 	goes(g.loop.Run)
-	g.loop.Ask(g.loop.books.begin)
+	g.loop.Do(g.loop.plans.start)
 	if g.peers != nil {
-		goes(func() { g.peers.Serve(g.loop.Peer) })
+		goes(func() { g.peers.Serve(g.loop.ReceiveGossip) })
 	}
-	if g.fleet.List != "" {
+	if g.fleet.EndpointList != "" {
 		kept := ""
-		if g.fleet.ListKept != "" {
-			kept = strings.ReplaceAll(g.fleet.ListKept, "%d", fmt.Sprint(g.rank))
+		if g.fleet.EndpointListPattern != "" {
+			kept = strings.ReplaceAll(g.fleet.EndpointListPattern, "%d", fmt.Sprint(g.rank))
 		}
 		goes(func() {
-			discoveryws.Follow(ctx, discoveryws.Options{Addr: g.fleet.List, Kept: kept, Rank: g.rank, Clock: g.clock.Now,
-				Take: g.loop.Fleet, Log: func(msg string, args ...any) { g.log.Warn(msg, args...) }})
+			discoveryws.Watch(ctx, discoveryws.Options{Address: g.fleet.EndpointList, CacheFile: kept, Rank: g.rank, Clock: g.clock.Now,
+				OnUpdate: g.loop.UpdateEndpoints, Log: func(msg string, args ...any) { g.log.Warn(msg, args...) }})
 		})
 	}
 	if sl != nil {
@@ -211,59 +211,59 @@
 			}
 			w.Write(raw)
 		})
-		if m := g.loop.measures; m != nil {
+		if m := g.loop.metrics; m != nil {
 			mux.Handle("GET /metrics", promhttp.HandlerFor(m.Registry, promhttp.HandlerOpts{}))
 		}
 		mux.HandleFunc("POST /changes", g.postChange)
 		mux.HandleFunc("GET /changes", g.getHistory)
-		g.state = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, WriteTimeout: 10 * time.Second}
-		goes(func() { g.state.Serve(sl) })
+		g.control = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, WriteTimeout: 10 * time.Second}
+		goes(func() { g.control.Serve(sl) })
 	}
-	goes(func() { g.front.Keep(ctx) })
-	if g.loop.owed != nil {
-		goes(func() { g.loop.owed.run(ctx) })
+	goes(func() { g.frontend.PingIdle(ctx) })
+	if g.loop.usage != nil {
+		goes(func() { g.loop.usage.run(ctx) })
 	}
-	if g.writer != nil {
+	if g.remoteWriter != nil {
 		wctx, stop := context.WithCancel(ctx)
-		g.writerStop, g.writerDone = stop, make(chan struct{})
-		goes(func() { g.runWriter(wctx); close(g.writerDone) })
+		g.stopRemoteWriter, g.remoteWriterDone = stop, make(chan struct{})
+		goes(func() { g.runRemoteWriter(wctx); close(g.remoteWriterDone) })
 	}
-	if file := g.fleet.Gateways[g.rank].Changes; file != "" {
-		goes(func() { g.watch(ctx, file) })
+	if file := g.fleet.Gateways[g.rank].ChangesFile; file != "" {
+		goes(func() { g.watchChanges(ctx, file) })
 	}
-	goes(func() { g.front.Serve(ln) })
+	goes(func() { g.frontend.Serve(ln) })
 	g.log.Info("gateway runs", "listen", ln.Addr().String(), "fleet", g.fleet.Name)
 }
 
 // handOver is how long a stopping gateway offers what is set aside with it to others.
-const handOver = 500 * time.Millisecond
+const handOverTimeout = 500 * time.Millisecond
 
 // Drain takes nothing new, waits until every open call has its answer, within their deadlines, and stops.
 func (g *Gateway) Drain() {
-	g.front.Drain()
+	g.frontend.Drain()
 	var longest time.Duration
 	for _, k := range g.fleet.Decide.Classes {
 		longest = max(longest, k.Deadline)
 	}
 	until := time.Now().Add(longest + g.fleet.Decide.Safety.AnswerSlack)
-	for g.loop.Open.Load() > 0 && time.Now().Before(until) {
+	for g.loop.OpenRequests.Load() > 0 && time.Now().Before(until) {
 		time.Sleep(2 * time.Millisecond)
 	}
 	// What is set aside here goes to others, for a moment; what no one takes stays on the disk for the next life.
 	handed := make(chan struct{})
-	if g.loop.Ask(func() { g.loop.books.handOver(handed) }) {
+	if g.loop.Do(func() { g.loop.plans.handOver(handed) }) {
 		select {
 		case <-handed:
-		case <-time.After(handOver):
+		case <-time.After(handOverTimeout):
 		}
 	}
 	// The last measures leave while the state that they are read from is there.
-	if g.writer != nil {
-		g.writerStop()
-		<-g.writerDone
+	if g.remoteWriter != nil {
+		g.stopRemoteWriter()
+		<-g.remoteWriterDone
 	}
 	// The last answers leave before their sessions are cut.
-	for until := time.Now().Add(time.Second); g.front.Sessions() > 0 && time.Now().Before(until); {
+	for until := time.Now().Add(time.Second); g.frontend.SessionCount() > 0 && time.Now().Before(until); {
 		time.Sleep(2 * time.Millisecond)
 	}
 	g.Stop()
@@ -272,95 +272,95 @@
 // Stop ends everything at once.
 func (g *Gateway) Stop() {
 	g.stop()
-	g.front.Close()
+	g.frontend.Close()
 	if g.peers != nil {
 		g.peers.Close()
 	}
-	if g.state != nil {
-		g.state.Close()
+	if g.control != nil {
+		g.control.Close()
 	}
 	g.loop.Stop()
-	g.pool.Close()
+	g.upstream.Close()
 	g.wg.Wait()
-	g.closeKept()
+	g.closeLogs()
 }
 
 // closeKept ends what the loop keeps and tells, as far as it was opened.
-func (g *Gateway) closeKept() {
+func (g *Gateway) closeLogs() {
 	l := g.loop
 	if l == nil {
 		return
 	}
-	if l.books != nil {
-		l.books.close()
+	if l.plans != nil {
+		l.plans.close()
 	}
-	if l.owed != nil {
-		l.owed.close()
+	if l.usage != nil {
+		l.usage.close()
 	}
-	if l.traces != nil {
-		l.traces.close()
+	if l.tracer != nil {
+		l.tracer.close()
 	}
 }
 
 // State is what an operator is told.
 type State struct {
-	Fleet      string            `json:"fleet"`
-	Rank       int               `json:"rank"`
-	Zone       string            `json:"zone,omitempty"`
-	Up         time.Duration     `json:"up_ns"`
-	Sessions   int               `json:"sessions"`
-	Open       int64             `json:"open"`
-	Queue      int               `json:"queue"`
-	Turns      int64             `json:"turns"`
-	Served     int64             `json:"served"`
-	Refused    map[string]int64  `json:"refused"`
-	TurnedAway map[string]int64  `json:"turned_away"`
-	Failed     int64             `json:"failed"`
-	Gone       int64             `json:"gone"`
-	Attempts   int64             `json:"attempts"`
-	Outcomes   map[string]int64  `json:"outcomes"`
-	Late       int64             `json:"late"`
-	NodeConns  int               `json:"node_connections"`
-	Datagrams  DatagramCounts    `json:"datagrams"`
-	Names      map[uint64]string `json:"names"` // of customers, by their keys in Core
-	Core       CoreState         `json:"core"`
+	Fleet              string            `json:"fleet"`
+	Rank               int               `json:"rank"`
+	Zone               string            `json:"zone,omitempty"`
+	Uptime             time.Duration     `json:"up_ns"`
+	Sessions           int               `json:"sessions"`
+	OpenRequests       int64             `json:"open"`
+	QueueLength        int               `json:"queue"`
+	LoopTurns          int64             `json:"turns"`
+	Served             int64             `json:"served"`
+	Rejected           map[string]int64  `json:"refused"`
+	FrontendRejections map[string]int64  `json:"turned_away"`
+	Failed             int64             `json:"failed"`
+	Abandoned          int64             `json:"gone"`
+	Attempts           int64             `json:"attempts"`
+	Outcomes           map[string]int64  `json:"outcomes"`
+	LateResponses      int64             `json:"late"`
+	ServerConnections  int               `json:"node_connections"`
+	Datagrams          DatagramCounts    `json:"datagrams"`
+	CustomerNames      map[uint64]string `json:"names"` // of customers, by their keys in Core
+	Core               CoreState         `json:"core"`
 
-	Changes      int                `json:"changes"` // in the book of plans
-	ChangesSum   string             `json:"changes_sum"`
-	Reservations []ReservationState `json:"reservations,omitempty"`
-	Export       *ExportState       `json:"export,omitempty"`
-	BookLog      string             `json:"book_log,omitempty"` // why the books' log can't be written
+	PlanChanges    int                `json:"changes"` // in the book of plans
+	PlanDigest     string             `json:"changes_sum"`
+	Reservations   []ReservationState `json:"reservations,omitempty"`
+	Usage          *UsageState        `json:"export,omitempty"`
+	PlanLogFailure string             `json:"book_log,omitempty"` // why the books' log can't be written
 }
 
 // State asks the loop.
 func (g *Gateway) State() State {
-	s := State{Fleet: g.fleet.Name, Rank: g.rank, Zone: g.fleet.Gateways[g.rank].Zone, Up: g.clock.Now() - origin,
-		Sessions: g.front.Sessions(), TurnedAway: g.front.TurnedAway(), NodeConns: g.pool.Conns(),
-		Refused: map[string]int64{}, Outcomes: map[string]int64{}, Names: map[uint64]string{}}
+	s := State{Fleet: g.fleet.Name, Rank: g.rank, Zone: g.fleet.Gateways[g.rank].Zone, Uptime: g.clock.Now() - clockOrigin,
+		Sessions: g.frontend.SessionCount(), FrontendRejections: g.frontend.Rejections(), ServerConnections: g.upstream.Conns(),
+		Rejected: map[string]int64{}, Outcomes: map[string]int64{}, CustomerNames: map[uint64]string{}}
 	if g.peers != nil {
 		s.Datagrams = datagramCounts(g.peers.Counts())
 	}
 	for _, m := range g.fleet.Members {
-		s.Names[decide.CustomerKey(m.Name)] = m.Name
+		s.CustomerNames[decide.CustomerKey(m.Name)] = m.Name
 	}
-	g.loop.Ask(func() {
+	g.loop.Do(func() {
 		l := g.loop
-		s.Queue, s.Turns, s.Core = l.q.len(), l.turns, CoreState{l.core.Status()}
-		if l.owed != nil {
-			s.Export = l.owed.state()
+		s.QueueLength, s.LoopTurns, s.Core = l.queue.len(), l.turns, CoreState{l.core.Status()}
+		if l.usage != nil {
+			s.Usage = l.usage.state()
 		}
-		n, sum := l.books.book.Version()
-		s.Changes, s.ChangesSum = n, strconv.FormatUint(sum, 16)
-		s.Reservations, s.BookLog = convertAll(l.books.ledger.Views(), reservationState), l.books.failure
-		for k, v := range l.reasons {
-			s.Refused[k] = v
+		n, sum := l.plans.replica.Digest()
+		s.PlanChanges, s.PlanDigest = n, strconv.FormatUint(sum, 16)
+		s.Reservations, s.PlanLogFailure = convertAll(l.plans.reservations.Views(), reservationState), l.plans.failure
+		for k, v := range l.rejections {
+			s.Rejected[k] = v
 		}
-		for k, v := range l.ends {
+		for k, v := range l.outcomes {
 			s.Outcomes[k] = v
 		}
 	})
 	l := g.loop
-	s.Open, s.Served, s.Failed, s.Gone = l.Open.Load(), l.Served.Load(), l.Failed.Load(), l.Counters.Gone.Load()
-	s.Attempts, s.Late = l.Tries.Load(), l.Late.Load()+g.pool.Late()
+	s.OpenRequests, s.Served, s.Failed, s.Abandoned = l.OpenRequests.Load(), l.Served.Load(), l.Failed.Load(), l.Counters.Abandoned.Load()
+	s.Attempts, s.LateResponses = l.Attempts.Load(), l.LateResponses.Load()+g.upstream.LateResponses()
 	return s
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -31,8 +31,8 @@
 type bench struct {
 	t     testing.TB
 	fleet *config.Fleet
-	list  *discovery.List
-	nodes []*backend.Node
+	list  *discovery.Server
+	nodes []*backend.Server
 	gw    *Gateway
 	key   string
 	tape  bytes.Buffer
@@ -41,7 +41,7 @@
 // freePort is a port that stays free until the test binds it. One that the kernel gives and takes back may be given to an
 // outgoing connection before.
 func freePort(t testing.TB) string {
-	var r ports.Reserved
+	var r ports.Reservation
 	addr, err := r.Addr()
 	if err != nil {
 		t.Fatal(err)
@@ -52,7 +52,7 @@
 
 func newBench(t testing.TB, nodes int, change func(*config.Fleet)) *bench {
 	t.Helper()
-	b := &bench{t: t, key: credentials.New()}
+	b := &bench{t: t, key: credentials.NewMemberKey()}
 	f, err := config.Parse("bench", []byte(`fleet bench {
 		secret "`+strings.Repeat("0a", 32)+`"
 		max-units 8
@@ -71,13 +71,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Members[0].Keys[0] = f.Secret.Members().Sum([]byte(b.key))
-	f.Members[1].Keys[0] = f.Secret.Members().Sum([]byte("poor"))
+	f.Members[0].Keys[0] = f.Secret.MemberKeyHasher().Sum([]byte(b.key))
+	f.Members[1].Keys[0] = f.Secret.MemberKeyHasher().Sum([]byte("poor"))
 	f.Gateways[0].Listen = freePort(t)
 	if b.list, err = discovery.Start("127.0.0.1:0", 0, nil); err != nil {
 		t.Fatal(err)
 	}
-	f.List = b.list.Addr()
+	f.EndpointList = b.list.Addr()
 	if change != nil {
 		change(f)
 	}
@@ -85,7 +85,7 @@
 	for range nodes {
 		b.addNode(f)
 	}
-	if b.gw, err = Start(f, Options{Seed: 1, Tape: &b.tape}); err != nil {
+	if b.gw, err = Start(f, Options{Seed: 1, Recording: &b.tape}); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, "the list is taken", func() bool { return len(b.gw.State().Core.Servers) == nodes })
@@ -102,14 +102,14 @@
 func (b *bench) addNode(f *config.Fleet) {
 	classes := map[string]backend.Class{}
 	for _, k := range f.Decide.Classes {
-		classes[k.Name] = backend.Class{Work: time.Millisecond, Keyed: k.Idempotency == decide.IdempotentByKey, Window: k.DedupWindow}
+		classes[k.Name] = backend.Class{MeanWork: time.Millisecond, Deduplicates: k.Idempotency == decide.IdempotentByKey, DedupWindow: k.DedupWindow}
 	}
-	n, err := backend.Start(backend.Options{Addr: "127.0.0.1:0", Cores: 8, Speed: 1, Queue: 100000, Classes: classes})
+	n, err := backend.Start(backend.Options{Address: "127.0.0.1:0", Cores: 8, Speed: 1, Queue: 100000, Classes: classes})
 	if err != nil {
 		b.t.Fatal(err)
 	}
 	b.nodes = append(b.nodes, n)
-	b.list.Set(discoveryws.Entry{Node: n.Addr(), State: "serving"})
+	b.list.Update(discoveryws.Endpoint{Address: n.Addr(), State: "serving"})
 }
 
 var eventually = await.Until
@@ -138,7 +138,7 @@
 	return &client{b.t, nc, websocket.NewReader(br, websocket.Client, 1<<20)}
 }
 
-func frame(op websocket.Op, s string) []byte {
+func frame(op websocket.Opcode, s string) []byte {
 	return websocket.AppendFrame(nil, true, op, []byte(s), &[4]byte{7, 1, 8, 2})
 }
 
@@ -222,7 +222,7 @@
 // TestOpenID sends a call whose id is open: the open one keeps its one answer, the other is told apart.
 func TestOpenID(t *testing.T) {
 	b := newBench(t, 1, nil)
-	b.nodes[0].Set(func(x *backend.Trouble) { x.Slow = 100 })
+	b.nodes[0].SetFault(func(x *backend.Fault) { x.Slowdown = 100 })
 	c := b.dial(b.key)
 	c.send(call("x", "folio", `{}`), `{"jsonrpc":"2.0","method":"folio","id":"\u0078"}`)
 	first, second := c.read(), c.read()
@@ -232,7 +232,7 @@
 }
 
 func TestWhoIsKnown(t *testing.T) {
-	b := newBench(t, 1, func(f *config.Fleet) { f.Caps.Handshake = 200 * time.Millisecond })
+	b := newBench(t, 1, func(f *config.Fleet) { f.Caps.HandshakeTimeout = 200 * time.Millisecond })
 	for _, auth := range []string{"", "Authorization: Bearer \r\n", "Authorization: Bearer " + b.key[:len(b.key)-1] + "\r\n",
 		"Authorization: Basic " + b.key + "\r\n", "Authorization: Bearer " + strings.Repeat("x", 5000) + "\r\n"} {
 		nc, err := net.Dial("tcp", b.fleet.Gateways[0].Listen)
@@ -250,15 +250,15 @@
 	quiet, _ := net.Dial("tcp", b.fleet.Gateways[0].Listen) // says nothing: cut off in time
 	defer quiet.Close()
 	io.ReadAll(quiet)
-	eventually(t, "no state is left", func() bool { return b.gw.front.Sessions() == 0 })
+	eventually(t, "no state is left", func() bool { return b.gw.frontend.SessionCount() == 0 })
 }
 
 // TestClientsThatLeave has clients go in every way with hundreds of calls open: nothing leaks. There are many
 // nodes, as the core lets no more than a few calls wait at one that is silent.
 func TestClientsThatLeave(t *testing.T) {
-	b := newBench(t, 100, func(f *config.Fleet) { f.Caps.NodeIdle = 20 * time.Millisecond })
+	b := newBench(t, 100, func(f *config.Fleet) { f.Caps.EndpointIdleTimeout = 20 * time.Millisecond })
 	for _, n := range b.nodes {
-		n.Set(func(x *backend.Trouble) { x.Silent = true })
+		n.SetFault(func(x *backend.Fault) { x.Unresponsive = true })
 	}
 	leaves := []struct {
 		name string
@@ -290,29 +290,29 @@
 		eventually(t, "all 500 are in", func() bool {
 			l := b.gw.loop
 			in := int64(0)
-			l.Ask(func() {
-				open = int64(len(l.opens))
+			l.Do(func() {
+				open = int64(len(l.requests))
 				in = open - refusals(before)
-				for _, v := range l.reasons {
+				for _, v := range l.rejections {
 					in += v
 				}
 			})
 			return in == 500
 		})
 		if open < 200 {
-			t.Fatalf("only %d calls are open; refused %v", open, b.gw.State().Refused)
+			t.Fatalf("only %d calls are open; refused %v", open, b.gw.State().Rejected)
 		}
 		x.f(c)
-		eventually(t, x.name+": none is open", func() bool { s := b.gw.State(); return s.Open == 0 && s.Gone >= before.Gone+open })
+		eventually(t, x.name+": none is open", func() bool { s := b.gw.State(); return s.OpenRequests == 0 && s.Abandoned >= before.Abandoned+open })
 		c.nc.Close()
-		eventually(t, x.name+": no session is left", func() bool { return b.gw.front.Sessions() == 0 })
+		eventually(t, x.name+": no session is left", func() bool { return b.gw.frontend.SessionCount() == 0 })
 		eventually(t, x.name+": attempts that nobody waits for are given up", func() bool {
 			n := 0
-			b.gw.loop.Ask(func() { n = len(b.gw.loop.opens) })
+			b.gw.loop.Do(func() { n = len(b.gw.loop.requests) })
 			return n == 0
 		})
 		// Connections to nodes are closed when idle, so that what is left is not theirs.
-		eventually(t, x.name+": no connection is left", func() bool { return b.gw.State().NodeConns == 0 })
+		eventually(t, x.name+": no connection is left", func() bool { return b.gw.State().ServerConnections == 0 })
 		if goroutines == 0 {
 			eventually(t, "goroutines settle", func() bool {
 				n := runtime.NumGoroutine()
@@ -326,7 +326,7 @@
 }
 
 func refusals(s State) (n int64) {
-	for _, v := range s.Refused {
+	for _, v := range s.Rejected {
 		n += v
 	}
 	return n
@@ -335,7 +335,7 @@
 // TestAnswerAndTimer answers right at the deadline, many times: one final answer each, whichever came first.
 func TestAnswerAndTimer(t *testing.T) {
 	b := newBench(t, 1, nil)
-	b.nodes[0].Set(func(x *backend.Trouble) { x.Slow = 60 })
+	b.nodes[0].SetFault(func(x *backend.Fault) { x.Slowdown = 60 })
 	c := b.dial(b.key)
 	const n = 400
 	for i := range n {
@@ -349,21 +349,21 @@
 	if len(seen) != n {
 		t.Errorf("%d ids were answered, want %d", len(seen), n)
 	}
-	eventually(t, "none is open", func() bool { return b.gw.State().Open == 0 })
+	eventually(t, "none is open", func() bool { return b.gw.State().OpenRequests == 0 })
 }
 
 // TestDrainOnSignal stops a gateway with calls open: each has its answer, new ones are refused.
 func TestDrainOnSignal(t *testing.T) {
 	b := newBench(t, 2, nil)
 	for _, n := range b.nodes {
-		n.Set(func(x *backend.Trouble) { x.Slow = 150 })
+		n.SetFault(func(x *backend.Fault) { x.Slowdown = 150 })
 	}
 	c := b.dial(b.key)
 	idle := b.dial(b.key)
 	for i := range 10 {
 		c.send(call(i, "folio", `{}`))
 	}
-	eventually(t, "ten are open", func() bool { return b.gw.State().Open == 10 })
+	eventually(t, "ten are open", func() bool { return b.gw.State().OpenRequests == 10 })
 	done := make(chan struct{})
 	go func() { b.gw.Drain(); close(done) }()
 	eventually(t, "it drains", func() bool { return !listens(b.fleet.Gateways[0].Listen) })
@@ -381,7 +381,7 @@
 		t.Errorf("%d served, %d refused", served, refused)
 	}
 	for _, x := range []*client{c, idle} {
-		if m, err := x.r.Next(); err != nil || m.Op != websocket.Close || m.Data[1] != 0xe9 {
+		if m, err := x.r.Next(); err != nil || m.Opcode != websocket.Close || m.Data[1] != 0xe9 {
 			t.Errorf("%v %v, want a close frame with 1001", m, err)
 		}
 		x.nc.Close()
@@ -400,7 +400,7 @@
 
 // TestFlood sends 10,000 calls without reading an answer: the session is cut at its bound, others are served.
 func TestFlood(t *testing.T) {
-	b := newBench(t, 2, func(f *config.Fleet) { f.Caps.Queue = 32 << 10; f.Caps.Write = 300 * time.Millisecond })
+	b := newBench(t, 2, func(f *config.Fleet) { f.Caps.MaxQueuedBytes = 32 << 10; f.Caps.WriteTimeout = 300 * time.Millisecond })
 	flood := b.dial(b.key)
 	flood.nc.(*net.TCPConn).SetReadBuffer(4 << 10)
 	pad := strings.Repeat("p", 1000)
@@ -423,16 +423,16 @@
 		}
 	}
 	wg.Wait()
-	eventually(t, "the flooding session is cut", func() bool { return b.gw.front.Sessions() == 1 })
+	eventually(t, "the flooding session is cut", func() bool { return b.gw.frontend.SessionCount() == 1 })
 }
 
 // TestCaps refuses at once what is over a cap, and takes more when there is room.
 func TestCaps(t *testing.T) {
 	b := newBench(t, 20, func(f *config.Fleet) {
-		f.Caps.Open, f.Caps.SessionOpen, f.Caps.Sessions, f.Caps.Message = 15, 10, 2, 2000
+		f.Caps.MaxInFlight, f.Caps.MaxInFlightPerSession, f.Caps.MaxSessions, f.Caps.MaxMessageBytes = 15, 10, 2, 2000
 	})
 	for _, n := range b.nodes {
-		n.Set(func(x *backend.Trouble) { x.Silent = true })
+		n.SetFault(func(x *backend.Fault) { x.Unresponsive = true })
 	}
 	one, two := b.dial(b.key), b.dial(b.key)
 	for i := range 12 {
@@ -455,10 +455,10 @@
 		t.Errorf("a third session is answered %q", raw)
 	}
 	two.send(`{"x":"` + strings.Repeat("x", 3000) + `"}`)
-	if m, err := two.r.Next(); err != nil || m.Op != websocket.Close || int(m.Data[0])<<8|int(m.Data[1]) != websocket.CodeTooBig {
+	if m, err := two.r.Next(); err != nil || m.Opcode != websocket.Close || int(m.Data[0])<<8|int(m.Data[1]) != websocket.CodeTooBig {
 		t.Errorf("%v %v, want a close frame with 1009", m, err)
 	}
-	eventually(t, "one session's calls are left", func() bool { return b.gw.State().Open == 10 })
+	eventually(t, "one session's calls are left", func() bool { return b.gw.State().OpenRequests == 10 })
 }
 
 // TestManySessions connects 5,000 sessions at once, within the file descriptors of this process.
@@ -474,7 +474,7 @@
 		go func() { defer wg.Done(); clients[i] = b.dial(b.key); <-gate }()
 	}
 	wg.Wait()
-	eventually(t, "all are there", func() bool { return b.gw.front.Sessions() == n })
+	eventually(t, "all are there", func() bool { return b.gw.frontend.SessionCount() == n })
 	for _, i := range []int{0, n / 2, n - 1} {
 		clients[i].send(call(i, "look", `{}`))
 		if s := clients[i].read(); !strings.Contains(s, `"result"`) {
@@ -500,12 +500,12 @@
 			}
 		}()
 	}
-	b.nodes[0].Cut()
-	b.nodes[1].Set(func(x *backend.Trouble) { x.Errors = 0.5 })
+	b.nodes[0].CloseConnections()
+	b.nodes[1].SetFault(func(x *backend.Fault) { x.ErrorShare = 0.5 })
 	wg.Wait()
 	b.gw.Stop()
 	n, err := recording.Replay(&b.tape)
-	if err != nil || n.Cut != nil || n.ByKind["Request"] != 800 {
+	if err != nil || n.Truncated != nil || n.ByKind["Request"] != 800 {
 		t.Errorf("%+v, %v", n, err)
 	}
 }
@@ -514,17 +514,17 @@
 func TestBadList(t *testing.T) {
 	b := newBench(t, 2, nil)
 	v := b.list.Version()
-	gone := discoveryws.Entry{Node: b.nodes[0].Addr(), State: "gone"}
-	for _, u := range []discoveryws.Update{{Version: v, Nodes: []discoveryws.Entry{gone}}, {Version: 1, Nodes: []discoveryws.Entry{gone}},
-		{Version: v + 1, Nodes: []discoveryws.Entry{gone, gone}}, {Version: v + 1, Nodes: []discoveryws.Entry{{Node: "bad", State: "gone"}, gone}},
-		{Version: v + 9, Nodes: []discoveryws.Entry{gone}}} {
-		b.list.Raw(discoveryws.MethodChange, u)
-	}
-	third := discoveryws.Entry{Node: "127.0.0.1:9", State: "draining"}
-	b.list.Set(third)
+	gone := discoveryws.Endpoint{Address: b.nodes[0].Addr(), State: "gone"}
+	for _, u := range []discoveryws.Update{{Version: v, Endpoints: []discoveryws.Endpoint{gone}}, {Version: 1, Endpoints: []discoveryws.Endpoint{gone}},
+		{Version: v + 1, Endpoints: []discoveryws.Endpoint{gone, gone}}, {Version: v + 1, Endpoints: []discoveryws.Endpoint{{Address: "bad", State: "gone"}, gone}},
+		{Version: v + 9, Endpoints: []discoveryws.Endpoint{gone}}} {
+		b.list.SendRaw(discoveryws.MethodChange, u)
+	}
+	third := discoveryws.Endpoint{Address: "127.0.0.1:9", State: "draining"}
+	b.list.Update(third)
 	eventually(t, "the change behind them is taken", func() bool { return len(b.gw.State().Core.Servers) == 3 })
 	for _, s := range b.gw.State().Core.Servers {
-		if s.ID != third.Node && s.State != decide.Serving {
+		if s.ID != third.Address && s.State != decide.Serving {
 			t.Errorf("%+v", s)
 		}
 	}
@@ -534,15 +534,15 @@
 func TestLoopHoldsBackSecondAnswer(t *testing.T) {
 	b := newBench(t, 1, nil)
 	n := 0
-	b.gw.loop.Ask(func() {
-		o := &open{Call: &frontend.Call{ID: "x", Done: func(frontend.Final) { n++ }}}
-		b.gw.loop.opens["x"] = o
-		b.gw.loop.Open.Add(1)
-		b.gw.loop.carry(decide.Reject{ID: "x"})
-		b.gw.loop.carry(decide.Fail{ID: "x"})
-		b.gw.loop.final(o, frontend.Final{})
+	b.gw.loop.Do(func() {
+		o := &openRequest{Request: &frontend.Request{ID: "x", Done: func(frontend.Response) { n++ }}}
+		b.gw.loop.requests["x"] = o
+		b.gw.loop.OpenRequests.Add(1)
+		b.gw.loop.execute(decide.Reject{ID: "x"})
+		b.gw.loop.execute(decide.Fail{ID: "x"})
+		b.gw.loop.respond(o, frontend.Response{})
 	})
-	if n != 1 || b.gw.loop.Open.Load() != 0 {
+	if n != 1 || b.gw.loop.OpenRequests.Load() != 0 {
 		t.Errorf("%d answers", n)
 	}
 }
--- a/internal/gateway/jsonkeys_test.go
+++ b/internal/gateway/jsonkeys_test.go
@@ -19,7 +19,7 @@
 	}{
 		{"state-keys.txt", new(State)},
 		{"history-keys.txt", new(History)},
-		{"change-keys.txt", new(wireChange)},
+		{"change-keys.txt", new(changeJSON)},
 	} {
 		t.Run(test.file, func(t *testing.T) {
 			fill(t, reflect.ValueOf(test.value).Elem())
--- a/internal/gateway/late_test.go
+++ b/internal/gateway/late_test.go
@@ -17,8 +17,8 @@
 type held struct{ sent chan *upstreamws.Call }
 
 func (h *held) Send(c *upstreamws.Call) { h.sent <- c }
-func (h *held) Abandon(c *upstreamws.Call) upstreamws.Given {
-	return c.GiveUp()
+func (h *held) Abandon(c *upstreamws.Call) upstreamws.AbandonResult {
+	return c.Abandon()
 }
 func (h *held) CloseIdle(string) {}
 
@@ -47,37 +47,37 @@
 	h := &held{sent: make(chan *upstreamws.Call, 10)}
 	l := NewLoop(decide.Config{Limits: decide.Limits{MaxAttempts: 3}}, sends{}, func() time.Duration { return time.Duration(now.Load()) }, h, nil, nil,
 		slog.New(slog.DiscardHandler))
-	l.Limit(10)
+	l.SetMaxOpenRequests(10)
 	go l.Run()
 	t.Cleanup(l.Stop)
 	var left atomic.Bool
 	ask := func(id string) *upstreamws.Call {
-		l.Call(&frontend.Call{ID: id, Deadline: time.Duration(now.Load()) + 400*time.Millisecond, Left: left.Load, Done: func(frontend.Final) {},
-			Form: func(_ int, left time.Duration) []byte { return fmt.Append(nil, left.Milliseconds()) }})
+		l.Submit(&frontend.Request{ID: id, Deadline: time.Duration(now.Load()) + 400*time.Millisecond, ClientGone: left.Load, Done: func(frontend.Response) {},
+			EncodeAttempt: func(_ int, left time.Duration) []byte { return fmt.Append(nil, left.Milliseconds()) }})
 		return <-h.sent
 	}
 	c := ask("a")
 	now.Add(int64(150 * time.Millisecond))
-	if got := c.Form(); !bytes.Equal(got, []byte("250")) || c.Late() {
-		t.Errorf("written 150 ms after its decision it tells %s ms, late %t, want 250 and false", got, c.Late())
+	if got := c.BuildParams(); !bytes.Equal(got, []byte("250")) || c.Cancelled() {
+		t.Errorf("written 150 ms after its decision it tells %s ms, late %t, want 250 and false", got, c.Cancelled())
 	}
 	now.Add(int64(50 * time.Millisecond))
-	if !c.Late() {
+	if !c.Cancelled() {
 		t.Error("it may be written behind its window")
 	}
 	unbounded.Store(true)
 	c = ask("c")
-	if now.Add(int64(399 * time.Millisecond)); c.Late() || string(c.Form()) != "1" {
-		t.Errorf("with a millisecond left it tells %s, late %t, want 1 and false", c.Form(), c.Late())
+	if now.Add(int64(399 * time.Millisecond)); c.Cancelled() || string(c.BuildParams()) != "1" {
+		t.Errorf("with a millisecond left it tells %s, late %t, want 1 and false", c.BuildParams(), c.Cancelled())
 	}
-	if now.Add(1); !c.Late() {
+	if now.Add(1); !c.Cancelled() {
 		t.Error("it may be written with less left than can be told")
 	}
 	c = ask("b")
-	if c.Late() {
+	if c.Cancelled() {
 		t.Error("a new one is late")
 	}
-	if left.Store(true); !c.Late() {
+	if left.Store(true); !c.Cancelled() {
 		t.Error("it may be written for a client that has gone")
 	}
 }
--- a/internal/gateway/measured_test.go
+++ b/internal/gateway/measured_test.go
@@ -23,13 +23,13 @@
 			}
 			defer recv.Stop()
 			b := newBench(t, 3, func(f *config.Fleet) {
-				f.Measures.On, f.Measures.To, f.Measures.Every = true, recv.URL(), 20*time.Millisecond
-				f.Measures.Queue, f.Measures.Memory, f.Measures.Batch, f.Measures.Shards = 200000, 64<<20, 500, 2
-				f.Measures.MaxAge, f.Measures.Timeout, f.Measures.Members = time.Minute, time.Second, 10
+				f.Metrics.Enabled, f.Metrics.URL, f.Metrics.Interval = true, recv.URL(), 20*time.Millisecond
+				f.Metrics.MaxSamples, f.Metrics.MaxBytes, f.Metrics.BatchSize, f.Metrics.Shards = 200000, 64<<20, 500, 2
+				f.Metrics.MaxAge, f.Metrics.Timeout, f.Metrics.MaxMembers = time.Minute, time.Second, 10
 			})
 			if bad {
-				b.nodes[0].Set(func(x *backend.Trouble) { x.Errors = 0.5 })
-				recv.Set(func(x *metricsreceiver.Trouble) { x.Status = 503 })
+				b.nodes[0].SetFault(func(x *backend.Fault) { x.ErrorShare = 0.5 })
+				recv.SetFault(func(x *metricsreceiver.Fault) { x.Status = 503 })
 			}
 			c, poor := b.dial(b.key), b.dial("poor")
 			served, units := 0, 0.0
@@ -44,7 +44,7 @@
 			}
 			few, _ := poor.serve(40, `{}`)
 			if bad {
-				recv.Set(func(x *metricsreceiver.Trouble) { x.Status = 0 })
+				recv.SetFault(func(x *metricsreceiver.Fault) { x.Status = 0 })
 			}
 			attempts, refused := b.gw.State().Attempts, refusals(b.gw.State())
 			c.nc.Close()
@@ -52,7 +52,7 @@
 			b.gw.Drain()
 			ran := 0
 			for _, n := range b.nodes {
-				ran += n.Ran()
+				ran += n.Completed()
 			}
 			for _, w := range []struct {
 				what string
@@ -76,8 +76,8 @@
 			if !bad && ran != served+few {
 				t.Errorf("nodes ran %d, %d were served", ran, served+few)
 			}
-			if recv.Unsorted > 0 {
-				t.Errorf("%d samples out of order", recv.Unsorted)
+			if recv.OutOfOrder > 0 {
+				t.Errorf("%d samples out of order", recv.OutOfOrder)
 			}
 			t.Logf("%d series, %d samples, %.1f bytes each", len(recv.Names()), recv.Samples, float64(recv.Bytes)/float64(recv.Samples))
 		})
@@ -92,9 +92,9 @@
 	}
 	defer recv.Stop()
 	x := newTrio(t, func(f *config.Fleet) {
-		f.Measures.On, f.Measures.To, f.Measures.Every = true, recv.URL(), 100*time.Millisecond
-		f.Measures.Queue, f.Measures.Memory, f.Measures.Batch, f.Measures.Shards = 200000, 64<<20, 500, 2
-		f.Measures.MaxAge, f.Measures.Timeout, f.Measures.Members = time.Minute, time.Second, 10
+		f.Metrics.Enabled, f.Metrics.URL, f.Metrics.Interval = true, recv.URL(), 100*time.Millisecond
+		f.Metrics.MaxSamples, f.Metrics.MaxBytes, f.Metrics.BatchSize, f.Metrics.Shards = 200000, 64<<20, 500, 2
+		f.Metrics.MaxAge, f.Metrics.Timeout, f.Metrics.MaxMembers = time.Minute, time.Second, 10
 	})
 	served := 0
 	for i := range 3 {
--- a/internal/gateway/owed_test.go
+++ b/internal/gateway/owed_test.go
@@ -33,9 +33,9 @@
 	}
 	t.Cleanup(recv.Stop)
 	b := newBench(t, 2, func(f *config.Fleet) {
-		f.Gateways[0].State = freePort(t)
-		f.Kept = filepath.Join(dir, "kept-%d")
-		f.Export.To, f.Export.Durability, f.Export.Batch, f.Export.Timeout = recv.URL(), wal.Each, 7, time.Second
+		f.Gateways[0].StateAddress = freePort(t)
+		f.StateDirPattern = filepath.Join(dir, "kept-%d")
+		f.UsageExport.URL, f.UsageExport.Durability, f.UsageExport.BatchSize, f.UsageExport.Timeout = recv.URL(), wal.SyncAlways, 7, time.Second
 		if change != nil {
 			change(f)
 		}
@@ -51,10 +51,10 @@
 	return x
 }
 
-func (x *counted) uses() (out []outbox.Use) {
+func (x *counted) uses() (out []outbox.UsageData) {
 	for _, e := range x.recv.Events() {
-		var u outbox.Use
-		if e.Type == outbox.TypeUse && json.Unmarshal(e.Data, &u) == nil {
+		var u outbox.UsageData
+		if e.Type == outbox.TypeUsage && json.Unmarshal(e.Data, &u) == nil {
 			out = append(out, u)
 		}
 	}
@@ -69,11 +69,11 @@
 		t.Fatal(last)
 	}
 	for _, n := range x.nodes {
-		n.Set(func(t *backend.Trouble) { t.Errors = 1 })
+		n.SetFault(func(t *backend.Fault) { t.ErrorShare = 1 })
 	}
 	c.serve(1, `{"units":3}`)
 	for _, n := range x.nodes {
-		n.Set(func(t *backend.Trouble) { t.Errors, t.Silent = 0, true })
+		n.SetFault(func(t *backend.Fault) { t.ErrorShare, t.Unresponsive = 0, true })
 	}
 	c.send(call(1, "quick", `{"units":4}`))
 	c.read()
@@ -81,8 +81,8 @@
 	eventually(t, "all is exported", func() bool { return len(x.uses()) == tries })
 	kinds := map[string]int{}
 	for _, u := range x.uses() {
-		kinds[fmt.Sprint(u.Outcome, " ", u.Units, " ", u.Guess)]++
-		if u.Member != "m" || u.Plan != "big" || u.Node == "" || u.Request == "" {
+		kinds[fmt.Sprint(u.Outcome, " ", u.Units, " ", u.Estimated)]++
+		if u.Member != "m" || u.Plan != "big" || u.Server == "" || u.Request == "" {
 			t.Errorf("%+v", u)
 		}
 	}
@@ -93,14 +93,14 @@
 	if kinds[fmt.Sprint("answered ", want, " false")] != 20 || kinds["error 3 true"] == 0 || kinds["unanswered 4 true"] != 1 {
 		t.Errorf("%v", kinds)
 	}
-	eventually(t, "the receiver's word is noted", func() bool { s := x.gw.State().Export; return s.Acked > 0 && s.Open == 0 })
+	eventually(t, "the receiver's word is noted", func() bool { s := x.gw.State().Usage; return s.Acknowledged > 0 && s.OpenAttempts == 0 })
 }
 
 // TestExportDiskFull refuses at once, or serves and tells how much is not covered, while the log can't be written.
 func TestExportDiskFull(t *testing.T) {
-	for _, policy := range []outbox.Policy{outbox.Refuse, outbox.Serve} {
-		t.Run(map[outbox.Policy]string{outbox.Refuse: "refuse", outbox.Serve: "serve"}[policy], func(t *testing.T) {
-			x := newCounted(t, func(f *config.Fleet) { f.Export.Unwritable = policy })
+	for _, policy := range []outbox.Policy{outbox.PolicyReject, outbox.PolicyServe} {
+		t.Run(map[outbox.Policy]string{outbox.PolicyReject: "refuse", outbox.PolicyServe: "serve"}[policy], func(t *testing.T) {
+			x := newCounted(t, func(f *config.Fleet) { f.UsageExport.OnUnwritable = policy })
 			c := x.dial(x.key)
 			if n, last := c.serve(5, `{}`); n != 5 {
 				t.Fatal(last)
@@ -108,25 +108,25 @@
 			x.fs.bad.Store(true)
 			c.send(call(1, "look", `{}`)) // the first that can't be written; refused, or served
 			c.read()
-			eventually(t, "the failure is told", func() bool { return x.gw.State().Export.Failure != "" })
-			ran := x.nodes[0].Ran() + x.nodes[1].Ran()
+			eventually(t, "the failure is told", func() bool { return x.gw.State().Usage.Failure != "" })
+			ran := x.nodes[0].Completed() + x.nodes[1].Completed()
 			n, last := c.serve(10, `{"units":2}`)
-			ran = x.nodes[0].Ran() + x.nodes[1].Ran() - ran
-			if policy == outbox.Refuse && (n != 0 || ran != 0 || !strings.Contains(last, `"reason":"export"`)) {
+			ran = x.nodes[0].Completed() + x.nodes[1].Completed() - ran
+			if policy == outbox.PolicyReject && (n != 0 || ran != 0 || !strings.Contains(last, `"reason":"export"`)) {
 				t.Errorf("%d served, %d ran: %s", n, ran, last)
 			}
-			if policy == outbox.Serve && n != 10 {
+			if policy == outbox.PolicyServe && n != 10 {
 				t.Errorf("%d served: %s", n, last)
 			}
 			x.fs.bad.Store(false)
-			eventually(t, "it works again", func() bool { s := x.gw.State().Export; return s.Failure == "" && !s.Refusing })
+			eventually(t, "it works again", func() bool { s := x.gw.State().Usage; return s.Failure == "" && !s.Rejecting })
 			if n, last := c.serve(5, `{}`); n != 5 {
 				t.Error(last)
 			}
-			if policy == outbox.Serve {
+			if policy == outbox.PolicyServe {
 				eventually(t, "the gap is told", func() bool {
 					for _, e := range x.recv.Events() {
-						var g outbox.Uncovered
+						var g outbox.GapData
 						if e.Type == outbox.TypeGap && json.Unmarshal(e.Data, &g) == nil && g.Units >= 20 {
 							return true
 						}
@@ -142,12 +142,14 @@
 // TestExportBound fills the log while the receiver is away: calls are refused at its bound, memory and disk stay within
 // it, and when the receiver is back all is exported and calls are served again.
 func TestExportBound(t *testing.T) {
-	x := newCounted(t, func(f *config.Fleet) { f.Export.Disk, f.Export.Durability, f.Export.Batch = 1<<20, wal.Interval, 1000 })
-	x.recv.Set(func(t *usagereceiver.Trouble) { t.Status = 503 })
+	x := newCounted(t, func(f *config.Fleet) {
+		f.UsageExport.MaxLogBytes, f.UsageExport.Durability, f.UsageExport.BatchSize = 1<<20, wal.SyncInterval, 1000
+	})
+	x.recv.SetFault(func(t *usagereceiver.Fault) { t.Status = 503 })
 	c := x.dial(x.key)
 	work := `{"work":{"try":"` + strings.Repeat("x", 20) + `"}}`
 	served, last := 0, ""
-	for !x.gw.State().Export.Refusing {
+	for !x.gw.State().Usage.Rejecting {
 		for i := range 400 {
 			c.send(call(i, "look", work))
 		}
@@ -160,12 +162,12 @@
 	if n, last := c.serve(3, `{}`); n > 0 || !strings.Contains(last, `"reason":"export"`) {
 		t.Errorf("%d served over the bound: %s", n, last)
 	}
-	if s := x.gw.State().Export; s.Bytes > s.Bound {
-		t.Errorf("%d bytes, the bound is %d", s.Bytes, s.Bound)
+	if s := x.gw.State().Usage; s.Bytes > s.MaxBytes {
+		t.Errorf("%d bytes, the bound is %d", s.Bytes, s.MaxBytes)
 	}
-	x.recv.Set(func(t *usagereceiver.Trouble) { t.Status = 0 })
+	x.recv.SetFault(func(t *usagereceiver.Fault) { t.Status = 0 })
 	eventually(t, "all is exported", func() bool { return len(x.recv.Events()) == served })
-	eventually(t, "there is room again", func() bool { return !x.gw.State().Export.Refusing })
+	eventually(t, "there is room again", func() bool { return !x.gw.State().Usage.Rejecting })
 	if n, last := c.serve(3, `{}`); n != 3 {
 		t.Error(last)
 	}
@@ -175,7 +177,7 @@
 func TestDrainExport(t *testing.T) {
 	x := newCounted(t, nil)
 	x.gw.Stop()
-	x.recv.Set(func(t *usagereceiver.Trouble) { t.Status = 503 })
+	x.recv.SetFault(func(t *usagereceiver.Fault) { t.Status = 503 })
 	p := spawn(t, x.fleet, 0)
 	eventually(t, "it has the list", func() bool { return strings.Contains(stateOf(x.fleet, 0), x.nodes[1].Addr()) })
 	c := x.dial(x.key)
@@ -183,7 +185,7 @@
 		t.Fatal(last)
 	}
 	for _, n := range x.nodes {
-		n.Set(func(t *backend.Trouble) { t.Silent = true })
+		n.SetFault(func(t *backend.Fault) { t.Unresponsive = true })
 	}
 	for i := range 3 {
 		c.send(call(i, "folio", `{"units":6}`))
@@ -191,27 +193,27 @@
 	eventually(t, "three are out", func() bool {
 		var s State
 		json.Unmarshal([]byte(stateOf(x.fleet, 0)), &s)
-		return s.Export != nil && s.Export.Records >= 1+13+10 // a life, 13 intents, 10 settlements
+		return s.Usage != nil && s.Usage.Records >= 1+13+10 // a life, 13 intents, 10 settlements
 	})
 	p.Process.Signal(syscall.SIGKILL)
 	p.Wait()
 	ctx, stop := context.WithTimeout(context.Background(), 300*time.Millisecond)
-	if _, err := DrainExport(ctx, x.fleet, 0, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), "503") {
+	if _, err := DrainOutbox(ctx, x.fleet, 0, slog.New(slog.DiscardHandler)); err == nil || !strings.Contains(err.Error(), "503") {
 		t.Errorf("%v, want the receiver's answer", err)
 	}
 	stop()
-	x.recv.Set(func(t *usagereceiver.Trouble) { t.Status = 0 })
+	x.recv.SetFault(func(t *usagereceiver.Fault) { t.Status = 0 })
 	for range 2 { // a second time there is nothing to tell
-		if _, err := DrainExport(context.Background(), x.fleet, 0, slog.New(slog.DiscardHandler)); err != nil {
+		if _, err := DrainOutbox(context.Background(), x.fleet, 0, slog.New(slog.DiscardHandler)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	orphans, sized := 0, 0
 	for _, u := range x.uses() {
 		switch {
-		case u.Outcome == outbox.Orphan.String() && u.Units == 6 && u.Guess:
+		case u.Outcome == outbox.OutcomeGatewayEnded.String() && u.Units == 6 && u.Estimated:
 			orphans++
-		case u.Outcome == outbox.Sized.String() && u.Units == 2:
+		case u.Outcome == outbox.OutcomeAnswered.String() && u.Units == 2:
 			sized++
 		default:
 			t.Errorf("%+v", u)
@@ -220,7 +222,7 @@
 	if orphans != 3 || sized != 10 {
 		t.Errorf("%d orphans, %d sized, want 3 and 10", orphans, sized)
 	}
-	if _, err := DrainExport(context.Background(), x.fleet, 4, slog.New(slog.DiscardHandler)); err == nil {
+	if _, err := DrainOutbox(context.Background(), x.fleet, 4, slog.New(slog.DiscardHandler)); err == nil {
 		t.Error("rank 4 is drained")
 	}
 }
@@ -228,8 +230,8 @@
 // TestExportReadOnly starts on a disk that takes no file: it refuses, or serves uncovered, and goes on when the disk takes them;
 // a place that can't be a directory is an error that names it.
 func TestExportReadOnly(t *testing.T) {
-	for _, policy := range []outbox.Policy{outbox.Refuse, outbox.Serve} {
-		x := newCounted(t, func(f *config.Fleet) { f.Export.Unwritable = policy })
+	for _, policy := range []outbox.Policy{outbox.PolicyReject, outbox.PolicyServe} {
+		x := newCounted(t, func(f *config.Fleet) { f.UsageExport.OnUnwritable = policy })
 		x.gw.Stop()
 		x.fs.readOnly.Store(true)
 		gw, err := Start(x.fleet, Options{Seed: 1, FS: x.fs})
@@ -239,18 +241,18 @@
 		x.gw = gw
 		eventually(t, "it has the list", func() bool { return len(gw.State().Core.Servers) == 2 })
 		c := x.dial(x.key)
-		if n, last := c.serve(3, `{}`); n != map[outbox.Policy]int{outbox.Refuse: 0, outbox.Serve: 3}[policy] {
+		if n, last := c.serve(3, `{}`); n != map[outbox.Policy]int{outbox.PolicyReject: 0, outbox.PolicyServe: 3}[policy] {
 			t.Errorf("policy %d: %d served: %s", policy, n, last)
 		}
 		x.fs.readOnly.Store(false)
-		eventually(t, "it works again", func() bool { s := gw.State().Export; return s.Failure == "" && !s.Refusing })
+		eventually(t, "it works again", func() bool { s := gw.State().Usage; return s.Failure == "" && !s.Rejecting })
 		if n, last := c.serve(3, `{}`); n != 3 {
 			t.Error(last)
 		}
 	}
 	b := newBench(t, 1, nil)
 	b.gw.Stop()
-	b.fleet.Kept = "/dev/null/kept-%d"
+	b.fleet.StateDirPattern = "/dev/null/kept-%d"
 	if _, err := Start(b.fleet, Options{Seed: 1}); err == nil || !strings.Contains(err.Error(), "gateway 0: kept:") || !strings.Contains(err.Error(), "/dev/null") {
 		t.Errorf("%v, want the place named", err)
 	}
--- a/internal/gateway/process_test.go
+++ b/internal/gateway/process_test.go
@@ -65,7 +65,7 @@
 // TestStopped stops a gateway by SIGSTOP and lets it go on: what came meanwhile is judged by its age, by the
 // client's own clock. What can't be in time is refused at once and never runs; what came last is served.
 func TestStopped(t *testing.T) {
-	b := newBench(t, 1, func(f *config.Fleet) { f.Gateways[0].State = freePort(t) })
+	b := newBench(t, 1, func(f *config.Fleet) { f.Gateways[0].StateAddress = freePort(t) })
 	b.gw.Stop()
 	p := spawn(t, b.fleet, 0)
 	eventually(t, "it has the list", func() bool { return strings.Contains(stateOf(b.fleet, 0), b.nodes[0].Addr()) })
@@ -80,7 +80,7 @@
 			t.Fatal(s)
 		}
 	}
-	ran := b.nodes[0].Ran()
+	ran := b.nodes[0].Completed()
 	p.Process.Signal(syscall.SIGSTOP)
 	eventually(t, "it stands still", func() bool {
 		raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Process.Pid))
@@ -107,13 +107,13 @@
 			late++
 		}
 	}
-	if got := b.nodes[0].Ran() - ran; old != 10 || late == 0 || got > 10 {
+	if got := b.nodes[0].Completed() - ran; old != 10 || late == 0 || got > 10 {
 		t.Errorf("%d old calls refused, want 10; %d of the last 10 served, want some; %d ran, want 10 at most", old, late, got)
 	}
 }
 
 func stateOf(f *config.Fleet, rank int) string {
-	res, err := http.Get("http://" + f.Gateways[rank].State + "/state")
+	res, err := http.Get("http://" + f.Gateways[rank].StateAddress + "/state")
 	if err != nil {
 		return ""
 	}
@@ -127,7 +127,7 @@
 func TestStartsFromKeptList(t *testing.T) {
 	kept := filepath.Join(t.TempDir(), "list-%d")
 	b := newBench(t, 1, func(f *config.Fleet) {
-		f.ListKept = kept
+		f.EndpointListPattern = kept
 		f.Decide.Plans[1].Rate, f.Decide.Plans[1].Burst = 0.001, 40
 		p := f.Decide.Plans[1]
 		p.Name, p.CeilingRate, p.CeilingBurst = "roofed", 0.001, 40
@@ -135,12 +135,12 @@
 		m := f.Members[1]
 		m.Name, m.Plan = "roofed", "roofed"
 		m.Keys = nil
-		m.Keys = append(m.Keys, f.Secret.Members().Sum([]byte("roofed")))
+		m.Keys = append(m.Keys, f.Secret.MemberKeyHasher().Sum([]byte("roofed")))
 		f.Members = append(f.Members, m)
 	})
 	eventually(t, "the list is kept", func() bool {
-		u, err := discoveryws.Kept(strings.ReplaceAll(kept, "%d", "0"))
-		return err == nil && len(u.Nodes) == 1
+		u, err := discoveryws.LoadList(strings.ReplaceAll(kept, "%d", "0"))
+		return err == nil && len(u.Endpoints) == 1
 	})
 	b.gw.Stop()
 	b.list.Stop()
@@ -172,11 +172,11 @@
 
 // TestVanished lets a client vanish without a close, its call open: pings find it and leave others alone.
 func TestVanished(t *testing.T) {
-	b := newBench(t, 1, func(f *config.Fleet) { f.Caps.Ping = 50 * time.Millisecond })
+	b := newBench(t, 1, func(f *config.Fleet) { f.Caps.PingAfter = 50 * time.Millisecond })
 	gone, here := b.dial(b.key), b.dial(b.key)
-	b.nodes[0].Set(func(x *backend.Trouble) { x.Slow = 3000 })
+	b.nodes[0].SetFault(func(x *backend.Fault) { x.Slowdown = 3000 })
 	gone.send(call(1, "folio", `{}`))
-	eventually(t, "its call is open", func() bool { return b.gw.State().Open == 1 })
+	eventually(t, "its call is open", func() bool { return b.gw.State().OpenRequests == 1 })
 	// here reads, and so answers pings; gone does neither from now on.
 	go func() {
 		for {
@@ -184,14 +184,14 @@
 			if err != nil {
 				return
 			}
-			if m.Op.Control() {
+			if m.Opcode.IsControl() {
 				here.nc.Write(frame(0xA, string(m.Data)))
 			}
 		}
 	}()
-	eventually(t, "the silent session is cut", func() bool { return b.gw.State().TurnedAway["silent"] == 1 })
-	eventually(t, "its call is called off", func() bool { return b.gw.State().Open == 0 })
-	if n := b.gw.front.Sessions(); n != 1 {
+	eventually(t, "the silent session is cut", func() bool { return b.gw.State().FrontendRejections["silent"] == 1 })
+	eventually(t, "its call is called off", func() bool { return b.gw.State().OpenRequests == 0 })
+	if n := b.gw.frontend.SessionCount(); n != 1 {
 		t.Errorf("%d sessions, want the one that answers", n)
 	}
 }
@@ -200,7 +200,7 @@
 func TestFloodMemory(t *testing.T) {
 	const sessions, queue = 16, 64 << 10
 	b := newBench(t, 1, func(f *config.Fleet) {
-		f.Caps.Queue, f.Caps.SessionOpen, f.Caps.Write = queue, 50, 20*time.Second
+		f.Caps.MaxQueuedBytes, f.Caps.MaxInFlightPerSession, f.Caps.WriteTimeout = queue, 50, 20*time.Second
 	})
 	heap := func() uint64 { // what the collector found alive, without what is made meanwhile and dropped
 		runtime.GC()
--- a/internal/gateway/queue.go
+++ b/internal/gateway/queue.go
@@ -8,14 +8,14 @@
 // taken.
 type queue struct {
 	mu    sync.Mutex
-	items []input
-	spare []input
+	items []loopInput
+	spare []loopInput
 	wake  chan struct{}
 }
 
 func newQueue() *queue { return &queue{wake: make(chan struct{}, 1)} }
 
-func (q *queue) post(in input) {
+func (q *queue) post(in loopInput) {
 	q.mu.Lock()
 	q.items = append(q.items, in)
 	first := len(q.items) == 1
@@ -29,7 +29,7 @@
 }
 
 // take returns all that waits. The slice is good until the next call.
-func (q *queue) take() []input {
+func (q *queue) take() []loopInput {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	items := q.items
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -36,53 +36,53 @@
 
 // ReservationState is a reservation as a gateway has it. Units and tokens are those of the member's quota.
 type ReservationState struct {
-	ID      uint64  `json:"ID"`
-	Number  uint64  `json:"Number"` // of the plan change that made it
-	Member  string  `json:"Member"`
-	Units   float64 `json:"Units"` // as first made
-	From    int64   `json:"From"`  // start of the window, nanoseconds of Unix time
-	To      int64   `json:"To"`    // end of the window, nanoseconds of Unix time
-	Rate    float64 `json:"Rate"`  // units a second over all gateways; 0: no bound
-	Burst   float64 `json:"Burst"` // units at once, with a Rate
-	Ceiling bool    `json:"Ceiling"`
-	First   int     `json:"First"`
-	Spread  int     `json:"Spread"`
-	Mine    bool    `json:"Mine"`
+	ID           uint64  `json:"ID"`
+	Number       uint64  `json:"Number"` // of the plan change that made it
+	Member       string  `json:"Member"`
+	Units        float64 `json:"Units"` // as first made
+	From         int64   `json:"From"`  // start of the window, nanoseconds of Unix time
+	To           int64   `json:"To"`    // end of the window, nanoseconds of Unix time
+	Rate         float64 `json:"Rate"`  // units a second over all gateways; 0: no bound
+	Burst        float64 `json:"Burst"` // units at once, with a Rate
+	Ceiling      bool    `json:"Ceiling"`
+	FirstGateway int     `json:"First"`
+	GatewayCount int     `json:"Spread"`
+	MadeHere     bool    `json:"Mine"`
 
-	Open    bool    `json:"Open"`
-	Ended   bool    `json:"Ended"`
-	Free    float64 `json:"Free"`  // tokens held at this gateway
-	Drawn   float64 `json:"Drawn"` // tokens drawn from them
-	Out     int     `json:"Out"`   // requests in flight
-	Waiting int     `json:"Waiting"`
-	Spent   float64 `json:"Spent"` // units used at this gateway since it started
-	Given   float64 `json:"Given"`
-	Room    float64 `json:"Room"` // under the member's ceiling; 0 where there is none
+	Open        bool    `json:"Open"`
+	Ended       bool    `json:"Ended"`
+	HeldTokens  float64 `json:"Free"`  // tokens held at this gateway
+	DrawnTokens float64 `json:"Drawn"` // tokens drawn from them
+	InFlight    int     `json:"Out"`   // requests in flight
+	Waiting     int     `json:"Waiting"`
+	UsedUnits   float64 `json:"Spent"` // units used at this gateway since it started
+	GivenUnits  float64 `json:"Given"`
+	CeilingRoom float64 `json:"Room"` // under the member's ceiling; 0 where there is none
 }
 
 func reservationState(v reservation.View) ReservationState {
 	return ReservationState{
-		ID:      v.ID,
-		Number:  v.Number,
-		Member:  v.Member,
-		Units:   v.Units,
-		From:    v.From,
-		To:      v.To,
-		Rate:    v.Rate,
-		Burst:   v.Burst,
-		Ceiling: v.Ceiling,
-		First:   v.First,
-		Spread:  v.Spread,
-		Mine:    v.Mine,
-		Open:    v.Open,
-		Ended:   v.Ended,
-		Free:    v.Free,
-		Drawn:   v.Drawn,
-		Out:     v.Out,
-		Waiting: v.Waiting,
-		Spent:   v.Spent,
-		Given:   v.Given,
-		Room:    v.Room,
+		ID:           v.ID,
+		Number:       v.Number,
+		Member:       v.Member,
+		Units:        v.Units,
+		From:         v.From,
+		To:           v.To,
+		Rate:         v.Rate,
+		Burst:        v.Burst,
+		Ceiling:      v.Ceiling,
+		FirstGateway: v.First,
+		GatewayCount: v.Spread,
+		MadeHere:     v.Mine,
+		Open:         v.Open,
+		Ended:        v.Ended,
+		HeldTokens:   v.Free,
+		DrawnTokens:  v.Drawn,
+		InFlight:     v.Out,
+		Waiting:      v.Waiting,
+		UsedUnits:    v.Spent,
+		GivenUnits:   v.Given,
+		CeilingRoom:  v.Room,
 	}
 }
 
--- a/internal/gateway/timers_test.go
+++ b/internal/gateway/timers_test.go
@@ -16,7 +16,7 @@
 			at    time.Duration
 			no    int
 			token uint64
-			x     *try
+			x     *attempt
 		}
 		var tm timers
 		var want []set
@@ -25,17 +25,17 @@
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
 				s := set{at: now + time.Duration(rapid.IntRange(0, 5).Draw(t, "at")), no: no, token: uint64(no + 1)}
-				tm.set(s.at, s.token)
+				tm.setTimer(s.at, s.token)
 				want = append(want, s)
 			case 1:
-				s := set{at: now + time.Duration(rapid.IntRange(0, 5).Draw(t, "at")), no: no, x: &try{}}
-				tm.timeOut(s.x, s.at)
+				s := set{at: now + time.Duration(rapid.IntRange(0, 5).Draw(t, "at")), no: no, x: &attempt{}}
+				tm.setTimeout(s.x, s.at)
 				want = append(want, s)
 			case 2:
 				for i, s := range want {
 					if s.x != nil && rapid.Bool().Draw(t, "this one") {
-						tm.withdraw(s.x)
-						tm.withdraw(s.x)
+						tm.cancelTimeout(s.x)
+						tm.cancelTimeout(s.x)
 						want = slices.Delete(want, i, i+1)
 						break
 					}
@@ -49,19 +49,19 @@
 					return a.no - b.no
 				})
 				for len(want) > 0 && want[0].at <= now {
-					token, x, ok := tm.due(now)
+					token, x, ok := tm.popDue(now)
 					if !ok || token != want[0].token || x != want[0].x {
 						t.Fatalf("due at %v: %v %v %v, want %+v", now, token, x, ok, want[0])
 					}
 					want = want[1:]
 				}
-				if _, _, ok := tm.due(now); ok {
+				if _, _, ok := tm.popDue(now); ok {
 					t.Fatal("one more is due")
 				}
 			}
 		}
-		if len(tm.core)+len(tm.tries) != len(want) {
-			t.Fatalf("%d and %d are set, want %d", len(tm.core), len(tm.tries), len(want))
+		if len(tm.coreTimers)+len(tm.attemptTimers) != len(want) {
+			t.Fatalf("%d and %d are set, want %d", len(tm.coreTimers), len(tm.attemptTimers), len(want))
 		}
 	})
 }
--- a/internal/gateway/traced.go
+++ b/internal/gateway/traced.go
@@ -11,61 +11,61 @@
 )
 
 // traced is the loop's part of traces: it draws ids, decides by a call's end whether it is told, and tells it.
-type traced struct {
-	teller  *tracing.Teller
-	sampler tracing.Sampler
-	rng     *rand.Rand
-	base    time.Time // wall clock at 0 of the loop's
-	aims    map[string]time.Duration
+type requestTracer struct {
+	exporter   *tracing.Exporter
+	sampler    tracing.Sampler
+	random     *rand.Rand
+	wallBase   time.Time // wall clock at 0 of the loop's
+	objectives map[string]time.Duration
 }
 
-func openTraces(f *config.Fleet, rank int, now time.Duration, seed int64, log *slog.Logger) (*traced, error) {
-	t, err := tracing.New(context.Background(), tracing.Options{URL: f.Traces.To, Fleet: f.Name, Gateway: rank, Queue: f.Traces.Queue, Timeout: f.Traces.Timeout, Log: log})
+func openTracer(f *config.Fleet, rank int, now time.Duration, seed int64, log *slog.Logger) (*requestTracer, error) {
+	t, err := tracing.New(context.Background(), tracing.Options{URL: f.Tracing.URL, Fleet: f.Name, Gateway: rank, Queue: f.Tracing.MaxSpans, Timeout: f.Tracing.Timeout, Log: log})
 	if err != nil {
 		return nil, err
 	}
-	x := &traced{teller: t, sampler: tracing.Sampler{Share: f.Traces.Share, Rate: f.Traces.Rate}, rng: rand.New(rand.NewPCG(uint64(seed), 7)),
-		base: time.Now().Add(-now), aims: map[string]time.Duration{}}
+	x := &requestTracer{exporter: t, sampler: tracing.Sampler{Ratio: f.Tracing.SampleFraction, MaxRate: f.Tracing.MaxPerSecond}, random: rand.New(rand.NewPCG(uint64(seed), 7)),
+		wallBase: time.Now().Add(-now), objectives: map[string]time.Duration{}}
 	for _, k := range f.Decide.Classes {
-		x.aims[k.Name] = k.LatencyObjective
+		x.objectives[k.Name] = k.LatencyObjective
 	}
 	return x, nil
 }
 
-func (x *traced) wall(at time.Duration) time.Time { return x.base.Add(at) }
+func (x *requestTracer) wallTime(at time.Duration) time.Time { return x.wallBase.Add(at) }
 
 // finalTrace decides, at a call's final answer, whether it is told.
-func (l *Loop) finalTrace(o *open, outcome string, reason string, units float64) {
-	o.end, o.outcome, o.reason, o.answered = l.now, outcome, reason, units
-	if l.traces == nil {
+func (l *Loop) sampleTrace(o *openRequest, outcome string, reason string, units float64) {
+	o.finishedAt, o.outcome, o.reason, o.responseUnits = l.now, outcome, reason, units
+	if l.tracer == nil {
 		return
 	}
-	bad := outcome == "refused" || outcome == "failed" || outcome == "served" && l.now-o.at > l.traces.aims[o.Class]
-	o.sampled = l.traces.sampler.Take(l.now, bad, o.trace.Sampled, o.trace.ID())
+	bad := outcome == "refused" || outcome == "failed" || outcome == "served" && l.now-o.arrivedAt > l.tracer.objectives[o.Class]
+	o.sampled = l.tracer.sampler.Sample(l.now, bad, o.trace.Sampled, o.trace.ID())
 }
 
 // tellTrace tells a sampled call once nothing of it is out.
-func (l *Loop) tellTrace(o *open) {
-	if l.traces == nil || !o.sampled {
+func (l *Loop) exportTrace(o *openRequest) {
+	if l.tracer == nil || !o.sampled {
 		return
 	}
-	x := l.traces
-	c := tracing.Call{Context: o.trace, Request: o.ID, Class: o.Class, Member: o.Member, Plan: l.planOf(o), Outcome: o.outcome, Reason: o.reason, Units: o.answered,
-		Reserved: o.Reserved, At: x.wall(o.at), End: x.wall(o.end), Home: l.homes}
+	x := l.tracer
+	c := tracing.Request{Context: o.trace, Request: o.ID, Class: o.Class, Member: o.Customer, Plan: l.effectivePlan(o), Outcome: o.outcome, Reason: o.reason, Units: o.responseUnits,
+		Reserved: o.Reserved, Start: x.wallTime(o.arrivedAt), End: x.wallTime(o.finishedAt), HasQuotaOwner: l.hasQuotaOwners}
 	after := ""
-	for _, t := range o.tries {
-		if c.Sent.IsZero() {
-			c.Sent = x.wall(t.at)
+	for _, t := range o.attempts {
+		if c.FirstAttempt.IsZero() {
+			c.FirstAttempt = x.wallTime(t.startedAt)
 		}
-		c.Attempts = append(c.Attempts, tracing.Attempt{Span: t.span, Node: t.node, Outcome: t.ended, After: after, At: x.wall(t.at), End: x.wall(t.at + t.took)})
-		after = t.ended
+		c.Attempts = append(c.Attempts, tracing.Attempt{Span: t.span, Server: t.server, Outcome: t.outcome, PreviousOutcome: after, Start: x.wallTime(t.startedAt), End: x.wallTime(t.startedAt + t.duration)})
+		after = t.outcome
 	}
-	x.teller.Tell(c)
+	x.exporter.Export(c)
 }
 
 // closeTraces sends what waits, for a moment.
-func (x *traced) close() {
-	ctx, stop := context.WithTimeout(context.Background(), flushMeasures)
+func (x *requestTracer) close() {
+	ctx, stop := context.WithTimeout(context.Background(), flushTimeout)
 	defer stop()
-	x.teller.Close(ctx)
+	x.exporter.Close(ctx)
 }
--- a/internal/gateway/traced_test.go
+++ b/internal/gateway/traced_test.go
@@ -26,22 +26,22 @@
 	}
 	defer meter.Stop()
 	b := newBench(t, 2, func(f *config.Fleet) {
-		f.Traces.To, f.Traces.Share, f.Traces.Rate, f.Traces.Queue, f.Traces.Timeout = recv.URL(), 0, 100, 2048, time.Second
-		f.Measures.On, f.Measures.To, f.Measures.Every = true, meter.URL(), 50*time.Millisecond
+		f.Tracing.URL, f.Tracing.SampleFraction, f.Tracing.MaxPerSecond, f.Tracing.MaxSpans, f.Tracing.Timeout = recv.URL(), 0, 100, 2048, time.Second
+		f.Metrics.Enabled, f.Metrics.URL, f.Metrics.Interval = true, meter.URL(), 50*time.Millisecond
 	})
 	c := b.dial(b.key)
 	if n, last := c.serve(20, `{}`); n != 20 { // served in time and asked for by nobody: share is 0
 		t.Fatal(last)
 	}
 	for _, n := range b.nodes {
-		n.Set(func(x *backend.Trouble) { x.Errors = 1 })
+		n.SetFault(func(x *backend.Fault) { x.ErrorShare = 1 })
 	}
 	const traceID, parent = "4bf92f3577b34da6a3ce929d0e0e4736", "00f067aa0ba902b7"
 	ctx := `{"traceparent":"00-` + traceID + `-` + parent + `-01"}`
 	c.send(call("bad", "look", ctx))
 	bad := c.read()
 	for _, n := range b.nodes {
-		n.Set(func(x *backend.Trouble) { x.Errors = 0 })
+		n.SetFault(func(x *backend.Fault) { x.ErrorShare = 0 })
 	}
 	c.send(call("good", "look", ctx))
 	if s := c.read(); !strings.Contains(s, `"result"`) || strings.Contains(bad, `"result"`) {
@@ -53,14 +53,14 @@
 	eventually(t, "the spans are there", func() bool {
 		calls := 0
 		for _, s := range recv.Spans() {
-			if s.Trace == traceID && s.Name == "look" {
+			if s.TraceID == traceID && s.Name == "look" {
 				calls++
 			}
 			if s.Attrs["winghatch.reason"] == "over_mark" {
 				refused = s
 			}
 		}
-		return calls == 2 && refused.Trace != ""
+		return calls == 2 && refused.TraceID != ""
 	})
 	attempts, good := 0, 0
 	byID := map[string]tracereceiver.Span{}
@@ -68,7 +68,7 @@
 		byID[s.ID] = s
 	}
 	for _, s := range recv.Spans() {
-		if s.Trace != traceID {
+		if s.TraceID != traceID {
 			if s.Attrs["winghatch.outcome"] == "served" && s.Name == "look" {
 				t.Errorf("a call in time that nobody sampled is told: %+v", s)
 			}
@@ -76,7 +76,7 @@
 		}
 		switch s.Name {
 		case "look":
-			if s.Parent != parent || s.Attrs["winghatch.member"] != "m" {
+			if s.ParentID != parent || s.Attrs["winghatch.member"] != "m" {
 				t.Errorf("%+v", s)
 			}
 			if s.Attrs["winghatch.outcome"] == "served" {
@@ -84,7 +84,7 @@
 			}
 		case "attempt":
 			attempts++
-			p := byID[s.Parent]
+			p := byID[s.ParentID]
 			if p.Name != "look" || s.Start.Before(p.Start) || s.End.Before(s.Start) || s.Error != (s.Attrs["winghatch.outcome"] != "ok") {
 				t.Errorf("%+v under %+v", s, p)
 			}
@@ -93,9 +93,9 @@
 	if good != 1 || attempts < 2 {
 		t.Errorf("%d served, %d attempts", good, attempts)
 	}
-	eventually(t, "an exemplar joins the histogram to the trace", func() bool { return slices.Contains(meter.Traces(), traceID) })
+	eventually(t, "an exemplar joins the histogram to the trace", func() bool { return slices.Contains(meter.ExemplarTraces(), traceID) })
 
-	recv.Set(503)
+	recv.SetStatus(503)
 	began := time.Now()
 	if n, last := c.serve(50, ctx); n != 50 {
 		t.Error(last)
--- a/internal/gossip/peer_test.go
+++ b/internal/gossip/peer_test.go
@@ -10,7 +10,7 @@
 	"winghatch/internal/testbed/await"
 )
 
-func pair(t *testing.T, intake float64) (a, b *Link, got chan string, aAddr, bAddr net.Addr) {
+func pair(t *testing.T, intake float64) (a, b *Transport, got chan string, aAddr, bAddr net.Addr) {
 	t.Helper()
 	var pcs []net.PacketConn
 	var addrs []string
@@ -21,7 +21,7 @@
 		}
 		pcs, addrs = append(pcs, pc), append(addrs, pc.LocalAddr().String())
 	}
-	o := Options{Fleet: "f", Peers: addrs, Secret: credentials.Secret{1}, Intake: intake}
+	o := Options{Fleet: "f", Peers: addrs, Secret: credentials.Secret{1}, MaxMessageRate: intake}
 	a, err := New(pcs[0], o)
 	if err != nil {
 		t.Fatal(err)
@@ -45,7 +45,7 @@
 	if s := <-got; s != "hello" {
 		t.Fatalf("got %q", s)
 	}
-	h := head{a.fleet, 0, 1, a.epoch, 2}
+	h := datagramHeader{a.fleet, 0, 1, a.epoch, 2}
 	good := appendDatagram(nil, h, "x", a.hash)
 	bad := append([]byte(nil), good...)
 	bad[len(bad)-40] ^= 1
@@ -55,14 +55,14 @@
 	other.to = 0
 	old := h
 	old.epoch--
-	old.seq = 99
+	old.sequence = 99
 	self := h
 	self.from = 1
 	sends := [][]byte{good, good, bad, good[:20], nil, append(good, 'x'), appendDatagram(nil, foreign, "x", a.hash),
 		appendDatagram(nil, other, "x", a.hash), appendDatagram(nil, old, "x", a.hash), appendDatagram(nil, self, "x", a.hash),
-		appendDatagram(nil, h, "x", credentials.Secret{2}.Peers())}
+		appendDatagram(nil, h, "x", credentials.Secret{2}.DatagramHasher())}
 	for _, s := range sends {
-		if _, err := a.pc.WriteTo(s, to); err != nil {
+		if _, err := a.socket.WriteTo(s, to); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -100,26 +100,26 @@
 		after      time.Duration
 		fresh      bool
 	}{{5, 1, 0, true}, {5, 1, 0, false}, {5, 3, 0, true}, {5, 2, 0, true}, {5, 2, 0, false}, {5, 100, 0, true}, {5, 3, 0, false}, {5, 37, 0, true},
-		{5, 36, 0, false}, {4, 101, 0, false}, {6, 1, 0, true}, {5, 101, 0, false}, {5, 101, lifeSilent - 1, false},
-		{3, 1, lifeSilent, true}, {3, 1, lifeSilent, false}, {6, 1, lifeSilent, false}, {3, 2, lifeSilent, true}, {5, 100, 2 * lifeSilent, false},
-		{6, 2, 2 * lifeSilent, true}, {3, 3, 2 * lifeSilent, false}} {
-		if w.fresh(c.epoch, c.seq, began.Add(c.after)) != c.fresh {
+		{5, 36, 0, false}, {4, 101, 0, false}, {6, 1, 0, true}, {5, 101, 0, false}, {5, 101, incarnationTimeout - 1, false},
+		{3, 1, incarnationTimeout, true}, {3, 1, incarnationTimeout, false}, {6, 1, incarnationTimeout, false}, {3, 2, incarnationTimeout, true}, {5, 100, 2 * incarnationTimeout, false},
+		{6, 2, 2 * incarnationTimeout, true}, {3, 3, 2 * incarnationTimeout, false}} {
+		if w.accept(c.epoch, c.seq, began.Add(c.after)) != c.fresh {
 			t.Errorf("step %d: %+v", i, c)
 		}
 	}
 	for epoch := uint64(10); epoch < 100; epoch++ {
-		w.fresh(epoch, 1, began)
+		w.accept(epoch, 1, began)
 	}
-	if len(w.lives) != livesKept {
-		t.Errorf("%d lives are kept, want %d", len(w.lives), livesKept)
+	if len(w.incarnations) != maxIncarnations {
+		t.Errorf("%d lives are kept, want %d", len(w.incarnations), maxIncarnations)
 	}
 }
 
 func FuzzDatagram(f *testing.F) {
-	hash := credentials.Secret{1}.Peers()
-	f.Add(appendDatagram(nil, head{from: 1, to: 2, epoch: 3, seq: 4}, "hi", hash))
+	hash := credentials.Secret{1}.DatagramHasher()
+	f.Add(appendDatagram(nil, datagramHeader{from: 1, to: 2, epoch: 3, sequence: 4}, "hi", hash))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		if h, text, ok := parse(in, hash); ok {
+		if h, text, ok := parseDatagram(in, hash); ok {
 			if out := appendDatagram(nil, h, text, hash); string(out) != string(in) {
 				t.Fatalf("%x is read as %+v %q", in, h, text)
 			}
--- a/internal/gossip/plain/plain_test.go
+++ b/internal/gossip/plain/plain_test.go
@@ -32,26 +32,26 @@
 	done := make(chan struct{})
 	go func() { lb.Serve(func(from int, text string) { got <- text }); close(done) }()
 	stranger.WriteToUDP([]byte("x"), b.LocalAddr().(*net.UDPAddr))
-	a.WriteToUDP(make([]byte, Most+1), b.LocalAddr().(*net.UDPAddr))
-	la.Send(1, strings.Repeat("y", Most+1))
+	a.WriteToUDP(make([]byte, MaxDatagram+1), b.LocalAddr().(*net.UDPAddr))
+	la.Send(1, strings.Repeat("y", MaxDatagram+1))
 	la.Send(7, "nobody")
 	la.Send(0, "myself")
 	la.Send(1, "hello")
 	if text := <-got; text != "hello" {
 		t.Errorf("%q came, want hello alone", text)
 	}
-	if lb.Foreign.Load() != 1 || lb.TooLong.Load() != 1 || la.TooLong.Load() != 1 {
-		t.Errorf("foreign %d, too long %d and %d, want 1 of each", lb.Foreign.Load(), lb.TooLong.Load(), la.TooLong.Load())
+	if lb.UnknownSender.Load() != 1 || lb.TooLong.Load() != 1 || la.TooLong.Load() != 1 {
+		t.Errorf("foreign %d, too long %d and %d, want 1 of each", lb.UnknownSender.Load(), lb.TooLong.Load(), la.TooLong.Load())
 	}
 	for range 200 {
 		la.Send(1, "flood")
 	}
-	for until := time.Now().Add(10 * time.Second); lb.Received.Load()+lb.OverIntake.Load() < 150; time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(10 * time.Second); lb.Received.Load()+lb.RateLimited.Load() < 150; time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatalf("%d received, %d over the intake", lb.Received.Load(), lb.OverIntake.Load())
+			t.Fatalf("%d received, %d over the intake", lb.Received.Load(), lb.RateLimited.Load())
 		}
 	}
-	if n, over := lb.Received.Load(), lb.OverIntake.Load(); over < n {
+	if n, over := lb.Received.Load(), lb.RateLimited.Load(); over < n {
 		t.Errorf("%d of a flood were taken in, %d not, at an intake of 5 a second", n, over)
 	}
 	lb.Close()
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -15,10 +15,10 @@
 
 // Limits bound a message, in bytes.
 type Limits struct {
-	Head int // of the first line and the fields together
-	Body int
+	MaxHeadBytes int // of the first line and the fields together
+	MaxBodyBytes int
 	// Room is asked before a body grows by so many bytes; false ends the message. nil: always.
-	Room func(bytes int) bool
+	ReserveBody func(bytes int) bool
 }
 
 // Field is one line of a head; Name is as it came.
@@ -33,12 +33,12 @@
 // Error says why a message can't be used, and the status that tells a client so.
 type Error struct {
 	Status int
-	Why    string
+	Reason string
 }
 
-func (e *Error) Error() string { return "http1: " + e.Why }
+func (e *Error) Error() string { return "http1: " + e.Reason }
 
-func bad(status int, form string, args ...any) error {
+func malformed(status int, form string, args ...any) error {
 	return &Error{status, fmt.Sprintf(form, args...)}
 }
 
@@ -56,7 +56,7 @@
 }
 
 // Has reports whether a comma-separated field holds a token (RFC 9110, section 5.6.1).
-func (h *Head) Has(name, token string) bool {
+func (h *Head) HasToken(name, token string) bool {
 	for _, f := range h.Fields {
 		if !strings.EqualFold(f.Name, name) {
 			continue
@@ -72,13 +72,13 @@
 
 // Reader reads heads and bodies of one connection, one after the other.
 type Reader struct {
-	r   *bufio.Reader
-	lim Limits
-	buf []byte
+	r      *bufio.Reader
+	limits Limits
+	buf    []byte
 }
 
 // NewReader reads from r. Lines longer than its buffer can't be read.
-func NewReader(r *bufio.Reader, lim Limits) *Reader { return &Reader{r: r, lim: lim} }
+func NewReader(r *bufio.Reader, lim Limits) *Reader { return &Reader{r: r, limits: lim} }
 
 // Buffered is how many bytes have come that no message has taken.
 func (r *Reader) Buffered() int { return r.r.Buffered() }
@@ -90,11 +90,11 @@
 }
 
 // line reads a line and its end, which counts against the head's bound, into r.buf.
-func (r *Reader) line() (from, to int, err error) {
+func (r *Reader) readLine() (from, to int, err error) {
 	raw, err := r.r.ReadSlice('\n')
 	from = len(r.buf)
-	if errors.Is(err, bufio.ErrBufferFull) || from+len(raw) > r.lim.Head {
-		return 0, 0, bad(431, "a head of more than %d bytes", r.lim.Head)
+	if errors.Is(err, bufio.ErrBufferFull) || from+len(raw) > r.limits.MaxHeadBytes {
+		return 0, 0, malformed(431, "a head of more than %d bytes", r.limits.MaxHeadBytes)
 	}
 	if err != nil {
 		if errors.Is(err, io.EOF) && from+len(raw) > 0 {
@@ -103,12 +103,12 @@
 		return 0, 0, err
 	}
 	if len(raw) < 2 || raw[len(raw)-2] != '\r' {
-		return 0, 0, bad(400, "a line that ends without CR LF")
+		return 0, 0, malformed(400, "a line that ends without CR LF")
 	}
 	raw = raw[:len(raw)-2]
 	for _, c := range raw {
 		if c < ' ' && c != '\t' || c == 0x7f {
-			return 0, 0, bad(400, "byte %#x in a head", c)
+			return 0, 0, malformed(400, "byte %#x in a head", c)
 		}
 	}
 	r.buf = append(r.buf, raw...)
@@ -116,23 +116,23 @@
 }
 
 // head reads a first line and the fields. io.EOF means that the connection ended before its first byte.
-func (r *Reader) head() (*Head, error) {
+func (r *Reader) readHead() (*Head, error) {
 	r.buf = r.buf[:0]
 	var ends [64]int
 	n := 0
 	for {
-		from, to, err := r.line()
+		from, to, err := r.readLine()
 		if err != nil {
 			return nil, err
 		}
 		if from == to {
 			if n == 0 {
-				return nil, bad(400, "an empty first line")
+				return nil, malformed(400, "an empty first line")
 			}
 			break
 		}
 		if n == len(ends) {
-			return nil, bad(431, "more than %d fields", len(ends)-1)
+			return nil, malformed(431, "more than %d fields", len(ends)-1)
 		}
 		ends[n] = to
 		n++
@@ -142,13 +142,13 @@
 	var ok bool
 	h.A, h.B, ok = strings.Cut(all[:ends[0]], " ")
 	if !ok {
-		return nil, bad(400, "a first line of one word")
+		return nil, malformed(400, "a first line of one word")
 	}
 	h.B, h.C, _ = strings.Cut(h.B, " ")
 	for i := 1; i < n; i++ {
 		name, value, ok := strings.Cut(all[ends[i-1]:ends[i]], ":")
-		if !ok || name == "" || strings.ContainsFunc(name, func(c rune) bool { return !tokenByte(c) }) {
-			return nil, bad(400, "field %d has no name that can be read", i)
+		if !ok || name == "" || strings.ContainsFunc(name, func(c rune) bool { return !isTokenChar(c) }) {
+			return nil, malformed(400, "field %d has no name that can be read", i)
 		}
 		h.Fields = append(h.Fields, Field{name, strings.Trim(value, " \t")})
 	}
@@ -156,27 +156,27 @@
 }
 
 // tokenByte is RFC 9110's tchar.
-func tokenByte(c rune) bool {
+func isTokenChar(c rune) bool {
 	return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' ||
 		c < 0x80 && strings.ContainsRune("!#$%&'*+-.^_`|~", c)
 }
 
 // Token reports whether s is a token of RFC 9110, section 5.6.2.
-func Token(s string) bool {
-	return s != "" && !strings.ContainsFunc(s, func(c rune) bool { return !tokenByte(c) })
+func IsToken(s string) bool {
+	return s != "" && !strings.ContainsFunc(s, func(c rune) bool { return !isTokenChar(c) })
 }
 
 // Request is a client's message without its body.
 type Request struct {
 	Head
-	Length  int // of the body; -1: it is chunked
-	Close   bool
-	Expects bool // the client waits for a 100 before it sends the body
+	BodyLength     int // of the body; -1: it is chunked
+	Close          bool
+	ExpectContinue bool // the client waits for a 100 before it sends the body
 }
 
 // Request reads the head of a request. io.EOF means that there is none any more.
-func (r *Reader) Request() (*Request, error) {
-	h, err := r.head()
+func (r *Reader) ReadRequest() (*Request, error) {
+	h, err := r.readHead()
 	if err != nil {
 		return nil, err
 	}
@@ -184,69 +184,69 @@
 	method, target, version := h.A, h.B, h.C
 	switch {
 	case version != "HTTP/1.1" && version != "HTTP/1.0":
-		return nil, bad(505, "version %.20q, want HTTP/1.1", version)
-	case !Token(method):
-		return nil, bad(400, "method %.20q is no token", method)
+		return nil, malformed(505, "version %.20q, want HTTP/1.1", version)
+	case !IsToken(method):
+		return nil, malformed(400, "method %.20q is no token", method)
 	case target == "" || target[0] != '/' || strings.ContainsFunc(target, func(c rune) bool { return c <= ' ' || c >= 0x7f || c == '#' }):
-		return nil, bad(400, "target %.20q, want a path", target)
+		return nil, malformed(400, "target %.20q, want a path", target)
 	case len(target) > 2048:
-		return nil, bad(414, "a target of %d bytes", len(target))
+		return nil, malformed(414, "a target of %d bytes", len(target))
 	}
 	if _, n := h.Get("Host"); n > 1 || n == 0 && version == "HTTP/1.1" {
-		return nil, bad(400, "%d fields Host, want one", n)
+		return nil, malformed(400, "%d fields Host, want one", n)
 	}
-	if q.Length, err = h.length(r.lim.Body); err != nil {
+	if q.BodyLength, err = h.bodyLength(r.limits.MaxBodyBytes); err != nil {
 		return nil, err
 	}
-	if q.Length < 0 && version == "HTTP/1.0" {
-		return nil, bad(400, "a transfer coding in HTTP/1.0")
+	if q.BodyLength < 0 && version == "HTTP/1.0" {
+		return nil, malformed(400, "a transfer coding in HTTP/1.0")
 	}
-	q.Close = h.Has("Connection", "close") || version == "HTTP/1.0"
+	q.Close = h.HasToken("Connection", "close") || version == "HTTP/1.0"
 	if v, n := h.Get("Expect"); n > 0 {
 		if !strings.EqualFold(v, "100-continue") {
-			return nil, bad(417, "expectation %.20q", v)
+			return nil, malformed(417, "expectation %.20q", v)
 		}
-		q.Expects = version == "HTTP/1.1"
+		q.ExpectContinue = version == "HTTP/1.1"
 	}
 	return q, nil
 }
 
 // length is of the body that a head announces: -1 if it is chunked, 0 if nothing is said.
-func (h *Head) length(most int) (int, error) {
+func (h *Head) bodyLength(most int) (int, error) {
 	te, tes := h.Get("Transfer-Encoding")
 	cl, cls := h.Get("Content-Length")
 	switch {
 	case tes > 0 && cls > 0:
-		return 0, bad(400, "both Content-Length and Transfer-Encoding") // RFC 9112, section 6.3: a smuggled request
+		return 0, malformed(400, "both Content-Length and Transfer-Encoding") // RFC 9112, section 6.3: a smuggled request
 	case tes > 1 || tes == 1 && !strings.EqualFold(te, "chunked"):
-		return 0, bad(501, "transfer coding %.20q, want chunked alone", te)
+		return 0, malformed(501, "transfer coding %.20q, want chunked alone", te)
 	case tes == 1:
 		return -1, nil
 	case cls > 1:
-		return 0, bad(400, "%d fields Content-Length", cls)
+		return 0, malformed(400, "%d fields Content-Length", cls)
 	case cls == 0:
 		return 0, nil
 	}
-	n, err := number(cl, 10)
+	n, err := parseLength(cl, 10)
 	if err != nil {
 		return 0, err
 	}
 	if n > most {
-		return 0, bad(413, "a body of %.20s bytes, want %d at most", cl, most)
+		return 0, malformed(413, "a body of %.20s bytes, want %d at most", cl, most)
 	}
 	return n, nil
 }
 
 // number reads a length of digits alone; what is beyond any bound comes back as a huge one.
-func number(s string, base int) (int, error) {
+func parseLength(s string, base int) (int, error) {
 	if s == "" {
-		return 0, bad(400, "an empty length")
+		return 0, malformed(400, "an empty length")
 	}
 	n := 0
 	for i := range len(s) {
 		d := strings.IndexByte("0123456789abcdef", s[i]|0x20)
 		if s[i] < '0' || d < 0 || d >= base {
-			return 0, bad(400, "length %.20q is no number", s)
+			return 0, malformed(400, "length %.20q is no number", s)
 		}
 		n = min(n*base+d, 1<<40)
 	}
@@ -254,50 +254,50 @@
 }
 
 // Body reads a body of a length, or a chunked one.
-func (r *Reader) Body(length int) ([]byte, error) {
+func (r *Reader) ReadBody(length int) ([]byte, error) {
 	if length >= 0 {
-		if length > r.lim.Body {
-			return nil, bad(413, "a body of %d bytes, want %d at most", length, r.lim.Body)
+		if length > r.limits.MaxBodyBytes {
+			return nil, malformed(413, "a body of %d bytes, want %d at most", length, r.limits.MaxBodyBytes)
 		}
-		return r.more(nil, length)
+		return r.appendBody(nil, length)
 	}
 	var b []byte
 	for {
-		n, err := r.chunkSize()
+		n, err := r.readChunkSize()
 		if err != nil {
 			return nil, err
 		}
 		if n == 0 {
 			return b, nil
 		}
-		if len(b)+n > r.lim.Body {
-			return nil, bad(413, "a body of more than %d bytes", r.lim.Body)
+		if len(b)+n > r.limits.MaxBodyBytes {
+			return nil, malformed(413, "a body of more than %d bytes", r.limits.MaxBodyBytes)
 		}
-		if b, err = r.more(b, n); err != nil {
+		if b, err = r.appendBody(b, n); err != nil {
 			return nil, err
 		}
-		if err := r.chunkEnd(); err != nil {
+		if err := r.readChunkEnd(); err != nil {
 			return nil, err
 		}
 	}
 }
 
 // chunkSize reads the line ahead of a chunk; 0 is the last one, behind which trailers are read and dropped.
-func (r *Reader) chunkSize() (int, error) {
+func (r *Reader) readChunkSize() (int, error) {
 	r.buf = r.buf[:0]
-	from, to, err := r.line()
+	from, to, err := r.readLine()
 	if err != nil {
-		return 0, ended(err)
+		return 0, unexpectedEOF(err)
 	}
 	size, _, _ := strings.Cut(string(r.buf[from:to]), ";")
-	n, err := number(strings.TrimRight(size, " \t"), 16)
+	n, err := parseLength(strings.TrimRight(size, " \t"), 16)
 	if err != nil || n > 0 {
 		return n, err
 	}
 	for r.buf = r.buf[:0]; ; {
-		from, to, err := r.line()
+		from, to, err := r.readLine()
 		if err != nil {
-			return 0, ended(err)
+			return 0, unexpectedEOF(err)
 		}
 		if from == to {
 			return 0, nil
@@ -305,38 +305,38 @@
 	}
 }
 
-func (r *Reader) chunkEnd() error {
+func (r *Reader) readChunkEnd() error {
 	var end [2]byte
 	if _, err := io.ReadFull(r.r, end[:]); err != nil {
-		return ended(err)
+		return unexpectedEOF(err)
 	}
 	if end != [2]byte{'\r', '\n'} {
-		return bad(400, "a chunk that is longer than its length")
+		return malformed(400, "a chunk that is longer than its length")
 	}
 	return nil
 }
 
 // bodyStep is how far a body grows at once: a length that is only announced costs no memory.
-const bodyStep = 16 << 10
+const bodyStepBytes = 16 << 10
 
 // more reads n further bytes of a body.
-func (r *Reader) more(b []byte, n int) ([]byte, error) {
+func (r *Reader) appendBody(b []byte, n int) ([]byte, error) {
 	for n > 0 {
-		step := min(n, bodyStep)
-		if r.lim.Room != nil && !r.lim.Room(step) {
-			return nil, bad(503, "no room for a body of more than %d bytes", len(b))
+		step := min(n, bodyStepBytes)
+		if r.limits.ReserveBody != nil && !r.limits.ReserveBody(step) {
+			return nil, malformed(503, "no room for a body of more than %d bytes", len(b))
 		}
 		at := len(b)
 		b = slices.Grow(b, step)[:at+step]
 		if _, err := io.ReadFull(r.r, b[at:]); err != nil {
-			return nil, ended(err)
+			return nil, unexpectedEOF(err)
 		}
 		n -= step
 	}
 	return b, nil
 }
 
-func ended(err error) error {
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
@@ -352,64 +352,64 @@
 }
 
 // interims is how many answers of 1xx may come ahead of the real one.
-const interims = 16
+const maxInterimResponses = 16
 
 // Response reads a whole answer and skips those of 1xx ahead of it.
-func (r *Reader) Response() (*Response, error) {
-	p, length, err := r.responseHead(r.lim.Body)
+func (r *Reader) ReadResponse() (*Response, error) {
+	p, length, err := r.readResponseHead(r.limits.MaxBodyBytes)
 	switch {
 	case err != nil:
 		return nil, err
-	case length == toEnd:
-		p.Body, err = r.rest()
+	case length == untilClose:
+		p.Body, err = r.readUntilClose()
 	default:
-		p.Body, err = r.Body(length)
+		p.Body, err = r.ReadBody(length)
 	}
 	return p, err
 }
 
 // Stream reads the head of an answer as Response does. Its body, of any length, is to be read from the reader returned up to
 // io.EOF before the next call.
-func (r *Reader) Stream() (*Response, io.Reader, error) {
-	p, length, err := r.responseHead(anyLength)
+func (r *Reader) StreamResponse() (*Response, io.Reader, error) {
+	p, length, err := r.readResponseHead(unlimitedLength)
 	switch {
 	case err != nil:
 		return nil, nil, err
-	case length == toEnd:
+	case length == untilClose:
 		return p, r.r, nil
 	case length < 0:
-		return p, &chunks{r: r}, nil
+		return p, &chunkedBody{r: r}, nil
 	}
-	return p, &fixed{r.r, length}, nil
+	return p, &fixedBody{r.r, length}, nil
 }
 
 // fixed is a body of a length.
-type fixed struct {
+type fixedBody struct {
 	r    io.Reader
 	left int
 }
 
-func (f *fixed) Read(b []byte) (int, error) {
+func (f *fixedBody) Read(b []byte) (int, error) {
 	if f.left == 0 {
 		return 0, io.EOF
 	}
 	n, err := f.r.Read(b[:min(len(b), f.left)])
 	if f.left -= n; err != nil && f.left > 0 {
-		return n, ended(err)
+		return n, unexpectedEOF(err)
 	}
 	return n, nil
 }
 
 // chunks is a chunked body.
-type chunks struct {
+type chunkedBody struct {
 	r    *Reader
 	left int // of the chunk under way
 	done bool
 }
 
-func (c *chunks) Read(b []byte) (n int, err error) {
+func (c *chunkedBody) Read(b []byte) (n int, err error) {
 	if c.left == 0 && !c.done {
-		if c.left, err = c.r.chunkSize(); err != nil {
+		if c.left, err = c.r.readChunkSize(); err != nil {
 			return 0, err
 		}
 		c.done = c.left == 0
@@ -419,41 +419,41 @@
 	}
 	n, err = c.r.r.Read(b[:min(len(b), c.left)])
 	if c.left -= n; err != nil {
-		return n, ended(err)
+		return n, unexpectedEOF(err)
 	}
 	if c.left == 0 {
-		err = c.r.chunkEnd()
+		err = c.r.readChunkEnd()
 	}
 	return n, err
 }
 
 // Lengths of a body beside those that a head tells.
 const (
-	toEnd     = -2      // it ends with its connection
-	anyLength = 1 << 40 // a bound on what is streamed
+	untilClose      = -2      // it ends with its connection
+	unlimitedLength = 1 << 40 // a bound on what is streamed
 )
 
 // responseHead reads the head of an answer whose body has most bytes, and the length of the body: -1 if it is chunked.
-func (r *Reader) responseHead(most int) (*Response, int, error) {
-	for range interims {
-		h, err := r.head()
+func (r *Reader) readResponseHead(most int) (*Response, int, error) {
+	for range maxInterimResponses {
+		h, err := r.readHead()
 		if err != nil {
 			return nil, 0, err
 		}
 		p := &Response{Head: *h}
 		if h.A != "HTTP/1.1" && h.A != "HTTP/1.0" || len(h.B) != 3 {
-			return nil, 0, bad(502, "an answer that begins with %.20q", h.A+" "+h.B)
+			return nil, 0, malformed(502, "an answer that begins with %.20q", h.A+" "+h.B)
 		}
-		if p.Status, err = number(h.B, 10); err != nil {
+		if p.Status, err = parseLength(h.B, 10); err != nil {
 			return nil, 0, err
 		}
 		if p.Status < 100 || p.Status > 599 || p.Status == 101 {
-			return nil, 0, bad(502, "status %d", p.Status)
+			return nil, 0, malformed(502, "status %d", p.Status)
 		}
 		if p.Status < 200 {
 			continue
 		}
-		p.Close = h.Has("Connection", "close") || h.A == "HTTP/1.0"
+		p.Close = h.HasToken("Connection", "close") || h.A == "HTTP/1.0"
 		if p.Status == 204 || p.Status == 304 {
 			return p, 0, nil
 		}
@@ -461,18 +461,18 @@
 		_, tes := h.Get("Transfer-Encoding")
 		if cls+tes == 0 {
 			if !p.Close { // RFC 9112, section 6.3, 8: it would end with the connection, which can't be told from a break
-				return nil, 0, bad(502, "an answer without a length")
+				return nil, 0, malformed(502, "an answer without a length")
 			}
-			return p, toEnd, nil
+			return p, untilClose, nil
 		}
-		n, err := h.length(most)
+		n, err := h.bodyLength(most)
 		return p, n, err
 	}
-	return nil, 0, bad(502, "more than %d answers of 1xx", interims)
+	return nil, 0, malformed(502, "more than %d answers of 1xx", maxInterimResponses)
 }
 
 // rest reads up to the end of the connection. A reset is no end: what came before it is not whole.
-func (r *Reader) rest() (b []byte, err error) {
+func (r *Reader) readUntilClose() (b []byte, err error) {
 	for {
 		n := r.r.Buffered()
 		if n == 0 {
@@ -483,10 +483,10 @@
 			}
 			continue
 		}
-		if len(b)+n > r.lim.Body {
-			return nil, bad(502, "a body of more than %d bytes", r.lim.Body)
+		if len(b)+n > r.limits.MaxBodyBytes {
+			return nil, malformed(502, "a body of more than %d bytes", r.limits.MaxBodyBytes)
 		}
-		if b, err = r.more(b, n); err != nil {
+		if b, err = r.appendBody(b, n); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -12,17 +12,17 @@
 	"pgregory.net/rapid"
 )
 
-var limits = Limits{Head: 8 << 10, Body: 64 << 10}
+var limits = Limits{MaxHeadBytes: 8 << 10, MaxBodyBytes: 64 << 10}
 
 func reader(r io.Reader) *Reader { return NewReader(bufio.NewReaderSize(r, 4<<10), limits) }
 
 // take reads a whole request.
 func take(r *Reader) (*Request, []byte, error) {
-	q, err := r.Request()
+	q, err := r.ReadRequest()
 	if err != nil {
 		return nil, nil, err
 	}
-	body, err := r.Body(q.Length)
+	body, err := r.ReadBody(q.BodyLength)
 	return q, body, err
 }
 
@@ -123,7 +123,7 @@
 				t.Fatalf("message %d: %q, %v, want %q", i, body, err, want)
 			}
 		}
-		if _, err := r.Request(); err != io.EOF {
+		if _, err := r.ReadRequest(); err != io.EOF {
 			t.Fatalf("behind the last: %v, want %v", err, io.EOF)
 		}
 	})
@@ -158,7 +158,7 @@
 		{"cut", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhi", "", false},
 		{"endless head", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X: y\r\n", 5000), "", false},
 	} {
-		p, err := reader(strings.NewReader(c.text)).Response()
+		p, err := reader(strings.NewReader(c.text)).ReadResponse()
 		if (err == nil) != c.good || c.good && (p.Status != 200 || string(p.Body) != c.body) {
 			t.Errorf("%s: %+v, %v", c.name, p, err)
 		}
@@ -176,7 +176,7 @@
 				return
 			}
 			_, te := q.Get("Transfer-Encoding")
-			if _, cl := q.Get("Content-Length"); cl > 0 && te > 0 || cl > 1 || len(body) > limits.Body {
+			if _, cl := q.Get("Content-Length"); cl > 0 && te > 0 || cl > 1 || len(body) > limits.MaxBodyBytes {
 				t.Fatalf("%q was taken", b)
 			}
 		}
@@ -186,7 +186,7 @@
 func FuzzResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if p, err := reader(bytes.NewReader(b)).Response(); err == nil && (p.Status < 200 || len(p.Body) > limits.Body) {
+		if p, err := reader(bytes.NewReader(b)).ReadResponse(); err == nil && (p.Status < 200 || len(p.Body) > limits.MaxBodyBytes) {
 			t.Fatalf("%q was taken as %+v", b, p)
 		}
 	})
--- a/internal/httppost/httpout.go
+++ b/internal/httppost/httpout.go
@@ -13,12 +13,12 @@
 )
 
 // continueWait is how long a receiver may take to say that it reads, before it is sent the body all the same.
-const continueWait = time.Second
+const expectContinueTimeout = time.Second
 
 // Client returns a client that follows no redirect: a body must not go where nobody said.
 func Client(timeout time.Duration, conns int) http.Client {
 	return http.Client{Timeout: timeout, Transport: &http.Transport{MaxIdleConnsPerHost: conns, IdleConnTimeout: 30 * time.Second,
-		ExpectContinueTimeout: continueWait},
+		ExpectContinueTimeout: expectContinueTimeout},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 }
 
@@ -27,31 +27,31 @@
 	Status     int // 0: none
 	Header     http.Header
 	RetryAfter time.Duration // 0: not told
-	Whole      bool          // the whole body was taken before the answer came
-	Why        string        // of what is no success
+	BodySent   bool          // the whole body was taken before the answer came
+	Reason     string        // of what is no success
 }
 
 // watched tells whether all of a body was taken.
-type watched struct {
+type trackedBody struct {
 	bytes.Reader
-	end atomic.Bool
+	done atomic.Bool
 }
 
-func (w *watched) Read(b []byte) (int, error) {
+func (w *trackedBody) Read(b []byte) (int, error) {
 	n, err := w.Reader.Read(b)
 	if w.Len() == 0 {
-		w.end.Store(true)
+		w.done.Store(true)
 	}
 	return n, err
 }
 
 // Post sends a body with the headers given.
 func Post(ctx context.Context, c *http.Client, url string, h http.Header, raw []byte) Result {
-	body := &watched{}
+	body := &trackedBody{}
 	body.Reset(raw)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, body)
 	if err != nil {
-		return Result{Why: err.Error()}
+		return Result{Reason: err.Error()}
 	}
 	req.ContentLength = int64(len(raw))
 	req.Header = h
@@ -61,23 +61,23 @@
 	req.Header.Set("Expect", "100-continue")
 	res, err := c.Do(req)
 	if err != nil {
-		return Result{Why: err.Error()}
+		return Result{Reason: err.Error()}
 	}
-	whole := body.end.Load()
+	whole := body.done.Load()
 	said, _ := io.ReadAll(io.LimitReader(res.Body, 512))
 	io.Copy(io.Discard, io.LimitReader(res.Body, 64<<10))
 	res.Body.Close()
-	r := Result{Status: res.StatusCode, Header: res.Header, RetryAfter: RetryAfter(res.Header.Get("Retry-After"), time.Now()), Whole: whole}
+	r := Result{Status: res.StatusCode, Header: res.Header, RetryAfter: ParseRetryAfter(res.Header.Get("Retry-After"), time.Now()), BodySent: whole}
 	if res.StatusCode >= 300 {
-		r.Why = fmt.Sprintf("%s: %s", res.Status, bytes.TrimSpace(said))
+		r.Reason = fmt.Sprintf("%s: %s", res.Status, bytes.TrimSpace(said))
 	} else if !whole {
-		r.Why = res.Status + ", before the body was taken"
+		r.Reason = res.Status + ", before the body was taken"
 	}
 	return r
 }
 
 // RetryAfter reads the header (RFC 9110 section 10.2.3): seconds or a date.
-func RetryAfter(s string, now time.Time) time.Duration {
+func ParseRetryAfter(s string, now time.Time) time.Duration {
 	if n, err := strconv.Atoi(s); err == nil && n >= 0 {
 		return time.Duration(min(n, 1<<30)) * time.Second
 	}
--- a/internal/invariant/use_test.go
+++ b/internal/invariant/use_test.go
@@ -12,31 +12,31 @@
 // TestJudgeUse accuses no export that is whole, and finds each planted breach.
 func TestJudgeUse(t *testing.T) {
 	var recs []Record
-	var evs []Exported
-	add := func(u outbox.Use) {
+	var evs []UsageEvent
+	add := func(u outbox.UsageData) {
 		raw, _ := json.Marshal(u)
-		evs = append(evs, Exported{"/g", fmt.Sprint(len(evs) + 1), outbox.TypeUse, raw})
+		evs = append(evs, UsageEvent{"/g", fmt.Sprint(len(evs) + 1), outbox.TypeUsage, raw})
 	}
 	for i := range 10 {
 		req := fmt.Sprint("r", i)
-		recs = append(recs, Record{K: Arrive, Request: req, Units: 1})
+		recs = append(recs, Record{Kind: Received, Request: req, Units: 1})
 		switch i {
 		case 3: // turned away unseen
-			recs = append(recs, Record{K: Turned, Request: req})
+			recs = append(recs, Record{Kind: ServerRejected, Request: req})
 		case 4: // never answered
-			add(outbox.Use{Request: req, Units: 1, Guess: true, Outcome: outbox.Silent.String()})
+			add(outbox.UsageData{Request: req, Units: 1, Estimated: true, Outcome: outbox.OutcomeUnanswered.String()})
 		default:
-			recs = append(recs, Record{K: Replied, Request: req, Units: 3})
-			add(outbox.Use{Request: req, Units: 3, Outcome: outbox.Sized.String()})
+			recs = append(recs, Record{Kind: ServerAnswered, Request: req, Units: 3})
+			add(outbox.UsageData{Request: req, Units: 3, Outcome: outbox.OutcomeAnswered.String()})
 		}
 	}
 	never := func(string) bool { return false }
-	if u := JudgeUse(recs, evs, never); len(u.Breaches) > 0 || u.Sized != 8 || u.Guessed != 1 || u.Units != 25 {
+	if u := CheckUsage(recs, evs, never); len(u.Violations) > 0 || u.Confirmed != 8 || u.Estimated != 1 || u.Units != 25 {
 		t.Fatalf("%+v", u)
 	}
-	use := func(i int, f func(*outbox.Use)) func([]Exported) []Exported {
-		return func(in []Exported) []Exported {
-			var u outbox.Use
+	use := func(i int, f func(*outbox.UsageData)) func([]UsageEvent) []UsageEvent {
+		return func(in []UsageEvent) []UsageEvent {
+			var u outbox.UsageData
 			json.Unmarshal(in[i].Data, &u)
 			f(&u)
 			in[i].Data, _ = json.Marshal(u)
@@ -44,25 +44,25 @@
 		}
 	}
 	for name, c := range map[string]struct {
-		do   func([]Exported) []Exported
+		do   func([]UsageEvent) []UsageEvent
 		kind string
 	}{
-		"a lost event":             {func(in []Exported) []Exported { return in[:8] }, "missing"},
-		"one in the middle":        {func(in []Exported) []Exported { return append(in[:2], in[3:]...) }, "number"},
-		"a try twice":              {func(in []Exported) []Exported { e := in[0]; e.ID = "10"; return append(in, e) }, "twice"},
-		"another size":             {use(0, func(u *outbox.Use) { u.Units = 2 }), "size"},
-		"another guess":            {use(3, func(u *outbox.Use) { u.Units = 2 }), "size"},
-		"a size from nowhere":      {use(3, func(u *outbox.Use) { u.Guess = false }), "size"},
-		"an orphan without a kill": {use(3, func(u *outbox.Use) { u.Outcome = outbox.Orphan.String() }), "orphan"},
-		"one that never ran": {func(in []Exported) []Exported {
-			raw, _ := json.Marshal(outbox.Use{Request: "r3", Units: 1, Guess: true, Outcome: outbox.Failed.String()})
-			return append(in, Exported{"/g", "10", outbox.TypeUse, raw})
+		"a lost event":             {func(in []UsageEvent) []UsageEvent { return in[:8] }, "missing"},
+		"one in the middle":        {func(in []UsageEvent) []UsageEvent { return append(in[:2], in[3:]...) }, "number"},
+		"a try twice":              {func(in []UsageEvent) []UsageEvent { e := in[0]; e.ID = "10"; return append(in, e) }, "twice"},
+		"another size":             {use(0, func(u *outbox.UsageData) { u.Units = 2 }), "size"},
+		"another guess":            {use(3, func(u *outbox.UsageData) { u.Units = 2 }), "size"},
+		"a size from nowhere":      {use(3, func(u *outbox.UsageData) { u.Estimated = false }), "size"},
+		"an orphan without a kill": {use(3, func(u *outbox.UsageData) { u.Outcome = outbox.OutcomeGatewayEnded.String() }), "orphan"},
+		"one that never ran": {func(in []UsageEvent) []UsageEvent {
+			raw, _ := json.Marshal(outbox.UsageData{Request: "r3", Units: 1, Estimated: true, Outcome: outbox.OutcomeError.String()})
+			return append(in, UsageEvent{"/g", "10", outbox.TypeUsage, raw})
 		}, "unseen"},
 	} {
-		in := append([]Exported(nil), evs...)
-		u := JudgeUse(recs, c.do(in), never)
-		if len(u.Breaches) == 0 || !strings.Contains(strings.Join(u.Breaches, "\n"), c.kind+":") {
-			t.Errorf("%s: %v, want %s", name, u.Breaches, c.kind)
+		in := append([]UsageEvent(nil), evs...)
+		u := CheckUsage(recs, c.do(in), never)
+		if len(u.Violations) == 0 || !strings.Contains(strings.Join(u.Violations, "\n"), c.kind+":") {
+			t.Errorf("%s: %v, want %s", name, u.Violations, c.kind)
 		}
 	}
 }
