--- a/internal/jsonrpc/jsonrpc.go
+++ b/internal/jsonrpc/jsonrpc.go
@@ -15,13 +15,13 @@
 const (
 	CodeParse          = -32700
 	CodeInvalidRequest = -32600
-	CodeNoMethod       = -32601
+	CodeMethodNotFound = -32601
 	CodeInvalidParams  = -32602
 	CodeInternal       = -32603
-	CodeError          = -32000 // a node's work failed; it may have had its effect
-	CodeRefused        = -32001 // harmless to repeat
+	CodeServerError    = -32000 // a node's work failed; it may have had its effect
+	CodeRejected       = -32001 // harmless to repeat
 	CodeFailed         = -32002 // promises nothing
-	CodeFull           = -32010 // a node turned the call away unseen
+	CodeServerFull     = -32010 // a node turned the call away unseen
 )
 
 // Error is the error object of an answer.
@@ -37,30 +37,30 @@
 type ID string
 
 // Null is the id of answers to what no id could be read from.
-const Null ID = "null"
+const NullID ID = "null"
 
 // Item is one member of a message: a call, an answer, or what is neither (then Err says why).
-type Item struct {
-	ID     ID
-	Method string // empty: an answer
-	Params json.RawMessage
-	Result json.RawMessage // of an answer
-	Err    *Error          // of an answer, or why the item can't be taken
-	Bad    bool            // it can't be taken
+type Message struct {
+	ID      ID
+	Method  string // empty: an answer
+	Params  json.RawMessage
+	Result  json.RawMessage // of an answer
+	Err     *Error          // of an answer, or why the item can't be taken
+	Invalid bool            // it can't be taken
 }
 
 // Notification reports whether no answer is owed.
-func (it *Item) Notification() bool { return !it.Bad && it.Method != "" && it.ID == "" }
+func (it *Message) IsNotification() bool { return !it.Invalid && it.Method != "" && it.ID == "" }
 
 // Parse reads a message. batch is set if it was an array. err is set if nothing of it can be taken: then one
 // error with id null is the answer (specification section 6). Params and results of a single call are parts of data. A batch of more than most items is refused.
-func Parse(data []byte, most int) (items []Item, batch bool, err *Error) {
+func Parse(data []byte, most int) (items []Message, batch bool, err *Error) {
 	data = bytes.TrimLeft(data, " \t\r\n")
 	if len(data) == 0 || data[0] != '[' {
 		if !json.Valid(data) {
 			return nil, false, &Error{Code: CodeParse, Message: "parse error"}
 		}
-		return []Item{parseItem(data)}, false, nil
+		return []Message{parseMessage(data)}, false, nil
 	}
 	var raws []json.RawMessage
 	if json.Unmarshal(data, &raws) != nil {
@@ -74,21 +74,21 @@
 			Message: fmt.Sprintf("a batch of %d calls, %d at most", len(raws), most)}
 	}
 	for _, raw := range raws {
-		items = append(items, parseItem(raw))
+		items = append(items, parseMessage(raw))
 	}
 	return items, true, nil
 }
 
-func invalid(id ID, text string) Item {
-	return Item{ID: id, Bad: true, Err: &Error{Code: CodeInvalidRequest, Message: text}}
+func invalidMessage(id ID, text string) Message {
+	return Message{ID: id, Invalid: true, Err: &Error{Code: CodeInvalidRequest, Message: text}}
 }
 
-func parseItem(raw []byte) Item {
+func parseMessage(raw []byte) Message {
 	var version, methodRaw, params, idRaw, result, errRaw json.RawMessage
 	if trimmed := bytes.TrimLeft(raw, " \t\r\n"); len(trimmed) == 0 || trimmed[0] != '{' {
-		return invalid(Null, "not an object")
+		return invalidMessage(NullID, "not an object")
 	}
-	Members(raw, func(name string, value json.RawMessage) error {
+	ForEachMember(raw, func(name string, value json.RawMessage) error {
 		switch name {
 		case "jsonrpc":
 			version = value
@@ -107,68 +107,68 @@
 	})
 	id, ok := parseID(idRaw)
 	if !ok {
-		return invalid(Null, "id is neither a string, a number nor null")
+		return invalidMessage(NullID, "id is neither a string, a number nor null")
 	}
 	told := id
 	if told == "" {
-		told = Null
+		told = NullID
 	}
-	if v, ok := String(version); !ok || v != "2.0" {
-		return invalid(told, `member "jsonrpc" is not "2.0"`)
+	if v, ok := DecodeString(version); !ok || v != "2.0" {
+		return invalidMessage(told, `member "jsonrpc" is not "2.0"`)
 	}
 	if methodRaw == nil {
 		var e *Error
 		if errRaw != nil && string(errRaw) != "null" {
 			if e = new(Error); json.Unmarshal(errRaw, e) != nil {
-				return invalid(told, "error is not an error object")
+				return invalidMessage(told, "error is not an error object")
 			}
 			if string(result) == "null" {
 				result = nil
 			}
 		}
 		if (result == nil) == (e == nil) || id == "" {
-			return invalid(told, "neither a call nor an answer")
+			return invalidMessage(told, "neither a call nor an answer")
 		}
-		return Item{ID: id, Result: result, Err: e}
+		return Message{ID: id, Result: result, Err: e}
 	}
-	method, ok := String(methodRaw)
+	method, ok := DecodeString(methodRaw)
 	if !ok || method == "" {
-		return invalid(told, "method is not a string with something in it")
+		return invalidMessage(told, "method is not a string with something in it")
 	}
 	if len(params) > 0 && params[0] != '{' && params[0] != '[' {
-		return invalid(told, "params is neither an object nor an array")
+		return invalidMessage(told, "params is neither an object nor an array")
 	}
-	return Item{ID: id, Method: method, Params: params}
+	return Message{ID: id, Method: method, Params: params}
 }
 
 // Members calls f for each member of an object, in the order of the text, with its value as it stands there.
 // raw must be valid JSON, as all that Parse hands on is: then a look for the ends of values is enough, and
 // nothing is checked twice. What is not an object has no members. An error of f ends it.
-func Members(raw []byte, f func(name string, value json.RawMessage) error) error {
-	i := space(raw, 0)
+func ForEachMember(raw []byte, f func(name string, value json.RawMessage) error) error {
+	i := skipSpace(raw, 0)
 	if i >= len(raw) || raw[i] != '{' {
 		return nil
 	}
-	for i = space(raw, i+1); i < len(raw) && raw[i] == '"'; {
-		end := value(raw, i)
-		name, _ := String(raw[i:end])
-		from := space(raw, space(raw, end)+1) // behind the colon
-		to := value(raw, from)
+	for i = skipSpace(raw, i+1); i < len(raw) && raw[i] == '"'; {
+		end := valueEnd(raw, i)
+		name, _ := DecodeString(raw[i:end])
+		from := skipSpace(raw, skipSpace(raw, end)+1) // behind the colon
+		to := valueEnd(raw, from)
 		if to > len(raw) || from >= to {
 			return nil
 		}
 		if err := f(name, raw[from:to:to]); err != nil {
 			return err
 		}
-		if i = space(raw, to); i >= len(raw) || raw[i] != ',' {
+		if i = skipSpace(raw, to); i >= len(raw) || raw[i] != ',' {
 			return nil
 		}
-		i = space(raw, i+1)
+		i = skipSpace(raw, i+1)
 	}
 	return nil
 }
 
-func space(raw []byte, i int) int {
+func skipSpace(raw []byte, i int) int {
 	for i < len(raw) && (raw[i] == ' ' || raw[i] == '\n' || raw[i] == '\t' || raw[i] == '\r') {
 		i++
 	}
@@ -176,7 +176,7 @@
 }
 
 // value returns where the value that begins at i ends.
-func value(raw []byte, i int) int {
+func valueEnd(raw []byte, i int) int {
 	for depth := 0; i < len(raw); i++ {
 		switch raw[i] {
 		case '"':
@@ -207,7 +207,7 @@
 }
 
 // String reads a JSON string.
-func String(raw json.RawMessage) (string, bool) {
+func DecodeString(raw json.RawMessage) (string, bool) {
 	if len(raw) < 2 || raw[0] != '"' {
 		return "", false
 	}
@@ -230,7 +230,7 @@
 		if bytes.IndexByte(raw, '\\') < 0 && utf8.Valid(raw) {
 			return ID(raw), true
 		}
-		s, ok := String(raw)
+		s, ok := DecodeString(raw)
 		if !ok {
 			return "", false
 		}
--- a/internal/jsonrpc/jsonrpc_test.go
+++ b/internal/jsonrpc/jsonrpc_test.go
@@ -36,7 +36,7 @@
 			t.Fatalf("%s: %v, %v", in, items, err)
 		}
 		it := items[0]
-		if it.ID != want.id || it.Method != want.method || it.Bad != want.bad || it.Notification() != want.quiet {
+		if it.ID != want.id || it.Method != want.method || it.Invalid != want.bad || it.IsNotification() != want.quiet {
 			t.Errorf("%s: %+v, want %+v", in, it, want)
 		}
 	}
@@ -51,7 +51,7 @@
 		}
 	}
 	items, batch, err := Parse([]byte(` [1, {"jsonrpc":"2.0","method":"m"}, {"jsonrpc":"2.0","method":"n","id":"x"}]`), 3)
-	if err != nil || !batch || len(items) != 3 || !items[0].Bad || !items[1].Notification() || items[2].ID != `"x"` {
+	if err != nil || !batch || len(items) != 3 || !items[0].Invalid || !items[1].IsNotification() || items[2].ID != `"x"` {
 		t.Errorf("%+v %v %v", items, batch, err)
 	}
 }
@@ -65,7 +65,7 @@
 			return
 		}
 		got := map[string]json.RawMessage{}
-		Members(in, func(name string, v json.RawMessage) error { got[name] = v; return nil })
+		ForEachMember(in, func(name string, v json.RawMessage) error { got[name] = v; return nil })
 		if len(got) != len(want) {
 			t.Fatalf("%q has members %q, want %q", in, got, want)
 		}
--- a/internal/metrics/measures.go
+++ b/internal/metrics/measures.go
@@ -16,78 +16,78 @@
 // Options say what labels there may be.
 type Options struct {
 	Classes, Plans []string
-	Members        int // of so many at most the use is told by name
+	MaxMembers     int // of so many at most the use is told by name
 }
 
 // OtherMember stands for all members beyond the cap, and other for a class or plan of no settings.
 const (
 	OtherMember = "_other"
-	other       = "other"
+	otherName   = "other"
 )
 
 // Set is a gateway's. Methods are for the goroutine that owns it, the registry for any.
 type Set struct {
 	Registry *prometheus.Registry
 
-	calls    map[[3]string]prometheus.Counter
-	callsVec *prometheus.CounterVec
-	refused  *prometheus.CounterVec
-	attempts *prometheus.CounterVec
-	further  *prometheus.CounterVec
-	callTime *prometheus.HistogramVec
-	nodeTime *prometheus.HistogramVec
-	added    prometheus.Histogram
-	turn     prometheus.Histogram
-	words    *prometheus.CounterVec
-	units    *prometheus.CounterVec
-	memberNo *prometheus.CounterVec
-	leftOut  prometheus.Gauge
+	requestCounters  map[[3]string]prometheus.Counter
+	requests         *prometheus.CounterVec
+	rejections       *prometheus.CounterVec
+	attempts         *prometheus.CounterVec
+	retries          *prometheus.CounterVec
+	requestDuration  *prometheus.HistogramVec
+	attemptDuration  *prometheus.HistogramVec
+	addedDuration    prometheus.Histogram
+	loopTurnDuration prometheus.Histogram
+	grantMessages    *prometheus.CounterVec
+	memberUnits      *prometheus.CounterVec
+	memberRejections *prometheus.CounterVec
+	membersLeftOut   prometheus.Gauge
 
 	// Handles by labels: looking one up in the library takes a hash of all of them.
-	times map[[2]string]prometheus.Observer
-	ends  map[[2]string]ending
+	durationObservers map[[2]string]prometheus.Observer
+	attemptHandles    map[[2]string]attemptHandle
 
-	classes, plans map[string]bool
-	cap            int
-	members        map[string]memberCounters
-	without        map[string]bool // members beyond the cap
+	classes, plans  map[string]bool
+	maxMembers      int
+	members         map[string]memberCounters
+	overflowMembers map[string]bool // members beyond the cap
 }
 
-type ending struct {
-	count prometheus.Counter
-	time  prometheus.Observer
+type attemptHandle struct {
+	count    prometheus.Counter
+	duration prometheus.Observer
 }
 
-type memberCounters struct{ units, refused prometheus.Counter }
+type memberCounters struct{ units, rejected prometheus.Counter }
 
 // View is what gauges are read from.
 type View struct {
-	Sessions, Open, Queue int
-	Late                  int64
-	Pressed               float64
-	Silent                int              // homes that are not asked
-	Nodes                 map[string]int   // by state: serving, draining, cold, ejected, gone
-	Peers                 map[string]int64 // datagrams by what became of them
-	TurnedAway            map[string]int64
-	Plans                 map[string]Plan
-	Export                *Export
-	Changes               int
-	Reserved              float64 // tokens of reservations here
-	Send                  map[string]float64
-	Waiting               int             // samples for remote write
-	Sums                  []aggregate.Sum // of all gateways, of names whose home this one is
+	Sessions, OpenRequests, QueueLength int
+	LateResponses                       int64
+	Pressure                            float64
+	UnresponsiveOwners                  int              // homes that are not asked
+	Servers                             map[string]int   // by state: serving, draining, cold, ejected, gone
+	Datagrams                           map[string]int64 // datagrams by what became of them
+	FrontendRejections                  map[string]int64
+	Plans                               map[string]PlanTotals
+	Usage                               *UsageBacklog
+	PlanChanges                         int
+	ReservedUnits                       float64 // tokens of reservations here
+	RemoteWriteSamples                  map[string]float64
+	RemoteWriteWaiting                  int                    // samples for remote write
+	FleetTotals                         []aggregate.FleetTotal // of all gateways, of names whose home this one is
 }
 
 // Plan is what the customers of one have in this gateway.
-type Plan struct{ Level, Room, Part float64 }
+type PlanTotals struct{ Level, Headroom, Share float64 }
 
 // Export is what is owed to the accounting.
-type Export struct {
-	Records, Bytes, Open, UncoveredUnits, UncoveredTries float64
-	Refusing                                             bool
+type UsageBacklog struct {
+	Records, Bytes, OpenAttempts, UncoveredUnits, UncoveredAttempts float64
+	Rejecting                                                       bool
 }
 
-func native(name, help string) prometheus.HistogramOpts {
+func nativeHistogram(name, help string) prometheus.HistogramOpts {
 	// Buckets a tenth wide, 160 at most, which a restart of the histogram keeps to; so a series is a few hundred bytes
 	// however long the tail.
 	return prometheus.HistogramOpts{Name: name, Help: help, NativeHistogramBucketFactor: 1.1, NativeHistogramMaxBucketNumber: 160,
@@ -97,9 +97,9 @@
 // New returns a set whose gauges are read by view, which is called for each gathering.
 func New(o Options, view func() View) *Set {
 	r := prometheus.NewRegistry()
-	s := &Set{Registry: r, calls: map[[3]string]prometheus.Counter{}, times: map[[2]string]prometheus.Observer{},
-		ends: map[[2]string]ending{}, classes: map[string]bool{}, plans: map[string]bool{}, cap: o.Members,
-		members: map[string]memberCounters{}, without: map[string]bool{}}
+	s := &Set{Registry: r, requestCounters: map[[3]string]prometheus.Counter{}, durationObservers: map[[2]string]prometheus.Observer{},
+		attemptHandles: map[[2]string]attemptHandle{}, classes: map[string]bool{}, plans: map[string]bool{}, maxMembers: o.MaxMembers,
+		members: map[string]memberCounters{}, overflowMembers: map[string]bool{}}
 	for _, c := range o.Classes {
 		s.classes[c] = true
 	}
@@ -112,32 +112,32 @@
 		return v
 	}
 	hist := func(name, help string, labels ...string) *prometheus.HistogramVec {
-		v := prometheus.NewHistogramVec(native(name, help), labels)
+		v := prometheus.NewHistogramVec(nativeHistogram(name, help), labels)
 		r.MustRegister(v)
 		return v
 	}
-	s.callsVec = counter("winghatch_calls_total", "Calls by their final answer; gone: the client left before it.", "class", "plan", "outcome")
-	s.refused = counter("winghatch_refusals_total", "Calls refused, by reason.", "reason")
+	s.requests = counter("winghatch_calls_total", "Calls by their final answer; gone: the client left before it.", "class", "plan", "outcome")
+	s.rejections = counter("winghatch_refusals_total", "Calls refused, by reason.", "reason")
 	s.attempts = counter("winghatch_attempts_total", "Attempts at nodes, by how they ended.", "class", "outcome")
-	s.further = counter("winghatch_further_attempts_total", "Attempts beyond a call's first, by how the one before had ended, or open: it was still out.", "after")
-	s.callTime = hist("winghatch_call_duration_seconds", "From a call's arrival to its final answer.", "class", "outcome")
-	s.nodeTime = hist("winghatch_attempt_duration_seconds", "From an attempt's start to its end.", "class")
-	s.added = prometheus.NewHistogram(native("winghatch_added_duration_seconds", "A served call's time less that of the attempt that served it."))
-	s.turn = prometheus.NewHistogram(native("winghatch_loop_turn_duration_seconds", "Turns of the loop that owns all decisions."))
-	s.words = counter("winghatch_home_words_total", "Words between gateways and the homes of customers.", "kind", "way")
-	s.units = counter("winghatch_member_units_total", "Units of answered calls, of capped members by name.", "member")
-	s.memberNo = counter("winghatch_member_refusals_total", "Calls refused, of capped members by name.", "member")
-	s.leftOut = prometheus.NewGauge(prometheus.GaugeOpts{Name: "winghatch_members_left_out", Help: "Members whose use is told under one name, as the cap on names is reached."})
-	r.MustRegister(s.added, s.turn, s.leftOut, collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	r.MustRegister(&gauges{view: view, cap: o.Members, shown: map[string]bool{}})
+	s.retries = counter("winghatch_further_attempts_total", "Attempts beyond a call's first, by how the one before had ended, or open: it was still out.", "after")
+	s.requestDuration = hist("winghatch_call_duration_seconds", "From a call's arrival to its final answer.", "class", "outcome")
+	s.attemptDuration = hist("winghatch_attempt_duration_seconds", "From an attempt's start to its end.", "class")
+	s.addedDuration = prometheus.NewHistogram(nativeHistogram("winghatch_added_duration_seconds", "A served call's time less that of the attempt that served it."))
+	s.loopTurnDuration = prometheus.NewHistogram(nativeHistogram("winghatch_loop_turn_duration_seconds", "Turns of the loop that owns all decisions."))
+	s.grantMessages = counter("winghatch_home_words_total", "Words between gateways and the homes of customers.", "kind", "way")
+	s.memberUnits = counter("winghatch_member_units_total", "Units of answered calls, of capped members by name.", "member")
+	s.memberRejections = counter("winghatch_member_refusals_total", "Calls refused, of capped members by name.", "member")
+	s.membersLeftOut = prometheus.NewGauge(prometheus.GaugeOpts{Name: "winghatch_members_left_out", Help: "Members whose use is told under one name, as the cap on names is reached."})
+	r.MustRegister(s.addedDuration, s.loopTurnDuration, s.membersLeftOut, collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
+	r.MustRegister(&stateCollector{view: view, maxMembers: o.MaxMembers, namedMembers: map[string]bool{}})
 	return s
 }
 
-func known(set map[string]bool, name string) string {
+func nameOrOther(set map[string]bool, name string) string {
 	if set[name] {
 		return name
 	}
-	return other
+	return otherName
 }
 
 // member returns a member's counters, or those of all beyond the cap.
@@ -146,153 +146,153 @@
 	if ok {
 		return m
 	}
-	if len(s.members) >= s.cap {
-		if !s.without[name] {
-			s.without[name] = true
-			s.leftOut.Set(float64(len(s.without)))
+	if len(s.members) >= s.maxMembers {
+		if !s.overflowMembers[name] {
+			s.overflowMembers[name] = true
+			s.membersLeftOut.Set(float64(len(s.overflowMembers)))
 		}
 		name = OtherMember
 		if m, ok := s.members[name]; ok {
 			return m
 		}
 	}
-	m = memberCounters{s.units.WithLabelValues(name), s.memberNo.WithLabelValues(name)}
+	m = memberCounters{s.memberUnits.WithLabelValues(name), s.memberRejections.WithLabelValues(name)}
 	s.members[name] = m
 	return m
 }
 
 // Call is a call's end.
-type Call struct {
+type Request struct {
 	Class, Plan, Member string
 	Outcome             string // served, refused, failed or gone
 	Reason              string // of a refused one
 	Units               float64
-	Took                time.Duration
-	AtNode              time.Duration // of the attempt that served it
-	Trace               string        // of the trace that tells it; empty: none does
+	Duration            time.Duration
+	AttemptDuration     time.Duration // of the attempt that served it
+	TraceID             string        // of the trace that tells it; empty: none does
 }
 
 // Final counts a call's end.
-func (s *Set) Final(c Call) {
-	c.Class = known(s.classes, c.Class)
-	k := [3]string{c.Class, known(s.plans, c.Plan), c.Outcome}
-	n, ok := s.calls[k]
+func (s *Set) RequestEnded(c Request) {
+	c.Class = nameOrOther(s.classes, c.Class)
+	k := [3]string{c.Class, nameOrOther(s.plans, c.Plan), c.Outcome}
+	n, ok := s.requestCounters[k]
 	if !ok {
-		n = s.callsVec.WithLabelValues(k[:]...)
-		s.calls[k] = n
+		n = s.requests.WithLabelValues(k[:]...)
+		s.requestCounters[k] = n
 	}
 	n.Inc()
-	h := s.times[[2]string{c.Class, c.Outcome}]
+	h := s.durationObservers[[2]string{c.Class, c.Outcome}]
 	if h == nil {
-		h = s.callTime.WithLabelValues(c.Class, c.Outcome)
-		s.times[[2]string{c.Class, c.Outcome}] = h
+		h = s.requestDuration.WithLabelValues(c.Class, c.Outcome)
+		s.durationObservers[[2]string{c.Class, c.Outcome}] = h
 	}
-	if c.Trace == "" {
-		h.Observe(c.Took.Seconds())
+	if c.TraceID == "" {
+		h.Observe(c.Duration.Seconds())
 	} else { // the exemplar joins the histogram to the trace
-		h.(prometheus.ExemplarObserver).ObserveWithExemplar(c.Took.Seconds(), prometheus.Labels{"trace_id": c.Trace})
+		h.(prometheus.ExemplarObserver).ObserveWithExemplar(c.Duration.Seconds(), prometheus.Labels{"trace_id": c.TraceID})
 	}
 	switch c.Outcome {
 	case "served":
-		s.added.Observe(max(0, c.Took-c.AtNode).Seconds())
+		s.addedDuration.Observe(max(0, c.Duration-c.AttemptDuration).Seconds())
 		s.member(c.Member).units.Add(max(0, c.Units))
 	case "refused":
-		s.refused.WithLabelValues(c.Reason).Inc()
-		s.member(c.Member).refused.Inc()
+		s.rejections.WithLabelValues(c.Reason).Inc()
+		s.member(c.Member).rejected.Inc()
 	}
 }
 
 // Attempt counts an attempt's end.
-func (s *Set) Attempt(class, outcome string, took time.Duration) {
-	class = known(s.classes, class)
-	e, ok := s.ends[[2]string{class, outcome}]
+func (s *Set) AttemptEnded(class, outcome string, duration time.Duration) {
+	class = nameOrOther(s.classes, class)
+	e, ok := s.attemptHandles[[2]string{class, outcome}]
 	if !ok {
-		e = ending{s.attempts.WithLabelValues(class, outcome), s.nodeTime.WithLabelValues(class)}
-		s.ends[[2]string{class, outcome}] = e
+		e = attemptHandle{s.attempts.WithLabelValues(class, outcome), s.attemptDuration.WithLabelValues(class)}
+		s.attemptHandles[[2]string{class, outcome}] = e
 	}
 	e.count.Inc()
-	e.time.Observe(took.Seconds())
+	e.duration.Observe(duration.Seconds())
 }
 
 // Further counts an attempt beyond a call's first.
-func (s *Set) Further(after string) { s.further.WithLabelValues(after).Inc() }
+func (s *Set) RetrySent(after string) { s.retries.WithLabelValues(after).Inc() }
 
 // Turn times a turn of the loop.
-func (s *Set) Turn(took time.Duration) { s.turn.Observe(took.Seconds()) }
+func (s *Set) LoopTurn(duration time.Duration) { s.loopTurnDuration.Observe(duration.Seconds()) }
 
-var wordKinds = map[byte]string{'a': "ask", 'r': "answer", 'd': "settle"}
+var grantMessageKinds = map[byte]string{'a': "ask", 'r': "answer", 'd': "settle"}
 
 // Word counts a word to or from another gateway, if it is one of homes.
-func (s *Set) Word(text, way string) {
+func (s *Set) GrantMessage(text, direction string) {
 	if len(text) == 0 {
 		return
 	}
-	if k := wordKinds[text[0]]; k != "" {
-		s.words.WithLabelValues(k, way).Inc()
+	if k := grantMessageKinds[text[0]]; k != "" {
+		s.grantMessages.WithLabelValues(k, direction).Inc()
 	}
 }
 
 // gauges are read from a view.
-type gauges struct {
-	view func() View
-	cap  int
+type stateCollector struct {
+	view       func() View
+	maxMembers int
 
-	mu    sync.Mutex
-	shown map[string]bool // members whose sums are told by name; the first ones that have any
+	mu           sync.Mutex
+	namedMembers map[string]bool // members whose sums are told by name; the first ones that have any
 }
 
 // named is the name by which a member's sums are told. It never changes from one to the other, or sums would fall.
-func (g *gauges) named(member string) string {
+func (g *stateCollector) memberLabel(member string) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.shown[member] {
-		if len(g.shown) >= g.cap {
+	if !g.namedMembers[member] {
+		if len(g.namedMembers) >= g.maxMembers {
 			return OtherMember
 		}
-		g.shown[member] = true
+		g.namedMembers[member] = true
 	}
 	return member
 }
 
-func desc(name, help string, labels ...string) *prometheus.Desc {
+func newDesc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("winghatch_"+name, help, labels, nil)
 }
 
 var (
-	dSessions  = desc("sessions", "Clients' sessions.")
-	dOpen      = desc("open_calls", "Calls without a final answer.")
-	dPressed   = desc("open_work_ratio", "Work open over the cap on it.")
-	dQueue     = desc("loop_queue_length", "Inputs that wait for the loop.")
-	dLate      = desc("late_answers_total", "Answers to attempts that were over.")
-	dSilent    = desc("homes_silent", "Homes that are not asked for now, as they gave no answer.")
-	dNodes     = desc("nodes", "Nodes by state; ejected: fails a class far more often than the best do.", "state")
-	dPeers     = desc("peer_datagrams_total", "Datagrams to and from other gateways, by what became of them.", "result")
-	dTurned    = desc("turned_away_total", "Calls and handshakes that the front turned away, by reason.", "reason")
-	dLevel     = desc("plan_level_units", "Units in the buckets of a plan's customers, at this gateway.", "plan")
-	dRoom      = desc("plan_room_units", "Units that these buckets still bear.", "plan")
-	dPart      = desc("plan_part_ratio", "Mean part of rate and mark that this gateway has of a plan's customers.", "plan")
-	dOwed      = desc("export_owed_records", "Records that the accounting is not known to have.")
-	dOwedBytes = desc("export_log_bytes", "Bytes of the export's log.")
-	dOwedOpen  = desc("export_open_tries", "Tries without a settlement in the log.")
-	dUncovered = desc("export_uncovered_units_total", "Units let pass while the log could not be written.")
-	dUncTries  = desc("export_uncovered_tries_total", "Tries let pass while the log could not be written.")
-	dRefusing  = desc("export_refusing", "1 while calls are refused as their use can't be covered.")
-	dChanges   = desc("plan_changes", "Changes in the book of plans.")
-	dReserved  = desc("reserved_units", "Units of reservations held at this gateway.")
-	dSumCalls  = desc("sum_calls_total", "Calls at all gateways by their final answer, of a class or member whose home this gateway is; see docs/metrics.md.", "kind", "name", "outcome", "replica")
-	dSumUnits  = desc("sum_units_total", "Units of answered calls at all gateways, of a class or member whose home this gateway is.", "kind", "name", "replica")
-	dWaiting   = desc("remote_write_waiting_samples", "Samples that wait to be sent by remote write.")
-	dSend      = desc("remote_write_samples_total", "Samples for remote write, by what became of them.", "result")
+	descSessions           = newDesc("sessions", "Clients' sessions.")
+	descOpenRequests       = newDesc("open_calls", "Calls without a final answer.")
+	descPressure           = newDesc("open_work_ratio", "Work open over the cap on it.")
+	descQueueLength        = newDesc("loop_queue_length", "Inputs that wait for the loop.")
+	descLateResponses      = newDesc("late_answers_total", "Answers to attempts that were over.")
+	descUnresponsiveOwners = newDesc("homes_silent", "Homes that are not asked for now, as they gave no answer.")
+	descServers            = newDesc("nodes", "Nodes by state; ejected: fails a class far more often than the best do.", "state")
+	descDatagrams          = newDesc("peer_datagrams_total", "Datagrams to and from other gateways, by what became of them.", "result")
+	descFrontendRejections = newDesc("turned_away_total", "Calls and handshakes that the front turned away, by reason.", "reason")
+	descPlanLevel          = newDesc("plan_level_units", "Units in the buckets of a plan's customers, at this gateway.", "plan")
+	descPlanHeadroom       = newDesc("plan_room_units", "Units that these buckets still bear.", "plan")
+	descPlanShare          = newDesc("plan_part_ratio", "Mean part of rate and mark that this gateway has of a plan's customers.", "plan")
+	descUsageRecords       = newDesc("export_owed_records", "Records that the accounting is not known to have.")
+	descUsageBytes         = newDesc("export_log_bytes", "Bytes of the export's log.")
+	descUsageOpenAttempts  = newDesc("export_open_tries", "Tries without a settlement in the log.")
+	descUncoveredUnits     = newDesc("export_uncovered_units_total", "Units let pass while the log could not be written.")
+	descUncoveredAttempts  = newDesc("export_uncovered_tries_total", "Tries let pass while the log could not be written.")
+	descUsageRejecting     = newDesc("export_refusing", "1 while calls are refused as their use can't be covered.")
+	descPlanChanges        = newDesc("plan_changes", "Changes in the book of plans.")
+	descReservedUnits      = newDesc("reserved_units", "Units of reservations held at this gateway.")
+	descTotalRequests      = newDesc("sum_calls_total", "Calls at all gateways by their final answer, of a class or member whose home this gateway is; see docs/metrics.md.", "kind", "name", "outcome", "replica")
+	descTotalUnits         = newDesc("sum_units_total", "Units of answered calls at all gateways, of a class or member whose home this gateway is.", "kind", "name", "replica")
+	descRemoteWriteWaiting = newDesc("remote_write_waiting_samples", "Samples that wait to be sent by remote write.")
+	descRemoteWriteSamples = newDesc("remote_write_samples_total", "Samples for remote write, by what became of them.", "result")
 )
 
-func (g *gauges) Describe(ch chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{dSessions, dOpen, dPressed, dQueue, dLate, dSilent, dNodes, dPeers, dTurned, dLevel, dRoom, dPart, dOwed,
-		dOwedBytes, dOwedOpen, dUncovered, dUncTries, dRefusing, dChanges, dReserved, dSend, dSumCalls, dSumUnits, dWaiting} {
+func (g *stateCollector) Describe(ch chan<- *prometheus.Desc) {
+	for _, d := range []*prometheus.Desc{descSessions, descOpenRequests, descPressure, descQueueLength, descLateResponses, descUnresponsiveOwners, descServers, descDatagrams, descFrontendRejections, descPlanLevel, descPlanHeadroom, descPlanShare, descUsageRecords,
+		descUsageBytes, descUsageOpenAttempts, descUncoveredUnits, descUncoveredAttempts, descUsageRejecting, descPlanChanges, descReservedUnits, descRemoteWriteSamples, descTotalRequests, descTotalUnits, descRemoteWriteWaiting} {
 		ch <- d
 	}
 }
 
-func (g *gauges) Collect(ch chan<- prometheus.Metric) {
+func (g *stateCollector) Collect(ch chan<- prometheus.Metric) {
 	v := g.view()
 	gauge := func(d *prometheus.Desc, x float64, labels ...string) {
 		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, x, labels...)
@@ -300,64 +300,64 @@
 	count := func(d *prometheus.Desc, x float64, labels ...string) {
 		ch <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, x, labels...)
 	}
-	gauge(dSessions, float64(v.Sessions))
-	gauge(dOpen, float64(v.Open))
-	gauge(dPressed, v.Pressed)
-	gauge(dQueue, float64(v.Queue))
-	count(dLate, float64(v.Late))
-	gauge(dSilent, float64(v.Silent))
+	gauge(descSessions, float64(v.Sessions))
+	gauge(descOpenRequests, float64(v.OpenRequests))
+	gauge(descPressure, v.Pressure)
+	gauge(descQueueLength, float64(v.QueueLength))
+	count(descLateResponses, float64(v.LateResponses))
+	gauge(descUnresponsiveOwners, float64(v.UnresponsiveOwners))
 	for _, s := range []string{"serving", "draining", "cold", "ejected", "gone"} {
-		gauge(dNodes, float64(v.Nodes[s]), s)
+		gauge(descServers, float64(v.Servers[s]), s)
 	}
-	for k, n := range v.Peers {
-		count(dPeers, float64(n), k)
+	for k, n := range v.Datagrams {
+		count(descDatagrams, float64(n), k)
 	}
-	for k, n := range v.TurnedAway {
-		count(dTurned, float64(n), k)
+	for k, n := range v.FrontendRejections {
+		count(descFrontendRejections, float64(n), k)
 	}
 	for k, p := range v.Plans {
-		gauge(dLevel, p.Level, k)
-		gauge(dRoom, p.Room, k)
-		gauge(dPart, p.Part, k)
+		gauge(descPlanLevel, p.Level, k)
+		gauge(descPlanHeadroom, p.Headroom, k)
+		gauge(descPlanShare, p.Share, k)
 	}
-	gauge(dChanges, float64(v.Changes))
-	gauge(dReserved, v.Reserved)
-	if e := v.Export; e != nil {
-		gauge(dOwed, e.Records)
-		gauge(dOwedBytes, e.Bytes)
-		gauge(dOwedOpen, e.Open)
-		count(dUncovered, e.UncoveredUnits)
-		count(dUncTries, e.UncoveredTries)
+	gauge(descPlanChanges, float64(v.PlanChanges))
+	gauge(descReservedUnits, v.ReservedUnits)
+	if e := v.Usage; e != nil {
+		gauge(descUsageRecords, e.Records)
+		gauge(descUsageBytes, e.Bytes)
+		gauge(descUsageOpenAttempts, e.OpenAttempts)
+		count(descUncoveredUnits, e.UncoveredUnits)
+		count(descUncoveredAttempts, e.UncoveredAttempts)
 		refusing := 0.0
-		if e.Refusing {
+		if e.Rejecting {
 			refusing = 1
 		}
-		gauge(dRefusing, refusing)
+		gauge(descUsageRejecting, refusing)
 	}
-	for k, n := range v.Send {
-		count(dSend, n, k)
+	for k, n := range v.RemoteWriteSamples {
+		count(descRemoteWriteSamples, n, k)
 	}
-	if v.Send != nil {
-		gauge(dWaiting, float64(v.Waiting))
+	if v.RemoteWriteSamples != nil {
+		gauge(descRemoteWriteWaiting, float64(v.RemoteWriteWaiting))
 	}
 	type key struct{ kind, name, replica string }
 	totals := map[key]aggregate.Totals{}
-	for _, s := range v.Sums {
-		k := key{"class", s.Name.Name, "1"}
-		if s.First {
+	for _, s := range v.FleetTotals {
+		k := key{"class", s.Key.Name, "1"}
+		if s.Primary {
 			k.replica = "0"
 		}
 		if !s.Class {
-			k.kind, k.name = "member", g.named(s.Name.Name)
+			k.kind, k.name = "member", g.memberLabel(s.Key.Name)
 		}
 		t := totals[k]
-		t.Served, t.Refused, t.Failed, t.Units = t.Served+s.Served, t.Refused+s.Refused, t.Failed+s.Failed, t.Units+s.Units
+		t.Served, t.Rejected, t.Failed, t.Units = t.Served+s.Served, t.Rejected+s.Rejected, t.Failed+s.Failed, t.Units+s.Units
 		totals[k] = t
 	}
 	for k, t := range totals {
-		count(dSumCalls, float64(t.Served), k.kind, k.name, "served", k.replica)
-		count(dSumCalls, float64(t.Refused), k.kind, k.name, "refused", k.replica)
-		count(dSumCalls, float64(t.Failed), k.kind, k.name, "failed", k.replica)
-		count(dSumUnits, t.Units, k.kind, k.name, k.replica)
+		count(descTotalRequests, float64(t.Served), k.kind, k.name, "served", k.replica)
+		count(descTotalRequests, float64(t.Rejected), k.kind, k.name, "refused", k.replica)
+		count(descTotalRequests, float64(t.Failed), k.kind, k.name, "failed", k.replica)
+		count(descTotalUnits, t.Units, k.kind, k.name, k.replica)
 	}
 }
--- a/internal/metrics/measures_test.go
+++ b/internal/metrics/measures_test.go
@@ -11,9 +11,9 @@
 )
 
 func full() *Set {
-	return New(Options{Classes: []string{"look"}, Plans: []string{"p"}, Members: 3}, func() View {
-		return View{Nodes: map[string]int{"cold": 1}, Peers: map[string]int64{"sent": 1}, TurnedAway: map[string]int64{"silent": 1},
-			Plans: map[string]Plan{"p": {1, 2, 0.5}}, Export: &Export{Records: 1}, Send: map[string]float64{"sent": 1}}
+	return New(Options{Classes: []string{"look"}, Plans: []string{"p"}, MaxMembers: 3}, func() View {
+		return View{Servers: map[string]int{"cold": 1}, Datagrams: map[string]int64{"sent": 1}, FrontendRejections: map[string]int64{"silent": 1},
+			Plans: map[string]PlanTotals{"p": {1, 2, 0.5}}, Usage: &UsageBacklog{Records: 1}, RemoteWriteSamples: map[string]float64{"sent": 1}}
 	})
 }
 
@@ -33,12 +33,12 @@
 // TestLint has names, units and help looked at by Prometheus' own linter.
 func TestLint(t *testing.T) {
 	s := full()
-	s.Final(Call{Class: "look", Plan: "p", Member: "m", Outcome: "served", Units: 2, Took: time.Second, AtNode: time.Millisecond})
-	s.Final(Call{Class: "look", Plan: "p", Member: "m", Outcome: "refused", Reason: "shed"})
-	s.Attempt("look", "ok", time.Second)
-	s.Further("error")
-	s.Turn(time.Millisecond)
-	s.Word("a...", "out")
+	s.RequestEnded(Request{Class: "look", Plan: "p", Member: "m", Outcome: "served", Units: 2, Duration: time.Second, AttemptDuration: time.Millisecond})
+	s.RequestEnded(Request{Class: "look", Plan: "p", Member: "m", Outcome: "refused", Reason: "shed"})
+	s.AttemptEnded("look", "ok", time.Second)
+	s.RetrySent("error")
+	s.LoopTurn(time.Millisecond)
+	s.GrantMessage("a...", "out")
 	var fams []*dto.MetricFamily
 	n := 0
 	for name, f := range gather(t, s) {
@@ -70,7 +70,7 @@
 func TestLabelsAreBounded(t *testing.T) {
 	s := full()
 	for i := range 50000 {
-		s.Final(Call{Class: fmt.Sprint("c", i), Plan: fmt.Sprint("p", i), Member: fmt.Sprint("m", i), Outcome: "served", Units: 1})
+		s.RequestEnded(Request{Class: fmt.Sprint("c", i), Plan: fmt.Sprint("p", i), Member: fmt.Sprint("m", i), Outcome: "served", Units: 1})
 	}
 	f := gather(t, s)
 	series := 0
@@ -98,8 +98,8 @@
 
 func BenchmarkFinal(b *testing.B) {
 	s := full()
-	c := Call{Class: "look", Plan: "p", Member: "m", Outcome: "served", Units: 2, Took: time.Second, AtNode: time.Millisecond}
+	c := Request{Class: "look", Plan: "p", Member: "m", Outcome: "served", Units: 2, Duration: time.Second, AttemptDuration: time.Millisecond}
 	for b.Loop() {
-		s.Final(c)
+		s.RequestEnded(c)
 	}
 }
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -21,13 +21,13 @@
 	MemoryMB, Sockets       int
 	PeerListen              string
 	Peers                   []string
-	Known                   discoveryhttp.List
+	LastKnown               discoveryhttp.List
 	Decide                  decide.Config
-	Bounds                  settings.Bounds
+	Transport               settings.ConnectionLimits
 }
 
 // words are the file's.
-type words struct {
+type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
@@ -57,12 +57,12 @@
 }
 
 func parse(raw []byte) (*Config, error) {
-	var w words
+	var w configFile
 	if err := json.Unmarshal(raw, &w); err != nil {
-		return nil, settings.FieldOf(err)
+		return nil, settings.FieldError(err)
 	}
 	c := &Config{Name: w.Name, Listen: w.Listen, Discovery: w.Discovery, Cores: w.Limits.Cores, MemoryMB: w.Limits.MemoryMB,
-		Sockets: w.Limits.Sockets, PeerListen: w.PeerListen, Peers: w.Peers, Known: w.Known}
+		Sockets: w.Limits.Sockets, PeerListen: w.PeerListen, Peers: w.Peers, LastKnown: w.Known}
 	for _, f := range []struct{ name, v string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
 		if _, _, err := net.SplitHostPort(f.v); err != nil {
 			return nil, fmt.Errorf("field %q is %q, want host:port", f.name, f.v)
@@ -74,8 +74,8 @@
 	if c.MemoryMB < 0 {
 		return nil, fmt.Errorf("field \"limits.memory_mb\" is %d, want more than 0", c.MemoryMB)
 	}
-	if c.Sockets != 0 && c.Sockets < leastSockets {
-		return nil, fmt.Errorf("field \"limits.sockets\" is %d, want %d or more", c.Sockets, leastSockets)
+	if c.Sockets != 0 && c.Sockets < minSockets {
+		return nil, fmt.Errorf("field \"limits.sockets\" is %d, want %d or more", c.Sockets, minSockets)
 	}
 	if w.Seed != "" {
 		var seed uint64
@@ -84,14 +84,14 @@
 		}
 		c.Seed = int64(seed)
 	}
-	if err := c.Known.Check(); err != nil {
+	if err := c.LastKnown.Check(); err != nil {
 		return nil, fmt.Errorf("field \"known\": %w", err)
 	}
 	if len(w.Settings) == 0 {
 		return nil, fmt.Errorf("field \"settings\" is missing")
 	}
 	var err error
-	if c.Decide, c.Bounds, err = settings.Parse(w.Settings); err != nil {
+	if c.Decide, c.Transport, err = settings.Parse(w.Settings); err != nil {
 		return nil, fmt.Errorf("field \"settings\": %w", err)
 	}
 	if err = c.Decide.Validate(); err != nil {
--- a/internal/platform/listen.go
+++ b/internal/platform/listen.go
@@ -9,13 +9,13 @@
 
 // An address may be refused for a moment: the process before may hold it still, or the machine be out of buffers.
 const (
-	bindFor   = 5 * time.Second
-	bindPause = 20 * time.Millisecond
+	bindTimeout    = 5 * time.Second
+	bindRetryPause = 20 * time.Millisecond
 )
 
 // bind tries again what fails for a moment.
-func bind[T any](log *slog.Logger, try func() (T, error)) (T, error) {
-	until := time.Now().Add(bindFor)
+func retryBind[T any](log *slog.Logger, try func() (T, error)) (T, error) {
+	until := time.Now().Add(bindTimeout)
 	for n := 0; ; n++ {
 		v, err := try()
 		if err == nil || time.Now().After(until) {
@@ -24,14 +24,14 @@
 		if n == 0 {
 			log.Warn("an address can't be bound, tries again", "err", err)
 		}
-		time.Sleep(bindPause)
+		time.Sleep(bindRetryPause)
 	}
 }
 
 // listen binds the address where clients connect.
 func listen(addr string, log *slog.Logger) (*net.TCPListener, error) {
 	lc := net.ListenConfig{KeepAlive: -1}
-	ln, err := bind(log, func() (net.Listener, error) { return lc.Listen(context.Background(), "tcp", addr) })
+	ln, err := retryBind(log, func() (net.Listener, error) { return lc.Listen(context.Background(), "tcp", addr) })
 	if err != nil {
 		return nil, err
 	}
@@ -44,5 +44,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return bind(log, func() (*net.UDPConn, error) { return net.ListenUDP("udp", at) })
+	return retryBind(log, func() (*net.UDPConn, error) { return net.ListenUDP("udp", at) })
 }
--- a/internal/platform/logwriter.go
+++ b/internal/platform/logwriter.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	logLines = 512                    // that wait to be written
-	logClose = 100 * time.Millisecond // for what waits at the end
+	logQueueLines   = 512                    // that wait to be written
+	logFlushTimeout = 100 * time.Millisecond // for what waits at the end
 )
 
 // LogWriter writes a log without ever waiting for who reads it: nothing that serves requests may stand still for a log. Lines
@@ -22,7 +22,7 @@
 
 // NewLogWriter starts a writer; each Write is a line.
 func NewLogWriter(to io.Writer) *LogWriter {
-	l := &LogWriter{lines: make(chan []byte, logLines), done: make(chan struct{})}
+	l := &LogWriter{lines: make(chan []byte, logQueueLines), done: make(chan struct{})}
 	go func() {
 		for line := range l.lines {
 			if line == nil {
@@ -50,7 +50,7 @@
 
 // Close writes what waits, for a bounded time. What is written to it later is lost.
 func (l *LogWriter) Close() {
-	over := time.After(logClose)
+	over := time.After(logFlushTimeout)
 	select {
 	case l.lines <- nil: // the end
 	case <-over:
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -38,7 +38,7 @@
 		signals := Notify()
 		c, err := Load(file)
 		if err == nil {
-			Fit(c)
+			ApplyLimits(c)
 			var g *Gateway
 			out := NewLogWriter(os.Stderr)
 			if g, err = Start(c, slog.New(slog.NewTextHandler(out, nil))); err == nil {
@@ -141,7 +141,7 @@
 	})}
 	go s.Serve(ln)
 	t.Cleanup(func() { s.Close() })
-	var free ports.Reserved
+	var free ports.Reservation
 	addr, err := free.Addr()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -12,7 +12,7 @@
 )
 
 // words are the platform's for decide.Config. Keys that are not named here are ignored.
-type words struct {
+type document struct {
 	Classes []struct {
 		Name, Effect, Group               string
 		AimNs, GiveUpNs, WindowNs         int64
@@ -49,13 +49,13 @@
 }
 
 // Bounds are settings that sockets keep and the core needs not know.
-type Bounds struct {
-	Open int           // requests open at once; 0: not told
-	Idle time.Duration // connections to servers are closed by the servers' machines after this; 0: not told
+type ConnectionLimits struct {
+	MaxOpenRequests int           // requests open at once; 0: not told
+	IdleTimeout     time.Duration // connections to servers are closed by the servers' machines after this; 0: not told
 }
 
 // FieldOf names the field at which decoding stopped.
-func FieldOf(err error) error {
+func FieldError(err error) error {
 	var t *json.UnmarshalTypeError
 	if errors.As(err, &t) {
 		return fmt.Errorf("field %q: can't take a %s", t.Field, t.Value)
@@ -64,12 +64,12 @@
 }
 
 // Parse reads the object. Errors name the field.
-func Parse(raw json.RawMessage) (decide.Config, Bounds, error) {
-	var s words
+func Parse(raw json.RawMessage) (decide.Config, ConnectionLimits, error) {
+	var s document
 	if err := json.Unmarshal(raw, &s); err != nil {
-		return decide.Config{}, Bounds{}, FieldOf(err)
+		return decide.Config{}, ConnectionLimits{}, FieldError(err)
 	}
-	b := Bounds{s.Limits.OpenCap, time.Duration(s.Limits.ConnIdleNs)}
+	b := ConnectionLimits{s.Limits.OpenCap, time.Duration(s.Limits.ConnIdleNs)}
 	c := decide.Config{Rank: s.Rank, Gateways: s.Instances, Zone: s.Zone, SettledOnResponse: s.Extra.CostAfter,
 		MaxUnits: s.Extra.UnitsTop, UsageReportPeriod: time.Duration(s.Extra.MeterNs), GossipCapacity: s.Extra.PeerIntake,
 		Counter: s.Extra.HasCounter, CounterTimeout: time.Duration(s.Extra.CountWaitNs),
@@ -132,7 +132,7 @@
 }
 
 // ReportName is the core's word for a figure of a load report.
-func ReportName(wire string) string {
+func LoadReportField(wire string) string {
 	switch wire {
 	case "outstanding":
 		return "inflight"
--- a/internal/platform/signals.go
+++ b/internal/platform/signals.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	reloadEvery = 100 * time.Millisecond // a file that is being written is looked at so often ...
-	settleFor   = 4 * time.Second        // ... for so long behind a signal, and until it can be used
+	reloadPollInterval = 100 * time.Millisecond // a file that is being written is looked at so often ...
+	reloadWindow       = 4 * time.Second        // ... for so long behind a signal, and until it can be used
 )
 
 // Signals are the platform's. Each kind has a channel of its own, so that none can crowd out the other; one that waits stands
@@ -31,12 +31,12 @@
 // SIGINT let it finish what is open.
 func (g *Gateway) Wait(file string, s Signals) {
 	r := reloader{file: file}
-	look := time.NewTicker(reloadEvery)
+	look := time.NewTicker(reloadPollInterval)
 	defer look.Stop()
 	for {
 		select {
 		case <-s.stop:
-			g.end(time.Now())
+			g.shutDown(time.Now())
 			return
 		case <-s.reload:
 			r.signaled(time.Now())
@@ -49,9 +49,9 @@
 	}
 }
 
-func (g *Gateway) end(told time.Time) {
+func (g *Gateway) shutDown(told time.Time) {
 	g.log.Info("stops: answers what is open")
-	g.Tell()
+	g.LogStatus()
 	g.Drain(told)
 	g.log.Info("stopped")
 }
@@ -63,7 +63,7 @@
 		g.log.Error("the new configuration can't be used, the old one stays until it can", "err", err)
 		return
 	}
-	g.Move(c.Discovery)
+	g.SetDiscovery(c.Discovery)
 }
 
 // reloader reads a file that may be written while, or after, its signal comes: until it can be used, and for a while behind
@@ -72,11 +72,11 @@
 	file    string
 	until   time.Time
 	failed  bool
-	written time.Time // as of the last read
+	modTime time.Time // as of the last read
 	size    int64
 }
 
-func (r *reloader) signaled(now time.Time) { r.until = now.Add(settleFor) }
+func (r *reloader) signaled(now time.Time) { r.until = now.Add(reloadWindow) }
 
 // due reports whether the file is to be read again.
 func (r *reloader) due(now time.Time) bool {
@@ -84,13 +84,13 @@
 		return false
 	}
 	f, err := os.Stat(r.file)
-	return err == nil && (f.Size() != r.size || !f.ModTime().Equal(r.written))
+	return err == nil && (f.Size() != r.size || !f.ModTime().Equal(r.modTime))
 }
 
 func (r *reloader) load() (*Config, error) {
-	r.size, r.written = 0, time.Time{}
+	r.size, r.modTime = 0, time.Time{}
 	if f, err := os.Stat(r.file); err == nil { // ahead of the read: what is written behind it is seen as a change
-		r.size, r.written = f.Size(), f.ModTime()
+		r.size, r.modTime = f.Size(), f.ModTime()
 	}
 	c, err := Load(r.file)
 	r.failed = err != nil
--- a/internal/quotaplan/change.go
+++ b/internal/quotaplan/change.go
@@ -63,9 +63,9 @@
 
 	// Of the gateway that took it. Changes are ordered by Stamp, Origin and Life; the first of two with one number
 	// counts.
-	Stamp  int64
-	Origin int
-	Life   uint64
+	Stamp       int64
+	Origin      int
+	Incarnation uint64
 }
 
 // before is the order of changes, the same everywhere.
@@ -75,14 +75,14 @@
 		return c.Stamp < d.Stamp
 	case c.Origin != d.Origin:
 		return c.Origin < d.Origin
-	case c.Life != d.Life:
-		return c.Life < d.Life
+	case c.Incarnation != d.Incarnation:
+		return c.Incarnation < d.Incarnation
 	}
 	return c.Number < d.Number
 }
 
 // later is the order in which changes come into force: by From, then as they were made.
-func (c *Change) later(d *Change) bool {
+func (c *Change) supersedes(d *Change) bool {
 	if c.From != d.From {
 		return c.From > d.From
 	}
@@ -95,26 +95,26 @@
 func (c *Change) String() string {
 	switch c.Kind {
 	case Move:
-		return fmt.Sprintf("change %d: member %s to plan %s from %s", c.Number, c.Member, c.Plan, when(c.From))
+		return fmt.Sprintf("change %d: member %s to plan %s from %s", c.Number, c.Member, c.Plan, formatTime(c.From))
 	case Terms:
-		return fmt.Sprintf("change %d: plan %s to rate %v/s, burst %v from %s", c.Number, c.Plan, c.Terms.Rate, c.Terms.Burst, when(c.From))
+		return fmt.Sprintf("change %d: plan %s to rate %v/s, burst %v from %s", c.Number, c.Plan, c.Terms.Rate, c.Terms.Burst, formatTime(c.From))
 	case Reserve:
-		return fmt.Sprintf("change %d: %v units for member %s from %s to %s", c.Number, c.Units, c.Member, when(c.From), when(c.To))
+		return fmt.Sprintf("change %d: %v units for member %s from %s to %s", c.Number, c.Units, c.Member, formatTime(c.From), formatTime(c.To))
 	case Cancel:
 		return fmt.Sprintf("change %d: cancels %d", c.Number, c.Target)
 	}
 	return fmt.Sprintf("change %d: shortens %d to %v units", c.Number, c.Target, c.Units)
 }
 
-func when(ns int64) string { return time.Unix(0, ns).UTC().Format(time.RFC3339Nano) }
+func formatTime(ns int64) string { return time.Unix(0, ns).UTC().Format(time.RFC3339Nano) }
 
 // maxName is the longest name of a member or plan in a change, in bytes.
-const maxName = 200
+const maxNameBytes = 200
 
 const changeVersion = 1
 
 // any64 bounds no whole number.
-const any64 = math.MaxUint64
+const maxUvarint = math.MaxUint64
 
 // Append writes a change: the version 1, the kind, and then, integers as varints of Go's encoding/binary, strings with
 // their length before them and figures as 8 bytes of IEEE 754, little-endian: number, member, plan, from, to, units,
@@ -123,12 +123,12 @@
 func (c *Change) Append(b []byte) []byte {
 	b = append(b, changeVersion, byte(c.Kind))
 	b = binary.AppendUvarint(b, c.Number)
-	b = encoding.String(encoding.String(b, c.Member), c.Plan)
+	b = encoding.AppendString(encoding.AppendString(b, c.Member), c.Plan)
 	b = binary.AppendVarint(binary.AppendVarint(b, c.From), c.To)
 	b = appendFloats(b, c.Units, c.Rate)
 	b = binary.AppendUvarint(b, c.Target)
 	b = binary.AppendVarint(b, c.Stamp)
-	b = binary.AppendUvarint(binary.AppendUvarint(b, uint64(c.Origin)), c.Life)
+	b = binary.AppendUvarint(binary.AppendUvarint(b, uint64(c.Origin)), c.Incarnation)
 	if c.Kind == Terms {
 		p := &c.Terms
 		b = appendFloats(b, p.Rate, p.Burst, p.CeilingRate, p.CeilingBurst, p.CeilingSlack, float64(p.MaxInFlight),
@@ -139,45 +139,45 @@
 
 func appendFloats(b []byte, vs ...float64) []byte {
 	for _, v := range vs {
-		b = encoding.Float(b, v)
+		b = encoding.AppendFloat64(b, v)
 	}
 	return b
 }
 
-var errCut = errors.New("plans: not a whole change")
+var errMalformed = errors.New("plans: not a whole change")
 
 // ParseChange reads what Append wrote, and returns the bytes behind it.
 func ParseChange(b []byte) (c Change, rest []byte, err error) {
 	if len(b) < 2 || b[0] != changeVersion {
-		return c, nil, errCut
+		return c, nil, errMalformed
 	}
 	c.Kind = Kind(b[1])
-	r := &encoding.Reader{B: b[2:]}
-	c.Number = r.Uvarint(any64)
-	c.Member, c.Plan = r.String(maxName), r.String(maxName)
+	r := &encoding.Reader{Rest: b[2:]}
+	c.Number = r.Uvarint(maxUvarint)
+	c.Member, c.Plan = r.String(maxNameBytes), r.String(maxNameBytes)
 	c.From, c.To = r.Varint(), r.Varint()
-	c.Units, c.Rate = r.Float(), r.Float()
-	c.Target = r.Uvarint(any64)
+	c.Units, c.Rate = r.Float64(), r.Float64()
+	c.Target = r.Uvarint(maxUvarint)
 	c.Stamp = r.Varint()
 	origin := r.Uvarint(math.MaxUint16)
-	c.Origin, c.Life = int(origin), r.Uvarint(any64)
+	c.Origin, c.Incarnation = int(origin), r.Uvarint(maxUvarint)
 	if c.Kind == Terms {
 		p := &c.Terms
 		p.Name = c.Plan
 		open := 0.0
 		for _, v := range []*float64{&p.Rate, &p.Burst, &p.CeilingRate, &p.CeilingBurst, &p.CeilingSlack, &open,
 			&p.PriorityWeight, &p.OverQuotaValue, &p.OverQuotaCost} {
-			*v = r.Float()
+			*v = r.Float64()
 		}
 		if !(open >= 0 && open <= math.MaxInt32) {
-			return c, nil, errCut
+			return c, nil, errMalformed
 		}
 		p.MaxInFlight = int(open)
 	}
-	if r.Bad || kindNames[c.Kind] == "" || c.Number == 0 || !c.finite() {
-		return c, nil, errCut
+	if r.Malformed || kindNames[c.Kind] == "" || c.Number == 0 || !c.finite() {
+		return c, nil, errMalformed
 	}
-	return c, r.B, nil
+	return c, r.Rest, nil
 }
 
 // finite reports whether all figures are numbers of 0 or more.
@@ -201,7 +201,7 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("change %d: %s: %s", e.Number, e.Field, e.Text) }
 
-func wrong(c *Change, field, format string, args ...any) *Error {
+func invalid(c *Change, field, format string, args ...any) *Error {
 	return &Error{c.Number, field, fmt.Sprintf(format, args...)}
 }
 
--- a/internal/quotaplan/plans_test.go
+++ b/internal/quotaplan/plans_test.go
@@ -16,7 +16,7 @@
 const sec = int64(time.Second)
 
 func settings(rank, n int) Settings {
-	return Settings{Rank: rank, Gateways: n, Life: uint64(rank + 1), Seed: int64(rank), Capacity: 1000, MaxUnits: 8,
+	return Settings{Rank: rank, Gateways: n, Incarnation: uint64(rank + 1), Seed: int64(rank), Capacity: 1000, MaxRequestUnits: 8,
 		Plans: []decide.Plan{{Name: "small", Rate: 3, Burst: 12, PriorityWeight: 1}, {Name: "wide", Rate: 100, Burst: 300, PriorityWeight: 1},
 			{Name: "hard", Rate: 30, Burst: 60, CeilingRate: 60, CeilingBurst: 120, CeilingSlack: 6}},
 		Members: []Member{{"a", "small", 0, n}, {"b", "wide", 0, n}, {"c", "hard", 0, n}}}
@@ -24,11 +24,11 @@
 
 // world is a few books on a network that loses, delays and splits.
 type world struct {
-	books  []*Book
+	books  []*Replica
 	disks  []map[uint64]Change // what each has kept, by hash
 	own    []map[uint64]bool
 	rng    *rand.Rand
-	now    Now
+	now    Instant
 	due    []letter
 	loss   float64
 	side   []int // gateways of different sides don't hear each other
@@ -41,14 +41,14 @@
 }
 
 type letter struct {
-	at       Now
+	at       Instant
 	from, to int
 	data     []byte
 }
 
 func newWorld(n int, seed int64) *world {
-	w := &world{ids: map[uint64]uint64{}, rng: rand.New(rand.NewSource(seed)), now: Now{time.Hour, 1000 * sec}, side: make([]int, n),
-		books: make([]*Book, n), disks: make([]map[uint64]Change, n), own: make([]map[uint64]bool, n), stands: make([]map[string]decide.Plan, n),
+	w := &world{ids: map[uint64]uint64{}, rng: rand.New(rand.NewSource(seed)), now: Instant{time.Hour, 1000 * sec}, side: make([]int, n),
+		books: make([]*Replica, n), disks: make([]map[uint64]Change, n), own: make([]map[uint64]bool, n), stands: make([]map[string]decide.Plan, n),
 		held: make([]map[uint64]float64, n)}
 	for i := range w.books {
 		w.disks[i], w.own[i] = map[uint64]Change{}, map[uint64]bool{}
@@ -60,11 +60,11 @@
 // start begins a life of a gateway by what its disk has.
 func (w *world) start(i int, life uint64) {
 	s := settings(i, len(w.books))
-	s.Life = life*1000 + uint64(i)
+	s.Incarnation = life*1000 + uint64(i)
 	w.books[i] = New(s)
 	w.stands[i], w.held[i] = map[string]decide.Plan{}, map[uint64]float64{}
 	for _, m := range s.Members {
-		w.stands[i][m.Name] = w.books[i].Stands(m.Name)
+		w.stands[i][m.Name] = w.books[i].EffectivePlan(m.Name)
 	}
 	var ns []uint64
 	for n := range w.disks[i] {
@@ -74,36 +74,36 @@
 	for _, n := range ns {
 		w.books[i].Restore(w.disks[i][n], w.own[i][n])
 	}
-	w.handle(i, Begin{})
+	w.handle(i, Start{})
 }
 
 func (w *world) handle(i int, ev Event) {
 	for _, a := range w.books[i].Handle(w.now, ev) {
 		switch a := a.(type) {
-		case Keep:
+		case Persist:
 			w.disks[i][a.Change.hash()] = a.Change
 			w.own[i][a.Change.hash()] = a.Own
 			if a.Own {
-				w.handle(i, Kept{a.Change.Number})
+				w.handle(i, Persisted{a.Change.Number})
 			}
 		case Send:
 			w.sent++
-			if len(a.Data) > maxBytes+400 {
+			if len(a.Data) > maxMessageBytes+400 {
 				panic(fmt.Sprintf("a message of %d bytes", len(a.Data)))
 			}
-			if w.deaf && a.Data[0] != msgChanges {
+			if w.deaf && a.Data[0] != messageChanges {
 				continue
 			}
 			if w.rng.Float64() >= w.loss {
 				late := time.Duration(1+w.rng.Intn(20)) * time.Millisecond
-				w.due = append(w.due, letter{Now{w.now.Mono + late, w.now.Wall + int64(late)}, i, a.To, a.Data})
+				w.due = append(w.due, letter{Instant{w.now.Mono + late, w.now.Wall + int64(late)}, i, a.To, a.Data})
 			}
-		case Stand:
+		case ApplyPlan:
 			w.stands[i][a.Member] = a.Plan
-		case Hold:
+		case AddReservation:
 			w.held[i][a.ID] = a.Units
 			w.ids[a.Number] = a.ID
-		case Cut:
+		case ResizeReservation:
 			w.held[i][a.ID] = a.Units
 		case Reply:
 			w.reply = append(w.reply, a)
@@ -126,11 +126,11 @@
 		w.due = rest
 		for _, l := range ready {
 			if w.side[l.from] == w.side[l.to] {
-				w.handle(l.to, Heard{l.from, l.data})
+				w.handle(l.to, MessageReceived{l.from, l.data})
 			}
 		}
 		for i, b := range w.books {
-			if n := b.next(); n.Mono <= w.now.Mono || n.Wall <= w.now.Wall {
+			if n := b.nextTick(); n.Mono <= w.now.Mono || n.Wall <= w.now.Wall {
 				w.handle(i, Tick{})
 			}
 		}
@@ -144,9 +144,9 @@
 
 // apart names the first difference between two books.
 func (w *world) apart() string {
-	n, sum := w.books[0].Version()
+	n, sum := w.books[0].Digest()
 	for i, b := range w.books {
-		if m, s := b.Version(); m != n || s != sum {
+		if m, s := b.Digest(); m != n || s != sum {
 			return fmt.Sprintf("gateway %d has %d changes, gateway 0 has %d", i, m, n)
 		}
 		for m, p := range w.stands[0] {
@@ -224,7 +224,7 @@
 			return s
 		}
 		for k := range acked {
-			if w.books[0].numbers[k] == nil {
+			if w.books[0].byNumber[k] == nil {
 				return fmt.Sprintf("change %d was acknowledged and is gone", k)
 			}
 		}
@@ -281,9 +281,9 @@
 	w.side = []int{0, 1}
 	for k := range 3000 {
 		c := Change{Number: uint64(k + 1), Kind: Move, Member: "a", Plan: "wide", From: 1, Stamp: int64(k)}
-		w.books[0].insert(c)
+		w.books[0].add(c)
 		if k%300 != 7 {
-			w.books[1].insert(c)
+			w.books[1].add(c)
 		}
 	}
 	w.run(time.Second)
@@ -305,7 +305,7 @@
 	if err := w.submit(0, held); err != nil {
 		t.Fatal(err)
 	}
-	n, sum := w.books[0].Version()
+	n, sum := w.books[0].Digest()
 	for _, c := range []struct {
 		Change
 		field, says string
@@ -335,7 +335,7 @@
 			t.Errorf("%s: %v, want %s: ... %s", &c.Change, err, c.field, c.says)
 		}
 	}
-	if m, s := w.books[0].Version(); m != n || s != sum {
+	if m, s := w.books[0].Digest(); m != n || s != sum {
 		t.Error("what was refused changed the book")
 	}
 }
@@ -360,7 +360,7 @@
 	}
 	void := 0
 	for _, e := range w.books[1].History("b") {
-		if e.Status == Void && strings.Contains(e.Why, "taken by gateway 2") {
+		if e.Status == Void && strings.Contains(e.Reason, "taken by gateway 2") {
 			void++
 		}
 	}
@@ -449,7 +449,7 @@
 	if w.held[3][w.ids[1]] != 400 || w.held[3][w.ids[2]] != 0 {
 		t.Errorf("held %v, want 1 whole and 2 void", w.held[3])
 	}
-	if h := w.books[0].History("b"); h[1].Status != Void || !strings.Contains(h[1].Why, "room for 100") {
+	if h := w.books[0].History("b"); h[1].Status != Void || !strings.Contains(h[1].Reason, "room for 100") {
 		t.Errorf("%+v", h)
 	}
 }
@@ -458,8 +458,8 @@
 func TestPendingBound(t *testing.T) {
 	b := New(settings(0, 1))
 	refused := 0
-	for i := range pendingMost + 10 {
-		for _, a := range b.Handle(Now{0, sec}, Submit{uint64(i), Change{Number: uint64(i + 1), Kind: Move, Member: "a", Plan: "wide"}}) {
+	for i := range maxPendingSubmits + 10 {
+		for _, a := range b.Handle(Instant{0, sec}, Submit{uint64(i), Change{Number: uint64(i + 1), Kind: Move, Member: "a", Plan: "wide"}}) {
 			if r, ok := a.(Reply); ok && r.Err != nil && r.Err.Field == "log" {
 				refused++
 			}
@@ -477,7 +477,7 @@
 			Member: rapid.StringN(0, 20, 80).Draw(rt, "member"), Plan: rapid.StringN(0, 20, 80).Draw(rt, "plan"),
 			From: rapid.Int64().Draw(rt, "from"), To: rapid.Int64().Draw(rt, "to"), Units: f.Draw(rt, "units"),
 			Rate: f.Draw(rt, "rate"), Target: rapid.Uint64().Draw(rt, "target"), Stamp: rapid.Int64().Draw(rt, "stamp"),
-			Origin: rapid.IntRange(0, 65535).Draw(rt, "origin"), Life: rapid.Uint64().Draw(rt, "life")}
+			Origin: rapid.IntRange(0, 65535).Draw(rt, "origin"), Incarnation: rapid.Uint64().Draw(rt, "life")}
 		if c.Kind == Terms {
 			c.Terms = decide.Plan{Name: c.Plan, Rate: f.Draw(rt, "r"), Burst: 3, MaxInFlight: rapid.IntRange(0, 1e6).Draw(rt, "o"), PriorityWeight: 2}
 		}
@@ -496,14 +496,14 @@
 
 func FuzzHeard(f *testing.F) {
 	c := Change{Number: 1, Kind: Move, Member: "a", Plan: "wide"}
-	f.Add(append([]byte{msgChanges}, c.Append(nil)...))
-	f.Add(append([]byte{msgRanges}, make([]byte, rangeBytes)...))
-	f.Add(append([]byte{msgList}, make([]byte, 24)...))
+	f.Add(append([]byte{messageChanges}, c.Append(nil)...))
+	f.Add(append([]byte{messageRanges}, make([]byte, rangeBytes)...))
+	f.Add(append([]byte{messageHashes}, make([]byte, 24)...))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		b := New(settings(0, 3))
-		b.Handle(Now{0, sec}, Begin{})
+		b.Handle(Instant{0, sec}, Start{})
 		sent := 0
-		for _, a := range b.Handle(Now{1, sec}, Heard{1, data}) {
+		for _, a := range b.Handle(Instant{1, sec}, MessageReceived{1, data}) {
 			if s, ok := a.(Send); ok {
 				sent += len(s.Data)
 			}
--- a/internal/quotaplan/spread.go
+++ b/internal/quotaplan/spread.go
@@ -19,10 +19,10 @@
 // itself. So books come together however many changes were lost on the way, in messages whose number grows with the
 // logarithm of the book and with the difference, not with the book.
 const (
-	msgRanges  = 'R'
-	msgList    = 'L'
-	msgWant    = 'W'
-	msgChanges = 'C'
+	messageRanges  = 'R'
+	messageHashes  = 'L'
+	messageWanted  = 'W'
+	messageChanges = 'C'
 
 	rangeBytes = 28
 )
@@ -30,18 +30,18 @@
 func sprint(format string, args ...any) string { return fmt.Sprintf(format, args...) }
 
 // between are the hashes from low to high.
-func (b *Book) between(low, high uint64) []uint64 {
-	i, _ := slices.BinarySearch(b.sorted, low)
-	j, found := slices.BinarySearch(b.sorted, high)
+func (r *Replica) hashesBetween(low, high uint64) []uint64 {
+	i, _ := slices.BinarySearch(r.sortedHashes, low)
+	j, found := slices.BinarySearch(r.sortedHashes, high)
 	if found {
 		j++
 	}
-	return b.sorted[i:max(i, j)]
+	return r.sortedHashes[i:max(i, j)]
 }
 
-func (b *Book) appendRange(msg []byte, low, high uint64) []byte {
+func (r *Replica) appendRange(msg []byte, low, high uint64) []byte {
 	xor := uint64(0)
-	hs := b.between(low, high)
+	hs := r.hashesBetween(low, high)
 	for _, h := range hs {
 		xor ^= h
 	}
@@ -51,82 +51,82 @@
 }
 
 // compare begins a comparison with another gateway.
-func (b *Book) compare(to int) {
-	b.do(Send{to, b.appendRange([]byte{msgRanges}, 0, math.MaxUint64)})
+func (r *Replica) startComparison(to int) {
+	r.emit(Send{to, r.appendRange([]byte{messageRanges}, 0, math.MaxUint64)})
 }
 
 // push tells changes to a few gateways, each of which passes on what is new to it.
-func (b *Book) push(cs []*Change, but int) {
-	n := b.s.Gateways
+func (r *Replica) forward(cs []*Change, but int) {
+	n := r.settings.Gateways
 	if n < 2 {
 		return
 	}
 	told := 0
-	for _, to := range b.rng.Perm(n) {
-		if to == b.s.Rank || to == but {
+	for _, to := range r.random.Perm(n) {
+		if to == r.settings.Rank || to == but {
 			continue
 		}
-		if told++; told > pushTo {
+		if told++; told > forwardFanout {
 			break
 		}
-		b.send(to, cs)
+		r.sendChanges(to, cs)
 	}
 }
 
-func (b *Book) send(to int, cs []*Change) {
-	msg := []byte{msgChanges}
+func (r *Replica) sendChanges(to int, cs []*Change) {
+	msg := []byte{messageChanges}
 	for _, c := range cs {
 		raw := c.Append(nil)
-		if len(msg) > 1 && len(msg)+len(raw) > maxBytes {
-			b.do(Send{to, msg})
-			msg = []byte{msgChanges}
+		if len(msg) > 1 && len(msg)+len(raw) > maxMessageBytes {
+			r.emit(Send{to, msg})
+			msg = []byte{messageChanges}
 		}
 		msg = append(msg, raw...)
 	}
 	if len(msg) > 1 {
-		b.do(Send{to, msg})
+		r.emit(Send{to, msg})
 	}
 }
 
-func (b *Book) sendHashes(to int, msg []byte, hs []uint64) {
+func (r *Replica) sendHashes(to int, msg []byte, hs []uint64) {
 	head := len(msg)
 	for _, h := range hs {
-		if len(msg)+8 > maxBytes {
-			b.do(Send{to, slices.Clone(msg)})
+		if len(msg)+8 > maxMessageBytes {
+			r.emit(Send{to, slices.Clone(msg)})
 			msg = msg[:head]
 		}
 		msg = binary.LittleEndian.AppendUint64(msg, h)
 	}
 	if len(msg) > head {
-		b.do(Send{to, msg})
+		r.emit(Send{to, msg})
 	}
 }
 
 // heard takes a message. What is malformed is dropped: it passed the peers' keyed hash, so it is a fault of a
 // gateway, not an attack, and the next beat repeats what matters.
-func (b *Book) heard(e Heard) {
-	if e.From < 0 || e.From >= b.s.Gateways || e.From == b.s.Rank || len(e.Data) == 0 {
+func (r *Replica) receive(e MessageReceived) {
+	if e.From < 0 || e.From >= r.settings.Gateways || e.From == r.settings.Rank || len(e.Data) == 0 {
 		return
 	}
 	body := e.Data[1:]
 	switch e.Data[0] {
-	case msgRanges:
+	case messageRanges:
 		if len(body)%rangeBytes == 0 {
-			b.ranges(e.From, body)
+			r.compareRanges(e.From, body)
 		}
-	case msgList:
+	case messageHashes:
 		if len(body) >= 16 && len(body)%8 == 0 {
-			b.list(e.From, body)
+			r.compareHashes(e.From, body)
 		}
-	case msgWant:
+	case messageWanted:
 		var cs []*Change
 		for ; len(body) >= 8; body = body[8:] {
-			if c := b.hashes[binary.LittleEndian.Uint64(body)]; c != nil {
+			if c := r.byHash[binary.LittleEndian.Uint64(body)]; c != nil {
 				cs = append(cs, c)
 			}
 		}
-		b.send(e.From, cs)
-	case msgChanges:
+		r.sendChanges(e.From, cs)
+	case messageChanges:
 		var news []*Change
 		for len(body) > 0 {
 			c, rest, err := ParseChange(body)
@@ -134,47 +134,47 @@
 				break
 			}
 			body = rest
-			if b.insert(c) {
-				b.do(Keep{c, false})
+			if r.add(c) {
+				r.emit(Persist{c, false})
 				news = append(news, &c)
 			}
 		}
 		if len(news) > 0 {
-			b.push(news, e.From)
+			r.forward(news, e.From)
 		}
 	}
 }
 
-func (b *Book) ranges(from int, body []byte) {
-	parts := []byte{msgRanges}
+func (r *Replica) compareRanges(from int, body []byte) {
+	parts := []byte{messageRanges}
 	for ; len(body) > 0; body = body[rangeBytes:] {
 		low, high := binary.LittleEndian.Uint64(body), binary.LittleEndian.Uint64(body[8:])
 		xor, count := binary.LittleEndian.Uint64(body[16:]), int(binary.LittleEndian.Uint32(body[24:]))
-		mine := b.between(low, high)
+		mine := r.hashesBetween(low, high)
 		sum := uint64(0)
 		for _, h := range mine {
 			sum ^= h
 		}
 		switch {
 		case low > high || sum == xor && len(mine) == count:
-		case len(mine)+count <= listed || high-low < splitTo:
-			msg := binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64([]byte{msgList}, low), high)
+		case len(mine)+count <= maxListedHashes || high-low < rangeFanout:
+			msg := binary.LittleEndian.AppendUint64(binary.LittleEndian.AppendUint64([]byte{messageHashes}, low), high)
 			if len(mine) == 0 {
-				b.do(Send{from, msg}) // an empty list asks for all
+				r.emit(Send{from, msg}) // an empty list asks for all
 			}
-			b.sendHashes(from, msg, mine)
+			r.sendHashes(from, msg, mine)
 		default:
-			step := (high-low)/splitTo + 1
+			step := (high-low)/rangeFanout + 1
 			for at := low; ; at += step {
 				end := high
 				if high-at >= step {
 					end = at + step - 1
 				}
-				if len(parts)+rangeBytes > maxBytes {
-					b.do(Send{from, parts})
-					parts = []byte{msgRanges}
+				if len(parts)+rangeBytes > maxMessageBytes {
+					r.emit(Send{from, parts})
+					parts = []byte{messageRanges}
 				}
-				parts = b.appendRange(parts, at, end)
+				parts = r.appendRange(parts, at, end)
 				if end == high {
 					break
 				}
@@ -182,27 +182,27 @@
 		}
 	}
 	if len(parts) > 1 {
-		b.do(Send{from, parts})
+		r.emit(Send{from, parts})
 	}
 }
 
-func (b *Book) list(from int, body []byte) {
+func (r *Replica) compareHashes(from int, body []byte) {
 	low, high := binary.LittleEndian.Uint64(body), binary.LittleEndian.Uint64(body[8:])
 	theirs := map[uint64]bool{}
 	var want []uint64
 	for body = body[16:]; len(body) > 0; body = body[8:] {
 		h := binary.LittleEndian.Uint64(body)
 		theirs[h] = true
-		if b.hashes[h] == nil {
+		if r.byHash[h] == nil {
 			want = append(want, h)
 		}
 	}
 	var lacks []*Change
-	for _, h := range b.between(low, high) {
+	for _, h := range r.hashesBetween(low, high) {
 		if !theirs[h] {
-			lacks = append(lacks, b.hashes[h])
+			lacks = append(lacks, r.byHash[h])
 		}
 	}
-	b.send(from, lacks)
-	b.sendHashes(from, []byte{msgWant}, want)
+	r.sendChanges(from, lacks)
+	r.sendHashes(from, []byte{messageWanted}, want)
 }
--- a/internal/recording/tape.go
+++ b/internal/recording/tape.go
@@ -42,88 +42,88 @@
 	Config  storedConfig
 }
 
-const version = 1
+const formatVersion = 1
 
-type typed struct {
-	K string          `json:"k"`
-	V json.RawMessage `json:"v"`
+type storedValue struct {
+	Kind  string          `json:"k"`
+	Value json.RawMessage `json:"v"`
 }
 
-type wireRecord struct {
-	T int64   `json:"t"`
-	E typed   `json:"e"`
-	A []typed `json:"a,omitempty"`
+type storedRecord struct {
+	At      int64         `json:"t"`
+	Event   storedValue   `json:"e"`
+	Actions []storedValue `json:"a,omitempty"`
 }
 
-func pack(v any) (typed, error) {
+func storeValue(v any) (storedValue, error) {
 	kind, stored := storedKind(v)
 	if kind == "" {
-		return typed{}, fmt.Errorf("tape: %T has no stored form", v)
+		return storedValue{}, fmt.Errorf("tape: %T has no stored form", v)
 	}
 	raw, err := json.Marshal(stored)
-	return typed{kind, raw}, err
+	return storedValue{kind, raw}, err
 }
 
 // Writer writes a tape. It is not safe for concurrent use.
-type Writer struct{ w *bufio.Writer }
+type Writer struct{ out *bufio.Writer }
 
 // NewWriter writes the first record.
 func NewWriter(w io.Writer, cfg decide.Config, seed int64) (*Writer, error) {
 	t := &Writer{bufio.NewWriterSize(w, 64<<10)}
-	return t, t.line(storedHeader{version, seed, storeConfig(cfg)})
+	return t, t.writeLine(storedHeader{formatVersion, seed, storeConfig(cfg)})
 }
 
-func (t *Writer) line(v any) error {
+func (t *Writer) writeLine(v any) error {
 	raw, err := json.Marshal(v)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(t.w, "%016x ", xxhash.Sum64(raw))
-	t.w.Write(raw)
-	return t.w.WriteByte('\n')
+	fmt.Fprintf(t.out, "%016x ", xxhash.Sum64(raw))
+	t.out.Write(raw)
+	return t.out.WriteByte('\n')
 }
 
 // Write adds a record.
 func (t *Writer) Write(at time.Duration, ev decide.Event, acts []decide.Action) error {
-	r := wireRecord{T: int64(at)}
+	r := storedRecord{At: int64(at)}
 	var err error
-	if r.E, err = pack(ev); err != nil {
+	if r.Event, err = storeValue(ev); err != nil {
 		return err
 	}
 	for _, a := range acts {
-		p, err := pack(a)
+		p, err := storeValue(a)
 		if err != nil {
 			return err
 		}
-		r.A = append(r.A, p)
+		r.Actions = append(r.Actions, p)
 	}
-	return t.line(r)
+	return t.writeLine(r)
 }
 
 // Flush hands what was written to the file.
-func (t *Writer) Flush() error { return t.w.Flush() }
+func (t *Writer) Flush() error { return t.out.Flush() }
 
 // ErrCut says that a tape ends inside a record, or goes on with one that is damaged.
-type ErrCut struct {
-	Line int
-	Why  string
+type TruncatedError struct {
+	Line   int
+	Reason string
 }
 
-func (e *ErrCut) Error() string {
-	return fmt.Sprintf("tape: line %d: %s; read up to there", e.Line, e.Why)
+func (e *TruncatedError) Error() string {
+	return fmt.Sprintf("tape: line %d: %s; read up to there", e.Line, e.Reason)
 }
 
 // Reader reads a tape.
 type Reader struct {
-	br   *bufio.Reader
+	in   *bufio.Reader
 	line int
 	Header
 }
 
 // NewReader reads the first record.
 func NewReader(r io.Reader) (*Reader, error) {
-	t := &Reader{br: bufio.NewReaderSize(r, 64<<10)}
-	raw, err := t.next()
+	t := &Reader{in: bufio.NewReaderSize(r, 64<<10)}
+	raw, err := t.readLine()
 	if errors.Is(err, io.EOF) {
 		return nil, errors.New("tape: empty")
 	}
@@ -131,21 +131,21 @@
 		return nil, err
 	}
 	var h storedHeader
-	if err := json.Unmarshal(raw, &h); err != nil || h.Version != version {
-		return nil, fmt.Errorf("tape: line 1: version %d, want %d", h.Version, version)
+	if err := json.Unmarshal(raw, &h); err != nil || h.Version != formatVersion {
+		return nil, fmt.Errorf("tape: line 1: version %d, want %d", h.Version, formatVersion)
 	}
 	t.Header = Header{h.Version, h.Seed, h.Config.load()}
 	return t, nil
 }
 
-func (t *Reader) next() ([]byte, error) {
-	raw, err := t.br.ReadBytes('\n')
+func (t *Reader) readLine() ([]byte, error) {
+	raw, err := t.in.ReadBytes('\n')
 	if len(raw) == 0 && errors.Is(err, io.EOF) {
 		return nil, io.EOF
 	}
 	t.line++
 	if errors.Is(err, io.EOF) {
-		return nil, &ErrCut{t.line, "cut inside a record"}
+		return nil, &TruncatedError{t.line, "cut inside a record"}
 	}
 	if err != nil {
 		return nil, err
@@ -153,29 +153,29 @@
 	sum, body, ok := bytes.Cut(raw[:len(raw)-1], []byte{' '})
 	want, perr := strconv.ParseUint(string(sum), 16, 64)
 	if !ok || perr != nil || len(sum) != 16 || want != xxhash.Sum64(body) {
-		return nil, &ErrCut{t.line, "checksum is wrong"}
+		return nil, &TruncatedError{t.line, "checksum is wrong"}
 	}
 	return body, nil
 }
 
 // Next returns the next record, io.EOF at the end or *ErrCut where the tape is cut or damaged.
 func (t *Reader) Next() (Record, error) {
-	raw, err := t.next()
+	raw, err := t.readLine()
 	if err != nil {
 		return Record{}, err
 	}
-	var w wireRecord
+	var w storedRecord
 	if err := json.Unmarshal(raw, &w); err != nil {
-		return Record{}, &ErrCut{t.line, err.Error()}
+		return Record{}, &TruncatedError{t.line, err.Error()}
 	}
-	r := Record{At: time.Duration(w.T)}
-	if r.Event, err = loadTyped(w.E, eventLoaders); err != nil {
-		return r, &ErrCut{t.line, err.Error()}
+	r := Record{At: time.Duration(w.At)}
+	if r.Event, err = loadValue(w.Event, eventLoaders); err != nil {
+		return r, &TruncatedError{t.line, err.Error()}
 	}
-	for _, p := range w.A {
-		a, err := loadTyped(p, actionLoaders)
+	for _, p := range w.Actions {
+		a, err := loadValue(p, actionLoaders)
 		if err != nil {
-			return r, &ErrCut{t.line, err.Error()}
+			return r, &TruncatedError{t.line, err.Error()}
 		}
 		r.Actions = append(r.Actions, a)
 	}
@@ -183,33 +183,33 @@
 }
 
 // Counts is what a replay met.
-type Counts struct {
+type ReplayResult struct {
 	Events, Actions int
 	ByKind          map[string]int
-	Cut             *ErrCut // the tape was cut; the rest was replayed
+	Truncated       *TruncatedError // the tape was cut; the rest was replayed
 }
 
-func (c *Counts) count(v any) {
+func (c *ReplayResult) countKind(v any) {
 	kind, _ := storedKind(v)
 	c.ByKind[kind]++
 }
 
 // Difference is the first record at which a fresh core did otherwise.
-type Difference struct {
+type MismatchError struct {
 	Record    int
 	At        time.Duration
 	Event     decide.Event
 	Want, Got []decide.Action // on the tape; by the fresh core
 }
 
-func (d *Difference) Error() string {
+func (d *MismatchError) Error() string {
 	return fmt.Sprintf("tape: record %d at %v: %T%+v: the tape has %+v, this core does %+v", d.Record, d.At,
 		d.Event, d.Event, d.Want, d.Got)
 }
 
 // Replay plays a tape into a fresh core. The error is a *Difference if its actions differ.
-func Replay(r io.Reader) (Counts, error) {
-	c := Counts{ByKind: map[string]int{}}
+func Replay(r io.Reader) (ReplayResult, error) {
+	c := ReplayResult{ByKind: map[string]int{}}
 	t, err := NewReader(r)
 	if err != nil {
 		return c, err
@@ -223,7 +223,7 @@
 		if errors.Is(err, io.EOF) {
 			return c, nil
 		}
-		if errors.As(err, &c.Cut) {
+		if errors.As(err, &c.Truncated) {
 			return c, nil
 		}
 		if err != nil {
@@ -232,12 +232,12 @@
 		c.Events++
 		got := core.Handle(rec.At, rec.Event)
 		if len(got) != len(rec.Actions) || len(got) > 0 && !reflect.DeepEqual(got, rec.Actions) {
-			return c, &Difference{c.Events, rec.At, rec.Event, rec.Actions, got}
+			return c, &MismatchError{c.Events, rec.At, rec.Event, rec.Actions, got}
 		}
 		c.Actions += len(got)
-		c.count(rec.Event)
+		c.countKind(rec.Event)
 		for _, a := range got {
-			c.count(a)
+			c.countKind(a)
 		}
 	}
 }
--- a/internal/recording/tape_test.go
+++ b/internal/recording/tape_test.go
@@ -49,7 +49,7 @@
 func TestReplay(t *testing.T) {
 	data := record(t)
 	n, err := Replay(bytes.NewReader(data))
-	if err != nil || n.Cut != nil || n.ByKind["Send"] != 20 || n.Events != 41 {
+	if err != nil || n.Truncated != nil || n.ByKind["Send"] != 20 || n.Events != 41 {
 		t.Fatalf("%+v, %v", n, err)
 	}
 }
@@ -60,7 +60,7 @@
 	for at := len(data) - 700; at < len(data); at++ {
 		n, err := Replay(bytes.NewReader(data[:at]))
 		whole := data[at-1] == '\n'
-		if err != nil || (n.Cut == nil) != whole || n.Events != bytes.Count(data[:at], []byte("\n"))-1 {
+		if err != nil || (n.Truncated == nil) != whole || n.Events != bytes.Count(data[:at], []byte("\n"))-1 {
 			t.Fatalf("cut at %d: %+v, %v", at, n, err)
 		}
 	}
@@ -71,7 +71,7 @@
 	data := record(t)
 	data[len(data)/2] ^= 4
 	n, err := Replay(bytes.NewReader(data))
-	if err != nil || n.Cut == nil || n.Events == 0 || n.Events >= 41 {
+	if err != nil || n.Truncated == nil || n.Events == 0 || n.Events >= 41 {
 		t.Errorf("%+v, %v", n, err)
 	}
 }
@@ -82,7 +82,7 @@
 	w, _ := NewWriter(&b, cfg(), 5)
 	w.Write(time.Second, decide.Request{ID: "x", Class: "none", Plan: "p"}, []decide.Action{decide.Fail{ID: "x"}})
 	w.Flush()
-	var d *Difference
+	var d *MismatchError
 	if _, err := Replay(&b); !errors.As(err, &d) || d.Record != 1 {
 		t.Errorf("%v", err)
 	}
--- a/internal/recording/wire.go
+++ b/internal/recording/wire.go
@@ -347,11 +347,11 @@
 }
 
 // loadTyped reads a stored value by the loader of its kind.
-func loadTyped[T any](t typed, loaders map[string]loader[T]) (T, error) {
-	load, ok := loaders[t.K]
+func loadValue[T any](t storedValue, loaders map[string]loader[T]) (T, error) {
+	load, ok := loaders[t.Kind]
 	if !ok {
 		var none T
-		return none, fmt.Errorf("kind %q is not known", t.K)
+		return none, fmt.Errorf("kind %q is not known", t.Kind)
 	}
-	return load(t.V)
+	return load(t.Value)
 }
--- a/internal/remotewrite/queue/sendq.go
+++ b/internal/remotewrite/queue/sendq.go
@@ -10,24 +10,24 @@
 
 // Item is a sample of one series. Items of one series go through one Queue, and so stay in order.
 type Item struct {
-	At   time.Duration // by the caller's monotonic clock
-	Size int           // bytes that it counts for
-	Data any
+	EnqueuedAt time.Duration // by the caller's monotonic clock
+	Bytes      int           // bytes that it counts for
+	Data       any
 }
 
 // Settings bound a queue.
 type Settings struct {
-	Items  int           // at most
-	Bytes  int           // of them
-	Batch  int           // items in one
-	MaxAge time.Duration // older ones are dropped rather than sent; 0: none is
-	Seed   int64
+	MaxItems  int           // at most
+	MaxBytes  int           // of them
+	BatchSize int           // items in one
+	MaxAge    time.Duration // older ones are dropped rather than sent; 0: none is
+	Seed      int64
 }
 
 const (
-	backoffLeast = 50 * time.Millisecond
-	backoffMost  = 10 * time.Second
-	retryMost    = 2 * time.Minute // of what a receiver may ask for
+	minBackoff    = 50 * time.Millisecond
+	maxBackoff    = 10 * time.Second
+	maxRetryAfter = 2 * time.Minute // of what a receiver may ask for
 )
 
 // Verdict is what an answer says of a batch.
@@ -35,73 +35,73 @@
 
 // The verdicts.
 const (
-	Done   Verdict = iota
-	Again          // no fault of the batch
-	Reject         // it will never be taken
-	Older          // the receiver speaks an older protocol: again in that
+	Accepted  Verdict = iota
+	Retry             // no fault of the batch
+	Rejected          // it will never be taken
+	Downgrade         // the receiver speaks an older protocol: again in that
 )
 
 // Answer is a receiver's.
-type Answer struct {
-	Status     int  // 0: none
-	Whole      bool // the batch was taken before the answer came
-	Two        bool // the batch was of remote write 2.0 ...
-	Written    bool // ... and the answer's headers tell what was written
-	RetryAfter time.Duration
+type Response struct {
+	Status         int  // 0: none
+	BodySent       bool // the batch was taken before the answer came
+	VersionTwo     bool // the batch was of remote write 2.0 ...
+	WrittenCounted bool // ... and the answer's headers tell what was written
+	RetryAfter     time.Duration
 }
 
 // Judge reads an answer by the rules of remote write 1.0 and 2.0 ("Retries & Backoff", "Required Written Response
 // Headers"): 5xx and 429 are tried again, other 4xx are not, a 415 to 2.0 or a 2xx that does not tell what was written
 // means that the receiver knows 1.0 only.
-func Judge(a Answer) Verdict {
+func Classify(a Response) Verdict {
 	switch {
 	case a.Status >= 200 && a.Status < 300:
 		switch {
-		case !a.Whole:
-			return Again
-		case a.Two && !a.Written:
-			return Older
+		case !a.BodySent:
+			return Retry
+		case a.VersionTwo && !a.WrittenCounted:
+			return Downgrade
 		}
-		return Done
-	case a.Two && a.Status == 415:
-		return Older
+		return Accepted
+	case a.VersionTwo && a.Status == 415:
+		return Downgrade
 	case a.Status == 429 || a.Status == 0 || a.Status >= 500 || a.Status < 400:
-		return Again
+		return Retry
 	}
-	return Reject
+	return Rejected
 }
 
 // Counts are of items.
 type Counts struct {
-	Put, Sent, Rejected uint64
-	DroppedFull         uint64 // the oldest, as the queue was full
-	DroppedOld          uint64
-	Again               uint64 // batches
-	Waiting             int
-	WaitingBytes        int
-	Backoff             time.Duration
+	Enqueued, Sent, Rejected uint64
+	DroppedFull              uint64 // the oldest, as the queue was full
+	DroppedExpired           uint64
+	Retries                  uint64 // batches
+	Waiting                  int
+	WaitingBytes             int
+	Backoff                  time.Duration
 }
 
 // Queue is one. It is not safe for concurrent use.
 type Queue struct {
-	s       Settings
-	rng     *rand.Rand
-	items   []Item
-	bytes   int
-	out     int // the first so many are in a batch that is out
-	part    int // size of the next batch, while a refused one is halved; 0: as set
-	rest    int // items of the refused batch that are not judged yet
-	batch   int // as set, or less after a 413
-	backoff time.Duration
-	sleeps  bool
-	counts  Counts
+	settings   Settings
+	random     *rand.Rand
+	items      []Item
+	bytes      int
+	inFlight   int // the first so many are in a batch that is out
+	splitSize  int // size of the next batch, while a refused one is halved; 0: as set
+	suspects   int // items of the refused batch that are not judged yet
+	batchSize  int // as set, or less after a 413
+	backoff    time.Duration
+	backingOff bool
+	counts     Counts
 }
 
 // New returns an empty queue.
 func New(s Settings) *Queue {
-	s.Batch = max(1, s.Batch)
-	s.Items = max(s.Items, 2*s.Batch)
-	return &Queue{s: s, rng: rand.New(rand.NewSource(s.Seed)), batch: s.Batch}
+	s.BatchSize = max(1, s.BatchSize)
+	s.MaxItems = max(s.MaxItems, 2*s.BatchSize)
+	return &Queue{settings: s, random: rand.New(rand.NewSource(s.Seed)), batchSize: s.BatchSize}
 }
 
 // Counts tells what became of items.
@@ -112,13 +112,13 @@
 }
 
 // Put adds items. Where there are too many the oldest go, except those that are just being sent.
-func (q *Queue) Put(items []Item) {
+func (q *Queue) Enqueue(items []Item) {
 	for _, it := range items {
-		q.counts.Put++
+		q.counts.Enqueued++
 		q.items = append(q.items, it)
-		q.bytes += it.Size
-		for len(q.items) > q.s.Items || q.s.Bytes > 0 && q.bytes > q.s.Bytes && len(q.items) > q.out+1 {
-			q.drop(q.out)
+		q.bytes += it.Bytes
+		for len(q.items) > q.settings.MaxItems || q.settings.MaxBytes > 0 && q.bytes > q.settings.MaxBytes && len(q.items) > q.inFlight+1 {
+			q.drop(q.inFlight)
 			q.counts.DroppedFull++
 		}
 	}
@@ -126,7 +126,7 @@
 
 // drop takes one item away.
 func (q *Queue) drop(i int) {
-	q.bytes -= q.items[i].Size
+	q.bytes -= q.items[i].Bytes
 	if i == 0 {
 		q.items[0] = Item{}
 		q.items = q.items[1:]
@@ -136,75 +136,75 @@
 	copy(q.items[1:i+1], q.items[:i])
 	q.items[0] = Item{}
 	q.items = q.items[1:]
-	if q.rest > 0 && i < q.rest {
-		q.rest--
+	if q.suspects > 0 && i < q.suspects {
+		q.suspects--
 	}
 }
 
 // Next returns the batch to send now, or nil: none waits, one is out, or the queue backs off. It is good until the next
 // call.
 func (q *Queue) Next(now time.Duration) []Item {
-	if q.out > 0 || q.sleeps {
+	if q.inFlight > 0 || q.backingOff {
 		return nil
 	}
-	for q.s.MaxAge > 0 && len(q.items) > 0 && now-q.items[0].At > q.s.MaxAge {
+	for q.settings.MaxAge > 0 && len(q.items) > 0 && now-q.items[0].EnqueuedAt > q.settings.MaxAge {
 		q.drop(0)
-		q.rest = max(0, q.rest-1)
-		q.counts.DroppedOld++
+		q.suspects = max(0, q.suspects-1)
+		q.counts.DroppedExpired++
 	}
-	n := min(len(q.items), q.batch)
-	if q.part > 0 {
-		n = min(n, q.part)
+	n := min(len(q.items), q.batchSize)
+	if q.splitSize > 0 {
+		n = min(n, q.splitSize)
 	}
 	if n == 0 {
 		return nil
 	}
-	q.out = n
+	q.inFlight = n
 	return q.items[:n:n]
 }
 
 // Answered takes the answer to the batch that is out. wait is how long the queue backs off then; Wake ends it.
-func (q *Queue) Answered(a Answer) (v Verdict, wait time.Duration) {
-	n := q.out
-	q.out = 0
-	switch v = Judge(a); v {
-	case Done:
-		q.take(n)
+func (q *Queue) HandleResponse(a Response) (v Verdict, wait time.Duration) {
+	n := q.inFlight
+	q.inFlight = 0
+	switch v = Classify(a); v {
+	case Accepted:
+		q.removeFront(n)
 		q.counts.Sent += uint64(n)
 		q.backoff = 0
-	case Reject:
+	case Rejected:
 		q.backoff = 0
 		if n > 1 {
 			if a.Status == 413 {
-				q.batch = max(1, n/2) // smaller ones from now on
+				q.batchSize = max(1, n/2) // smaller ones from now on
 			}
-			if q.rest == 0 {
-				q.rest = n
+			if q.suspects == 0 {
+				q.suspects = n
 			}
-			q.part = n / 2
+			q.splitSize = n / 2
 			return v, 0
 		}
-		q.take(1)
+		q.removeFront(1)
 		q.counts.Rejected++
-	case Again:
-		q.counts.Again++
-		q.backoff = min(backoffMost, max(backoffLeast, 2*q.backoff))
-		wait = q.backoff/2 + time.Duration(q.rng.Int63n(int64(q.backoff/2)))
-		wait = max(wait, min(a.RetryAfter, retryMost))
-		q.sleeps = true
+	case Retry:
+		q.counts.Retries++
+		q.backoff = min(maxBackoff, max(minBackoff, 2*q.backoff))
+		wait = q.backoff/2 + time.Duration(q.random.Int63n(int64(q.backoff/2)))
+		wait = max(wait, min(a.RetryAfter, maxRetryAfter))
+		q.backingOff = true
 		return v, wait
 	}
 	// What is left of a refused batch is tried whole again: most hold one bad item at most.
-	q.part = q.rest
+	q.splitSize = q.suspects
 	return v, 0
 }
 
-func (q *Queue) take(n int) {
+func (q *Queue) removeFront(n int) {
 	for range n {
 		q.drop(0)
 	}
-	q.rest = max(0, q.rest-n)
+	q.suspects = max(0, q.suspects-n)
 }
 
 // Wake ends a wait.
-func (q *Queue) Wake() { q.sleeps = false }
+func (q *Queue) Resume() { q.backingOff = false }
--- a/internal/remotewrite/queue/sendq_test.go
+++ b/internal/remotewrite/queue/sendq_test.go
@@ -9,7 +9,7 @@
 
 func items(from, to int) (out []Item) {
 	for i := from; i < to; i++ {
-		out = append(out, Item{At: time.Duration(i), Size: 10, Data: i})
+		out = append(out, Item{EnqueuedAt: time.Duration(i), Bytes: 10, Data: i})
 	}
 	return out
 }
@@ -18,8 +18,8 @@
 // it acknowledged; each item is sent, rejected or dropped, the oldest first; and the bounds hold at every step.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		s := Settings{Items: rapid.IntRange(1, 60).Draw(rt, "items"), Bytes: rapid.SampledFrom([]int{0, 150, 400}).Draw(rt, "bytes"),
-			Batch: rapid.IntRange(1, 12).Draw(rt, "batch")}
+		s := Settings{MaxItems: rapid.IntRange(1, 60).Draw(rt, "items"), MaxBytes: rapid.SampledFrom([]int{0, 150, 400}).Draw(rt, "bytes"),
+			BatchSize: rapid.IntRange(1, 12).Draw(rt, "batch")}
 		q := New(s)
 		bad := map[int]bool{}
 		for range rapid.IntRange(0, 4).Draw(rt, "bad") {
@@ -30,24 +30,24 @@
 		for range rapid.IntRange(1, 120).Draw(rt, "steps") {
 			if rapid.Bool().Draw(rt, "put") {
 				n := rapid.IntRange(1, 20).Draw(rt, "n")
-				q.Put(items(next, next+n))
+				q.Enqueue(items(next, next+n))
 				next += n
 			}
 			c := q.Counts()
-			if c.Waiting > q.s.Items || s.Bytes > 0 && c.WaitingBytes > s.Bytes+10*(s.Batch+1) {
-				rt.Fatalf("%+v waits, the bounds are %+v", c, q.s)
+			if c.Waiting > q.settings.MaxItems || s.MaxBytes > 0 && c.WaitingBytes > s.MaxBytes+10*(s.BatchSize+1) {
+				rt.Fatalf("%+v waits, the bounds are %+v", c, q.settings)
 			}
 			b := append([]Item(nil), q.Next(0)...)
 			if len(b) == 0 {
-				q.Wake()
+				q.Resume()
 				continue
 			}
-			a := Answer{Status: 200, Whole: true}
+			a := Response{Status: 200, BodySent: true}
 			switch rapid.IntRange(0, 4).Draw(rt, "answer") {
 			case 0:
 				a.Status = 503
 			case 1:
-				a.Whole = false
+				a.BodySent = false
 			default:
 				for _, it := range b {
 					if bad[it.Data.(int)] {
@@ -56,11 +56,11 @@
 				}
 			}
 			if rapid.IntRange(0, 3).Draw(rt, "meanwhile") == 0 { // more comes while the batch is out
-				q.Put(items(next, next+7))
+				q.Enqueue(items(next, next+7))
 				next += 7
 			}
-			v, wait := q.Answered(a)
-			if v == Done {
+			v, wait := q.HandleResponse(a)
+			if v == Accepted {
 				for _, it := range b {
 					if it.Data.(int) <= last {
 						rt.Fatalf("item %d after %d", it.Data, last)
@@ -69,12 +69,12 @@
 					got++
 				}
 			}
-			if (v == Again) != (wait > 0) {
+			if (v == Retry) != (wait > 0) {
 				rt.Fatalf("%v waits %v", v, wait)
 			}
 		}
 		c := q.Counts()
-		if int(c.Put) != next || int(c.Sent) != got || c.Put != c.Sent+c.Rejected+c.DroppedFull+c.DroppedOld+uint64(c.Waiting) {
+		if int(c.Enqueued) != next || int(c.Sent) != got || c.Enqueued != c.Sent+c.Rejected+c.DroppedFull+c.DroppedExpired+uint64(c.Waiting) {
 			rt.Fatalf("%+v: %d put, %d taken", c, next, got)
 		}
 		if int(c.Rejected) > len(bad) {
@@ -85,42 +85,42 @@
 
 func TestJudge(t *testing.T) {
 	for _, c := range []struct {
-		a    Answer
+		a    Response
 		want Verdict
 	}{
-		{Answer{Status: 204, Whole: true}, Done}, {Answer{Status: 200}, Again}, {Answer{}, Again}, {Answer{Status: 500, Whole: true}, Again},
-		{Answer{Status: 429, Whole: true}, Again}, {Answer{Status: 302, Whole: true}, Again}, {Answer{Status: 400, Whole: true}, Reject},
-		{Answer{Status: 404}, Reject}, {Answer{Status: 413}, Reject}, {Answer{Status: 415, Two: true}, Older}, {Answer{Status: 415}, Reject},
-		{Answer{Status: 200, Whole: true, Two: true}, Older}, {Answer{Status: 200, Whole: true, Two: true, Written: true}, Done},
+		{Response{Status: 204, BodySent: true}, Accepted}, {Response{Status: 200}, Retry}, {Response{}, Retry}, {Response{Status: 500, BodySent: true}, Retry},
+		{Response{Status: 429, BodySent: true}, Retry}, {Response{Status: 302, BodySent: true}, Retry}, {Response{Status: 400, BodySent: true}, Rejected},
+		{Response{Status: 404}, Rejected}, {Response{Status: 413}, Rejected}, {Response{Status: 415, VersionTwo: true}, Downgrade}, {Response{Status: 415}, Rejected},
+		{Response{Status: 200, BodySent: true, VersionTwo: true}, Downgrade}, {Response{Status: 200, BodySent: true, VersionTwo: true, WrittenCounted: true}, Accepted},
 	} {
-		if got := Judge(c.a); got != c.want {
+		if got := Classify(c.a); got != c.want {
 			t.Errorf("%+v: %v, want %v", c.a, got, c.want)
 		}
 	}
 }
 
 func TestWaits(t *testing.T) {
-	q := New(Settings{Items: 100, Batch: 10, MaxAge: time.Minute})
-	q.Put(items(0, 30))
+	q := New(Settings{MaxItems: 100, BatchSize: 10, MaxAge: time.Minute})
+	q.Enqueue(items(0, 30))
 	q.Next(0)
-	if _, wait := q.Answered(Answer{Status: 429, RetryAfter: 7 * time.Second}); wait != 7*time.Second {
+	if _, wait := q.HandleResponse(Response{Status: 429, RetryAfter: 7 * time.Second}); wait != 7*time.Second {
 		t.Errorf("waits %v, want what was asked", wait)
 	}
 	if q.Next(0) != nil {
 		t.Error("sends while it backs off")
 	}
-	q.Wake()
+	q.Resume()
 	q.Next(0)
-	if _, wait := q.Answered(Answer{Status: 429, RetryAfter: time.Hour}); wait != retryMost {
-		t.Errorf("waits %v, want %v at most", wait, retryMost)
+	if _, wait := q.HandleResponse(Response{Status: 429, RetryAfter: time.Hour}); wait != maxRetryAfter {
+		t.Errorf("waits %v, want %v at most", wait, maxRetryAfter)
 	}
-	q.Wake()
-	if b := q.Next(2 * time.Minute); b != nil || q.Counts().DroppedOld != 30 {
+	q.Resume()
+	if b := q.Next(2 * time.Minute); b != nil || q.Counts().DroppedExpired != 30 {
 		t.Errorf("%v, %+v: old ones are sent", b, q.Counts())
 	}
-	q.Put([]Item{{At: 2 * time.Minute}, {At: 2 * time.Minute}, {At: 2 * time.Minute}, {At: 2 * time.Minute}})
+	q.Enqueue([]Item{{EnqueuedAt: 2 * time.Minute}, {EnqueuedAt: 2 * time.Minute}, {EnqueuedAt: 2 * time.Minute}, {EnqueuedAt: 2 * time.Minute}})
 	q.Next(2 * time.Minute)
-	q.Answered(Answer{Status: 413})
+	q.HandleResponse(Response{Status: 413})
 	if b := q.Next(2 * time.Minute); len(b) != 2 {
 		t.Errorf("%d items after a 413 to 4, want 2", len(b))
 	}
@@ -128,11 +128,11 @@
 
 // BenchmarkFull puts items into a full queue while a batch is out.
 func BenchmarkFull(b *testing.B) {
-	q := New(Settings{Items: 100000, Batch: 2000})
-	q.Put(items(0, 100000))
+	q := New(Settings{MaxItems: 100000, BatchSize: 2000})
+	q.Enqueue(items(0, 100000))
 	q.Next(0)
 	one := items(0, 1)
 	for b.Loop() {
-		q.Put(one)
+		q.Enqueue(one)
 	}
 }
--- a/internal/remotewrite/remotewrite.go
+++ b/internal/remotewrite/remotewrite.go
@@ -17,60 +17,60 @@
 	"winghatch/internal/remotewrite/queue"
 )
 
-var errSymbol = errors.New("remotewrite: a label's symbol is not in the table")
+var errUnknownSymbol = errors.New("remotewrite: a label's symbol is not in the table")
 
-func hashOf(s string) uint64 { return xxhash.Sum64String(s) }
+func hashString(s string) uint64 { return xxhash.Sum64String(s) }
 
 // Options tell a writer what it sends where.
 type Options struct {
-	URL     string
-	Every   time.Duration
-	Timeout time.Duration // of one batch
-	Shards  int
-	Items   int // samples that wait at most, all shards together
-	Bytes   int // of them
-	Batch   int // samples
-	MaxAge  time.Duration
-	Old     bool // speak 1.0 from the start
-	Labels  []Label
-	Gather  prometheus.Gatherer
-	Wall    func() time.Time
-	Log     *slog.Logger
-	Seed    int64
+	URL            string
+	Interval       time.Duration
+	Timeout        time.Duration // of one batch
+	Shards         int
+	MaxSamples     int // samples that wait at most, all shards together
+	MaxBytes       int // of them
+	BatchSize      int // samples
+	MaxAge         time.Duration
+	VersionOne     bool // speak 1.0 from the start
+	ExternalLabels []Label
+	Gatherer       prometheus.Gatherer
+	Now            func() time.Time
+	Log            *slog.Logger
+	Seed           int64
 }
 
 // Writer gathers and sends.
 type Writer struct {
-	o      Options
-	conv   converter
-	shards []*shard
-	client http.Client
-	old    atomic.Bool // the receiver speaks 1.0 only
-	ending atomic.Bool // nothing more is gathered
-	began  time.Time
-	lastAt int64
+	options       Options
+	converter     converter
+	shards        []*shard
+	client        http.Client
+	versionOne    atomic.Bool // the receiver speaks 1.0 only
+	closing       atomic.Bool // nothing more is gathered
+	startedAt     time.Time
+	lastTimestamp int64
 }
 
 // shard sends the samples of some series, in order.
 type shard struct {
-	w    *Writer
-	mu   sync.Mutex
-	q    *queue.Queue
-	wake chan struct{}
+	writer *Writer
+	mu     sync.Mutex
+	queue  *queue.Queue
+	wake   chan struct{}
 }
 
 // New returns a writer; Run starts it.
 func New(o Options) *Writer {
-	if o.Wall == nil {
-		o.Wall = time.Now
+	if o.Now == nil {
+		o.Now = time.Now
 	}
-	w := &Writer{o: o, began: time.Now(), client: httppost.Client(o.Timeout, max(1, o.Shards))}
-	w.conv = converter{outer: o.Labels, start: o.Wall().UnixMilli(), known: map[string]*Series{}}
-	w.old.Store(o.Old)
+	w := &Writer{options: o, startedAt: time.Now(), client: httppost.Client(o.Timeout, max(1, o.Shards))}
+	w.converter = converter{externalLabels: o.ExternalLabels, createdAt: o.Now().UnixMilli(), knownSeries: map[string]*Series{}}
+	w.versionOne.Store(o.VersionOne)
 	n := max(1, o.Shards)
 	for i := range n {
-		w.shards = append(w.shards, &shard{w: w, wake: make(chan struct{}, 1), q: queue.New(queue.Settings{Items: o.Items / n, Bytes: o.Bytes / n,
-			Batch: o.Batch, MaxAge: o.MaxAge, Seed: o.Seed + int64(i)})})
+		w.shards = append(w.shards, &shard{writer: w, wake: make(chan struct{}, 1), queue: queue.New(queue.Settings{MaxItems: o.MaxSamples / n, MaxBytes: o.MaxBytes / n,
+			BatchSize: o.BatchSize, MaxAge: o.MaxAge, Seed: o.Seed + int64(i)})})
 	}
 	return w
 }
@@ -79,14 +79,14 @@
 func (w *Writer) Counts() (c queue.Counts) {
 	for _, s := range w.shards {
 		s.mu.Lock()
-		x := s.q.Counts()
+		x := s.queue.Counts()
 		s.mu.Unlock()
-		c.Put += x.Put
+		c.Enqueued += x.Enqueued
 		c.Sent += x.Sent
 		c.Rejected += x.Rejected
 		c.DroppedFull += x.DroppedFull
-		c.DroppedOld += x.DroppedOld
-		c.Again += x.Again
+		c.DroppedExpired += x.DroppedExpired
+		c.Retries += x.Retries
 		c.Waiting += x.Waiting
 		c.WaitingBytes += x.WaitingBytes
 		c.Backoff = max(c.Backoff, x.Backoff)
@@ -103,7 +103,7 @@
 		wg.Add(1)
 		go func() { defer wg.Done(); s.run(sends) }()
 	}
-	tick := time.NewTicker(w.o.Every)
+	tick := time.NewTicker(w.options.Interval)
 	defer tick.Stop()
 	w.gather(false)
 	for on := true; on; {
@@ -115,9 +115,9 @@
 		}
 	}
 	w.gather(true)
-	w.ending.Store(true)
+	w.closing.Store(true)
 	for _, s := range w.shards {
-		s.poke()
+		s.notify()
 	}
 	alarm := time.AfterFunc(flush, stop)
 	wg.Wait()
@@ -129,41 +129,41 @@
 // gather puts one sample of each series into its shard. The time of samples never goes back: while the wall clock is
 // behind one that was sent, a millisecond is added for each gathering.
 func (w *Writer) gather(last bool) {
-	fams, err := w.o.Gather.Gather()
+	fams, err := w.options.Gatherer.Gather()
 	if err != nil {
-		w.o.Log.Error("some measures can't be gathered", "err", err)
+		w.options.Log.Error("some measures can't be gathered", "err", err)
 	}
-	at := max(w.o.Wall().UnixMilli(), w.lastAt+1)
-	w.lastAt = at
-	w.put(w.conv.convert(fams, at))
+	at := max(w.options.Now().UnixMilli(), w.lastTimestamp+1)
+	w.lastTimestamp = at
+	w.enqueue(w.converter.convert(fams, at))
 	if last {
 		var out []*Sample
 		at++
-		w.lastAt = at
-		for _, s := range w.conv.known {
-			out = append(out, &Sample{Series: s, At: at, Value: StaleNaN})
+		w.lastTimestamp = at
+		for _, s := range w.converter.knownSeries {
+			out = append(out, &Sample{Series: s, Timestamp: at, Value: StaleNaN})
 		}
-		w.put(out)
+		w.enqueue(out)
 	}
 }
 
-func (w *Writer) put(samples []*Sample) {
-	now := time.Since(w.began)
+func (w *Writer) enqueue(samples []*Sample) {
+	now := time.Since(w.startedAt)
 	parts := make([][]queue.Item, len(w.shards))
 	for _, s := range samples {
 		i := s.Series.hash % uint64(len(parts))
-		parts[i] = append(parts[i], queue.Item{At: now, Size: s.size(), Data: s})
+		parts[i] = append(parts[i], queue.Item{EnqueuedAt: now, Bytes: s.memoryBytes(), Data: s})
 	}
 	for i, s := range w.shards {
 		s.mu.Lock()
-		s.q.Put(parts[i])
+		s.queue.Enqueue(parts[i])
 		s.mu.Unlock()
-		s.poke()
+		s.notify()
 	}
 }
 
 // poke makes a shard look at its queue.
-func (s *shard) poke() {
+func (s *shard) notify() {
 	select {
 	case s.wake <- struct{}{}:
 	default:
@@ -173,14 +173,14 @@
 func (s *shard) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		s.mu.Lock()
-		items := s.q.Next(time.Since(s.w.began))
+		items := s.queue.Next(time.Since(s.writer.startedAt))
 		batch := make([]*Sample, len(items))
 		for i, it := range items {
 			batch[i] = it.Data.(*Sample)
 		}
 		s.mu.Unlock()
 		if len(batch) == 0 {
-			if s.w.ending.Load() {
+			if s.writer.closing.Load() {
 				return // all is sent, and nothing more comes
 			}
 			select {
@@ -189,17 +189,17 @@
 			}
 			continue
 		}
-		a, why := s.w.send(ctx, batch)
+		a, why := s.writer.send(ctx, batch)
 		s.mu.Lock()
-		v, wait := s.q.Answered(a)
+		v, wait := s.queue.HandleResponse(a)
 		s.mu.Unlock()
 		switch v {
-		case queue.Older:
-			if !s.w.old.Swap(true) {
-				s.w.o.Log.Warn("the receiver of measures speaks remote write 1.0 only", "answer", why)
+		case queue.Downgrade:
+			if !s.writer.versionOne.Swap(true) {
+				s.writer.options.Log.Warn("the receiver of measures speaks remote write 1.0 only", "answer", why)
 			}
-		case queue.Reject:
-			s.w.o.Log.Warn("the receiver refuses measures", "answer", why, "samples", len(batch))
+		case queue.Rejected:
+			s.writer.options.Log.Warn("the receiver refuses measures", "answer", why, "samples", len(batch))
 		}
 		if wait > 0 {
 			t := time.NewTimer(wait)
@@ -209,7 +209,7 @@
 			}
 			t.Stop()
 			s.mu.Lock()
-			s.q.Wake()
+			s.queue.Resume()
 			s.mu.Unlock()
 		}
 	}
@@ -217,25 +217,25 @@
 
 // Headers of remote write.
 const (
-	headVersion = "X-Prometheus-Remote-Write-Version"
-	headSamples = "X-Prometheus-Remote-Write-Samples-Written"
-	headHists   = "X-Prometheus-Remote-Write-Histograms-Written"
-	type1       = "application/x-protobuf"
-	type2       = "application/x-protobuf;proto=io.prometheus.write.v2.Request"
+	headerVersion           = "X-Prometheus-Remote-Write-Version"
+	headerSamplesWritten    = "X-Prometheus-Remote-Write-Samples-Written"
+	headerHistogramsWritten = "X-Prometheus-Remote-Write-Histograms-Written"
+	contentTypeV1           = "application/x-protobuf"
+	contentTypeV2           = "application/x-protobuf;proto=io.prometheus.write.v2.Request"
 )
 
-func (w *Writer) send(ctx context.Context, batch []*Sample) (queue.Answer, string) {
-	old := w.old.Load()
-	encode, form, version := encode2, type2, "2.0.0"
+func (w *Writer) send(ctx context.Context, batch []*Sample) (queue.Response, string) {
+	old := w.versionOne.Load()
+	encode, form, version := encodeV2, contentTypeV2, "2.0.0"
 	if old {
-		encode, form, version = encode1, type1, "0.1.0"
+		encode, form, version = encodeV1, contentTypeV1, "0.1.0"
 	}
 	raw, err := encode(batch)
 	if err != nil {
-		return queue.Answer{Status: http.StatusBadRequest}, err.Error() // never sent, and never will be
+		return queue.Response{Status: http.StatusBadRequest}, err.Error() // never sent, and never will be
 	}
-	res := httppost.Post(ctx, &w.client, w.o.URL, http.Header{"Content-Type": {form}, "Content-Encoding": {"snappy"},
-		headVersion: {version}, "User-Agent": {"winghatch"}}, snappy.Encode(nil, raw))
-	written := res.Header.Get(headSamples) != "" || res.Header.Get(headHists) != ""
-	return queue.Answer{Status: res.Status, Whole: res.Whole, Two: !old, Written: written, RetryAfter: res.RetryAfter}, res.Why
+	res := httppost.Post(ctx, &w.client, w.options.URL, http.Header{"Content-Type": {form}, "Content-Encoding": {"snappy"},
+		headerVersion: {version}, "User-Agent": {"winghatch"}}, snappy.Encode(nil, raw))
+	written := res.Header.Get(headerSamplesWritten) != "" || res.Header.Get(headerHistogramsWritten) != ""
+	return queue.Response{Status: res.Status, BodySent: res.BodySent, VersionTwo: !old, WrittenCounted: written, RetryAfter: res.RetryAfter}, res.Reason
 }
--- a/internal/remotewrite/remotewrite_test.go
+++ b/internal/remotewrite/remotewrite_test.go
@@ -29,7 +29,7 @@
 	stop  func()
 }
 
-func newRig(t *testing.T, change func(*remotewrite.Options, *metricsreceiver.Trouble)) *rig {
+func newRig(t *testing.T, change func(*remotewrite.Options, *metricsreceiver.Fault)) *rig {
 	recv, err := metricsreceiver.Start("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -42,13 +42,13 @@
 	for i := range 20 {
 		r.count.WithLabelValues(fmt.Sprint("v", i)).Add(float64(i))
 	}
-	o := remotewrite.Options{URL: recv.URL(), Every: 20 * time.Millisecond, Timeout: 300 * time.Millisecond, Shards: 2, Items: 2000, Bytes: 1 << 20,
-		Batch: 10, MaxAge: time.Hour, Gather: reg, Log: slog.New(slog.DiscardHandler), Labels: []remotewrite.Label{{Name: "gateway", Value: "1"}}}
-	var tr metricsreceiver.Trouble
+	o := remotewrite.Options{URL: recv.URL(), Interval: 20 * time.Millisecond, Timeout: 300 * time.Millisecond, Shards: 2, MaxSamples: 2000, MaxBytes: 1 << 20,
+		BatchSize: 10, MaxAge: time.Hour, Gatherer: reg, Log: slog.New(slog.DiscardHandler), ExternalLabels: []remotewrite.Label{{Name: "gateway", Value: "1"}}}
+	var tr metricsreceiver.Fault
 	if change != nil {
 		change(&o, &tr)
 	}
-	recv.Set(func(x *metricsreceiver.Trouble) { *x = tr })
+	recv.SetFault(func(x *metricsreceiver.Fault) { *x = tr })
 	r.w = remotewrite.New(o)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -68,27 +68,27 @@
 // TestProtocols sends counters and native histograms in both protocols, and ends each series with a stale marker.
 func TestProtocols(t *testing.T) {
 	for _, old := range []bool{false, true} {
-		r := newRig(t, func(o *remotewrite.Options, _ *metricsreceiver.Trouble) { o.Old = old })
+		r := newRig(t, func(o *remotewrite.Options, _ *metricsreceiver.Fault) { o.VersionOne = old })
 		for i := range 100 {
 			r.hist.Observe(float64(i))
 		}
-		eventually(t, "some rounds are there", func() bool { return len(r.recv.Series(`h_seconds{gateway="1"}`)) > 3 })
+		eventually(t, "some rounds are there", func() bool { return len(r.recv.Points(`h_seconds{gateway="1"}`)) > 3 })
 		r.count.WithLabelValues("v7").Add(1000)
 		r.stop()
 		if n := len(r.recv.Names()); n != 21 {
 			t.Errorf("%d series: %v", n, r.recv.Names())
 		}
-		ps := r.recv.Series(`x_total{gateway="1",k="v7"}`)
+		ps := r.recv.Points(`x_total{gateway="1",k="v7"}`)
 		if n := len(ps); n < 3 || ps[n-2].Value != 1007 || !remotewrite.IsStale(ps[n-1].Value) {
 			t.Errorf("%v: the last value before a stale marker should be 1007", ps)
 		}
-		h := r.recv.Series(`h_seconds{gateway="1"}`)
-		if x := h[len(h)-2]; !x.Hist || x.Count != 100 || x.Sum != 4950 {
+		h := r.recv.Points(`h_seconds{gateway="1"}`)
+		if x := h[len(h)-2]; !x.IsHistogram || x.Count != 100 || x.Sum != 4950 {
 			t.Errorf("%+v", x)
 		}
 		want := map[bool]string{false: "2.0.0", true: "0.1.0"}[old]
-		if r.recv.Batches[want] == 0 || len(r.recv.Batches) != 1 || r.recv.Unsorted > 0 {
-			t.Errorf("%v, %d unsorted", r.recv.Batches, r.recv.Unsorted)
+		if r.recv.Batches[want] == 0 || len(r.recv.Batches) != 1 || r.recv.OutOfOrder > 0 {
+			t.Errorf("%v, %d unsorted", r.recv.Batches, r.recv.OutOfOrder)
 		}
 	}
 }
@@ -96,7 +96,7 @@
 // TestFallsBack speaks 1.0 to a receiver that answers 415 to 2.0, and to one that takes 2.0 for 1.0 without a word.
 func TestFallsBack(t *testing.T) {
 	for _, blind := range []bool{false, true} {
-		r := newRig(t, func(_ *remotewrite.Options, x *metricsreceiver.Trouble) { x.OnlyOne, x.Blind = !blind, blind })
+		r := newRig(t, func(_ *remotewrite.Options, x *metricsreceiver.Fault) { x.OnlyV1, x.MisreadsV2 = !blind, blind })
 		eventually(t, "it is sent in 1.0", func() bool { return r.recv.Sum("x_total") == 190 })
 		r.stop()
 		if r.recv.Batches["0.1.0"] == 0 || r.recv.Batches["2.0.0"] > 0 {
@@ -107,26 +107,26 @@
 
 // TestReceiversFaults plays each fault for a while, of which nothing may be lost or come out of order.
 func TestReceiversFaults(t *testing.T) {
-	for name, trouble := range map[string]metricsreceiver.Trouble{"500": {Status: 500}, "429": {Status: 429, RetryAfter: "0"}, "redirect": {Status: 307},
-		"cut": {Cut: true}, "early": {Early: true}, "slow": {Slow: 500 * time.Millisecond}} {
+	for name, trouble := range map[string]metricsreceiver.Fault{"500": {Status: 500}, "429": {Status: 429, RetryAfter: "0"}, "redirect": {Status: 307},
+		"cut": {DropConnection: true}, "early": {RespondEarly: true}, "slow": {Delay: 500 * time.Millisecond}} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := newRig(t, func(_ *remotewrite.Options, x *metricsreceiver.Trouble) { *x = trouble })
-			eventually(t, "it is tried again", func() bool { return r.w.Counts().Again >= 4 })
-			r.recv.Set(func(x *metricsreceiver.Trouble) { *x = metricsreceiver.Trouble{} })
+			r := newRig(t, func(_ *remotewrite.Options, x *metricsreceiver.Fault) { *x = trouble })
+			eventually(t, "it is tried again", func() bool { return r.w.Counts().Retries >= 4 })
+			r.recv.SetFault(func(x *metricsreceiver.Fault) { *x = metricsreceiver.Fault{} })
 			eventually(t, "all is there", func() bool { c := r.w.Counts(); return c.Sent > 0 && c.Waiting < 50 && r.recv.Sum("x_total") == 190 })
 			r.stop()
 			c := r.w.Counts()
-			if c.DroppedFull+c.DroppedOld+c.Rejected > 0 || c.Sent != c.Put {
+			if c.DroppedFull+c.DroppedExpired+c.Rejected > 0 || c.Sent != c.Enqueued {
 				t.Errorf("%+v", c)
 			}
 			// All points of a series are there, each gathering one, in order.
-			ps := r.recv.Series(`x_total{gateway="1",k="v3"}`)
-			if uint64(len(ps))*21 < c.Put-21 {
-				t.Errorf("%d points of a series, %d samples in all", len(ps), c.Put)
+			ps := r.recv.Points(`x_total{gateway="1",k="v3"}`)
+			if uint64(len(ps))*21 < c.Enqueued-21 {
+				t.Errorf("%d points of a series, %d samples in all", len(ps), c.Enqueued)
 			}
 			for i := 1; i < len(ps); i++ {
-				if ps[i].At <= ps[i-1].At {
+				if ps[i].TimestampMs <= ps[i-1].TimestampMs {
 					t.Fatalf("%v", ps)
 				}
 			}
@@ -136,7 +136,7 @@
 
 // TestOneBadSeries gives up the samples of one series that the receiver refuses, and no other; a 413 makes batches smaller.
 func TestOneBadSeries(t *testing.T) {
-	r := newRig(t, func(_ *remotewrite.Options, x *metricsreceiver.Trouble) { x.Reject, x.Most = `k="v13"`, 4 })
+	r := newRig(t, func(_ *remotewrite.Options, x *metricsreceiver.Fault) { x.Reject, x.MaxSamples = `k="v13"`, 4 })
 	eventually(t, "all others are there", func() bool { return r.recv.Sum("x_total") == 190-13 && r.w.Counts().Rejected > 0 })
 	r.stop()
 	for _, n := range r.recv.Names() {
@@ -148,35 +148,35 @@
 
 // TestOutage keeps the newest within the bounds while the receiver is away, and tells what was dropped.
 func TestOutage(t *testing.T) {
-	r := newRig(t, func(o *remotewrite.Options, x *metricsreceiver.Trouble) {
-		o.Items, o.Every, x.Status = 400, 2*time.Millisecond, 503
+	r := newRig(t, func(o *remotewrite.Options, x *metricsreceiver.Fault) {
+		o.MaxSamples, o.Interval, x.Status = 400, 2*time.Millisecond, 503
 	})
 	eventually(t, "old ones are dropped", func() bool { return r.w.Counts().DroppedFull > 1000 })
 	if c := r.w.Counts(); c.Waiting > 400 {
 		t.Errorf("%+v waits", c)
 	}
-	r.recv.Set(func(x *metricsreceiver.Trouble) { x.Status = 0 })
+	r.recv.SetFault(func(x *metricsreceiver.Fault) { x.Status = 0 })
 	eventually(t, "it comes again", func() bool { return r.recv.Sum("x_total") == 190 })
 	r.stop()
-	if c := r.w.Counts(); c.Put != c.Sent+c.DroppedFull+uint64(c.Waiting) || r.recv.Unsorted > 0 {
-		t.Errorf("%+v, %d unsorted", c, r.recv.Unsorted)
+	if c := r.w.Counts(); c.Enqueued != c.Sent+c.DroppedFull+uint64(c.Waiting) || r.recv.OutOfOrder > 0 {
+		t.Errorf("%+v, %d unsorted", c, r.recv.OutOfOrder)
 	}
 }
 
 // TestClockSteps lets the wall clock step back and forth: times of samples never go back.
 func TestClockSteps(t *testing.T) {
 	var off atomic.Int64
-	r := newRig(t, func(o *remotewrite.Options, _ *metricsreceiver.Trouble) {
-		o.Wall = func() time.Time { return time.Now().Add(time.Duration(off.Load())) }
+	r := newRig(t, func(o *remotewrite.Options, _ *metricsreceiver.Fault) {
+		o.Now = func() time.Time { return time.Now().Add(time.Duration(off.Load())) }
 	})
 	for _, d := range []time.Duration{-time.Hour, time.Minute, -2 * time.Hour} {
-		n := len(r.recv.Series(`x_total{gateway="1",k="v3"}`))
+		n := len(r.recv.Points(`x_total{gateway="1",k="v3"}`))
 		off.Store(int64(d))
-		eventually(t, "some more are there", func() bool { return len(r.recv.Series(`x_total{gateway="1",k="v3"}`)) > n+2 })
+		eventually(t, "some more are there", func() bool { return len(r.recv.Points(`x_total{gateway="1",k="v3"}`)) > n+2 })
 	}
 	r.stop()
-	if r.recv.Unsorted > 0 {
-		t.Errorf("%d samples out of order", r.recv.Unsorted)
+	if r.recv.OutOfOrder > 0 {
+		t.Errorf("%d samples out of order", r.recv.OutOfOrder)
 	}
 }
 
@@ -187,11 +187,11 @@
 		t.Fatal(err)
 	}
 	defer recv.Stop()
-	recv.Set(func(x *metricsreceiver.Trouble) { x.Status = 503 })
+	recv.SetFault(func(x *metricsreceiver.Fault) { x.Status = 503 })
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(prometheus.NewGauge(prometheus.GaugeOpts{Name: "g", Help: "g"}))
-	w := remotewrite.New(remotewrite.Options{URL: recv.URL(), Every: time.Millisecond, Timeout: time.Second, Shards: 1, Items: 100, Batch: 10,
-		Gather: reg, Log: slog.New(slog.DiscardHandler)})
+	w := remotewrite.New(remotewrite.Options{URL: recv.URL(), Interval: time.Millisecond, Timeout: time.Second, Shards: 1, MaxSamples: 100, BatchSize: 10,
+		Gatherer: reg, Log: slog.New(slog.DiscardHandler)})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { w.Run(ctx, 50*time.Millisecond); close(done) }()
@@ -207,7 +207,7 @@
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte{0x0a, 0x02, 0x0a, 0x00})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		remotewrite.Decode1(b)
-		remotewrite.Decode2(b)
+		remotewrite.DecodeV1(b)
+		remotewrite.DecodeV2(b)
 	})
 }
--- a/internal/reservation/ledger_test.go
+++ b/internal/reservation/ledger_test.go
@@ -22,7 +22,7 @@
 	written []time.Duration
 	own     []bool // the book's word that the reservation is its own is on the disk
 	rng     *rand.Rand
-	now     quotaplan.Now
+	now     quotaplan.Instant
 	due     []letter
 	loss    float64
 	side    []int
@@ -30,7 +30,7 @@
 	stalled []bool
 	res     quotaplan.Reservation
 	units   float64 // by the last cut
-	slices  []Slice
+	slices  []CeilingShare
 	next    int
 	used    float64 // units of admitted calls
 	asked   float64
@@ -63,17 +63,17 @@
 }
 
 func newWorld(n int, seed int64, res quotaplan.Reservation) *world {
-	w := &world{n: n, rng: rand.New(rand.NewSource(seed)), now: quotaplan.Now{Mono: time.Hour, Wall: 1000 * sec}, ls: make([]*Ledger, n),
+	w := &world{n: n, rng: rand.New(rand.NewSource(seed)), now: quotaplan.Instant{Mono: time.Hour, Wall: 1000 * sec}, ls: make([]*Ledger, n),
 		disks: make([][][]byte, n), written: make([]time.Duration, n), own: make([]bool, n), side: make([]int, n), down: make([]bool, n), stalled: make([]bool, n),
 		refused: map[Reason]int{}, open: map[string]call{}, hold: 30 * time.Millisecond, units: res.Units, res: res}
 	w.res.ID, w.res.Member, w.res.Spread = 77, "m", n
 	w.res.From, w.res.To = w.now.Wall+sec, w.now.Wall+1000*sec
 	w.own[0] = true
 	for i := range n {
-		w.slices = append(w.slices, Slice{i, 1 / float64(n)})
+		w.slices = append(w.slices, CeilingShare{i, 1 / float64(n)})
 	}
 	if n > 10 && res.Ceiling { // as where customers have homes
-		w.slices = []Slice{{1, 0.5}, {2, 0.5}}
+		w.slices = []CeilingShare{{1, 0.5}, {2, 0.5}}
 	}
 	for i := range n {
 		w.start(i)
@@ -84,7 +84,7 @@
 func (w *world) start(i int) {
 	w.life++
 	w.down[i], w.stalled[i] = false, false
-	w.ls[i] = New(Settings{Rank: i, Gateways: w.n, MaxUnits: 8, Era: w.life, Seed: int64(w.life)})
+	w.ls[i] = New(Settings{Rank: i, Gateways: w.n, MaxRequestUnits: 8, Epoch: w.life, Seed: int64(w.life)})
 	for _, s := range w.disks[i] {
 		if err := w.ls[i].Restore(s); err != nil {
 			panic(err)
@@ -97,9 +97,9 @@
 	}
 	r := w.res
 	r.Mine = w.own[i]
-	w.handle(i, Hold{r, w.slices})
+	w.handle(i, AddReservation{r, w.slices})
 	if w.units < w.res.Units {
-		w.handle(i, Cut{w.res.ID, w.units})
+		w.handle(i, ResizeReservation{w.res.ID, w.units})
 	}
 }
 
@@ -118,24 +118,24 @@
 			c := w.open[a.ID]
 			w.used += c.units
 			w.passes = append(w.passes, pass{w.now.Mono, c.units})
-			w.due = append(w.due, letter{w.now.Mono + w.hold, i, l.s.Era, Ended{a.ID, c.units}})
-		case Refuse:
+			w.due = append(w.due, letter{w.now.Mono + w.hold, i, l.settings.Epoch, RequestEnded{a.ID, c.units}})
+		case Reject:
 			w.refused[a.Reason]++
 			delete(w.open, a.ID)
-		case Keep:
+		case Persist:
 			state := append([]byte(nil), a.State...)
 			if w.twice {
 				state[17] &^= 1
 			}
 			// A disk takes a while, and keeps the order.
 			w.written[i] = max(w.written[i], w.now.Mono+time.Duration(1+w.rng.Intn(8))*time.Millisecond)
-			w.due = append(w.due, letter{w.written[i], i, l.s.Era, keeping{a.No, state}})
+			w.due = append(w.due, letter{w.written[i], i, l.settings.Epoch, keeping{a.Number, state}})
 		case Send:
 			if w.rng.Float64() >= w.loss {
 				late := time.Duration(1+w.rng.Intn(10)) * time.Millisecond
-				w.due = append(w.due, letter{w.now.Mono + late, a.To, 0, Heard{i, a.Data}})
+				w.due = append(w.due, letter{w.now.Mono + late, a.To, 0, MessageReceived{i, a.Data}})
 			}
-		case Return:
+		case ReturnUnits:
 			w.back += a.Units
 		}
 	}
@@ -165,7 +165,7 @@
 	}
 	w.due = rest
 	for _, l := range ready {
-		if w.down[l.to] || l.life != 0 && l.life != w.ls[l.to].s.Era {
+		if w.down[l.to] || l.life != 0 && l.life != w.ls[l.to].settings.Epoch {
 			continue
 		}
 		switch e := l.ev.(type) {
@@ -173,8 +173,8 @@
 			if !w.badDisk {
 				w.disks[l.to] = append(w.disks[l.to], e.state)
 			}
-			w.handle(l.to, Kept{e.no})
-		case Heard:
+			w.handle(l.to, Persisted{e.no})
+		case MessageReceived:
 			if w.side[e.From] == w.side[l.to] {
 				w.handle(l.to, e)
 			}
@@ -183,7 +183,7 @@
 		}
 	}
 	for i, l := range w.ls {
-		if n := l.next(); !w.down[i] && !w.stalled[i] && (n.Mono <= w.now.Mono || n.Wall <= w.now.Wall) {
+		if n := l.nextTick(); !w.down[i] && !w.stalled[i] && (n.Mono <= w.now.Mono || n.Wall <= w.now.Wall) {
 			w.handle(i, Tick{})
 		}
 	}
@@ -203,7 +203,7 @@
 	id := fmt.Sprint("c", w.next)
 	w.open[id] = call{i, units, w.life}
 	w.asked += units
-	w.handle(i, Call{id, "m", units, w.now.Mono + 2*time.Second})
+	w.handle(i, Request{id, "m", units, w.now.Mono + 2*time.Second})
 }
 
 // load asks for units a second at the gateways that pick names.
@@ -392,7 +392,7 @@
 				}
 			}
 			over := w.fast(40, 60)
-			if bound := 40*coverUse.Seconds() + 8; over > bound {
+			if bound := 40*roomGrantLifetime.Seconds() + 8; over > bound {
 				t.Errorf("%d gateways, %s: %.1f units over rate and burst, want %v at most", n, name, over, bound)
 			}
 			if w.used < 0.5*40*12 {
@@ -412,7 +412,7 @@
 	cut := func(units float64) {
 		w.units = units
 		for i := range w.ls {
-			w.handle(i, Cut{w.res.ID, units})
+			w.handle(i, ResizeReservation{w.res.ID, units})
 		}
 	}
 	cut(200)
@@ -453,42 +453,42 @@
 		t.Errorf("%v used and %v returned of 300", w.used, w.back)
 	}
 	w.call(1, 1)
-	if w.refused[None] != 1 {
+	if w.refused[NoReservation] != 1 {
 		t.Errorf("%v", w.refused)
 	}
 	w.now.Wall -= 100 * sec // a clock that steps back opens nothing again
 	w.call(1, 1)
-	if w.refused[None] != 2 {
+	if w.refused[NoReservation] != 2 {
 		t.Errorf("%v", w.refused)
 	}
 }
 
 // TestDiskStands bounds what waits for a disk that takes nothing, while others ask and ask.
 func TestDiskStands(t *testing.T) {
-	l := New(Settings{Rank: 0, Gateways: 2, MaxUnits: 8, Era: 1})
-	now := quotaplan.Now{Mono: time.Hour, Wall: 1000 * sec}
+	l := New(Settings{Rank: 0, Gateways: 2, MaxRequestUnits: 8, Epoch: 1})
+	now := quotaplan.Instant{Mono: time.Hour, Wall: 1000 * sec}
 	r := quotaplan.Reservation{ID: 77, Member: "m", Units: 1e6, From: 1000 * sec, To: 2000 * sec, Spread: 2, Mine: true}
-	l.Handle(now, Hold{Reservation: r})
-	for i := range 3 * effectsMost {
+	l.Handle(now, AddReservation{Reservation: r})
+	for i := range 3 * maxDeferred {
 		now.Mono += time.Millisecond
-		for _, a := range l.Handle(now, Heard{1, appendAsk(77, uint64(i), 5, 1, 0)}) {
+		for _, a := range l.Handle(now, MessageReceived{1, appendTransferRequest(77, uint64(i), 5, 1, 0)}) {
 			if _, ok := a.(Send); ok {
 				t.Fatal("tokens are told of that are not kept")
 			}
 		}
 	}
-	if len(l.effects) > effectsMost {
-		t.Errorf("%d effects wait, want %d at most", len(l.effects), effectsMost)
+	if len(l.deferred) > maxDeferred {
+		t.Errorf("%d effects wait, want %d at most", len(l.deferred), maxDeferred)
 	}
 }
 
 func FuzzHeard(f *testing.F) {
-	f.Add(appendAsk(77, 1, 2, 5, 5), 1)
-	f.Add(append([]byte{msgGive}, make([]byte, 72)...), 2)
-	f.Add(append([]byte{msgThanks}, make([]byte, 32)...), 0)
+	f.Add(appendTransferRequest(77, 1, 2, 5, 5), 1)
+	f.Add(append([]byte{messageTransfer}, make([]byte, 72)...), 2)
+	f.Add(append([]byte{messageAcknowledgement}, make([]byte, 32)...), 0)
 	f.Fuzz(func(t *testing.T, data []byte, from int) {
 		w := newWorld(3, 1, quotaplan.Reservation{Units: 30})
-		w.handle(0, Heard{from, data})
+		w.handle(0, MessageReceived{from, data})
 		w.run(50 * time.Millisecond)
 		for _, s := range w.ls[0].States() {
 			if err := w.ls[1].Restore(s); err != nil {
--- a/internal/scenario/day_test.go
+++ b/internal/scenario/day_test.go
@@ -56,7 +56,7 @@
 	}
 	sigs := make(chan os.Signal, 1)
 	signal.Notify(sigs, syscall.SIGTERM)
-	g, err := gateway.Start(f, gateway.Options{Rank: rank, Tape: out, Tamper: breaks(how)})
+	g, err := gateway.Start(f, gateway.Options{Rank: rank, Recording: out, Tamper: breaks(how)})
 	if err != nil {
 		return err
 	}
@@ -103,20 +103,20 @@
 	n := 0
 	switch how {
 	case "no answer":
-		t.Final = func(f frontend.Final, done func(frontend.Final)) {
+		t.Response = func(f frontend.Response, done func(frontend.Response)) {
 			if n++; n%20 != 0 {
 				done(f)
 			}
 		}
 	case "two answers":
-		t.Final = func(f frontend.Final, done func(frontend.Final)) {
+		t.Response = func(f frontend.Response, done func(frontend.Response)) {
 			done(f)
 			if n++; n%20 == 0 {
 				done(f)
 			}
 		}
 	case "late answers":
-		t.Final = func(f frontend.Final, done func(frontend.Final)) {
+		t.Response = func(f frontend.Response, done func(frontend.Response)) {
 			if n++; n%20 == 0 {
 				time.AfterFunc(6*time.Second, func() { done(f) })
 				return
@@ -124,7 +124,7 @@
 			done(f)
 		}
 	case "long waits":
-		t.Final = func(f frontend.Final, done func(frontend.Final)) {
+		t.Response = func(f frontend.Response, done func(frontend.Response)) {
 			f.RetryAfter = time.Minute
 			done(f)
 		}
@@ -211,25 +211,25 @@
 	return t
 }
 
-func play(t *testing.T, s *Script, how string) *Outcome {
+func play(t *testing.T, s *Script, how string) *Result {
 	t.Helper()
 	exe, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	res, err := Play(context.Background(), s, Options{Dir: dir,
-		Command: func(args ...string) *exec.Cmd { return exec.Command(exe, args...) },
-		Break:   func(int) []string { return []string{"BREAK=" + how} }})
+	res, err := Run(context.Background(), s, Options{Dir: dir,
+		Command:    func(args ...string) *exec.Cmd { return exec.Command(exe, args...) },
+		GatewayEnv: func(int) []string { return []string{"BREAK=" + how} }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := Audit(dir)
+	again, err := Verify(dir)
 	if err != nil || again.String() != res.Verdict.String() {
 		t.Errorf("judged again: %v\n%s\n%s", err, again, res.Verdict)
 	}
 	if how == "" {
-		for _, file := range res.Tapes {
+		for _, file := range res.Recordings {
 			in, err := os.Open(file)
 			if err != nil {
 				t.Fatal(err)
@@ -256,7 +256,7 @@
 // variant is the drain day without its troubles and with some of its text replaced.
 func variant(t *testing.T, rest string, replace ...string) *Script {
 	t.Helper()
-	src, err := files.ReadFile("files/drain.kdl")
+	src, err := builtin.ReadFile("files/drain.kdl")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -305,11 +305,11 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			res := play(t, s, "")
-			if res.Verdict.Kept() != 5 {
+			if res.Verdict.RulesKept() != 5 {
 				t.Errorf("\n%s", res.Verdict)
 			}
-			if st := res.Stats; st.Served < st.Asked/5 || st.Asked < 50 {
-				t.Errorf("served %d of %d", st.Served, st.Asked)
+			if st := res.Stats; st.Served < st.Requests/5 || st.Requests < 50 {
+				t.Errorf("served %d of %d", st.Served, st.Requests)
 			}
 		})
 	}
@@ -330,14 +330,14 @@
 				t.Fatal(err)
 			}
 			res := play(t, s, "")
-			if res.Verdict.Kept() < 5 || len(res.Use.Breaches) > 0 || res.Use.Sized < 100 {
-				t.Errorf("%s\n%+v", res.Verdict, res.Use)
+			if res.Verdict.RulesKept() < 5 || len(res.Usage.Violations) > 0 || res.Usage.Confirmed < 100 {
+				t.Errorf("%s\n%+v", res.Verdict, res.Usage)
 			}
-			if name == "kills" && (res.Kills != 12 || res.Repeats == 0) {
-				t.Errorf("%d kills, %d repeats", res.Kills, res.Repeats)
+			if name == "kills" && (res.Kills != 12 || res.DuplicateEvents == 0) {
+				t.Errorf("%d kills, %d repeats", res.Kills, res.DuplicateEvents)
 			}
-			if name == "changes" && (len(res.Reserved) != 2 || res.Reserved[0].Used+res.Reserved[1].Used == 0) {
-				t.Errorf("%+v", res.Reserved)
+			if name == "changes" && (len(res.Reservations) != 2 || res.Reservations[0].Used+res.Reservations[1].Used == 0) {
+				t.Errorf("%+v", res.Reservations)
 			}
 		})
 	}
@@ -373,7 +373,7 @@
 			t.Parallel()
 			res := play(t, c.s, how)
 			broken := map[int]int{}
-			for _, b := range res.Verdict.Breaches {
+			for _, b := range res.Verdict.Violations {
 				broken[b.Rule]++
 			}
 			if broken[c.rule] == 0 {
@@ -393,17 +393,17 @@
 // TestBuiltIn reads every built-in day, and wants one for each sort of trouble.
 func TestBuiltIn(t *testing.T) {
 	played := map[string]bool{}
-	for _, name := range Names() {
+	for _, name := range BuiltinNames() {
 		s, err := Open(name)
 		if err != nil {
 			t.Error(err)
 			continue
 		}
-		for _, x := range s.Troubles {
+		for _, x := range s.Faults {
 			played[x.Kind] = true
 		}
 	}
-	for kind := range Kinds {
+	for kind := range FaultKinds {
 		if !played[kind] {
 			t.Errorf("no built-in day plays %s", kind)
 		}
--- a/internal/scenario/files.go
+++ b/internal/scenario/files.go
@@ -8,15 +8,15 @@
 )
 
 //go:embed files/*.kdl
-var files embed.FS
+var builtin embed.FS
 
 // Open reads a day's file, or a built-in day by its name.
 func Open(name string) (*Script, error) {
 	src, err := os.ReadFile(name)
 	if err != nil {
 		var berr error
-		if src, berr = files.ReadFile("files/" + name + ".kdl"); berr != nil {
-			return nil, fmt.Errorf("day: %w; the built-in days are %s", err, strings.Join(Names(), ", "))
+		if src, berr = builtin.ReadFile("files/" + name + ".kdl"); berr != nil {
+			return nil, fmt.Errorf("day: %w; the built-in days are %s", err, strings.Join(BuiltinNames(), ", "))
 		}
 		name = "files/" + name + ".kdl"
 	}
@@ -24,8 +24,8 @@
 }
 
 // Names are the built-in days.
-func Names() (out []string) {
-	es, _ := files.ReadDir("files") // embedded, it can't fail
+func BuiltinNames() (out []string) {
+	es, _ := builtin.ReadDir("files") // embedded, it can't fail
 	for _, e := range es {
 		out = append(out, strings.TrimSuffix(e.Name(), ".kdl"))
 	}
--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -15,18 +15,18 @@
 
 // Script is a day.
 type Script struct {
-	Name     string
-	Length   time.Duration
-	Seed     int
-	Fleet    *config.Fleet // without addresses, keys and secret
-	Nodes    []Nodes
-	ListLag  time.Duration
-	Load     Load
-	Troubles []Trouble
+	Name           string
+	Length         time.Duration
+	Seed           int
+	Fleet          *config.Fleet // without addresses, keys and secret
+	Servers        []ServerGroup
+	DiscoveryDelay time.Duration
+	Load           Load
+	Faults         []Fault
 }
 
 // Nodes are some alike.
-type Nodes struct {
+type ServerGroup struct {
 	Count, Cores, Queue int
 	Cell                int
 	Speed               float64
@@ -36,32 +36,32 @@
 
 // Load is what clients ask.
 type Load struct {
-	Rate    float64
-	Retries int
-	Wait    time.Duration
-	Classes []ClassLoad
+	Rate       float64
+	Retries    int
+	RetryDelay time.Duration
+	Classes    []ClassLoad
 }
 
 // ClassLoad is a class's part in it.
 type ClassLoad struct {
-	Class string
-	Share float64
-	Units int
+	Class    string
+	Share    float64
+	MaxUnits int
 }
 
 // Trouble is something that goes wrong for a while.
-type Trouble struct {
-	Kind  string
-	At    time.Duration
-	For   time.Duration
-	Count int     // of nodes, gateways or members, as the kind has it
-	Size  float64 // times, or a share
-	Class string
-	Pos   kdl.Pos
+type Fault struct {
+	Kind     string
+	At       time.Duration
+	Duration time.Duration
+	Count    int     // of nodes, gateways or members, as the kind has it
+	Size     float64 // times, or a share
+	Class    string
+	Pos      kdl.Pos
 }
 
 // Kinds are the troubles that can be played, with what Count and Size are to them.
-var Kinds = map[string]string{
+var FaultKinds = map[string]string{
 	"ageing":         "count nodes grow slower, up to size times",
 	"balancer_crash": "count gateways are killed and come back after the time",
 	"balancer_roll":  "every gateway in turn is stopped by SIGTERM and started anew",
@@ -125,8 +125,8 @@
 		return func(_ string, n *kdl.Node) { *to = append(*to, n) }
 	}
 	d.Block("", n, decode.Fields{
-		"length": decode.Duration(&s.Length, 100*time.Millisecond), "seed": decode.Whole(&s.Seed, 0, math.MaxInt32),
-		"list-lag": decode.Duration(&s.ListLag, 0), "like": decode.Text(&like),
+		"length": decode.Duration(&s.Length, 100*time.Millisecond), "seed": decode.Int(&s.Seed, 0, math.MaxInt32),
+		"list-lag": decode.Duration(&s.DiscoveryDelay, 0), "like": decode.String(&like),
 	}, decode.Blocks{
 		"fleet": func(_ string, n *kdl.Node) { fleet = n }, "load": func(_ string, n *kdl.Node) { load = n },
 		"nodes": later(&nodes), "trouble": later(&troubles),
@@ -134,7 +134,7 @@
 	classes := map[string]bool{}
 	switch {
 	case like != "":
-		s.like(d, n, like, fleet != nil || load != nil || len(nodes) > 0, classes)
+		s.inherit(d, n, like, fleet != nil || load != nil || len(nodes) > 0, classes)
 	case fleet == nil || load == nil || len(nodes) == 0:
 		d.Fail(n.Pos, "day", "want a fleet, nodes and a load, or another day in \"like\"")
 	default:
@@ -143,7 +143,7 @@
 			classes[k.Name] = true
 		}
 		for i, n := range nodes {
-			s.Nodes = append(s.Nodes, readNodes(d, fmt.Sprintf("nodes[%d]", i), n, classes))
+			s.Servers = append(s.Servers, readServerGroup(d, fmt.Sprintf("nodes[%d]", i), n, classes))
 		}
 		s.Load = readLoad(d, load, classes)
 		if len(s.Fleet.Members) == 0 {
@@ -151,13 +151,13 @@
 		}
 	}
 	for _, n := range troubles {
-		s.Troubles = append(s.Troubles, readTrouble(d, n, classes))
+		s.Faults = append(s.Faults, readFault(d, n, classes))
 	}
 }
 
 // like takes fleet, nodes and load from a built-in day.
-func (s *Script) like(d *decode.Decoder, n *kdl.Node, name string, own bool, classes map[string]bool) {
-	src, err := files.ReadFile("files/" + name + ".kdl")
+func (s *Script) inherit(d *decode.Decoder, n *kdl.Node, name string, own bool, classes map[string]bool) {
+	src, err := builtin.ReadFile("files/" + name + ".kdl")
 	if err != nil || name == s.Name {
 		d.Fail(n.Pos, "like", "%q, want another of the built-in days", name)
 		return
@@ -171,9 +171,9 @@
 		d.Fail(n.Pos, "like", "%q: %v", name, err)
 		return
 	}
-	s.Fleet, s.Nodes, s.Load = base.Fleet, base.Nodes, base.Load
-	if s.ListLag == 0 {
-		s.ListLag = base.ListLag
+	s.Fleet, s.Servers, s.Load = base.Fleet, base.Servers, base.Load
+	if s.DiscoveryDelay == 0 {
+		s.DiscoveryDelay = base.DiscoveryDelay
 	}
 	for _, k := range s.Fleet.Decide.Classes {
 		classes[k.Name] = true
@@ -191,16 +191,16 @@
 func className(to *string, classes map[string]bool) func(decode.Setting) {
 	return func(s decode.Setting) {
 		if *to = s.Value.Text; !classes[*to] {
-			s.Wrong("a class of the fleet")
+			s.Reject("a class of the fleet")
 		}
 	}
 }
 
-func readNodes(d *decode.Decoder, at string, n *kdl.Node, classes map[string]bool) Nodes {
-	x := Nodes{Cores: 2, Queue: 64, Speed: 1, Work: map[string]time.Duration{}}
+func readServerGroup(d *decode.Decoder, at string, n *kdl.Node, classes map[string]bool) ServerGroup {
+	x := ServerGroup{Cores: 2, Queue: 64, Speed: 1, Work: map[string]time.Duration{}}
 	count(d, at, n, &x.Count)
-	d.Block(at, n, decode.Fields{"cores": decode.Whole(&x.Cores, 1, 1024), "queue": decode.Whole(&x.Queue, 0, 1<<20),
-		"speed": decode.Number(&x.Speed, 0.01, 100), "zone": decode.Text(&x.Zone), "cell": decode.Whole(&x.Cell, 0, 1<<20)},
+	d.Block(at, n, decode.Fields{"cores": decode.Int(&x.Cores, 1, 1024), "queue": decode.Int(&x.Queue, 0, 1<<20),
+		"speed": decode.Number(&x.Speed, 0.01, 100), "zone": decode.String(&x.Zone), "cell": decode.Int(&x.Cell, 0, 1<<20)},
 		decode.Blocks{"work": func(at string, n *kdl.Node) {
 			if len(n.Args) != 2 || !classes[n.Args[0].Text] {
 				d.Fail(n.Pos, at, "want a class of the fleet and a duration")
@@ -219,17 +219,17 @@
 }
 
 func readLoad(d *decode.Decoder, n *kdl.Node, classes map[string]bool) Load {
-	l := Load{Wait: 50 * time.Millisecond}
+	l := Load{RetryDelay: 50 * time.Millisecond}
 	sum := 0.0
-	d.Block("load", n, decode.Fields{"rate": decode.Rate(&l.Rate), "retries": decode.Whole(&l.Retries, 0, 10),
-		"wait": decode.Duration(&l.Wait, 0)}, decode.Blocks{"class": func(at string, n *kdl.Node) {
-		c := ClassLoad{Units: 1}
+	d.Block("load", n, decode.Fields{"rate": decode.Rate(&l.Rate), "retries": decode.Int(&l.Retries, 0, 10),
+		"wait": decode.Duration(&l.RetryDelay, 0)}, decode.Blocks{"class": func(at string, n *kdl.Node) {
+		c := ClassLoad{MaxUnits: 1}
 		if len(n.Args) != 1 || !classes[n.Args[0].Text] {
 			d.Fail(n.Pos, at, "want a class of the fleet")
 			return
 		}
 		c.Class = n.Args[0].Text
-		d.Block(at, n, decode.Fields{"share": decode.Number(&c.Share, 0, 1), "units": decode.Whole(&c.Units, 1, 1000)}, nil, "share")
+		d.Block(at, n, decode.Fields{"share": decode.Number(&c.Share, 0, 1), "units": decode.Int(&c.MaxUnits, 1, 1000)}, nil, "share")
 		sum += c.Share
 		l.Classes = append(l.Classes, c)
 	}}, "rate")
@@ -239,16 +239,16 @@
 	return l
 }
 
-func readTrouble(d *decode.Decoder, n *kdl.Node, classes map[string]bool) Trouble {
-	t := Trouble{Pos: n.Pos, Count: 1, Size: 1}
-	if len(n.Args) != 1 || Kinds[n.Args[0].Text] == "" {
-		d.Fail(n.Pos, "trouble", "%v, want one of %v", n.Args, decode.Sorted(Kinds))
+func readFault(d *decode.Decoder, n *kdl.Node, classes map[string]bool) Fault {
+	t := Fault{Pos: n.Pos, Count: 1, Size: 1}
+	if len(n.Args) != 1 || FaultKinds[n.Args[0].Text] == "" {
+		d.Fail(n.Pos, "trouble", "%v, want one of %v", n.Args, decode.SortedKeys(FaultKinds))
 		return t
 	}
 	t.Kind = n.Args[0].Text
 	at := "trouble " + t.Kind
-	d.Block(at, n, decode.Fields{"at": decode.Duration(&t.At, 0), "for": decode.Duration(&t.For, 0),
-		"count": decode.Whole(&t.Count, 1, 10000), "size": decode.Number(&t.Size, 0, 10000),
+	d.Block(at, n, decode.Fields{"at": decode.Duration(&t.At, 0), "for": decode.Duration(&t.Duration, 0),
+		"count": decode.Int(&t.Count, 1, 10000), "size": decode.Number(&t.Size, 0, 10000),
 		"class": className(&t.Class, classes)}, nil, "at")
 	if slices.Contains([]string{"class_fail", "heavy_tail"}, t.Kind) && t.Class == "" {
 		d.Fail(n.Pos, at+".class", "missing")
--- a/internal/socket/sock.go
+++ b/internal/socket/sock.go
@@ -25,7 +25,7 @@
 
 // Transient reports whether a system call's error passes by itself: the call may be tried again a moment later, and the
 // connection is as good as before.
-func Transient(err error) bool {
+func IsTransient(err error) bool {
 	for _, errno := range []syscall.Errno{syscall.EAGAIN, syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM} {
 		if errors.Is(err, errno) {
 			return true
@@ -56,7 +56,7 @@
 func WriteAll(nc net.Conn, b []byte, within time.Duration) error {
 	nc.SetWriteDeadline(time.Now().Add(within))
 	defer nc.SetWriteDeadline(time.Time{})
-	_, err := Patient(nc).Write(b)
+	_, err := WithRetry(nc).Write(b)
 	return err
 }
 
@@ -71,24 +71,24 @@
 }
 
 // Patient wraps a connection whose reads and writes try again what fails for a moment.
-func Patient(nc net.Conn) net.Conn { return patient{nc} }
+func WithRetry(nc net.Conn) net.Conn { return retryConn{nc} }
 
-type patient struct{ net.Conn }
+type retryConn struct{ net.Conn }
 
-func (p patient) Read(b []byte) (int, error) {
+func (p retryConn) Read(b []byte) (int, error) {
 	for {
 		n, err := p.Conn.Read(b)
-		if n > 0 || err == nil || !Transient(err) {
+		if n > 0 || err == nil || !IsTransient(err) {
 			return n, err
 		}
 		time.Sleep(RetryPause)
 	}
 }
 
-func (p patient) Write(b []byte) (int, error) {
+func (p retryConn) Write(b []byte) (int, error) {
 	for done := 0; ; {
 		n, err := p.Conn.Write(b[done:])
-		if done += n; err == nil || !Transient(err) {
+		if done += n; err == nil || !IsTransient(err) {
 			return done, err
 		}
 		time.Sleep(RetryPause)
@@ -103,7 +103,7 @@
 		n, err := Recv(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case err != nil:
-			ended = !Transient(err)
+			ended = !IsTransient(err)
 		case n == 0:
 			ended = true
 		default:
@@ -114,7 +114,7 @@
 }
 
 // Ready reports whether a listener has a connection to accept.
-func Ready(raw syscall.RawConn) (ready bool) {
+func HasPending(raw syscall.RawConn) (ready bool) {
 	raw.Control(func(fd uintptr) { ready = poll(int32(fd), unix.POLLIN) })
 	return ready
 }
--- a/internal/socket/sock_test.go
+++ b/internal/socket/sock_test.go
@@ -48,17 +48,17 @@
 	f := &flaky{}
 	text := []byte("a text that is written in many steps")
 	for rest := text; len(rest) > 0; {
-		n, err := Patient(f).Write(rest[:min(3, len(rest))])
+		n, err := WithRetry(f).Write(rest[:min(3, len(rest))])
 		if err != nil {
 			t.Fatal(err)
 		}
 		rest = rest[n:]
 	}
-	if got, err := io.ReadAll(Patient(f)); err != nil || !bytes.Equal(got, text) {
+	if got, err := io.ReadAll(WithRetry(f)); err != nil || !bytes.Equal(got, text) {
 		t.Errorf("%q and %v, want %q", got, err, text)
 	}
 	f.fatal = syscall.ECONNRESET
-	if _, err := Patient(f).Write(text); !errors.Is(err, syscall.ECONNRESET) {
+	if _, err := WithRetry(f).Write(text); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("%v, want a reset", err)
 	}
 	if err := WriteAll(f, text, time.Second); !errors.Is(err, syscall.ECONNRESET) {
@@ -72,7 +72,7 @@
 		want bool
 	}{{syscall.EAGAIN, true}, {syscall.EINTR, true}, {syscall.ENOBUFS, true}, {syscall.ENOMEM, true}, {syscall.ECONNRESET, false}, {syscall.EPIPE, false},
 		{syscall.ETIMEDOUT, false}, {syscall.EHOSTUNREACH, false}, {io.EOF, false}, {nil, false}} {
-		if got := Transient(c.err); got != c.want {
+		if got := IsTransient(c.err); got != c.want {
 			t.Errorf("%v passes: %t, want %t", c.err, got, c.want)
 		}
 	}
--- a/internal/testbed/backend/meter_test.go
+++ b/internal/testbed/backend/meter_test.go
@@ -7,22 +7,22 @@
 
 // TestMeter tells the last whole period only, and counts a request once.
 func TestMeter(t *testing.T) {
-	m := NewMeter(time.Hour, map[string]float64{"a": 2})
-	m.use("1", "a", 3600)
-	m.use("1", "a", 3600)
-	m.use("2", "free", 1)
-	if got := m.told("a"); got != 1 {
+	m := NewUsageMeter(time.Hour, map[string]float64{"a": 2})
+	m.add("1", "a", 3600)
+	m.add("1", "a", 3600)
+	m.add("2", "free", 1)
+	if got := m.report("a"); got != 1 {
 		t.Errorf("in its first period it tells %d, want 1", got)
 	}
-	m.began = m.began.Add(-time.Hour)
-	if got := m.told("a"); got != 51 {
+	m.periodStart = m.periodStart.Add(-time.Hour)
+	if got := m.report("a"); got != 51 {
 		t.Errorf("behind it it tells %d, want 51", got)
 	}
-	if got := m.told("free"); got != 0 {
+	if got := m.report("free"); got != 0 {
 		t.Errorf("of a member without a rate it tells %d", got)
 	}
-	m.began = m.began.Add(-3 * time.Hour)
-	if got := m.told("a"); got != 1 {
+	m.periodStart = m.periodStart.Add(-3 * time.Hour)
+	if got := m.report("a"); got != 1 {
 		t.Errorf("behind periods without use it tells %d", got)
 	}
 }
--- a/internal/testbed/backend/node.go
+++ b/internal/testbed/backend/node.go
@@ -19,14 +19,14 @@
 
 // Class says how a node treats a class of work.
 type Class struct {
-	Work   time.Duration // mean, of a core of speed 1
-	Keyed  bool
-	Window time.Duration // repeats of a key are dropped so long
+	MeanWork     time.Duration // mean, of a core of speed 1
+	Deduplicates bool
+	DedupWindow  time.Duration // repeats of a key are dropped so long
 }
 
 // Options describe a node.
 type Options struct {
-	Addr    string // host:port; port 0 lets the kernel choose
+	Address string // host:port; port 0 lets the kernel choose
 	Zone    string
 	Cell    int
 	Cores   int
@@ -35,29 +35,29 @@
 	Classes map[string]Class
 	// A cold start: capacity grows from From to all within For; sent more than Multiple times its capacity
 	// of the moment for Window, the node falls over. From 0 or 1: warm.
-	From         float64
-	For          time.Duration
-	FallMultiple float64
-	FallWindow   time.Duration
-	Seed         uint64
-	Log          *invariant.Log
-	Memory       *Memory // shared by the nodes of a group; nil: its own
-	Meter        *Meter  // shared by all nodes; nil: answers tell nothing of it
+	InitialCapacity   float64
+	SlowStartDuration time.Duration
+	OverloadMultiple  float64
+	OverloadWindow    time.Duration
+	Seed              uint64
+	Log               *invariant.Log
+	Dedup             *DedupStore // shared by the nodes of a group; nil: its own
+	Meter             *UsageMeter // shared by all nodes; nil: answers tell nothing of it
 }
 
 // Memory is what the nodes of a group know of keys.
-type Memory struct {
-	mu      sync.Mutex
-	seen    map[string]time.Time
-	sweep   int           // at so many keys the old ones are dropped
-	longest time.Duration // window of a class
+type DedupStore struct {
+	mu            sync.Mutex
+	seen          map[string]time.Time
+	sweepSize     int           // at so many keys the old ones are dropped
+	longestWindow time.Duration // window of a class
 }
 
 // NewMemory returns an empty one.
-func NewMemory() *Memory { return &Memory{seen: map[string]time.Time{}, sweep: 1024} }
+func NewDedupStore() *DedupStore { return &DedupStore{seen: map[string]time.Time{}, sweepSize: 1024} }
 
 // repeat reports whether the key was taken within the window, and takes it if not.
-func (m *Memory) repeat(key string, window time.Duration) bool {
+func (m *DedupStore) isDuplicate(key string, window time.Duration) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
@@ -65,81 +65,81 @@
 		return true
 	}
 	m.seen[key] = now
-	m.longest = max(m.longest, window)
-	if len(m.seen) >= m.sweep {
+	m.longestWindow = max(m.longestWindow, window)
+	if len(m.seen) >= m.sweepSize {
 		for k, at := range m.seen {
-			if now.Sub(at) >= m.longest {
+			if now.Sub(at) >= m.longestWindow {
 				delete(m.seen, k)
 			}
 		}
-		m.sweep = 2*len(m.seen) + 1024
+		m.sweepSize = 2*len(m.seen) + 1024
 	}
 	return false
 }
 
 // Trouble is what is wrong with a node; the zero value is nothing.
-type Trouble struct {
-	Slow      float64         // times slower; 0 or 1: not
-	Errors    float64         // share that fails quickly
-	Mute      map[string]bool // classes that are run but never answered
-	Silent    bool            // takes everything, does and answers nothing
-	Tail      map[string]float64
-	NoReport  bool    // answers tell nothing of its load
-	TailShare float64 // share of a class in Tail that costs its factor
+type Fault struct {
+	Slowdown          float64         // times slower; 0 or 1: not
+	ErrorShare        float64         // share that fails quickly
+	UnansweredClasses map[string]bool // classes that are run but never answered
+	Unresponsive      bool            // takes everything, does and answers nothing
+	TailFactor        map[string]float64
+	OmitLoadReport    bool    // answers tell nothing of its load
+	TailShare         float64 // share of a class in Tail that costs its factor
 }
 
 // Node is a running one.
-type Node struct {
-	o    Options
-	ln   net.Listener
-	addr string
-
-	mu      sync.Mutex
-	trouble Trouble
-	rng     *rand.Rand
-	queue   []*job
-	running int
-	ran     int
-	started time.Time
-	fallen  bool
-	closed  bool
-	sent    []load // of the last window, for falling over
-	conns   map[net.Conn]*conn
-	rate    float64 // answers a second, faded
-	rateAt  time.Time
-	took    float64 // usual service time, ms
+type Server struct {
+	options Options
+	ln      net.Listener
+	addr    string
+
+	mu            sync.Mutex
+	fault         Fault
+	rng           *rand.Rand
+	queue         []*job
+	running       int
+	completed     int
+	started       time.Time
+	overloaded    bool
+	closed        bool
+	recentLoad    []loadSample // of the last window, for falling over
+	conns         map[net.Conn]*clientConn
+	rate          float64 // answers a second, faded
+	rateAt        time.Time
+	meanLatencyMs float64 // usual service time, ms
 }
 
-type load struct {
+type loadSample struct {
 	at   time.Time
 	work time.Duration
 }
 
-type conn struct {
-	n    *Node
-	link *wsconn.Conn
-	jobs map[string]*job // by JSON-RPC id
+type clientConn struct {
+	server *Server
+	ws     *wsconn.Conn
+	jobs   map[string]*job // by JSON-RPC id
 }
 
 type job struct {
-	c       *conn
-	id      jsonrpc.ID
-	p       params
-	class   string
-	work    time.Duration
-	told    float64 // units of its answer
-	dropped bool    // withdrawn while it waited
-	gone    bool
+	conn          *clientConn
+	id            jsonrpc.ID
+	params        callParams
+	class         string
+	work          time.Duration
+	reportedUnits float64 // units of its answer
+	cancelled     bool    // withdrawn while it waited
+	disconnected  bool
 }
 
-type params struct {
-	Request string  `json:"request"`
-	Attempt int     `json:"attempt"`
-	Member  string  `json:"member"`
-	Key     string  `json:"key"`
-	Units   float64 `json:"units"`
-	Timeout float64 `json:"timeout_ms"`
-	Work    struct {
+type callParams struct {
+	Request   string  `json:"request"`
+	Attempt   int     `json:"attempt"`
+	Member    string  `json:"member"`
+	Key       string  `json:"key"`
+	Units     float64 `json:"units"`
+	TimeoutMs float64 `json:"timeout_ms"`
+	Work      struct {
 		Try   string  `json:"try"`
 		Units float64 `json:"true_units"`
 		Cost  float64 `json:"cost"` // times the usual work
@@ -147,50 +147,52 @@
 }
 
 // Start runs a node until Stop.
-func Start(o Options) (*Node, error) {
-	ln, err := net.Listen("tcp", o.Addr)
+func Start(o Options) (*Server, error) {
+	ln, err := net.Listen("tcp", o.Address)
 	if err != nil {
 		return nil, err
 	}
-	if o.Memory == nil {
-		o.Memory = NewMemory()
+	if o.Dedup == nil {
+		o.Dedup = NewDedupStore()
 	}
 	if o.Log == nil {
 		o.Log = invariant.Discard()
 	}
-	n := &Node{o: o, ln: ln, addr: ln.Addr().String(), rng: rand.New(rand.NewPCG(o.Seed, 1)), started: time.Now(),
-		conns: map[net.Conn]*conn{}, rateAt: time.Now()}
-	if n.cold() {
-		o.Log.Add(invariant.Record{K: invariant.Cold, Node: n.addr, Capacity: n.capacity(), From: o.From, For: o.For})
+	n := &Server{options: o, ln: ln, addr: ln.Addr().String(), rng: rand.New(rand.NewPCG(o.Seed, 1)), started: time.Now(),
+		conns: map[net.Conn]*clientConn{}, rateAt: time.Now()}
+	if n.slowStarts() {
+		o.Log.Add(invariant.Record{Kind: invariant.SlowStarted, Server: n.addr, Capacity: n.capacity(), InitialCapacity: o.InitialCapacity, Duration: o.SlowStartDuration})
 	}
-	go wsconn.Listen(ln, n.conn)
+	go wsconn.Serve(ln, n.serveConn)
 	return n, nil
 }
 
 // Addr is where it listens.
-func (n *Node) Addr() string { return n.addr }
+func (n *Server) Addr() string { return n.addr }
 
-func (n *Node) cold() bool { return n.o.From > 0 && n.o.From < 1 && n.o.For > 0 }
+func (n *Server) slowStarts() bool {
+	return n.options.InitialCapacity > 0 && n.options.InitialCapacity < 1 && n.options.SlowStartDuration > 0
+}
 
-func (n *Node) capacity() float64 { return float64(n.o.Cores) * n.o.Speed }
+func (n *Server) capacity() float64 { return float64(n.options.Cores) * n.options.Speed }
 
 // ramp is the part of its capacity that the node has by now.
-func (n *Node) ramp(now time.Time) float64 {
-	if !n.cold() {
+func (n *Server) capacityShare(now time.Time) float64 {
+	if !n.slowStarts() {
 		return 1
 	}
-	return min(1, n.o.From+(1-n.o.From)*now.Sub(n.started).Seconds()/n.o.For.Seconds())
+	return min(1, n.options.InitialCapacity+(1-n.options.InitialCapacity)*now.Sub(n.started).Seconds()/n.options.SlowStartDuration.Seconds())
 }
 
 // Set changes what is wrong with it.
-func (n *Node) Set(f func(*Trouble)) {
+func (n *Server) SetFault(f func(*Fault)) {
 	n.mu.Lock()
-	f(&n.trouble)
+	f(&n.fault)
 	n.mu.Unlock()
 }
 
 // Stop ends it at once, as a crash does: connections are reset, work is lost.
-func (n *Node) Stop() {
+func (n *Server) Stop() {
 	n.mu.Lock()
 	n.closed, n.queue = true, nil
 	n.ln.Close()
@@ -204,7 +206,7 @@
 }
 
 // Cut breaks all connections and goes on.
-func (n *Node) Cut() {
+func (n *Server) CloseConnections() {
 	n.mu.Lock()
 	for nc := range n.conns {
 		nc.Close()
@@ -212,12 +214,12 @@
 	n.mu.Unlock()
 }
 
-func (n *Node) conn(nc net.Conn) {
-	l, err := wsconn.Accept(nc, "jsonrpc", 5*time.Second, nil, wsconn.Options{Queue: 8 << 20, ReadBuffer: 16 << 10})
+func (n *Server) serveConn(nc net.Conn) {
+	l, err := wsconn.Accept(nc, "jsonrpc", 5*time.Second, nil, wsconn.Options{MaxQueue: 8 << 20, ReadBuffer: 16 << 10})
 	if err != nil {
 		return
 	}
-	c := &conn{n: n, link: l, jobs: map[string]*job{}}
+	c := &clientConn{server: n, ws: l, jobs: map[string]*job{}}
 	n.mu.Lock()
 	if n.closed {
 		n.mu.Unlock()
@@ -226,7 +228,7 @@
 	n.conns[nc] = c
 	n.mu.Unlock()
 	for {
-		data, err := c.link.Read()
+		data, err := c.ws.Read()
 		if err != nil {
 			break
 		}
@@ -236,176 +238,176 @@
 		}
 		n.mu.Lock()
 		for i := range items {
-			n.take(c, &items[i])
+			n.handle(c, &items[i])
 		}
 		n.mu.Unlock()
 	}
 	n.mu.Lock()
 	delete(n.conns, nc)
 	for _, j := range c.jobs {
-		n.withdraw(j)
-		j.gone = true
+		n.cancel(j)
+		j.disconnected = true
 	}
 	n.mu.Unlock()
 }
 
-func (n *Node) withdraw(j *job) {
-	j.dropped = true
-	n.o.Log.Add(invariant.Record{K: invariant.Withdrawn, Node: n.addr, Request: j.p.Request, Attempt: j.p.Attempt, Try: j.p.Work.Try})
+func (n *Server) cancel(j *job) {
+	j.cancelled = true
+	n.options.Log.Add(invariant.Record{Kind: invariant.Cancelled, Server: n.addr, Request: j.params.Request, Attempt: j.params.Attempt, CallID: j.params.Work.Try})
 }
 
-func (n *Node) take(c *conn, it *jsonrpc.Item) {
+func (n *Server) handle(c *clientConn, it *jsonrpc.Message) {
 	if it.Method == "cancel" {
 		var p struct {
 			ID json.RawMessage `json:"id"`
 		}
 		if json.Unmarshal(it.Params, &p) == nil && c.jobs[string(p.ID)] != nil {
-			n.withdraw(c.jobs[string(p.ID)])
+			n.cancel(c.jobs[string(p.ID)])
 		}
 		return
 	}
-	j := &job{c: c, id: it.ID, class: it.Method}
-	if it.Bad || it.ID == "" || json.Unmarshal(it.Params, &j.p) != nil {
+	j := &job{conn: c, id: it.ID, class: it.Method}
+	if it.Invalid || it.ID == "" || json.Unmarshal(it.Params, &j.params) != nil {
 		return
 	}
-	k, known := n.o.Classes[it.Method]
+	k, known := n.options.Classes[it.Method]
 	if !known {
-		c.link.Send(jsonrpc.AppendError(nil, it.ID, &jsonrpc.Error{Code: jsonrpc.CodeNoMethod, Message: "no such class"}))
+		c.ws.Send(jsonrpc.AppendError(nil, it.ID, &jsonrpc.Error{Code: jsonrpc.CodeMethodNotFound, Message: "no such class"}))
 		return
 	}
 	now := time.Now()
-	j.work = n.cost(k, &j.p, it.Method)
-	rec := invariant.Record{K: invariant.Arrive, Node: n.addr, Zone: n.o.Zone, Cell: n.o.Cell, Request: j.p.Request,
-		Attempt: j.p.Attempt, Member: j.p.Member, Class: it.Method, Key: j.p.Key, Units: j.p.Units, Try: j.p.Work.Try, Work: j.work,
-		T: n.o.Log.Now()}
-	rec.Deadline = rec.T + time.Duration(j.p.Timeout*float64(time.Millisecond))
-	n.o.Log.Add(rec)
+	j.work = n.cost(k, &j.params, it.Method)
+	rec := invariant.Record{Kind: invariant.Received, Server: n.addr, Zone: n.options.Zone, Cell: n.options.Cell, Request: j.params.Request,
+		Attempt: j.params.Attempt, Member: j.params.Member, Class: it.Method, Key: j.params.Key, Units: j.params.Units, CallID: j.params.Work.Try, Work: j.work,
+		At: n.options.Log.Now()}
+	rec.Deadline = rec.At + time.Duration(j.params.TimeoutMs*float64(time.Millisecond))
+	n.options.Log.Add(rec)
 	c.jobs[string(it.ID)] = j
-	if n.o.Meter != nil {
-		n.o.Meter.use(j.p.Request, j.p.Member, j.p.Units)
+	if n.options.Meter != nil {
+		n.options.Meter.add(j.params.Request, j.params.Member, j.params.Units)
 	}
-	n.press(now, j.work)
+	n.checkOverload(now, j.work)
 	switch {
-	case n.trouble.Silent || n.fallen:
-	case n.rng.Float64() < n.trouble.Errors:
-		n.answer(j, jsonrpc.AppendError(nil, j.id, &jsonrpc.Error{Code: jsonrpc.CodeError, Message: "the node fails"}))
-	case k.Keyed && j.p.Key != "" && n.o.Memory.repeat(j.p.Key, k.Window):
-		n.note(invariant.Repeat, j)
-		n.answer(j, jsonrpc.AppendResult(nil, j.id, n.result(j)))
-	case n.running >= n.o.Cores && len(n.queue) >= n.o.Queue:
-		n.note(invariant.Turned, j)
-		n.answer(j, jsonrpc.AppendError(nil, j.id, &jsonrpc.Error{Code: jsonrpc.CodeFull, Message: "queue is full"}))
+	case n.fault.Unresponsive || n.overloaded:
+	case n.rng.Float64() < n.fault.ErrorShare:
+		n.reply(j, jsonrpc.AppendError(nil, j.id, &jsonrpc.Error{Code: jsonrpc.CodeServerError, Message: "the node fails"}))
+	case k.Deduplicates && j.params.Key != "" && n.options.Dedup.isDuplicate(j.params.Key, k.DedupWindow):
+		n.record(invariant.Deduplicated, j)
+		n.reply(j, jsonrpc.AppendResult(nil, j.id, n.resultBody(j)))
+	case n.running >= n.options.Cores && len(n.queue) >= n.options.Queue:
+		n.record(invariant.ServerRejected, j)
+		n.reply(j, jsonrpc.AppendError(nil, j.id, &jsonrpc.Error{Code: jsonrpc.CodeServerFull, Message: "queue is full"}))
 	default:
 		n.queue = append(n.queue, j)
-		n.next()
+		n.startQueued()
 	}
 }
 
-func (n *Node) note(k invariant.Kind, j *job) {
-	n.o.Log.Add(invariant.Record{K: k, Node: n.addr, Zone: n.o.Zone, Cell: n.o.Cell, Request: j.p.Request, Attempt: j.p.Attempt,
-		Class: j.class, Key: j.p.Key, Try: j.p.Work.Try, Member: j.p.Member, Work: j.work,
-		Units: j.told})
+func (n *Server) record(k invariant.Kind, j *job) {
+	n.options.Log.Add(invariant.Record{Kind: k, Server: n.addr, Zone: n.options.Zone, Cell: n.options.Cell, Request: j.params.Request, Attempt: j.params.Attempt,
+		Class: j.class, Key: j.params.Key, CallID: j.params.Work.Try, Member: j.params.Member, Work: j.work,
+		Units: j.reportedUnits})
 }
 
 // cost is the work of a call: gamma-like around the mean, so that few are very short.
-func (n *Node) cost(k Class, p *params, class string) time.Duration {
+func (n *Server) cost(k Class, p *callParams, class string) time.Duration {
 	x := (n.rng.ExpFloat64() + n.rng.ExpFloat64() + n.rng.ExpFloat64() + n.rng.ExpFloat64()) / 4
 	if p.Work.Cost > 0 {
 		x *= p.Work.Cost
 	}
-	if f := n.trouble.Tail[class]; f > 0 && n.rng.Float64() < n.trouble.TailShare {
+	if f := n.fault.TailFactor[class]; f > 0 && n.rng.Float64() < n.fault.TailShare {
 		x *= f
 	}
-	return time.Duration(x * float64(k.Work))
+	return time.Duration(x * float64(k.MeanWork))
 }
 
 // press makes a cold node fall over when it is sent too much.
-func (n *Node) press(now time.Time, work time.Duration) {
-	if !n.cold() || n.fallen || n.ramp(now) >= 1 || n.o.FallWindow <= 0 {
+func (n *Server) checkOverload(now time.Time, work time.Duration) {
+	if !n.slowStarts() || n.overloaded || n.capacityShare(now) >= 1 || n.options.OverloadWindow <= 0 {
 		return
 	}
-	n.sent = append(n.sent, load{now, work})
+	n.recentLoad = append(n.recentLoad, loadSample{now, work})
 	var sum time.Duration
-	for len(n.sent) > 0 && now.Sub(n.sent[0].at) > n.o.FallWindow {
-		n.sent = n.sent[1:]
+	for len(n.recentLoad) > 0 && now.Sub(n.recentLoad[0].at) > n.options.OverloadWindow {
+		n.recentLoad = n.recentLoad[1:]
 	}
-	for _, s := range n.sent {
+	for _, s := range n.recentLoad {
 		sum += s.work
 	}
-	if sum.Seconds() > n.o.FallMultiple*n.ramp(now)*n.capacity()*n.o.FallWindow.Seconds()+4*work.Seconds() {
-		n.fallen = true
-		n.o.Log.Add(invariant.Record{K: invariant.Fell, Node: n.addr})
+	if sum.Seconds() > n.options.OverloadMultiple*n.capacityShare(now)*n.capacity()*n.options.OverloadWindow.Seconds()+4*work.Seconds() {
+		n.overloaded = true
+		n.options.Log.Add(invariant.Record{Kind: invariant.Overloaded, Server: n.addr})
 	}
 }
 
 // next starts work while a core is free.
-func (n *Node) next() {
-	for n.running < n.o.Cores && len(n.queue) > 0 && !n.closed {
+func (n *Server) startQueued() {
+	for n.running < n.options.Cores && len(n.queue) > 0 && !n.closed {
 		j := n.queue[0]
 		n.queue = n.queue[1:]
-		if j.dropped || j.gone {
-			delete(j.c.jobs, string(j.id))
+		if j.cancelled || j.disconnected {
+			delete(j.conn.jobs, string(j.id))
 			continue
 		}
 		n.running++
-		n.note(invariant.Run, j)
-		slow := max(1, n.trouble.Slow)
-		took := time.Duration(float64(j.work) * slow / (n.o.Speed * n.ramp(time.Now())))
+		n.record(invariant.WorkStarted, j)
+		slow := max(1, n.fault.Slowdown)
+		took := time.Duration(float64(j.work) * slow / (n.options.Speed * n.capacityShare(time.Now())))
 		time.AfterFunc(took, func() { n.finish(j, took) })
 	}
 }
 
 // Ran is how many calls the node has worked to their end.
-func (n *Node) Ran() int {
+func (n *Server) Completed() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.ran
+	return n.completed
 }
 
-func (n *Node) finish(j *job, took time.Duration) {
+func (n *Server) finish(j *job, took time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.running--
 	if n.closed {
 		return
 	}
-	n.note(invariant.Ran, j)
-	n.ran++
+	n.record(invariant.WorkEnded, j)
+	n.completed++
 	now := time.Now()
 	n.rate = n.rate*math.Exp(-now.Sub(n.rateAt).Seconds()) + 1
 	n.rateAt = now
-	n.took += 0.1 * (took.Seconds()*1000 - n.took)
-	if !n.trouble.Mute[j.class] && !n.trouble.Silent && !n.fallen {
-		n.answer(j, jsonrpc.AppendResult(nil, j.id, n.result(j)))
+	n.meanLatencyMs += 0.1 * (took.Seconds()*1000 - n.meanLatencyMs)
+	if !n.fault.UnansweredClasses[j.class] && !n.fault.Unresponsive && !n.overloaded {
+		n.reply(j, jsonrpc.AppendResult(nil, j.id, n.resultBody(j)))
 	}
-	n.next()
+	n.startQueued()
 }
 
-func (n *Node) result(j *job) []byte {
-	units := j.p.Units
-	if j.p.Work.Units > 0 {
-		units = j.p.Work.Units
+func (n *Server) resultBody(j *job) []byte {
+	units := j.params.Units
+	if j.params.Work.Units > 0 {
+		units = j.params.Work.Units
 	}
-	j.told = units
+	j.reportedUnits = units
 	b := strconv.AppendFloat([]byte(`{"units":`), units, 'g', -1, 64)
-	if n.o.Meter != nil {
-		b = strconv.AppendInt(append(b, `,"metered":`...), int64(n.o.Meter.told(j.p.Member)), 10)
+	if n.options.Meter != nil {
+		b = strconv.AppendInt(append(b, `,"metered":`...), int64(n.options.Meter.report(j.params.Member)), 10)
 	}
-	if !n.trouble.NoReport {
+	if !n.fault.OmitLoadReport {
 		b = strconv.AppendInt(append(b, `,"load":{"queue":`...), int64(len(n.queue)), 10)
 		b = strconv.AppendFloat(append(b, `,"qps":`...), n.rate, 'f', 1, 64)
-		b = strconv.AppendFloat(append(b, `,"latency_ms":`...), n.took, 'f', 1, 64)
+		b = strconv.AppendFloat(append(b, `,"latency_ms":`...), n.meanLatencyMs, 'f', 1, 64)
 		b = append(b, '}')
 	}
 	b = append(append(b, `,"body":{"node":`...), strconv.Quote(n.addr)...)
 	return append(b, `}}`...)
 }
 
-func (n *Node) answer(j *job, data []byte) {
-	delete(j.c.jobs, string(j.id))
-	if j.gone {
+func (n *Server) reply(j *job, data []byte) {
+	delete(j.conn.jobs, string(j.id))
+	if j.disconnected {
 		return
 	}
-	n.note(invariant.Replied, j)
-	j.c.link.Send(data)
+	n.record(invariant.ServerAnswered, j)
+	j.conn.ws.Send(data)
 }
--- a/internal/testbed/discovery/list.go
+++ b/internal/testbed/discovery/list.go
@@ -18,22 +18,22 @@
 )
 
 // List is a running one.
-type List struct {
-	ln   net.Listener
-	log  *invariant.Log
-	lag  time.Duration
-	mu   sync.Mutex
-	ver  uint64
-	all  map[string]discoveryws.Entry
-	ever map[string]bool
-	subs map[*wsconn.Conn]int // rank
-	nets map[net.Conn]bool
-	mute bool
-	down bool
+type Server struct {
+	ln          net.Listener
+	log         *invariant.Log
+	delay       time.Duration
+	mu          sync.Mutex
+	version     uint64
+	endpoints   map[string]discoveryws.Endpoint
+	everListed  map[string]bool
+	subscribers map[*wsconn.Conn]int // rank
+	conns       map[net.Conn]bool
+	silent      bool
+	stopped     bool
 }
 
 // Start runs a list; what changes is told after the lag.
-func Start(addr string, lag time.Duration, log *invariant.Log) (*List, error) {
+func Start(addr string, lag time.Duration, log *invariant.Log) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
@@ -41,51 +41,51 @@
 	if log == nil {
 		log = invariant.Discard()
 	}
-	l := &List{ln: ln, log: log, lag: lag, all: map[string]discoveryws.Entry{}, ever: map[string]bool{}, subs: map[*wsconn.Conn]int{},
-		nets: map[net.Conn]bool{}}
-	go wsconn.Listen(ln, l.conn)
+	l := &Server{ln: ln, log: log, delay: lag, endpoints: map[string]discoveryws.Endpoint{}, everListed: map[string]bool{}, subscribers: map[*wsconn.Conn]int{},
+		conns: map[net.Conn]bool{}}
+	go wsconn.Serve(ln, l.serveConn)
 	return l, nil
 }
 
 // Addr is where it listens.
-func (l *List) Addr() string { return l.ln.Addr().String() }
+func (l *Server) Addr() string { return l.ln.Addr().String() }
 
 // Silence stops it from telling anything, or lets it go on; going on it tells the whole list.
-func (l *List) Silence(on bool) {
+func (l *Server) SetSilent(on bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.mute = on; !on {
-		l.tellAll(discoveryws.MethodFull, l.whole())
+	if l.silent = on; !on {
+		l.broadcast(discoveryws.MethodFull, l.snapshot())
 	}
 }
 
 // Stop ends it.
-func (l *List) Stop() {
+func (l *Server) Stop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.down = true
+	l.stopped = true
 	l.ln.Close()
-	for nc := range l.nets {
+	for nc := range l.conns {
 		nc.Close()
 	}
 }
 
 // Set changes entries and tells of them after the lag.
-func (l *List) Set(es ...discoveryws.Entry) {
+func (l *Server) Update(es ...discoveryws.Endpoint) {
 	change := func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.ver++
+		l.version++
 		for _, e := range es {
-			l.ever[e.Node] = true
-			if l.all[e.Node] = e; e.State == "gone" {
-				delete(l.all, e.Node)
+			l.everListed[e.Address] = true
+			if l.endpoints[e.Address] = e; e.State == "gone" {
+				delete(l.endpoints, e.Address)
 			}
 		}
-		l.tellAll(discoveryws.MethodChange, discoveryws.Update{Version: l.ver, Now: time.Now().UnixMilli(), Nodes: es})
+		l.broadcast(discoveryws.MethodChange, discoveryws.Update{Version: l.version, NowMs: time.Now().UnixMilli(), Endpoints: es})
 	}
 	l.mu.Lock()
-	lag := l.lag
+	lag := l.delay
 	l.mu.Unlock()
 	if lag == 0 {
 		change()
@@ -95,28 +95,28 @@
 }
 
 // Lag sets after what time changes are told.
-func (l *List) Lag(d time.Duration) {
+func (l *Server) SetDelay(d time.Duration) {
 	l.mu.Lock()
-	l.lag = d
+	l.delay = d
 	l.mu.Unlock()
 }
 
 // Fill takes entries at once, as a list does that starts anew and finds them.
-func (l *List) Fill(es []discoveryws.Entry) {
+func (l *Server) Replace(es []discoveryws.Endpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ver++
+	l.version++
 	for _, e := range es {
-		l.all[e.Node], l.ever[e.Node] = e, true
+		l.endpoints[e.Address], l.everListed[e.Address] = e, true
 	}
-	l.tellAll(discoveryws.MethodFull, l.whole())
+	l.broadcast(discoveryws.MethodFull, l.snapshot())
 }
 
 // Raw sends an update as it is, right or wrong, without taking it itself.
-func (l *List) Raw(method string, u discoveryws.Update) {
+func (l *Server) SendRaw(method string, u discoveryws.Update) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for c := range l.subs {
+	for c := range l.subscribers {
 		// Not noted as told: what of it a gateway may take, it takes by what it is told after.
 		if raw, err := json.Marshal(u); err == nil {
 			c.Send(jsonrpc.AppendCall(nil, "", method, raw))
@@ -125,69 +125,69 @@
 }
 
 // Version is the last one.
-func (l *List) Version() uint64 {
+func (l *Server) Version() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.ver
+	return l.version
 }
 
 // Entries are all nodes on it.
-func (l *List) Entries() []discoveryws.Entry {
+func (l *Server) Endpoints() []discoveryws.Endpoint {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.whole().Nodes
+	return l.snapshot().Endpoints
 }
 
-func (l *List) whole() discoveryws.Update {
-	u := discoveryws.Update{Version: l.ver, Now: time.Now().UnixMilli()}
-	for _, e := range l.all {
-		u.Nodes = append(u.Nodes, e)
+func (l *Server) snapshot() discoveryws.Update {
+	u := discoveryws.Update{Version: l.version, NowMs: time.Now().UnixMilli()}
+	for _, e := range l.endpoints {
+		u.Endpoints = append(u.Endpoints, e)
 	}
-	sort.Slice(u.Nodes, func(i, j int) bool { return u.Nodes[i].Node < u.Nodes[j].Node })
+	sort.Slice(u.Endpoints, func(i, j int) bool { return u.Endpoints[i].Address < u.Endpoints[j].Address })
 	return u
 }
 
-func (l *List) tellAll(method string, u discoveryws.Update) {
-	if l.mute || l.down {
+func (l *Server) broadcast(method string, u discoveryws.Update) {
+	if l.silent || l.stopped {
 		return
 	}
-	for c, rank := range l.subs {
-		l.tell(c, rank, method, u)
+	for c, rank := range l.subscribers {
+		l.notify(c, rank, method, u)
 	}
 }
 
-func (l *List) tell(c *wsconn.Conn, rank int, method string, u discoveryws.Update) {
+func (l *Server) notify(c *wsconn.Conn, rank int, method string, u discoveryws.Update) {
 	raw, err := json.Marshal(u)
 	if err != nil || c.Send(jsonrpc.AppendCall(nil, "", method, raw)) != nil {
 		return
 	}
 	listed := map[string]bool{}
-	for _, e := range u.Nodes {
-		listed[e.Node] = true
-		l.log.Add(invariant.Record{K: invariant.Told, Gateway: rank, Node: e.Node, State: e.State})
+	for _, e := range u.Endpoints {
+		listed[e.Address] = true
+		l.log.Add(invariant.Record{Kind: invariant.EndpointSent, Gateway: rank, Server: e.Address, State: e.State})
 	}
 	if method == discoveryws.MethodFull {
-		for node := range l.ever { // a whole list without a node says that it is gone
+		for node := range l.everListed { // a whole list without a node says that it is gone
 			if !listed[node] {
-				l.log.Add(invariant.Record{K: invariant.Told, Gateway: rank, Node: node, State: "gone"})
+				l.log.Add(invariant.Record{Kind: invariant.EndpointSent, Gateway: rank, Server: node, State: "gone"})
 			}
 		}
 	}
 }
 
-func (l *List) conn(nc net.Conn) {
+func (l *Server) serveConn(nc net.Conn) {
 	rank := 0
 	c, err := wsconn.Accept(nc, "jsonrpc", 5*time.Second, func(u *websocket.Upgrade) (err error) {
 		rank, err = strconv.Atoi(u.Header["x-gateway-rank"])
 		return err
-	}, wsconn.Options{Queue: 8 << 20})
+	}, wsconn.Options{MaxQueue: 8 << 20})
 	if err != nil {
 		return
 	}
 	l.mu.Lock()
-	l.subs[c], l.nets[nc] = rank, true
-	if !l.mute && !l.down {
-		l.tell(c, rank, discoveryws.MethodFull, l.whole())
+	l.subscribers[c], l.conns[nc] = rank, true
+	if !l.silent && !l.stopped {
+		l.notify(c, rank, discoveryws.MethodFull, l.snapshot())
 	}
 	l.mu.Unlock()
 	for {
@@ -199,15 +199,15 @@
 		for _, it := range items {
 			if it.Method == discoveryws.MethodFetch {
 				l.mu.Lock()
-				if !l.mute {
-					l.tell(c, rank, discoveryws.MethodFull, l.whole())
+				if !l.silent {
+					l.notify(c, rank, discoveryws.MethodFull, l.snapshot())
 				}
 				l.mu.Unlock()
 			}
 		}
 	}
 	l.mu.Lock()
-	delete(l.subs, c)
-	delete(l.nets, nc)
+	delete(l.subscribers, c)
+	delete(l.conns, nc)
 	l.mu.Unlock()
 }
--- a/internal/testbed/metricsreceiver/remotewrite.go
+++ b/internal/testbed/metricsreceiver/remotewrite.go
@@ -21,57 +21,57 @@
 )
 
 // Trouble is what is wrong; the zero value is nothing.
-type Trouble struct {
-	Status     int // it answers this, and keeps nothing
-	RetryAfter string
-	Early      bool   // it answers 200 before it has read, and keeps nothing
-	Cut        bool   // it keeps and cuts the connection
-	Reject     string // it answers 400 to a batch with a series that has this in its name or labels
-	Most       int    // it answers 413 to more samples than that
-	OnlyOne    bool   // it answers 415 to 2.0
-	Blind      bool   // it takes 2.0 for 1.0: it answers 200, tells nothing of what it wrote, and keeps nothing
-	Slow       time.Duration
+type Fault struct {
+	Status         int // it answers this, and keeps nothing
+	RetryAfter     string
+	RespondEarly   bool   // it answers 200 before it has read, and keeps nothing
+	DropConnection bool   // it keeps and cuts the connection
+	Reject         string // it answers 400 to a batch with a series that has this in its name or labels
+	MaxSamples     int    // it answers 413 to more samples than that
+	OnlyV1         bool   // it answers 415 to 2.0
+	MisreadsV2     bool   // it takes 2.0 for 1.0: it answers 200, tells nothing of what it wrote, and keeps nothing
+	Delay          time.Duration
 }
 
 // pointsMost is how many points of a series are kept.
-const pointsMost = 20000
+const maxPoints = 20000
 
 // Point is a sample that came.
 type Point struct {
-	At    int64 // Unix ms
-	Value float64
-	Count uint64 // of a native histogram ...
-	Sum   float64
-	Hist  bool
-	proto []byte // of a native histogram, as it came
+	TimestampMs int64 // Unix ms
+	Value       float64
+	Count       uint64 // of a native histogram ...
+	Sum         float64
+	IsHistogram bool
+	encoded     []byte // of a native histogram, as it came
 }
 
 // Recorded is a series as Record writes it, a line of JSON each. Where H is not empty the series is of native histograms, each
 // an io.prometheus.write.v2.Histogram.
-type Recorded struct {
-	Labels map[string]string `json:"labels"`
-	At     []int64           `json:"t"` // Unix ms
-	V      []string          `json:"v,omitempty"`
-	H      [][]byte          `json:"h,omitempty"`
+type StoredSeries struct {
+	Labels       map[string]string `json:"labels"`
+	TimestampsMs []int64           `json:"t"` // Unix ms
+	Values       []string          `json:"v,omitempty"`
+	Histograms   [][]byte          `json:"h,omitempty"`
 }
 
 // Record writes all series whose name begins so.
-func (r *Receiver) Record(w io.Writer, prefix string) error {
+func (r *Receiver) WriteSeries(w io.Writer, prefix string) error {
 	for _, n := range r.Names() {
 		if !strings.HasPrefix(n, prefix) {
 			continue
 		}
 		r.mu.Lock()
-		rec := Recorded{Labels: r.labels[n]}
+		rec := StoredSeries{Labels: r.labels[n]}
 		for _, p := range r.series[n] {
-			rec.At = append(rec.At, p.At)
+			rec.TimestampsMs = append(rec.TimestampsMs, p.TimestampMs)
 			switch {
-			case p.Hist:
-				rec.H = append(rec.H, p.proto)
+			case p.IsHistogram:
+				rec.Histograms = append(rec.Histograms, p.encoded)
 			case remotewrite.IsStale(p.Value):
-				rec.At = rec.At[:len(rec.At)-1] // a series that ends just ends
+				rec.TimestampsMs = rec.TimestampsMs[:len(rec.TimestampsMs)-1] // a series that ends just ends
 			default:
-				rec.V = append(rec.V, strconv.FormatFloat(p.Value, 'g', -1, 64))
+				rec.Values = append(rec.Values, strconv.FormatFloat(p.Value, 'g', -1, 64))
 			}
 		}
 		r.mu.Unlock()
@@ -91,15 +91,15 @@
 	srv  *http.Server
 	addr string
 
-	mu       sync.Mutex
-	series   map[string][]Point // by name{label="value",...}
-	labels   map[string]map[string]string
-	trouble  Trouble
-	traces   []string       // of exemplars
-	Batches  map[string]int // by version
-	Bytes    int
-	Samples  int
-	Unsorted int // samples that were not newer than the last of their series
+	mu             sync.Mutex
+	series         map[string][]Point // by name{label="value",...}
+	labels         map[string]map[string]string
+	fault          Fault
+	exemplarTraces []string       // of exemplars
+	Batches        map[string]int // by version
+	Bytes          int
+	Samples        int
+	OutOfOrder     int // samples that were not newer than the last of their series
 }
 
 // Start listens at an address.
@@ -110,10 +110,10 @@
 	}
 	r := &Receiver{addr: ln.Addr().String(), series: map[string][]Point{}, labels: map[string]map[string]string{}, Batches: map[string]int{}}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /api/v1/write", r.take)
+	mux.HandleFunc("POST /api/v1/write", r.handleWrite)
 	mux.HandleFunc("GET /series", func(w http.ResponseWriter, _ *http.Request) {
 		for _, n := range r.Names() {
-			p := r.Series(n)
+			p := r.Points(n)
 			fmt.Fprintf(w, "%s %v (%d samples)\n", n, p[len(p)-1], len(p))
 		}
 	})
@@ -129,10 +129,10 @@
 func (r *Receiver) Addr() string { return r.addr }
 
 // Set changes what is wrong.
-func (r *Receiver) Set(f func(*Trouble)) {
+func (r *Receiver) SetFault(f func(*Fault)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f(&r.trouble)
+	f(&r.fault)
 }
 
 // Stop cuts all connections.
@@ -150,17 +150,17 @@
 }
 
 // Series are the points of one.
-func (r *Receiver) Series(name string) []Point {
+func (r *Receiver) Points(name string) []Point {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Point(nil), r.series[name]...)
 }
 
 // Traces are the trace ids of exemplars that came.
-func (r *Receiver) Traces() []string {
+func (r *Receiver) ExemplarTraces() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]string(nil), r.traces...)
+	return append([]string(nil), r.exemplarTraces...)
 }
 
 // Sum adds the last values, markers aside, of all series whose name begins so and that have all labels.
@@ -176,10 +176,10 @@
 		if !all {
 			continue
 		}
-		ps := r.Series(n)
+		ps := r.Points(n)
 		for i := len(ps) - 1; i >= 0; i-- {
 			if !remotewrite.IsStale(ps[i].Value) {
-				if sum += ps[i].Value; ps[i].Hist {
+				if sum += ps[i].Value; ps[i].IsHistogram {
 					sum += float64(ps[i].Count)
 				}
 				break
@@ -189,12 +189,12 @@
 	return sum
 }
 
-func (r *Receiver) take(w http.ResponseWriter, req *http.Request) {
+func (r *Receiver) handleWrite(w http.ResponseWriter, req *http.Request) {
 	r.mu.Lock()
-	t := r.trouble
+	t := r.fault
 	r.mu.Unlock()
-	time.Sleep(t.Slow)
-	if t.Early {
+	time.Sleep(t.Delay)
+	if t.RespondEarly {
 		if nc, _, err := w.(http.Hijacker).Hijack(); err == nil {
 			io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 			nc.Close()
@@ -214,9 +214,9 @@
 	}
 	version, two := req.Header.Get("X-Prometheus-Remote-Write-Version"), strings.Contains(req.Header.Get("Content-Type"), "io.prometheus.write.v2")
 	switch {
-	case t.Blind && two:
+	case t.MisreadsV2 && two:
 		return
-	case t.OnlyOne && two:
+	case t.OnlyV1 && two:
 		http.Error(w, "want prometheus.WriteRequest", http.StatusUnsupportedMediaType)
 		return
 	case req.Header.Get("Content-Encoding") != "snappy" || two != (version == "2.0.0"):
@@ -228,22 +228,22 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	decode := remotewrite.Decode1
+	decode := remotewrite.DecodeV1
 	if two {
-		decode = remotewrite.Decode2
+		decode = remotewrite.DecodeV2
 	}
 	samples, err := decode(body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if t.Most > 0 && len(samples) > t.Most {
+	if t.MaxSamples > 0 && len(samples) > t.MaxSamples {
 		http.Error(w, "too large", http.StatusRequestEntityTooLarge)
 		return
 	}
 	var names []string
 	for _, s := range samples {
-		n := name(s.Series)
+		n := seriesName(s.Series)
 		if names = append(names, n); t.Reject != "" && strings.Contains(n, t.Reject) {
 			http.Error(w, n+": not taken", http.StatusBadRequest)
 			return
@@ -252,16 +252,16 @@
 	floats, hists := 0, 0
 	r.mu.Lock()
 	for i, s := range samples {
-		p := Point{At: s.At, Value: s.Value}
-		if floats++; s.Hist != nil {
+		p := Point{TimestampMs: s.Timestamp, Value: s.Value}
+		if floats++; s.Histogram != nil {
 			floats--
 			hists++
-			p.Hist, p.Count, p.Sum = true, s.Hist.GetCountInt(), s.Hist.Sum
-			p.proto, _ = proto.Marshal(s.Hist)
+			p.IsHistogram, p.Count, p.Sum = true, s.Histogram.GetCountInt(), s.Histogram.Sum
+			p.encoded, _ = proto.Marshal(s.Histogram)
 			for _, e := range s.Exemplars {
 				for _, l := range e.Labels {
 					if l.Name == "trace_id" {
-						r.traces = append(r.traces, l.Value)
+						r.exemplarTraces = append(r.exemplarTraces, l.Value)
 					}
 				}
 			}
@@ -274,12 +274,12 @@
 			r.labels[names[i]] = m
 		}
 		ps := r.series[names[i]]
-		if len(ps) > 0 && s.At <= ps[len(ps)-1].At {
-			if r.Unsorted++; s.At == ps[len(ps)-1].At { // sent again: it has it
+		if len(ps) > 0 && s.Timestamp <= ps[len(ps)-1].TimestampMs {
+			if r.OutOfOrder++; s.Timestamp == ps[len(ps)-1].TimestampMs { // sent again: it has it
 				continue
 			}
 		}
-		if len(ps) >= pointsMost {
+		if len(ps) >= maxPoints {
 			ps = append(ps[:0:0], ps[len(ps)/2:]...) // the older half goes
 		}
 		r.series[names[i]] = append(ps, p)
@@ -288,7 +288,7 @@
 	r.Bytes += len(raw)
 	r.Samples += len(samples)
 	r.mu.Unlock()
-	if t.Cut {
+	if t.DropConnection {
 		panic(http.ErrAbortHandler)
 	}
 	if two {
@@ -299,7 +299,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func name(s *remotewrite.Series) string {
+func seriesName(s *remotewrite.Series) string {
 	metric := ""
 	var rest []string
 	for _, l := range s.Labels {
--- a/internal/testbed/ports/ports.go
+++ b/internal/testbed/ports/ports.go
@@ -19,13 +19,13 @@
 // Reserved holds ports against others on this machine, also other processes: a port is taken by whoever binds it at
 // lockHost, a loopback address that nothing else uses, until Release. Without that two days, or tests, may find the same
 // port free before either binds it.
-type Reserved struct{ locks []net.Listener }
+type Reservation struct{ locks []net.Listener }
 
 const lockHost = "127.77.0.1"
 
 // Addr finds a port at which nobody listens. It is asked for by a connection and not by binding it: a socket just
 // closed may hold its port for a moment longer.
-func (r *Reserved) Addr() (string, error) {
+func (r *Reservation) Addr() (string, error) {
 	for range 1000 {
 		p := lowestPort + rand.IntN(highestPort-lowestPort)
 		lock, err := net.Listen("tcp", fmt.Sprintf("%s:%d", lockHost, p))
@@ -45,7 +45,7 @@
 }
 
 // Release lets all ports go.
-func (r *Reserved) Release() {
+func (r *Reservation) Release() {
 	for _, l := range r.locks {
 		l.Close()
 	}
--- a/internal/testbed/tracereceiver/otlp.go
+++ b/internal/testbed/tracereceiver/otlp.go
@@ -16,11 +16,11 @@
 
 // Span is one that came.
 type Span struct {
-	Trace, ID, Parent string
-	Name              string
-	Start, End        time.Time
-	Attrs             map[string]string
-	Error             bool
+	TraceID, ID, ParentID string
+	Name                  string
+	Start, End            time.Time
+	Attrs                 map[string]string
+	Error                 bool
 }
 
 // Receiver is a running one.
@@ -41,7 +41,7 @@
 	}
 	r := &Receiver{addr: ln.Addr().String()}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/traces", r.take)
+	mux.HandleFunc("POST /v1/traces", r.handleTraces)
 	r.srv = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
 	go r.srv.Serve(ln)
 	return r, nil
@@ -61,13 +61,13 @@
 }
 
 // Set changes what it answers.
-func (r *Receiver) Set(status int) {
+func (r *Receiver) SetStatus(status int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Status = status
 }
 
-func (r *Receiver) take(w http.ResponseWriter, req *http.Request) {
+func (r *Receiver) handleTraces(w http.ResponseWriter, req *http.Request) {
 	var in io.Reader = req.Body
 	if req.Header.Get("Content-Encoding") == "gzip" {
 		z, err := gzip.NewReader(req.Body)
@@ -95,7 +95,7 @@
 	for _, rs := range m.ResourceSpans {
 		for _, ss := range rs.ScopeSpans {
 			for _, s := range ss.Spans {
-				x := Span{Trace: hex.EncodeToString(s.TraceId), ID: hex.EncodeToString(s.SpanId), Parent: hex.EncodeToString(s.ParentSpanId), Name: s.Name,
+				x := Span{TraceID: hex.EncodeToString(s.TraceId), ID: hex.EncodeToString(s.SpanId), ParentID: hex.EncodeToString(s.ParentSpanId), Name: s.Name,
 					Start: time.Unix(0, int64(s.StartTimeUnixNano)), End: time.Unix(0, int64(s.EndTimeUnixNano)), Attrs: map[string]string{},
 					Error: s.Status != nil && s.Status.Code == 2}
 				for _, a := range s.Attributes {
--- a/internal/testbed/usagereceiver/accounting.go
+++ b/internal/testbed/usagereceiver/accounting.go
@@ -28,14 +28,14 @@
 }
 
 // Trouble is what is wrong; the zero value is nothing.
-type Trouble struct {
-	Status     int     // it answers this, and keeps nothing
-	RetryAfter string  // with it
-	Part       float64 // of the requests that Status, Cut and Early hit; 0: all
-	Cut        bool    // it keeps the batch and cuts the connection without an answer
-	Early      bool    // it answers 200 and closes before it has read the body, and keeps nothing
-	Reject     string  // it answers 400 to a batch with this in it
-	Slow       time.Duration
+type Fault struct {
+	Status         int     // it answers this, and keeps nothing
+	RetryAfter     string  // with it
+	Share          float64 // of the requests that Status, Cut and Early hit; 0: all
+	DropConnection bool    // it keeps the batch and cuts the connection without an answer
+	RespondEarly   bool    // it answers 200 and closes before it has read the body, and keeps nothing
+	Reject         string  // it answers 400 to a batch with this in it
+	Delay          time.Duration
 }
 
 // Receiver is a running one.
@@ -44,13 +44,13 @@
 	srv  *http.Server
 	addr string
 
-	mu      sync.Mutex
-	seen    map[[2]string]bool
-	events  []Event
-	Repeats int
-	trouble Trouble
-	rng     *rand.Rand
-	failed  error
+	mu         sync.Mutex
+	seen       map[[2]string]bool
+	events     []Event
+	Duplicates int
+	fault      Fault
+	rng        *rand.Rand
+	failed     error
 }
 
 // Start listens at an address and goes on with a file. A line that a crash cut is dropped: its batch was not
@@ -85,7 +85,7 @@
 	}
 	r.addr = ln.Addr().String()
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /use", r.take)
+	mux.HandleFunc("POST /use", r.handleBatch)
 	mux.HandleFunc("GET /events", func(w http.ResponseWriter, _ *http.Request) { json.NewEncoder(w).Encode(r.Events()) })
 	r.srv = &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
 	go r.srv.Serve(ln)
@@ -99,10 +99,10 @@
 func (r *Receiver) URL() string { return "http://" + r.addr + "/use" }
 
 // Set changes what is wrong.
-func (r *Receiver) Set(f func(*Trouble)) {
+func (r *Receiver) SetFault(f func(*Fault)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f(&r.trouble)
+	f(&r.fault)
 }
 
 // Events are all that it has, in the order they came.
@@ -123,7 +123,7 @@
 func (r *Receiver) add(e Event) bool {
 	k := [2]string{e.Source, e.ID}
 	if r.seen[k] {
-		r.Repeats++
+		r.Duplicates++
 		return false
 	}
 	r.seen[k] = true
@@ -131,14 +131,14 @@
 	return true
 }
 
-func (r *Receiver) take(w http.ResponseWriter, req *http.Request) {
+func (r *Receiver) handleBatch(w http.ResponseWriter, req *http.Request) {
 	r.mu.Lock()
-	t := r.trouble
-	hit := t.Part == 0 || r.rng.Float64() < t.Part
+	t := r.fault
+	hit := t.Share == 0 || r.rng.Float64() < t.Share
 	r.mu.Unlock()
-	time.Sleep(t.Slow)
-	if t.Early && hit {
-		early(w)
+	time.Sleep(t.Delay)
+	if t.RespondEarly && hit {
+		respondEarly(w)
 		return
 	}
 	body, err := io.ReadAll(io.LimitReader(req.Body, 64<<20))
@@ -156,18 +156,18 @@
 		http.Error(w, "an event of this batch is not taken", http.StatusBadRequest)
 		return
 	}
-	if err := r.keep(req, body); err != nil {
+	if err := r.store(req, body); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if t.Cut && hit {
+	if t.DropConnection && hit {
 		panic(http.ErrAbortHandler)
 	}
 	w.WriteHeader(http.StatusAccepted)
 }
 
 // early answers before the body is read.
-func early(w http.ResponseWriter) {
+func respondEarly(w http.ResponseWriter) {
 	nc, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
 		return
@@ -177,7 +177,7 @@
 }
 
 // keep checks a batch and makes it durable, whole or not at all as far as its answer goes.
-func (r *Receiver) keep(req *http.Request, body []byte) error {
+func (r *Receiver) store(req *http.Request, body []byte) error {
 	if !strings.HasPrefix(req.Header.Get("Content-Type"), "application/cloudevents-batch+json") {
 		return errors.New("Content-Type: want application/cloudevents-batch+json")
 	}
@@ -201,7 +201,7 @@
 	for _, e := range evs {
 		k := [2]string{e.Source, e.ID}
 		if r.seen[k] || within[k] {
-			r.Repeats++
+			r.Duplicates++
 			continue
 		}
 		within[k] = true
--- a/internal/tracing/traces.go
+++ b/internal/tracing/traces.go
@@ -30,8 +30,8 @@
 }
 
 // Accept reads a client's traceparent (W3C Trace Context, section 3.2); one that is malformed, or none, begins a trace.
-func Accept(parent string, rng *rand.Rand) Context {
-	c := Context{Span: spanID(rng)}
+func StartContext(parent string, rng *rand.Rand) Context {
+	c := Context{Span: newSpanID(rng)}
 	parts := strings.Split(parent, "-")
 	if len(parts) >= 4 && len(parts[0]) == 2 && parts[0] != "ff" && len(parts[1]) == 32 && len(parts[2]) == 16 && len(parts[3]) == 2 {
 		t, err1 := trace.TraceIDFromHex(parts[1])
@@ -47,16 +47,16 @@
 	return c
 }
 
-func spanID(rng *rand.Rand) (s trace.SpanID) {
+func newSpanID(rng *rand.Rand) (s trace.SpanID) {
 	binary.BigEndian.PutUint64(s[:], rng.Uint64()|1)
 	return s
 }
 
 // NewSpan draws the id of an attempt's span.
-func NewSpan(rng *rand.Rand) trace.SpanID { return spanID(rng) }
+func NewSpanID(rng *rand.Rand) trace.SpanID { return newSpanID(rng) }
 
 // Parent is the traceparent that a node is given for an attempt.
-func (c Context) Parentage(span trace.SpanID) string {
+func (c Context) Traceparent(span trace.SpanID) string {
 	flags := "00"
 	if c.Sampled {
 		flags = "01"
@@ -69,23 +69,23 @@
 
 // Attempt is one of a call's.
 type Attempt struct {
-	Span    trace.SpanID
-	Node    string
-	Outcome string
-	After   string // how the one before had ended; empty: the first
-	At, End time.Time
+	Span            trace.SpanID
+	Server          string
+	Outcome         string
+	PreviousOutcome string // how the one before had ended; empty: the first
+	Start, End      time.Time
 }
 
 // Call is a call that has ended.
-type Call struct {
+type Request struct {
 	Context
 	Request, Class, Member, Plan string
 	Outcome, Reason              string
 	Units                        float64
 	Reserved                     bool
-	At, End                      time.Time
-	Sent                         time.Time // of the first attempt; zero: none
-	Home                         bool      // the wait before it was for a home's word
+	Start, End                   time.Time
+	FirstAttempt                 time.Time // of the first attempt; zero: none
+	HasQuotaOwner                bool      // the wait before it was for a home's word
 	Attempts                     []Attempt
 }
 
@@ -100,32 +100,32 @@
 }
 
 // Teller sends traces.
-type Teller struct {
+type Exporter struct {
 	provider *sdk.TracerProvider
 	tracer   trace.Tracer
 }
 
 type idKey struct{}
 
-type ids struct {
+type spanIDs struct {
 	trace trace.TraceID
 	span  trace.SpanID
 }
 
 // given hands out the ids that the context holds.
-type given struct{}
+type contextIDs struct{}
 
-func (given) NewIDs(ctx context.Context) (trace.TraceID, trace.SpanID) {
-	i := ctx.Value(idKey{}).(ids)
+func (contextIDs) NewIDs(ctx context.Context) (trace.TraceID, trace.SpanID) {
+	i := ctx.Value(idKey{}).(spanIDs)
 	return i.trace, i.span
 }
 
-func (given) NewSpanID(ctx context.Context, _ trace.TraceID) trace.SpanID {
-	return ctx.Value(idKey{}).(ids).span
+func (contextIDs) NewSpanID(ctx context.Context, _ trace.TraceID) trace.SpanID {
+	return ctx.Value(idKey{}).(spanIDs).span
 }
 
 // New returns a teller. It holds no call up: what does not fit into its queue is dropped.
-func New(ctx context.Context, o Options) (*Teller, error) {
+func New(ctx context.Context, o Options) (*Exporter, error) {
 	exp, err := otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(o.URL), otlptracehttp.WithTimeout(o.Timeout))
 	if err != nil {
 		return nil, err
@@ -135,25 +135,25 @@
 	}
 	res := resource.NewSchemaless(attribute.String("service.name", "winghatch"), attribute.String("service.namespace", o.Fleet),
 		attribute.Int("service.instance.id", o.Gateway))
-	p := sdk.NewTracerProvider(sdk.WithBatcher(exp, sdk.WithMaxQueueSize(o.Queue), sdk.WithBatchTimeout(time.Second)), sdk.WithIDGenerator(given{}),
+	p := sdk.NewTracerProvider(sdk.WithBatcher(exp, sdk.WithMaxQueueSize(o.Queue), sdk.WithBatchTimeout(time.Second)), sdk.WithIDGenerator(contextIDs{}),
 		sdk.WithSampler(sdk.AlwaysSample()), sdk.WithResource(res))
-	return &Teller{p, p.Tracer("winghatch/gateway")}, nil
+	return &Exporter{p, p.Tracer("winghatch/gateway")}, nil
 }
 
 // Close sends what waits, within the context.
-func (t *Teller) Close(ctx context.Context) error { return t.provider.Shutdown(ctx) }
+func (t *Exporter) Close(ctx context.Context) error { return t.provider.Shutdown(ctx) }
 
 // Tell makes the spans of a call.
-func (t *Teller) Tell(c Call) {
+func (t *Exporter) Export(c Request) {
 	ctx := context.Background()
 	if c.Parent.IsValid() {
 		ctx = trace.ContextWithRemoteSpanContext(ctx, trace.NewSpanContext(trace.SpanContextConfig{TraceID: c.Trace, SpanID: c.Parent,
 			TraceFlags: trace.FlagsSampled, Remote: true}))
 	}
 	with := func(ctx context.Context, span trace.SpanID) context.Context {
-		return context.WithValue(ctx, idKey{}, ids{c.Trace, span})
+		return context.WithValue(ctx, idKey{}, spanIDs{c.Trace, span})
 	}
-	ctx, span := t.tracer.Start(with(ctx, c.Span), c.Class, trace.WithTimestamp(c.At), trace.WithSpanKind(trace.SpanKindServer), trace.WithAttributes(
+	ctx, span := t.tracer.Start(with(ctx, c.Span), c.Class, trace.WithTimestamp(c.Start), trace.WithSpanKind(trace.SpanKindServer), trace.WithAttributes(
 		attribute.String("winghatch.request", c.Request), attribute.String("winghatch.member", c.Member), attribute.String("winghatch.plan", c.Plan),
 		attribute.String("winghatch.outcome", c.Outcome), attribute.Float64("winghatch.units", c.Units), attribute.Bool("winghatch.reserved", c.Reserved),
 		attribute.Int("winghatch.attempts", len(c.Attempts))))
@@ -163,17 +163,17 @@
 	if c.Outcome == "failed" {
 		span.SetStatus(codes.Error, "failed")
 	}
-	if c.Home && !c.Sent.IsZero() && c.Sent.After(c.At) {
+	if c.HasQuotaOwner && !c.FirstAttempt.IsZero() && c.FirstAttempt.After(c.Start) {
 		var id trace.SpanID
 		binary.BigEndian.PutUint64(id[:], binary.BigEndian.Uint64(c.Span[:])^0x5bd1e995)
-		_, home := t.tracer.Start(with(ctx, id), "wait at home", trace.WithTimestamp(c.At))
-		home.End(trace.WithTimestamp(c.Sent))
+		_, home := t.tracer.Start(with(ctx, id), "wait at home", trace.WithTimestamp(c.Start))
+		home.End(trace.WithTimestamp(c.FirstAttempt))
 	}
 	for i, a := range c.Attempts {
-		_, s := t.tracer.Start(with(ctx, a.Span), "attempt", trace.WithTimestamp(a.At), trace.WithSpanKind(trace.SpanKindClient), trace.WithAttributes(
-			attribute.Int("winghatch.attempt", i), attribute.String("server.address", a.Node), attribute.String("winghatch.outcome", a.Outcome)))
-		if a.After != "" {
-			s.SetAttributes(attribute.String("winghatch.after", a.After))
+		_, s := t.tracer.Start(with(ctx, a.Span), "attempt", trace.WithTimestamp(a.Start), trace.WithSpanKind(trace.SpanKindClient), trace.WithAttributes(
+			attribute.Int("winghatch.attempt", i), attribute.String("server.address", a.Server), attribute.String("winghatch.outcome", a.Outcome)))
+		if a.PreviousOutcome != "" {
+			s.SetAttributes(attribute.String("winghatch.after", a.PreviousOutcome))
 		}
 		if a.Outcome != "ok" {
 			s.SetStatus(codes.Error, a.Outcome)
--- a/internal/upstream/http/late_test.go
+++ b/internal/upstream/http/late_test.go
@@ -61,10 +61,10 @@
 // window would run a second time, and nothing is sent for a client that has gone.
 func TestAnAttemptThatIsLateAtItsWrite(t *testing.T) {
 	addr, open := slow(t)
-	p := newPool(t, Options{ConnectTimeout: time.Minute}, Server{ID: "a", Addr: addr})
+	p := newPool(t, Options{DialTimeout: time.Minute}, Server{ID: "a", Addr: addr})
 	var late atomic.Bool
 	call, ch := attempt("a", "late")
-	call.Late = late.Load
+	call.Cancelled = late.Load
 	p.Send(call)
 	late.Store(true)
 	came := make(chan string, 10)
@@ -84,7 +84,7 @@
 	// Its connection is good for the next, whose bytes are made at the write.
 	call, ch = attempt("a", "next")
 	next := call.Params
-	call.Params, call.Form = nil, func() []byte { return next }
+	call.Params, call.BuildParams = nil, func() []byte { return next }
 	p.Send(call)
 	if got := wait(t, ch); got.Outcome != decide.OutcomeOK {
 		t.Errorf("the next: outcome %v, want %v", got.Outcome, decide.OutcomeOK)
@@ -95,9 +95,9 @@
 	if n := p.Dials.Load(); n != 1 {
 		t.Errorf("%d connections were opened, want 1", n)
 	}
-	time.Sleep(quietFor)
+	time.Sleep(reuseDelay)
 	call, ch = attempt("a", "rests") // on the connection that rests now
-	call.Late = late.Load
+	call.Cancelled = late.Load
 	p.Send(call)
 	if got := wait(t, ch); got.Outcome != decide.OutcomeNotDispatched || len(came) > 0 {
 		t.Errorf("outcome %v with %d at the server, want %v and none", got.Outcome, len(came), decide.OutcomeNotDispatched)
@@ -117,13 +117,13 @@
 	var late atomic.Bool
 	call, ch := attempt("a", "1")
 	call.Params = append([]byte("POST / HTTP/1.1\r\nX-Txn: 1\r\nContent-Length: 33554432\r\n\r\n"), make([]byte, 32<<20)...)
-	call.Late = late.Load
+	call.Cancelled = late.Load
 	p.Send(call)
 	for {
 		p.mu.Lock()
 		written := false
-		for k := range p.all {
-			written = k.rests
+		for k := range p.conns {
+			written = k.writing
 		}
 		p.mu.Unlock()
 		if written {
@@ -164,7 +164,7 @@
 			}
 		}
 	})
-	p := newPool(t, Options{Body: 1 << 20, Bodies: 2 << 20}, Server{ID: "a", Addr: addr})
+	p := newPool(t, Options{MaxBodyBytes: 1 << 20, MaxTotalBodyBytes: 2 << 20}, Server{ID: "a", Addr: addr})
 	for _, c := range []struct {
 		txn  string
 		want decide.Outcome
@@ -176,12 +176,12 @@
 			t.Errorf("%s: outcome %v and %d bytes, want %v and %d", c.txn, got.Outcome, len(got.Body), c.want, len(c.body))
 		}
 	}
-	for end := time.Now().Add(10 * time.Second); p.bodies.Load() != 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); p.bodyBytes.Load() != 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d bytes of answers are still counted", p.bodies.Load())
+			t.Fatalf("%d bytes of answers are still counted", p.bodyBytes.Load())
 		}
 	}
-	p.o.Bodies = 100 << 10
+	p.opts.MaxTotalBodyBytes = 100 << 10
 	call, ch := attempt("a", "long")
 	p.Send(call)
 	if got := wait(t, ch); got.Outcome != decide.OutcomeError {
@@ -232,14 +232,14 @@
 			io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\na")
 		}
 	})
-	p := newPool(t, Options{Idle: time.Hour}, Server{ID: "a", Addr: addr})
+	p := newPool(t, Options{IdleTimeout: time.Hour}, Server{ID: "a", Addr: addr})
 	for range 2 {
 		c, ch := attempt("a", "t")
 		p.Send(c)
 		wait(t, ch)
 		p.mu.Lock()
-		for k := range p.all {
-			k.rest = k.rest.Add(-2 * time.Hour) // as after a hold-up: the sweep has not run
+		for k := range p.conns {
+			k.idleSince = k.idleSince.Add(-2 * time.Hour) // as after a hold-up: the sweep has not run
 		}
 		p.mu.Unlock()
 	}
