--- a/internal/upstream/http/pool_test.go
+++ b/internal/upstream/http/pool_test.go
@@ -58,20 +58,20 @@
 
 func newPool(t *testing.T, o Options, servers ...Server) *Pool {
 	t.Helper()
-	if o.ConnectTimeout == 0 {
-		o.ConnectTimeout = time.Second
+	if o.DialTimeout == 0 {
+		o.DialTimeout = time.Second
 	}
-	if o.Conns == 0 {
-		o.Conns = 64
+	if o.MaxConns == 0 {
+		o.MaxConns = 64
 	}
-	if o.Idle == 0 {
-		o.Idle = time.Minute
+	if o.IdleTimeout == 0 {
+		o.IdleTimeout = time.Minute
 	}
-	if o.Body == 0 {
-		o.Body = 64 << 10
+	if o.MaxBodyBytes == 0 {
+		o.MaxBodyBytes = 64 << 10
 	}
 	p := New(o)
-	p.Take(servers, true)
+	p.Update(servers, true)
 	t.Cleanup(func() {
 		done := make(chan struct{})
 		go func() { p.Close(); close(done) }()
@@ -86,7 +86,7 @@
 
 func attempt(node, txn string) (*upstreamws.Call, chan upstreamws.Result) {
 	ch := make(chan upstreamws.Result, 2)
-	return &upstreamws.Call{Node: node, Params: []byte("GET /api HTTP/1.1\r\nHost: s\r\nX-Txn: " + txn + "\r\n\r\n"),
+	return &upstreamws.Call{Server: node, Params: []byte("GET /api HTTP/1.1\r\nHost: s\r\nX-Txn: " + txn + "\r\n\r\n"),
 		Done: func(r upstreamws.Result) { ch <- r }}, ch
 }
 
@@ -127,7 +127,7 @@
 				for range i % 97 {
 					p.Conns.Load() // about as long as an answer takes
 				}
-				if p.Abandon(c) != upstreamws.Ended {
+				if p.Abandon(c) != upstreamws.AlreadyEnded {
 					continue
 				}
 			}
@@ -175,8 +175,8 @@
 	}{
 		{"served", say(fine + "\r\nhi"), upstreamws.Result{Outcome: decide.OutcomeOK, Body: []byte("hi")}},
 		{"figures", say(fine + "X-Quota-Used: 85\r\nX-Units-Charged: 3\r\nX-Pressure: inflight=7,util=0.5\r\n\r\nhi"),
-			upstreamws.Result{Outcome: decide.OutcomeOK, Body: []byte("hi"), Metered: 86, TrueUnits: 3,
-				Report: decide.LoadReport{"inflight": 7, "util": 0.5}}},
+			upstreamws.Result{Outcome: decide.OutcomeOK, Body: []byte("hi"), ReportedUsage: 86, ActualUnits: 3,
+				LoadReport: decide.LoadReport{"inflight": 7, "util": 0.5}}},
 		{"figures that can't be read", say(fine + "X-Quota-Used: -3\r\nX-Units-Charged: many\r\nX-Pressure: a=b;;\r\n\r\nhi"),
 			upstreamws.Result{Outcome: decide.OutcomeOK, Body: []byte("hi")}},
 		{"units beyond the most", say(fine + "X-Units-Charged: 9000\r\n\r\nhi"), upstreamws.Result{Outcome: decide.OutcomeOK, Body: []byte("hi")}},
@@ -193,7 +193,7 @@
 			upstreamws.Result{Outcome: decide.OutcomeReset}},
 		{"refused", refused, upstreamws.Result{Outcome: decide.OutcomeConnectFailed}},
 	} {
-		p := newPool(t, Options{Units: 8}, Server{ID: "a", Addr: c.addr})
+		p := newPool(t, Options{MaxUnits: 8}, Server{ID: "a", Addr: c.addr})
 		call, ch := attempt("a", "1")
 		p.Send(call)
 		if got := wait(t, ch); !reflect.DeepEqual(got, c.want) {
@@ -247,21 +247,21 @@
 		return wait(t, ch).Outcome
 	}
 	use("old")
-	time.Sleep(quietFor)
+	time.Sleep(reuseDelay)
 	use("old")
 	if n := conns.Load(); n != 1 {
 		t.Errorf("%d connections for two requests, want 1", n)
 	}
-	time.Sleep(quietFor) // what rests now could be used
-	p.Take([]Server{{ID: "new", Addr: addr}}, true)
+	time.Sleep(reuseDelay) // what rests now could be used
+	p.Update([]Server{{ID: "new", Addr: addr}}, true)
 	if got := use("old"); got != decide.OutcomeConnectFailed {
 		t.Errorf("a server that is gone: outcome %v, want %v", got, decide.OutcomeConnectFailed)
 	}
 	if use("new"); conns.Load() != 2 {
 		t.Errorf("the new server got a connection of the old one's")
 	}
-	time.Sleep(quietFor)
-	p.Take([]Server{{ID: "new", Addr: addr, Started: 5}}, false)
+	time.Sleep(reuseDelay)
+	p.Update([]Server{{ID: "new", Addr: addr, Incarnation: 5}}, false)
 	if use("new"); conns.Load() != 3 {
 		t.Errorf("a server that started anew got a connection of its former life")
 	}
@@ -270,10 +270,10 @@
 // An attempt that waits for its connection when its server is told draining must not be written later.
 func TestDrainToldWhileAnAttemptConnects(t *testing.T) {
 	addr := full(t) // its queue of connections is full: connecting takes longer than the test
-	p := newPool(t, Options{ConnectTimeout: 30 * time.Second}, Server{ID: "a", Addr: addr})
+	p := newPool(t, Options{DialTimeout: 30 * time.Second}, Server{ID: "a", Addr: addr})
 	call, ch := attempt("a", "1")
 	p.Send(call)
-	p.Take([]Server{{ID: "a", Addr: addr, State: decide.Draining}}, false)
+	p.Update([]Server{{ID: "a", Addr: addr, State: decide.Draining}}, false)
 	if got := wait(t, ch); got.Outcome != decide.OutcomeConnectFailed {
 		t.Errorf("outcome %v, want %v", got.Outcome, decide.OutcomeConnectFailed)
 	}
@@ -313,7 +313,7 @@
 }
 
 func TestConnectingIsBoundedInTime(t *testing.T) {
-	p := newPool(t, Options{ConnectTimeout: 50 * time.Millisecond}, Server{ID: "a", Addr: full(t)})
+	p := newPool(t, Options{DialTimeout: 50 * time.Millisecond}, Server{ID: "a", Addr: full(t)})
 	call, ch := attempt("a", "1")
 	p.Send(call)
 	if got := wait(t, ch); got.Outcome != decide.OutcomeConnectFailed {
@@ -330,7 +330,7 @@
 		}
 		io.WriteString(nc, fine+"\r\nhi")
 	})
-	p := newPool(t, Options{Conns: 2}, Server{ID: "a", Addr: addr}, Server{ID: "b", Addr: addr}, Server{ID: "c", Addr: addr})
+	p := newPool(t, Options{MaxConns: 2}, Server{ID: "a", Addr: addr}, Server{ID: "b", Addr: addr}, Server{ID: "c", Addr: addr})
 	for _, node := range []string{"a", "b", "c", "a", "b"} {
 		call, ch := attempt(node, "1")
 		p.Send(call)
@@ -365,7 +365,7 @@
 		request(r)
 		ended <- struct{}{}
 	})
-	p := newPool(t, Options{Idle: 50 * time.Millisecond}, Server{ID: "a", Addr: addr})
+	p := newPool(t, Options{IdleTimeout: 50 * time.Millisecond}, Server{ID: "a", Addr: addr})
 	call, ch := attempt("a", "1")
 	p.Send(call)
 	wait(t, ch)
@@ -405,7 +405,7 @@
 	call.Params = append([]byte("POST / HTTP/1.1\r\nContent-Length: 33554432\r\n\r\n"), make([]byte, 32<<20)...)
 	p.Send(call)
 	<-got
-	if given := p.Abandon(call); given != upstreamws.NeverLeft {
-		t.Errorf("given up: %v, want %v", given, upstreamws.NeverLeft)
+	if given := p.Abandon(call); given != upstreamws.NotSent {
+		t.Errorf("given up: %v, want %v", given, upstreamws.NotSent)
 	}
 }
--- a/internal/upstream/idletimeout/keep.go
+++ b/internal/upstream/idletimeout/keep.go
@@ -15,74 +15,74 @@
 )
 
 const (
-	shortest = 25 * time.Millisecond // the first class of rests is below it; each further one reaches twice as far
-	classes  = 12
-	excess   = 0.15             // part of the attempts that break more beyond a limit than below it
-	evidence = 4.0              // standard deviations by which the breaks beyond it must be too many for chance
-	memory   = 30 * time.Second // counts are halved so often
+	firstBucket   = 25 * time.Millisecond // the first class of rests is below it; each further one reaches twice as far
+	buckets       = 12
+	minExcess     = 0.15             // part of the attempts that break more beyond a limit than below it
+	minDeviations = 4.0              // standard deviations by which the breaks beyond it must be too many for chance
+	halfLife      = 30 * time.Second // counts are halved so often
 )
 
 // Forever is the limit where rest does no harm.
-const Forever = time.Duration(1<<63 - 1)
+const NoLimit = time.Duration(1<<63 - 1)
 
 // Book holds the counts. The zero value is ready.
-type Book struct {
-	used, broke [classes]float64
-	halved      time.Duration
+type Estimator struct {
+	uses, breaks [buckets]float64
+	decayedAt    time.Duration
 }
 
-func class(rest time.Duration) int {
+func bucketOf(rest time.Duration) int {
 	n := 0
-	for top := shortest; rest >= top && n < classes-1; top *= 2 {
+	for top := firstBucket; rest >= top && n < buckets-1; top *= 2 {
 		n++
 	}
 	return n
 }
 
-func (b *Book) fade(now time.Duration) {
-	for now-b.halved >= memory {
-		if now-b.halved > 20*memory {
-			b.halved = now
-			b.used, b.broke = [classes]float64{}, [classes]float64{}
+func (b *Estimator) decay(now time.Duration) {
+	for now-b.decayedAt >= halfLife {
+		if now-b.decayedAt > 20*halfLife {
+			b.decayedAt = now
+			b.uses, b.breaks = [buckets]float64{}, [buckets]float64{}
 			break
 		}
-		b.halved += memory
-		for i := range classes {
-			b.used[i] /= 2
-			b.broke[i] /= 2
+		b.decayedAt += halfLife
+		for i := range buckets {
+			b.uses[i] /= 2
+			b.breaks[i] /= 2
 		}
 	}
 }
 
 // Used notes an attempt on a connection that had rested so long; 0 for a new one.
-func (b *Book) Used(now, rest time.Duration) {
-	b.fade(now)
-	b.used[class(rest)]++
+func (b *Estimator) RecordUse(now, rest time.Duration) {
+	b.decay(now)
+	b.uses[bucketOf(rest)]++
 }
 
 // Broke notes that such an attempt found its connection broken before any answer.
-func (b *Book) Broke(now, rest time.Duration) {
-	b.fade(now)
-	b.broke[class(rest)]++
+func (b *Estimator) RecordBreak(now, rest time.Duration) {
+	b.decay(now)
+	b.breaks[bucketOf(rest)]++
 }
 
 // Limit is the rest from which on a connection is not to be used any more.
-func (b *Book) Limit(now time.Duration) time.Duration {
-	b.fade(now)
+func (b *Estimator) Limit(now time.Duration) time.Duration {
+	b.decay(now)
 	var allUsed, allBroke float64
-	for i := range classes {
-		allUsed += b.used[i]
-		allBroke += b.broke[i]
+	for i := range buckets {
+		allUsed += b.uses[i]
+		allBroke += b.breaks[i]
 	}
-	limit, best := Forever, evidence
-	below, belowBroke := b.used[0], b.broke[0]
-	for i, from := 1, shortest; i < classes; i, from = i+1, 2*from {
+	limit, best := NoLimit, minDeviations
+	below, belowBroke := b.uses[0], b.breaks[0]
+	for i, from := 1, firstBucket; i < buckets; i, from = i+1, 2*from {
 		usual := (belowBroke + 1) / (below + 4)
 		n, broke := allUsed-below, allBroke-belowBroke
-		if z := (broke - usual*n) / math.Sqrt(usual*n+1); z > best && broke > (usual+excess)*n {
+		if z := (broke - usual*n) / math.Sqrt(usual*n+1); z > best && broke > (usual+minExcess)*n {
 			limit, best = from, z // the rest that tells good from bad most clearly
 		}
-		below, belowBroke = below+b.used[i], belowBroke+b.broke[i]
+		below, belowBroke = below+b.uses[i], belowBroke+b.breaks[i]
 	}
 	return limit
 }
--- a/internal/upstream/idletimeout/keep_test.go
+++ b/internal/upstream/idletimeout/keep_test.go
@@ -8,7 +8,7 @@
 
 // play uses connections after rests of 1 to 800 ms, short ones most often; those that rested for cut or longer break with the
 // chance given, all with the chance base.
-func play(b *Book, seed int64, from time.Duration, n int, cut time.Duration, chance, base float64) (now time.Duration, lost int) {
+func play(b *Estimator, seed int64, from time.Duration, n int, cut time.Duration, chance, base float64) (now time.Duration, lost int) {
 	rnd := rand.New(rand.NewSource(seed))
 	now = from
 	for range n {
@@ -17,13 +17,13 @@
 		if rest >= b.Limit(now) {
 			rest = 0 // a new one
 		}
-		b.Used(now, rest)
+		b.RecordUse(now, rest)
 		p := base
 		if cut > 0 && rest >= cut {
 			p += chance
 		}
 		if rnd.Float64() < p {
-			b.Broke(now, rest)
+			b.RecordBreak(now, rest)
 			lost++
 		}
 	}
@@ -33,7 +33,7 @@
 func TestALimitIsFoundWhereRestBreaksConnections(t *testing.T) {
 	short := 0
 	for seed := range int64(50) {
-		var b Book
+		var b Estimator
 		now, _ := play(&b, seed, 0, 1000, 120*time.Millisecond, 0.4, 0.1)
 		if l := b.Limit(now); l > 200*time.Millisecond {
 			t.Errorf("seed %d: limit %v, want 200 ms at most", seed, l)
@@ -50,8 +50,8 @@
 	for _, base := range []float64{0, 0.02, 0.15} {
 		limited := 0
 		for seed := range int64(200) {
-			var b Book
-			if now, _ := play(&b, seed, 0, 1000, 0, 0, base); b.Limit(now) != Forever {
+			var b Estimator
+			if now, _ := play(&b, seed, 0, 1000, 0, 0, base); b.Limit(now) != NoLimit {
 				limited++
 			}
 		}
@@ -63,18 +63,18 @@
 
 // A trouble that has passed is forgotten.
 func TestALimitIsTriedAgain(t *testing.T) {
-	var b Book
+	var b Estimator
 	now, lost := play(&b, 1, 0, 1000, 120*time.Millisecond, 0.4, 0)
-	if b.Limit(now) == Forever || lost == 0 {
+	if b.Limit(now) == NoLimit || lost == 0 {
 		t.Fatal("no limit was found")
 	}
-	if now, _ = play(&b, 2, now, 12000, 0, 0, 0); b.Limit(now) != Forever {
+	if now, _ = play(&b, 2, now, 12000, 0, 0, 0); b.Limit(now) != NoLimit {
 		t.Errorf("limit %v four minutes after the trouble, want none", b.Limit(now))
 	}
-	var c Book
-	c.Used(0, time.Hour)
-	c.Broke(1000*time.Hour, time.Hour)
-	if c.Limit(1000*time.Hour) != Forever {
+	var c Estimator
+	c.RecordUse(0, time.Hour)
+	c.RecordBreak(1000*time.Hour, time.Hour)
+	if c.Limit(1000*time.Hour) != NoLimit {
 		t.Error("one break makes a limit")
 	}
 }
--- a/internal/upstream/websocket/upstream.go
+++ b/internal/upstream/websocket/upstream.go
@@ -24,33 +24,33 @@
 // Options are the pool's bounds.
 type Options struct {
 	ConnectTimeout time.Duration
-	Conns          int // connections to one node
-	Calls          int // calls at once on a connection before another is opened
-	Idle           time.Duration
-	Ping           time.Duration // see link.Keep; 0: none
-	Link           wsconn.Options
+	MaxConns       int // connections to one node
+	CallsPerConn   int // calls at once on a connection before another is opened
+	IdleTimeout    time.Duration
+	PingInterval   time.Duration // see link.Keep; 0: none
+	Conn           wsconn.Options
 	Path           string
 }
 
 // Result is how a call ended.
 type Result struct {
-	Outcome   decide.Outcome
-	Body      json.RawMessage // of the node's answer
-	TrueUnits float64
-	Metered   int
-	Report    decide.LoadReport
+	Outcome       decide.Outcome
+	Body          json.RawMessage // of the node's answer
+	ActualUnits   float64
+	ReportedUsage int
+	LoadReport    decide.LoadReport
 }
 
 // The states of a call.
 const (
-	waiting int32 = iota // nothing of it was written
-	sent                 // a byte of it may have been written
-	over
+	stateWaiting int32 = iota // nothing of it was written
+	stateSent                 // a byte of it may have been written
+	stateEnded
 )
 
 // Call is one attempt on its way. Done is called once, unless Abandon came first.
 type Call struct {
-	Node   string // host:port
+	Server string // host:port
 	Method string
 	Params []byte
 	Done   func(Result)
@@ -58,11 +58,11 @@
 	// Late reports, asked at the write, that the call must not leave any more: its client has gone, its time or its
 	// window is over. What waits for a connection, or half written in a full buffer, is else sent long after the
 	// decision. nil: never.
-	Late func() bool
+	Cancelled func() bool
 	// Form makes the bytes at the write, so that the time they tell is what is left then; nil: Params.
-	Form func() []byte
+	BuildParams func() []byte
 
-	Carrier any // of another transport than this package's Pool: what carries the call
+	TransportState any // of another transport than this package's Pool: what carries the call
 
 	state atomic.Int32
 	conn  *conn
@@ -70,23 +70,23 @@
 }
 
 // GiveUp ends a call without a result and tells what is known of it.
-func (c *Call) GiveUp() Given {
+func (c *Call) Abandon() AbandonResult {
 	switch was, first := c.end(); {
 	case !first:
-		return Ended
-	case was == waiting:
-		return NeverLeft
+		return AlreadyEnded
+	case was == stateWaiting:
+		return NotSent
 	}
-	return MayRun
+	return MayHaveRun
 }
 
 // Begin is the writer's: the call counts as sent before its first byte is.
-func (c *Call) Begin() bool { return c.state.CompareAndSwap(waiting, sent) }
+func (c *Call) MarkSent() bool { return c.state.CompareAndSwap(stateWaiting, stateSent) }
 
 // end takes the call out of all hands; first is set for the one that ends it.
 func (c *Call) end() (was int32, first bool) {
-	was = c.state.Swap(over)
-	return was, was != over
+	was = c.state.Swap(stateEnded)
+	return was, was != stateEnded
 }
 
 // Finish ends a call with its result, unless it has ended or was given up.
@@ -97,10 +97,10 @@
 }
 
 // Broke ends a call whose connection is gone, by whether it may have left.
-func (c *Call) Broke() {
+func (c *Call) ConnectionLost() {
 	switch was, first := c.end(); {
 	case !first:
-	case was == sent:
+	case was == stateSent:
 		c.Done(Result{Outcome: decide.OutcomeReset})
 	default:
 		c.Done(Result{Outcome: decide.OutcomeConnectFailed})
@@ -109,30 +109,30 @@
 
 // Pool holds the connections to all nodes. It is safe for concurrent use.
 type Pool struct {
-	o     Options
-	mu    sync.Mutex
-	nodes map[string]*node
-	late  atomic.Int64
-	wg    sync.WaitGroup
-	ctx   context.Context
-	stop  context.CancelFunc
+	options       Options
+	mu            sync.Mutex
+	servers       map[string]*server
+	lateResponses atomic.Int64
+	wg            sync.WaitGroup
+	ctx           context.Context
+	cancel        context.CancelFunc
 }
 
-type node struct {
+type server struct {
 	addr  string
 	conns []*conn
 }
 
 // conn is a connection and the calls on it. It takes calls while it still connects.
 type conn struct {
-	pool    *Pool
-	node    *node
-	link    *wsconn.Conn // nil while connecting
-	calls   map[uint64]*Call
-	pending []*Call // until connected
-	next    uint64
-	dead    bool
-	idle    *time.Timer
+	pool      *Pool
+	server    *server
+	ws        *wsconn.Conn // nil while connecting
+	calls     map[uint64]*Call
+	pending   []*Call // until connected
+	nextID    uint64
+	removed   bool
+	idleTimer *time.Timer
 }
 
 // New returns an empty pool.
@@ -141,22 +141,22 @@
 		o.Path = "/"
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	p := &Pool{o: o, nodes: map[string]*node{}, ctx: ctx, stop: stop}
-	if o.Ping > 0 {
+	p := &Pool{options: o, servers: map[string]*server{}, ctx: ctx, cancel: stop}
+	if o.PingInterval > 0 {
 		p.wg.Add(1)
-		go func() { defer p.wg.Done(); wsconn.Keep(ctx, o.Ping, p.links, nil) }()
+		go func() { defer p.wg.Done(); wsconn.PingIdle(ctx, o.PingInterval, p.openConns, nil) }()
 	}
 	return p
 }
 
 // links are the connections that are open.
-func (p *Pool) links() (out []*wsconn.Conn) {
+func (p *Pool) openConns() (out []*wsconn.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, n := range p.nodes {
+	for _, n := range p.servers {
 		for _, k := range n.conns {
-			if k.link != nil {
-				out = append(out, k.link)
+			if k.ws != nil {
+				out = append(out, k.ws)
 			}
 		}
 	}
@@ -164,158 +164,158 @@
 }
 
 // Late is how many answers came for calls that were over.
-func (p *Pool) Late() int64 { return p.late.Load() }
+func (p *Pool) LateResponses() int64 { return p.lateResponses.Load() }
 
 // Send starts a call. It never blocks.
 func (p *Pool) Send(c *Call) {
 	p.mu.Lock()
-	n := p.nodes[c.Node]
+	n := p.servers[c.Server]
 	if n == nil {
-		n = &node{addr: c.Node}
-		p.nodes[c.Node] = n
+		n = &server{addr: c.Server}
+		p.servers[c.Server] = n
 	}
-	k := n.pick(p.o)
+	k := n.pickConn(p.options)
 	if k == nil {
-		k = &conn{pool: p, node: n, calls: map[uint64]*Call{}}
+		k = &conn{pool: p, server: n, calls: map[uint64]*Call{}}
 		n.conns = append(n.conns, k)
 		p.wg.Add(1)
 		go k.run()
 	}
-	if k.idle != nil {
-		k.idle.Stop()
-		k.idle = nil
+	if k.idleTimer != nil {
+		k.idleTimer.Stop()
+		k.idleTimer = nil
 	}
-	k.next++
-	c.id, c.conn = k.next, k
+	k.nextID++
+	c.id, c.conn = k.nextID, k
 	k.calls[c.id] = c
-	l := k.link
+	l := k.ws
 	if l == nil {
 		k.pending = append(k.pending, c)
 	}
 	p.mu.Unlock()
 	if l != nil {
-		k.write(l, c)
+		k.send(l, c)
 	}
 }
 
 // pick returns the connection with the fewest calls, or nil where another one is wanted.
-func (n *node) pick(o Options) *conn {
+func (n *server) pickConn(o Options) *conn {
 	var best *conn
 	for _, k := range n.conns {
 		if best == nil || len(k.calls) < len(best.calls) {
 			best = k
 		}
 	}
-	if best != nil && len(best.calls) >= o.Calls && len(n.conns) < o.Conns {
+	if best != nil && len(best.calls) >= o.CallsPerConn && len(n.conns) < o.MaxConns {
 		return nil
 	}
 	return best
 }
 
-func (k *conn) write(l *wsconn.Conn, c *Call) {
-	if c.Late != nil && c.Late() {
-		k.drop(c)
+func (k *conn) send(l *wsconn.Conn, c *Call) {
+	if c.Cancelled != nil && c.Cancelled() {
+		k.removeCall(c)
 		c.Finish(Result{Outcome: decide.OutcomeNotDispatched})
 		return
 	}
 	data := jsonrpc.AppendCall(nil, jsonrpc.ID(strconv.FormatUint(c.id, 10)), c.Method, c.Params)
-	if l.SendIf(data, c.Begin) != nil {
-		k.drop(c)
-		c.Broke()
+	if l.SendIf(data, c.MarkSent) != nil {
+		k.removeCall(c)
+		c.ConnectionLost()
 	}
 }
 
 // drop forgets a call and starts the idle time behind the last.
-func (k *conn) drop(c *Call) {
+func (k *conn) removeCall(c *Call) {
 	k.pool.mu.Lock()
 	defer k.pool.mu.Unlock()
 	delete(k.calls, c.id)
-	k.rest()
+	k.startIdleTimer()
 }
 
 // rest starts the idle time of a connection without calls; the pool is locked. A connection whose calls were all
 // given up while it was being opened rests from its first moment, or it would stay for good.
-func (k *conn) rest() {
-	if len(k.calls) == 0 && !k.dead && k.link != nil && k.idle == nil {
-		k.idle = time.AfterFunc(k.pool.o.Idle, k.expire)
+func (k *conn) startIdleTimer() {
+	if len(k.calls) == 0 && !k.removed && k.ws != nil && k.idleTimer == nil {
+		k.idleTimer = time.AfterFunc(k.pool.options.IdleTimeout, k.closeIdle)
 	}
 }
 
-func (k *conn) expire() {
+func (k *conn) closeIdle() {
 	k.pool.mu.Lock()
 	defer k.pool.mu.Unlock()
-	if len(k.calls) == 0 && !k.dead {
+	if len(k.calls) == 0 && !k.removed {
 		k.remove()
-		k.link.Close(websocket.CodeNormal, "idle")
+		k.ws.Close(websocket.CodeNormal, "idle")
 	}
 }
 
 // remove takes the connection out of its node's list; the pool is locked.
 func (k *conn) remove() {
-	k.dead = true
-	for i, o := range k.node.conns {
+	k.removed = true
+	for i, o := range k.server.conns {
 		if o == k {
-			k.node.conns = append(k.node.conns[:i:i], k.node.conns[i+1:]...)
+			k.server.conns = append(k.server.conns[:i:i], k.server.conns[i+1:]...)
 		}
 	}
-	if len(k.node.conns) == 0 && k.pool.nodes[k.node.addr] == k.node {
-		delete(k.pool.nodes, k.node.addr)
+	if len(k.server.conns) == 0 && k.pool.servers[k.server.addr] == k.server {
+		delete(k.pool.servers, k.server.addr)
 	}
 }
 
 // Given tells what was known of a call when it was given up.
-type Given int
+type AbandonResult int
 
 // What Abandon tells.
 const (
-	Ended     Given = iota // too late: Done was called or is just being called
-	NeverLeft              // no byte of it was written; Done will not be called
-	MayRun                 // it may have run or still run; Done will not be called
+	AlreadyEnded AbandonResult = iota // too late: Done was called or is just being called
+	NotSent                           // no byte of it was written; Done will not be called
+	MayHaveRun                        // it may have run or still run; Done will not be called
 )
 
 // Abandon gives a call up.
-func (p *Pool) Abandon(c *Call) Given {
+func (p *Pool) Abandon(c *Call) AbandonResult {
 	was, first := c.end()
 	if !first {
-		return Ended
+		return AlreadyEnded
 	}
 	p.mu.Lock()
 	k := c.conn
-	l := k.link
+	l := k.ws
 	p.mu.Unlock()
-	if was == sent && l != nil {
+	if was == stateSent && l != nil {
 		// The node may drop work that waits; the answer, if it comes all the same, finds no call.
 		l.Send(jsonrpc.AppendCall(nil, "", "cancel", []byte(`{"id":`+strconv.FormatUint(c.id, 10)+`}`)))
 	}
-	k.drop(c)
-	if was == waiting {
-		return NeverLeft
+	k.removeCall(c)
+	if was == stateWaiting {
+		return NotSent
 	}
-	return MayRun
+	return MayHaveRun
 }
 
 // run connects, reads answers and ends what is left when the connection breaks.
 func (k *conn) run() {
 	defer k.pool.wg.Done()
 	p := k.pool
-	ctx, cancel := context.WithTimeout(p.ctx, p.o.ConnectTimeout)
-	l, err := wsconn.Dial(ctx, k.node.addr, &websocket.Request{Host: k.node.addr, Path: p.o.Path, Protocol: Protocol}, p.o.Link)
+	ctx, cancel := context.WithTimeout(p.ctx, p.options.ConnectTimeout)
+	l, err := wsconn.Dial(ctx, k.server.addr, &websocket.Request{Host: k.server.addr, Path: p.options.Path, Protocol: Protocol}, p.options.Conn)
 	cancel()
 	if err != nil {
-		k.end()
+		k.failCalls()
 		return
 	}
 	p.mu.Lock()
-	k.link = l
+	k.ws = l
 	first := k.pending
 	k.pending = nil
-	k.rest()
+	k.startIdleTimer()
 	p.mu.Unlock()
 	stop := context.AfterFunc(p.ctx, func() { l.Close(websocket.CodeGoingAway, "") })
 	defer stop()
 	for _, c := range first {
-		if c.state.Load() == waiting {
-			k.write(l, c)
+		if c.state.Load() == stateWaiting {
+			k.send(l, c)
 		}
 	}
 	for {
@@ -329,30 +329,30 @@
 			break
 		}
 		for i := range items {
-			k.answer(&items[i])
+			k.handleResponse(&items[i])
 		}
 	}
-	k.end()
+	k.failCalls()
 	l.Abort()
 }
 
 // end breaks all calls of the connection.
-func (k *conn) end() {
+func (k *conn) failCalls() {
 	p := k.pool
 	p.mu.Lock()
-	if !k.dead {
+	if !k.removed {
 		k.remove()
 	}
 	calls := k.calls
 	k.calls = map[uint64]*Call{}
 	p.mu.Unlock()
 	for _, c := range calls {
-		c.Broke()
+		c.ConnectionLost()
 	}
 }
 
-func (k *conn) answer(it *jsonrpc.Item) {
-	if it.Bad || it.Method != "" {
+func (k *conn) handleResponse(it *jsonrpc.Message) {
+	if it.Invalid || it.Method != "" {
 		return
 	}
 	id, err := strconv.ParseUint(string(it.ID), 10, 64)
@@ -360,15 +360,15 @@
 	c := k.calls[id]
 	k.pool.mu.Unlock()
 	if err != nil || c == nil {
-		k.pool.late.Add(1)
+		k.pool.lateResponses.Add(1)
 		return
 	}
-	k.drop(c)
-	c.Finish(read(it))
+	k.removeCall(c)
+	c.Finish(parseResponse(it))
 }
 
 // read takes a node's answer. What can't be read counts as an error: the work may have run.
-func read(it *jsonrpc.Item) Result {
+func parseResponse(it *jsonrpc.Message) Result {
 	var w struct {
 		Units   float64           `json:"units"`
 		Metered int               `json:"metered"`
@@ -377,21 +377,21 @@
 	}
 	if it.Err != nil {
 		r := Result{Outcome: decide.OutcomeError}
-		if it.Err.Code == jsonrpc.CodeFull {
+		if it.Err.Code == jsonrpc.CodeServerFull {
 			r.Outcome = decide.OutcomeRejected
 		}
 		if json.Unmarshal(it.Err.Data, &w) == nil {
-			r.Report = w.Load
+			r.LoadReport = w.Load
 		}
 		return r
 	}
-	err := jsonrpc.Members(it.Result, func(name string, v json.RawMessage) error {
+	err := jsonrpc.ForEachMember(it.Result, func(name string, v json.RawMessage) error {
 		switch name {
 		case "units":
-			return number(&w.Units, v)
+			return parseNumber(&w.Units, v)
 		case "metered":
 			var m float64
-			err := number(&m, v)
+			err := parseNumber(&m, v)
 			w.Metered = int(min(max(m, -1), math.MaxInt32))
 			return err
 		case "load":
@@ -408,7 +408,7 @@
 }
 
 // number reads a number of JSON; that it is well formed was seen when the message was parsed.
-func number(to *float64, v json.RawMessage) error {
+func parseNumber(to *float64, v json.RawMessage) error {
 	if string(v) == "null" {
 		return nil
 	}
@@ -421,11 +421,11 @@
 func (p *Pool) CloseIdle(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if n := p.nodes[addr]; n != nil {
+	if n := p.servers[addr]; n != nil {
 		for _, k := range append([]*conn(nil), n.conns...) {
-			if len(k.calls) == 0 && k.link != nil {
+			if len(k.calls) == 0 && k.ws != nil {
 				k.remove()
-				k.link.Close(websocket.CodeNormal, "")
+				k.ws.Close(websocket.CodeNormal, "")
 			}
 		}
 	}
@@ -435,7 +435,7 @@
 func (p *Pool) Conns() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, d := range p.nodes {
+	for _, d := range p.servers {
 		n += len(d.conns)
 	}
 	return n
@@ -443,6 +443,6 @@
 
 // Close ends all connections and waits for their goroutines. Calls on them end as broken.
 func (p *Pool) Close() {
-	p.stop()
+	p.cancel()
 	p.wg.Wait()
 }
--- a/internal/upstream/websocket/upstream_test.go
+++ b/internal/upstream/websocket/upstream_test.go
@@ -18,13 +18,13 @@
 )
 
 func options() Options {
-	return Options{ConnectTimeout: 2 * time.Second, Conns: 2, Calls: 1000, Idle: time.Minute,
-		Link: wsconn.Options{WriteWait: 5 * time.Second}}
+	return Options{ConnectTimeout: 2 * time.Second, MaxConns: 2, CallsPerConn: 1000, IdleTimeout: time.Minute,
+		Conn: wsconn.Options{WriteTimeout: 5 * time.Second}}
 }
 
 func send(p *Pool, addr, params string) (*Call, chan Result) {
 	got := make(chan Result, 2)
-	c := &Call{Node: addr, Method: "m", Params: []byte(params), Done: func(r Result) { got <- r }}
+	c := &Call{Server: addr, Method: "m", Params: []byte(params), Done: func(r Result) { got <- r }}
 	p.Send(c)
 	return c, got
 }
@@ -44,7 +44,7 @@
 }
 
 // server takes connections by hand: f gets each after its handshake.
-func server(t *testing.T, f func(net.Conn, *bufio.Reader)) string {
+func startServer(t *testing.T, f func(net.Conn, *bufio.Reader)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -84,7 +84,7 @@
 		if at+7 > len(whole) {
 			at = len(whole)
 		}
-		addr := server(t, func(nc net.Conn, br *bufio.Reader) {
+		addr := startServer(t, func(nc net.Conn, br *bufio.Reader) {
 			r := websocket.NewReader(br, websocket.Server, 1<<20)
 			if _, err := r.Next(); err == nil {
 				nc.Write(whole[:at])
@@ -94,7 +94,7 @@
 		_, got := send(p, addr, `{}`)
 		if at < len(whole) {
 			want(t, got, decide.OutcomeReset)
-		} else if r := want(t, got, decide.OutcomeOK); r.TrueUnits != 2 || r.Metered != 3 || r.Report["queue"] != 1 || string(r.Body) != "7" {
+		} else if r := want(t, got, decide.OutcomeOK); r.ActualUnits != 2 || r.ReportedUsage != 3 || r.LoadReport["queue"] != 1 || string(r.Body) != "7" {
 			t.Errorf("%+v", r)
 		}
 		p.Close()
@@ -111,7 +111,7 @@
 	var mu sync.Mutex
 	got := map[string]bool{}
 	cut := make(chan struct{})
-	addr := server(t, func(nc net.Conn, br *bufio.Reader) {
+	addr := startServer(t, func(nc net.Conn, br *bufio.Reader) {
 		nc.(*net.TCPConn).SetReadBuffer(4 << 10)
 		<-cut
 		r := websocket.NewReader(br, websocket.Server, 1<<20)
@@ -127,8 +127,8 @@
 		}
 	})
 	o := options()
-	o.Conns = 1
-	o.Link.Queue = 64 << 20
+	o.MaxConns = 1
+	o.Conn.MaxQueue = 64 << 20
 	p := New(o)
 	defer p.Close()
 	pad := strings.Repeat("x", 20_000)
@@ -160,9 +160,9 @@
 func (p *Pool) connected(addr string) (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if d := p.nodes[addr]; d != nil {
+	if d := p.servers[addr]; d != nil {
 		for _, k := range d.conns {
-			if k.link != nil {
+			if k.ws != nil {
 				n++
 			}
 		}
@@ -188,7 +188,7 @@
 			if err != nil {
 				return
 			}
-			nc.Write((&websocket.Refusal{Status: 503, Reason: "no"}).Response())
+			nc.Write((&websocket.HandshakeError{Status: 503, Reason: "no"}).Response())
 			nc.Close()
 		}
 	}()
@@ -208,7 +208,7 @@
 // TestAbandon gives calls up before they leave and after; a late answer finds nobody and is counted.
 func TestAbandon(t *testing.T) {
 	first := make(chan struct{})
-	addr := server(t, func(nc net.Conn, br *bufio.Reader) {
+	addr := startServer(t, func(nc net.Conn, br *bufio.Reader) {
 		r := websocket.NewReader(br, websocket.Server, 1<<20)
 		if _, err := r.Next(); err != nil {
 			return
@@ -228,17 +228,17 @@
 	defer p.Close()
 	c, got := send(p, addr, `{}`)
 	<-first
-	if g := p.Abandon(c); g != MayRun {
+	if g := p.Abandon(c); g != MayHaveRun {
 		t.Errorf("a sent call is given up as %d", g)
 	}
-	until(t, "a late answer is counted", func() bool { return p.Late() > 0 })
+	until(t, "a late answer is counted", func() bool { return p.LateResponses() > 0 })
 	ln, _ := net.Listen("tcp", "127.0.0.1:0")
 	defer ln.Close()
 	c2, got2 := send(p, ln.Addr().String(), `{}`)
-	if g := p.Abandon(c2); g != NeverLeft {
+	if g := p.Abandon(c2); g != NotSent {
 		t.Errorf("a call that waits for its connection is given up as %d", g)
 	}
-	if g := p.Abandon(c2); g != Ended {
+	if g := p.Abandon(c2); g != AlreadyEnded {
 		t.Errorf("a second time it is %d", g)
 	}
 	if len(got)+len(got2) > 0 {
@@ -249,14 +249,14 @@
 // TestNode runs calls through an emulated node: many at once on few connections, full, failing, closed when idle.
 func TestNode(t *testing.T) {
 	log := invariant.NewLog(nil)
-	n, err := backend.Start(backend.Options{Addr: "127.0.0.1:0", Log: log, Cores: 4, Speed: 1, Queue: 1000,
-		Classes: map[string]backend.Class{"m": {Work: 100 * time.Microsecond}}})
+	n, err := backend.Start(backend.Options{Address: "127.0.0.1:0", Log: log, Cores: 4, Speed: 1, Queue: 1000,
+		Classes: map[string]backend.Class{"m": {MeanWork: 100 * time.Microsecond}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer n.Stop()
 	o := options()
-	o.Calls, o.Conns, o.Idle = 10, 3, 20*time.Millisecond
+	o.CallsPerConn, o.MaxConns, o.IdleTimeout = 10, 3, 20*time.Millisecond
 	p := New(o)
 	defer p.Close()
 	var outs []chan Result
@@ -265,18 +265,18 @@
 		outs = append(outs, ch)
 	}
 	for _, ch := range outs {
-		if r := want(t, ch, decide.OutcomeOK); r.TrueUnits != 2 {
+		if r := want(t, ch, decide.OutcomeOK); r.ActualUnits != 2 {
 			t.Fatalf("%+v", r)
 		}
 	}
-	n.Set(func(x *backend.Trouble) { x.Errors = 1 })
+	n.SetFault(func(x *backend.Fault) { x.ErrorShare = 1 })
 	_, ch := send(p, n.Addr(), `{"request":"e"}`)
 	want(t, ch, decide.OutcomeError)
 	until(t, "idle ones are closed", func() bool { return p.Conns() == 0 })
-	n.Set(func(x *backend.Trouble) { x.Errors, x.Silent = 0, true })
+	n.SetFault(func(x *backend.Fault) { x.ErrorShare, x.Unresponsive = 0, true })
 	_, ch = send(p, n.Addr(), `{"request":"s"}`)
 	until(t, "the call arrived", func() bool {
-		return slices.ContainsFunc(log.Records(), func(r invariant.Record) bool { return r.K == invariant.Arrive && r.Request == "s" })
+		return slices.ContainsFunc(log.Records(), func(r invariant.Record) bool { return r.Kind == invariant.Received && r.Request == "s" })
 	})
 	p.CloseIdle(n.Addr()) // it carries a call, so it stays
 	if p.Conns() != 1 {
@@ -294,18 +294,18 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	go wsconn.Listen(ln, func(nc net.Conn) {
+	go wsconn.Serve(ln, func(nc net.Conn) {
 		<-shake
 		if l, err := wsconn.Accept(nc, Protocol, 5*time.Second, nil, wsconn.Options{}); err == nil {
 			l.Read()
 		}
 	})
 	o := options()
-	o.Idle = 10 * time.Millisecond
+	o.IdleTimeout = 10 * time.Millisecond
 	p := New(o)
 	defer p.Close()
 	c, _ := send(p, ln.Addr().String(), `{}`)
-	if p.Abandon(c) != NeverLeft {
+	if p.Abandon(c) != NotSent {
 		t.Fatal("a byte left before the handshake")
 	}
 	close(shake)
--- a/internal/usage/outbox/desk.go
+++ b/internal/usage/outbox/desk.go
@@ -15,45 +15,45 @@
 
 // The policies.
 const (
-	Refuse Policy = iota // nothing is sent that is not covered
-	Serve                // it is sent, counted, and told to the receiver as a gap
+	PolicyReject Policy = iota // nothing is sent that is not covered
+	PolicyServe                // it is sent, counted, and told to the receiver as a gap
 )
 
 // ID names a try within a life of a gateway.
 type ID uint64
 
 // DeskEvent is something that a desk is told.
-type DeskEvent interface{ deskEvent() }
+type OutboxEvent interface{ outboxEvent() }
 
 // DeskAction is something that a desk wants done.
-type DeskAction interface{ deskAction() }
+type OutboxAction interface{ outboxAction() }
 
 type (
 	// Intend asks whether a try may be sent. It is answered by Append, Release or Deny.
-	Intend struct {
-		ID   ID
-		Try  Try
-		Room bool // the log has room for more than what is already owed
+	RecordIntent struct {
+		ID      ID
+		Attempt Attempt
+		HasRoom bool // the log has room for more than what is already owed
 	}
 	// Appended is the answer to Append: the record's number, or why there is none.
 	Appended struct {
-		ID     ID
-		Rec    uint64
-		Failed string
+		ID      ID
+		Record  uint64
+		Failure string
 	}
 	// Durable says that all records up to that number are.
-	Durable struct{ Rec uint64 }
+	Durable struct{ Record uint64 }
 	// Broken says that the log can't be written, or can again.
-	Broken struct{ Why string }
+	LogStatus struct{ Failure string }
 	// Settle ends a try.
 	Settle struct {
-		ID      ID
-		Outcome Outcome
-		Used    float64
-		Wall    int64
+		ID        ID
+		Outcome   Outcome
+		UsedUnits float64
+		WallTime  int64
 	}
 	// Acked says that the receiver has all up to a record.
-	Acked struct{ Rec uint64 }
+	Acknowledged struct{ Record uint64 }
 
 	// Append asks for a record; it is answered by Appended before anything else, unless ID is 0.
 	Append struct {
@@ -66,97 +66,97 @@
 	Deny struct{ ID ID }
 )
 
-func (Intend) deskEvent()   {}
-func (Appended) deskEvent() {}
-func (Durable) deskEvent()  {}
-func (Broken) deskEvent()   {}
-func (Settle) deskEvent()   {}
-func (Acked) deskEvent()    {}
+func (RecordIntent) outboxEvent() {}
+func (Appended) outboxEvent()     {}
+func (Durable) outboxEvent()      {}
+func (LogStatus) outboxEvent()    {}
+func (Settle) outboxEvent()       {}
+func (Acknowledged) outboxEvent() {}
 
-func (Append) deskAction()  {}
-func (Release) deskAction() {}
-func (Deny) deskAction()    {}
+func (Append) outboxAction()  {}
+func (Release) outboxAction() {}
+func (Deny) outboxAction()    {}
 
 // entry is a try that is not settled in the log.
-type entry struct {
-	try     Try
-	rec     uint64 // of the intent; 0: not appended
-	sent    bool   // released
-	covered bool   // its intent is in the log
-	settled *Settlement
+type attemptEntry struct {
+	attempt    Attempt
+	record     uint64 // of the intent; 0: not appended
+	released   bool   // released
+	covered    bool   // its intent is in the log
+	settlement *Settlement
 }
 
 // heldMost is how many settlements may wait for a log that does not take them before no further try is covered: so no more
 // come than those of tries that are out then.
-const heldMost = 20000
+const maxUnloggedSettlements = 20000
 
 // Names that no try has: of the settlements of former lives, from orphanFrom on, and of the gap.
 const (
-	orphanFrom = ID(1) << 62
-	gapID      = ID(1) << 63
+	firstOrphanID = ID(1) << 62
+	gapID         = ID(1) << 63
 )
 
 // DeskSettings are what a desk starts from.
-type DeskSettings struct {
-	Policy Policy
-	Life   uint64 // at least; a desk takes a later one than all in its log
+type OutboxSettings struct {
+	Policy      Policy
+	Incarnation uint64 // at least; a desk takes a later one than all in its log
 }
 
 // Desk keeps what a gateway's tries owe. It is not safe for concurrent use.
-type Desk struct {
-	s       DeskSettings
-	life    uint64
-	seq     uint64
-	tries   map[ID]*entry
-	waiting []ID           // appended, not durable yet, in order
-	orphans map[uint64]Try // intents of former lives, by record
-	lastOld uint64         // life of the last 'L' in the log
-	acked   uint64
-	ackedIn uint64 // as the log has it
-	broken  string
-	held    []ID // settlements that the log did not take
-
-	wall     int64  // of the last settlement
-	gapTries uint64 // not told yet
-	gapUnits float64
-	telling  *Gap // appended, if the log takes it
-	Counts   Counts
+type Outbox struct {
+	settings           OutboxSettings
+	incarnation        uint64
+	sequence           uint64
+	attempts           map[ID]*attemptEntry
+	awaitingDurable    []ID               // appended, not durable yet, in order
+	orphans            map[uint64]Attempt // intents of former lives, by record
+	lastIncarnation    uint64             // life of the last 'L' in the log
+	acknowledged       uint64
+	acknowledgedLogged uint64 // as the log has it
+	logFailure         string
+	unlogged           []ID // settlements that the log did not take
+
+	lastSettledAt int64  // of the last settlement
+	gapAttempts   uint64 // not told yet
+	gapUnits      float64
+	pendingGap    *Gap // appended, if the log takes it
+	Counts        Counts
 }
 
 // Counts are for operators.
 type Counts struct {
-	Intents        uint64  `json:"Intents"`
-	Settled        uint64  `json:"Settled"`
-	Skipped        uint64  `json:"Skipped"`
-	Orphans        uint64  `json:"Orphans"` // exported at their guess after the life that sent them ended
-	Denied         uint64  `json:"Denied"`
-	Uncovered      uint64  `json:"Uncovered"` // tries
-	UncoveredUnits float64 `json:"UncoveredUnits"`
+	Intents           uint64  `json:"Intents"`
+	Settled           uint64  `json:"Settled"`
+	Skipped           uint64  `json:"Skipped"`
+	Orphans           uint64  `json:"Orphans"` // exported at their guess after the life that sent them ended
+	Denied            uint64  `json:"Denied"`
+	UncoveredAttempts uint64  `json:"Uncovered"` // tries
+	UncoveredUnits    float64 `json:"UncoveredUnits"`
 }
 
 // NewDesk returns a desk that is to be told what its log holds by Restore, and then begun.
-func NewDesk(s DeskSettings) *Desk {
-	return &Desk{s: s, tries: map[ID]*entry{}, orphans: map[uint64]Try{}}
+func New(s OutboxSettings) *Outbox {
+	return &Outbox{settings: s, attempts: map[ID]*attemptEntry{}, orphans: map[uint64]Attempt{}}
 }
 
 // Restore takes a record of the log.
-func (d *Desk) Restore(rec uint64, payload []byte) error {
-	r, err := parse(payload)
+func (d *Outbox) Restore(rec uint64, payload []byte) error {
+	r, err := parseRecord(payload)
 	if err != nil {
 		return fmt.Errorf("record %d: %w", rec, err)
 	}
 	switch r.kind {
-	case recIntent:
-		d.orphans[rec] = r.try
-	case recSettle:
-		delete(d.orphans, r.settle.Intent)
-		d.lastOld = max(d.lastOld, r.settle.Life)
-	case recLife:
-		d.lastOld = max(d.lastOld, r.number)
-	case recAck:
-		d.acked = max(d.acked, r.number)
-	case recGap:
-		d.lastOld = max(d.lastOld, r.gap.Life)
+	case recordIntent:
+		d.orphans[rec] = r.attempt
+	case recordSettlement:
+		delete(d.orphans, r.settlement.Intent)
+		d.lastIncarnation = max(d.lastIncarnation, r.settlement.Incarnation)
+	case recordIncarnation:
+		d.lastIncarnation = max(d.lastIncarnation, r.number)
+	case recordAcknowledged:
+		d.acknowledged = max(d.acknowledged, r.number)
+	case recordGap:
+		d.lastIncarnation = max(d.lastIncarnation, r.gap.Incarnation)
 	}
 	return nil
 }
@@ -164,10 +164,10 @@
 // Begin starts a life: its number, later than all in the log, and the settlements of what former lives left open, at
 // their guesses. They get keys of this life: which ones the former would have given is not known. They are owed like any
 // other until the log has taken them.
-func (d *Desk) Begin(wall int64) []DeskAction {
-	d.life, d.wall = max(d.s.Life, d.lastOld+1), wall
-	d.ackedIn = d.acked
-	out := []DeskAction{Append{Payload: binary.AppendUvarint([]byte{recLife}, d.life)}}
+func (d *Outbox) Start(wallTime int64) []OutboxAction {
+	d.incarnation, d.lastSettledAt = max(d.settings.Incarnation, d.lastIncarnation+1), wallTime
+	d.acknowledgedLogged = d.acknowledged
+	out := []OutboxAction{Append{Payload: binary.AppendUvarint([]byte{recordIncarnation}, d.incarnation)}}
 	recs := make([]uint64, 0, len(d.orphans))
 	for rec := range d.orphans {
 		recs = append(recs, rec)
@@ -176,218 +176,220 @@
 	for i, rec := range recs {
 		t := d.orphans[rec]
 		d.Counts.Orphans++
-		id := orphanFrom + ID(i)
-		d.tries[id] = &entry{try: t, rec: rec, sent: true, covered: true,
-			settled: &Settlement{Try: t, Intent: rec, Life: d.life, Outcome: Orphan, Used: t.Units, Wall: wall}}
-		d.held = append(d.held, id)
+		id := firstOrphanID + ID(i)
+		d.attempts[id] = &attemptEntry{attempt: t, record: rec, released: true, covered: true,
+			settlement: &Settlement{Attempt: t, Intent: rec, Incarnation: d.incarnation, Outcome: OutcomeGatewayEnded, UsedUnits: t.Units, WallTime: wallTime}}
+		d.unlogged = append(d.unlogged, id)
 	}
 	clear(d.orphans)
-	return append(out, d.again()...)
+	return append(out, d.retryUnlogged()...)
 }
 
 // Life is this life's number, once begun.
-func (d *Desk) Life() uint64 { return d.life }
+func (d *Outbox) Incarnation() uint64 { return d.incarnation }
 
 // Acked is the last record that the receiver is known to have.
-func (d *Desk) Acked() uint64 { return d.acked }
+func (d *Outbox) LastAcknowledged() uint64 { return d.acknowledged }
 
 // Owed is how many tries are open, or settled and not in the log yet.
-func (d *Desk) Owed() int { return len(d.tries) }
+func (d *Outbox) Unsettled() int { return len(d.attempts) }
 
 // Closed reports whether calls had better be refused at once: what they would send would be denied.
-func (d *Desk) Closed(room bool) bool { return (d.broken != "" || !room) && d.s.Policy == Refuse }
+func (d *Outbox) Rejecting(hasRoom bool) bool {
+	return (d.logFailure != "" || !hasRoom) && d.settings.Policy == PolicyReject
+}
 
 // Handle takes an event and returns what is to be done, in order.
-func (d *Desk) Handle(ev DeskEvent) (out []DeskAction) {
+func (d *Outbox) Handle(ev OutboxEvent) (out []OutboxAction) {
 	switch e := ev.(type) {
-	case Intend:
-		return d.intend(e)
+	case RecordIntent:
+		return d.recordIntent(e)
 	case Appended:
-		return d.appended(e)
+		return d.recordAppended(e)
 	case Durable:
-		for len(d.waiting) > 0 {
-			id := d.waiting[0]
-			t := d.tries[id]
-			if t != nil && t.rec > e.Rec {
+		for len(d.awaitingDurable) > 0 {
+			id := d.awaitingDurable[0]
+			t := d.attempts[id]
+			if t != nil && t.record > e.Record {
 				break
 			}
-			d.waiting = d.waiting[1:]
-			if t != nil && !t.sent && t.settled == nil {
-				t.sent = true
+			d.awaitingDurable = d.awaitingDurable[1:]
+			if t != nil && !t.released && t.settlement == nil {
+				t.released = true
 				out = append(out, Release{id})
 			}
 		}
-		out = append(out, d.again()...)
-	case Broken:
-		return d.breaks(e.Why)
+		out = append(out, d.retryUnlogged()...)
+	case LogStatus:
+		return d.logStatusChanged(e.Failure)
 	case Settle:
-		return d.settle(e)
-	case Acked:
+		return d.settleAttempt(e)
+	case Acknowledged:
 		// Told again at most, if the record of it is lost: it need not be durable. One for some is enough.
-		if d.acked = max(d.acked, e.Rec); d.acked > d.ackedIn && d.broken == "" {
-			d.ackedIn = d.acked
-			out = append(out, Append{Payload: binary.AppendUvarint([]byte{recAck}, d.acked)})
+		if d.acknowledged = max(d.acknowledged, e.Record); d.acknowledged > d.acknowledgedLogged && d.logFailure == "" {
+			d.acknowledgedLogged = d.acknowledged
+			out = append(out, Append{Payload: binary.AppendUvarint([]byte{recordAcknowledged}, d.acknowledged)})
 		}
 	}
 	return out
 }
 
-func (d *Desk) intend(e Intend) []DeskAction {
-	t := &entry{try: e.Try}
-	d.tries[e.ID] = t
-	if d.broken != "" || !e.Room || len(d.held) >= heldMost {
-		return d.without(e.ID, t)
+func (d *Outbox) recordIntent(e RecordIntent) []OutboxAction {
+	t := &attemptEntry{attempt: e.Attempt}
+	d.attempts[e.ID] = t
+	if d.logFailure != "" || !e.HasRoom || len(d.unlogged) >= maxUnloggedSettlements {
+		return d.decideUncovered(e.ID, t)
 	}
 	d.Counts.Intents++
-	return append(d.tellGap(), Append{e.ID, t.try.append([]byte{recIntent})})
+	return append(d.reportGap(), Append{e.ID, t.attempt.append([]byte{recordIntent})})
 }
 
 // tellGap tells what was let pass uncovered, now that the log has room.
-func (d *Desk) tellGap() []DeskAction {
-	if d.gapTries == 0 || d.telling != nil {
+func (d *Outbox) reportGap() []OutboxAction {
+	if d.gapAttempts == 0 || d.pendingGap != nil {
 		return nil
 	}
-	d.seq++
-	d.telling = &Gap{Life: d.life, Seq: d.seq, Tries: d.gapTries, Units: d.gapUnits, Wall: d.wall}
-	d.gapTries, d.gapUnits = 0, 0
-	return []DeskAction{Append{gapID, d.telling.append(nil)}}
+	d.sequence++
+	d.pendingGap = &Gap{Incarnation: d.incarnation, Sequence: d.sequence, Attempts: d.gapAttempts, Units: d.gapUnits, WallTime: d.lastSettledAt}
+	d.gapAttempts, d.gapUnits = 0, 0
+	return []OutboxAction{Append{gapID, d.pendingGap.append(nil)}}
 }
 
 // hand hands a settlement in. Its number is the next one, and is taken back if the log does not take it: an Append is
 // answered before anything else happens, so none is left out.
-func (d *Desk) hand(id ID, t *entry) DeskAction {
-	if t.settled.Outcome != Skipped {
-		d.seq++
-		t.settled.Seq = d.seq
+func (d *Outbox) appendSettlement(id ID, t *attemptEntry) OutboxAction {
+	if t.settlement.Outcome != OutcomeNeverRan {
+		d.sequence++
+		t.settlement.Sequence = d.sequence
 	}
-	return Append{id, t.settled.append(nil)}
+	return Append{id, t.settlement.append(nil)}
 }
 
 // again hands in the first of the settlements that the log did not take; once it has, the next one follows.
-func (d *Desk) again() []DeskAction {
-	if d.broken != "" || len(d.held) == 0 {
+func (d *Outbox) retryUnlogged() []OutboxAction {
+	if d.logFailure != "" || len(d.unlogged) == 0 {
 		return nil
 	}
-	id := d.held[0]
-	d.held = d.held[1:]
-	return []DeskAction{d.hand(id, d.tries[id])}
+	id := d.unlogged[0]
+	d.unlogged = d.unlogged[1:]
+	return []OutboxAction{d.appendSettlement(id, d.attempts[id])}
 }
 
 // without decides a try whose intent can't be written.
-func (d *Desk) without(id ID, t *entry) []DeskAction {
-	if d.s.Policy == Serve {
-		t.sent = true
-		return []DeskAction{Release{id}}
+func (d *Outbox) decideUncovered(id ID, t *attemptEntry) []OutboxAction {
+	if d.settings.Policy == PolicyServe {
+		t.released = true
+		return []OutboxAction{Release{id}}
 	}
 	d.Counts.Denied++
-	return []DeskAction{Deny{id}}
+	return []OutboxAction{Deny{id}}
 }
 
-func (d *Desk) appended(e Appended) []DeskAction {
-	t := d.tries[e.ID]
+func (d *Outbox) recordAppended(e Appended) []OutboxAction {
+	t := d.attempts[e.ID]
 	switch {
-	case e.ID == gapID && d.telling != nil:
-		if e.Failed != "" {
-			d.gapTries, d.gapUnits = d.gapTries+d.telling.Tries, d.gapUnits+d.telling.Units
-			d.seq--
+	case e.ID == gapID && d.pendingGap != nil:
+		if e.Failure != "" {
+			d.gapAttempts, d.gapUnits = d.gapAttempts+d.pendingGap.Attempts, d.gapUnits+d.pendingGap.Units
+			d.sequence--
 		}
-		d.telling = nil
+		d.pendingGap = nil
 	case t == nil:
-	case t.settled != nil: // its settlement
-		if e.Failed != "" {
-			if t.settled.Outcome != Skipped {
-				d.seq--
+	case t.settlement != nil: // its settlement
+		if e.Failure != "" {
+			if t.settlement.Outcome != OutcomeNeverRan {
+				d.sequence--
 			}
-			d.held = append(d.held, e.ID)
+			d.unlogged = append(d.unlogged, e.ID)
 			return nil
 		}
-		delete(d.tries, e.ID)
-		return d.again()
-	case e.Failed != "":
-		return d.without(e.ID, t)
+		delete(d.attempts, e.ID)
+		return d.retryUnlogged()
+	case e.Failure != "":
+		return d.decideUncovered(e.ID, t)
 	default:
-		t.rec, t.covered = e.Rec, true
-		d.waiting = append(d.waiting, e.ID)
+		t.record, t.covered = e.Record, true
+		d.awaitingDurable = append(d.awaitingDurable, e.ID)
 	}
 	return nil
 }
 
 // breaks takes that the log fails or works again. What waits for it to be durable was not sent, so by the policy it
 // may be denied, or sent: its intent may yet become durable, and its settlement will tell.
-func (d *Desk) breaks(why string) (out []DeskAction) {
-	d.broken = why
-	if why != "" {
-		for _, id := range d.waiting {
-			if t := d.tries[id]; t != nil && !t.sent && t.settled == nil {
-				out = append(out, d.without(id, t)...)
+func (d *Outbox) logStatusChanged(failure string) (out []OutboxAction) {
+	d.logFailure = failure
+	if failure != "" {
+		for _, id := range d.awaitingDurable {
+			if t := d.attempts[id]; t != nil && !t.released && t.settlement == nil {
+				out = append(out, d.decideUncovered(id, t)...)
 			}
 		}
-		d.waiting = nil
+		d.awaitingDurable = nil
 		return out
 	}
-	return append(d.tellGap(), d.again()...)
+	return append(d.reportGap(), d.retryUnlogged()...)
 }
 
-func (d *Desk) settle(e Settle) []DeskAction {
-	t := d.tries[e.ID]
-	if t == nil || t.settled != nil {
+func (d *Outbox) settleAttempt(e Settle) []OutboxAction {
+	t := d.attempts[e.ID]
+	if t == nil || t.settlement != nil {
 		return nil
 	}
-	d.wall = e.Wall
+	d.lastSettledAt = e.WallTime
 	if !t.covered {
-		delete(d.tries, e.ID)
-		if e.Outcome != Skipped && t.sent {
-			d.gapTries++
-			d.gapUnits += e.Used
-			d.Counts.Uncovered++
-			d.Counts.UncoveredUnits += e.Used
+		delete(d.attempts, e.ID)
+		if e.Outcome != OutcomeNeverRan && t.released {
+			d.gapAttempts++
+			d.gapUnits += e.UsedUnits
+			d.Counts.UncoveredAttempts++
+			d.Counts.UncoveredUnits += e.UsedUnits
 		}
 		return nil
 	}
-	s := &Settlement{Try: t.try, Intent: t.rec, Life: d.life, Outcome: e.Outcome, Used: e.Used, Wall: e.Wall}
-	if !(s.Used >= 0) || math.IsInf(s.Used, 0) {
-		s.Used = t.try.Units
+	s := &Settlement{Attempt: t.attempt, Intent: t.record, Incarnation: d.incarnation, Outcome: e.Outcome, UsedUnits: e.UsedUnits, WallTime: e.WallTime}
+	if !(s.UsedUnits >= 0) || math.IsInf(s.UsedUnits, 0) {
+		s.UsedUnits = t.attempt.Units
 	}
-	if t.settled = s; e.Outcome == Skipped {
+	if t.settlement = s; e.Outcome == OutcomeNeverRan {
 		d.Counts.Skipped++
 	} else {
 		d.Counts.Settled++
 	}
-	if d.broken != "" {
-		d.held = append(d.held, e.ID)
+	if d.logFailure != "" {
+		d.unlogged = append(d.unlogged, e.ID)
 		return nil
 	}
-	return []DeskAction{d.hand(e.ID, t)}
+	return []OutboxAction{d.appendSettlement(e.ID, t)}
 }
 
 // Snapshot is the state as of all records that were appended: the life, the records acknowledged and the intents that
 // are open, each with its record's number.
-func (d *Desk) Snapshot() []byte {
-	b := binary.AppendUvarint(nil, d.life)
-	b = binary.AppendUvarint(b, d.acked)
-	var open []*entry
-	for _, t := range d.tries {
+func (d *Outbox) Snapshot() []byte {
+	b := binary.AppendUvarint(nil, d.incarnation)
+	b = binary.AppendUvarint(b, d.acknowledged)
+	var open []*attemptEntry
+	for _, t := range d.attempts {
 		if t.covered {
 			open = append(open, t)
 		}
 	}
-	slices.SortFunc(open, func(a, b *entry) int { return cmp.Compare(a.rec, b.rec) })
+	slices.SortFunc(open, func(a, b *attemptEntry) int { return cmp.Compare(a.record, b.record) })
 	b = binary.AppendUvarint(b, uint64(len(open)))
 	for _, t := range open {
-		b = t.try.append(binary.AppendUvarint(b, t.rec))
+		b = t.attempt.append(binary.AppendUvarint(b, t.record))
 	}
 	return b
 }
 
 // RestoreSnapshot takes what Snapshot wrote, before the records behind it.
-func (d *Desk) RestoreSnapshot(p []byte) error {
-	r := &encoding.Reader{B: p}
-	d.lastOld, d.acked = r.Uvarint(any64), r.Uvarint(any64)
-	for n := r.Uvarint(any64); n > 0 && !r.Bad; n-- {
-		rec := r.Uvarint(any64)
-		d.orphans[rec] = readTry(r)
+func (d *Outbox) RestoreSnapshot(p []byte) error {
+	r := &encoding.Reader{Rest: p}
+	d.lastIncarnation, d.acknowledged = r.Uvarint(unbounded), r.Uvarint(unbounded)
+	for n := r.Uvarint(unbounded); n > 0 && !r.Malformed; n-- {
+		rec := r.Uvarint(unbounded)
+		d.orphans[rec] = readAttempt(r)
 	}
-	if r.Bad {
+	if r.Malformed {
 		return fmt.Errorf("export: the snapshot is cut")
 	}
 	return nil
--- a/internal/usage/outbox/record.go
+++ b/internal/usage/outbox/record.go
@@ -19,13 +19,13 @@
 )
 
 // Try is an attempt as it is exported.
-type Try struct {
+type Attempt struct {
 	Request  string
-	Attempt  int
+	Number   int
 	Member   string
 	Plan     string
 	Class    string
-	Node     string
+	Server   string
 	Units    float64 // the guess
 	Reserved bool    // of units set aside
 }
@@ -35,34 +35,34 @@
 
 // The outcomes. Only Sized is at the answered size; all others are at the guess, and marked.
 const (
-	Sized   Outcome = 1 + iota // answered
-	Failed                     // answered with an error, which tells no size
-	Silent                     // not answered: timed out, called off, connection broken
-	Orphan                     // the gateway's life ended first
-	Skipped                    // it never ran: nothing is exported
+	OutcomeAnswered     Outcome = 1 + iota // answered
+	OutcomeError                           // answered with an error, which tells no size
+	OutcomeUnanswered                      // not answered: timed out, called off, connection broken
+	OutcomeGatewayEnded                    // the gateway's life ended first
+	OutcomeNeverRan                        // it never ran: nothing is exported
 )
 
-var outcomeNames = map[Outcome]string{Sized: "answered", Failed: "error", Silent: "unanswered", Orphan: "gateway_ended", Skipped: "never_ran"}
+var outcomeNames = map[Outcome]string{OutcomeAnswered: "answered", OutcomeError: "error", OutcomeUnanswered: "unanswered", OutcomeGatewayEnded: "gateway_ended", OutcomeNeverRan: "never_ran"}
 
 func (o Outcome) String() string { return outcomeNames[o] }
 
 // Settlement is the end of a try. Life and Seq are its key at the receiver; Seq is 0 of a skipped one.
 type Settlement struct {
-	Try
-	Intent  uint64 // number of the intent's record
-	Life    uint64
-	Seq     uint64
-	Outcome Outcome
-	Used    float64
-	Wall    int64 // Unix nanoseconds
+	Attempt
+	Intent      uint64 // number of the intent's record
+	Incarnation uint64
+	Sequence    uint64
+	Outcome     Outcome
+	UsedUnits   float64
+	WallTime    int64 // Unix nanoseconds
 }
 
 // Gap is use that was let pass while the log could not be written.
 type Gap struct {
-	Life, Seq uint64
-	Tries     uint64
-	Units     float64
-	Wall      int64
+	Incarnation, Sequence uint64
+	Attempts              uint64
+	Units                 float64
+	WallTime              int64
 }
 
 // Records of the log: a byte that says which, then integers as varints, strings with their length before them, figures
@@ -74,18 +74,18 @@
 //	'A'  all settlements up to that record are at the receiver, or set aside: number
 //	'G'  gap: life, seq, tries, units, wall
 const (
-	recIntent = 'I'
-	recSettle = 'S'
-	recLife   = 'L'
-	recAck    = 'A'
-	recGap    = 'G'
+	recordIntent       = 'I'
+	recordSettlement   = 'S'
+	recordIncarnation  = 'L'
+	recordAcknowledged = 'A'
+	recordGap          = 'G'
 )
 
-func (t *Try) append(b []byte) []byte {
-	b = encoding.String(b, t.Request)
-	b = binary.AppendUvarint(b, uint64(t.Attempt))
-	b = encoding.String(encoding.String(encoding.String(encoding.String(b, t.Member), t.Plan), t.Class), t.Node)
-	b = encoding.Float(b, t.Units)
+func (t *Attempt) append(b []byte) []byte {
+	b = encoding.AppendString(b, t.Request)
+	b = binary.AppendUvarint(b, uint64(t.Number))
+	b = encoding.AppendString(encoding.AppendString(encoding.AppendString(encoding.AppendString(b, t.Member), t.Plan), t.Class), t.Server)
+	b = encoding.AppendFloat64(b, t.Units)
 	flags := byte(0)
 	if t.Reserved {
 		flags = 1
@@ -94,138 +94,138 @@
 }
 
 func (s *Settlement) append(b []byte) []byte {
-	b = append(b, recSettle)
-	b = binary.AppendUvarint(binary.AppendUvarint(binary.AppendUvarint(b, s.Intent), s.Life), s.Seq)
-	b = encoding.Float(append(b, byte(s.Outcome)), s.Used)
-	return s.Try.append(binary.AppendVarint(b, s.Wall))
+	b = append(b, recordSettlement)
+	b = binary.AppendUvarint(binary.AppendUvarint(binary.AppendUvarint(b, s.Intent), s.Incarnation), s.Sequence)
+	b = encoding.AppendFloat64(append(b, byte(s.Outcome)), s.UsedUnits)
+	return s.Attempt.append(binary.AppendVarint(b, s.WallTime))
 }
 
 func (g *Gap) append(b []byte) []byte {
-	b = binary.AppendUvarint(binary.AppendUvarint(binary.AppendUvarint(append(b, recGap), g.Life), g.Seq), g.Tries)
-	return binary.AppendVarint(encoding.Float(b, g.Units), g.Wall)
+	b = binary.AppendUvarint(binary.AppendUvarint(binary.AppendUvarint(append(b, recordGap), g.Incarnation), g.Sequence), g.Attempts)
+	return binary.AppendVarint(encoding.AppendFloat64(b, g.Units), g.WallTime)
 }
 
-func readTry(r *encoding.Reader) (t Try) {
-	t.Request = r.String(any64)
-	t.Attempt = int(r.Uvarint(math.MaxInt32))
-	t.Member, t.Plan, t.Class, t.Node = r.String(any64), r.String(any64), r.String(any64), r.String(any64)
-	t.Units = r.Float()
+func readAttempt(r *encoding.Reader) (t Attempt) {
+	t.Request = r.String(unbounded)
+	t.Number = int(r.Uvarint(math.MaxInt32))
+	t.Member, t.Plan, t.Class, t.Server = r.String(unbounded), r.String(unbounded), r.String(unbounded), r.String(unbounded)
+	t.Units = r.Float64()
 	t.Reserved = r.Byte()&1 > 0
 	return t
 }
 
 // any64 bounds no whole number.
-const any64 = math.MaxUint64
+const unbounded = math.MaxUint64
 
-var errCut = errors.New("export: not a whole record")
+var errTruncated = errors.New("export: not a whole record")
 
 // record is one of the log, read.
-type record struct {
-	kind   byte
-	try    Try        // I
-	settle Settlement // S
-	number uint64     // L, A
-	gap    Gap        // G
+type logRecord struct {
+	kind       byte
+	attempt    Attempt    // I
+	settlement Settlement // S
+	number     uint64     // L, A
+	gap        Gap        // G
 }
 
-func parse(p []byte) (rec record, err error) {
-	r := &encoding.Reader{B: p}
+func parseRecord(p []byte) (rec logRecord, err error) {
+	r := &encoding.Reader{Rest: p}
 	switch rec.kind = r.Byte(); rec.kind {
-	case recIntent:
-		rec.try = readTry(r)
-	case recSettle:
-		s := &rec.settle
-		s.Intent, s.Life, s.Seq = r.Uvarint(any64), r.Uvarint(any64), r.Uvarint(any64)
-		s.Outcome, s.Used, s.Wall = Outcome(r.Byte()), r.Float(), r.Varint()
-		s.Try = readTry(r)
-	case recLife, recAck:
-		rec.number = r.Uvarint(any64)
-	case recGap:
-		rec.gap.Life, rec.gap.Seq, rec.gap.Tries = r.Uvarint(any64), r.Uvarint(any64), r.Uvarint(any64)
-		rec.gap.Units, rec.gap.Wall = r.Float(), r.Varint()
+	case recordIntent:
+		rec.attempt = readAttempt(r)
+	case recordSettlement:
+		s := &rec.settlement
+		s.Intent, s.Incarnation, s.Sequence = r.Uvarint(unbounded), r.Uvarint(unbounded), r.Uvarint(unbounded)
+		s.Outcome, s.UsedUnits, s.WallTime = Outcome(r.Byte()), r.Float64(), r.Varint()
+		s.Attempt = readAttempt(r)
+	case recordIncarnation, recordAcknowledged:
+		rec.number = r.Uvarint(unbounded)
+	case recordGap:
+		rec.gap.Incarnation, rec.gap.Sequence, rec.gap.Attempts = r.Uvarint(unbounded), r.Uvarint(unbounded), r.Uvarint(unbounded)
+		rec.gap.Units, rec.gap.WallTime = r.Float64(), r.Varint()
 	default:
 		return rec, fmt.Errorf("export: record of kind %q, want I, S, L, A or G", rec.kind)
 	}
-	if r.Bad {
-		return rec, errCut
+	if r.Malformed {
+		return rec, errTruncated
 	}
 	return rec, nil
 }
 
 // Event is what the receiver is told, with the number of its record.
 type Event struct {
-	Rec  uint64
-	JSON []byte
+	Record uint64
+	JSON   []byte
 }
 
 // Source names a life of a gateway as CloudEvents wants it, a URI reference.
-func Source(fleet string, gateway int, life uint64) string {
-	return fmt.Sprintf("/winghatch/%s/gateway/%d/life/%d", url.PathEscape(fleet), gateway, life)
+func EventSource(fleet string, gateway int, incarnation uint64) string {
+	return fmt.Sprintf("/winghatch/%s/gateway/%d/life/%d", url.PathEscape(fleet), gateway, incarnation)
 }
 
 // cloudEvent is an event in CloudEvents 1.0's JSON format (section 3).
 type cloudEvent struct {
-	Version string `json:"specversion"`
-	ID      string `json:"id"`
-	Source  string `json:"source"`
-	Type    string `json:"type"`
-	Time    string `json:"time,omitempty"`
-	Subject string `json:"subject,omitempty"`
-	Form    string `json:"datacontenttype"`
-	Data    any    `json:"data"`
+	Version     string `json:"specversion"`
+	ID          string `json:"id"`
+	Source      string `json:"source"`
+	Type        string `json:"type"`
+	Time        string `json:"time,omitempty"`
+	Subject     string `json:"subject,omitempty"`
+	ContentType string `json:"datacontenttype"`
+	Data        any    `json:"data"`
 }
 
 // The types of event.
 const (
-	TypeUse = "winghatch.use.v1"
-	TypeGap = "winghatch.uncovered.v1"
+	TypeUsage = "winghatch.use.v1"
+	TypeGap   = "winghatch.uncovered.v1"
 )
 
 // Use is the data of an event of type TypeUse.
-type Use struct {
-	Request  string  `json:"request"`
-	Attempt  int     `json:"attempt"`
-	Member   string  `json:"member"`
-	Plan     string  `json:"plan"`
-	Class    string  `json:"class"`
-	Node     string  `json:"node"`
-	Units    float64 `json:"units"`
-	Guess    bool    `json:"guess,omitempty"` // no answer told the size
-	Outcome  string  `json:"outcome"`
-	Reserved bool    `json:"reserved,omitempty"`
+type UsageData struct {
+	Request   string  `json:"request"`
+	Attempt   int     `json:"attempt"`
+	Member    string  `json:"member"`
+	Plan      string  `json:"plan"`
+	Class     string  `json:"class"`
+	Server    string  `json:"node"`
+	Units     float64 `json:"units"`
+	Estimated bool    `json:"guess,omitempty"` // no answer told the size
+	Outcome   string  `json:"outcome"`
+	Reserved  bool    `json:"reserved,omitempty"`
 }
 
 // Uncovered is the data of an event of type TypeGap.
-type Uncovered struct {
-	Tries uint64  `json:"tries"`
-	Units float64 `json:"units"`
+type GapData struct {
+	Attempts uint64  `json:"tries"`
+	Units    float64 `json:"units"`
 }
 
 // Encode makes the event of a record, if it has one.
-func Encode(fleet string, gateway int, rec uint64, payload []byte) (ev Event, ok bool, err error) {
-	if len(payload) == 0 || payload[0] != recSettle && payload[0] != recGap {
+func EncodeEvent(fleet string, gateway int, rec uint64, payload []byte) (ev Event, ok bool, err error) {
+	if len(payload) == 0 || payload[0] != recordSettlement && payload[0] != recordGap {
 		return ev, false, nil
 	}
-	r, err := parse(payload)
+	r, err := parseRecord(payload)
 	if err != nil {
 		return ev, false, err
 	}
-	c := cloudEvent{Version: "1.0", Form: "application/json"}
+	c := cloudEvent{Version: "1.0", ContentType: "application/json"}
 	life, wall := uint64(0), int64(0)
-	if r.kind == recSettle {
-		s := &r.settle
-		if s.Seq == 0 {
+	if r.kind == recordSettlement {
+		s := &r.settlement
+		if s.Sequence == 0 {
 			return ev, false, nil
 		}
-		life, wall = s.Life, s.Wall
-		c.ID, c.Type, c.Subject = strconv.FormatUint(s.Seq, 10), TypeUse, s.Member
-		c.Data = Use{s.Request, s.Attempt, s.Member, s.Plan, s.Class, s.Node, s.Used, s.Outcome != Sized, s.Outcome.String(), s.Reserved}
+		life, wall = s.Incarnation, s.WallTime
+		c.ID, c.Type, c.Subject = strconv.FormatUint(s.Sequence, 10), TypeUsage, s.Member
+		c.Data = UsageData{s.Request, s.Number, s.Member, s.Plan, s.Class, s.Server, s.UsedUnits, s.Outcome != OutcomeAnswered, s.Outcome.String(), s.Reserved}
 	} else {
-		life, wall = r.gap.Life, r.gap.Wall
-		c.ID, c.Type = strconv.FormatUint(r.gap.Seq, 10), TypeGap
-		c.Data = Uncovered{r.gap.Tries, r.gap.Units}
+		life, wall = r.gap.Incarnation, r.gap.WallTime
+		c.ID, c.Type = strconv.FormatUint(r.gap.Sequence, 10), TypeGap
+		c.Data = GapData{r.gap.Attempts, r.gap.Units}
 	}
-	c.Source = Source(fleet, gateway, life)
+	c.Source = EventSource(fleet, gateway, life)
 	c.Time = time.Unix(0, wall).UTC().Format(time.RFC3339Nano)
 	raw, err := json.Marshal(c)
 	return Event{rec, raw}, err == nil, err
--- a/internal/usage/sender/courier.go
+++ b/internal/usage/sender/courier.go
@@ -23,68 +23,68 @@
 
 // Options tell a courier what it carries.
 type Options struct {
-	Log      *wal.Log
-	URL      string
-	Fleet    string
-	Gateway  int
-	Behind   uint64 // last record that the receiver has
-	Batch    int
-	Timeout  time.Duration
-	SetAside string // file that keeps events which the receiver will not take ...
+	Log            *wal.Log
+	URL            string
+	Fleet          string
+	Gateway        int
+	After          uint64 // last record that the receiver has
+	BatchSize      int
+	Timeout        time.Duration
+	DeadLetterFile string // file that keeps events which the receiver will not take ...
 	// ... up to so many bytes; then nothing more is sent until an operator has moved it away.
-	SetAsideMost int64
-	Seed         int64
-	Acked        func(rec uint64) // from the courier's goroutine
-	Say          func(text string, args ...any)
+	MaxDeadLetterBytes int64
+	Seed               int64
+	OnAcknowledged     func(rec uint64) // from the courier's goroutine
+	LogError           func(text string, args ...any)
 	// Empty ends Run as soon as all that is durable is at the receiver.
-	Empty bool
+	StopWhenIdle bool
 }
 
 // Courier is one log's way to the receiver.
-type Courier struct {
-	o      Options
-	more   chan struct{}
-	client http.Client
-	cursor *wal.Cursor
+type Sender struct {
+	options Options
+	wake    chan struct{}
+	client  http.Client
+	cursor  *wal.Cursor
 
-	mu     sync.Mutex
-	counts outbox.ShipCounts
-	Lost   atomic.Uint64 // records that the log lost, by their numbers
+	mu          sync.Mutex
+	counts      outbox.DeliveryCounts
+	LostRecords atomic.Uint64 // records that the log lost, by their numbers
 }
 
 // New returns a courier; Run starts it.
-func New(o Options) *Courier {
-	c := &Courier{o: o, more: make(chan struct{}, 1)}
+func New(o Options) *Sender {
+	c := &Sender{options: o, wake: make(chan struct{}, 1)}
 	c.client = httppost.Client(o.Timeout, 1)
 	return c
 }
 
 // More says that records have become durable. It never blocks.
-func (c *Courier) More() {
+func (c *Sender) NotifyRecords() {
 	select {
-	case c.more <- struct{}{}:
+	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
 // Counts are as of the last step.
-func (c *Courier) Counts() outbox.ShipCounts {
+func (c *Sender) Counts() outbox.DeliveryCounts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.counts
 }
 
 // Run carries until the context ends.
-func (c *Courier) Run(ctx context.Context) {
-	s := outbox.NewShipper(outbox.ShipSettings{Behind: c.o.Behind, Batch: c.o.Batch, Seed: c.o.Seed})
-	c.cursor = c.o.Log.Read(c.o.Behind + 1)
-	c.cursor.Lost = func(h wal.Hole) {
-		c.Lost.Add(h.To - h.From + 1)
-		c.o.Say("the export's log has a hole, these records will not be exported", "hole", h.String())
+func (c *Sender) Run(ctx context.Context) {
+	s := outbox.NewDelivery(outbox.DeliverySettings{After: c.options.After, BatchSize: c.options.BatchSize, Seed: c.options.Seed})
+	c.cursor = c.options.Log.NewCursor(c.options.After + 1)
+	c.cursor.OnGap = func(h wal.Gap) {
+		c.LostRecords.Add(h.To - h.From + 1)
+		c.options.LogError("the export's log has a hole, these records will not be exported", "hole", h.String())
 	}
 	defer c.cursor.Close()
 	defer c.client.CloseIdleConnections()
-	var next outbox.ShipEvent = outbox.Start{}
+	var next outbox.DeliveryEvent = outbox.Start{}
 	for ctx.Err() == nil {
 		acts := s.Handle(next)
 		c.mu.Lock()
@@ -92,53 +92,53 @@
 		c.mu.Unlock()
 		for _, a := range acts {
 			switch a := a.(type) {
-			case outbox.Ack:
-				c.o.Acked(a.Rec)
+			case outbox.Acknowledge:
+				c.options.OnAcknowledged(a.Record)
 			case outbox.Fetch:
 				next = c.fetch(a)
 			case outbox.Post:
 				next = c.post(ctx, a.Events)
-			case outbox.SetAside:
-				next = c.setAside(a)
-			case outbox.Sleep:
-				if a.Idle && c.o.Empty {
+			case outbox.StoreDeadLetter:
+				next = c.storeDeadLetter(a)
+			case outbox.Wait:
+				if a.Idle && c.options.StopWhenIdle {
 					return
 				}
-				next = c.sleep(ctx, a)
+				next = c.wait(ctx, a)
 			}
 		}
 	}
 }
 
 // fetchMost is how many records are looked at in one go; most are intents, which are no events.
-const fetchMost = 20000
+const maxRecordsPerFetch = 20000
 
-func (c *Courier) fetch(a outbox.Fetch) outbox.ShipEvent {
-	f := outbox.Fetched{To: a.Behind}
-	for n := 0; n < fetchMost && len(f.Events) < a.Most; n++ {
+func (c *Sender) fetch(a outbox.Fetch) outbox.DeliveryEvent {
+	f := outbox.Fetched{LastRecord: a.After}
+	for n := 0; n < maxRecordsPerFetch && len(f.Events) < a.MaxEvents; n++ {
 		r, ok, err := c.cursor.Next()
 		if err != nil {
-			f.Err = err.Error()
+			f.Failure = err.Error()
 			return f
 		}
 		if !ok {
 			break
 		}
-		ev, isEvent, err := outbox.Encode(c.o.Fleet, c.o.Gateway, r.No, r.Payload)
+		ev, isEvent, err := outbox.EncodeEvent(c.options.Fleet, c.options.Gateway, r.Number, r.Payload)
 		if err != nil {
-			c.o.Say("a record of the export's log can't be read and is not exported", "record", r.No, "err", err)
+			c.options.LogError("a record of the export's log can't be read and is not exported", "record", r.Number, "err", err)
 		} else if isEvent {
 			f.Events = append(f.Events, ev)
 		}
-		f.To = r.No
+		f.LastRecord = r.Number
 	}
 	return f
 }
 
-func (c *Courier) sleep(ctx context.Context, a outbox.Sleep) outbox.ShipEvent {
-	t := time.NewTimer(a.For)
+func (c *Sender) wait(ctx context.Context, a outbox.Wait) outbox.DeliveryEvent {
+	t := time.NewTimer(a.Duration)
 	defer t.Stop()
-	more := c.more
+	more := c.wake
 	if !a.Idle {
 		more = nil
 	}
@@ -146,12 +146,12 @@
 	case <-ctx.Done():
 	case <-t.C:
 	case <-more:
-		return outbox.More{}
+		return outbox.RecordsAvailable{}
 	}
-	return outbox.Woken{}
+	return outbox.WaitEnded{}
 }
 
-func (c *Courier) post(ctx context.Context, evs []outbox.Event) outbox.ShipEvent {
+func (c *Sender) post(ctx context.Context, evs []outbox.Event) outbox.DeliveryEvent {
 	raw := []byte{'['}
 	for i, ev := range evs {
 		if i > 0 {
@@ -159,20 +159,20 @@
 		}
 		raw = append(raw, ev.JSON...)
 	}
-	res := httppost.Post(ctx, &c.client, c.o.URL, http.Header{"Content-Type": {BatchType}}, append(raw, ']'))
-	return outbox.Posted{Status: res.Status, RetryAfter: res.RetryAfter, Whole: res.Whole, Why: res.Why}
+	res := httppost.Post(ctx, &c.client, c.options.URL, http.Header{"Content-Type": {BatchType}}, append(raw, ']'))
+	return outbox.PostResult{Status: res.Status, RetryAfter: res.RetryAfter, BodySent: res.BodySent, Reason: res.Reason}
 }
 
 // setAside keeps an event where an operator finds it, a line each, before it is acknowledged. One that is written and
 // whose acknowledgement is lost comes twice; its key tells.
-func (c *Courier) setAside(a outbox.SetAside) outbox.ShipEvent {
-	f, err := os.OpenFile(c.o.SetAside, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+func (c *Sender) storeDeadLetter(a outbox.StoreDeadLetter) outbox.DeliveryEvent {
+	f, err := os.OpenFile(c.options.DeadLetterFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return outbox.Stored{Err: err.Error()}
+		return outbox.DeadLetterStored{Failure: err.Error()}
 	}
 	info, err := f.Stat()
-	if err == nil && info.Size()+int64(len(a.Event.JSON)) >= c.o.SetAsideMost {
-		err = fmt.Errorf("%s: %d bytes, %d at most: move it away", c.o.SetAside, info.Size(), c.o.SetAsideMost)
+	if err == nil && info.Size()+int64(len(a.Event.JSON)) >= c.options.MaxDeadLetterBytes {
+		err = fmt.Errorf("%s: %d bytes, %d at most: move it away", c.options.DeadLetterFile, info.Size(), c.options.MaxDeadLetterBytes)
 	}
 	if err == nil {
 		_, err = f.Write(append(a.Event.JSON, '\n'))
@@ -181,8 +181,8 @@
 		err = f.Sync()
 	}
 	if err = errors.Join(err, f.Close()); err != nil {
-		return outbox.Stored{Err: err.Error()}
+		return outbox.DeadLetterStored{Failure: err.Error()}
 	}
-	c.o.Say("the receiver does not take an event, it is set aside", "file", c.o.SetAside, "record", a.Event.Rec, "why", a.Why)
-	return outbox.Stored{}
+	c.options.LogError("the receiver does not take an event, it is set aside", "file", c.options.DeadLetterFile, "record", a.Event.Record, "why", a.Reason)
+	return outbox.DeadLetterStored{}
 }
--- a/internal/usage/sender/courier_test.go
+++ b/internal/usage/sender/courier_test.go
@@ -23,8 +23,8 @@
 
 // owe fills a log with the settled tries of one life, by the desk itself.
 func owe(t testing.TB, l *wal.Log, n int) {
-	d := outbox.NewDesk(outbox.DeskSettings{Life: 5})
-	do := func(acts []outbox.DeskAction) {
+	d := outbox.New(outbox.OutboxSettings{Incarnation: 5})
+	do := func(acts []outbox.OutboxAction) {
 		for _, a := range acts {
 			if a, ok := a.(outbox.Append); ok {
 				no, err := l.Append(a.Payload)
@@ -32,16 +32,16 @@
 					t.Fatal(err)
 				}
 				if a.ID != 0 {
-					d.Handle(outbox.Appended{ID: a.ID, Rec: no})
+					d.Handle(outbox.Appended{ID: a.ID, Record: no})
 				}
 			}
 		}
 	}
-	do(d.Begin(1))
+	do(d.Start(1))
 	for i := 1; i <= n; i++ {
 		id := outbox.ID(i)
-		do(d.Handle(outbox.Intend{ID: id, Room: true, Try: outbox.Try{Request: fmt.Sprint("r-", i, "-"), Member: "m", Units: 1}}))
-		do(d.Handle(outbox.Settle{ID: id, Outcome: outbox.Sized, Used: 2}))
+		do(d.Handle(outbox.RecordIntent{ID: id, HasRoom: true, Attempt: outbox.Attempt{Request: fmt.Sprint("r-", i, "-"), Member: "m", Units: 1}}))
+		do(d.Handle(outbox.Settle{ID: id, Outcome: outbox.OutcomeAnswered, UsedUnits: 2}))
 	}
 	if err := l.Sync(10 * time.Second); err != nil {
 		t.Fatal(err)
@@ -70,16 +70,16 @@
 	return r
 }
 
-func (r *rig) run(o sender.Options) *sender.Courier {
+func (r *rig) run(o sender.Options) *sender.Sender {
 	o.Log, o.URL, o.Fleet, o.Gateway = r.log, r.recv.URL(), "f", 1
-	o.SetAside = filepath.Join(r.dir, "aside")
-	o.Acked = func(rec uint64) { r.acked <- rec }
-	o.Say = func(text string, args ...any) { r.t.Log(append([]any{text}, args...)...) }
-	if o.SetAsideMost == 0 {
-		o.SetAsideMost = 1 << 20
+	o.DeadLetterFile = filepath.Join(r.dir, "aside")
+	o.OnAcknowledged = func(rec uint64) { r.acked <- rec }
+	o.LogError = func(text string, args ...any) { r.t.Log(append([]any{text}, args...)...) }
+	if o.MaxDeadLetterBytes == 0 {
+		o.MaxDeadLetterBytes = 1 << 20
 	}
-	if o.Batch == 0 {
-		o.Batch = 10
+	if o.BatchSize == 0 {
+		o.BatchSize = 10
 	}
 	if o.Timeout == 0 {
 		o.Timeout = 2 * time.Second
@@ -108,25 +108,25 @@
 
 // TestReceiversFaults plays each fault for a while; then all is there once, in order.
 func TestReceiversFaults(t *testing.T) {
-	for name, trouble := range map[string]usagereceiver.Trouble{
+	for name, trouble := range map[string]usagereceiver.Fault{
 		"500": {Status: 500}, "429 with Retry-After": {Status: 429, RetryAfter: "0"}, "a redirect": {Status: 302}, "404": {Status: 404},
-		"keeps and cuts": {Cut: true}, "answers before it reads": {Early: true}, "slow": {Slow: 300 * time.Millisecond},
+		"keeps and cuts": {DropConnection: true}, "answers before it reads": {RespondEarly: true}, "slow": {Delay: 300 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := newRig(t, 35)
-			r.recv.Set(func(x *usagereceiver.Trouble) { *x = trouble })
+			r.recv.SetFault(func(x *usagereceiver.Fault) { *x = trouble })
 			c := r.run(sender.Options{Timeout: 200 * time.Millisecond})
-			eventually(t, "it is tried again", func() bool { return c.Counts().Again >= 2 })
+			eventually(t, "it is tried again", func() bool { return c.Counts().Retries >= 2 })
 			if len(r.acked) > 0 {
 				t.Error("acknowledged without an answer")
 			}
 			if strings.HasPrefix(name, "answers before") && len(r.recv.Events()) > 0 {
 				t.Error("events are there")
 			}
-			r.recv.Set(func(x *usagereceiver.Trouble) { *x = usagereceiver.Trouble{} })
+			r.recv.SetFault(func(x *usagereceiver.Fault) { *x = usagereceiver.Fault{} })
 			r.whole(35)
-			if name == "keeps and cuts" && r.recv.Repeats == 0 {
+			if name == "keeps and cuts" && r.recv.Duplicates == 0 {
 				t.Error("nothing came twice")
 			}
 		})
@@ -136,10 +136,10 @@
 // TestSetAside keeps the one event that the receiver refuses where an operator finds it, and holds up no other.
 func TestSetAside(t *testing.T) {
 	r := newRig(t, 35)
-	r.recv.Set(func(x *usagereceiver.Trouble) { x.Reject = "r-17-" })
+	r.recv.SetFault(func(x *usagereceiver.Fault) { x.Reject = "r-17-" })
 	c := r.run(sender.Options{})
 	eventually(t, "all others are there", func() bool { return len(r.recv.Events()) == 34 })
-	eventually(t, "it is said", func() bool { return c.Counts().SetAside == 1 })
+	eventually(t, "it is said", func() bool { return c.Counts().DeadLetters == 1 })
 	raw, err := os.ReadFile(filepath.Join(r.dir, "aside"))
 	if err != nil || bytes.Count(raw, []byte("\n")) != 1 || !strings.Contains(string(raw), `"id":"17"`) {
 		t.Errorf("%s %v", raw, err)
@@ -149,23 +149,23 @@
 // TestSetAsideBound holds the log where a receiver refuses everything: it must not all be set aside.
 func TestSetAsideBound(t *testing.T) {
 	r := newRig(t, 35)
-	r.recv.Set(func(x *usagereceiver.Trouble) { x.Reject = "r-" })
-	c := r.run(sender.Options{SetAsideMost: 1000})
-	eventually(t, "the bound is told", func() bool { return strings.Contains(c.Counts().LastWhy, "1000 at most") })
-	if n := c.Counts().SetAside; n == 0 || n > 3 {
+	r.recv.SetFault(func(x *usagereceiver.Fault) { x.Reject = "r-" })
+	c := r.run(sender.Options{MaxDeadLetterBytes: 1000})
+	eventually(t, "the bound is told", func() bool { return strings.Contains(c.Counts().LastReason, "1000 at most") })
+	if n := c.Counts().DeadLetters; n == 0 || n > 3 {
 		t.Errorf("%d events set aside in 1000 bytes", n)
 	}
 	os.Rename(filepath.Join(r.dir, "aside"), filepath.Join(r.dir, "moved"))
-	r.recv.Set(func(x *usagereceiver.Trouble) { x.Reject = "" })
-	eventually(t, "the others are told", func() bool { return len(r.recv.Events()) == 35-int(c.Counts().SetAside) })
+	r.recv.SetFault(func(x *usagereceiver.Fault) { x.Reject = "" })
+	eventually(t, "the others are told", func() bool { return len(r.recv.Events()) == 35-int(c.Counts().DeadLetters) })
 }
 
 // TestReceiverKilled stops the receiver in the middle, over and over, with its file left behind.
 func TestReceiverKilled(t *testing.T) {
 	r := newRig(t, 200)
-	r.recv.Set(func(x *usagereceiver.Trouble) { x.Slow = 2 * time.Millisecond })
+	r.recv.SetFault(func(x *usagereceiver.Fault) { x.Delay = 2 * time.Millisecond })
 	addr := r.recv.Addr()
-	r.run(sender.Options{Batch: 4})
+	r.run(sender.Options{BatchSize: 4})
 	for i := range 6 {
 		eventually(t, "some more are there", func() bool { return len(r.recv.Events()) > 20*i })
 		r.recv.Stop()
@@ -173,7 +173,7 @@
 		if r.recv, err = usagereceiver.Start(addr, filepath.Join(r.dir, "events")); err != nil {
 			t.Fatal(err)
 		}
-		r.recv.Set(func(x *usagereceiver.Trouble) { x.Slow = 2 * time.Millisecond })
+		r.recv.SetFault(func(x *usagereceiver.Fault) { x.Delay = 2 * time.Millisecond })
 	}
 	r.whole(200)
 }
@@ -188,13 +188,13 @@
 	binary.LittleEndian.PutUint64(b[at:], ^binary.LittleEndian.Uint64(b[at:]))
 	os.WriteFile(files[0], b, 0o600)
 	l, rec, err := wal.Open(filepath.Join(r.dir, "use"), wal.Options{}, nil, nil)
-	if err != nil || len(rec.Holes) != 1 {
+	if err != nil || len(rec.Gaps) != 1 {
 		t.Fatalf("%+v %v", rec, err)
 	}
 	r.log = l
-	c := r.run(sender.Options{Empty: true})
+	c := r.run(sender.Options{StopWhenIdle: true})
 	eventually(t, "the rest is there", func() bool { return len(r.recv.Events()) >= 29 })
-	if c.Lost.Load() == 0 || len(r.recv.Events()) > 30 {
-		t.Errorf("%d records said to be lost, %d events", c.Lost.Load(), len(r.recv.Events()))
+	if c.LostRecords.Load() == 0 || len(r.recv.Events()) > 30 {
+		t.Errorf("%d records said to be lost, %d events", c.LostRecords.Load(), len(r.recv.Events()))
 	}
 }
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -13,37 +13,37 @@
 )
 
 // Mode says when a record counts as durable.
-type Mode int
+type SyncMode int
 
 // The modes.
 const (
 	// Each: when a sync that covers it has ended. Nothing acknowledged is lost by any crash.
-	Each Mode = iota
+	SyncAlways SyncMode = iota
 	// Interval: when the system has it; a sync follows within Options.Every. A crash of the process loses nothing,
 	// one of the machine what the last interval brought.
-	Interval
+	SyncInterval
 	// None: when the system has it. The log never syncs but at the end of a segment and for snapshots.
-	None
+	SyncNever
 )
 
-func (m Mode) String() string { return [...]string{"each", "interval", "none"}[m] }
+func (m SyncMode) String() string { return [...]string{"each", "interval", "none"}[m] }
 
 // Options tell a log what it may do.
 type Options struct {
-	Mode    Mode
-	Every   time.Duration // of Interval; 0: 100 ms
-	Segment int64         // bytes after which a new one is begun; 0: 16 MiB
-	Bound   int64         // bytes of all files; 0: none. Append refuses what would pass it
-	Pending int           // bytes that may wait for the disk; 0: 8 MiB
-	Retry   time.Duration // after a failure the log tries a new segment so often; 0: 500 ms
-	FS      FS            // nil: Disk
+	Mode            SyncMode
+	SyncInterval    time.Duration // of Interval; 0: 100 ms
+	SegmentBytes    int64         // bytes after which a new one is begun; 0: 16 MiB
+	MaxBytes        int64         // bytes of all files; 0: none. Append refuses what would pass it
+	MaxPendingBytes int           // bytes that may wait for the disk; 0: 8 MiB
+	RetryInterval   time.Duration // after a failure the log tries a new segment so often; 0: 500 ms
+	FS              FS            // nil: Disk
 
 	// Durable is told, from the log's goroutine, up to which record all are durable, and of each failure and the
 	// end of one. It must not block for long.
-	Durable func(no uint64)
-	Failed  func(error) // nil error: the log works again, and all that waited is durable
+	OnDurable func(no uint64)
+	OnFailure func(error) // nil error: the log works again, and all that waited is durable
 	// Records that the caller alone knows to be needed: the log keeps the segments that hold them.
-	Keep func() (from uint64)
+	RetainFrom func() (from uint64)
 }
 
 // ErrFull says that the bound on the disk is reached.
@@ -60,58 +60,58 @@
 
 // Log is an open log. All methods are safe for concurrent use.
 type Log struct {
-	dir  string
-	o    Options
-	lock *os.File
-
-	mu      sync.Mutex
-	wake    chan struct{}
-	next    uint64 // number of the next record
-	buf     []byte // appended, not yet taken by the writer
-	bufEnd  uint64
-	spare   []byte
-	segs    []segment // the last one is being written, if file is open
-	snaps   []snap
-	size    int64 // of all files
-	failure error // while the log does not work
-	closed  bool
-	durable uint64
-	changed chan struct{} // closed and made anew when durable, failure or closed change
+	dir     string
+	options Options
+	lock    *os.File
+
+	mu          sync.Mutex
+	wake        chan struct{}
+	nextNumber  uint64 // number of the next record
+	pending     []byte // appended, not yet taken by the writer
+	lastPending uint64
+	spare       []byte
+	segments    []segment // the last one is being written, if file is open
+	snapshots   []snapshotFile
+	totalBytes  int64 // of all files
+	failure     error // while the log does not work
+	closed      bool
+	lastDurable uint64
+	changed     chan struct{} // closed and made anew when durable, failure or closed change
 
 	// The writer's own.
-	file     File
-	cur      segment
-	held     []byte // written since the last sync, to be written anew where a sync or write fails
-	heldFrom uint64
-	heldEnd  uint64
-	dirty    bool
-	done     chan struct{}
-	snapping sync.Mutex
-	soon     atomic.Bool
-	wg       sync.WaitGroup
+	file            File
+	current         segment
+	unsynced        []byte // written since the last sync, to be written anew where a sync or write fails
+	firstUnsynced   uint64
+	lastWritten     uint64
+	needsSync       bool
+	done            chan struct{}
+	snapshotMu      sync.Mutex
+	snapshotRunning atomic.Bool
+	snapshotWG      sync.WaitGroup
 }
 
-func (o Options) filled() Options {
-	if o.Every <= 0 {
-		o.Every = 100 * time.Millisecond
+func (o Options) withDefaults() Options {
+	if o.SyncInterval <= 0 {
+		o.SyncInterval = 100 * time.Millisecond
 	}
-	if o.Segment <= 0 {
-		o.Segment = 16 << 20
+	if o.SegmentBytes <= 0 {
+		o.SegmentBytes = 16 << 20
 	}
-	if o.Pending <= 0 {
-		o.Pending = 8 << 20
+	if o.MaxPendingBytes <= 0 {
+		o.MaxPendingBytes = 8 << 20
 	}
-	if o.Retry <= 0 {
-		o.Retry = 500 * time.Millisecond
+	if o.RetryInterval <= 0 {
+		o.RetryInterval = 500 * time.Millisecond
 	}
 	if o.FS == nil {
 		o.FS = Disk{}
 	}
-	if o.Durable == nil {
-		o.Durable = func(uint64) {}
+	if o.OnDurable == nil {
+		o.OnDurable = func(uint64) {}
 	}
-	if o.Failed == nil {
-		o.Failed = func(error) {}
+	if o.OnFailure == nil {
+		o.OnFailure = func(error) {}
 	}
 	return o
 }
@@ -135,21 +135,21 @@
 // Open recovers a log, handing each record behind the last good snapshot to take, and goes on writing behind it in
 // a new segment. take sees the snapshot in rec before the first record.
 func Open(dir string, o Options, begin func(rec *Recovery) error, take func(Record) error) (*Log, *Recovery, error) {
-	o = o.filled()
+	o = o.withDefaults()
 	lock, err := Lock(dir)
 	if err != nil {
 		return nil, nil, err
 	}
-	l := &Log{dir: dir, o: o, lock: lock, wake: make(chan struct{}, 1), done: make(chan struct{}), changed: make(chan struct{})}
+	l := &Log{dir: dir, options: o, lock: lock, wake: make(chan struct{}, 1), done: make(chan struct{}), changed: make(chan struct{})}
 	rec, err := l.recover(begin, take)
 	if err != nil {
 		lock.Close()
 		return nil, nil, fmt.Errorf("%s: %w", dir, err)
 	}
-	l.next, l.bufEnd, l.durable, l.heldFrom = rec.Last+1, rec.Last, rec.Last, rec.Last+1
-	if err := l.begin(); err != nil {
+	l.nextNumber, l.lastPending, l.lastDurable, l.firstUnsynced = rec.Last+1, rec.Last, rec.Last, rec.Last+1
+	if err := l.startSegment(); err != nil {
 		// Such as a disk that is full or read-only: the log is there, and tries again.
-		l.fail(err)
+		l.setFailure(err)
 	}
 	go l.run()
 	return l, rec, nil
@@ -157,26 +157,26 @@
 
 func (l *Log) recover(begin func(*Recovery) error, take func(Record) error) (*Recovery, error) {
 	rec := &Recovery{}
-	segs, snaps, err := listing(l.o.FS, l.dir)
+	segs, snaps, err := listFiles(l.options.FS, l.dir)
 	if err != nil {
 		return nil, err
 	}
 	for i := len(snaps) - 1; i >= 0 && rec.Snapshot == nil; i-- {
-		no := snaps[i].no
-		if rec.Snapshot, err = readSnapshot(l.o.FS, l.dir, no); err != nil {
-			rec.Snapshots = append(rec.Snapshots, fmt.Sprintf("%s: %v", snapshotName(no), err))
+		no := snaps[i].record
+		if rec.Snapshot, err = readSnapshot(l.options.FS, l.dir, no); err != nil {
+			rec.DamagedSnapshots = append(rec.DamagedSnapshots, fmt.Sprintf("%s: %v", snapshotName(no), err))
 			continue
 		}
-		rec.Covered, rec.Last = no, no
+		rec.SnapshotRecord, rec.Last = no, no
 		if rec.Snapshot == nil {
 			rec.Snapshot = []byte{}
 		}
 		break
 	}
 	for _, s := range snaps {
-		if s.no <= rec.Covered {
-			l.snaps = append(l.snaps, s)
-			l.size += s.size
+		if s.record <= rec.SnapshotRecord {
+			l.snapshots = append(l.snapshots, s)
+			l.totalBytes += s.size
 		}
 	}
 	if begin != nil {
@@ -187,12 +187,12 @@
 	// Segments that the snapshot covers whole are not read: what they still hold is somebody's to read later.
 	from := 0
 	for i, s := range segs {
-		if s.first <= rec.Covered+1 {
+		if s.firstRecord <= rec.SnapshotRecord+1 {
 			from = i
 		}
 	}
 	for i, s := range segs {
-		l.size += s.size
+		l.totalBytes += s.size
 		if i < from {
 			continue
 		}
@@ -200,37 +200,37 @@
 			return nil, fmt.Errorf("%s: %w", s.name, err)
 		}
 	}
-	l.segs = segs
+	l.segments = segs
 	return rec, nil
 }
 
 func (l *Log) readSegment(s segment, rec *Recovery, take func(Record) error) error {
-	f, err := l.o.FS.Open(filepath.Join(l.dir, s.name))
+	f, err := l.options.FS.Open(filepath.Join(l.dir, s.name))
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	rec.Skipped += rec.Torn // what seemed the end was not
-	torn, skipped, err := scan(f, func(r Record, from, _ int64) error {
-		if r.No <= rec.Last {
+	rec.SkippedBytes += rec.TornBytes // what seemed the end was not
+	torn, skipped, err := scanSegment(f, func(r Record, from, _ int64) error {
+		if r.Number <= rec.Last {
 			return nil // covered, or read before
 		}
 		// Without a snapshot the first record of all may have any number: older segments were let go.
-		if r.No > rec.Last+1 && (rec.Last > 0 || rec.Records > 0) {
-			rec.Holes = append(rec.Holes, Hole{rec.Last + 1, r.No - 1, s.name, from})
+		if r.Number > rec.Last+1 && (rec.Last > 0 || rec.Records > 0) {
+			rec.Gaps = append(rec.Gaps, Gap{rec.Last + 1, r.Number - 1, s.name, from})
 		}
 		if rec.First == 0 {
-			rec.First = r.No
+			rec.First = r.Number
 		}
-		rec.Last = r.No
+		rec.Last = r.Number
 		rec.Records++
 		if take == nil {
 			return nil
 		}
 		return take(r)
 	})
-	rec.Torn = torn
-	rec.Skipped += skipped
+	rec.TornBytes = torn
+	rec.SkippedBytes += skipped
 	return err
 }
 
@@ -248,17 +248,17 @@
 	if l.closed {
 		return 0, ErrClosed
 	}
-	n := int64(len(payload) + recordHead)
-	if l.o.Bound > 0 && l.size+int64(len(l.buf))+n > l.o.Bound {
+	n := int64(len(payload) + recordHeaderBytes)
+	if l.options.MaxBytes > 0 && l.totalBytes+int64(len(l.pending))+n > l.options.MaxBytes {
 		return 0, ErrFull
 	}
-	if len(l.buf)+int(n) > l.o.Pending {
+	if len(l.pending)+int(n) > l.options.MaxPendingBytes {
 		return 0, ErrBusy
 	}
-	no := l.next
-	l.next++
-	l.buf = appendRecord(l.buf, no, payload)
-	l.bufEnd = no
+	no := l.nextNumber
+	l.nextNumber++
+	l.pending = appendRecord(l.pending, no, payload)
+	l.lastPending = no
 	select {
 	case l.wake <- struct{}{}:
 	default:
@@ -267,24 +267,24 @@
 }
 
 // Next is the number that the next record gets.
-func (l *Log) Next() uint64 {
+func (l *Log) NextNumber() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.next
+	return l.nextNumber
 }
 
 // DurableTo is the last record that is durable.
-func (l *Log) DurableTo() uint64 {
+func (l *Log) LastDurable() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.durable
+	return l.lastDurable
 }
 
 // Size is how many bytes the files take.
 func (l *Log) Size() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.size
+	return l.totalBytes
 }
 
 // Err is why the log does not work, or nil.
@@ -302,9 +302,9 @@
 	for {
 		wait := time.Hour
 		if l.Err() != nil {
-			wait = l.o.Retry
-		} else if l.dirty {
-			wait = l.o.Every
+			wait = l.options.RetryInterval
+		} else if l.needsSync {
+			wait = l.options.SyncInterval
 		}
 		alarm.Reset(wait)
 		timer := false
@@ -318,9 +318,9 @@
 		l.mu.Unlock()
 		switch {
 		case failed && (timer || closed):
-			l.revive()
+			l.resume()
 		case !failed:
-			l.commit(timer)
+			l.groupCommit(timer)
 		}
 		if closed {
 			if l.file != nil && l.Err() == nil {
@@ -333,28 +333,28 @@
 }
 
 // commit writes what waits, in one write.
-func (l *Log) commit(timer bool) {
+func (l *Log) groupCommit(timer bool) {
 	l.mu.Lock()
-	b, end := l.buf, l.bufEnd
-	l.buf = l.spare[:0]
+	b, end := l.pending, l.lastPending
+	l.pending = l.spare[:0]
 	l.mu.Unlock()
 	l.spare = b
 	if len(b) > 0 {
-		l.held = append(l.held, b...)
-		l.heldEnd = end
+		l.unsynced = append(l.unsynced, b...)
+		l.lastWritten = end
 		if err := l.write(b); err != nil {
-			l.fail(err)
+			l.setFailure(err)
 			return
 		}
-		l.dirty = true
+		l.needsSync = true
 	}
-	must := l.dirty && (l.o.Mode == Each || l.o.Mode == Interval && timer || l.cur.size >= l.o.Segment || len(l.held) > l.o.Pending)
+	must := l.needsSync && (l.options.Mode == SyncAlways || l.options.Mode == SyncInterval && timer || l.current.size >= l.options.SegmentBytes || len(l.unsynced) > l.options.MaxPendingBytes)
 	if !l.flush(must) {
 		return
 	}
-	if l.cur.size >= l.o.Segment {
-		if err := l.begin(); err != nil {
-			l.fail(err)
+	if l.current.size >= l.options.SegmentBytes {
+		if err := l.startSegment(); err != nil {
+			l.setFailure(err)
 		}
 	}
 }
@@ -362,38 +362,38 @@
 // flush syncs, if it must, and tells what became durable. What is not synced is held, within a bound, to be written
 // anew if the next sync fails: after a failed one the system may have dropped what it was to write.
 func (l *Log) flush(must bool) bool {
-	if must && l.dirty {
+	if must && l.needsSync {
 		if err := l.file.Sync(); err != nil {
-			l.fail(err)
+			l.setFailure(err)
 			return false
 		}
-		l.dirty = false
+		l.needsSync = false
 	}
-	if !l.dirty {
-		l.held, l.heldFrom = l.held[:0], l.heldEnd+1
-	} else if l.o.Mode == None && len(l.held) > l.o.Pending/2 {
-		l.held, l.heldFrom = l.held[:0], l.heldEnd+1 // not promised to outlive the machine
+	if !l.needsSync {
+		l.unsynced, l.firstUnsynced = l.unsynced[:0], l.lastWritten+1
+	} else if l.options.Mode == SyncNever && len(l.unsynced) > l.options.MaxPendingBytes/2 {
+		l.unsynced, l.firstUnsynced = l.unsynced[:0], l.lastWritten+1 // not promised to outlive the machine
 	}
-	if !l.dirty || l.o.Mode != Each {
-		l.tell(l.heldEnd)
+	if !l.needsSync || l.options.Mode != SyncAlways {
+		l.markDurable(l.lastWritten)
 	}
 	return true
 }
 
-func (l *Log) tell(no uint64) {
+func (l *Log) markDurable(no uint64) {
 	l.mu.Lock()
-	news := no > l.durable
-	if l.durable = max(l.durable, no); news {
-		l.change()
+	news := no > l.lastDurable
+	if l.lastDurable = max(l.lastDurable, no); news {
+		l.notifyWaiters()
 	}
 	l.mu.Unlock()
 	if news {
-		l.o.Durable(no)
+		l.options.OnDurable(no)
 	}
 }
 
 // change wakes whoever waits for what is durable; mu is held.
-func (l *Log) change() {
+func (l *Log) notifyWaiters() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
@@ -406,10 +406,10 @@
 	if err != nil {
 		return err
 	}
-	l.cur.size += int64(n)
+	l.current.size += int64(n)
 	l.mu.Lock()
-	l.size += int64(n)
-	l.segs[len(l.segs)-1].size = l.cur.size
+	l.totalBytes += int64(n)
+	l.segments[len(l.segments)-1].size = l.current.size
 	l.mu.Unlock()
 	return nil
 }
@@ -417,41 +417,41 @@
 // begin closes the segment under way and starts one for the next record to be written, with what is held in it: after
 // a failure that is all that was not synced. It has its name only once it is whole: a segment of the same name may hold
 // records that the system has and a sync did not reach, and a kill in between must leave one or the other.
-func (l *Log) begin() error {
+func (l *Log) startSegment() error {
 	if l.file != nil {
-		if l.dirty {
+		if l.needsSync {
 			if err := l.file.Sync(); err != nil {
 				return err
 			}
-			l.dirty = false
+			l.needsSync = false
 		}
 		l.file.Close()
 		l.file = nil
 	}
-	first := l.heldFrom
+	first := l.firstUnsynced
 	name := segmentName(first)
 	path := filepath.Join(l.dir, name)
-	f, b, err := l.replace(path, append(appendSegmentHead(nil, first), l.held...))
+	f, b, err := l.createFile(path, append(appendSegmentHeader(nil, first), l.unsynced...))
 	if err != nil {
 		return err
 	}
-	l.file, l.cur = f, segment{name, first, int64(b)}
+	l.file, l.current = f, segment{name, first, int64(b)}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if n := len(l.segs); n > 0 && l.segs[n-1].name == name {
-		l.size -= l.segs[n-1].size
-		l.segs = l.segs[:n-1]
+	if n := len(l.segments); n > 0 && l.segments[n-1].name == name {
+		l.totalBytes -= l.segments[n-1].size
+		l.segments = l.segments[:n-1]
 	}
-	l.segs = append(l.segs, l.cur)
-	l.size += l.cur.size
+	l.segments = append(l.segments, l.current)
+	l.totalBytes += l.current.size
 	return nil
 }
 
 // replace writes a whole file under another name, syncs it and gives it its name. The file stays open.
-func (l *Log) replace(path string, b []byte) (File, int, error) {
+func (l *Log) createFile(path string, b []byte) (File, int, error) {
 	tmp := path + ".new"
-	l.o.FS.Remove(tmp) // of a crash
-	f, err := l.o.FS.Create(tmp)
+	l.options.FS.Remove(tmp) // of a crash
+	f, err := l.options.FS.Create(tmp)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -463,14 +463,14 @@
 		err = f.Sync()
 	}
 	if err == nil {
-		err = l.o.FS.Rename(tmp, path)
+		err = l.options.FS.Rename(tmp, path)
 	}
 	if err == nil {
-		err = l.o.FS.SyncDir(l.dir)
+		err = l.options.FS.SyncDir(l.dir)
 	}
 	if err != nil {
 		f.Close()
-		l.o.FS.Remove(tmp)
+		l.options.FS.Remove(tmp)
 		return nil, 0, err
 	}
 	return f, n, nil
@@ -478,48 +478,48 @@
 
 // fail ends work on the file under way. Nothing that is not durable yet is told to be, until revive has written it
 // to a new segment.
-func (l *Log) fail(err error) {
+func (l *Log) setFailure(err error) {
 	if l.file != nil {
 		l.file.Close()
 		l.file = nil
 	}
-	l.dirty = false
+	l.needsSync = false
 	l.mu.Lock()
 	first := l.failure == nil
 	l.failure = err
-	l.change()
+	l.notifyWaiters()
 	l.mu.Unlock()
 	if first {
-		l.o.Failed(err)
+		l.options.OnFailure(err)
 	}
 }
 
 // revive tries a new segment with all that is held.
-func (l *Log) revive() {
-	if err := l.begin(); err != nil {
-		l.fail(err)
+func (l *Log) resume() {
+	if err := l.startSegment(); err != nil {
+		l.setFailure(err)
 		return
 	}
-	l.dirty = false
+	l.needsSync = false
 	l.mu.Lock()
 	l.failure = nil
-	l.change()
+	l.notifyWaiters()
 	l.mu.Unlock()
 	l.flush(false)
-	l.o.Failed(nil)
-	l.commit(true)
+	l.options.OnFailure(nil)
+	l.groupCommit(true)
 }
 
 // Sync waits until all that was appended is durable, as the mode has it.
-func (l *Log) Sync(within time.Duration) error { return l.await(l.Next()-1, within) }
+func (l *Log) Sync(within time.Duration) error { return l.waitDurable(l.NextNumber()-1, within) }
 
 // await waits until a record is durable. A log that fails, or that was closed before, is an error.
-func (l *Log) await(no uint64, within time.Duration) error {
+func (l *Log) waitDurable(no uint64, within time.Duration) error {
 	alarm := time.NewTimer(within)
 	defer alarm.Stop()
 	for {
 		l.mu.Lock()
-		durable, failure, changed := l.durable, l.failure, l.changed
+		durable, failure, changed := l.lastDurable, l.failure, l.changed
 		l.mu.Unlock()
 		switch {
 		case durable >= no:
@@ -530,7 +530,7 @@
 		select {
 		case <-changed:
 		case <-l.done:
-			if l.DurableTo() < no {
+			if l.LastDurable() < no {
 				return ErrClosed
 			}
 		case <-alarm.C:
@@ -540,20 +540,20 @@
 }
 
 // snapshotWait is how long a snapshot waits for the records that it covers.
-const snapshotWait = 10 * time.Second
+const snapshotTimeout = 10 * time.Second
 
 // Snapshot keeps the owner's state as of a record, so that a recovery begins there, and lets go of segments that
 // neither it, nor the snapshot before it, nor Options.Keep needs: the former snapshot stays whole, as the new one
 // may turn out damaged. It waits for the record to be durable: a state that is ahead of the log would say that
 // what a crash then takes from the log had been done with.
 func (l *Log) Snapshot(no uint64, state []byte) error {
-	l.snapping.Lock()
-	defer l.snapping.Unlock()
-	if err := l.await(no, snapshotWait); err != nil {
+	l.snapshotMu.Lock()
+	defer l.snapshotMu.Unlock()
+	if err := l.waitDurable(no, snapshotTimeout); err != nil {
 		return fmt.Errorf("wal: snapshot of record %d: %w", no, err)
 	}
-	b := snapshotBytes(no, state)
-	f, n, err := l.replace(filepath.Join(l.dir, snapshotName(no)), b)
+	b := encodeSnapshot(no, state)
+	f, n, err := l.createFile(filepath.Join(l.dir, snapshotName(no)), b)
 	if err == nil {
 		err = f.Close()
 	}
@@ -562,66 +562,66 @@
 	}
 	l.mu.Lock()
 	before := uint64(0)
-	if n := len(l.snaps); n > 0 {
-		before = l.snaps[n-1].no
+	if n := len(l.snapshots); n > 0 {
+		before = l.snapshots[n-1].record
 	}
 	if before != no {
-		l.snaps = append(l.snaps, snap{no, int64(n)})
-		l.size += int64(n)
+		l.snapshots = append(l.snapshots, snapshotFile{no, int64(n)})
+		l.totalBytes += int64(n)
 	}
 	l.mu.Unlock()
-	return l.trim(before)
+	return l.removeCovered(before)
 }
 
 // SnapshotSoon does what Snapshot does in a goroutine of its own, after which then is called; false: one is under way.
 // Close waits for it.
-func (l *Log) SnapshotSoon(no uint64, state []byte, then func(error)) bool {
-	if !l.soon.CompareAndSwap(false, true) {
+func (l *Log) SnapshotAsync(no uint64, state []byte, then func(error)) bool {
+	if !l.snapshotRunning.CompareAndSwap(false, true) {
 		return false
 	}
-	l.wg.Add(1)
+	l.snapshotWG.Add(1)
 	go func() {
-		defer l.wg.Done()
+		defer l.snapshotWG.Done()
 		err := l.Snapshot(no, state)
-		l.soon.Store(false)
+		l.snapshotRunning.Store(false)
 		then(err)
 	}()
 	return true
 }
 
 // trim lets go of what is covered by the snapshot of that number.
-func (l *Log) trim(covered uint64) error {
+func (l *Log) removeCovered(covered uint64) error {
 	keep := covered + 1
-	if l.o.Keep != nil {
-		keep = min(keep, l.o.Keep())
+	if l.options.RetainFrom != nil {
+		keep = min(keep, l.options.RetainFrom())
 	}
 	l.mu.Lock()
 	var drop []segment
-	for len(l.segs) > 1 && l.segs[1].first <= keep {
-		drop = append(drop, l.segs[0])
-		l.segs = l.segs[1:]
+	for len(l.segments) > 1 && l.segments[1].firstRecord <= keep {
+		drop = append(drop, l.segments[0])
+		l.segments = l.segments[1:]
 	}
-	var old []snap
-	for len(l.snaps) > 2 {
-		old = append(old, l.snaps[0])
-		l.snaps = l.snaps[1:]
+	var old []snapshotFile
+	for len(l.snapshots) > 2 {
+		old = append(old, l.snapshots[0])
+		l.snapshots = l.snapshots[1:]
 	}
 	l.mu.Unlock()
 	var first error
 	gone := int64(0)
 	for _, s := range drop {
-		if err := l.o.FS.Remove(filepath.Join(l.dir, s.name)); err != nil && first == nil {
+		if err := l.options.FS.Remove(filepath.Join(l.dir, s.name)); err != nil && first == nil {
 			first = err
 			continue
 		}
 		gone += s.size
 	}
 	for _, o := range old {
-		l.o.FS.Remove(filepath.Join(l.dir, snapshotName(o.no)))
+		l.options.FS.Remove(filepath.Join(l.dir, snapshotName(o.record)))
 		gone += o.size
 	}
 	l.mu.Lock()
-	l.size -= gone
+	l.totalBytes -= gone
 	l.mu.Unlock()
 	return first
 }
@@ -641,67 +641,67 @@
 	default:
 	}
 	<-l.done
-	l.wg.Wait()
+	l.snapshotWG.Wait()
 	l.lock.Close()
 	return l.Err()
 }
 
 // Cursor reads records that are durable, in order, while the log goes on.
 type Cursor struct {
-	l    *Log
-	next uint64
-	f    io.ReadSeekCloser
-	seg  segment
-	buf  []byte
-	at   int
-	end  bool       // all that the file had is in buf
-	Lost func(Hole) // is told of records that are missing
+	log     *Log
+	next    uint64
+	file    io.ReadSeekCloser
+	segment segment
+	buffer  []byte
+	offset  int
+	atEnd   bool      // all that the file had is in buf
+	OnGap   func(Gap) // is told of records that are missing
 }
 
 // Read returns a cursor that stands before the record of that number.
-func (l *Log) Read(from uint64) *Cursor { return &Cursor{l: l, next: max(from, 1)} }
+func (l *Log) NewCursor(from uint64) *Cursor { return &Cursor{log: l, next: max(from, 1)} }
 
 // Next returns the next record that is durable; ok is false where there is none yet. The payload is good until the
 // next call.
 func (c *Cursor) Next() (r Record, ok bool, err error) {
-	c.l.mu.Lock()
-	last := c.l.durable
-	c.l.mu.Unlock()
+	c.log.mu.Lock()
+	last := c.log.lastDurable
+	c.log.mu.Unlock()
 	for c.next <= last {
-		if c.f == nil {
+		if c.file == nil {
 			if err := c.open(); err != nil {
 				return r, false, err
 			}
-			if c.f == nil {
+			if c.file == nil {
 				return r, false, nil
 			}
 		}
-		r, size, more, ok := parseRecord(c.buf[c.at:])
+		r, size, more, ok := parseRecord(c.buffer[c.offset:])
 		switch {
 		case ok:
-			c.at += size
-			if r.No < c.next {
+			c.offset += size
+			if r.Number < c.next {
 				continue
 			}
-			if r.No > last {
-				c.at -= size
+			if r.Number > last {
+				c.offset -= size
 				return r, false, nil
 			}
-			if r.No > c.next && c.Lost != nil {
-				c.Lost(Hole{c.next, r.No - 1, c.seg.name, 0})
+			if r.Number > c.next && c.OnGap != nil {
+				c.OnGap(Gap{c.next, r.Number - 1, c.segment.name, 0})
 			}
-			c.next = r.No + 1
+			c.next = r.Number + 1
 			return r, true, nil
-		case more && !c.end:
+		case more && !c.atEnd:
 			n, err := c.fill()
 			if err != nil {
 				return r, false, err
 			}
-			c.end = n == 0
-		case c.at < len(c.buf):
-			c.at++ // the record is durable, so what stands here is damage: see scan
+			c.atEnd = n == 0
+		case c.offset < len(c.buffer):
+			c.offset++ // the record is durable, so what stands here is damage: see scan
 		default:
-			if !c.step() {
+			if !c.nextSegment() {
 				return r, false, nil
 			}
 		}
@@ -711,32 +711,32 @@
 
 // open opens the segment that should hold the next record.
 func (c *Cursor) open() error {
-	c.l.mu.Lock()
+	c.log.mu.Lock()
 	var found *segment
-	for i := range c.l.segs {
-		if s := c.l.segs[i]; s.first <= c.next || found == nil {
+	for i := range c.log.segments {
+		if s := c.log.segments[i]; s.firstRecord <= c.next || found == nil {
 			found = &s
 		}
 	}
-	c.l.mu.Unlock()
+	c.log.mu.Unlock()
 	if found == nil {
 		return nil
 	}
-	return c.use(*found)
+	return c.openSegment(*found)
 }
 
-func (c *Cursor) use(s segment) error {
-	f, err := c.l.o.FS.Open(filepath.Join(c.l.dir, s.name))
+func (c *Cursor) openSegment(s segment) error {
+	f, err := c.log.options.FS.Open(filepath.Join(c.log.dir, s.name))
 	if err != nil {
 		return err
 	}
 	c.Close()
-	c.f, c.seg, c.buf, c.at, c.end = f, s, c.buf[:0], 0, false
+	c.file, c.segment, c.buffer, c.offset, c.atEnd = f, s, c.buffer[:0], 0, false
 	if _, err := c.fill(); err != nil {
 		return err
 	}
-	if segmentHeadOK(c.buf) {
-		c.at = segmentHead
+	if validSegmentHeader(c.buffer) {
+		c.offset = segmentHeaderBytes
 	}
 	return nil
 }
@@ -744,15 +744,15 @@
 // fill reads on in the segment.
 func (c *Cursor) fill() (int, error) {
 	const chunk = 128 << 10
-	c.buf = append(c.buf[:0], c.buf[c.at:]...)
-	c.at = 0
-	if cap(c.buf)-len(c.buf) < chunk {
-		b := make([]byte, len(c.buf), 2*len(c.buf)+chunk)
-		copy(b, c.buf)
-		c.buf = b
-	}
-	n, err := c.f.Read(c.buf[len(c.buf) : len(c.buf)+chunk])
-	c.buf = c.buf[:len(c.buf)+n]
+	c.buffer = append(c.buffer[:0], c.buffer[c.offset:]...)
+	c.offset = 0
+	if cap(c.buffer)-len(c.buffer) < chunk {
+		b := make([]byte, len(c.buffer), 2*len(c.buffer)+chunk)
+		copy(b, c.buffer)
+		c.buffer = b
+	}
+	n, err := c.file.Read(c.buffer[len(c.buffer) : len(c.buffer)+chunk])
+	c.buffer = c.buffer[:len(c.buffer)+n]
 	if errors.Is(err, io.EOF) {
 		err = nil
 	}
@@ -761,33 +761,33 @@
 
 // step goes to the segment behind, if there is one. The end of the one under way is only an end where another one
 // was begun.
-func (c *Cursor) step() bool {
-	c.l.mu.Lock()
+func (c *Cursor) nextSegment() bool {
+	c.log.mu.Lock()
 	var next *segment
-	for i := range c.l.segs {
-		if s := c.l.segs[i]; s.first > c.seg.first {
+	for i := range c.log.segments {
+		if s := c.log.segments[i]; s.firstRecord > c.segment.firstRecord {
 			next = &s
 			break
 		}
 	}
-	c.l.mu.Unlock()
+	c.log.mu.Unlock()
 	if next == nil {
 		n, err := c.fill() // the one under way grows
-		c.end = false
+		c.atEnd = false
 		return err == nil && n > 0
 	}
 	// What was written between the last read and the new segment's begin is read first.
 	if n, err := c.fill(); err != nil || n > 0 {
-		c.end = false
+		c.atEnd = false
 		return err == nil
 	}
-	return c.use(*next) == nil
+	return c.openSegment(*next) == nil
 }
 
 // Close lets go of the file.
 func (c *Cursor) Close() {
-	if c.f != nil {
-		c.f.Close()
-		c.f = nil
+	if c.file != nil {
+		c.file.Close()
+		c.file = nil
 	}
 }
--- a/internal/wal/wal.go
+++ b/internal/wal/wal.go
@@ -42,11 +42,11 @@
 )
 
 const (
-	segmentMagic = "WHL1"
-	segmentHead  = 24
-	recordHead   = 20
-	snapMagic    = "WHS1"
-	snapHead     = 32
+	segmentMagic        = "WHL1"
+	segmentHeaderBytes  = 24
+	recordHeaderBytes   = 20
+	snapshotMagic       = "WHS1"
+	snapshotHeaderBytes = 32
 
 	// MaxRecord is the longest payload of a record, in bytes.
 	MaxRecord = 1 << 20
@@ -101,53 +101,53 @@
 
 // Record is one entry.
 type Record struct {
-	No      uint64
+	Number  uint64
 	Payload []byte
 }
 
 // Hole is a run of records that are missing between others, with the place where the damage was met.
-type Hole struct {
+type Gap struct {
 	From, To uint64 // numbers, both missing
 	Segment  string
 	Offset   int64
 }
 
-func (h Hole) String() string {
+func (h Gap) String() string {
 	return fmt.Sprintf("%s: offset %d: records %d to %d are lost", h.Segment, h.Offset, h.From, h.To)
 }
 
 // Recovery is what opening a log found.
 type Recovery struct {
-	Snapshot  []byte // nil: none
-	Covered   uint64 // last record that the snapshot covers
-	First     uint64 // first record read behind the snapshot; 0: none
-	Last      uint64 // last record of the log, or of the snapshot
-	Records   int
-	Holes     []Hole
-	Torn      int64    // bytes at the end that are no record
-	Skipped   int64    // damaged bytes before the end
-	Snapshots []string // damaged ones, passed over
+	Snapshot         []byte // nil: none
+	SnapshotRecord   uint64 // last record that the snapshot covers
+	First            uint64 // first record read behind the snapshot; 0: none
+	Last             uint64 // last record of the log, or of the snapshot
+	Records          int
+	Gaps             []Gap
+	TornBytes        int64    // bytes at the end that are no record
+	SkippedBytes     int64    // damaged bytes before the end
+	DamagedSnapshots []string // damaged ones, passed over
 }
 
 // Report tells an operator's log what was damaged, if anything was; what names the log.
 func (r *Recovery) Report(log *slog.Logger, what, dir string) {
-	for _, h := range r.Holes {
+	for _, h := range r.Gaps {
 		log.Error("a log has a hole", "log", what, "dir", dir, "hole", h.String())
 	}
-	if r.Torn > 0 || len(r.Snapshots) > 0 {
-		log.Warn("a log was cut", "log", what, "dir", dir, "bytes", r.Torn, "snapshots", r.Snapshots)
+	if r.TornBytes > 0 || len(r.DamagedSnapshots) > 0 {
+		log.Warn("a log was cut", "log", what, "dir", dir, "bytes", r.TornBytes, "snapshots", r.DamagedSnapshots)
 	}
 }
 
 type segment struct {
-	name  string
-	first uint64
-	size  int64
+	name        string
+	firstRecord uint64
+	size        int64
 }
 
-type snap struct {
-	no   uint64
-	size int64
+type snapshotFile struct {
+	record uint64
+	size   int64
 }
 
 func segmentName(no uint64) string  { return fmt.Sprintf("%020d.log", no) }
@@ -166,15 +166,15 @@
 
 // parseRecord reads a record at the front of b. more is set where b is too short to tell.
 func parseRecord(b []byte) (r Record, size int, more, ok bool) {
-	if len(b) < recordHead {
+	if len(b) < recordHeaderBytes {
 		return r, 0, true, false
 	}
 	n := binary.LittleEndian.Uint32(b)
 	if n > MaxRecord {
 		return r, 0, false, false
 	}
-	r.No, size = binary.LittleEndian.Uint64(b[4:]), recordHead+int(n)
-	if r.No == 0 {
+	r.Number, size = binary.LittleEndian.Uint64(b[4:]), recordHeaderBytes+int(n)
+	if r.Number == 0 {
 		return r, 0, false, false
 	}
 	if len(b) < size {
@@ -182,28 +182,28 @@
 	}
 	d := xxhash.New()
 	d.Write(b[:12])
-	d.Write(b[recordHead:size])
+	d.Write(b[recordHeaderBytes:size])
 	if d.Sum64() != binary.LittleEndian.Uint64(b[12:]) {
 		return r, 0, false, false
 	}
-	r.Payload = b[recordHead:size]
+	r.Payload = b[recordHeaderBytes:size]
 	return r, size, false, true
 }
 
-func appendSegmentHead(dst []byte, first uint64) []byte {
+func appendSegmentHeader(dst []byte, first uint64) []byte {
 	at := len(dst)
 	dst = append(append(dst, segmentMagic...), 0, 0, 0, 0)
 	dst = binary.LittleEndian.AppendUint64(dst, first)
 	return binary.LittleEndian.AppendUint64(dst, xxhash.Sum64(dst[at:]))
 }
 
-func segmentHeadOK(b []byte) bool {
-	return len(b) >= segmentHead && string(b[:4]) == segmentMagic &&
+func validSegmentHeader(b []byte) bool {
+	return len(b) >= segmentHeaderBytes && string(b[:4]) == segmentMagic &&
 		xxhash.Sum64(b[:16]) == binary.LittleEndian.Uint64(b[16:])
 }
 
 // listing is what files a directory holds, in order.
-func listing(fs FS, dir string) (segs []segment, snaps []snap, err error) {
+func listFiles(fs FS, dir string) (segs []segment, snaps []snapshotFile, err error) {
 	entries, err := fs.List(dir)
 	if err != nil {
 		return nil, nil, err
@@ -221,11 +221,11 @@
 		if ext == "log" {
 			segs = append(segs, segment{e.Name(), no, info.Size()})
 		} else {
-			snaps = append(snaps, snap{no, info.Size()})
+			snaps = append(snaps, snapshotFile{no, info.Size()})
 		}
 	}
-	slices.SortFunc(segs, func(a, b segment) int { return cmp.Compare(a.first, b.first) })
-	slices.SortFunc(snaps, func(a, b snap) int { return cmp.Compare(a.no, b.no) })
+	slices.SortFunc(segs, func(a, b segment) int { return cmp.Compare(a.firstRecord, b.firstRecord) })
+	slices.SortFunc(snaps, func(a, b snapshotFile) int { return cmp.Compare(a.record, b.record) })
 	return segs, snaps, nil
 }
 
@@ -240,21 +240,21 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(b) < snapHead || string(b[:4]) != snapMagic || binary.LittleEndian.Uint64(b[8:]) != no ||
-		binary.LittleEndian.Uint64(b[16:]) != uint64(len(b)-snapHead) {
+	if len(b) < snapshotHeaderBytes || string(b[:4]) != snapshotMagic || binary.LittleEndian.Uint64(b[8:]) != no ||
+		binary.LittleEndian.Uint64(b[16:]) != uint64(len(b)-snapshotHeaderBytes) {
 		return nil, errors.New("not a whole snapshot")
 	}
 	d := xxhash.New()
 	d.Write(b[:24])
-	d.Write(b[snapHead:])
+	d.Write(b[snapshotHeaderBytes:])
 	if d.Sum64() != binary.LittleEndian.Uint64(b[24:]) {
 		return nil, errors.New("checksum is wrong")
 	}
-	return b[snapHead:], nil
+	return b[snapshotHeaderBytes:], nil
 }
 
-func snapshotBytes(no uint64, payload []byte) []byte {
-	b := append([]byte(snapMagic), 0, 0, 0, 0)
+func encodeSnapshot(no uint64, payload []byte) []byte {
+	b := append([]byte(snapshotMagic), 0, 0, 0, 0)
 	b = binary.LittleEndian.AppendUint64(b, no)
 	b = binary.LittleEndian.AppendUint64(b, uint64(len(payload)))
 	d := xxhash.New()
@@ -266,7 +266,7 @@
 
 // scan reads one segment's records and calls take for each whole one, in the order of the file, with the offset
 // behind it. It returns how many bytes at the end hold no record, and how many before that.
-func scan(f io.Reader, take func(r Record, from, to int64) error) (torn, skipped int64, err error) {
+func scanSegment(f io.Reader, take func(r Record, from, to int64) error) (torn, skipped int64, err error) {
 	const chunk = 256 << 10
 	buf := make([]byte, 0, chunk)
 	off, eof := int64(0), false // of buf in the file
@@ -285,8 +285,8 @@
 		return 0, 0, err
 	}
 	at := 0
-	if segmentHeadOK(buf) {
-		at = segmentHead
+	if validSegmentHeader(buf) {
+		at = segmentHeaderBytes
 	}
 	bad := int64(0) // bytes since the last record that are none
 	for {
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -211,9 +211,9 @@
 }
 
 func TestReopen(t *testing.T) {
-	for _, m := range []Mode{Each, Interval, None} {
+	for _, m := range []SyncMode{SyncAlways, SyncInterval, SyncNever} {
 		dir := t.TempDir()
-		l, rec, _ := open(t, dir, Options{Mode: m, Segment: 300})
+		l, rec, _ := open(t, dir, Options{Mode: m, SegmentBytes: 300})
 		if rec.Last != 0 {
 			t.Errorf("%+v", rec)
 		}
@@ -223,14 +223,14 @@
 		}
 		l.Close()
 		l, rec, got := open(t, dir, Options{Mode: m})
-		if rec.Last != 50 || len(got) != 50 || got[49] != "record 50" || rec.Holes != nil || rec.Torn != 0 {
+		if rec.Last != 50 || len(got) != 50 || got[49] != "record 50" || rec.Gaps != nil || rec.TornBytes != 0 {
 			t.Errorf("%v: %+v %d", m, rec, len(got))
 		}
 		write(t, l, 51, 60)
-		c := l.Read(1)
+		c := l.NewCursor(1)
 		for i := 1; i <= 60; i++ {
 			r, ok, err := c.Next()
-			if !ok || err != nil || r.No != uint64(i) || string(r.Payload) != fmt.Sprintf("record %d", i) {
+			if !ok || err != nil || r.Number != uint64(i) || string(r.Payload) != fmt.Sprintf("record %d", i) {
 				t.Fatalf("%d: %v %v %v", i, r, ok, err)
 			}
 		}
@@ -238,7 +238,7 @@
 			t.Error("a record that is none")
 		}
 		write(t, l, 61, 61)
-		if r, ok, _ := c.Next(); !ok || r.No != 61 {
+		if r, ok, _ := c.Next(); !ok || r.Number != 61 {
 			t.Error("the cursor does not go on")
 		}
 	}
@@ -266,12 +266,12 @@
 			}
 			os.WriteFile(filepath.Join(dir, segmentName(1)), b, 0o600)
 			l, rec, got := open(t, dir, Options{})
-			if len(got) != 2 || rec.Last != 2 || rec.Holes != nil || rec.Torn != int64(len(b)-(len(whole)-last)) {
+			if len(got) != 2 || rec.Last != 2 || rec.Gaps != nil || rec.TornBytes != int64(len(b)-(len(whole)-last)) {
 				t.Fatalf("cut at %d, zeroed %t: %+v %v", cut, zero, rec, got)
 			}
 			write(t, l, 30, 30)
 			l.Close()
-			if _, rec, got := open(t, dir, Options{}); len(got) != 3 || got[2] != "record 30" || rec.Holes != nil {
+			if _, rec, got := open(t, dir, Options{}); len(got) != 3 || got[2] != "record 30" || rec.Gaps != nil {
 				t.Fatalf("cut at %d, zeroed %t: then %+v %v", cut, zero, rec, got)
 			}
 		}
@@ -287,24 +287,24 @@
 	file := filepath.Join(dir, segmentName(1))
 	whole, _ := os.ReadFile(file)
 	size := len(appendRecord(nil, 1, []byte("record 1")))
-	for at := segmentHead; at < len(whole); at++ {
+	for at := segmentHeaderBytes; at < len(whole); at++ {
 		dir := t.TempDir()
 		b := slices.Clone(whole)
 		b[at] ^= 1 << (at % 8)
 		os.WriteFile(filepath.Join(dir, segmentName(1)), b, 0o600)
-		hit := (at-segmentHead)/size + 1
+		hit := (at-segmentHeaderBytes)/size + 1
 		l, rec, got := open(t, dir, Options{})
 		if len(got) != 4 || slices.Contains(got, fmt.Sprintf("record %d", hit)) {
 			t.Fatalf("bit at %d: %v", at, got)
 		}
 		// The first of all is not known to be missing, nor the last: that is a torn tail.
-		if hit > 1 && hit < 5 && (len(rec.Holes) != 1 || rec.Holes[0].From != uint64(hit) || rec.Holes[0].To != uint64(hit)) {
+		if hit > 1 && hit < 5 && (len(rec.Gaps) != 1 || rec.Gaps[0].From != uint64(hit) || rec.Gaps[0].To != uint64(hit)) {
 			t.Fatalf("bit at %d: %+v", at, rec)
 		}
-		if rec.Torn+rec.Skipped < int64(size) {
+		if rec.TornBytes+rec.SkippedBytes < int64(size) {
 			t.Fatalf("bit at %d: %+v does not say it", at, rec)
 		}
-		c, n := l.Read(1), 0
+		c, n := l.NewCursor(1), 0
 		for {
 			_, ok, err := c.Next()
 			if err != nil {
@@ -331,7 +331,7 @@
 		t.Run(name, func(t *testing.T) {
 			d := newDisk()
 			fails := make(chan error, 100)
-			l, _, _ := open(t, t.TempDir(), Options{FS: d, Retry: 2 * time.Millisecond, Failed: func(err error) { fails <- err }})
+			l, _, _ := open(t, t.TempDir(), Options{FS: d, RetryInterval: 2 * time.Millisecond, OnFailure: func(err error) { fails <- err }})
 			write(t, l, 1, 3)
 			d.mu.Lock()
 			fault(d, true)
@@ -342,8 +342,8 @@
 			if err := <-fails; err == nil {
 				t.Fatal("no failure is told")
 			}
-			if l.DurableTo() > 4 || l.Err() == nil {
-				t.Fatalf("record %d counts as durable", l.DurableTo())
+			if l.LastDurable() > 4 || l.Err() == nil {
+				t.Fatalf("record %d counts as durable", l.LastDurable())
 			}
 			d.mu.Lock()
 			fault(d, false)
@@ -354,7 +354,7 @@
 			write(t, l, 7, 8)
 			l.Close()
 			_, rec, got := open(t, l.Dir(), Options{FS: d.crash(0)})
-			if strings.Join(got, " ") != "record 1 record 2 record 3 record 4 record 5 record 6 record 7 record 8" || rec.Holes != nil {
+			if strings.Join(got, " ") != "record 1 record 2 record 3 record 4 record 5 record 6 record 7 record 8" || rec.Gaps != nil {
 				t.Errorf("%v %+v", got, rec)
 			}
 		})
@@ -364,7 +364,7 @@
 // TestSnapshotNotAhead refuses a snapshot of what is not durable: a crash would leave it ahead of its log.
 func TestSnapshotNotAhead(t *testing.T) {
 	d := newDisk()
-	l, _, _ := open(t, t.TempDir(), Options{FS: d, Retry: time.Hour})
+	l, _, _ := open(t, t.TempDir(), Options{FS: d, RetryInterval: time.Hour})
 	write(t, l, 1, 2)
 	d.mu.Lock()
 	d.badSync = true
@@ -387,14 +387,14 @@
 	for step := 1; step <= 8; step++ {
 		d := newDisk()
 		dir := t.TempDir()
-		l, _, _ := open(t, dir, Options{FS: d, Mode: Interval, Every: time.Millisecond, Retry: time.Millisecond})
+		l, _, _ := open(t, dir, Options{FS: d, Mode: SyncInterval, SyncInterval: time.Millisecond, RetryInterval: time.Millisecond})
 		d.mu.Lock()
 		d.badSync = true
 		d.mu.Unlock()
 		l.Append([]byte("record 1"))
 		for until := time.Now().Add(10 * time.Second); l.Err() == nil && time.Now().Before(until); time.Sleep(time.Millisecond) {
 		}
-		told := l.DurableTo()
+		told := l.LastDurable()
 		d.mu.Lock()
 		d.badSync, d.steps = false, step
 		d.mu.Unlock()
@@ -409,7 +409,7 @@
 }
 
 func TestBounds(t *testing.T) {
-	l, _, _ := open(t, t.TempDir(), Options{Bound: 400, Segment: 100})
+	l, _, _ := open(t, t.TempDir(), Options{MaxBytes: 400, SegmentBytes: 100})
 	n := 0
 	for ; n < 100; n++ {
 		if _, err := l.Append(make([]byte, 30)); errors.Is(err, ErrFull) {
@@ -421,7 +421,7 @@
 		t.Fatalf("%d records, %d bytes", n, l.Size())
 	}
 	for range 2 { // the second lets go of what only the first still needed
-		if err := l.Snapshot(l.DurableTo(), []byte("state")); err != nil {
+		if err := l.Snapshot(l.LastDurable(), []byte("state")); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -436,7 +436,7 @@
 // TestSnapshot recovers from the newest whole snapshot, also where that is not the newest.
 func TestSnapshot(t *testing.T) {
 	dir := t.TempDir()
-	l, _, _ := open(t, dir, Options{Segment: 64})
+	l, _, _ := open(t, dir, Options{SegmentBytes: 64})
 	write(t, l, 1, 10)
 	l.Snapshot(10, []byte("ten"))
 	write(t, l, 11, 20)
@@ -447,7 +447,7 @@
 		t.Error("the first segment is kept")
 	}
 	l, rec, got := open(t, dir, Options{})
-	if string(rec.Snapshot) != "twenty" || rec.Covered != 20 || len(got) != 5 || rec.Last != 25 {
+	if string(rec.Snapshot) != "twenty" || rec.SnapshotRecord != 20 || len(got) != 5 || rec.Last != 25 {
 		t.Fatalf("%+v %v", rec, got)
 	}
 	l.Close()
@@ -458,7 +458,7 @@
 		bad[at] ^= 4
 		os.WriteFile(file, bad, 0o600)
 		l, rec, got := open(t, dir, Options{})
-		if string(rec.Snapshot) != "ten" || len(got) != 15 || len(rec.Snapshots) != 1 || rec.Holes != nil {
+		if string(rec.Snapshot) != "ten" || len(got) != 15 || len(rec.DamagedSnapshots) != 1 || rec.Gaps != nil {
 			t.Fatalf("bit at %d: %+v %v", at, rec, got)
 		}
 		l.Close()
@@ -478,22 +478,22 @@
 	next := 1
 	for range rapid.IntRange(1, 5).Draw(rt, "lives") {
 		n := 0
-		l, rec, err := Open(dir, Options{FS: d, Segment: int64(rapid.IntRange(40, 400).Draw(rt, "segment"))},
+		l, rec, err := Open(dir, Options{FS: d, SegmentBytes: int64(rapid.IntRange(40, 400).Draw(rt, "segment"))},
 			func(rec *Recovery) error {
 				if rec.Snapshot != nil {
 					n = int(binary.LittleEndian.Uint64(rec.Snapshot))
 				}
 				return nil
 			}, func(r Record) error {
-				if n++; string(r.Payload) != fmt.Sprint(r.No) {
-					t.Fatalf("record %d holds %q", r.No, r.Payload)
+				if n++; string(r.Payload) != fmt.Sprint(r.Number) {
+					t.Fatalf("record %d holds %q", r.Number, r.Payload)
 				}
 				return nil
 			})
 		if err != nil {
 			t.Fatalf("%v", err)
 		}
-		if len(rec.Holes) > 0 || n != int(rec.Last) || rec.Last < uint64(next-1) {
+		if len(rec.Gaps) > 0 || n != int(rec.Last) || rec.Last < uint64(next-1) {
 			l.Close()
 			return true
 		}
@@ -510,7 +510,7 @@
 			l.Sync(10 * time.Second)
 		}
 		// The crash comes while the writer may still be at work.
-		acked := l.DurableTo()
+		acked := l.LastDurable()
 		after := d.crash(rapid.IntRange(0, 60).Draw(rt, "tail"))
 		l.Close()
 		d, next = after, int(acked)+1
@@ -542,7 +542,7 @@
 func TestConcurrent(t *testing.T) {
 	var from uint64 = 1
 	var mu sync.Mutex
-	l, _, _ := open(t, t.TempDir(), Options{Mode: Interval, Segment: 4 << 10, Keep: func() uint64 {
+	l, _, _ := open(t, t.TempDir(), Options{Mode: SyncInterval, SegmentBytes: 4 << 10, RetainFrom: func() uint64 {
 		mu.Lock()
 		defer mu.Unlock()
 		return from
@@ -562,9 +562,9 @@
 			}
 		}()
 	}
-	c := l.Read(1)
+	c := l.NewCursor(1)
 	defer c.Close()
-	c.Lost = func(h Hole) { t.Error(h) }
+	c.OnGap = func(h Gap) { t.Error(h) }
 	for n := 0; n < writers*each; {
 		r, ok, err := c.Next()
 		if err != nil {
@@ -574,8 +574,8 @@
 			time.Sleep(time.Millisecond)
 			continue
 		}
-		if n++; r.No != uint64(n) {
-			t.Fatalf("record %d, want %d", r.No, n)
+		if n++; r.Number != uint64(n) {
+			t.Fatalf("record %d, want %d", r.Number, n)
 		}
 		if n%1000 == 0 {
 			mu.Lock()
@@ -588,18 +588,18 @@
 }
 
 func FuzzScan(f *testing.F) {
-	good := appendRecord(appendRecord(appendSegmentHead(nil, 1), 1, []byte("a")), 2, []byte("bc"))
+	good := appendRecord(appendRecord(appendSegmentHeader(nil, 1), 1, []byte("a")), 2, []byte("bc"))
 	f.Add(good, 30, byte(1))
 	f.Fuzz(func(t *testing.T, b []byte, at int, x byte) {
 		if at >= 0 && at < len(b) {
 			b[at] ^= x
 		}
 		total := int64(0)
-		torn, skipped, err := scan(bytes.NewReader(b), func(r Record, from, to int64) error {
+		torn, skipped, err := scanSegment(bytes.NewReader(b), func(r Record, from, to int64) error {
 			total += to - from
 			return nil
 		})
-		if head := int64(len(b)) - total - torn - skipped; err != nil || head != 0 && head != segmentHead {
+		if head := int64(len(b)) - total - torn - skipped; err != nil || head != 0 && head != segmentHeaderBytes {
 			t.Errorf("%d bytes: %d in records, %d torn, %d skipped, %v", len(b), total, torn, skipped, err)
 		}
 	})
@@ -607,7 +607,7 @@
 
 // BenchmarkAppend tells what the modes cost.
 func BenchmarkAppend(b *testing.B) {
-	for _, m := range []Mode{Each, Interval, None} {
+	for _, m := range []SyncMode{SyncAlways, SyncInterval, SyncNever} {
 		b.Run(m.String(), func(b *testing.B) {
 			l, _, _ := open(b, b.TempDir(), Options{Mode: m})
 			p := make([]byte, 120)
--- a/internal/websocket/frame.go
+++ b/internal/websocket/frame.go
@@ -13,20 +13,20 @@
 )
 
 // Op is a frame's opcode (RFC 6455 section 5.2).
-type Op byte
+type Opcode byte
 
 // The opcodes.
 const (
-	Continuation Op = 0x0
-	Text         Op = 0x1
-	Binary       Op = 0x2
-	Close        Op = 0x8
-	Ping         Op = 0x9
-	Pong         Op = 0xA
+	Continuation Opcode = 0x0
+	Text         Opcode = 0x1
+	Binary       Opcode = 0x2
+	Close        Opcode = 0x8
+	Ping         Opcode = 0x9
+	Pong         Opcode = 0xA
 )
 
 // Control reports whether frames of the opcode may come between the fragments of a message.
-func (o Op) Control() bool { return o&0x8 != 0 }
+func (o Opcode) IsControl() bool { return o&0x8 != 0 }
 
 // Role says which side of a connection this is: it decides who masks (RFC 6455 section 5.1).
 type Role int
@@ -52,23 +52,25 @@
 )
 
 // maxControl is the longest payload of a control frame (RFC 6455 section 5.5).
-const maxControl = 125
+const maxControlPayload = 125
 
 // Error is a breach of the protocol by the peer. Code is what the close frame should carry.
-type Error struct {
-	Code int
-	Text string
+type ProtocolError struct {
+	Code   int
+	Reason string
 }
 
-func (e *Error) Error() string { return fmt.Sprintf("ws: %s (close code %d)", e.Text, e.Code) }
+func (e *ProtocolError) Error() string {
+	return fmt.Sprintf("ws: %s (close code %d)", e.Reason, e.Code)
+}
 
-func breach(code int, format string, args ...any) error {
-	return &Error{code, fmt.Sprintf(format, args...)}
+func protocolErrorf(code int, format string, args ...any) error {
+	return &ProtocolError{code, fmt.Sprintf(format, args...)}
 }
 
 // CloseCode is the code to close with after an error of this package; CodeAbnormal for a broken connection.
 func CloseCode(err error) int {
-	var e *Error
+	var e *ProtocolError
 	if errors.As(err, &e) {
 		return e.Code
 	}
@@ -77,37 +79,37 @@
 
 // Message is a whole message, or one control frame. Data is only good until the next call of Next.
 type Message struct {
-	Op   Op
-	Data []byte
+	Opcode Opcode
+	Data   []byte
 }
 
 // Reader takes messages off a connection. It is not safe for concurrent use.
 type Reader struct {
-	br     *bufio.Reader
-	role   Role
-	limit  int64 // bytes of a message
-	frame  int64 // bytes of a frame's payload
-	buf    []byte
-	ctl    [maxControl]byte
-	op     Op   // of the message under way
-	inside bool // between the fragments of a message
-	utf    utf8Check
-	closed bool
+	in         *bufio.Reader
+	role       Role
+	maxMessage int64 // bytes of a message
+	maxFrame   int64 // bytes of a frame's payload
+	buf        []byte
+	control    [maxControlPayload]byte
+	opcode     Opcode // of the message under way
+	inMessage  bool   // between the fragments of a message
+	validator  utf8Validator
+	closed     bool
 }
 
 // NewReader returns a reader for a connection on which we have the role. A message of more than limit bytes
 // is refused with code 1009, before its payload is read.
 func NewReader(br *bufio.Reader, role Role, limit int64) *Reader {
-	return &Reader{br: br, role: role, limit: limit, frame: limit}
+	return &Reader{in: br, role: role, maxMessage: limit, maxFrame: limit}
 }
 
 // LimitFrames refuses also a frame of more than n bytes of payload with code 1009 (RFC 6455 section 10.4 asks
 // for limits on either).
-func (r *Reader) LimitFrames(n int64) { r.frame = min(n, r.limit) }
+func (r *Reader) LimitFrames(n int64) { r.maxFrame = min(n, r.maxMessage) }
 
-type header struct {
+type frameHeader struct {
 	fin    bool
-	op     Op
+	opcode Opcode
 	masked bool
 	mask   [4]byte
 	length int64
@@ -119,49 +121,49 @@
 	if r.closed {
 		return Message{}, io.EOF
 	}
-	m, err := r.next()
+	m, err := r.readMessage()
 	if err != nil {
 		r.closed = true
 	}
-	if m.Op == Close {
+	if m.Opcode == Close {
 		r.closed = true
 	}
 	return m, err
 }
 
-func (r *Reader) next() (Message, error) {
-	if !r.inside {
-		r.keepSmall()
+func (r *Reader) readMessage() (Message, error) {
+	if !r.inMessage {
+		r.releaseLargeBuffer()
 	}
 	for {
-		h, err := r.header()
+		h, err := r.readFrameHeader()
 		if err != nil {
 			return Message{}, err
 		}
-		if h.op.Control() {
-			data := r.ctl[:h.length]
-			if err := r.payload(data, h); err != nil {
+		if h.opcode.IsControl() {
+			data := r.control[:h.length]
+			if err := r.readPayload(data, h); err != nil {
 				return Message{}, err
 			}
-			if h.op == Close {
-				if err := checkClose(data); err != nil {
+			if h.opcode == Close {
+				if err := validateClose(data); err != nil {
 					return Message{}, err
 				}
 			}
-			return Message{h.op, data}, nil
+			return Message{h.opcode, data}, nil
 		}
-		done, err := r.fragment(h)
+		done, err := r.readFragment(h)
 		if err != nil {
 			return Message{}, err
 		}
 		if done {
-			return Message{r.op, r.buf}, nil
+			return Message{r.opcode, r.buf}, nil
 		}
 	}
 }
 
 // keepSmall drops the buffer of a large message, so that an idle session does not hold it.
-func (r *Reader) keepSmall() {
+func (r *Reader) releaseLargeBuffer() {
 	const kept = 4 << 10
 	if cap(r.buf) > kept {
 		r.buf = nil
@@ -169,21 +171,21 @@
 	r.buf = r.buf[:0]
 }
 
-func (r *Reader) fragment(h header) (done bool, err error) {
+func (r *Reader) readFragment(h frameHeader) (done bool, err error) {
 	switch {
-	case h.op == Continuation && !r.inside:
-		return false, breach(CodeProtocol, "continuation frame outside a message")
-	case h.op != Continuation && r.inside:
-		return false, breach(CodeProtocol, "a new message inside a fragmented one")
+	case h.opcode == Continuation && !r.inMessage:
+		return false, protocolErrorf(CodeProtocol, "continuation frame outside a message")
+	case h.opcode != Continuation && r.inMessage:
+		return false, protocolErrorf(CodeProtocol, "a new message inside a fragmented one")
 	}
-	if !r.inside {
-		r.op, r.inside, r.utf = h.op, true, utf8Check{}
+	if !r.inMessage {
+		r.opcode, r.inMessage, r.validator = h.opcode, true, utf8Validator{}
 	}
-	if h.length > r.frame {
-		return false, breach(CodeTooBig, "frame of more than %d bytes", r.frame)
+	if h.length > r.maxFrame {
+		return false, protocolErrorf(CodeTooBig, "frame of more than %d bytes", r.maxFrame)
 	}
-	if int64(len(r.buf))+h.length > r.limit {
-		return false, breach(CodeTooBig, "message of more than %d bytes", r.limit)
+	if int64(len(r.buf))+h.length > r.maxMessage {
+		return false, protocolErrorf(CodeTooBig, "message of more than %d bytes", r.maxMessage)
 	}
 	// The buffer grows by what has come, not by what a header promises.
 	const step = 64 << 10
@@ -192,29 +194,29 @@
 		from := len(r.buf)
 		r.buf = append(r.buf, make([]byte, n)...)
 		part := r.buf[from:]
-		if err := r.read(part); err != nil {
+		if err := r.readFull(part); err != nil {
 			return false, err
 		}
 		if h.masked {
 			at = Mask(part, h.mask, at)
 		}
-		if r.op == Text && !r.utf.feed(part) {
-			return false, breach(CodeInvalidData, "text that is not UTF-8")
+		if r.opcode == Text && !r.validator.feed(part) {
+			return false, protocolErrorf(CodeInvalidData, "text that is not UTF-8")
 		}
 		left -= int64(n)
 	}
 	if !h.fin {
 		return false, nil
 	}
-	r.inside = false
-	if r.op == Text && !r.utf.whole() {
-		return false, breach(CodeInvalidData, "text that ends inside a character")
+	r.inMessage = false
+	if r.opcode == Text && !r.validator.complete() {
+		return false, protocolErrorf(CodeInvalidData, "text that ends inside a character")
 	}
 	return true, nil
 }
 
-func (r *Reader) payload(data []byte, h header) error {
-	if err := r.read(data); err != nil {
+func (r *Reader) readPayload(data []byte, h frameHeader) error {
+	if err := r.readFull(data); err != nil {
 		return err
 	}
 	if h.masked {
@@ -224,8 +226,8 @@
 }
 
 // read fills p; an end inside it is unexpected.
-func (r *Reader) read(p []byte) error {
-	if _, err := io.ReadFull(r.br, p); err != nil {
+func (r *Reader) readFull(p []byte) error {
+	if _, err := io.ReadFull(r.in, p); err != nil {
 		if errors.Is(err, io.EOF) {
 			return io.ErrUnexpectedEOF
 		}
@@ -235,65 +237,65 @@
 }
 
 // header reads a frame's header and checks all that RFC 6455 section 5.2 asks of it.
-func (r *Reader) header() (h header, err error) {
-	first, err := r.br.ReadByte()
+func (r *Reader) readFrameHeader() (h frameHeader, err error) {
+	first, err := r.in.ReadByte()
 	if err != nil {
-		if errors.Is(err, io.EOF) && r.inside {
+		if errors.Is(err, io.EOF) && r.inMessage {
 			err = io.ErrUnexpectedEOF
 		}
 		return h, err
 	}
-	second, err := r.br.ReadByte()
+	second, err := r.in.ReadByte()
 	if err != nil {
 		if errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
 		}
 		return h, err
 	}
-	h.fin, h.op, h.masked = first&0x80 != 0, Op(first&0x0f), second&0x80 != 0
+	h.fin, h.opcode, h.masked = first&0x80 != 0, Opcode(first&0x0f), second&0x80 != 0
 	h.length = int64(second & 0x7f)
 	switch {
 	case first&0x70 != 0:
-		return h, breach(CodeProtocol, "reserved bits %03b set, no extension was agreed", first>>4&7)
-	case h.op > Binary && h.op < Close, h.op > Pong:
-		return h, breach(CodeProtocol, "opcode %#x is not known", byte(h.op))
+		return h, protocolErrorf(CodeProtocol, "reserved bits %03b set, no extension was agreed", first>>4&7)
+	case h.opcode > Binary && h.opcode < Close, h.opcode > Pong:
+		return h, protocolErrorf(CodeProtocol, "opcode %#x is not known", byte(h.opcode))
 	case h.masked != (r.role == Server):
-		return h, breach(CodeProtocol, "masking is wrong for the sender's role")
-	case h.op.Control() && !h.fin:
-		return h, breach(CodeProtocol, "fragmented control frame")
-	case h.op.Control() && h.length > maxControl:
-		return h, breach(CodeProtocol, "control frame of more than %d bytes", maxControl)
+		return h, protocolErrorf(CodeProtocol, "masking is wrong for the sender's role")
+	case h.opcode.IsControl() && !h.fin:
+		return h, protocolErrorf(CodeProtocol, "fragmented control frame")
+	case h.opcode.IsControl() && h.length > maxControlPayload:
+		return h, protocolErrorf(CodeProtocol, "control frame of more than %d bytes", maxControlPayload)
 	}
-	if err := r.length(&h); err != nil {
+	if err := r.readExtendedLength(&h); err != nil {
 		return h, err
 	}
 	if h.masked {
-		err = r.read(h.mask[:])
+		err = r.readFull(h.mask[:])
 	}
 	return h, err
 }
 
 // length reads an extended length, which must have the shortest form.
-func (r *Reader) length(h *header) error {
+func (r *Reader) readExtendedLength(h *frameHeader) error {
 	var b [8]byte
 	switch h.length {
 	case 126:
-		if err := r.read(b[:2]); err != nil {
+		if err := r.readFull(b[:2]); err != nil {
 			return err
 		}
 		if h.length = int64(binary.BigEndian.Uint16(b[:2])); h.length < 126 {
-			return breach(CodeProtocol, "length %d is not in its shortest form", h.length)
+			return protocolErrorf(CodeProtocol, "length %d is not in its shortest form", h.length)
 		}
 	case 127:
-		if err := r.read(b[:]); err != nil {
+		if err := r.readFull(b[:]); err != nil {
 			return err
 		}
 		v := binary.BigEndian.Uint64(b[:])
 		if v>>63 != 0 {
-			return breach(CodeProtocol, "length with the highest bit set")
+			return protocolErrorf(CodeProtocol, "length with the highest bit set")
 		}
 		if h.length = int64(v); v <= 0xffff {
-			return breach(CodeProtocol, "length %d is not in its shortest form", v)
+			return protocolErrorf(CodeProtocol, "length %d is not in its shortest form", v)
 		}
 	}
 	return nil
@@ -316,7 +318,7 @@
 }
 
 // AppendFrame appends a frame to dst. With a mask, as a client must send, the payload is masked in dst only.
-func AppendFrame(dst []byte, fin bool, op Op, payload []byte, mask *[4]byte) []byte {
+func AppendFrame(dst []byte, fin bool, op Opcode, payload []byte, mask *[4]byte) []byte {
 	b := byte(op)
 	if fin {
 		b |= 0x80
@@ -350,7 +352,7 @@
 	if code == CodeNoStatus || code == CodeAbnormal || code == 0 {
 		return nil
 	}
-	for len(reason) > maxControl-2 {
+	for len(reason) > maxControlPayload-2 {
 		_, n := utf8.DecodeLastRuneInString(reason)
 		reason = reason[:len(reason)-n]
 	}
@@ -365,41 +367,41 @@
 	return int(payload[0])<<8 | int(payload[1]), string(payload[2:])
 }
 
-func checkClose(payload []byte) error {
+func validateClose(payload []byte) error {
 	if len(payload) == 0 {
 		return nil
 	}
 	if len(payload) == 1 {
-		return breach(CodeProtocol, "close frame with half a code")
+		return protocolErrorf(CodeProtocol, "close frame with half a code")
 	}
 	code, reason := ParseClose(payload)
 	known := code >= 1000 && code <= 1014 && code != 1004 && code != CodeNoStatus && code != CodeAbnormal
 	if !known && (code < 3000 || code > 4999) {
-		return breach(CodeProtocol, "close code %d may not be sent", code)
+		return protocolErrorf(CodeProtocol, "close code %d may not be sent", code)
 	}
 	if !utf8.ValidString(reason) {
-		return breach(CodeInvalidData, "close reason that is not UTF-8")
+		return protocolErrorf(CodeInvalidData, "close reason that is not UTF-8")
 	}
 	return nil
 }
 
 // utf8Check checks UTF-8 that comes in parts: a character may be split over fragments, but a wrong byte is
 // found as soon as it has come.
-type utf8Check struct {
-	held [utf8.UTFMax]byte
-	n    int
+type utf8Validator struct {
+	partial    [utf8.UTFMax]byte
+	partialLen int
 }
 
-func (u *utf8Check) feed(p []byte) bool {
-	for u.n > 0 && len(p) > 0 {
-		u.held[u.n] = p[0]
-		u.n++
+func (u *utf8Validator) feed(p []byte) bool {
+	for u.partialLen > 0 && len(p) > 0 {
+		u.partial[u.partialLen] = p[0]
+		u.partialLen++
 		p = p[1:]
-		if utf8.FullRune(u.held[:u.n]) {
-			if c, size := utf8.DecodeRune(u.held[:u.n]); c == utf8.RuneError && size <= 1 {
+		if utf8.FullRune(u.partial[:u.partialLen]) {
+			if c, size := utf8.DecodeRune(u.partial[:u.partialLen]); c == utf8.RuneError && size <= 1 {
 				return false
 			}
-			u.n = 0
+			u.partialLen = 0
 		}
 	}
 	for len(p) > 0 {
@@ -408,7 +410,7 @@
 			continue
 		}
 		if !utf8.FullRune(p) {
-			u.n = copy(u.held[:], p)
+			u.partialLen = copy(u.partial[:], p)
 			return true
 		}
 		c, size := utf8.DecodeRune(p)
@@ -420,4 +422,4 @@
 	return true
 }
 
-func (u *utf8Check) whole() bool { return u.n == 0 }
+func (u *utf8Validator) complete() bool { return u.partialLen == 0 }
--- a/internal/websocket/handshake.go
+++ b/internal/websocket/handshake.go
@@ -15,8 +15,8 @@
 
 // Limits of the opening handshake: what a peer that is not known yet may make us read.
 const (
-	maxLine    = 8 << 10
-	maxHeaders = 64
+	maxLine         = 8 << 10
+	maxHeaderFields = 64
 )
 
 const acceptGUID = "258EAFA5-E914-47DA-95CA-C5AB0DC85B11" // RFC 6455 section 1.3
@@ -34,18 +34,18 @@
 type Header map[string]string
 
 // Refusal is an answer to a handshake that can't be accepted.
-type Refusal struct {
-	Status int
-	Reason string
-	Extra  string // further header lines, each with its line end
+type HandshakeError struct {
+	Status      int
+	Reason      string
+	ExtraHeader string // further header lines, each with its line end
 }
 
-func (e *Refusal) Error() string {
+func (e *HandshakeError) Error() string {
 	return fmt.Sprintf("ws: handshake refused with %d: %s", e.Status, e.Reason)
 }
 
-func refusal(status int, format string, args ...any) *Refusal {
-	return &Refusal{Status: status, Reason: fmt.Sprintf(format, args...)}
+func handshakeErrorf(status int, format string, args ...any) *HandshakeError {
+	return &HandshakeError{Status: status, Reason: fmt.Sprintf(format, args...)}
 }
 
 // readLine reads a line without its end. Lines end with CRLF; a bare LF is taken too (RFC 9112 section 2.2).
@@ -54,7 +54,7 @@
 	for {
 		part, err := br.ReadSlice('\n')
 		if len(line)+len(part) > limit {
-			return "", refusal(431, "a line of more than %d bytes", limit)
+			return "", handshakeErrorf(431, "a line of more than %d bytes", limit)
 		}
 		line = append(line, part...)
 		if err == nil {
@@ -83,7 +83,7 @@
 }
 
 // readHeader reads header fields up to the empty line.
-func readHeader(br *bufio.Reader) (Header, error) {
+func readHeaderFields(br *bufio.Reader) (Header, error) {
 	h := Header{}
 	for n := 0; ; n++ {
 		line, err := readLine(br, maxLine)
@@ -96,21 +96,21 @@
 		if line == "" {
 			return h, nil
 		}
-		if n >= maxHeaders {
-			return nil, refusal(431, "more than %d header fields", maxHeaders)
+		if n >= maxHeaderFields {
+			return nil, handshakeErrorf(431, "more than %d header fields", maxHeaderFields)
 		}
 		name, value, ok := strings.Cut(line, ":")
 		if !ok || !isToken(name) { // also refuses obsolete folding (RFC 9112 section 5.2)
-			return nil, refusal(400, "header field %q is malformed", clip(line))
+			return nil, handshakeErrorf(400, "header field %q is malformed", truncate(line))
 		}
 		value = strings.Trim(value, " \t")
 		if strings.ContainsFunc(value, func(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f }) {
-			return nil, refusal(400, "header field %q holds a control character", clip(name))
+			return nil, handshakeErrorf(400, "header field %q holds a control character", truncate(name))
 		}
 		name = strings.ToLower(name)
 		if before, twice := h[name]; twice {
 			if name == "host" || name == "sec-websocket-key" || name == "authorization" {
-				return nil, refusal(400, "header field %q comes twice", name)
+				return nil, handshakeErrorf(400, "header field %q comes twice", name)
 			}
 			value = before + ", " + value
 		}
@@ -118,7 +118,7 @@
 	}
 }
 
-func clip(s string) string {
+func truncate(s string) string {
 	if len(s) > 40 {
 		return s[:40] + "..."
 	}
@@ -144,43 +144,43 @@
 	}
 	parts := strings.Split(line, " ")
 	if len(parts) != 3 || !strings.HasPrefix(parts[2], "HTTP/") {
-		return nil, refusal(400, "request line %q is malformed", clip(line))
+		return nil, handshakeErrorf(400, "request line %q is malformed", truncate(line))
 	}
-	h, err := readHeader(br)
+	h, err := readHeaderFields(br)
 	if err != nil {
 		return nil, err
 	}
 	u := &Upgrade{Path: parts[1], Host: h["host"], Header: h, key: h["sec-websocket-key"]}
 	if parts[0] != "GET" {
-		r := refusal(405, "method %q, want GET", clip(parts[0]))
-		r.Extra = "Allow: GET\r\n"
+		r := handshakeErrorf(405, "method %q, want GET", truncate(parts[0]))
+		r.ExtraHeader = "Allow: GET\r\n"
 		return nil, r
 	}
-	return u, u.check(parts[2])
+	return u, u.validate(parts[2])
 }
 
-func (u *Upgrade) check(version string) error {
+func (u *Upgrade) validate(version string) error {
 	if version != "HTTP/1.1" {
-		return refusal(505, "version %q, want HTTP/1.1", clip(version))
+		return handshakeErrorf(505, "version %q, want HTTP/1.1", truncate(version))
 	}
 	if u.Path == "" || u.Path[0] != '/' {
-		return refusal(400, "target %q, want a path", clip(u.Path))
+		return handshakeErrorf(400, "target %q, want a path", truncate(u.Path))
 	}
 	if u.Host == "" {
-		return refusal(400, "Host is missing")
+		return handshakeErrorf(400, "Host is missing")
 	}
 	if !u.Header.Has("connection", "upgrade") || !u.Header.Has("upgrade", "websocket") {
-		r := refusal(426, "this address speaks WebSocket")
-		r.Extra = "Upgrade: websocket\r\n"
+		r := handshakeErrorf(426, "this address speaks WebSocket")
+		r.ExtraHeader = "Upgrade: websocket\r\n"
 		return r
 	}
 	if v := u.Header["sec-websocket-version"]; v != "13" {
-		r := refusal(426, "Sec-WebSocket-Version %q, want 13", clip(v))
-		r.Extra = "Upgrade: websocket\r\nSec-WebSocket-Version: 13\r\n"
+		r := handshakeErrorf(426, "Sec-WebSocket-Version %q, want 13", truncate(v))
+		r.ExtraHeader = "Upgrade: websocket\r\nSec-WebSocket-Version: 13\r\n"
 		return r
 	}
 	if raw, err := base64.StdEncoding.DecodeString(u.key); err != nil || len(raw) != 16 {
-		return refusal(400, "Sec-WebSocket-Key %q, want 16 bytes in base64", clip(u.key))
+		return handshakeErrorf(400, "Sec-WebSocket-Key %q, want 16 bytes in base64", truncate(u.key))
 	}
 	return nil
 }
@@ -199,7 +199,7 @@
 func (u *Upgrade) Accept(protocol string) []byte {
 	var b bytes.Buffer
 	b.WriteString("HTTP/1.1 101 Switching Protocols\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n")
-	fmt.Fprintf(&b, "Sec-WebSocket-Accept: %s\r\n", acceptOf(u.key))
+	fmt.Fprintf(&b, "Sec-WebSocket-Accept: %s\r\n", acceptKey(u.key))
 	if protocol != "" {
 		fmt.Fprintf(&b, "Sec-WebSocket-Protocol: %s\r\n", protocol)
 	}
@@ -207,7 +207,7 @@
 	return b.Bytes()
 }
 
-func acceptOf(key string) string {
+func acceptKey(key string) string {
 	sum := sha1.Sum([]byte(key + acceptGUID))
 	return base64.StdEncoding.EncodeToString(sum[:])
 }
@@ -218,10 +218,10 @@
 	503: "Service Unavailable", 505: "HTTP Version Not Supported"}
 
 // Response is the whole HTTP answer of a refusal; the connection is closed after it.
-func (e *Refusal) Response() []byte {
+func (e *HandshakeError) Response() []byte {
 	body := e.Reason + "\n"
 	return fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%sContent-Type: text/plain; charset=utf-8\r\n"+
-		"Content-Length: %d\r\nConnection: close\r\n\r\n%s", e.Status, statusText[e.Status], e.Extra, len(body), body)
+		"Content-Length: %d\r\nConnection: close\r\n\r\n%s", e.Status, statusText[e.Status], e.ExtraHeader, len(body), body)
 }
 
 // Request is a client's side of the handshake.
@@ -259,24 +259,24 @@
 	code, reason, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
 	if err != nil || version != "HTTP/1.1" {
-		return fmt.Errorf("ws: status line %q is malformed", clip(line))
+		return fmt.Errorf("ws: status line %q is malformed", truncate(line))
 	}
-	h, err := readHeader(br)
+	h, err := readHeaderFields(br)
 	if err != nil {
 		return fmt.Errorf("ws: answer to the handshake: %w", err)
 	}
 	if status != 101 {
-		return refusal(status, "%s", reason)
+		return handshakeErrorf(status, "%s", reason)
 	}
 	switch {
 	case !h.Has("upgrade", "websocket") || !h.Has("connection", "upgrade"):
 		return errors.New("ws: answer 101 does not upgrade to websocket")
-	case h["sec-websocket-accept"] != acceptOf(r.key):
-		return fmt.Errorf("ws: Sec-WebSocket-Accept is %q, want %q", clip(h["sec-websocket-accept"]), acceptOf(r.key))
+	case h["sec-websocket-accept"] != acceptKey(r.key):
+		return fmt.Errorf("ws: Sec-WebSocket-Accept is %q, want %q", truncate(h["sec-websocket-accept"]), acceptKey(r.key))
 	case h["sec-websocket-extensions"] != "":
-		return fmt.Errorf("ws: extension %q was not asked for", clip(h["sec-websocket-extensions"]))
+		return fmt.Errorf("ws: extension %q was not asked for", truncate(h["sec-websocket-extensions"]))
 	case h["sec-websocket-protocol"] != r.Protocol:
-		return fmt.Errorf("ws: subprotocol %q, want %q", clip(h["sec-websocket-protocol"]), r.Protocol)
+		return fmt.Errorf("ws: subprotocol %q, want %q", truncate(h["sec-websocket-protocol"]), r.Protocol)
 	}
 	return nil
 }
--- a/internal/websocket/ws_test.go
+++ b/internal/websocket/ws_test.go
@@ -20,7 +20,7 @@
 
 // TestBreaches reads frames that RFC 6455 forbids.
 func TestBreaches(t *testing.T) {
-	masked := func(fin bool, op Op, p string) []byte { return AppendFrame(nil, fin, op, []byte(p), &key) }
+	masked := func(fin bool, op Opcode, p string) []byte { return AppendFrame(nil, fin, op, []byte(p), &key) }
 	for name, c := range map[string]struct {
 		data []byte
 		code int
@@ -77,7 +77,7 @@
 				}
 				break
 			}
-			if m.Op == Text {
+			if m.Opcode == Text {
 				t.Fatalf("cut at %d: message %q", n, m.Data)
 			}
 		}
@@ -121,7 +121,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if m.Op == Ping {
+			if m.Opcode == Ping {
 				pings--
 			} else {
 				got = append(got, string(m.Data))
@@ -184,13 +184,13 @@
 		"folded":             {sub("Host: h\r\n", "Host: h\r\n more\r\n"), 400, ""},
 		"space before colon": {sub("Host:", "Host :"), 400, ""},
 		"long line":          {sub("/x", "/"+strings.Repeat("x", maxLine)), 431, ""},
-		"many fields":        {sub("Host", strings.Repeat("A: b\r\n", maxHeaders)+"Host"), 431, ""},
+		"many fields":        {sub("Host", strings.Repeat("A: b\r\n", maxHeaderFields)+"Host"), 431, ""},
 		"no request line":    {"\r\n\r\n", 400, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := ReadUpgrade(bufio.NewReaderSize(strings.NewReader(c.in), 16))
-			var r *Refusal
-			if !errors.As(err, &r) || r.Status != c.status || !strings.Contains(r.Extra, c.extra) {
+			var r *HandshakeError
+			if !errors.As(err, &r) || r.Status != c.status || !strings.Contains(r.ExtraHeader, c.extra) {
 				t.Fatalf("got %v, want status %d and %q", err, c.status, c.extra)
 			}
 			if !strings.HasPrefix(string(r.Response()), "HTTP/1.1 ") {
@@ -232,7 +232,7 @@
 			if err != nil {
 				return
 			}
-			if len(m.Data) > 1000 || m.Op == Text && !utf8.Valid(m.Data) {
+			if len(m.Data) > 1000 || m.Opcode == Text && !utf8.Valid(m.Data) {
 				t.Fatalf("message %q", m.Data)
 			}
 		}
--- a/internal/wsconn/link_test.go
+++ b/internal/wsconn/link_test.go
@@ -52,7 +52,7 @@
 			t.Fatalf("message %d: %q %v", i, m, err)
 		}
 	}
-	var pc *PeerClosed
+	var pc *PeerClosedError
 	if _, err := s.Read(); !errors.As(err, &pc) || pc.Code != websocket.CodeNormal || pc.Reason != "done" {
 		t.Fatalf("%v", err)
 	}
@@ -78,7 +78,7 @@
 
 // TestSlowPeer writes to a peer that reads nothing: the queue's bound or the time to write ends it.
 func TestSlowPeer(t *testing.T) {
-	for _, o := range []Options{{Queue: 64 << 10, WriteWait: time.Minute}, {Queue: 1 << 30, WriteWait: 50 * time.Millisecond}} {
+	for _, o := range []Options{{MaxQueue: 64 << 10, WriteTimeout: time.Minute}, {MaxQueue: 1 << 30, WriteTimeout: 50 * time.Millisecond}} {
 		c, _ := ends(t, o)
 		data := []byte(strings.Repeat("x", 16<<10))
 		var err error
@@ -86,7 +86,7 @@
 			if err = c.Send(data); err != nil {
 				break
 			}
-			if o.Queue > 1<<20 {
+			if o.MaxQueue > 1<<20 {
 				time.Sleep(100 * time.Microsecond)
 			}
 		}
@@ -101,7 +101,7 @@
 
 // TestSilentClose closes towards a peer that does not answer: the reader ends all the same.
 func TestSilentClose(t *testing.T) {
-	c, _ := ends(t, Options{CloseWait: 50 * time.Millisecond})
+	c, _ := ends(t, Options{CloseTimeout: 50 * time.Millisecond})
 	c.Close(websocket.CodeNormal, "")
 	if _, err := c.Read(); err == nil {
 		t.Error("no end")
@@ -114,16 +114,16 @@
 		websocket.CodeProtocol:    websocket.AppendFrame(nil, true, websocket.Text, []byte("x"), nil),
 		websocket.CodeTooBig:      websocket.AppendFrame(nil, true, websocket.Text, make([]byte, 200), &[4]byte{1}),
 	} {
-		c, s := ends(t, Options{Message: 100})
+		c, s := ends(t, Options{MaxMessage: 100})
 		c.nc.Write(raw)
 		if _, err := s.Read(); websocket.CloseCode(err) != code {
 			t.Errorf("%v, want close code %d", err, code)
 		}
-		var pc *PeerClosed
+		var pc *PeerClosedError
 		if _, err := c.Read(); !errors.As(err, &pc) || pc.Code != code {
 			t.Errorf("the peer was told %v, want %d", err, code)
 		}
-		if _, err := c.r.Next(); err != io.EOF {
+		if _, err := c.reader.Next(); err != io.EOF {
 			t.Errorf("%v", err)
 		}
 	}
@@ -131,7 +131,7 @@
 
 // TestEmptyPings floods a connection with empty pings and reads nothing: the answers have a bound too.
 func TestEmptyPings(t *testing.T) {
-	c, s := ends(t, Options{Queue: 64 << 10, WriteWait: time.Minute})
+	c, s := ends(t, Options{MaxQueue: 64 << 10, WriteTimeout: time.Minute})
 	go func() {
 		ping := websocket.AppendFrame(nil, true, websocket.Ping, nil, &[4]byte{1})
 		for {
@@ -162,7 +162,7 @@
 	cut := make(chan struct{}, 1)
 	ended := make(chan struct{})
 	go func() {
-		Keep(ctx, 20*time.Millisecond, func() []*Conn { return []*Conn{deaf, kept} }, func() {
+		PingIdle(ctx, 20*time.Millisecond, func() []*Conn { return []*Conn{deaf, kept} }, func() {
 			select {
 			case cut <- struct{}{}:
 			default:
@@ -183,13 +183,13 @@
 
 // TestFrameLimit refuses a frame over its bound in a message within the message's.
 func TestFrameLimit(t *testing.T) {
-	c, s := ends(t, Options{Frame: 10})
+	c, s := ends(t, Options{MaxFrame: 10})
 	c.Send([]byte("0123456789"))
 	if m, err := s.Read(); err != nil || len(m) != 10 {
 		t.Errorf("%q %v", m, err)
 	}
 	c.Send([]byte("0123456789a"))
-	var e *websocket.Error
+	var e *websocket.ProtocolError
 	if _, err := s.Read(); !errors.As(err, &e) || e.Code != websocket.CodeTooBig {
 		t.Errorf("%v, want 1009", err)
 	}
