--- a/internal/gateway/late_test.go
+++ b/internal/gateway/late_test.go
@@ -10,14 +10,14 @@
 
 	"winghatch/decide"
 	"winghatch/internal/frontend"
-	upstreamws "winghatch/internal/upstream/websocket"
+	"winghatch/internal/upstream"
 )
 
 // held keeps the attempts that it is to carry.
-type held struct{ sent chan *upstreamws.Call }
+type held struct{ sent chan *upstream.Call }
 
-func (h *held) Send(c *upstreamws.Call) { h.sent <- c }
-func (h *held) Abandon(c *upstreamws.Call) upstreamws.AbandonResult {
+func (h *held) Send(c *upstream.Call) { h.sent <- c }
+func (h *held) Abandon(c *upstream.Call) upstream.AbandonResult {
 	return c.Abandon()
 }
 func (h *held) CloseIdle(string) {}
@@ -44,14 +44,14 @@
 func TestAttemptsAreFormedAtTheirWrite(t *testing.T) {
 	var now atomic.Int64
 	now.Store(int64(time.Hour))
-	h := &held{sent: make(chan *upstreamws.Call, 10)}
+	h := &held{sent: make(chan *upstream.Call, 10)}
 	l := NewLoop(decide.Config{Limits: decide.Limits{MaxAttempts: 3}}, sends{}, func() time.Duration { return time.Duration(now.Load()) }, h, nil, nil,
 		slog.New(slog.DiscardHandler))
 	l.SetMaxOpenRequests(10)
 	go l.Run()
 	t.Cleanup(l.Stop)
 	var left atomic.Bool
-	ask := func(id string) *upstreamws.Call {
+	ask := func(id string) *upstream.Call {
 		l.Submit(&frontend.Request{ID: id, Deadline: time.Duration(now.Load()) + 400*time.Millisecond, ClientGone: left.Load, Done: func(frontend.Response) {},
 			EncodeAttempt: func(_ int, left time.Duration) []byte { return fmt.Append(nil, left.Milliseconds()) }})
 		return <-h.sent
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -24,14 +24,14 @@
 	"winghatch/internal/recording"
 	"winghatch/internal/reservation"
 	"winghatch/internal/tracing"
-	upstreamws "winghatch/internal/upstream/websocket"
+	"winghatch/internal/upstream"
 	"winghatch/internal/usage/outbox"
 )
 
 // Nodes carries attempts to nodes; package upstream does.
 type Upstream interface {
-	Send(*upstreamws.Call)
-	Abandon(*upstreamws.Call) upstreamws.AbandonResult
+	Send(*upstream.Call)
+	Abandon(*upstream.Call) upstream.AbandonResult
 	CloseIdle(node string)
 }
 
@@ -46,7 +46,7 @@
 	clientDisconnected struct{ id string }
 	attemptResult      struct {
 		attempt *attempt
-		result  upstreamws.Result
+		result  upstream.Result
 	}
 	gossipMessage struct {
 		from int
@@ -90,7 +90,7 @@
 	server    string
 	startedAt time.Duration
 	ended     bool
-	call      *upstreamws.Call
+	call      *upstream.Call
 
 	usageID  outbox.ID // its name at the export's desk; 0: nothing is exported of it
 	duration time.Duration
@@ -355,21 +355,21 @@
 
 // abandon gives an attempt up. One that provably never left did not run, whatever the clock says. One whose
 // end is on its way through the queue is left to that: what has come counts as come.
-func (l *Loop) abandonAttempt(t *attempt, outcome decide.Outcome) (upstreamws.Result, bool) {
+func (l *Loop) abandonAttempt(t *attempt, outcome decide.Outcome) (upstream.Result, bool) {
 	switch {
 	case t.awaitingIntent:
 		t.awaitingIntent = false
-		return upstreamws.Result{Outcome: decide.OutcomeConnectFailed}, true
+		return upstream.Result{Outcome: decide.OutcomeConnectFailed}, true
 	case t.denied:
-		return upstreamws.Result{}, false
+		return upstream.Result{}, false
 	}
 	switch l.upstream.Abandon(t.call) {
-	case upstreamws.NotSent:
-		return upstreamws.Result{Outcome: decide.OutcomeConnectFailed}, true
-	case upstreamws.MayHaveRun:
-		return upstreamws.Result{Outcome: outcome}, true
+	case upstream.NotSent:
+		return upstream.Result{Outcome: decide.OutcomeConnectFailed}, true
+	case upstream.MayHaveRun:
+		return upstream.Result{Outcome: outcome}, true
 	}
-	return upstreamws.Result{}, false
+	return upstream.Result{}, false
 }
 
 func (l *Loop) startRequest(c *frontend.Request) {
@@ -407,7 +407,7 @@
 }
 
 // ended takes the end of an attempt. The first OK is the call's final answer.
-func (l *Loop) attemptEnded(t *attempt, res upstreamws.Result) {
+func (l *Loop) attemptEnded(t *attempt, res upstream.Result) {
 	if t.ended {
 		l.LateResponses.Add(1)
 		return
@@ -442,7 +442,7 @@
 }
 
 // settle notes what a try took of units set aside: what its answer told, or its guess where it may have run.
-func (o *openRequest) settleReserved(res upstreamws.Result, told bool) {
+func (o *openRequest) settleReserved(res upstream.Result, told bool) {
 	switch res.Outcome {
 	case decide.OutcomeRejected, decide.OutcomeConnectFailed, decide.OutcomeNotDispatched:
 	case decide.OutcomeOK:
@@ -568,12 +568,12 @@
 		left = min(left, a.Timeout)
 	}
 	if o.finished || left <= 0 || len(o.attempts) > l.cfg.Limits.MaxAttempts {
-		l.queue.post(attemptResult{t, upstreamws.Result{Outcome: decide.OutcomeNotDispatched}})
+		l.queue.post(attemptResult{t, upstream.Result{Outcome: decide.OutcomeNotDispatched}})
 		return
 	}
 	l.Attempts.Add(1)
-	t.call = &upstreamws.Call{Server: a.Server, Method: o.Class,
-		Done: func(r upstreamws.Result) { l.queue.post(attemptResult{t, r}) }}
+	t.call = &upstream.Call{Server: a.Server, Method: o.Class,
+		Done: func(r upstream.Result) { l.queue.post(attemptResult{t, r}) }}
 	due := l.now + left
 	t.call.Cancelled = func() bool {
 		now := l.clock()
--- a/internal/gateway/measured.go
+++ b/internal/gateway/measured.go
@@ -12,7 +12,7 @@
 	"winghatch/internal/frontend"
 	"winghatch/internal/metrics"
 	"winghatch/internal/remotewrite"
-	upstreamws "winghatch/internal/upstream/websocket"
+	"winghatch/internal/upstream"
 )
 
 // openMeasures makes the measures of a gateway, whose gauges are read from its state.
@@ -92,7 +92,7 @@
 func (g *Gateway) runRemoteWriter(ctx context.Context) { g.remoteWriter.Run(ctx, flushTimeout) }
 
 // measureEnd counts an attempt's end.
-func (l *Loop) countAttemptEnd(t *attempt, res upstreamws.Result) {
+func (l *Loop) countAttemptEnd(t *attempt, res upstream.Result) {
 	t.duration, t.outcome = l.now-t.startedAt, outcomeNames[res.Outcome]
 	if l.metrics != nil {
 		l.metrics.AttemptEnded(t.request.Class, t.outcome, t.duration)
--- a/internal/gateway/owed.go
+++ b/internal/gateway/owed.go
@@ -10,7 +10,7 @@
 	"winghatch/decide"
 	"winghatch/internal/config"
 	"winghatch/internal/frontend"
-	upstreamws "winghatch/internal/upstream/websocket"
+	"winghatch/internal/upstream"
 	"winghatch/internal/usage/outbox"
 	"winghatch/internal/usage/sender"
 	"winghatch/internal/wal"
@@ -160,7 +160,7 @@
 	case outbox.Deny:
 		if t := w.attempts[a.ID]; t != nil && t.awaitingIntent {
 			t.awaitingIntent, t.denied = false, true
-			w.loop.queue.post(attemptResult{t, upstreamws.Result{Outcome: decide.OutcomeConnectFailed}}) // it provably never left
+			w.loop.queue.post(attemptResult{t, upstream.Result{Outcome: decide.OutcomeConnectFailed}}) // it provably never left
 		}
 	}
 }
@@ -176,7 +176,7 @@
 }
 
 // settle ends a try.
-func (w *usageOutbox) settle(t *attempt, res upstreamws.Result) {
+func (w *usageOutbox) settle(t *attempt, res upstream.Result) {
 	delete(w.attempts, t.usageID)
 	s := outbox.Settle{ID: t.usageID, UsedUnits: t.request.Units, WallTime: w.wallClock()}
 	switch res.Outcome {
--- a/internal/upstream/http/pool.go
+++ b/internal/upstream/http/pool.go
@@ -21,8 +21,8 @@
 	"winghatch/decide"
 	"winghatch/internal/http1"
 	"winghatch/internal/socket"
+	"winghatch/internal/upstream"
 	"winghatch/internal/upstream/idletimeout"
-	upstreamws "winghatch/internal/upstream/websocket"
 )
 
 // writeFor is the time that a server has to take what its socket's buffer did not; an attempt's own is shorter.
@@ -84,13 +84,13 @@
 	nc            *net.TCPConn
 	raw           syscall.RawConn
 	reader        *http1.Reader
-	call          *upstreamws.Call // p.mu guards the fields from here on
-	idleElem      *list.Element    // in Pool.idle; nil while it carries an attempt or connects
-	idleSince     time.Time        // since then
-	respondedAt   time.Time        // its last answer came; zero: none
-	idleBefore    time.Duration    // it had rested before the attempt under way
-	readWhileIdle bool             // bytes or the end came while it was at rest
-	writing       bool             // a writeRest is under way
+	call          *upstream.Call // p.mu guards the fields from here on
+	idleElem      *list.Element  // in Pool.idle; nil while it carries an attempt or connects
+	idleSince     time.Time      // since then
+	respondedAt   time.Time      // its last answer came; zero: none
+	idleBefore    time.Duration  // it had rested before the attempt under way
+	readWhileIdle bool           // bytes or the end came while it was at rest
+	writing       bool           // a writeRest is under way
 	discarded     bool
 
 	responseBegun bool  // an answer has begun; the reader's own
@@ -115,7 +115,7 @@
 // Take is told of servers before the loop is. What is no longer ready gets nothing new from now on: attempts that
 // still wait for a connection to it end, and connections at rest are closed. With full set, those not named are gone.
 func (p *Pool) Update(servers []Server, full bool) {
-	var ended []*upstreamws.Call
+	var ended []*upstream.Call
 	p.mu.Lock()
 	named := map[string]bool{}
 	for _, n := range servers {
@@ -152,7 +152,7 @@
 }
 
 // drop forgets a server; attempts written to it go on.
-func (p *Pool) removeServer(s *server) []*upstreamws.Call {
+func (p *Pool) removeServer(s *server) []*upstream.Call {
 	s.State = decide.Removed
 	if p.servers[s.ID] == s {
 		delete(p.servers, s.ID)
@@ -161,7 +161,7 @@
 }
 
 // hush closes what is at rest and returns the attempts that wait for a connection.
-func (p *Pool) quiesce(s *server) (out []*upstreamws.Call) {
+func (p *Pool) quiesce(s *server) (out []*upstream.Call) {
 	for len(s.idle) > 0 {
 		s.idle[len(s.idle)-1].discard()
 	}
@@ -210,7 +210,7 @@
 }
 
 // Send starts an attempt. It never blocks.
-func (p *Pool) Send(c *upstreamws.Call) {
+func (p *Pool) Send(c *upstream.Call) {
 	p.mu.Lock()
 	s := p.servers[c.Server]
 	if s == nil || s.State != decide.Serving || p.closed {
@@ -220,7 +220,7 @@
 	}
 	if c.Cancelled != nil && c.Cancelled() {
 		p.mu.Unlock()
-		c.Finish(upstreamws.Result{Outcome: decide.OutcomeNotDispatched})
+		c.Finish(upstream.Result{Outcome: decide.OutcomeNotDispatched})
 		return
 	}
 	now := time.Since(p.startedAt)
@@ -308,7 +308,7 @@
 }
 
 // writeRest writes what the socket's buffer did not take. Until its last byte the attempt can't have run.
-func (k *conn) writeRemainder(c *upstreamws.Call, b []byte) {
+func (k *conn) writeRemainder(c *upstream.Call, b []byte) {
 	defer k.pool.wg.Done()
 	defer func() { k.pool.mu.Lock(); k.writing = false; k.pool.mu.Unlock() }()
 	if len(b) > 1 {
@@ -322,7 +322,7 @@
 		k.call = nil
 		k.discard()
 		k.pool.mu.Unlock()
-		c.Finish(upstreamws.Result{Outcome: decide.OutcomeNotDispatched})
+		c.Finish(upstream.Result{Outcome: decide.OutcomeNotDispatched})
 		return
 	}
 	if c.MarkSent() {
@@ -333,7 +333,7 @@
 }
 
 // Abandon gives an attempt up and closes its connection at once.
-func (p *Pool) Abandon(c *upstreamws.Call) upstreamws.AbandonResult {
+func (p *Pool) Abandon(c *upstream.Call) upstream.AbandonResult {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	given := c.Abandon() // under the lock, so that it is never between the write of an attempt and the note of it
@@ -388,7 +388,7 @@
 	}
 	p.mu.Unlock()
 	if late != nil {
-		late.Finish(upstreamws.Result{Outcome: decide.OutcomeNotDispatched})
+		late.Finish(upstream.Result{Outcome: decide.OutcomeNotDispatched})
 	}
 	for k.readResponse() {
 		p.bodyBytes.Add(-k.bodyBytes)
@@ -468,7 +468,7 @@
 		k.call = nil
 		k.discard()
 		p.mu.Unlock()
-		c.Finish(upstreamws.Result{Outcome: decide.OutcomeError})
+		c.Finish(upstream.Result{Outcome: decide.OutcomeError})
 		return false
 	}
 	res := p.parseResult(r)
@@ -497,7 +497,7 @@
 }
 
 // end ends a connection that broke, and what it carried.
-func (k *conn) fail(c *upstreamws.Call) {
+func (k *conn) fail(c *upstream.Call) {
 	k.pool.mu.Lock()
 	if k.call == c {
 		k.call = nil
@@ -513,8 +513,8 @@
 }
 
 // result reads an answer as an outcome. Figures on load and use that can't be read are left out, the answer counts.
-func (p *Pool) parseResult(r *http1.Response) upstreamws.Result {
-	var res upstreamws.Result
+func (p *Pool) parseResult(r *http1.Response) upstream.Result {
+	var res upstream.Result
 	away, _ := r.Get("X-Turned-Away")
 	switch {
 	case r.Status == 200:
--- a/internal/upstream/http/pool_test.go
+++ b/internal/upstream/http/pool_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"winghatch/decide"
-	upstreamws "winghatch/internal/upstream/websocket"
+	"winghatch/internal/upstream"
 )
 
 // scripted is a server that answers each connection's requests by a function of its own.
@@ -84,20 +84,20 @@
 	return p
 }
 
-func attempt(node, txn string) (*upstreamws.Call, chan upstreamws.Result) {
-	ch := make(chan upstreamws.Result, 2)
-	return &upstreamws.Call{Server: node, Params: []byte("GET /api HTTP/1.1\r\nHost: s\r\nX-Txn: " + txn + "\r\n\r\n"),
-		Done: func(r upstreamws.Result) { ch <- r }}, ch
+func attempt(node, txn string) (*upstream.Call, chan upstream.Result) {
+	ch := make(chan upstream.Result, 2)
+	return &upstream.Call{Server: node, Params: []byte("GET /api HTTP/1.1\r\nHost: s\r\nX-Txn: " + txn + "\r\n\r\n"),
+		Done: func(r upstream.Result) { ch <- r }}, ch
 }
 
-func wait(t *testing.T, ch chan upstreamws.Result) upstreamws.Result {
+func wait(t *testing.T, ch chan upstream.Result) upstream.Result {
 	t.Helper()
 	select {
 	case r := <-ch:
 		return r
 	case <-time.After(10 * time.Second):
 		t.Fatal("no end of the attempt within 10 s")
-		return upstreamws.Result{}
+		return upstream.Result{}
 	}
 }
 
@@ -121,13 +121,13 @@
 		for i := range 20000 {
 			c, _ := attempt("a", fmt.Sprint(i))
 			over := make(chan struct{})
-			c.Done = func(upstreamws.Result) { ended.Add(1); close(over) }
+			c.Done = func(upstream.Result) { ended.Add(1); close(over) }
 			p.Send(c)
 			if i%2 == 0 {
 				for range i % 97 {
 					p.Conns.Load() // about as long as an answer takes
 				}
-				if p.Abandon(c) != upstreamws.AlreadyEnded {
+				if p.Abandon(c) != upstream.AlreadyEnded {
 					continue
 				}
 			}
@@ -171,27 +171,27 @@
 	}
 	for _, c := range []struct {
 		name, addr string
-		want       upstreamws.Result
+		want       upstream.Result
 	}{
-		{"served", say(fine + "\r\nhi"), upstreamws.Result{Outcome: decide.OutcomeOK, Body: []byte("hi")}},
+		{"served", say(fine + "\r\nhi"), upstream.Result{Outcome: decide.OutcomeOK, Body: []byte("hi")}},
 		{"figures", say(fine + "X-Quota-Used: 85\r\nX-Units-Charged: 3\r\nX-Pressure: inflight=7,util=0.5\r\n\r\nhi"),
-			upstreamws.Result{Outcome: decide.OutcomeOK, Body: []byte("hi"), ReportedUsage: 86, ActualUnits: 3,
+			upstream.Result{Outcome: decide.OutcomeOK, Body: []byte("hi"), ReportedUsage: 86, ActualUnits: 3,
 				LoadReport: decide.LoadReport{"inflight": 7, "util": 0.5}}},
 		{"figures that can't be read", say(fine + "X-Quota-Used: -3\r\nX-Units-Charged: many\r\nX-Pressure: a=b;;\r\n\r\nhi"),
-			upstreamws.Result{Outcome: decide.OutcomeOK, Body: []byte("hi")}},
-		{"units beyond the most", say(fine + "X-Units-Charged: 9000\r\n\r\nhi"), upstreamws.Result{Outcome: decide.OutcomeOK, Body: []byte("hi")}},
-		{"interim answers", say("HTTP/1.1 103 E\r\n\r\n" + fine + "\r\nhi"), upstreamws.Result{Outcome: decide.OutcomeOK, Body: []byte("hi")}},
-		{"error", say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), upstreamws.Result{Outcome: decide.OutcomeError}},
-		{"turned away", say("HTTP/1.1 503 E\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"), upstreamws.Result{Outcome: decide.OutcomeRejected}},
-		{"503 without the mark", say("HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n"), upstreamws.Result{Outcome: decide.OutcomeError}},
-		{"another status", say("HTTP/1.1 404 E\r\nContent-Length: 0\r\n\r\n"), upstreamws.Result{Outcome: decide.OutcomeError}},
-		{"noise", say("\x01\x02\x03\r\n\r\n"), upstreamws.Result{Outcome: decide.OutcomeError}},
-		{"3 GB", say("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx"), upstreamws.Result{Outcome: decide.OutcomeError}},
-		{"endless head", say("HTTP/1.1 200 OK\r\n" + strings.Repeat("X: yyyyyyyyyyyyyyyyyyyyyyyy\r\n", 1000)), upstreamws.Result{Outcome: decide.OutcomeError}},
-		{"break after the last byte", once(t, func(nc net.Conn, _ string) { nc.Close() }), upstreamws.Result{Outcome: decide.OutcomeReset}},
+			upstream.Result{Outcome: decide.OutcomeOK, Body: []byte("hi")}},
+		{"units beyond the most", say(fine + "X-Units-Charged: 9000\r\n\r\nhi"), upstream.Result{Outcome: decide.OutcomeOK, Body: []byte("hi")}},
+		{"interim answers", say("HTTP/1.1 103 E\r\n\r\n" + fine + "\r\nhi"), upstream.Result{Outcome: decide.OutcomeOK, Body: []byte("hi")}},
+		{"error", say("HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n"), upstream.Result{Outcome: decide.OutcomeError}},
+		{"turned away", say("HTTP/1.1 503 E\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"), upstream.Result{Outcome: decide.OutcomeRejected}},
+		{"503 without the mark", say("HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n"), upstream.Result{Outcome: decide.OutcomeError}},
+		{"another status", say("HTTP/1.1 404 E\r\nContent-Length: 0\r\n\r\n"), upstream.Result{Outcome: decide.OutcomeError}},
+		{"noise", say("\x01\x02\x03\r\n\r\n"), upstream.Result{Outcome: decide.OutcomeError}},
+		{"3 GB", say("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx"), upstream.Result{Outcome: decide.OutcomeError}},
+		{"endless head", say("HTTP/1.1 200 OK\r\n" + strings.Repeat("X: yyyyyyyyyyyyyyyyyyyyyyyy\r\n", 1000)), upstream.Result{Outcome: decide.OutcomeError}},
+		{"break after the last byte", once(t, func(nc net.Conn, _ string) { nc.Close() }), upstream.Result{Outcome: decide.OutcomeReset}},
 		{"break within the answer", once(t, func(nc net.Conn, _ string) { io.WriteString(nc, fine+"\r\nh"); nc.Close() }),
-			upstreamws.Result{Outcome: decide.OutcomeReset}},
-		{"refused", refused, upstreamws.Result{Outcome: decide.OutcomeConnectFailed}},
+			upstream.Result{Outcome: decide.OutcomeReset}},
+		{"refused", refused, upstream.Result{Outcome: decide.OutcomeConnectFailed}},
 	} {
 		p := newPool(t, Options{MaxUnits: 8}, Server{ID: "a", Addr: c.addr})
 		call, ch := attempt("a", "1")
@@ -338,7 +338,7 @@
 			t.Errorf("%s: outcome %v with %d connections", node, got.Outcome, p.Conns.Load())
 		}
 	}
-	var held []chan upstreamws.Result
+	var held []chan upstream.Result
 	for _, node := range []string{"a", "b"} {
 		call, ch := attempt(node, "hold")
 		p.Send(call)
@@ -405,7 +405,7 @@
 	call.Params = append([]byte("POST / HTTP/1.1\r\nContent-Length: 33554432\r\n\r\n"), make([]byte, 32<<20)...)
 	p.Send(call)
 	<-got
-	if given := p.Abandon(call); given != upstreamws.NotSent {
-		t.Errorf("given up: %v, want %v", given, upstreamws.NotSent)
+	if given := p.Abandon(call); given != upstream.NotSent {
+		t.Errorf("given up: %v, want %v", given, upstream.NotSent)
 	}
 }
--- a/internal/upstream/websocket/upstream.go
+++ b/internal/upstream/websocket/upstream.go
@@ -14,6 +14,7 @@
 
 	"winghatch/decide"
 	"winghatch/internal/jsonrpc"
+	"winghatch/internal/upstream"
 	"winghatch/internal/websocket"
 	"winghatch/internal/wsconn"
 )
@@ -32,81 +33,6 @@
 	Path           string
 }
 
-// Result is how a call ended.
-type Result struct {
-	Outcome       decide.Outcome
-	Body          json.RawMessage // of the node's answer
-	ActualUnits   float64
-	ReportedUsage int
-	LoadReport    decide.LoadReport
-}
-
-// The states of a call.
-const (
-	stateWaiting int32 = iota // nothing of it was written
-	stateSent                 // a byte of it may have been written
-	stateEnded
-)
-
-// Call is one attempt on its way. Done is called once, unless Abandon came first.
-type Call struct {
-	Server string // host:port
-	Method string
-	Params []byte
-	Done   func(Result)
-
-	// Late reports, asked at the write, that the call must not leave any more: its client has gone, its time or its
-	// window is over. What waits for a connection, or half written in a full buffer, is else sent long after the
-	// decision. nil: never.
-	Cancelled func() bool
-	// Form makes the bytes at the write, so that the time they tell is what is left then; nil: Params.
-	BuildParams func() []byte
-
-	TransportState any // of another transport than this package's Pool: what carries the call
-
-	state atomic.Int32
-	conn  *conn
-	id    uint64
-}
-
-// GiveUp ends a call without a result and tells what is known of it.
-func (c *Call) Abandon() AbandonResult {
-	switch was, first := c.end(); {
-	case !first:
-		return AlreadyEnded
-	case was == stateWaiting:
-		return NotSent
-	}
-	return MayHaveRun
-}
-
-// Begin is the writer's: the call counts as sent before its first byte is.
-func (c *Call) MarkSent() bool { return c.state.CompareAndSwap(stateWaiting, stateSent) }
-
-// end takes the call out of all hands; first is set for the one that ends it.
-func (c *Call) end() (was int32, first bool) {
-	was = c.state.Swap(stateEnded)
-	return was, was != stateEnded
-}
-
-// Finish ends a call with its result, unless it has ended or was given up.
-func (c *Call) Finish(r Result) {
-	if _, first := c.end(); first {
-		c.Done(r)
-	}
-}
-
-// Broke ends a call whose connection is gone, by whether it may have left.
-func (c *Call) ConnectionLost() {
-	switch was, first := c.end(); {
-	case !first:
-	case was == stateSent:
-		c.Done(Result{Outcome: decide.OutcomeReset})
-	default:
-		c.Done(Result{Outcome: decide.OutcomeConnectFailed})
-	}
-}
-
 // Pool holds the connections to all nodes. It is safe for concurrent use.
 type Pool struct {
 	options       Options
@@ -128,8 +54,8 @@
 	pool      *Pool
 	server    *server
 	ws        *wsconn.Conn // nil while connecting
-	calls     map[uint64]*Call
-	pending   []*Call // until connected
+	calls     map[uint64]*upstream.Call
+	pending   []*upstream.Call // until connected
 	nextID    uint64
 	removed   bool
 	idleTimer *time.Timer
@@ -167,7 +93,7 @@
 func (p *Pool) LateResponses() int64 { return p.lateResponses.Load() }
 
 // Send starts a call. It never blocks.
-func (p *Pool) Send(c *Call) {
+func (p *Pool) Send(c *upstream.Call) {
 	p.mu.Lock()
 	n := p.servers[c.Server]
 	if n == nil {
@@ -176,7 +102,7 @@
 	}
 	k := n.pickConn(p.options)
 	if k == nil {
-		k = &conn{pool: p, server: n, calls: map[uint64]*Call{}}
+		k = &conn{pool: p, server: n, calls: map[uint64]*upstream.Call{}}
 		n.conns = append(n.conns, k)
 		p.wg.Add(1)
 		go k.run()
@@ -186,8 +112,8 @@
 		k.idleTimer = nil
 	}
 	k.nextID++
-	c.id, c.conn = k.nextID, k
-	k.calls[c.id] = c
+	c.ID, c.TransportState = k.nextID, k
+	k.calls[c.ID] = c
 	l := k.ws
 	if l == nil {
 		k.pending = append(k.pending, c)
@@ -212,13 +138,13 @@
 	return best
 }
 
-func (k *conn) send(l *wsconn.Conn, c *Call) {
+func (k *conn) send(l *wsconn.Conn, c *upstream.Call) {
 	if c.Cancelled != nil && c.Cancelled() {
 		k.removeCall(c)
-		c.Finish(Result{Outcome: decide.OutcomeNotDispatched})
+		c.Finish(upstream.Result{Outcome: decide.OutcomeNotDispatched})
 		return
 	}
-	data := jsonrpc.AppendCall(nil, jsonrpc.ID(strconv.FormatUint(c.id, 10)), c.Method, c.Params)
+	data := jsonrpc.AppendCall(nil, jsonrpc.ID(strconv.FormatUint(c.ID, 10)), c.Method, c.Params)
 	if l.SendIf(data, c.MarkSent) != nil {
 		k.removeCall(c)
 		c.ConnectionLost()
@@ -226,10 +152,10 @@
 }
 
 // drop forgets a call and starts the idle time behind the last.
-func (k *conn) removeCall(c *Call) {
+func (k *conn) removeCall(c *upstream.Call) {
 	k.pool.mu.Lock()
 	defer k.pool.mu.Unlock()
-	delete(k.calls, c.id)
+	delete(k.calls, c.ID)
 	k.startIdleTimer()
 }
 
@@ -263,35 +189,22 @@
 	}
 }
 
-// Given tells what was known of a call when it was given up.
-type AbandonResult int
-
-// What Abandon tells.
-const (
-	AlreadyEnded AbandonResult = iota // too late: Done was called or is just being called
-	NotSent                           // no byte of it was written; Done will not be called
-	MayHaveRun                        // it may have run or still run; Done will not be called
-)
-
 // Abandon gives a call up.
-func (p *Pool) Abandon(c *Call) AbandonResult {
-	was, first := c.end()
-	if !first {
-		return AlreadyEnded
+func (p *Pool) Abandon(c *upstream.Call) upstream.AbandonResult {
+	result := c.Abandon()
+	if result == upstream.AlreadyEnded {
+		return result
 	}
 	p.mu.Lock()
-	k := c.conn
+	k := c.TransportState.(*conn)
 	l := k.ws
 	p.mu.Unlock()
-	if was == stateSent && l != nil {
+	if result == upstream.MayHaveRun && l != nil {
 		// The node may drop work that waits; the answer, if it comes all the same, finds no call.
-		l.Send(jsonrpc.AppendCall(nil, "", "cancel", []byte(`{"id":`+strconv.FormatUint(c.id, 10)+`}`)))
+		l.Send(jsonrpc.AppendCall(nil, "", "cancel", []byte(`{"id":`+strconv.FormatUint(c.ID, 10)+`}`)))
 	}
 	k.removeCall(c)
-	if was == stateWaiting {
-		return NotSent
-	}
-	return MayHaveRun
+	return result
 }
 
 // run connects, reads answers and ends what is left when the connection breaks.
@@ -314,7 +227,7 @@
 	stop := context.AfterFunc(p.ctx, func() { l.Close(websocket.CodeGoingAway, "") })
 	defer stop()
 	for _, c := range first {
-		if c.state.Load() == stateWaiting {
+		if c.Waiting() {
 			k.send(l, c)
 		}
 	}
@@ -344,7 +257,7 @@
 		k.remove()
 	}
 	calls := k.calls
-	k.calls = map[uint64]*Call{}
+	k.calls = map[uint64]*upstream.Call{}
 	p.mu.Unlock()
 	for _, c := range calls {
 		c.ConnectionLost()
@@ -368,7 +281,7 @@
 }
 
 // read takes a node's answer. What can't be read counts as an error: the work may have run.
-func parseResponse(it *jsonrpc.Message) Result {
+func parseResponse(it *jsonrpc.Message) upstream.Result {
 	var w struct {
 		Units   float64           `json:"units"`
 		Metered int               `json:"metered"`
@@ -376,7 +289,7 @@
 		Body    json.RawMessage   `json:"body"`
 	}
 	if it.Err != nil {
-		r := Result{Outcome: decide.OutcomeError}
+		r := upstream.Result{Outcome: decide.OutcomeError}
 		if it.Err.Code == jsonrpc.CodeServerFull {
 			r.Outcome = decide.OutcomeRejected
 		}
@@ -402,9 +315,15 @@
 		return nil
 	})
 	if err != nil || len(it.Result) == 0 || it.Result[0] != '{' || !(w.Units >= 0) || w.Metered < 0 {
-		return Result{Outcome: decide.OutcomeError}
+		return upstream.Result{Outcome: decide.OutcomeError}
+	}
+	return upstream.Result{
+		Outcome:       decide.OutcomeOK,
+		Body:          w.Body,
+		ActualUnits:   w.Units,
+		ReportedUsage: w.Metered,
+		LoadReport:    w.Load,
 	}
-	return Result{decide.OutcomeOK, w.Body, w.Units, w.Metered, w.Load}
 }
 
 // number reads a number of JSON; that it is well formed was seen when the message was parsed.
--- a/internal/upstream/websocket/upstream_test.go
+++ b/internal/upstream/websocket/upstream_test.go
@@ -13,6 +13,7 @@
 	"winghatch/decide"
 	"winghatch/internal/invariant"
 	backend "winghatch/internal/testbed/backend"
+	"winghatch/internal/upstream"
 	"winghatch/internal/websocket"
 	"winghatch/internal/wsconn"
 )
@@ -22,14 +23,14 @@
 		Conn: wsconn.Options{WriteTimeout: 5 * time.Second}}
 }
 
-func send(p *Pool, addr, params string) (*Call, chan Result) {
-	got := make(chan Result, 2)
-	c := &Call{Server: addr, Method: "m", Params: []byte(params), Done: func(r Result) { got <- r }}
+func send(p *Pool, addr, params string) (*upstream.Call, chan upstream.Result) {
+	got := make(chan upstream.Result, 2)
+	c := &upstream.Call{Server: addr, Method: "m", Params: []byte(params), Done: func(r upstream.Result) { got <- r }}
 	p.Send(c)
 	return c, got
 }
 
-func want(t *testing.T, got chan Result, o decide.Outcome) Result {
+func want(t *testing.T, got chan upstream.Result, o decide.Outcome) upstream.Result {
 	t.Helper()
 	select {
 	case r := <-got:
@@ -40,7 +41,7 @@
 	case <-time.After(20 * time.Second):
 		t.Fatalf("no outcome, want %d", o)
 	}
-	return Result{}
+	return upstream.Result{}
 }
 
 // server takes connections by hand: f gets each after its handshake.
@@ -132,7 +133,7 @@
 	p := New(o)
 	defer p.Close()
 	pad := strings.Repeat("x", 20_000)
-	var outs []chan Result
+	var outs []chan upstream.Result
 	for i := range 600 {
 		_, ch := send(p, addr, fmt.Sprintf(`{"n":%06d,"pad":"%s"}`, i, pad))
 		outs = append(outs, ch)
@@ -228,17 +229,17 @@
 	defer p.Close()
 	c, got := send(p, addr, `{}`)
 	<-first
-	if g := p.Abandon(c); g != MayHaveRun {
+	if g := p.Abandon(c); g != upstream.MayHaveRun {
 		t.Errorf("a sent call is given up as %d", g)
 	}
 	until(t, "a late answer is counted", func() bool { return p.LateResponses() > 0 })
 	ln, _ := net.Listen("tcp", "127.0.0.1:0")
 	defer ln.Close()
 	c2, got2 := send(p, ln.Addr().String(), `{}`)
-	if g := p.Abandon(c2); g != NotSent {
+	if g := p.Abandon(c2); g != upstream.NotSent {
 		t.Errorf("a call that waits for its connection is given up as %d", g)
 	}
-	if g := p.Abandon(c2); g != AlreadyEnded {
+	if g := p.Abandon(c2); g != upstream.AlreadyEnded {
 		t.Errorf("a second time it is %d", g)
 	}
 	if len(got)+len(got2) > 0 {
@@ -259,7 +260,7 @@
 	o.CallsPerConn, o.MaxConns, o.IdleTimeout = 10, 3, 20*time.Millisecond
 	p := New(o)
 	defer p.Close()
-	var outs []chan Result
+	var outs []chan upstream.Result
 	for i := range 500 {
 		_, ch := send(p, n.Addr(), fmt.Sprintf(`{"request":"r%d","units":2}`, i))
 		outs = append(outs, ch)
@@ -305,7 +306,7 @@
 	p := New(o)
 	defer p.Close()
 	c, _ := send(p, ln.Addr().String(), `{}`)
-	if p.Abandon(c) != NotSent {
+	if p.Abandon(c) != upstream.NotSent {
 		t.Fatal("a byte left before the handshake")
 	}
 	close(shake)
