--- a/decide/actions.go
+++ b/decide/actions.go
@@ -1,29 +1,6 @@
 package decide
 
-import (
-	"time"
-)
-
-// RejectReason tells refusals apart, for operators; clients need none of it.
-type RejectReason string
-
-// The reasons of a refusal.
-const (
-	// the customer's bucket is over its mark
-	ReasonOverQuota RejectReason = "over_mark"
-	// its attempts out are
-	ReasonTooManyInFlight RejectReason = "over_cap"
-	ReasonOverCeiling     RejectReason = "over_ceiling"
-	// the servers are pressed and others are worth more
-	ReasonLoadShed RejectReason = "shed"
-	// an answer can't be in time
-	ReasonDeadlineUnreachable RejectReason = "hopeless"
-	// none may take it
-	ReasonNoServer RejectReason = "no_server"
-	// attempts were made, none of which ran
-	ReasonNeverExecuted      RejectReason = "in_vain"
-	ReasonUnknownClassOrPlan RejectReason = "not_offered"
-)
+import "time"
 
 // Action is something that a gateway wants done.
 type Action interface{ action() }
@@ -31,72 +8,86 @@
 type (
 	// Send starts an attempt. A request's attempts are numbered from 0.
 	Send struct {
-		ID, Server string
-		Timeout    time.Duration // 0: until the client gives up
-		// it may be written up to then, however long its connection takes; 0: always
-		WriteBefore time.Duration
+		ID, Server  string
+		Timeout     time.Duration // after it the attempt ends as OutcomeTimedOut; 0: at the deadline
+		WriteBefore time.Duration // it may not be written to its connection after this time; 0: no bound
 	}
-	// Cancel stops waiting for an attempt.
+
+	// Cancel ends an attempt early.
 	Cancel struct {
 		ID      string
 		Attempt int
 	}
-	// Reject is a final answer that promises the client that trying again does no harm.
+
+	// Reject is a final answer that tells the client that the request may be sent again without harm.
 	Reject struct {
 		ID         string
-		RetryAfter time.Duration // 0: no advice
+		RetryAfter time.Duration // 0: none is given
 		Reason     RejectReason
 	}
-	// Fail is a final answer that promises nothing.
+
+	// Fail is a final answer that leaves open whether the request ran.
 	Fail struct{ ID string }
+
 	// SetTimer asks for a TimerFired.
 	SetTimer struct {
 		At    time.Duration
 		Token uint64
 	}
+
 	// HealthCheck asks a server for its load.
 	HealthCheck struct{ Server string }
-	// CloseIdle drops the idle connections to a server.
+
+	// CloseIdle closes the idle connections to a server.
 	CloseIdle struct{ Server string }
-	// Subscribe asks for changes of the list of servers, or no more of them.
+
+	// Subscribe starts or ends the stream of updates of the endpoint list.
 	Subscribe struct{ On bool }
-	// FetchList asks for the whole list once.
+
+	// FetchList asks once for the whole endpoint list.
 	FetchList struct{}
-	// SendGossip sends a message to one peer.
+
+	// SendGossip sends a datagram to another gateway.
 	SendGossip struct {
-		To   int
+		To   int // rank of the receiver
 		Text string
 	}
-	// AddToCounter adds to a named number of the shared counter.
+
+	// AddToCounter adds to a number of the shared counter.
 	AddToCounter struct {
 		Name uint64
 		Add  float64
 		TTL  time.Duration
 	}
+
 	// Log adds a line to the operator's log.
 	Log struct{ Text string }
 )
 
-func (Send) action() {}
-
-func (Cancel) action() {}
-
-func (Reject) action() {}
-
-func (Fail) action() {}
-
-func (SetTimer) action() {}
-
-func (HealthCheck) action() {}
-
-func (CloseIdle) action() {}
-
-func (Subscribe) action() {}
-
-func (FetchList) action() {}
-
-func (SendGossip) action() {}
-
+func (Send) action()         {}
+func (Cancel) action()       {}
+func (Reject) action()       {}
+func (Fail) action()         {}
+func (SetTimer) action()     {}
+func (HealthCheck) action()  {}
+func (CloseIdle) action()    {}
+func (Subscribe) action()    {}
+func (FetchList) action()    {}
+func (SendGossip) action()   {}
 func (AddToCounter) action() {}
+func (Log) action()          {}
 
-func (Log) action() {}
+// RejectReason tells rejections apart, for operators; clients need none of it.
+type RejectReason string
+
+// The reasons of a rejection.
+const (
+	ReasonOverQuota           RejectReason = "over_mark"    // the bucket is over its high-water mark
+	ReasonTooManyInFlight     RejectReason = "over_cap"     // the plan's limit of attempts in flight
+	ReasonOverCeiling         RejectReason = "over_ceiling" // the plan's ceiling
+	ReasonLoadShed            RejectReason = "shed"         // overload, and other work has more value
+	ReasonDeadlineUnreachable RejectReason = "hopeless"     // no response could be in time
+	ReasonNoServer            RejectReason = "no_server"    // no server may get it
+	ReasonNeverExecuted       RejectReason = "in_vain"      // no attempt ran, or all may run again
+	ReasonUnknownClassOrPlan  RejectReason = "not_offered"
+)
--- a/decide/config.go
+++ b/decide/config.go
@@ -1,6 +1,7 @@
 package decide
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"time"
@@ -9,17 +10,17 @@
 // Idempotency says whether a request of a class may run more than once.
 type Idempotency int
 
-// The effects a class may have.
+// The kinds of idempotency.
 const (
 	NotIdempotent   Idempotency = iota // must never run twice
-	IdempotentByKey                    // servers of one Group drop a repeat within the class's Window
+	IdempotentByKey                    // servers drop a repeat within the class's DedupScope and DedupWindow
 	Idempotent                         // may run any number of times
 )
 
-// DedupScope says which servers drop each other's repeats of a keyed request.
+// DedupScope says which servers know each other's requests, for classes that are idempotent by key.
 type DedupScope int
 
-// The groups of servers.
+// The scopes.
 const (
 	DedupInCell DedupScope = iota
 	DedupInZone
@@ -28,87 +29,85 @@
 
 // Class describes a kind of request.
 type Class struct {
-	Name             string
-	Idempotency      Idempotency
-	DedupScope       DedupScope    // for Keyed
-	DedupWindow      time.Duration // for Keyed: how long a repeat is dropped
-	LatencyObjective time.Duration // an answer within this earns the full worth
-	ObjectiveStretch float64       // the aim grows by this multiple of a request's own work
-	Deadline         time.Duration // what a client waits for over all of its tries
-	PriorityWeight   float64
-	LateWeight       float64 // part of the worth that an answer past the aim earns
-	Streaming        bool
+	Name        string
+	Idempotency Idempotency
+	DedupScope  DedupScope    // where a repeat is dropped, if IdempotentByKey
+	DedupWindow time.Duration // how long after the first attempt a repeat is dropped, if IdempotentByKey
+
+	// LatencyObjective is the time within which a response has its full value.
+	LatencyObjective time.Duration
+	// ObjectiveStretch extends the objective by this multiple of the request's own work.
+	ObjectiveStretch float64
+	// Deadline is the time that a client waits, over all requests with which it retries.
+	Deadline time.Duration
+
+	PriorityWeight float64 // value of a response relative to those of other classes
+	LateWeight     float64 // fraction of that value which a response after the objective has; 0: none
+	Streaming      bool    // responses are streamed: ResponseStarted comes before AttemptEnded
 }
 
 // Plan describes the quota of each customer on it, over all gateways together.
 type Plan struct {
 	Name           string
-	Rate           float64 // units a second; 0 means no such quota
-	Burst          float64 // units at once
-	CeilingRate    float64 // hard ceiling, units a second; 0 means none
-	CeilingBurst   float64
-	CeilingSlack   float64
-	MaxInFlight    int // attempts out at once; 0 means no such quota
-	PriorityWeight float64
-	OverQuotaValue float64 // part of its worth that a request earns when sent on beyond the quota
-	OverQuotaCost  float64 // part of its worth that such a request costs
+	Rate           float64 // units a second; 0: no limit
+	Burst          float64 // units that may be used at once
+	CeilingRate    float64 // hard ceiling in units a second, never exceeded; 0: none
+	CeilingBurst   float64 // units that the ceiling lets pass at once
+	CeilingSlack   float64 // units by which the ceiling may be overdrawn
+	MaxInFlight    int     // attempts in flight at once; 0: no limit
+	PriorityWeight float64 // value of a response relative to those of other plans
+	OverQuotaValue float64 // fraction of its value that a request has which is forwarded over the quota
+	OverQuotaCost  float64 // fraction of its value that forwarding such a request costs
 }
 
-// Limits tells what a gateway is allowed to do.
+// Limits are the bounds of what a gateway may do.
 type Limits struct {
-	MaxAttempts    int
-	Hedging        bool // two attempts of a request may be out at once
-	Cancel         bool
-	Gossip         bool
-	HealthChecks   bool
-	RetryAfter     bool
-	MaxRetryAfter  time.Duration
-	ConnectTimeout time.Duration
+	MaxAttempts    int           // of a request
+	Hedging        bool          // two attempts of a request may be in flight at once
+	Cancel         bool          // attempts in flight may be cancelled
+	Gossip         bool          // gateways may exchange datagrams
+	HealthChecks   bool          // servers may be asked for their load
+	RetryAfter     bool          // rejections carry a Retry-After
+	MaxRetryAfter  time.Duration // longest Retry-After
+	ConnectTimeout time.Duration // 0: the caller's own
 }
 
-// Safety holds the figures of the rules.
+// Safety holds the figures of the rules that hold at all times.
 type Safety struct {
-	AnswerSlack       time.Duration
-	DrainGrace        time.Duration
-	SlowStartCapacity float64       // part of its capacity that a started server has at least
-	SlowStartDuration time.Duration // it is warm no later than this
-	OverloadMultiple  float64       // work beyond this multiple of its present capacity ...
-	OverloadWindow    time.Duration // ... for this long makes it fall over
-	ListMaxAge        time.Duration // with Subscribe: how long an unasked list stays good
+	AnswerSlack       time.Duration // a final answer may be this late
+	DrainGrace        time.Duration // attempts at a draining server must have stopped by then
+	SlowStartCapacity float64       // part of its capacity that a server has when it starts
+	SlowStartDuration time.Duration // time after which it has all of it
+	OverloadMultiple  float64       // a server fails if it gets this multiple of its capacity ...
+	OverloadWindow    time.Duration // ... for this long
+	ListMaxAge        time.Duration // with Subscribe: how long an endpoint list counts as current
 }
 
-// Prices are points taken off the result, each for one unit of what it names.
+// Prices are costs in the value of a response, each for one unit of what it names.
 type Prices struct {
 	CrossZone, Waste, HealthCheck, Gossip, LateFailure, Counter float64
 }
 
-// Config is all that a gateway is told when it starts.
+// Config is what a gateway knows when it starts.
 type Config struct {
-	Rank, Gateways    int // this gateway's number, from 0, and how many there are
+	Rank, Gateways    int // number of this gateway, from 0, and how many there are
 	Zone              string
 	Classes           []Class
 	Plans             []Plan
-	SettledOnResponse bool // units told with a request are a guess; the answer tells the true ones
-	MaxUnits          float64
-	UsageReportPeriod time.Duration // 0: no meter
-	GossipCapacity    float64       // messages a second that a gateway takes in
-	Counter           bool          // a shared counter may be called
+	SettledOnResponse bool          // a request's units are an estimate; AttemptEnded has the actual
+	MaxUnits          float64       // of a request
+	UsageReportPeriod time.Duration // period of the reports in AttemptEnded.ReportedUsage; 0: none
+	GossipCapacity    float64       // datagrams a second that a gateway can receive
+	Counter           bool          // there is a shared counter
 	CounterTimeout    time.Duration
 	Limits            Limits
 	Safety            Safety
 	Prices            Prices
-	ReportsOnProbe    bool // load reports come with probe results only
-	Subscribe         bool // list changes come only when asked for
+	ReportsOnProbe    bool // load reports come with health checks only
+	Subscribe         bool // updates of the endpoint list come only after a subscription
 }
 
-func checkNonNegative(field string, v float64) error {
-	if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
-		return fmt.Errorf("decide: %s is %v, want a number of 0 or more", field, v)
-	}
-	return nil
-}
-
-// Validate reports the first setting that a gateway can't work with.
+// Validate returns an error that names the first setting with which a gateway can't work.
 func (c *Config) Validate() error {
 	if c.Gateways < 1 {
 		return fmt.Errorf("decide: Gateways is %d, want 1 or more", c.Gateways)
@@ -117,22 +116,22 @@
 		return fmt.Errorf("decide: Rank is %d, want 0 to %d", c.Rank, c.Gateways-1)
 	}
 	if len(c.Classes) == 0 {
-		return fmt.Errorf("decide: Classes is empty, want one or more")
+		return errors.New("decide: Classes is empty, want one or more")
 	}
 	if c.Limits.MaxAttempts < 1 {
 		return fmt.Errorf("decide: Limits.MaxAttempts is %d, want 1 or more", c.Limits.MaxAttempts)
 	}
 	if c.Safety.SlowStartDuration > 0 && c.Safety.OverloadWindow <= 0 {
-		return fmt.Errorf("decide: Safety.FallWindow is %v, want more than 0", c.Safety.OverloadWindow)
+		return fmt.Errorf("decide: Safety.OverloadWindow is %v, want more than 0", c.Safety.OverloadWindow)
 	}
-	for _, f := range []struct {
-		name string
-		v    float64
-	}{{"Safety.ColdFrom", c.Safety.SlowStartCapacity}, {"Safety.FallMultiple", c.Safety.OverloadMultiple},
-		{"PeerIntake", c.GossipCapacity}, {"MaxUnits", c.MaxUnits}} {
-		if err := checkNonNegative(f.name, f.v); err != nil {
-			return err
-		}
+	err := checkNumbers("", []setting{
+		{"Safety.SlowStartCapacity", c.Safety.SlowStartCapacity},
+		{"Safety.OverloadMultiple", c.Safety.OverloadMultiple},
+		{"GossipCapacity", c.GossipCapacity},
+		{"MaxUnits", c.MaxUnits},
+	})
+	if err != nil {
+		return err
 	}
 	for i, k := range c.Classes {
 		if err := k.validate(fmt.Sprintf("Classes[%d]", i)); err != nil {
@@ -147,29 +146,44 @@
 	return nil
 }
 
-func (k *Class) validate(at string) error {
+func (k *Class) validate(path string) error {
 	if k.Name == "" {
-		return fmt.Errorf("decide: %s.Name is empty", at)
+		return fmt.Errorf("decide: %s.Name is empty", path)
 	}
 	if k.LatencyObjective <= 0 {
-		return fmt.Errorf("decide: %s.Aim is %v, want more than 0", at, k.LatencyObjective)
+		return fmt.Errorf("decide: %s.LatencyObjective is %v, want more than 0", path, k.LatencyObjective)
 	}
-	return checkNonNegative(at+".Worth", k.PriorityWeight)
+	return checkNumbers(path+".", []setting{{"PriorityWeight", k.PriorityWeight}})
 }
 
-func (p *Plan) validate(at string) error {
+func (p *Plan) validate(path string) error {
 	if p.Name == "" {
-		return fmt.Errorf("decide: %s.Name is empty", at)
+		return fmt.Errorf("decide: %s.Name is empty", path)
 	}
-	for _, f := range []struct {
-		name string
-		v    float64
-	}{{"Rate", p.Rate}, {"Burst", p.Burst}, {"CeilingRate", p.CeilingRate},
-		{"CeilingBurst", p.CeilingBurst}, {"CeilingSlack", p.CeilingSlack}, {"MaxOpen", float64(
-			p.MaxInFlight)},
-		{"Price", p.PriorityWeight}, {"OverWorth", p.OverQuotaValue}, {"OverCost", p.OverQuotaCost}} {
-		if err := checkNonNegative(at+"."+f.name, f.v); err != nil {
-			return err
+	return checkNumbers(path+".", []setting{
+		{"Rate", p.Rate},
+		{"Burst", p.Burst},
+		{"CeilingRate", p.CeilingRate},
+		{"CeilingBurst", p.CeilingBurst},
+		{"CeilingSlack", p.CeilingSlack},
+		{"MaxInFlight", float64(p.MaxInFlight)},
+		{"PriorityWeight", p.PriorityWeight},
+		{"OverQuotaValue", p.OverQuotaValue},
+		{"OverQuotaCost", p.OverQuotaCost},
+	})
+}
+
+// setting is a number of the configuration and its name.
+type setting struct {
+	name  string
+	value float64
+}
+
+// checkNumbers returns an error that names the first setting which is negative or no number.
+func checkNumbers(prefix string, settings []setting) error {
+	for _, s := range settings {
+		if math.IsNaN(s.value) || math.IsInf(s.value, 0) || s.value < 0 {
+			return fmt.Errorf("decide: %s%s is %v, want a number of 0 or more", prefix, s.name, s.value)
 		}
 	}
 	return nil
--- a/decide/events.go
+++ b/decide/events.go
@@ -1,127 +1,78 @@
 package decide
 
-import (
-	"time"
-)
-
-// Outcome tells how an attempt, a probe or a counter call ended.
-type Outcome int
-
-// The outcomes. Full, NoConnection and Moot prove that the attempt never ran.
-const (
-	OutcomeOK Outcome = 1 + iota
-	OutcomeError
-	OutcomeRejected
-	OutcomeTimedOut
-	OutcomeConnectFailed
-	OutcomeReset
-	OutcomeCancelled
-	OutcomeNotDispatched
-)
-
-// neverRan reports whether the outcome proves that the attempt had no effect.
-func (o Outcome) neverRan() bool {
-	return o == OutcomeRejected || o == OutcomeConnectFailed || o == OutcomeNotDispatched
-}
-
-// ServerState is what the list of servers says of one of them.
-type ServerState int
-
-// The states of a server.
-const (
-	Serving ServerState = iota
-	Draining
-	Removed
-)
+import "time"
 
-// Server is an entry of the list of servers.
-type Server struct {
-	ID        string
-	Zone      string
-	Cell      int
-	Kind      string
-	State     ServerState
-	StartedAt time.Duration // 0: long ago
-	Weight    float64
-}
-
-// LoadReport is a server's own account of its load, by name of the figure (queue, util, qps, latency_ms,
-// inflight, errors_per_s).
-type LoadReport map[string]float64
-
-// Event is something that a gateway is told.
+// Event is something that happened and that a gateway is to handle.
 type Event interface{ event() }
 
-// UpdateKind tells how an EndpointUpdate is to be read.
-type UpdateKind int
-
-// The kinds of update.
-const (
-	DeltaUpdate  UpdateKind = iota // changed entries only
-	FullUpdate                     // the whole list
-	StaleUpdate                    // the whole list as last held, maybe long out of date
-	FailedUpdate                   // asking failed; the former list stays
-)
-
 type (
-	// EndpointUpdate brings news of the list of servers.
+	// EndpointUpdate is a change of the endpoint list.
 	EndpointUpdate struct {
 		Kind    UpdateKind
 		Version uint64
 		Servers []Server
 	}
-	// Request is a client's request; it must get one final answer before Deadline.
+
+	// Request is a client's request. It must get one final answer before Deadline.
 	Request struct {
 		ID, Class, Plan, Customer  string
-		Units                      float64
-		Deadline                   time.Duration
-		FirstGateway, GatewayCount int // the customer's gateways: number of the first, and how many
-		IsRetry                    bool
+		Units                      float64       // of the quota
+		Deadline                   time.Duration // when the client gives up
+		FirstGateway, GatewayCount int           // the customer's gateways: rank of the first, and how many
+		IsRetry                    bool          // the client had sent it before
 		Mutates                    bool
-		Reserved                   bool // its units were set aside elsewhere: no bucket is asked or charged
+		Reserved                   bool // its units were reserved elsewhere: it passes the quota uncharged
 	}
-	// PlanChange puts a customer on the terms given, from now on, whatever plan its requests name.
-	// The plan's name must
-	// be of a known one. What the customer has used stays used; ReturnedUnits units of it are given back.
+
+	// PlanChange puts a customer on a plan from now on, whatever plan its requests name. Plan.Name must be
+	// that of a configured plan. Used units stay used, but for ReturnedUnits, which are given back.
 	PlanChange struct {
 		Customer      string
 		Plan          Plan
 		ReturnedUnits float64
 	}
-	// ResponseStarted says that a streamed answer has begun.
+
+	// ResponseStarted reports that the response to an attempt has begun. The attempt then belongs to the
+	// client; it is neither retried nor cancelled.
 	ResponseStarted struct {
 		ID, Server string
 		Attempt    int
-		Duration   time.Duration
+		Duration   time.Duration // since the attempt was sent
 	}
-	// AttemptEnded tells how an attempt ended. RequestDone: the request is finished.
+
+	// AttemptEnded reports the end of an attempt.
 	AttemptEnded struct {
 		ID, Server    string
 		Attempt       int
 		Outcome       Outcome
-		Duration      time.Duration
-		RequestDone   bool
-		ReportedUsage int     // 1 + the customer's use in percent of its rate; 0: not told
-		ActualUnits   float64 // 0: not told
+		Duration      time.Duration // since the attempt was sent
+		RequestDone   bool          // the response is the request's final answer
+		ReportedUsage int           // 1 + the customer's fleet-wide use in percent of its rate; 0: no report
+		ActualUnits   float64       // 0: not known
 		LoadReport    LoadReport
 	}
-	// ClientDisconnected says that the client left; no answer is owed.
+
+	// ClientDisconnected reports that the client has left. No answer is owed any more.
 	ClientDisconnected struct{ ID string }
-	// TimerFired is the answer to SetTimer.
+
+	// TimerFired answers SetTimer.
 	TimerFired struct{ Token uint64 }
-	// HealthCheckEnded is the answer to HealthCheck.
+
+	// HealthCheckEnded answers HealthCheck.
 	HealthCheckEnded struct {
 		Server     string
 		Outcome    Outcome
 		Duration   time.Duration
 		LoadReport LoadReport
 	}
-	// GossipReceived is what another gateway told.
+
+	// GossipReceived is a datagram of another gateway.
 	GossipReceived struct {
-		From int
+		From int // rank of the sender
 		Text string
 	}
-	// CounterUpdated is the answer to AddToCounter.
+
+	// CounterUpdated answers AddToCounter.
 	CounterUpdated struct {
 		Name     uint64
 		Outcome  Outcome
@@ -130,22 +81,70 @@
 	}
 )
 
-func (EndpointUpdate) event() {}
+func (EndpointUpdate) event()     {}
+func (Request) event()            {}
+func (PlanChange) event()         {}
+func (ResponseStarted) event()    {}
+func (AttemptEnded) event()       {}
+func (ClientDisconnected) event() {}
+func (TimerFired) event()         {}
+func (HealthCheckEnded) event()   {}
+func (GossipReceived) event()     {}
+func (CounterUpdated) event()     {}
 
-func (Request) event() {}
+// UpdateKind says how an EndpointUpdate is to be read.
+type UpdateKind int
 
-func (ResponseStarted) event() {}
+// The kinds of update.
+const (
+	DeltaUpdate  UpdateKind = iota // the changed entries
+	FullUpdate                     // the whole list; what it lacks is removed
+	StaleUpdate                    // the whole list as it was last known, perhaps long out of date
+	FailedUpdate                   // discovery failed; the former list stays
+)
 
-func (AttemptEnded) event() {}
+// ServerState is the state of a server in the endpoint list.
+type ServerState int
 
-func (ClientDisconnected) event() {}
+// The states of a server.
+const (
+	Serving  ServerState = iota
+	Draining             // finishes what it has, gets no further attempts
+	Removed
+)
 
-func (TimerFired) event() {}
+// Server is an entry of the endpoint list.
+type Server struct {
+	ID        string
+	Zone      string
+	Cell      int // servers of a cell know each other's idempotency keys
+	Kind      string
+	State     ServerState
+	StartedAt time.Duration // 0: long ago
+	Weight    float64       // relative capacity
+}
 
-func (HealthCheckEnded) event() {}
+// LoadReport is a server's own account of its load, by the name of the figure (queue, util, qps,
+// latency_ms, inflight, errors_per_s).
+type LoadReport map[string]float64
 
-func (GossipReceived) event() {}
+// Outcome says how an attempt ended.
+type Outcome int
 
-func (CounterUpdated) event() {}
+// The outcomes. OutcomeRejected, OutcomeConnectFailed and OutcomeNotDispatched prove that the attempt never
+// ran.
+const (
+	OutcomeOK            Outcome = 1 + iota
+	OutcomeError                 // the server answered that it failed
+	OutcomeRejected              // the server answered that it takes no more
+	OutcomeTimedOut              // no answer within Send.Timeout
+	OutcomeConnectFailed         // there was no connection to send it on
+	OutcomeReset                 // its connection broke
+	OutcomeCancelled             // by Cancel
+	OutcomeNotDispatched         // it was given up before it was sent
+)
 
-func (PlanChange) event() {}
+// neverRan reports whether the outcome proves that the attempt had no effect.
+func (o Outcome) neverRan() bool {
+	return o == OutcomeRejected || o == OutcomeConnectFailed || o == OutcomeNotDispatched
+}
