--- a/decide/admission.go
+++ b/decide/admission.go
@@ -6,79 +6,130 @@
 )
 
 const (
-	// work that nobody waits for counts as load for so long
+	// queueingTarget is the time that requests should be in flight on average, in shortest latency
+	// objectives.
 	queueingTarget = 0.7
-	// attempts out a server, of all gateways, that are always allowed
+
+	// minInFlightPerServer is the number of attempts in flight at a server, of all gateways together,
+	// that is always allowed, to find out that a jam is over.
 	minInFlightPerServer = 3.0
-	// an answer must be back at the client within the aim
-	objectiveMargin = 6 * time.Millisecond
-	// between the times that two tries have left: less says nothing
-	timeLeftNoise = 20 * time.Millisecond
-	// own attempts out that press nobody where evidence is thin: one alone says nothing
+
+	// freeInFlight is the number of own attempts in flight that are no pressure where evidence is scarce:
+	// a single attempt at each of hundreds of gateways says nothing.
 	freeInFlight = 4.0
-	// attempts out a server, by the mean told, that are always allowed
+
+	// minReportedInFlightPerServer is minInFlightPerServer for the load that gateways report.
 	minReportedInFlightPerServer = 6.0
-	// gain of a told figure in that mean: ten words are a picture of the fleet ...
+
+	// The gain in the mean load of a gateway: of one that reports its load, and of the own at each
+	// heartbeat. The own takes the place of the others' within seconds where none report.
 	reportedLoadGain = 0.1
-	// ... and of the own at each beat: without words the mean is the own in some seconds
-	ownLoadGain = 0.03
-	// of the cap on open work, where the least worth work is shed
+	ownLoadGain      = 0.03
+
+	// shedThreshold is the pressure from which requests of the least value are shed. Those of the usual
+	// value and more are shed at a pressure of 1.
 	shedThreshold = 0.25
-	// times as much pressure: reserved work goes before other of the same worth
+
+	// reservedShedFactor is the factor on that pressure for requests whose units are reserved.
 	reservedShedFactor = 1.25
-	// of the time left: an estimate over it is hopeless
+
+	// valueDensityGain is the gain of one request in the usual value.
+	valueDensityGain = 0.01
+
+	// maxDeadlineFraction is the part of the time left that the expected latency may take.
 	maxDeadlineFraction = 0.8
+
+	// objectiveMargin is the time that a response needs from here to the client.
+	objectiveMargin = 6 * time.Millisecond
+
+	// timeLeftNoise is the difference between the time that two requests have left which says nothing.
+	timeLeftNoise = 20 * time.Millisecond
 )
 
+// fleetLoad is the load of the usual gateway, as a mean of what gateways report and of the own.
+type fleetLoad struct {
+	inFlight     float64 // attempts in flight, and orphans
+	responseRate float64 // successful responses a second
+
+	valueDensity float64 // usual value of a request for a second of a server's work
+}
+
+// update takes a gateway's load, reported or own, into the mean.
+func (l *fleetLoad) update(inFlight, responseRate, gain float64) {
+	l.inFlight += gain * (inFlight - l.inFlight)
+	l.responseRate += gain * (responseRate - l.responseRate)
+}
+
+// receiveRequest takes a request. It is decided on at once, or once an owner has replied.
 func (g *Gateway) receiveRequest(e Request) {
 	if g.requests[e.ID] != nil {
 		return
 	}
-	k, planNo, ok := g.classes[e.Class], 0, false
-	if planNo, ok = g.planIndex[e.Plan]; k == nil || !ok {
+	k := g.classes.byName[e.Class]
+	planNo, ok := g.customers.planIndex[e.Plan]
+	if k == nil || !ok {
 		g.emit(Reject{ID: e.ID, Reason: ReasonUnknownClassOrPlan})
 		return
 	}
-	r := &request{Request: e, class: k, units: max(0, e.Units), usefulUntil: e.Deadline,
-		rejectReason: ReasonOverQuota}
-	if k.LateWeight == 0 && !k.Streaming && k.ObjectiveStretch == 0 {
-		r.usefulUntil = min(e.Deadline, g.now+max(0, k.LatencyObjective-objectiveMargin-g.requestAge(k, e)))
-	}
+	usefulUntil := g.usefulUntil(k, e)
 	c := g.findOrAddCustomer(hashKey(e.Customer), planNo)
-	if e.GatewayCount > 0 && e.GatewayCount <= g.cfg.Gateways &&
-		(c.gatewayCount != e.GatewayCount || c.firstGateway != e.FirstGateway) {
-		c.firstGateway, c.gatewayCount = e.FirstGateway%g.cfg.Gateways, e.GatewayCount
-		c.ceilingTokens = min(c.ceilingTokens, c.plan.CeilingBurst/float64(c.gatewayCount))
+	c.setGateways(e.FirstGateway, e.GatewayCount, g.cfg.Gateways)
+	r := &request{
+		Request:      e,
+		class:        k,
+		customer:     c,
+		units:        max(0, e.Units),
+		usefulUntil:  usefulUntil,
+		grant:        grantState{grantedBy: noGateway},
+		rejectReason: ReasonOverQuota,
 	}
-	r.customer, r.grantedBy = c, -1
 	g.requests[e.ID] = r
 	switch {
 	case r.usefulUntil <= g.now && e.IsRetry:
 		r.rejectReason = ReasonDeadlineUnreachable
-		g.dispatchOrReject(r, false)
+		g.forwardOrReject(r, false)
 	case e.Reserved:
-		g.dispatchOrReject(r, true)
-	case g.fullGossip:
-		g.dispatchOrReject(r, g.admitByQuota(c, r))
-	case c.rejectUntil > g.now || g.shouldShed(r): // a home is not asked in vain
-		if c.demandRate.add(g.now, r.units); c.rejectUntil <= g.now {
-			r.rejectReason = ReasonLoadShed
-		}
-		g.dispatchOrReject(r, false)
+		g.forwardOrReject(r, true)
+	case g.gossip.full:
+		g.forwardOrReject(r, g.admitByQuota(c, r))
 	default:
-		c.demandRate.add(g.now, r.units)
-		g.lastGrantNo = g.lastGrantNo%4095 + 1
-		r.grantNo = g.lastGrantNo
-		g.requestGrant(r)
+		g.admitByOwner(c, r)
+	}
+}
+
+// admitByOwner asks the customer's owner for a grant, unless the request is rejected anyway: the owner is
+// not to be asked, nor the customer charged, in vain.
+func (g *Gateway) admitByOwner(c *customer, r *request) {
+	c.demand.rate.add(g.now, r.units)
+	if c.fromOwner.rejectUntil > g.now {
+		g.forwardOrReject(r, false)
+		return
 	}
+	if g.shouldShed(r) {
+		r.rejectReason = ReasonLoadShed
+		g.forwardOrReject(r, false)
+		return
+	}
+	r.grant.number = g.owners.nextNumber()
+	g.requestGrant(r)
+}
+
+// usefulUntil is the time until which a response to a request has a value. For classes whose responses have
+// none after the objective that is the objective's end.
+func (g *Gateway) usefulUntil(k *class, e Request) time.Duration {
+	if k.LateWeight != 0 || k.Streaming || k.ObjectiveStretch != 0 {
+		return e.Deadline
+	}
+	return min(e.Deadline, g.now+max(0, k.LatencyObjective-objectiveMargin-g.requestAge(k, e)))
 }
 
-// age is how much of its wanted time a request has used up before it came. A gateway that stood still finds
-// all of that time's requests at once, and the time a first try has left, against the most that one had,
-// tells how old each is. A repeat belongs to its first try, and all tries of a request end with its class's
-// deadline: one that has less left than a first try has waited for the rest. What can't make its aim any more
-// is refused at once and singly, and costs neither quota nor servers. It should also catch a paused process
-// and clients that repeat for long; it could harm where clients give their tries unequal times.
+// requestAge is how much of its objective a request has used up before it came here. What has no time left
+// is rejected before it costs quota or servers.
+//
+// After a stall, requests of the whole stall are found at once; the time that each has left, compared
+// with the most that a first request had, tells its age. A retry belongs to its first request, and all of
+// a client's retries end with the class's deadline: one that has less time left than a first request has
+// waited for the rest. This is wrong for clients that give their requests unequal times.
 func (g *Gateway) requestAge(k *class, e Request) time.Duration {
 	left := e.Deadline - g.now
 	if e.IsRetry {
@@ -88,74 +139,73 @@
 		return 0
 	}
 	k.maxTimeLeft = max(k.maxTimeLeft, left)
-	if g.now != g.stallEndedAt {
+	if !g.endsStall() {
 		return 0
 	}
 	return min(g.stallDuration, k.maxTimeLeft-left)
 }
 
-// decide ends the wait of a request: it is sent on if the quota has room and the servers have.
-func (g *Gateway) dispatchOrReject(r *request, room bool) {
-	s, cost := (*endpoint)(nil), 0.0
-	if room {
-		s, cost = g.selectEndpoint(r, nil)
+// forwardOrReject ends the wait of a request: it is forwarded if the quota has room and a server can
+// respond in time, else rejected.
+func (g *Gateway) forwardOrReject(r *request, quotaHasRoom bool) {
+	var s *endpoint
+	var expected float64
+	if quotaHasRoom {
+		s, expected = g.selectEndpoint(r, nil)
 	}
 	switch {
-	case !room:
+	case !quotaHasRoom:
 	case s == nil:
 		r.rejectReason = ReasonNoServer
-	case cost > maxDeadlineFraction*(r.usefulUntil-g.now).Seconds():
+	case expected > maxDeadlineFraction*(r.usefulUntil-g.now).Seconds():
 		r.rejectReason, s = ReasonDeadlineUnreachable, nil
-	case (g.fullGossip || r.Reserved) && g.shouldShed(r):
+	case (g.gossip.full || r.Reserved) && g.shouldShed(r):
 		r.rejectReason, s = ReasonLoadShed, nil
 	}
 	if s == nil {
-		r.extraUnits = -r.units
+		r.extraUnits = -r.units // an owner may have granted them
 		g.reject(r.ID, r.rejectReason)
 		g.finish(r)
 		return
 	}
-	if !r.Reserved {
-		r.customer.ceilingTokens -= r.units
-		g.charge(r.customer, r.units)
-	}
-	g.retryBudget = min(maxRetryBudget, g.retryBudget+retryBudgetGain)
+	g.chargeForwarded(r)
+	g.retryBudget.earn()
 	g.send(r, s)
 }
 
-// pressed is the open work over its cap. By Little's law open work is the answers a second times their time,
-// so a cap at the answers that do come times the time they should take holds the wait down whatever the
-// servers can do, and closes when they jam. A few may always be out, to find out that a jam is over. On thin
-// evidence a few at each of hundreds of gateways are a jam by themselves, which none of them sees: there the
-// cap is put on the mean of what gateways tell. It should also catch a slow shared dependency, a fleet that
-// shrinks and a rush at the start; it could harm where few words come, so own figures take their place by
-// and by.
+// queueingPressure is the work in flight over what is allowed.
+//
+// By Little's law the work in flight is the responses a second times their latency. The responses that do
+// come, times the latency that they should have, thus bound the wait whatever the servers can do, and
+// when they jam the bound closes. It covers a slow dependency that all servers share, a fleet that
+// shrinks, and a rush at the start.
+//
+// Where evidence is scarce a few attempts at each of hundreds of gateways are a jam that none of them
+// sees. There the bound is on the mean of the load that gateways report, too.
 func (g *Gateway) queueingPressure() float64 {
-	n, all := g.totals.serving, float64(g.cfg.Gateways)
-	seen := 1 - math.Exp(-max(g.now-g.startedAt, time.Second/4).Seconds()/demandMemory.Seconds())
-	mine := g.responseRate.perSecond(g.now) / seen * queueingTarget * g.shortestObjective
-	own := max(0, g.totals.inFlight-freeInFlight*g.evidenceScarcity()) / max(mine, minInFlightPerServer*n/all)
-	if g.fullGossip {
+	servers, gateways := g.endpoints.totals.serving, float64(g.cfg.Gateways)
+	sinceStart := max(g.now-g.startedAt, time.Second/4).Seconds()
+	observed := 1 - math.Exp(-sinceStart/demandMemory.Seconds()) // the part that a young rate has seen
+	responseRate := g.evidence.responseRate.perSecond(g.now) / observed
+	allowed := responseRate * queueingTarget * g.classes.shortestObjective
+	inFlight := max(0, g.endpoints.totals.inFlight-freeInFlight*g.evidenceScarcity())
+	own := inFlight / max(allowed, minInFlightPerServer*servers/gateways)
+	if g.gossip.full {
 		return own
 	}
-	return max(own, g.fleetLoad.open/max(g.fleetLoad.done*queueingTarget*g.shortestObjective,
-		minReportedInFlightPerServer*n/all))
-}
-
-// mix takes a gateway's open work and answers a second, told or own, into the mean of the fleet.
-func (g *Gateway) updateFleetLoad(open, done, gain float64) {
-	g.fleetLoad.open += gain * (open - g.fleetLoad.open)
-	g.fleetLoad.done += gain * (done - g.fleetLoad.done)
+	reported := g.load.responseRate * queueingTarget * g.classes.shortestObjective
+	return max(own, g.load.inFlight/max(reported, minReportedInFlightPerServer*servers/gateways))
 }
 
-// shed decides whether the wait is too long for what the request is worth.
+// shouldShed decides whether the pressure is too high for the value of a request. Requests of little
+// value for their work are shed first.
 func (g *Gateway) shouldShed(r *request) bool {
-	value := r.class.PriorityWeight * r.customer.plan.PriorityWeight * r.units / max(
-		r.class.usualLatency, 1e-6)
-	g.meanValueDensity += 0.01 * (value - g.meanValueDensity)
-	bears := shedThreshold + (1-shedThreshold)*min(1, value/max(g.meanValueDensity, 1e-9))
+	value := r.class.PriorityWeight * r.customer.plan.PriorityWeight * r.units
+	density := value / max(r.class.usualLatency, 1e-6)
+	g.load.valueDensity += valueDensityGain * (density - g.load.valueDensity)
+	bearable := shedThreshold + (1-shedThreshold)*min(1, density/max(g.load.valueDensity, 1e-9))
 	if r.Reserved {
-		bears *= reservedShedFactor
+		bearable *= reservedShedFactor
 	}
-	return g.queueingPressure() > bears
+	return g.queueingPressure() > bearable
 }
--- a/decide/aims_test.go
+++ b/decide/aims_test.go
@@ -25,13 +25,13 @@
 		aim := time.Duration(by * float64(time.Second))
 		id, s := r.mustSend("get", "wide")
 		r.endAttempt(id, 0, s.Server, OutcomeCancelled)
-		node := r.g.endpointByID[s.Server]
+		node := r.g.endpoints.byID[s.Server]
 		if len(node.orphans) != 1 {
 			t.Fatalf("aims times %g: no ghost of an attempt that was called off", by)
 		}
 		r.now += 4 * aim
 		r.handle(TimerFired{heartbeatToken})
-		if r.g.outstanding(node); len(node.orphans) != 0 {
+		if r.g.endpoints.outstanding(node, r.g.now); len(node.orphans) != 0 {
 			t.Errorf("aims times %g: a ghost is load 4 aims after its attempt was sent", by)
 		}
 		var advice time.Duration
@@ -64,17 +64,17 @@
 				GatewayCount: 3, IsRetry: again})
 		}
 		ask(3500*ms, false)
-		level := r.g.customers[hashKey("c")].level
+		level := r.g.customers.byKey[hashKey("c")].bucket.level
 		acts := ask(c.left, c.again)
 		if got := len(actionsOf[Send](acts)) > 0; got != c.sent {
 			t.Errorf("%v left, a repeat %v: sent on %v, want %v", c.left, c.again, got, c.sent)
 		}
 		for _, s := range actionsOf[Send](acts) {
-			if most := r.g.classes["get"].LatencyObjective - (4*time.Second - c.left); c.again && c.left < 3480*ms && s.Timeout > most {
+			if most := r.g.classes.byName["get"].LatencyObjective - (4*time.Second - c.left); c.again && c.left < 3480*ms && s.Timeout > most {
 				t.Errorf("%v left, a repeat: waits %v for an answer, want %v at most", c.left, s.Timeout, most)
 			}
 		}
-		if !c.sent && r.g.customers[hashKey("c")].level != level {
+		if !c.sent && r.g.customers.byKey[hashKey("c")].bucket.level != level {
 			t.Errorf("%v left, a repeat: it was refused and charged", c.left)
 		}
 	}
--- a/decide/attempt.go
+++ b/decide/attempt.go
@@ -5,59 +5,66 @@
 	"time"
 )
 
-type attempt struct {
-	endpoint          *endpoint
-	number            int
-	sentAt            time.Duration
-	ended, mayHaveRun bool // ran: it may have run
-}
-
+// request is a request that has no final answer yet, or an attempt in flight.
 type request struct {
 	Request
-	class               *class
-	customer            *customer
-	units               float64
-	usefulUntil         time.Duration // no use after this
-	attempts            []*attempt
-	inFlight            int
-	streaming, finished bool
-	grantNo             uint64 // of the question to the home
-	grantRequests       int    // questions put
-	grantRequestedAt    time.Duration
-	awaitingGrant       bool
-	grantedBy           int          // the home that let it in, or -1
-	extraUnits          float64      // units used beyond those told at first
-	rejectReason        RejectReason // of its refusal, if it comes to that
+	class        *class
+	customer     *customer
+	units        float64       // charged: estimated, then actual
+	extraUnits   float64       // units used beyond those that an owner granted
+	usefulUntil  time.Duration // a response after this has no value
+	attempts     []*attempt
+	inFlight     int  // attempts
+	streaming    bool // a response has begun
+	finished     bool // it has its final answer, or its client has left
+	grant        grantState
+	rejectReason RejectReason // if it comes to that
 }
 
-func (g *Gateway) findAttempt(id string, n int) *attempt {
-	if r := g.requests[id]; r != nil && n >= 0 && n < len(r.attempts) {
-		return r.attempts[n]
+// attempt is a request at a server.
+type attempt struct {
+	endpoint   *endpoint
+	number     int
+	sentAt     time.Duration
+	ended      bool
+	mayHaveRun bool // true until an outcome proves that it did not
+}
+
+// findAttempt returns an attempt of an open request, or nil.
+func (g *Gateway) findAttempt(id string, number int) *attempt {
+	if r := g.requests[id]; r != nil && number >= 0 && number < len(r.attempts) {
+		return r.attempts[number]
 	}
 	return nil
 }
 
+// send starts an attempt, with the request's remaining time as its deadline.
 func (g *Gateway) send(r *request, s *endpoint) {
 	a := &attempt{endpoint: s, number: len(r.attempts), sentAt: g.now, mayHaveRun: true}
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
 	r.customer.inFlight++
-	s.meanInFlight += 0.05 * (g.outstanding(s) - s.meanInFlight)
-	if s.slowStartUntil > g.now {
-		s.warmUpBudget--
+	s.meanInFlight += meanInFlightGain * (g.endpoints.outstanding(s, g.now) - s.meanInFlight)
+	s.slowStart.spend(g.now)
+	overdue := time.Duration(overdueFactor * g.expectedLatency(s, r.class) * float64(time.Second))
+	overdueAt := g.now + max(g.timesObjective(minOverdue), overdue)
+	g.endpoints.attemptSent(s, g.now)
+	g.emit(Send{r.ID, s.ID, max(r.usefulUntil-g.now, time.Millisecond), r.writeBefore()})
+	if overdueAt < r.usefulUntil {
+		g.setTimer(r.ID, a.number, overdueAt)
 	}
-	wait := max(g.timesObjective(minOverdue), time.Duration(overdueFactor*g.expectedLatency(s,
-		r.class)*float64(time.Second)))
-	s.inFlight++
-	g.totals.inFlight++
-	s.sendRate.add(g.now, 1)
-	g.markActive(s)
-	g.emit(Send{r.ID, s.ID, max(r.usefulUntil-g.now, time.Millisecond), r.repeatWriteDeadline()})
-	if g.now+wait < r.usefulUntil {
-		g.setTimer(r.ID, a.number, g.now+wait)
+}
+
+// responseStarted takes that a streamed response has begun.
+func (g *Gateway) responseStarted(e ResponseStarted) {
+	if a := g.findAttempt(e.ID, e.Attempt); a != nil {
+		g.requests[e.ID].streaming = true
+		a.endpoint.lastResponse = g.now
 	}
 }
 
+// attemptEnded takes the end of an attempt. A request that has no final answer by it is retried, or given
+// up once none of its attempts is in flight.
 func (g *Gateway) attemptEnded(e AttemptEnded) {
 	r, a := g.requests[e.ID], g.findAttempt(e.ID, e.Attempt)
 	if a == nil || a.ended {
@@ -66,46 +73,49 @@
 	a.ended = true
 	a.mayHaveRun = !e.Outcome.neverRan()
 	r.inFlight--
-	a.endpoint.inFlight--
-	g.totals.inFlight--
 	r.customer.inFlight--
+	g.endpoints.attemptEnded(a.endpoint)
 	g.recordOutcome(r, a, e)
-	if e.ActualUnits > 0 && g.cfg.SettledOnResponse && !r.Reserved {
-		g.charge(r.customer, e.ActualUnits-r.units)
-		r.extraUnits += e.ActualUnits - r.units
-		r.units = e.ActualUnits
-	}
+	g.settle(r, e.ActualUnits)
 	if e.ReportedUsage > 0 {
-		g.updateFromMeter(r.customer, e.ReportedUsage)
+		g.updateUsage(r.customer, float64(e.ReportedUsage-1))
 	}
 	if e.RequestDone {
 		g.finish(r)
 	}
 	if r.finished {
-		g.release(r)
+		g.forget(r)
 		return
 	}
-	if e.Outcome == OutcomeNotDispatched && len(r.attempts) == 1 && !r.Reserved {
-		g.charge(r.customer, -r.units) // nothing was sent, so the quota took nothing
-		r.customer.ceilingTokens += r.units
-		r.extraUnits = -r.units
+	if e.Outcome == OutcomeNotDispatched && len(r.attempts) == 1 {
+		g.refund(r)
 	}
-	price := 1.0
-	if e.Outcome == OutcomeConnectFailed {
-		price = 0 // it cost no server anything
+	if r.inFlight > 0 {
+		return
 	}
-	if r.inFlight > 0 || (e.Outcome != OutcomeNotDispatched && g.retry(r, a.endpoint, price)) {
+	if e.Outcome != OutcomeNotDispatched && g.retry(r, a.endpoint, retryPrice(e.Outcome)) {
 		return
 	}
 	g.giveUp(r)
 }
 
-// giveUp gives the final answer: a refusal where that may be promised, else a failure.
+// retryPrice is what a retry after the outcome takes of the retry budget. One after an attempt that got no
+// connection is free, as that cost no server anything.
+func retryPrice(o Outcome) float64 {
+	if o == OutcomeConnectFailed {
+		return 0
+	}
+	return 1
+}
+
+// giveUp gives the final answer without a response: a rejection where the client may send the request again
+// without harm, else a failure.
 func (g *Gateway) giveUp(r *request) {
-	mayRun := func(a *attempt) bool { return a.mayHaveRun }
-	promise := r.class.Idempotency == Idempotent || !slices.ContainsFunc(r.attempts, mayRun) ||
-		(r.class.Idempotency == IdempotentByKey && r.class.DedupScope == DedupInFleet)
-	if promise && r.inFlight == 0 {
+	k := r.class
+	mayHaveRun := slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.mayHaveRun })
+	repeatable := !mayHaveRun || k.Idempotency == Idempotent ||
+		(k.Idempotency == IdempotentByKey && k.DedupScope == DedupInFleet)
+	if repeatable && r.inFlight == 0 {
 		g.reject(r.ID, ReasonNeverExecuted)
 	} else {
 		g.emit(Fail{r.ID})
@@ -113,25 +123,26 @@
 	g.finish(r)
 }
 
-// finish ends a request; what is still out is called off.
+// finish takes that a request has its final answer, or needs none. What is still in flight is cancelled,
+// but for a streamed response.
 func (g *Gateway) finish(r *request) {
 	if r == nil {
 		return
 	}
-	r.finished, r.awaitingGrant = true, false
-	delete(g.pendingGrants, r.grantNo)
+	r.finished, r.grant.awaited = true, false
+	delete(g.owners.pending, r.grant.number)
 	for _, a := range r.attempts {
 		if !a.ended && g.cfg.Limits.Cancel && !r.streaming {
 			g.emit(Cancel{r.ID, a.number})
 		}
 	}
-	g.release(r)
+	g.forget(r)
 }
 
-// forget drops a finished request once nothing of it is out.
-func (g *Gateway) release(r *request) {
+// forget drops a finished request once none of its attempts is in flight.
+func (g *Gateway) forget(r *request) {
 	if r.finished && r.inFlight == 0 && g.requests[r.ID] != nil {
-		g.releaseGrant(r, r.extraUnits)
+		g.releaseGrant(r)
 		delete(g.requests, r.ID)
 	}
 }
--- a/decide/customers.go
+++ b/decide/customers.go
@@ -1,113 +1,148 @@
 package decide
 
 import (
+	"math"
 	"slices"
 	"time"
 )
 
-const (
-	// idle customers are dropped; every bucket and store is as new by then
-	customerIdleTimeout = time.Minute
-)
+// customerIdleTimeout is after how long an idle customer is dropped. It must be long enough that each
+// bucket has leaked and each ceiling has filled by then.
+const customerIdleTimeout = time.Minute
+
+// idleChecksPerHeartbeat bounds the work of dropping idle customers.
+const idleChecksPerHeartbeat = 4
+
+// customer is what a gateway knows of a customer that it has had a request of, or gossip about.
+type customer struct {
+	key    uint64 // see hashKey
+	plan   *Plan
+	planNo int // of the plan, in messages
 
-// terms are a customer's own; no is the plan's number in messages.
+	firstGateway, gatewayCount int // the gateways through which its requests come
+
+	lastUsed time.Duration
+	inFlight int // attempts
+
+	bucket    bucket
+	demand    demand
+	usage     usage
+	gossip    customerGossip
+	asOwner   ownedBucket // where this gateway is one of the customer's owners
+	fromOwner ownerReport // elsewhere: what an owner replied
+}
+
+// planOverride is the plan that a PlanChange put a customer on.
 type planOverride struct {
 	Plan
 	planNo int
 }
 
-type customer struct {
-	key                        uint64
-	plan                       *Plan
-	planNo                     int
-	firstGateway, gatewayCount int
-	leakedAt, lastUsed         time.Duration // of the last leak, of the last use
-	level, share               float64       // of this gateway's bucket; its part of rate and mark
-	fleetLevel                 float64       // of the bucket that all gateways together fill, as far as told
-	reconciledAt               time.Duration // the level follows what peers told up to then
-	demandRate                 rate
-
-	usedTotal, demandTotal, demandTotalSent float64
-
-	usageRate rate
-	// what the meter last told, units a second; factor on the part by it
-	meteredUsage, meterFactor       float64
-	meteredAt                       time.Duration
-	demandRatio, recentRequests     float64 // see Gateway.demand; at demandAt, askedAt
-	demandRatioAt, recentRequestsAt time.Duration
-	peerTotals                      []peerTotals
-	queuedFor                       []bool
-	inFlight                        int
-	ceilingTokens                   float64 // units of this gateway's slice of the ceiling
-
-	ownerDemandRate            rate          // units that all gateways ask of this home
-	fleetDemand                float64       // units a second that all gateways ask, as the home told ...
-	fleetDemandAt, rejectUntil time.Duration // ... then; refused at once until then, by the home's word
-	grants                     []grant       // of the home
-	rejectWait                 float64       // seconds that the home lets refused ones wait
+// customerTable holds the customers and their plans.
+type customerTable struct {
+	byKey     map[uint64]*customer
+	order     []*customer // in the order in which they were added; the head is looked at next by dropIdle
+	overrides map[uint64]*planOverride
+
+	planIndex map[string]int
+	// By plan: the usual demand ratio that one recent request of a customer stands for, as a logarithm.
+	logDemandPerRequest []float64
 }
 
-// inSet reports whether a customer's requests may come in through the gateway of that number.
-func (g *Gateway) servesCustomer(c *customer, rank int) bool {
-	return (rank-c.firstGateway+g.cfg.Gateways)%g.cfg.Gateways < c.gatewayCount
+func newCustomerTable(plans []Plan) customerTable {
+	t := customerTable{
+		byKey:               map[uint64]*customer{},
+		overrides:           map[uint64]*planOverride{},
+		planIndex:           map[string]int{},
+		logDemandPerRequest: slices.Repeat([]float64{math.Log(initialDemandPerRequest)}, len(plans)),
+	}
+	for i, p := range plans {
+		t.planIndex[p.Name] = i
+	}
+	return t
 }
 
+// findOrAddCustomer returns the customer of the key. A new one is put on the plan of that number, unless a
+// PlanChange has named another.
 func (g *Gateway) findOrAddCustomer(key uint64, planNo int) *customer {
-	if c := g.customers[key]; c != nil {
+	if c := g.customers.byKey[key]; c != nil {
 		c.lastUsed = g.now
 		return c
 	}
-	p := &g.cfg.Plans[planNo]
-	if t := g.planOverrides[key]; t != nil {
-		p, planNo = &t.Plan, t.planNo
+	plan := &g.cfg.Plans[planNo]
+	if o := g.customers.overrides[key]; o != nil {
+		plan, planNo = &o.Plan, o.planNo
 	}
-	c := &customer{key: key, plan: p, planNo: planNo, gatewayCount: g.cfg.Gateways,
-		leakedAt: g.startedAt, lastUsed: g.now,
-		peerTotals: make([]peerTotals, len(g.peers)), queuedFor: make([]bool, len(g.peers))}
-	c.share, c.meterFactor, c.fleetDemandAt = 1/float64(c.gatewayCount), 1, -demandMemory
-	c.demandRatioAt = -time.Hour // never
-	if !g.fullGossip {
-		c.fleetLevel = g.initialFleetLevel(c)
+	c := &customer{key: key, plan: plan, planNo: planNo, gatewayCount: g.cfg.Gateways, lastUsed: g.now}
+	c.gossip = newCustomerGossip(len(g.gossip.peers))
+	c.usage = newUsage()
+	c.fromOwner.repliedAt = -demandMemory // never
+	c.bucket.leakedAt = g.startedAt       // the bucket leaks, and the ceiling fills, from the start on
+	c.bucket.share = c.evenShare()
+	if !g.gossip.full {
+		c.bucket.fleetLevel = g.initialFleetLevel(c)
 	}
-	c.level = c.share * initialLevel * p.Burst // leaks, and the store fills, from the start on
-	g.customers[key] = c
-	g.customerOrder = append(g.customerOrder, c)
+	c.bucket.level = c.bucket.share * initialLevel * plan.Burst
+	g.customers.byKey[key] = c
+	g.customers.order = append(g.customers.order, c)
 	return c
 }
 
-// sweep drops customers that have been idle for long, a few at each beat.
-func (g *Gateway) dropIdleCustomers() {
-	for n := 0; n < 4 && len(g.customerOrder) > 0; n++ {
-		c := g.customerOrder[0]
-		g.customerOrder = g.customerOrder[1:]
-		if c.inFlight == 0 && g.now-c.lastUsed > customerIdleTimeout && !slices.Contains(c.queuedFor, true) {
-			delete(g.customers, c.key)
-			continue
-		}
-		g.customerOrder = append(g.customerOrder, c)
+// setGateways takes from a request through which gateways the customer's requests come. A set that is empty
+// or larger than the fleet is ignored.
+func (c *customer) setGateways(first, count, fleet int) {
+	if count <= 0 || count > fleet || (c.gatewayCount == count && c.firstGateway == first) {
+		return
 	}
+	c.firstGateway, c.gatewayCount = first%fleet, count
+	c.bucket.ceilingTokens = min(c.bucket.ceilingTokens, c.plan.CeilingBurst/float64(count))
 }
 
-// newTerms changes a customer's plan. Used units stay in its buckets: over a lower mark nothing passes until
-// they have leaked at the new rate, under a higher one only the difference is new, and a change there and
-// back gives nothing. Without a rate nothing leaks, so a level from then counts up to the mark. Attempts out
-// go on and count under the new cap, a home's grants stay. A store under a ceiling is cut, never filled.
+// servesCustomer reports whether the customer's requests may come through the gateway of that rank.
+func (g *Gateway) servesCustomer(c *customer, rank int) bool {
+	return (rank-c.firstGateway+g.cfg.Gateways)%g.cfg.Gateways < c.gatewayCount
+}
+
+// changePlan puts a customer on another plan. Used units stay in its buckets: over a lower high-water
+// mark nothing passes until they have leaked at the new rate, under a higher one only the difference is
+// new, so a change there and back gives nothing away. A plan without a rate does not leak, so a level
+// from its time counts up to the mark only. Attempts in flight go on and count under the new limit, an
+// owner's grants stay. Ceiling tokens are cut to the new ceiling and never added.
 func (g *Gateway) changePlan(e PlanChange) {
-	no, ok := g.planIndex[e.Plan.Name]
-	if !ok || e.Plan.validate("Terms") != nil {
+	planNo, ok := g.customers.planIndex[e.Plan.Name]
+	if !ok || e.Plan.validate("Plan") != nil {
 		return
 	}
-	t := &planOverride{e.Plan, no}
-	g.planOverrides[hashKey(e.Customer)] = t
-	c := g.customers[hashKey(e.Customer)]
+	key := hashKey(e.Customer)
+	override := &planOverride{e.Plan, planNo}
+	g.customers.overrides[key] = override
+	c := g.customers.byKey[key]
 	if c == nil {
 		return
 	}
-	g.leak(c) // by the old terms up to now
-	had := c.plan.Rate > 0
-	if c.plan, c.planNo = &t.Plan, no; !had {
-		c.level, c.fleetLevel = min(c.level, c.share*c.plan.Burst), min(c.fleetLevel, c.plan.Burst)
+	g.refresh(c) // by the old plan up to now
+	hadRate := c.plan.Rate > 0
+	c.plan, c.planNo = &override.Plan, planNo
+	b := &c.bucket
+	if !hadRate {
+		b.level = min(b.level, b.share*c.plan.Burst)
+		b.fleetLevel = min(b.fleetLevel, c.plan.Burst)
+	}
+	b.level = max(0, b.level-e.ReturnedUnits)
+	b.fleetLevel = max(0, b.fleetLevel-e.ReturnedUnits)
+	g.refresh(c)
+}
+
+// dropIdle drops customers that have been idle for long. It looks at a few of them each time.
+func (t *customerTable) dropIdle(now time.Duration) {
+	for n := 0; n < idleChecksPerHeartbeat && len(t.order) > 0; n++ {
+		c := t.order[0]
+		t.order = t.order[1:]
+		idle := c.inFlight == 0 && now-c.lastUsed > customerIdleTimeout
+		if idle && !slices.Contains(c.gossip.queuedFor, true) {
+			delete(t.byKey, c.key)
+			continue
+		}
+		t.order = append(t.order, c)
 	}
-	c.level, c.fleetLevel = max(0, c.level-e.ReturnedUnits), max(0, c.fleetLevel-e.ReturnedUnits)
-	g.leak(c)
 }
--- a/decide/decide_test.go
+++ b/decide/decide_test.go
@@ -128,27 +128,27 @@
 func TestSettlement(t *testing.T) {
 	r := newHarness(t, nil)
 	id, s := r.mustSend("get", "wide")
-	c := r.g.customers[hashKey("c")]
-	before := c.level
+	c := r.g.customers.byKey[hashKey("c")]
+	before := c.bucket.level
 	r.handle(AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: ms, RequestDone: true, ActualUnits: 6})
-	if got := c.level - before; got != 5 {
+	if got := c.bucket.level - before; got != 5 {
 		t.Errorf("settling 1 unit to 6 moved the level by %v, want 5", got)
 	}
 	id, s = r.mustSend("get", "wide")
-	before = c.level
+	before = c.bucket.level
 	r.endAttempt(id, 0, s.Server, OutcomeNotDispatched)
-	if got := before - c.level; got != 1 {
+	if got := before - c.bucket.level; got != 1 {
 		t.Errorf("a moot send gave back %v, want 1", got)
 	}
 	id, _ = r.mustSend("pay", "wide")
-	before = c.level
+	before = c.bucket.level
 	r.endAttempt(id, 0, "s1", OutcomeError)
-	if c.level != before {
-		t.Errorf("a failed send moved the level from %v to %v, want it kept", before, c.level)
+	if c.bucket.level != before {
+		t.Errorf("a failed send moved the level from %v to %v, want it kept", before, c.bucket.level)
 	}
 }
 
-func gossipEntry(key string, plan, used, asked, level int) string {
+func entryText(key string, plan, used, asked, level int) string {
 	var b strings.Builder
 	encodeDigits(&b, hashKey(key), 6)
 	encodeDigits(&b, uint64(plan), 1)
@@ -158,7 +158,7 @@
 	return b.String()
 }
 
-func gossipMessage(epoch, seq int, entries ...string) string {
+func gossipText(epoch, seq int, entries ...string) string {
 	var b strings.Builder
 	b.WriteString(gossipVersion)
 	encodeDigits(&b, uint64(epoch), 2)
@@ -169,38 +169,38 @@
 func TestPartFollowsDemand(t *testing.T) {
 	r := newHarness(t, nil)
 	r.request("get", "wide", "x", 100)
-	c := r.g.customers[hashKey("x")]
-	r.handle(GossipReceived{From: 1, Text: gossipMessage(1, 1, gossipEntry("x", 0, 0, 0, 0))})
-	r.handle(GossipReceived{From: 2, Text: gossipMessage(1, 1)})
-	r.handle(GossipReceived{From: 1, Text: gossipMessage(1, 2, gossipEntry("x", 0, 0, 900, 0))})
-	r.g.leak(c)
-	if math.Abs(c.share-1.0/3) > 1e-9 {
-		t.Errorf("part is %v with a tenth of the demand, want the even floor", c.share)
+	c := r.g.customers.byKey[hashKey("x")]
+	r.handle(GossipReceived{From: 1, Text: gossipText(1, 1, entryText("x", 0, 0, 0, 0))})
+	r.handle(GossipReceived{From: 2, Text: gossipText(1, 1)})
+	r.handle(GossipReceived{From: 1, Text: gossipText(1, 2, entryText("x", 0, 0, 900, 0))})
+	r.g.refresh(c)
+	if math.Abs(c.bucket.share-1.0/3) > 1e-9 {
+		t.Errorf("part is %v with a tenth of the demand, want the even floor", c.bucket.share)
 	}
 	r.request("get", "wide", "x", 2700)
-	r.g.leak(c)
-	if c.share < 0.65 || c.share > 0.8 {
-		t.Errorf("part is %v with three quarters of the demand, want about 0.73", c.share)
+	r.g.refresh(c)
+	if c.bucket.share < 0.65 || c.bucket.share > 0.8 {
+		t.Errorf("part is %v with three quarters of the demand, want about 0.73", c.bucket.share)
 	}
 	r.now += 2 * time.Second
 	r.handle(TimerFired{heartbeatToken})
-	r.g.leak(c)
-	if c.share != 1.0/3 {
-		t.Errorf("part is %v with silent peers, want the even slice", c.share)
+	r.g.refresh(c)
+	if c.bucket.share != 1.0/3 {
+		t.Errorf("part is %v with silent peers, want the even slice", c.bucket.share)
 	}
 }
 
 func TestToldUseSettlesTheLevel(t *testing.T) {
 	r := newHarness(t, nil)
-	r.handle(GossipReceived{From: 1, Text: gossipMessage(1, 1, gossipEntry("x", 1, 0, 0, 0))})
-	r.handle(GossipReceived{From: 2, Text: gossipMessage(1, 1)})
+	r.handle(GossipReceived{From: 1, Text: gossipText(1, 1, entryText("x", 1, 0, 0, 0))})
+	r.handle(GossipReceived{From: 2, Text: gossipText(1, 1)})
 	_, acts := r.request("get", "small", "x", 1)
 	if len(actionsOf[Send](acts)) != 1 {
 		t.Fatalf("refused though all peers told that nothing was used: %#v", acts)
 	}
 	r.now += 100 * ms
-	r.handle(GossipReceived{From: 1, Text: gossipMessage(1, 2, gossipEntry("x", 1, 12, 12, 0))})
-	r.handle(GossipReceived{From: 2, Text: gossipMessage(1, 2)})
+	r.handle(GossipReceived{From: 1, Text: gossipText(1, 2, entryText("x", 1, 12, 12, 0))})
+	r.handle(GossipReceived{From: 2, Text: gossipText(1, 2)})
 	if _, acts = r.request("get", "small", "x", 1); len(actionsOf[Send](acts)) != 0 {
 		t.Errorf("sent on though a peer told that the whole burst is used")
 	}
@@ -212,37 +212,37 @@
 
 func TestPeerMessagesDoNoHarm(t *testing.T) {
 	r := newHarness(t, nil)
-	r.handle(GossipReceived{From: 1, Text: gossipMessage(1, 5, gossipEntry("x", 1, 0, 0, 0))})
-	r.handle(GossipReceived{From: 1, Text: gossipMessage(1, 6, gossipEntry("x", 1, 4, 4, 0))})
-	c := r.g.customers[hashKey("x")]
+	r.handle(GossipReceived{From: 1, Text: gossipText(1, 5, entryText("x", 1, 0, 0, 0))})
+	r.handle(GossipReceived{From: 1, Text: gossipText(1, 6, entryText("x", 1, 4, 4, 0))})
+	c := r.g.customers.byKey[hashKey("x")]
 	for _, e := range []GossipReceived{
-		{From: 1, Text: gossipMessage(1, 6, gossipEntry("x", 1, 4, 4, 0))},  // again
-		{From: 1, Text: gossipMessage(1, 5, gossipEntry("x", 1, 0, 0, 0))},  // late
-		{From: 0, Text: gossipMessage(1, 9, gossipEntry("x", 1, 9, 9, 0))},  // own rank
-		{From: 9, Text: gossipMessage(1, 9, gossipEntry("x", 1, 9, 9, 0))},  // no such gateway
-		{From: -1, Text: gossipMessage(1, 9, gossipEntry("x", 1, 9, 9, 0))}, // nor this
-		{From: 1, Text: "Z" + gossipMessage(1, 9, gossipEntry("x", 1, 9, 9, 0))[1:]},
-		{From: 1, Text: gossipMessage(1, 9, gossipEntry("x", 1, 9, 9, 0)) + "!"},
-		{From: 1, Text: gossipMessage(1, 9) + "!!!!!!!!!!!!"},
+		{From: 1, Text: gossipText(1, 6, entryText("x", 1, 4, 4, 0))},  // again
+		{From: 1, Text: gossipText(1, 5, entryText("x", 1, 0, 0, 0))},  // late
+		{From: 0, Text: gossipText(1, 9, entryText("x", 1, 9, 9, 0))},  // own rank
+		{From: 9, Text: gossipText(1, 9, entryText("x", 1, 9, 9, 0))},  // no such gateway
+		{From: -1, Text: gossipText(1, 9, entryText("x", 1, 9, 9, 0))}, // nor this
+		{From: 1, Text: "Z" + gossipText(1, 9, entryText("x", 1, 9, 9, 0))[1:]},
+		{From: 1, Text: gossipText(1, 9, entryText("x", 1, 9, 9, 0)) + "!"},
+		{From: 1, Text: gossipText(1, 9) + "!!!!!!!!!!!!"},
 		{From: 1, Text: ""},
 	} {
 		r.handle(e)
-		if c.fleetLevel != 4 {
-			t.Fatalf("after %#v the whole bucket holds %v, want 4", e, c.fleetLevel)
+		if c.bucket.fleetLevel != 4 {
+			t.Fatalf("after %#v the whole bucket holds %v, want 4", e, c.bucket.fleetLevel)
 		}
 	}
-	r.handle(GossipReceived{From: 1, Text: gossipMessage(1, 7, gossipEntry("y", 60, 9, 9, 0))}) // plan unknown here
+	r.handle(GossipReceived{From: 1, Text: gossipText(1, 7, entryText("y", 60, 9, 9, 0))}) // plan unknown here
 	// A new life of the peer counts from 0 again, and all that it used since is news.
-	r.handle(GossipReceived{From: 1, Text: gossipMessage(2, 1, gossipEntry("x", 1, 3, 3, 0))})
-	if c.fleetLevel != 7 {
-		t.Errorf("after the peer's restart the whole bucket holds %v, want 7", c.fleetLevel)
+	r.handle(GossipReceived{From: 1, Text: gossipText(2, 1, entryText("x", 1, 3, 3, 0))})
+	if c.bucket.fleetLevel != 7 {
+		t.Errorf("after the peer's restart the whole bucket holds %v, want 7", c.bucket.fleetLevel)
 	}
 }
 
 func TestRestartLearnsWhatPeersKnow(t *testing.T) {
 	r := newHarness(t, nil)
-	r.handle(GossipReceived{From: 1, Text: gossipMessage(1, 40, gossipEntry("x", 1, 700, 800, 30))})
-	r.handle(GossipReceived{From: 2, Text: gossipMessage(3, 50)})
+	r.handle(GossipReceived{From: 1, Text: gossipText(1, 40, entryText("x", 1, 700, 800, 30))})
+	r.handle(GossipReceived{From: 2, Text: gossipText(3, 50)})
 	if _, acts := r.request("get", "small", "x", 1); len(actionsOf[Send](acts)) != 0 {
 		t.Error("a restarted gateway sent on though its peers told that the burst is used up")
 	}
@@ -333,7 +333,7 @@
 		if len(more) == 1 && c.class == "put" && !c.outcome.neverRan() && (more[0].Server == "s3") != (s.Server == "s3") {
 			t.Errorf("%s after %v: sent to %s after %s, another cell", c.class, c.outcome, more[0].Server, s.Server)
 		}
-		r.g.retryBudget = 0 // no further attempts: the final answer
+		r.g.retryBudget.tokens = 0 // no further attempts: the final answer
 		for i := 1; len(more) == 1; i++ {
 			acts = r.endAttempt(id, i, more[0].Server, c.outcome)
 			more = actionsOf[Send](acts)
@@ -481,8 +481,8 @@
 		} else {
 			lost++
 		}
-		for token, ref := range r.g.timers {
-			if a := r.g.findAttempt(ref.requestID, ref.attempt); a != nil && r.now > a.sentAt+time.Second {
+		for token, target := range r.g.timers.pending {
+			if a := r.g.findAttempt(target.requestID, target.attempt); a != nil && r.now > a.sentAt+time.Second {
 				r.handle(TimerFired{token})
 			}
 		}
@@ -494,9 +494,9 @@
 
 func TestSlownessFades(t *testing.T) {
 	r := newHarness(t, nil)
-	s := r.g.endpoints[0]
+	s := r.g.endpoints.sorted[0]
 	for i := 0; i < 10; i++ {
-		r.g.observeOwn(s, r.g.classes["get"], 3*time.Second, false)
+		r.g.observeOwn(s, r.g.classes.byName["get"], 3*time.Second, false)
 	}
 	slow := r.g.slowness(s)
 	r.now += time.Minute
@@ -699,8 +699,8 @@
 			state[s.ID] = s.State
 			handle(EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{*s}})
 		case k < 12:
-			handle(GossipReceived{From: 1 + rnd.Intn(2), Text: gossipMessage(rnd.Intn(2), rnd.Intn(4096),
-				gossipEntry("c1hard", 2, rnd.Intn(4096), rnd.Intn(4096), rnd.Intn(64)))})
+			handle(GossipReceived{From: 1 + rnd.Intn(2), Text: gossipText(rnd.Intn(2), rnd.Intn(4096),
+				entryText("c1hard", 2, rnd.Intn(4096), rnd.Intn(4096), rnd.Intn(64)))})
 		case k < 13:
 			handle(TimerFired{heartbeatToken})
 		}
@@ -736,8 +736,8 @@
 
 // FuzzPeerMessage feeds the parser of peers' messages; whatever comes must neither panic nor make units negative.
 func FuzzPeerMessage(f *testing.F) {
-	f.Add(gossipMessage(1, 1, gossipEntry("x", 1, 5, 5, 5)))
-	f.Add(gossipMessage(4095, 4095))
+	f.Add(gossipText(1, 1, entryText("x", 1, 5, 5, 5)))
+	f.Add(gossipText(4095, 4095))
 	f.Add("b")
 	f.Add("a0102zzzz")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -746,9 +746,9 @@
 			t.Fatal(err)
 		}
 		g.Handle(time.Second, GossipReceived{From: 1, Text: text})
-		for _, c := range g.customerOrder {
-			if c.fleetLevel < 0 || math.IsNaN(c.fleetLevel) {
-				t.Errorf("whole bucket is %v", c.fleetLevel)
+		for _, c := range g.customers.order {
+			if c.bucket.fleetLevel < 0 || math.IsNaN(c.bucket.fleetLevel) {
+				t.Errorf("whole bucket is %v", c.bucket.fleetLevel)
 			}
 		}
 	})
@@ -759,10 +759,10 @@
 		r := newHarness(t, nil)
 		id, s := r.mustSend("get", "wide")
 		r.handle(AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: ms, RequestDone: true, ReportedUsage: metered})
-		c := r.g.customers[hashKey("c")]
+		c := r.g.customers.byKey[hashKey("c")]
 		r.g.charge(c, 1800) // 900 units a second over the memory, of a rate of 1000
-		if r.g.leak(c); math.Abs(c.share-want) > 0.01 {
-			t.Errorf("told %d: part is %v, want %v", metered, c.share, want)
+		if r.g.refresh(c); math.Abs(c.bucket.share-want) > 0.01 {
+			t.Errorf("told %d: part is %v, want %v", metered, c.bucket.share, want)
 		}
 	}
 }
--- a/decide/fleet_test.go
+++ b/decide/fleet_test.go
@@ -198,14 +198,14 @@
 	j := newCluster(t, 300, nil)
 	key := hashKey("x")
 	home := j.gateways[j.gateways[0].owner(key, 0)]
-	ask := grantMessage{kind: 'a', key: key, plan: 1, number: 7, figureCount: 1, figures: [4]float64{2}}
+	ask := grantMessage{kind: grantRequest, key: key, planNo: 1, number: 7, figureCount: 1, figures: [4]float64{2}}
 	other := ask
-	other.plan = 40
+	other.planNo = 40
 	for _, text := range []string{"", "a", ask.encode()[:11], ask.encode() + "!!", "Z" + ask.encode()[1:], other.encode(),
-		grantMessage{kind: 'a', key: key + 1, plan: 1, figureCount: 1}.encode(), grantMessage{kind: 'r', key: key, figureCount: 4}.encode(),
-		grantMessage{kind: 'a', key: key, plan: 1, figureCount: 1, figures: [4]float64{-2}}.encode()} {
-		if acts := home.Handle(j.now, GossipReceived{From: 299, Text: text}); len(acts) != 0 || len(home.customers) > 0 {
-			t.Errorf("%q: got %#v, %d customers", text, acts, len(home.customers))
+		(&grantMessage{kind: grantRequest, key: key + 1, planNo: 1, figureCount: 1}).encode(), (&grantMessage{kind: grantReply, key: key, figureCount: 4}).encode(),
+		(&grantMessage{kind: grantRequest, key: key, planNo: 1, figureCount: 1, figures: [4]float64{-2}}).encode()} {
+		if acts := home.Handle(j.now, GossipReceived{From: 299, Text: text}); len(acts) != 0 || len(home.customers.byKey) > 0 {
+			t.Errorf("%q: got %#v, %d customers", text, acts, len(home.customers.byKey))
 		}
 	}
 	for _, from := range []int{-1, 300, home.cfg.Rank} {
@@ -215,8 +215,8 @@
 	}
 	first := home.Handle(j.now, GossipReceived{From: 9, Text: ask.encode()})
 	again := home.Handle(j.now, GossipReceived{From: 9, Text: ask.encode()})
-	if len(first) != 1 || len(again) != 1 || home.customers[key].fleetLevel > initialLevel*12+2 {
-		t.Errorf("the same question twice: %#v, %#v, whole %v", first, again, home.customers[key].fleetLevel)
+	if len(first) != 1 || len(again) != 1 || home.customers.byKey[key].bucket.fleetLevel > initialLevel*12+2 {
+		t.Errorf("the same question twice: %#v, %#v, whole %v", first, again, home.customers.byKey[key].bucket.fleetLevel)
 	}
 }
 
@@ -244,7 +244,7 @@
 	g := j.gateways[3]
 	told := func(open, done float64) {
 		for i := 0; i < 40; i++ {
-			w := grantMessage{kind: 'd', key: 1, plan: 0, figureCount: 1, inFlight: open, responseRate: done}
+			w := grantMessage{kind: grantRelease, key: 1, planNo: 0, figureCount: 1, inFlight: open, responseRate: done}
 			g.Handle(j.now, GossipReceived{From: 9, Text: w.encode()})
 		}
 	}
@@ -280,7 +280,7 @@
 func TestClassFailureIsAvoided(t *testing.T) {
 	r := newHarness(t, nil)
 	for i := 0; i < 8; i++ {
-		r.g.observe(r.g.endpointByID["s1"], r.g.classes["pay"], 5, true)
+		r.g.observe(r.g.endpoints.byID["s1"], r.g.classes.byName["pay"], 5, true)
 	}
 	got := map[string]int{}
 	for i := 0; i < 30; i++ {
@@ -314,8 +314,8 @@
 		key := fmt.Sprint("c", i%2000)
 		g.Handle(now, Request{ID: id, Class: "get", Plan: "wide", Customer: key, Units: 1,
 			Deadline: now + time.Second, GatewayCount: 200})
-		for no, r := range g.pendingGrants {
-			w := grantMessage{kind: 'r', key: r.customer.key, number: no, figureCount: 4, figures: [4]float64{1}}
+		for no, r := range g.owners.pending {
+			w := grantMessage{kind: grantReply, key: r.customer.key, number: no, figureCount: 4, figures: [4]float64{1}}
 			g.Handle(now, GossipReceived{From: g.owner(r.customer.key, 0), Text: w.encode()})
 		}
 		if r := g.requests[id]; r != nil && len(r.attempts) > 0 {
@@ -331,9 +331,9 @@
 	key := hashKey("someone")
 	g := j.gateways[0]
 	ask := func(home, no int) bool {
-		w := grantMessage{kind: 'a', key: key, plan: 1, number: uint64(no), figureCount: 1, figures: [4]float64{2}}
+		w := grantMessage{kind: grantRequest, key: key, planNo: 1, number: uint64(no), figureCount: 1, figures: [4]float64{2}}
 		for _, a := range actionsOf[SendGossip](j.gateways[home].Handle(j.now, GossipReceived{From: 9, Text: w.encode()})) {
-			if r, ok := parseGrantMessage(a.Text); ok && r.kind == 'r' {
+			if r, ok := parseGrantMessage(a.Text); ok && r.kind == grantReply {
 				return r.figures[0] > 0
 			}
 		}
@@ -364,9 +364,9 @@
 	asked := func(n int) (granted int) {
 		for i := 0; i < n; i++ {
 			no++
-			w := grantMessage{kind: 'a', key: key, plan: 3, number: no, figureCount: 1, figures: [4]float64{1}}
+			w := grantMessage{kind: grantRequest, key: key, planNo: 3, number: no, figureCount: 1, figures: [4]float64{1}}
 			for _, a := range actionsOf[SendGossip](home.Handle(j.now, GossipReceived{From: 9, Text: w.encode()})) {
-				if r, ok := parseGrantMessage(a.Text); ok && r.kind == 'r' && r.figures[0] > 0 {
+				if r, ok := parseGrantMessage(a.Text); ok && r.kind == grantReply && r.figures[0] > 0 {
 					granted++
 				}
 			}
@@ -416,7 +416,7 @@
 		id := fmt.Sprint("set", i)
 		acts := r.handle(Request{ID: id, Class: "get", Plan: "wide", Customer: id, Units: 1, Deadline: r.now + 2*time.Second,
 			FirstGateway: set[0], GatewayCount: set[1]})
-		c := r.g.customers[hashKey(id)]
+		c := r.g.customers.byKey[hashKey(id)]
 		if c.gatewayCount < 1 || c.gatewayCount > 3 || c.firstGateway < 0 || c.firstGateway > 2 || len(actionsOf[Send](acts)) != 1 {
 			t.Errorf("first %d, spread %d: taken as %d of %d, did %#v", set[0], set[1], c.gatewayCount, c.firstGateway, acts)
 		}
@@ -433,12 +433,12 @@
 			{ID: "s1", State: Removed}, {ID: "s2", State: Removed}, {ID: "s3", State: Removed}}})
 		r.handle(TimerFired{heartbeatToken})
 	}
-	if n := len(r.g.endpoints); n != 2 || len(r.g.endpointByID) != 2 || len(r.g.endpointByShortID) != 2 {
+	if n := len(r.g.endpoints.sorted); n != 2 || len(r.g.endpoints.byID) != 2 || len(r.g.endpoints.byShortID) != 2 {
 		t.Errorf("%d servers are kept, want the one that is listed and the one that still holds an attempt", n)
 	}
 	r.endAttempt(id, 0, s.Server, OutcomeOK)
 	r.handle(TimerFired{heartbeatToken})
-	if n := len(r.g.endpoints); n != 1 {
+	if n := len(r.g.endpoints.sorted); n != 1 {
 		t.Errorf("%d servers are kept, want 1", n)
 	}
 }
--- a/decide/gossip.go
+++ b/decide/gossip.go
@@ -1,116 +1,197 @@
 package decide
 
 import (
+	"math/rand"
 	"strings"
 	"time"
 )
 
+// Gateways that can afford it use full gossip: each sends each other totals of what its customers used
+// and asked for. Totals make lost and repeated datagrams harmless, a sequence number makes late ones so,
+// and an epoch tells the incarnations of a peer apart. Larger fleets use owner gateways instead; see
+// quotaowner.go.
+
 const (
-	// of the stated intake is used by all peers together
+	// gossipCapacityUsed is the part of the stated capacity that all peers together use.
 	gossipCapacityUsed = 0.8
-	// of the burst: asked units that are worth telling
-	demandGossipStep = 0.25
-	// an idle peer still says that it lives
-	keepaliveInterval = 400 * time.Millisecond
-	// messages a second between any two: under it customers have homes
+
+	// minFullGossipRate is the number of datagrams a second between any two gateways under which full
+	// gossip is too slow to be of use.
 	minFullGossipRate = 2.0
+
+	// keepaliveInterval is the time after which a peer with nothing to report is sent an empty datagram.
+	keepaliveInterval = 400 * time.Millisecond
+
+	// maxGossipBytes is the size of the largest datagram.
+	maxGossipBytes = 256
+
+	// sequenceNumbers is how many sequence numbers, and epochs, there are.
+	sequenceNumbers = 64 * 64
 )
 
+// peer is another gateway, with full gossip.
 type peer struct {
-	lastHeard, lastSent time.Duration
-	epoch, seq, sentSeq int
-	known               bool // heard since this gateway started
-	startedLater        bool // it started after this gateway, so all of its totals are news
-	pending             []*customer
+	known        bool // heard since this gateway started
+	lastHeard    time.Duration
+	epoch, seq   int  // of its last datagram
+	startedLater bool // it was restarted since this gateway started, so its totals began at 0 meanwhile
+
+	lastSent time.Duration
+	sentSeq  int         // sequence number of the last datagram to it
+	pending  []*customer // of which it is to be sent entries
+}
+
+// gossipState is what full gossip needs.
+type gossipState struct {
+	full  bool   // each gateway sends to each other; else customers have owners
+	epoch int    // of this incarnation
+	peers []peer // by rank, with an unused one for this gateway; empty without full gossip or without gossip
+}
+
+func newGossipState(cfg Config, rng *rand.Rand) gossipState {
+	s := gossipState{full: supportsFullGossip(cfg), epoch: rng.Intn(sequenceNumbers)}
+	if s.full && cfg.Limits.Gossip {
+		s.peers = make([]peer, cfg.Gateways)
+	}
+	return s
+}
+
+// supportsFullGossip reports whether gateways can receive gossip of all others often enough. Without any
+// gossip there are no owners to ask either, so that counts as full.
+func supportsFullGossip(cfg Config) bool {
+	needed := minFullGossipRate * float64(cfg.Gateways-1)
+	return !cfg.Limits.Gossip || gossipCapacityUsed*cfg.GossipCapacity >= needed
+}
+
+// customerGossip is what gateways report to each other of a customer.
+type customerGossip struct {
+	usedTotal float64      // units charged here, as reported; the total asked for is in demand
+	totals    []peerTotals // reported by peers, by rank
+	queuedFor []bool       // by rank: the peer's pending entries contain the customer
 }
 
-// told is what one peer last said of a customer.
+// peerTotals is what a peer last reported of a customer.
 type peerTotals struct {
-	known          bool
-	used, demanded int
-	demandRate     rate
+	known      bool // it has, in its present incarnation
+	used       int  // total of charged units, modulo 4096
+	demanded   int  // total of units asked for, modulo 4096
+	demandRate rate
+}
+
+func newCustomerGossip(peers int) customerGossip {
+	return customerGossip{totals: make([]peerTotals, peers), queuedFor: make([]bool, peers)}
+}
+
+// queueGossip queues an entry about a customer for all its gateways.
+func (g *Gateway) queueGossip(c *customer) {
+	for i := range g.gossip.peers {
+		g.queueGossipTo(i, c)
+	}
 }
 
-// tellsAll reports whether the intake lets every gateway tell every other often enough.
-func (g *Gateway) supportsFullGossip() bool {
-	return !g.cfg.Limits.Gossip ||
-		gossipCapacityUsed*g.cfg.GossipCapacity >= minFullGossipRate*float64(g.cfg.Gateways-1)
+// queueGossipTo queues an entry about a customer for a peer, if it is one of the customer's gateways.
+func (g *Gateway) queueGossipTo(rank int, c *customer) {
+	if rank != g.cfg.Rank && g.servesCustomer(c, rank) && !c.gossip.queuedFor[rank] {
+		c.gossip.queuedFor[rank] = true
+		p := &g.gossip.peers[rank]
+		p.pending = append(p.pending, c)
+	}
 }
 
-// tellSoon queues what is known of a customer for the gateways of those numbers that are in its set.
-func (g *Gateway) queueGossip(c *customer, from, to int) {
-	for i := from; i < to; i++ {
-		if i != g.cfg.Rank && g.servesCustomer(c, i) && !c.queuedFor[i] {
-			c.queuedFor[i] = true
-			g.peers[i].pending = append(g.peers[i].pending, c)
+// sendDueGossip sends a datagram to each peer with pending entries, or to which nothing was sent for long.
+func (g *Gateway) sendDueGossip() {
+	for i := range g.gossip.peers {
+		p := &g.gossip.peers[i]
+		if i == g.cfg.Rank || (len(p.pending) == 0 && g.now-p.lastSent < keepaliveInterval) {
+			continue
 		}
+		p.lastSent = g.now
+		p.sentSeq = (p.sentSeq + 1) % sequenceNumbers
+		g.emit(SendGossip{i, g.nextGossip(i, p)})
 	}
 }
 
-func (g *Gateway) nextGossipMessage(i int, p *peer) string {
+// nextGossip makes a datagram of as many pending entries as fit into one.
+func (g *Gateway) nextGossip(rank int, p *peer) string {
 	var b strings.Builder
-	encodeGossipHead(&b, g.epoch, p.sentSeq)
-	n := min(len(p.pending), (maxGossipBytes-gossipHeadLength)/gossipEntryLength)
+	encodeGossipHead(&b, g.gossip.epoch, p.sentSeq)
+	n := min(len(p.pending), maxGossipEntries)
 	for _, c := range p.pending[:n] {
-		c.queuedFor[i] = false
-		g.leak(c)
-		c.encodeGossipEntry(&b)
+		c.gossip.queuedFor[rank] = false
+		g.refresh(c)
+		c.gossipEntry().encode(&b)
 	}
 	p.pending = append([]*customer(nil), p.pending[n:]...)
 	return b.String()
 }
 
-// heard takes a peer's message. Totals make lost and repeated messages harmless, the number makes late
-// ones so, the epoch a restart of the peer.
+// gossipEntry is what is reported of a customer.
+func (c *customer) gossipEntry() gossipEntry {
+	return gossipEntry{
+		key:      c.key,
+		planNo:   c.planNo,
+		used:     wrapTotal(c.gossip.usedTotal),
+		demanded: wrapTotal(c.demand.total),
+		level:    levelToSteps(c.bucket.fleetLevel, c.plan.Burst),
+	}
+}
+
+// receiveGossip takes a datagram of another gateway. What is malformed, late or of an unknown sender is
+// dropped.
 func (g *Gateway) receiveGossip(e GossipReceived) {
-	epoch, seq, ok := parseGossipHead(e.Text)
-	other := e.From >= 0 && e.From < g.cfg.Gateways && e.From != g.cfg.Rank
-	if other && !g.fullGossip {
+	if e.From < 0 || e.From >= g.cfg.Gateways || e.From == g.cfg.Rank {
+		return
+	}
+	if !g.gossip.full {
 		g.receiveGrantMessage(e.From, e.Text)
+		return
 	}
-	if !ok || !other || len(g.peers) == 0 {
+	epoch, seq, ok := parseGossipHead(e.Text)
+	if !ok || len(g.gossip.peers) == 0 {
 		return
 	}
-	p := &g.peers[e.From]
-	if p.known && p.epoch == epoch && wrappedDifference(p.seq, seq) <= 0 {
+	p := &g.gossip.peers[e.From]
+	restarted := !p.known || p.epoch != epoch
+	if !restarted && totalDifference(p.seq, seq) <= 0 {
 		return
 	}
-	if !p.known || p.epoch != epoch {
+	if restarted {
 		g.startIncarnation(e.From, p)
 	}
 	p.epoch, p.seq, p.known, p.lastHeard = epoch, seq, true, g.now
 	for s := e.Text[gossipHeadLength:]; s != ""; s = s[gossipEntryLength:] {
-		g.mergeEntry(e.From, p, s[:gossipEntryLength])
+		g.mergeTotals(e.From, p, parseGossipEntry(s[:gossipEntryLength]))
 	}
 }
 
-// greet meets a new life of a peer: its totals begin anew, and it is told all there is to tell.
-func (g *Gateway) startIncarnation(i int, p *peer) {
+// startIncarnation prepares for the first datagram of a peer's incarnation: the peer's totals begin anew,
+// and it is sent all there is to report.
+func (g *Gateway) startIncarnation(rank int, p *peer) {
 	p.startedLater = p.known
-	for _, c := range g.customerOrder {
-		c.peerTotals[i].known = false
-		g.queueGossip(c, i, i+1)
+	for _, c := range g.customers.order {
+		c.gossip.totals[rank].known = false
+		g.queueGossipTo(rank, c)
 	}
 }
 
-func (g *Gateway) mergeEntry(from int, p *peer, s string) {
-	key, planNo, used, asked, level := parseGossipEntry(s)
-	if planNo >= len(g.cfg.Plans) {
+// mergeTotals adds what a peer's totals have grown by. The first totals of an incarnation count whole if it
+// began after this gateway; else they include what was used before, and the reported level stands for that.
+func (g *Gateway) mergeTotals(from int, p *peer, e gossipEntry) {
+	if e.planNo >= len(g.cfg.Plans) {
 		return
 	}
-	c := g.findOrAddCustomer(key, planNo)
-	g.leak(c)
-	t := &c.peerTotals[from]
-	if !t.known {
-		t.known = true
-		if p.startedLater {
-			t.used, t.demanded = 0, 0
-		} else {
-			t.used, t.demanded = used, asked
-			c.fleetLevel = max(c.fleetLevel, level*c.plan.Burst)
-		}
+	c := g.findOrAddCustomer(e.key, e.planNo)
+	g.refresh(c)
+	t := &c.gossip.totals[from]
+	switch {
+	case t.known:
+	case p.startedLater:
+		t.known, t.used, t.demanded = true, 0, 0
+	default:
+		t.known, t.used, t.demanded = true, e.used, e.demanded
+		c.bucket.fleetLevel = max(c.bucket.fleetLevel, stepsToLevel(e.level, c.plan.Burst))
 	}
-	c.fleetLevel = max(0, c.fleetLevel+wrappedDifference(t.used, used))
-	t.demandRate.add(g.now, max(0, wrappedDifference(t.demanded, asked)))
-	t.used, t.demanded = used, asked
+	c.bucket.fleetLevel = max(0, c.bucket.fleetLevel+totalDifference(t.used, e.used))
+	t.demandRate.add(g.now, max(0, totalDifference(t.demanded, e.demanded)))
+	t.used, t.demanded = e.used, e.demanded
 }
--- a/decide/latency.go
+++ b/decide/latency.go
@@ -6,30 +6,41 @@
 )
 
 const (
-	// gain of a class's usual time: slow, it is the fleet's yardstick
+	// usualLatencyGain is the gain of a response in its class's usual latency. It is low, as the usual
+	// latency is what servers are compared with.
 	usualLatencyGain = 0.03
-	// of the aim: the usual time before any answer
+
+	// initialLatencyFraction is the usual latency before any response, as a part of the latency objective.
 	initialLatencyFraction = 0.2
 )
 
+// class is a configured class, with what is known of its responses at all servers.
 type class struct {
 	Class
 	index        int
-	usualLatency float64       // usual seconds of an answer
-	responses    float64       // answers seen
-	lastResponse time.Duration // of the last
-	maxTimeLeft  time.Duration // the most time that a first try came with
+	usualLatency float64 // seconds, as of lastResponse; see Gateway.usualLatency
+	responses    float64
+	lastResponse time.Duration
+	maxTimeLeft  time.Duration // most time to its deadline that a first request came with
 }
 
-// estimate is the time in seconds that an answer of the server to a request of the class should take.
-func (g *Gateway) expectedLatency(s *endpoint, k *class) float64 {
-	return g.usualLatency(k) * g.slowness(s) * (1 + g.outstanding(s)) / (1 + s.meanInFlight)
+// recordLatency takes the latency of a response. The first responses make a plain mean.
+func (k *class) recordLatency(now time.Duration, seconds float64) {
+	k.responses++
+	k.lastResponse = now
+	k.usualLatency += max(usualLatencyGain, 1/k.responses) * (seconds - k.usualLatency)
 }
 
-// base is a class's usual time. A long one fades without new answers: once it makes every request hopeless,
-// none come, and the gateway would turn the class away for good. It guards against any spell that ended.
+// usualLatency is a class's usual latency now, in seconds. A long one fades without new responses. Else,
+// after a slow spell, each request of the class would be rejected as having no time left, no response
+// would come, and the class would be turned away for good.
 func (g *Gateway) usualLatency(k *class) float64 {
-	first := initialLatencyFraction * k.LatencyObjective.Seconds()
-	return min(k.usualLatency,
-		first+(k.usualLatency-first)*math.Exp(-(g.now-k.lastResponse).Seconds()/g.evidenceMemory()))
+	initial := initialLatencyFraction * k.LatencyObjective.Seconds()
+	faded := math.Exp(-(g.now - k.lastResponse).Seconds() / g.evidenceMemory())
+	return min(k.usualLatency, initial+(k.usualLatency-initial)*faded)
+}
+
+// expectedLatency is the time, in seconds, that a server's response to a request of the class should take.
+func (g *Gateway) expectedLatency(s *endpoint, k *class) float64 {
+	return g.usualLatency(k) * g.slowness(s) * (1 + g.endpoints.outstanding(s, g.now)) / (1 + s.meanInFlight)
 }
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -2,120 +2,169 @@
 
 import (
 	"math"
-	"slices"
 	"time"
 )
 
 const (
-	// gain of a server's slowness against that: a few answers tell
+	// slownessGain is the gain of a response in a server's slowness: a few tell.
 	slownessGain = 0.2
-	// slowness fades at least so slowly: the unused get another look
-	minEvidenceMemory = 2 * time.Second
-	// answers of a server are how long its slowness is known ...
-	evidenceResponses = 4.0
-	// ... in seconds, this at most
-	maxEvidenceMemory = 20.0
-	// times that: known of a class's failures
-	failureMemoryFactor = 2.0
-	// gain of a server's share of a class's requests that it leaves or fails
+
+	// maxRelativeLatency bounds what one response may say of a server's slowness.
+	maxRelativeLatency = 20
+
+	// failureGain is the gain of a request in a server's failure ratio where evidence is plentiful. It is
+	// up to twice as high where it is scarce.
 	failureGain = 0.25
-	// sights that a word carries
+
+	// failureMemoryFactor is how much longer failures are remembered than slowness.
+	failureMemoryFactor = 2.0
+
+	// The memory of what is known of a server is the time in which evidenceResponses of it should come,
+	// within bounds.
+	evidenceResponses = 4.0
+	minEvidenceMemory = 2 * time.Second
+	maxEvidenceMemory = 20.0 // seconds
+
+	// observationsPerMessage is how many observations a grant message carries.
 	observationsPerMessage = 3
-	// over the least such share: as good as the best
+
+	// ejectionMargin is how much more than the best server's failure ratio is as good as the best.
 	ejectionMargin = 0.2
 )
 
-// newest are the last few sights of own requests.
+// health is what is known of a server's responses.
+type health struct {
+	slowness     float64 // times the usual latency, as of slownessAt; see Gateway.slowness
+	slownessAt   time.Duration
+	failureRatio []fadingRatio // by class: part of the requests that fail; see Gateway.failureRatio
+}
+
+// fadingRatio is a ratio as of a time.
+type fadingRatio struct {
+	value     float64
+	updatedAt time.Duration
+}
+
+func newHealth(classes int) health {
+	return health{slowness: 1, failureRatio: make([]fadingRatio, classes)}
+}
+
+// restart forgets what is known, as the server has started anew.
+func (h *health) restart() {
+	h.slowness = 1
+	clear(h.failureRatio)
+}
+
+// evidence is what this gateway knows of the fleet's responses.
+type evidence struct {
+	responseRate    rate               // own successful responses of all servers, a second
+	observationRate rate               // requests a second, own or reported by others, whose fate was seen
+	recent          recentObservations // own ones
+}
+
+// recentObservations are the last own observations, the last first. Grant messages carry them.
 type recentObservations struct {
 	entries [observationsPerMessage]observation
 	count   int
 }
 
-func (n *recentObservations) add(v observation) {
-	if v.class > maxObservedClass {
-		return // a word has no digit for it
+func (r *recentObservations) add(o observation) {
+	if o.class > maxObservedClass {
+		return // a message has no digit for it
 	}
-	copy(n.entries[1:], n.entries[:])
-	n.entries[0], n.count = v, min(n.count+1, observationsPerMessage)
+	copy(r.entries[1:], r.entries[:])
+	r.entries[0] = o
+	r.count = min(r.count+1, observationsPerMessage)
 }
 
-// slowness is a server's, faded by the time since its last answer.
+// slowness is by how many times a server is slower than the usual latency. It fades to 1 with the time
+// since it was observed, so that a server which is avoided for it gets another chance.
 func (g *Gateway) slowness(s *endpoint) float64 {
-	return 1 + (s.slowness-1)*math.Exp(-(g.now-s.slownessAt).Seconds()/g.evidenceMemory())
+	h := &s.health
+	return 1 + (h.slowness-1)*math.Exp(-(g.now-h.slownessAt).Seconds()/g.evidenceMemory())
 }
 
-// memory is how long, in seconds, what is known of a server holds: longer where answers of it are rare.
+// failureRatio is the part of a class's requests that a server leaves without a response or fails. It
+// fades to 0.
+func (g *Gateway) failureRatio(s *endpoint, k *class) float64 {
+	f := &s.health.failureRatio[k.index]
+	return f.value * math.Exp(-(g.now-f.updatedAt).Seconds()/(failureMemoryFactor*g.evidenceMemory()))
+}
+
+// evidenceMemory is how long, in seconds, what is known of a server holds: longer where its responses are
+// rare.
 func (g *Gateway) evidenceMemory() float64 {
-	return min(maxEvidenceMemory, max(minEvidenceMemory.Seconds(),
-		evidenceResponses*g.totals.serving/max(g.observationRate.perSecond(g.now), 1e-3)))
+	perSecond := g.evidence.observationRate.perSecond(g.now)
+	wanted := evidenceResponses * g.endpoints.totals.serving / max(perSecond, 1e-3)
+	return min(maxEvidenceMemory, max(minEvidenceMemory.Seconds(), wanted))
 }
 
-// missed is the share of a class's requests that a server leaves unanswered or fails.
-func (g *Gateway) failureRatio(s *endpoint, k *class) float64 {
-	m := &s.failureRatio[k.index]
-	return m.value * math.Exp(-(g.now-m.updatedAt).Seconds()/(failureMemoryFactor*g.evidenceMemory()))
+// evidenceScarcity is 1 where this gateway sees fewer successful responses in demandMemory than there are
+// servers, so that it can't know the load of each; it falls towards 0 the more it sees.
+func (g *Gateway) evidenceScarcity() float64 {
+	responses := g.evidence.responseRate.perSecond(g.now) * demandMemory.Seconds()
+	return min(1, g.endpoints.totals.serving/max(responses, 1))
 }
 
-// note takes how a request of a class fared at a server, here or at a gateway that told it: x times the usual
-// time, answered or not. It guards against servers that are slow or fail one class and serve the
-// others; it should catch what a server's age, a bad disk or a lost dependency do too, whoever met it first.
-// It could harm a server that only costly requests went to.
-func (g *Gateway) observe(s *endpoint, k *class, x float64, missed bool) {
-	g.observationRate.add(g.now, 1)
-	v, to := g.failureRatio(s, k), 0.0
-	if missed {
-		to = 1
+// observe takes how a request of a class fared at a server, here or at another gateway: its latency over
+// the class's usual one, and whether it failed. Failures are held against one class, as a server may have
+// lost what only that class needs. A class of which one server gets all costly requests makes that server
+// look slow.
+func (g *Gateway) observe(s *endpoint, k *class, relativeLatency float64, failed bool) {
+	g.evidence.observationRate.add(g.now, 1)
+	ratio, target := g.failureRatio(s, k), 0.0
+	if failed {
+		target = 1
 	}
-	s.failureRatio[k.index] = rate{v + failureGain*(1+g.evidenceScarcity())*(to-v), g.now}
-	s.slowness, s.slownessAt = g.slowness(s), g.now
-	if !missed || x > s.slowness {
-		s.slowness += slownessGain * (min(x, 20) - s.slowness)
+	h := &s.health
+	h.failureRatio[k.index] = fadingRatio{ratio + failureGain*(1+g.evidenceScarcity())*(target-ratio), g.now}
+	h.slowness, h.slownessAt = g.slowness(s), g.now
+	if !failed || relativeLatency > h.slowness {
+		h.slowness += slownessGain * (min(relativeLatency, maxRelativeLatency) - h.slowness)
 	}
 }
 
-// saw notes how an own request fared and keeps it to be told.
-func (g *Gateway) observeOwn(s *endpoint, k *class, took time.Duration, missed bool) {
-	if g.now == g.stallEndedAt {
-		return // what was late here is not the server's fault
-	}
-	x := took.Seconds() / max(k.usualLatency, 1e-6)
-	g.observe(s, k, x, missed)
-	g.recent.add(observation{s.shortID, k.index, x, missed})
-	if !missed {
-		k.responses, k.lastResponse = k.responses+1, g.now
-		k.usualLatency += max(usualLatencyGain, 1/k.responses) * (took.Seconds() - k.usualLatency)
+// observeReported takes an observation of another gateway.
+func (g *Gateway) observeReported(o observation) {
+	s := g.endpoints.byShortID[o.endpoint]
+	if s == nil || o.class >= len(g.cfg.Classes) {
+		return
 	}
+	g.observe(s, g.classes.byName[g.cfg.Classes[o.class].Name], o.relativeLatency, o.failed)
 }
 
-// thin is 1 where this gateway sees fewer answers in its memory than there are servers, and less where more.
-func (g *Gateway) evidenceScarcity() float64 {
-	return min(1, g.totals.serving/max(g.responseRate.perSecond(g.now)*demandMemory.Seconds(), 1))
+// observeOwn takes how an own request fared, and keeps it for grant messages. What is found at the end of a
+// stall says nothing of the server: it was late here.
+func (g *Gateway) observeOwn(s *endpoint, k *class, latency time.Duration, failed bool) {
+	if g.endsStall() {
+		return
+	}
+	relative := latency.Seconds() / max(k.usualLatency, 1e-6)
+	g.observe(s, k, relative, failed)
+	g.evidence.recent.add(observation{s.shortID, k.index, relative, failed})
+	if !failed {
+		k.recordLatency(g.now, latency.Seconds())
+	}
 }
 
-// judge takes what an outcome says of its server.
+// recordOutcome takes what the end of an attempt says of its server.
 func (g *Gateway) recordOutcome(r *request, a *attempt, e AttemptEnded) {
 	s := a.endpoint
 	switch e.Outcome {
 	case OutcomeOK:
 		s.lastResponse = g.now
-		g.responseRate.add(g.now, 1)
-		before := len(s.orphans)
-		s.orphans = slices.DeleteFunc(s.orphans, func(at time.Duration) bool { return at < a.sentAt })
-		g.totals.inFlight -= float64(before - len(s.orphans))
+		g.evidence.responseRate.add(g.now, 1)
+		g.endpoints.clearOrphans(s, a.sentAt)
 		g.observeOwn(s, r.class, e.Duration, false)
-	case OutcomeError:
-		g.observeOwn(s, r.class, e.Duration, true)
-		s.lastResponse = g.now
-	case OutcomeRejected:
+	case OutcomeError, OutcomeRejected:
 		g.observeOwn(s, r.class, e.Duration, true)
 		s.lastResponse = g.now
 	case OutcomeConnectFailed, OutcomeReset:
 		g.observeOwn(s, r.class, e.Duration, true)
-	case OutcomeTimedOut, OutcomeCancelled:
-		if e.Outcome == OutcomeTimedOut {
-			g.observeOwn(s, r.class, e.Duration, true)
-		}
-		s.orphans = append(s.orphans, a.sentAt)
-		g.totals.inFlight++
+	case OutcomeTimedOut:
+		g.observeOwn(s, r.class, e.Duration, true)
+		g.endpoints.addOrphan(s, a.sentAt)
+	case OutcomeCancelled:
+		g.endpoints.addOrphan(s, a.sentAt)
 	}
 }
--- a/decide/rate.go
+++ b/decide/rate.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// rate is a sum of units that fades with partMemory; its value is in units a second.
+// rate is an exponentially weighted average of units a second, with the memory demandMemory.
 type rate struct {
-	value     float64
+	value     float64 // units a second at updatedAt
 	updatedAt time.Duration
 }
 
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -1,110 +1,153 @@
 package decide
 
-import (
-	"time"
-)
+import "time"
 
 const (
-	// times its estimate: an attempt is overdue
+	// retryBudgetGain is what each first attempt adds to the retry budget, in further attempts, up to
+	// maxRetryBudget.
+	retryBudgetGain = 0.15
+	maxRetryBudget  = 10.0
+
+	// An attempt is overdue after overdueFactor times its expected latency, and minOverdue shortest latency
+	// objectives at least.
 	overdueFactor = 4.0
-	// answers that should have come from a server which gave none: it may be silent
+	minOverdue    = 0.3
+
+	// minMissingResponses is how many responses a server must owe for its silence to mean something.
 	minMissingResponses = 2.0
-	// share missed: on thin evidence only a server known for it is given up on early
+
+	// cancelFailureRatio is the failure ratio from which a server is known to leave requests without a
+	// response.
 	cancelFailureRatio = 0.3
-	// further attempts a first attempt, by this much the retry budget grows ...
-	retryBudgetGain = 0.15
-	// ... up to this many
-	maxRetryBudget   = 10.0
-	minOverdue       = 0.3
-	retryAfterAdvice = 0.4
+
+	// retryAfterObjectives is the Retry-After, in shortest latency objectives. It leaves time for a
+	// response within the objective.
+	retryAfterObjectives = 0.4
 )
 
-func (g *Gateway) reject(id string, why RejectReason) {
-	a := Reject{ID: id, Reason: why}
-	if g.cfg.Limits.RetryAfter {
-		a.RetryAfter = min(g.cfg.Limits.MaxRetryAfter, g.timesObjective(retryAfterAdvice))
-	}
-	g.emit(a)
-}
+// retryBudget bounds the further attempts, retries and hedged requests, to a part of the first ones:
+// servers that are slow or fail would else be sent several times the work. It holds attempts.
+type retryBudget struct{ tokens float64 }
+
+// earn counts a first attempt.
+func (b *retryBudget) earn() { b.tokens = min(maxRetryBudget, b.tokens+retryBudgetGain) }
+
+func (b *retryBudget) has(price float64) bool { return b.tokens >= price }
 
-// overdue looks at an attempt that should have been answered. If the server has answered others since, the
-// request is merely costly; if it has not, the server may be silent. A gateway that meets a server rarely
-// sees no such answer either way: until a few should have come, only what is known of the server may speak
-// against it. Else all gateways call off what is merely costly or waits, servers work on it all the same, and
-// the fleet jams by its own further attempts: of 544 called off on a day of 5 requests a second and server,
-// 541 were at servers that answered others. It should also catch slow spells and heavy tails; it could harm
-// where a server has just gone silent.
+func (b *retryBudget) spend(price float64) { b.tokens -= price }
+
+// attemptOverdue looks at an attempt that should have been answered by now. If the server has responded
+// to others since, this request is merely costly. If not, the server may be silent: down, out of
+// connections or behind a cut link.
+//
+// A gateway that meets a server rarely sees no response of it either way, so until a few should have come
+// only what is known of the server may speak against it. Else all gateways would cancel what merely
+// waits; servers would work on it all the same, and the fleet would jam by its own further attempts. The
+// price is that a server which has just gone silent is noticed late by those who meet it rarely.
 func (g *Gateway) attemptOverdue(r *request, a *attempt) {
 	s := a.endpoint
-	known := g.failureRatio(s, r.class) >= cancelFailureRatio
-	if g.evidenceScarcity() == 1 && !known {
+	knownToFail := g.failureRatio(s, r.class) >= cancelFailureRatio
+	if g.evidenceScarcity() == 1 && !knownToFail {
 		return
 	}
 	g.observeOwn(s, r.class, g.now-a.sentAt, true)
 	if s.lastResponse > a.sentAt {
 		return
 	}
-	quiet := s.sendRate.perSecond(g.now) * (g.now - max(s.lastResponse, g.startedAt)).Seconds()
-	if quiet < minMissingResponses && !known { // it is looked at again
-		if again := g.now + (g.now-a.sentAt)/2; again < r.usefulUntil && !r.finished {
-			g.setTimer(r.ID, a.number, again)
-		}
+	silence := g.now - max(s.lastResponse, g.startedAt)
+	missing := s.sendRate.perSecond(g.now) * silence.Seconds()
+	if missing < minMissingResponses && !knownToFail {
+		g.lookAgain(r, a)
 		return
 	}
-	if r.finished || r.streaming || g.retryBudget < 1 || r.class.Idempotency == NotIdempotent {
+	if r.finished || r.streaming || !g.retryBudget.has(1) || r.class.Idempotency == NotIdempotent {
 		return
 	}
-	if !g.cfg.Limits.Hedging {
-		if g.cfg.Limits.Cancel {
-			g.emit(Cancel{r.ID, a.number}) // its end, as Cancelled, brings the next attempt
-		}
-		return
+	switch {
+	case g.cfg.Limits.Hedging:
+		g.retry(r, s, 1)
+	case g.cfg.Limits.Cancel:
+		g.emit(Cancel{r.ID, a.number}) // its end, as OutcomeCancelled, brings the next attempt
 	}
-	g.retry(r, s, 1)
 }
 
-// again sends a further attempt if the rules, the time left and the retry budget, of which it takes the
-// price, allow one. The budget guards servers against work done twice; where none got any, the next attempt
-// is free. This should catch servers that are down, full of connections or behind a cut link.
-func (g *Gateway) retry(r *request, last *endpoint, price float64) bool {
-	most, overlaps := g.cfg.Limits.MaxAttempts, r.inFlight > 0 && !g.cfg.Limits.Hedging
-	if g.retryBudget < price || len(r.attempts) >= most || overlaps {
+// lookAgain sets another timer for an overdue attempt.
+func (g *Gateway) lookAgain(r *request, a *attempt) {
+	if at := g.now + (g.now-a.sentAt)/2; at < r.usefulUntil && !r.finished {
+		g.setTimer(r.ID, a.number, at)
+	}
+}
+
+// retry sends a further attempt if the rules, the time left and the retry budget allow one, and reports
+// whether it did. The price is what the attempt takes of the budget.
+func (g *Gateway) retry(r *request, failedBefore *endpoint, price float64) bool {
+	if !g.retryBudget.has(price) || len(r.attempts) >= g.cfg.Limits.MaxAttempts {
+		return false
+	}
+	if r.inFlight > 0 && !g.cfg.Limits.Hedging {
 		return false
 	}
-	s, cost := g.selectEndpoint(r, last)
-	if s == nil || cost > (r.usefulUntil-g.now).Seconds() || (r.inFlight > 0 && s == last) {
+	s, expected := g.selectEndpoint(r, failedBefore)
+	if s == nil || expected > (r.usefulUntil-g.now).Seconds() || (r.inFlight > 0 && s == failedBefore) {
 		return false
 	}
-	g.retryBudget -= price
+	g.retryBudget.spend(price)
 	g.send(r, s)
 	return true
 }
 
-// mayRepeatAt guards the rule on effects: whether the server may get the request, given the attempts that
-// may have run.
-func (g *Gateway) repeatAllowedAt(r *request, s *endpoint) bool {
+// mayRepeatAt guards against a request running twice that may not: it reports whether the server may get
+// the request, given the attempts that may have run.
+func (g *Gateway) mayRepeatAt(r *request, s *endpoint) bool {
+	k := r.class
+	if k.Idempotency == Idempotent {
+		return true
+	}
 	for _, a := range r.attempts {
-		if r.class.Idempotency == Idempotent || !a.mayHaveRun {
+		if !a.mayHaveRun {
 			continue
 		}
-		same := r.class.DedupScope == DedupInFleet ||
-			(r.class.DedupScope == DedupInZone && s.Zone == a.endpoint.Zone) ||
-			(r.class.DedupScope == DedupInCell && s.Cell == a.endpoint.Cell)
-		if r.class.Idempotency == NotIdempotent || !same ||
-			g.now-a.sentAt >= r.class.DedupWindow-objectiveMargin {
+		if k.Idempotency == NotIdempotent || !k.knowsRepeats(a.endpoint, s) {
+			return false
+		}
+		if g.now-a.sentAt >= k.DedupWindow-objectiveMargin {
 			return false
 		}
 	}
 	return true
 }
 
-// repeatBefore guards the same rule where an attempt waits for its connection: servers forget a request a
-// window after the first attempt that may have run; one written later runs again. 0: no such bound.
-func (r *request) repeatWriteDeadline() time.Duration {
+// knowsRepeats reports whether a server drops the repeat of a request that another one got.
+func (k *class) knowsRepeats(first, second *endpoint) bool {
+	switch k.DedupScope {
+	case DedupInFleet:
+		return true
+	case DedupInZone:
+		return first.Zone == second.Zone
+	}
+	return first.Cell == second.Cell
+}
+
+// writeBefore guards the same where an attempt waits for its connection. Servers forget a request a
+// window after the first attempt that may have run, and one written later runs again: the attempt may not
+// be written after that. 0: there is no such bound.
+func (r *request) writeBefore() time.Duration {
+	if r.class.Idempotency != IdempotentByKey {
+		return 0
+	}
 	for _, a := range r.attempts[:len(r.attempts)-1] {
-		if a.mayHaveRun && r.class.Idempotency == IdempotentByKey {
+		if a.mayHaveRun {
 			return a.sentAt + r.class.DedupWindow - objectiveMargin
 		}
 	}
 	return 0
 }
+
+// reject gives the final answer that a request may be sent again, with the time after which.
+func (g *Gateway) reject(id string, reason RejectReason) {
+	a := Reject{ID: id, Reason: reason}
+	if g.cfg.Limits.RetryAfter {
+		a.RetryAfter = min(g.cfg.Limits.MaxRetryAfter, g.timesObjective(retryAfterObjectives))
+	}
+	g.emit(a)
+}
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -1,25 +1,46 @@
 package decide
 
-const (
-	// of the cold budget is used: costs vary and others' traffic is guessed
-	slowStartMargin = 0.5
-)
+import "time"
 
-// coldRate guards the rule on cold servers: requests a second that this gateway may send to it. What this
-// gateway sends a usual server is its own share of the fleet's traffic, so that all gateways together stay
-// within the multiple without agreement.
+// slowStartMargin is the part of the warm-up budget that is used, as the costs of requests vary and the
+// traffic of other gateways is estimated.
+const slowStartMargin = 0.5
+
+// slowStart is how much a server that has started may get. A server that gets OverloadMultiple times its
+// present capacity for OverloadWindow fails.
+type slowStart struct {
+	until    time.Duration
+	budget   float64 // requests that it may get now, at most 1
+	budgetAt time.Duration
+}
+
+// slowStartRate is how many requests a second this gateway may send to a server in slow start. What it
+// sends to a usual warm server is its own part of the fleet's traffic; with the same multiple of it at
+// each gateway the fleet stays within the multiple of the server's capacity without any agreement.
 func (g *Gateway) slowStartRate(s *endpoint) float64 {
-	warm := g.totals.sendRate / max(g.totals.warm, 1)
-	f := g.cfg.Safety.SlowStartCapacity
-	age := 1 - (s.slowStartUntil-g.now).Seconds()/g.cfg.Safety.SlowStartDuration.Seconds()
-	return slowStartMargin * g.cfg.Safety.OverloadMultiple * (f + (1-f)*age) * warm
+	perWarm := g.endpoints.totals.sendRate / max(g.endpoints.totals.warm, 1)
+	safety := &g.cfg.Safety
+	from := safety.SlowStartCapacity
+	progress := 1 - (s.slowStart.until-g.now).Seconds()/safety.SlowStartDuration.Seconds()
+	return slowStartMargin * safety.OverloadMultiple * (from + (1-from)*progress) * perWarm
 }
 
+// heldBySlowStart reports whether a server is in slow start and has no budget for a request. The budget
+// begins at a random part of a request, see updateEndpoint: hundreds of gateways would else send it one
+// each at once.
 func (g *Gateway) heldBySlowStart(s *endpoint) bool {
-	if s.slowStartUntil <= g.now {
+	w := &s.slowStart
+	if w.until <= g.now {
 		return false
 	}
-	s.warmUpBudget = min(1, s.warmUpBudget+g.slowStartRate(s)*(g.now-s.warmUpBudgetAt).Seconds())
-	s.warmUpBudgetAt = g.now
-	return s.warmUpBudget < 1
+	w.budget = min(1, w.budget+g.slowStartRate(s)*(g.now-w.budgetAt).Seconds())
+	w.budgetAt = g.now
+	return w.budget < 1
+}
+
+// spend takes a request from the budget.
+func (w *slowStart) spend(now time.Duration) {
+	if w.until > now {
+		w.budget--
+	}
 }
--- a/decide/status.go
+++ b/decide/status.go
@@ -1,108 +1,148 @@
 package decide
 
-import (
-	"time"
-)
+import "time"
 
-// Status is a gateway's state, read only.
+// Status is a gateway's state, for operators. No decision is taken by it.
 type Status struct {
-	FullGossip         bool // everyone tells everyone; else customers have homes
-	OpenRequests       int  // open
-	Pressure           float64
-	RetryBudget        float64 // further attempts that the retry budget bears
-	LastStall          time.Duration
+	FullGossip         bool // each gateway sends gossip to each other; else customers have owners
+	OpenRequests       int
+	Pressure           float64          // work in flight over what is allowed; over 1 it is shed
+	RetryBudget        float64          // further attempts that the retry budget allows
+	LastStall          time.Duration    // of the event loop; 0: there was none
 	Servers            []ServerStatus   // by ID
-	Customers          []CustomerStatus // in the order of first sight
-	Peers              []PeerStatus     // by rank; empty where customers have homes
-	UnresponsiveOwners []int            // homes that are not asked for now
+	Customers          []CustomerStatus // in the order in which they were first seen
+	Peers              []PeerStatus     // by rank; empty without full gossip
+	UnresponsiveOwners []int            // ranks of the owners that are not asked for grants now
 }
 
-// ServerStatus is what a gateway holds of a server.
+// ServerStatus is what a gateway knows of a server.
 type ServerStatus struct {
-	ID           string
-	Zone         string
-	State        ServerState
-	InFlight     int       // own attempts out
-	Orphaned     int       // ended unanswered, may still run
-	Slowness     float64   // times the usual time
-	FailureRatio []float64 // share left or failed, by class
-	// Of some class it leaves or fails so much more than the best that it gets none of it while others may.
-	Ejected       bool
+	ID            string
+	Zone          string
+	State         ServerState
+	InFlight      int       // attempts of this gateway
+	Orphaned      int       // attempts that ended without a response and may still run
+	Slowness      float64   // times the usual latency
+	FailureRatio  []float64 // part of the requests that get no response or an error, by class
+	Ejected       bool      // of some class, others fail so much less that it gets none while they can
 	SlowStartLeft time.Duration
-	WarmUpBudget  float64 // cold budget, in requests; where Cold is 0 it says nothing
+	WarmUpBudget  float64 // requests that it may get in slow start; without meaning if SlowStartLeft is 0
 }
 
-// CustomerStatus is what a gateway holds of a customer's bucket.
+// CustomerStatus is what a gateway knows of a customer's quota.
 type CustomerStatus struct {
-	Key           uint64 // hash of the customer's name, as messages tell it: see CustomerKey
+	Key           uint64 // see CustomerKey
 	Plan          string
 	Rate          float64 // units a second
-	Level         float64 // units in this gateway's bucket ...
-	HighWaterMark float64 // ... which holds so many
-	Share         float64
-	FleetLevel    float64 // units in the bucket that all gateways fill, as far as told
-	CeilingTokens float64 // units of this gateway's slice of a ceiling
-	InFlight      int     // attempts out
+	Level         float64 // units in this gateway's bucket
+	HighWaterMark float64 // units that this gateway's bucket may hold
+	Share         float64 // part of rate and burst that this gateway may use
+	FleetLevel    float64 // units in the bucket that all gateways fill, as far as known
+	CeilingTokens float64 // units that this gateway's slice of a ceiling still lets pass
+	InFlight      int     // attempts
 }
 
-// PeerStatus is what a gateway holds of a peer.
+// PeerStatus is what a gateway knows of a peer.
 type PeerStatus struct {
 	Rank        int
-	Known       bool
-	SinceHeard  time.Duration // since then
-	QueueLength int           // customers to tell of
+	Known       bool          // it was heard since this gateway started
+	SinceHeard  time.Duration // without meaning if not Known
+	QueueLength int           // customers to send entries about
 }
 
-// CustomerKey is the name of a customer in messages and views.
+// CustomerKey stands for a customer in messages between gateways and in Status: a hash of its name.
 func CustomerKey(customer string) uint64 { return hashKey(customer) }
 
-// Status tells the state as of the last event. It is for the goroutine that calls Handle.
+// Status returns the state as of the last event. It is for the goroutine that calls Handle.
 func (g *Gateway) Status() Status {
-	v := Status{FullGossip: g.fullGossip, OpenRequests: len(g.requests), RetryBudget: g.retryBudget}
+	st := Status{
+		FullGossip:         g.gossip.full,
+		OpenRequests:       len(g.requests),
+		RetryBudget:        g.retryBudget.tokens,
+		Servers:            g.serverStatus(),
+		Customers:          g.customerStatus(),
+		Peers:              g.peerStatus(),
+		UnresponsiveOwners: g.unresponsiveOwners(),
+	}
 	if g.stallEndedAt > 0 {
-		v.LastStall = g.stallDuration
+		st.LastStall = g.stallDuration
 	}
-	if g.running && g.totals.serving > 0 { // without a server there is no cap to be pressed against
-		v.Pressure = g.queueingPressure()
+	if g.running && g.endpoints.totals.serving > 0 { // without a server nothing is allowed
+		st.Pressure = g.queueingPressure()
 	}
+	return st
+}
+
+func (g *Gateway) serverStatus() (all []ServerStatus) {
+	least := g.leastFailureRatios()
+	for _, s := range g.endpoints.sorted {
+		st := ServerStatus{
+			ID:            s.ID,
+			Zone:          s.Zone,
+			State:         s.State,
+			InFlight:      s.inFlight,
+			Orphaned:      len(s.orphans),
+			Slowness:      g.slowness(s),
+			SlowStartLeft: max(0, s.slowStart.until-g.now),
+			WarmUpBudget:  s.slowStart.budget,
+		}
+		for i, k := range g.cfg.Classes {
+			ratio := g.failureRatio(s, g.classes.byName[k.Name])
+			st.FailureRatio = append(st.FailureRatio, ratio)
+			st.Ejected = st.Ejected || ratio > least[i]+ejectionMargin
+		}
+		all = append(all, st)
+	}
+	return all
+}
+
+// leastFailureRatios returns the failure ratio of the best serving server, by class.
+func (g *Gateway) leastFailureRatios() []float64 {
 	least := make([]float64, len(g.cfg.Classes))
 	for i, k := range g.cfg.Classes {
 		least[i] = 1
-		for _, s := range g.endpoints {
+		for _, s := range g.endpoints.sorted {
 			if s.State == Serving {
-				least[i] = min(least[i], g.failureRatio(s, g.classes[k.Name]))
+				least[i] = min(least[i], g.failureRatio(s, g.classes.byName[k.Name]))
 			}
 		}
 	}
-	for _, s := range g.endpoints {
-		sv := ServerStatus{ID: s.ID, Zone: s.Zone, State: s.State, InFlight: s.inFlight,
-			Orphaned: len(s.orphans), Slowness: g.slowness(s),
-			SlowStartLeft: max(0, s.slowStartUntil-g.now), WarmUpBudget: s.warmUpBudget}
-		for _, k := range g.cfg.Classes {
-			sv.FailureRatio = append(sv.FailureRatio, g.failureRatio(s, g.classes[k.Name]))
-		}
-		for i, m := range sv.FailureRatio {
-			sv.Ejected = sv.Ejected || m > least[i]+ejectionMargin
-		}
-		v.Servers = append(v.Servers, sv)
-	}
-	for _, c := range g.customerOrder {
-		v.Customers = append(v.Customers, CustomerStatus{Key: c.key, Plan: c.plan.Name,
-			Rate: c.plan.Rate, Level: c.level, Share: c.share,
-			HighWaterMark: c.share * c.plan.Burst, FleetLevel: c.fleetLevel,
-			CeilingTokens: c.ceilingTokens, InFlight: c.inFlight})
+	return least
+}
+
+func (g *Gateway) customerStatus() (all []CustomerStatus) {
+	for _, c := range g.customers.order {
+		all = append(all, CustomerStatus{
+			Key:           c.key,
+			Plan:          c.plan.Name,
+			Rate:          c.plan.Rate,
+			Level:         c.bucket.level,
+			HighWaterMark: c.bucket.share * c.plan.Burst,
+			Share:         c.bucket.share,
+			FleetLevel:    c.bucket.fleetLevel,
+			CeilingTokens: c.bucket.ceilingTokens,
+			InFlight:      c.inFlight,
+		})
 	}
-	for i, p := range g.peers {
+	return all
+}
+
+func (g *Gateway) peerStatus() (all []PeerStatus) {
+	for i, p := range g.gossip.peers {
 		if i != g.cfg.Rank {
-			v.Peers = append(v.Peers, PeerStatus{i, p.known, g.now - p.lastHeard, len(p.pending)})
+			all = append(all, PeerStatus{i, p.known, g.now - p.lastHeard, len(p.pending)})
 		}
 	}
+	return all
+}
+
+func (g *Gateway) unresponsiveOwners() (ranks []int) {
 	for i := range g.cfg.Gateways {
-		if g.unresponsiveUntil[i] > g.now {
-			v.UnresponsiveOwners = append(v.UnresponsiveOwners, i)
+		if g.owners.unresponsiveUntil[i] > g.now {
+			ranks = append(ranks, i)
 		}
 	}
-	return v
+	return ranks
 }
 
 // CeilingShare is the part of a customer's ceiling that one gateway keeps.
@@ -111,19 +151,20 @@
 	Fraction float64
 }
 
-// CeilingShares tells where a customer's ceiling is kept: even parts at all of its gateways, or at its homes.
-func (g *Gateway) CeilingShares(customer string, first, spread int) (out []CeilingShare) {
-	if spread <= 0 || spread > g.cfg.Gateways {
-		spread = g.cfg.Gateways
+// CeilingShares returns where the ceiling of a customer is kept whose requests come through the gateways
+// given: even parts at all of these, or at the customer's owners.
+func (g *Gateway) CeilingShares(customer string, firstGateway, gatewayCount int) (shares []CeilingShare) {
+	if gatewayCount <= 0 || gatewayCount > g.cfg.Gateways {
+		gatewayCount = g.cfg.Gateways
 	}
-	if !g.fullGossip {
+	if !g.gossip.full {
 		for n := range ownersPerCustomer {
-			out = append(out, CeilingShare{g.owner(hashKey(customer), n), 1.0 / ownersPerCustomer})
+			shares = append(shares, CeilingShare{g.owner(hashKey(customer), n), 1.0 / ownersPerCustomer})
 		}
-		return out
+		return shares
 	}
-	for n := range spread {
-		out = append(out, CeilingShare{(first + n) % g.cfg.Gateways, 1 / float64(spread)})
+	for n := range gatewayCount {
+		shares = append(shares, CeilingShare{(firstGateway + n) % g.cfg.Gateways, 1 / float64(gatewayCount)})
 	}
-	return out
+	return shares
 }
--- a/decide/terms_test.go
+++ b/decide/terms_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func (r *harness) customerOf(name string) *customer { return r.g.customers[hashKey(name)] }
+func (r *harness) customerOf(name string) *customer { return r.g.customers.byKey[hashKey(name)] }
 
 func singleGateway(c *Config) { c.Gateways, c.Limits.Gossip = 1, false }
 
@@ -37,10 +37,10 @@
 	r.handle(PlanChange{Customer: "x", Plan: planNamed("wide", nil)})
 	r.serve("get", "small", "x", 1)
 	c := r.customerOf("x")
-	c.level = 100
+	c.bucket.level = 100
 	r.handle(PlanChange{Customer: "x", Plan: planNamed("small", nil)})
-	if c.level != 100 || c.plan.Name != "small" {
-		t.Fatalf("level %v on plan %s, want 100 on small", c.level, c.plan.Name)
+	if c.bucket.level != 100 || c.plan.Name != "small" {
+		t.Fatalf("level %v on plan %s, want 100 on small", c.bucket.level, c.plan.Name)
 	}
 	refused := 0.0
 	for ; !r.serve("get", "wide", "x", 1) && refused < 100; refused += 0.5 {
@@ -58,15 +58,15 @@
 		r := newHarness(t, singleGateway)
 		r.fillQuota("x")
 		c := r.customerOf("x")
-		before := c.level
+		before := c.bucket.level
 		for range 20 {
 			up := up
 			up.Name = "small"
 			r.handle(PlanChange{Customer: "x", Plan: up})
 			r.handle(PlanChange{Customer: "x", Plan: planNamed("small", nil)})
 		}
-		if c.level != before || r.serve("get", "small", "x", 1) {
-			t.Errorf("rate %v and back moved the level from %v to %v", up.Rate, before, c.level)
+		if c.bucket.level != before || r.serve("get", "small", "x", 1) {
+			t.Errorf("rate %v and back moved the level from %v to %v", up.Rate, before, c.bucket.level)
 		}
 	}
 }
@@ -79,8 +79,8 @@
 		r.serve("get", "small", "x", 1)
 	}
 	r.handle(PlanChange{Customer: "x", Plan: planNamed("small", nil)})
-	if c := r.customerOf("x"); c.level != 12 {
-		t.Errorf("level %v, want the mark of 12", c.level)
+	if c := r.customerOf("x"); c.bucket.level != 12 {
+		t.Errorf("level %v, want the mark of 12", c.bucket.level)
 	}
 }
 
@@ -89,14 +89,14 @@
 	r := newHarness(t, singleGateway)
 	r.fillQuota("x")
 	c := r.customerOf("x")
-	before := c.level
+	before := c.bucket.level
 	r.handle(PlanChange{Customer: "x", Plan: planNamed("small", nil), ReturnedUnits: 2})
-	if c.level != before-2 {
-		t.Errorf("level %v, want %v", c.level, before-2)
+	if c.bucket.level != before-2 {
+		t.Errorf("level %v, want %v", c.bucket.level, before-2)
 	}
 	r.handle(PlanChange{Customer: "x", Plan: planNamed("small", nil), ReturnedUnits: 1e9})
-	if c.level != 0 || c.fleetLevel < 0 {
-		t.Errorf("level %v, whole %v", c.level, c.fleetLevel)
+	if c.bucket.level != 0 || c.bucket.fleetLevel < 0 {
+		t.Errorf("level %v, whole %v", c.bucket.level, c.bucket.fleetLevel)
 	}
 	for _, p := range []Plan{{Name: "unknown", Rate: 1, Burst: 1}, {Name: "small", Rate: -1}} {
 		r.handle(PlanChange{Customer: "x", Plan: p})
@@ -118,14 +118,14 @@
 	r.now += 10 * time.Second
 	r.serve("get", "hard", "x", 1)
 	c := r.customerOf("x")
-	full := c.ceilingTokens
+	full := c.bucket.ceilingTokens
 	r.handle(PlanChange{Customer: "x", Plan: planNamed("hard", func(p *Plan) { p.CeilingBurst = 20 })})
-	if c.ceilingTokens != 20 {
-		t.Errorf("store %v, want 20", c.ceilingTokens)
+	if c.bucket.ceilingTokens != 20 {
+		t.Errorf("store %v, want 20", c.bucket.ceilingTokens)
 	}
 	r.handle(PlanChange{Customer: "x", Plan: planNamed("hard", func(p *Plan) { p.CeilingBurst = 500 })})
-	if c.ceilingTokens > 20 || full < 50 {
-		t.Errorf("store %v under a higher ceiling, want 20", c.ceilingTokens)
+	if c.bucket.ceilingTokens > 20 || full < 50 {
+		t.Errorf("store %v under a higher ceiling, want 20", c.bucket.ceilingTokens)
 	}
 }
 
@@ -134,7 +134,7 @@
 	r := newHarness(t, singleGateway)
 	r.fillQuota("x")
 	c := r.customerOf("x")
-	level, store := c.level, c.ceilingTokens
+	level, store := c.bucket.level, c.bucket.ceilingTokens
 	acts := r.handle(Request{ID: "r", Class: "get", Plan: "small", Customer: "x", Units: 5, Deadline: r.now + time.Second,
 		GatewayCount: 1, Reserved: true})
 	s := actionsOf[Send](acts)
@@ -142,8 +142,8 @@
 		t.Fatalf("%v", acts)
 	}
 	r.handle(AttemptEnded{ID: "r", Server: s[0].Server, Outcome: OutcomeOK, Duration: ms, RequestDone: true, ActualUnits: 9})
-	if c.level != level || c.ceilingTokens != store || c.inFlight != 0 {
-		t.Errorf("level %v, store %v, open %d; want %v, %v, 0", c.level, c.ceilingTokens, c.inFlight, level, store)
+	if c.bucket.level != level || c.bucket.ceilingTokens != store || c.inFlight != 0 {
+		t.Errorf("level %v, store %v, open %d; want %v, %v, 0", c.bucket.level, c.bucket.ceilingTokens, c.inFlight, level, store)
 	}
 	first := func(reserved bool) (n int) {
 		r := newHarness(t, singleGateway)
--- a/decide/thin_test.go
+++ b/decide/thin_test.go
@@ -40,7 +40,7 @@
 		_, acts := r.request("get", "wide", "c", 1)
 		s := actionsOf[Send](acts)[0]
 		if known {
-			r.g.observe(r.g.endpointByID[s.Server], r.g.classes["get"], 1, true) // as a peer told
+			r.g.observe(r.g.endpoints.byID[s.Server], r.g.classes.byName["get"], 1, true) // as a peer told
 		}
 		if got := len(actionsOf[Cancel](r.fireOverdueTimer(acts))) > 0; got != known {
 			t.Errorf("server known to miss %v: called off %v", known, got)
@@ -76,13 +76,13 @@
 	got := [2]float64{}
 	for i := 0; i < 1500; i++ {
 		r.now += time.Second // one request at a time: few answers for forty servers
-		for n, s := range r.g.endpoints {
-			s.slowness, s.slownessAt = 1+float64(n%2), r.now
+		for n, s := range r.g.endpoints.sorted {
+			s.health.slowness, s.health.slownessAt = 1+float64(n%2), r.now
 		}
 		id, s := r.mustSend("get", "wide")
 		var n int
-		for n = range r.g.endpoints {
-			if r.g.endpoints[n].ID == s.Server {
+		for n = range r.g.endpoints.sorted {
+			if r.g.endpoints.sorted[n].ID == s.Server {
 				break
 			}
 		}
@@ -100,14 +100,14 @@
 	r := newHarness(t, func(c *Config) { c.Limits.Gossip = false })
 	r.serve("get", "wide", "c", 1) // comes with two seconds
 	id, s := r.mustSend("get", "wide")
-	slow := r.g.endpointByID[s.Server].slowness
+	slow := r.g.endpoints.byID[s.Server].health.slowness
 	for i := 0; i < 3; i++ {
 		r.now += r.g.heartbeatInterval()
 		r.handle(TimerFired{heartbeatToken})
 	}
 	r.now += 2*r.g.heartbeatInterval() + 1500*ms
 	r.handle(AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: 1600 * ms, RequestDone: true})
-	if got := r.g.endpointByID[s.Server].slowness; got != slow {
+	if got := r.g.endpoints.byID[s.Server].health.slowness; got != slow {
 		t.Errorf("a late answer found after standing still raised the server's slowness from %v to %v", slow, got)
 	}
 	for _, left := range []time.Duration{900 * ms, 1100 * ms, 1900 * ms} {
@@ -178,8 +178,8 @@
 			Deadline: j.now + 4*time.Second, GatewayCount: 300})
 	}
 	req("first")
-	for no, r := range g.pendingGrants {
-		w := grantMessage{kind: 'r', key: r.customer.key, plan: r.customer.planNo, number: no, figureCount: 4, figures: [4]float64{0, 12, 9, 1}}
+	for no, r := range g.owners.pending {
+		w := grantMessage{kind: grantReply, key: r.customer.key, planNo: r.customer.planNo, number: no, figureCount: 4, figures: [4]float64{0, 12, 9, 1}}
 		acts := g.Handle(j.now+20*ms, GossipReceived{From: g.owner(r.customer.key, 0), Text: w.encode()})
 		if len(actionsOf[Reject](acts)) != 1 {
 			t.Errorf("refused by the home: got %#v, want one refusal at once", acts)
@@ -195,7 +195,7 @@
 func TestNoConnectionCostsNoRetryBudget(t *testing.T) {
 	for outcome, want := range map[Outcome]int{OutcomeConnectFailed: 1, OutcomeReset: 0} {
 		r := newHarness(t, func(c *Config) { c.Limits.Gossip = false })
-		r.g.retryBudget = 0
+		r.g.retryBudget.tokens = 0
 		id, s := r.mustSend("get", "wide")
 		r.now += 3 * ms
 		if got := len(actionsOf[Send](r.endAttempt(id, 0, s.Server, outcome))); got != want {
