--- /dev/null
+++ b/decide/config_test.go
@@ -0,0 +1,25 @@
+package decide
+
+import (
+	"math"
+	"strings"
+	"testing"
+)
+
+func TestValidate(t *testing.T) {
+	for want, edit := range map[string]func(*Config){
+		"Classes is empty":                  func(c *Config) { c.Classes = nil },
+		"Rank is 3":                         func(c *Config) { c.Rank = 3 },
+		"Gateways is 0":                     func(c *Config) { c.Gateways = 0 },
+		"Plans[1].Rate is -1":               func(c *Config) { c.Plans[1].Rate = -1 },
+		"Plans[2].CeilingBurst is NaN":      func(c *Config) { c.Plans[2].CeilingBurst = math.NaN() },
+		"Classes[0].LatencyObjective is 0s": func(c *Config) { c.Classes[0].LatencyObjective = 0 },
+		"Limits.MaxAttempts is 0":           func(c *Config) { c.Limits.MaxAttempts = 0 },
+	} {
+		cfg := testConfig()
+		edit(&cfg)
+		if _, err := New(cfg, 1); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("got error %v, want one with %q", err, want)
+		}
+	}
+}
--- a/decide/terms_test.go
+++ b/decide/customers_test.go
@@ -6,28 +6,19 @@
 	"time"
 )
 
-func (r *harness) customerOf(name string) *customer { return r.g.customers.byKey[hashKey(name)] }
-
-func singleGateway(c *Config) { c.Gateways, c.Limits.Gossip = 1, false }
-
-// plansOf returns the test's plan of that name, changed.
-func planNamed(name string, edit func(*Plan)) Plan {
-	for _, p := range testConfig().Plans {
-		if p.Name == name {
-			if edit != nil {
-				edit(&p)
-			}
-			return p
+// TestSetOutsideTheFleet: a set of no gateways or more than there are is not taken; a first number beyond the last
+// is counted round.
+func TestSetOutsideTheFleet(t *testing.T) {
+	r := newHarness(t, nil)
+	for i, set := range [][2]int{{0, 0}, {1, -2}, {2, 9}, {7, 2}} {
+		id := fmt.Sprint("set", i)
+		acts := r.handle(Request{ID: id, Class: "get", Plan: "wide", Customer: id, Units: 1, Deadline: r.now + 2*time.Second,
+			FirstGateway: set[0], GatewayCount: set[1]})
+		c := r.g.customers.byKey[hashKey(id)]
+		if c.gatewayCount < 1 || c.gatewayCount > 3 || c.firstGateway < 0 || c.firstGateway > 2 || len(actionsOf[Send](acts)) != 1 {
+			t.Errorf("first %d, spread %d: taken as %d of %d, did %#v", set[0], set[1], c.gatewayCount, c.firstGateway, acts)
 		}
 	}
-	panic(name)
-}
-
-func (r *harness) fillQuota(customer string) (n int) {
-	for i := 0; i < 5000 && r.serve("get", "small", customer, 1); i++ {
-		n++
-	}
-	return n
 }
 
 // TestTermsShrink puts a customer on a plan whose mark is below what it has used: refused until that has leaked at
@@ -129,41 +120,6 @@
 	}
 }
 
-// TestReserved passes calls of set-aside units by a full bucket, without a charge, and before others under pressure.
-func TestReserved(t *testing.T) {
-	r := newHarness(t, singleGateway)
-	r.fillQuota("x")
-	c := r.customerOf("x")
-	level, store := c.bucket.level, c.bucket.ceilingTokens
-	acts := r.handle(Request{ID: "r", Class: "get", Plan: "small", Customer: "x", Units: 5, Deadline: r.now + time.Second,
-		GatewayCount: 1, Reserved: true})
-	s := actionsOf[Send](acts)
-	if len(s) != 1 {
-		t.Fatalf("%v", acts)
-	}
-	r.handle(AttemptEnded{ID: "r", Server: s[0].Server, Outcome: OutcomeOK, Duration: ms, RequestDone: true, ActualUnits: 9})
-	if c.bucket.level != level || c.bucket.ceilingTokens != store || c.inFlight != 0 {
-		t.Errorf("level %v, store %v, open %d; want %v, %v, 0", c.bucket.level, c.bucket.ceilingTokens, c.inFlight, level, store)
-	}
-	first := func(reserved bool) (n int) {
-		r := newHarness(t, singleGateway)
-		for ; n < 5000; n++ {
-			acts := r.handle(Request{ID: fmt.Sprint(n), Class: "get", Plan: "wide", Customer: "y", Units: 0.1,
-				Deadline: r.now + 2*time.Second, GatewayCount: 1, Reserved: reserved})
-			if f := actionsOf[Reject](acts); len(f) > 0 {
-				if f[0].Reason != ReasonLoadShed {
-					t.Errorf("refused as %s", f[0].Reason)
-				}
-				return n
-			}
-		}
-		return n
-	}
-	if with, without := first(true), first(false); with <= without {
-		t.Errorf("shed after %d reserved and %d other calls, want more of the reserved", with, without)
-	}
-}
-
 // TestOverspendWhileTermsSpread tells gateways of a smaller plan one after another, or one half of a fleet that is split
 // and the other once it has healed, while more is asked for than either plan gives. What passes beyond the new plan
 // stays within the stated bound: the difference of the bursts, and of the rates for as long as the news takes, both shared
--- a/decide/cold_test.go
+++ b/decide/slowstart_test.go
@@ -8,6 +8,31 @@
 	"time"
 )
 
+func TestSlowStart(t *testing.T) {
+	r := newHarness(t, nil)
+	run := func(d time.Duration) map[string]int {
+		n := map[string]int{}
+		for end := r.now + d; r.now < end; r.now += 20 * ms {
+			id, s := r.mustSend("get", "wide")
+			n[s.Server]++
+			r.now += 5 * ms
+			r.endAttempt(id, 0, s.Server, OutcomeOK)
+		}
+		return n
+	}
+	run(10 * time.Second)
+	r.handle(EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: "s1", Zone: "a", StartedAt: r.now - ms}}})
+	n := run(time.Second)
+	warm := float64(n["s2"]+n["s3"]) / 2
+	if most := slowStartMargin * 2 * 0.3 * warm * 1.2; float64(n["s1"]) > most+1 {
+		t.Errorf("cold server got %d in its first second, want %v at most", n["s1"], most)
+	}
+	run(10 * time.Second)
+	if n = run(2 * time.Second); n["s1"] < n["s2"]/2 {
+		t.Errorf("warm again, the server gets %d of %v", n["s1"], n)
+	}
+}
+
 // TestColdServerOverAllGateways: of 300 gateways with two and a half requests a second each, all together send a
 // server that starts a trickle: some of what a warm one gets, less than the rule allows, and not one request each.
 func TestColdServerOverAllGateways(t *testing.T) {
--- a/decide/alone_test.go
+++ b/decide/usagereport_test.go
@@ -2,11 +2,25 @@
 
 import (
 	"fmt"
+	"math"
 	"math/rand"
 	"testing"
 	"time"
 )
 
+func TestMeterDecidesThePartWherePeersAreSilent(t *testing.T) {
+	for metered, want := range map[int]float64{1 + 100: 0.9, 1 + 1000: 1.0 / 3, 0: 1.0 / 3} {
+		r := newHarness(t, nil)
+		id, s := r.mustSend("get", "wide")
+		r.handle(AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: ms, RequestDone: true, ReportedUsage: metered})
+		c := r.g.customers.byKey[hashKey("c")]
+		r.g.charge(c, 1800) // 900 units a second over the memory, of a rate of 1000
+		if r.g.refresh(c); math.Abs(c.bucket.share-want) > 0.01 {
+			t.Errorf("told %d: part is %v, want %v", metered, c.bucket.share, want)
+		}
+	}
+}
+
 // TestQuotasWhereGatewaysHearNothingOfEachOther plays eighty gateways without messages. Customers ask at random ones; the
 // meter tells with each answer what a customer used of its quota in the last whole second. A cap of two attempts out is
 // shared by gateways each of which could let one pass, and a mark of a few units by gateways each of which has a bucket.
@@ -100,10 +114,3 @@
 		}
 	}
 }
-
-func poisson(rng *rand.Rand, mean float64) (n int) {
-	for p := rng.ExpFloat64(); p < mean; p += rng.ExpFloat64() {
-		n++
-	}
-	return n
-}
