--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -7,152 +7,162 @@
 )
 
 func TestNoServer(t *testing.T) {
-	r := newHarness(t, nil, []Server{}...)
-	r.handle(EndpointUpdate{Kind: FullUpdate})
-	if _, acts := r.request("get", "wide", "c", 1); len(actionsOf[Reject](acts)) != 1 {
-		t.Errorf("without servers: got %#v, want Refuse", acts)
+	h := newHarness(t, nil, []Server{}...)
+	h.handle(EndpointUpdate{Kind: FullUpdate})
+	if _, acts := h.request("get", "wide", "c", 1); len(actionsOf[Reject](acts)) != 1 {
+		t.Errorf("without servers: got %#v, want Reject", acts)
 	}
 }
 
-func TestGhostsCloseTheCap(t *testing.T) {
-	r := newHarness(t, nil)
+// Attempts that were cancelled may still run at their servers. If they counted for nothing, a jammed server would be
+// sent more and more.
+func TestOrphansCountAsLoad(t *testing.T) {
+	h := newHarness(t, nil)
 	for i := 0; i < 6; i++ {
-		id, acts := r.request("get", "wide", "c", 1)
+		id, acts := h.request("get", "wide", "c", 1)
 		if s := actionsOf[Send](acts); len(s) == 1 {
-			r.endAttempt(id, 0, s[0].Server, OutcomeCancelled)
+			h.endAttempt(id, 0, s[0].Server, OutcomeCancelled)
 		}
 	}
-	if _, acts := r.request("get", "wide", "c", 1); len(actionsOf[Reject](acts)) != 1 {
-		t.Errorf("sent on to servers that still work on what nobody waits for: %#v", acts)
+	if _, acts := h.request("get", "wide", "c", 1); len(actionsOf[Reject](acts)) != 1 {
+		t.Errorf("forwarded to servers that still run what nobody waits for: %#v", acts)
 	}
-	r.now += r.g.timesObjective(orphanLifetime) + time.Second
-	r.mustSend("get", "wide")
+	h.now += h.g.timesObjective(orphanLifetime) + time.Second
+	h.mustSend("get", "wide")
 }
 
-// TestToldOpenWorkSheds: a gateway with nothing out that is told of much open work for the answers that come lets
-// in less, before it has met the jam itself. It opens again when told of little, and by itself when nobody tells.
-func TestToldOpenWorkSheds(t *testing.T) {
-	j := newCluster(t, 300, nil)
-	g := j.gateways[3]
-	told := func(open, done float64) {
+// TestReportedLoadSheds: a gateway with nothing in flight, to which others report much work for the responses that
+// come, sheds before it has met the jam itself. It admits again when they report little, and by itself when none
+// reports any more.
+func TestReportedLoadSheds(t *testing.T) {
+	fleet := newCluster(t, 300, nil)
+	g := fleet.gateways[3]
+	report := func(inFlight, responseRate float64) {
 		for i := 0; i < 40; i++ {
-			w := grantMessage{kind: grantRelease, key: 1, planNo: 0, figureCount: 1, inFlight: open, responseRate: done}
-			g.Handle(j.now, GossipReceived{From: 9, Text: w.encode()})
+			w := grantMessage{kind: grantRelease, key: 1, planNo: 0, figureCount: 1, inFlight: inFlight,
+				responseRate: responseRate}
+			g.Handle(fleet.now, GossipReceived{From: 9, Text: w.encode()})
 		}
 	}
 	total := 0
-	asked := func() (n int) {
+	admitted := func() (n int) {
 		for i := 0; i < 100; i++ {
 			total++
 			id := fmt.Sprint("r", total)
-			n += len(actionsOf[SendGossip](g.Handle(j.now, Request{ID: id, Class: "get", Plan: "wide", Customer: id, Units: 1,
-				Deadline: j.now + time.Second, GatewayCount: 300})))
+			n += len(actionsOf[SendGossip](g.Handle(fleet.now,
+				Request{ID: id, Class: "get", Plan: "wide", Customer: id, Units: 1,
+					Deadline: fleet.now + time.Second, GatewayCount: 300})))
 		}
 		return n
 	}
-	told(5, 2)
-	if n := asked(); n > 0 {
-		t.Errorf("%d of 100 asked for when told of a jam, want none", n)
+	report(5, 2)
+	if n := admitted(); n > 0 {
+		t.Errorf("%d of 100 not shed when a jam is reported, want none", n)
 	}
-	told(0, 2)
-	if n := asked(); n < 90 {
-		t.Errorf("%d of 100 asked for when told that it is over, want 90 or more", n)
+	report(0, 2)
+	if n := admitted(); n < 90 {
+		t.Errorf("%d of 100 not shed when its end is reported, want 90 or more", n)
 	}
-	told(5, 2)
-	for i := 0; i < 300; i++ { // long, as two servers for 300 gateways bear little
-		j.now += ownerHeartbeatInterval
-		g.Handle(j.now, TimerFired{heartbeatToken})
+	report(5, 2)
+	for i := 0; i < 300; i++ { // long, as 300 gateways have but two servers
+		fleet.now += ownerHeartbeatInterval
+		g.Handle(fleet.now, TimerFired{heartbeatToken})
 	}
-	if n := asked(); n < 90 {
-		t.Errorf("%d of 100 asked for after 30 s without a word, want 90 or more", n)
+	if n := admitted(); n < 90 {
+		t.Errorf("%d of 100 not shed after 30 s without a report, want 90 or more", n)
 	}
 }
 
-// On a site whose aims are a third of those that times in milliseconds were chosen for, refused customers were told
-// to come back
-// when their aim was nearly over, and ghosts filled the cap: half of all refusals were at idle servers.
-func TestTimesFollowTheAims(t *testing.T) {
+// With times in milliseconds, a deployment with short objectives had its rejected clients come back when their
+// objective was nearly over, and orphans kept idle servers closed. Times of a request follow the objectives.
+func TestTimesFollowTheLatencyObjectives(t *testing.T) {
 	for _, by := range []float64{0.2, 0.35, 1, 2} {
-		r := newScaledHarness(t, by)
-		aim := time.Duration(by * float64(time.Second))
-		id, s := r.mustSend("get", "wide")
-		r.endAttempt(id, 0, s.Server, OutcomeCancelled)
-		node := r.g.endpoints.byID[s.Server]
-		if len(node.orphans) != 1 {
-			t.Fatalf("aims times %g: no ghost of an attempt that was called off", by)
+		h := newScaledHarness(t, by)
+		objective := time.Duration(by * float64(time.Second))
+		id, s := h.mustSend("get", "wide")
+		h.endAttempt(id, 0, s.Server, OutcomeCancelled)
+		server := h.g.endpoints.byID[s.Server]
+		if len(server.orphans) != 1 {
+			t.Fatalf("objectives times %g: no orphan of an attempt that was cancelled", by)
 		}
-		r.now += 4 * aim
-		r.handle(TimerFired{heartbeatToken})
-		if r.g.endpoints.outstanding(node, r.g.now); len(node.orphans) != 0 {
-			t.Errorf("aims times %g: a ghost is load 4 aims after its attempt was sent", by)
+		h.now += 4 * objective
+		h.handle(TimerFired{heartbeatToken})
+		if h.g.endpoints.outstanding(server, h.g.now); len(server.orphans) != 0 {
+			t.Errorf("objectives times %g: an orphan is load 4 objectives after its attempt was sent", by)
 		}
-		var advice time.Duration
+		var retryAfter time.Duration
 		for range 200 {
-			_, acts := r.request("get", "small", "greedy", 1)
+			_, acts := h.request("get", "small", "greedy", 1)
 			for _, a := range actionsOf[Reject](acts) {
-				advice = a.RetryAfter
+				retryAfter = a.RetryAfter
 			}
 		}
-		if advice <= 0 || advice > aim/2 {
-			t.Errorf("aims times %g: refused ones come back after %v, want time left for an answer within %v", by, advice, aim)
+		if retryAfter <= 0 || retryAfter > objective/2 {
+			t.Errorf("objectives times %g: Retry-After is %v, want time left for a response within %v", by, retryAfter,
+				objective)
 		}
 	}
 }
 
-// A repeat that waited for its aim elsewhere was served too late all the same: 5 % of all tries, on their customers' quotas.
-func TestARepeatIsAsOldAsItsFirstTry(t *testing.T) {
+// A retry that had waited elsewhere for most of its objective was served too late, on its customer's quota. It is
+// as old as the first request of its client.
+func TestRetryIsAsOldAsItsFirstRequest(t *testing.T) {
 	for _, c := range []struct {
-		left        time.Duration // of 4 s for all tries; first tries come with 3.5 s and want an answer within 1 s
-		again, sent bool
+		// of 4 s for all requests; first ones come with 3.5 s and have an objective of 1 s
+		left             time.Duration
+		retry, forwarded bool
 	}{
 		{3500 * ms, false, true}, {3500 * ms, true, true}, {3490 * ms, true, true}, // a little less says nothing
 		{3400 * ms, true, true}, {3300 * ms, true, true}, {2990 * ms, true, false}, {1000 * ms, true, false},
-		{1000 * ms, false, true}, // a first try of an impatient client
+		{1000 * ms, false, true}, // a first request of an impatient client
 	} {
-		r := newHarness(t, nil)
-		ask := func(left time.Duration, again bool) []Action {
-			r.n++
-			return r.handle(Request{ID: fmt.Sprint("q", r.n), Class: "get", Plan: "wide", Customer: "c", Units: 1, Deadline: r.now + left,
-				GatewayCount: 3, IsRetry: again})
+		h := newHarness(t, nil)
+		request := func(left time.Duration, retry bool) []Action {
+			h.n++
+			return h.handle(Request{ID: fmt.Sprint("q", h.n), Class: "get", Plan: "wide", Customer: "c", Units: 1,
+				Deadline:     h.now + left,
+				GatewayCount: 3, IsRetry: retry})
 		}
-		ask(3500*ms, false)
-		level := r.g.customers.byKey[hashKey("c")].bucket.level
-		acts := ask(c.left, c.again)
-		if got := len(actionsOf[Send](acts)) > 0; got != c.sent {
-			t.Errorf("%v left, a repeat %v: sent on %v, want %v", c.left, c.again, got, c.sent)
+		request(3500*ms, false)
+		level := h.g.customers.byKey[hashKey("c")].bucket.level
+		acts := request(c.left, c.retry)
+		if got := len(actionsOf[Send](acts)) > 0; got != c.forwarded {
+			t.Errorf("%v left, a retry %t: forwarded %t, want %t", c.left, c.retry, got, c.forwarded)
 		}
 		for _, s := range actionsOf[Send](acts) {
-			if most := r.g.classes.byName["get"].LatencyObjective - (4*time.Second - c.left); c.again && c.left < 3480*ms && s.Timeout > most {
-				t.Errorf("%v left, a repeat: waits %v for an answer, want %v at most", c.left, s.Timeout, most)
+			if most := h.g.classes.byName["get"].LatencyObjective - (4*time.Second - c.left); c.retry &&
+				c.left < 3480*ms && s.Timeout > most {
+				t.Errorf("%v left, a retry: waits %v for a response, want %v at most", c.left, s.Timeout, most)
 			}
 		}
-		if !c.sent && r.g.customers.byKey[hashKey("c")].bucket.level != level {
-			t.Errorf("%v left, a repeat: it was refused and charged", c.left)
+		if !c.forwarded && h.g.customers.byKey[hashKey("c")].bucket.level != level {
+			t.Errorf("%v left, a retry: it was rejected and charged", c.left)
 		}
 	}
 }
 
-// TestAgeAfterStandingStill: a gateway that stood still finds all requests at once. Those too old for their aim are
-// refused, each at once, the others sent on; and the late answers it finds don't count against their servers.
-func TestAgeAfterStandingStill(t *testing.T) {
-	r := newHarness(t, func(c *Config) { c.Limits.Gossip = false })
-	r.serve("get", "wide", "c", 1) // comes with two seconds
-	id, s := r.mustSend("get", "wide")
-	slow := r.g.endpoints.byID[s.Server].health.slowness
+// TestRequestAgeAfterAStall: a gateway finds all requests of a stall at once. Those too old for their objective are
+// rejected, each at once, the others forwarded. The late responses it finds do not count against their servers.
+func TestRequestAgeAfterAStall(t *testing.T) {
+	h := newHarness(t, func(c *Config) { c.Limits.Gossip = false })
+	h.serve("get", "wide", "c", 1) // comes with two seconds
+	id, s := h.mustSend("get", "wide")
+	slow := h.g.endpoints.byID[s.Server].health.slowness
 	for i := 0; i < 3; i++ {
-		r.now += r.g.heartbeatInterval()
-		r.handle(TimerFired{heartbeatToken})
+		h.now += h.g.heartbeatInterval()
+		h.handle(TimerFired{heartbeatToken})
 	}
-	r.now += 2*r.g.heartbeatInterval() + 1500*ms
-	r.handle(AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: 1600 * ms, RequestDone: true})
-	if got := r.g.endpoints.byID[s.Server].health.slowness; got != slow {
-		t.Errorf("a late answer found after standing still raised the server's slowness from %v to %v", slow, got)
+	h.now += 2*h.g.heartbeatInterval() + 1500*ms
+	h.handle(AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: 1600 * ms, RequestDone: true})
+	if got := h.g.endpoints.byID[s.Server].health.slowness; got != slow {
+		t.Errorf("a late response found after a stall raised the server's slowness from %v to %v", slow, got)
 	}
 	for _, left := range []time.Duration{900 * ms, 1100 * ms, 1900 * ms} {
-		acts := r.handle(Request{ID: left.String(), Class: "get", Plan: "wide", Customer: "c", Units: 1,
-			Deadline: r.now + left, GatewayCount: 3})
-		if sent, want := len(actionsOf[Send](acts)), boolToInt(left > time.Second); sent != want || len(actionsOf[Reject](acts)) != 1-want {
-			t.Errorf("with %v of 2 s left: sent %d, want %d, else a refusal: %v", left, sent, want, acts)
+		acts := h.handle(Request{ID: left.String(), Class: "get", Plan: "wide", Customer: "c", Units: 1,
+			Deadline: h.now + left, GatewayCount: 3})
+		if sent, want := len(actionsOf[Send](acts)), boolToInt(left > time.Second); sent != want ||
+			len(actionsOf[Reject](acts)) != 1-want {
+			t.Errorf("with %v of 2 s left: forwarded %d, want %d, else a rejection: %v", left, sent, want, acts)
 		}
 	}
 }
--- a/decide/cluster_test.go
+++ b/decide/cluster_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// joined is a few gateways whose messages reach each other late, some never, in an order that a seed decides.
+// cluster is a fleet of gateways whose datagrams arrive late, some never, in an order that a seed decides.
 type cluster struct {
 	t           *testing.T
 	cfg         Config
@@ -15,15 +15,15 @@
 	rng         *rand.Rand
 	now         time.Duration
 	pending     []delivery
-	received    []int // messages that each gateway was sent
-	used        float64
-	refused     int
-	inFlight    map[string]float64
+	received    []int              // datagrams sent to each gateway
+	used        float64            // units of the forwarded requests
+	units       map[string]float64 // by request ID
 	loss        float64
 	down        map[int]bool
-	partitioned func(a, b int) bool // they don't hear each other
+	partitioned func(a, b int) bool // reports whether two gateways are cut off from each other
 }
 
+// delivery is an event that is to reach a gateway.
 type delivery struct {
 	at time.Duration
 	to int
@@ -32,28 +32,30 @@
 
 func newCluster(t *testing.T, n int, edit func(*Config)) *cluster {
 	t.Helper()
-	j := &cluster{t: t, cfg: testConfig(), rng: rand.New(rand.NewSource(5)), now: time.Hour, gateways: make([]*Gateway, n),
-		received: make([]int, n), inFlight: map[string]float64{}, loss: 0.05, down: map[int]bool{}}
-	j.cfg.Gateways = n
+	fleet := &cluster{t: t, cfg: testConfig(), rng: rand.New(rand.NewSource(5)), now: time.Hour,
+		gateways: make([]*Gateway, n),
+		received: make([]int, n), units: map[string]float64{}, loss: 0.05, down: map[int]bool{}}
+	fleet.cfg.Gateways = n
 	if edit != nil {
-		edit(&j.cfg)
+		edit(&fleet.cfg)
 	}
-	for i := range j.gateways {
-		j.start(i)
+	for i := range fleet.gateways {
+		fleet.start(i)
 	}
-	return j
+	return fleet
 }
 
-func (j *cluster) start(i int) {
-	cfg := j.cfg
+// start starts a gateway, or starts it again with no memory and nothing under way to it.
+func (c *cluster) start(i int) {
+	cfg := c.cfg
 	cfg.Rank = i
-	g, err := New(cfg, j.rng.Int63())
+	g, err := New(cfg, c.rng.Int63())
 	if err != nil {
-		j.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	j.gateways[i] = g
-	j.pending = filterDeliveries(j.pending, func(l delivery) bool { return l.to != i })
-	j.handle(i, EndpointUpdate{Kind: StaleUpdate, Servers: []Server{{ID: "s1", Zone: "a"}, {ID: "s2", Zone: "a"}}})
+	c.gateways[i] = g
+	c.pending = filterDeliveries(c.pending, func(l delivery) bool { return l.to != i })
+	c.handle(i, EndpointUpdate{Kind: StaleUpdate, Servers: []Server{{ID: "s1", Zone: "a"}, {ID: "s2", Zone: "a"}}})
 }
 
 func filterDeliveries(ls []delivery, want func(delivery) bool) (out []delivery) {
@@ -65,47 +67,47 @@
 	return out
 }
 
-func (j *cluster) handle(i int, ev Event) {
-	for _, a := range j.gateways[i].Handle(j.now, ev) {
+// handle hands an event to a gateway and carries out its actions.
+func (c *cluster) handle(i int, ev Event) {
+	for _, a := range c.gateways[i].Handle(c.now, ev) {
 		switch a := a.(type) {
 		case SendGossip:
-			j.received[a.To]++
-			if j.rng.Float64() >= j.loss && !j.down[a.To] && (j.partitioned == nil || !j.partitioned(i, a.To)) {
-				late := time.Duration(2+j.rng.Intn(16)) * ms
-				j.pending = append(j.pending, delivery{at: j.now + late, to: a.To, ev: GossipReceived{i, a.Text}})
+			c.received[a.To]++
+			if c.rng.Float64() >= c.loss && !c.down[a.To] && (c.partitioned == nil || !c.partitioned(i, a.To)) {
+				late := time.Duration(2+c.rng.Intn(16)) * ms
+				c.pending = append(c.pending, delivery{at: c.now + late, to: a.To, ev: GossipReceived{i, a.Text}})
 			}
 		case SetTimer:
-			j.pending = append(j.pending, delivery{at: a.At, to: i, ev: TimerFired{a.Token}})
+			c.pending = append(c.pending, delivery{at: a.At, to: i, ev: TimerFired{a.Token}})
 		case Send:
-			j.used += j.inFlight[a.ID]
-			j.pending = append(j.pending, delivery{at: j.now + 30*ms, to: i, ev: AttemptEnded{ID: a.ID, Server: a.Server,
+			c.used += c.units[a.ID]
+			c.pending = append(c.pending, delivery{at: c.now + 30*ms, to: i, ev: AttemptEnded{ID: a.ID,
+				Server:  a.Server,
 				Outcome: OutcomeOK, Duration: 30 * ms, RequestDone: true}})
-		case Reject:
-			j.refused++
 		}
 	}
 }
 
-// run plays on to a time, with a request asked for every gap at a gateway that pick names.
-func (j *cluster) run(d, gap time.Duration, plan string, units float64, pick func(n int) int) {
-	for end, n := j.now+d, 0; j.now < end; n++ {
-		if i := pick(n); !j.down[i] {
-			id := fmt.Sprint(j.now, "-", n)
-			j.inFlight[id] = units
-			j.handle(i, Request{ID: id, Class: "get", Plan: plan, Customer: "x", Units: units,
-				Deadline: j.now + 2*time.Second, GatewayCount: len(j.gateways)})
+// run lets a time pass, with one request after each gap at the gateway that pick names.
+func (c *cluster) run(d, gap time.Duration, plan string, units float64, pick func(n int) int) {
+	for end, n := c.now+d, 0; c.now < end; n++ {
+		if i := pick(n); !c.down[i] {
+			id := fmt.Sprint(c.now, "-", n)
+			c.units[id] = units
+			c.handle(i, Request{ID: id, Class: "get", Plan: plan, Customer: "x", Units: units,
+				Deadline: c.now + 2*time.Second, GatewayCount: len(c.gateways)})
 		}
-		for next := j.now + gap; j.now < next; j.now += 4 * ms {
+		for next := c.now + gap; c.now < next; c.now += 4 * ms {
 			var ready []delivery
-			j.pending = filterDeliveries(j.pending, func(l delivery) bool {
-				if l.at <= j.now {
+			c.pending = filterDeliveries(c.pending, func(l delivery) bool {
+				if l.at <= c.now {
 					ready = append(ready, l)
 				}
-				return l.at > j.now
+				return l.at > c.now
 			})
 			for _, l := range ready {
-				if !j.down[l.to] {
-					j.handle(l.to, l.ev)
+				if !c.down[l.to] {
+					c.handle(l.to, l.ev)
 				}
 			}
 		}
--- a/decide/endpoints_test.go
+++ b/decide/endpoints_test.go
@@ -5,42 +5,43 @@
 	"testing"
 )
 
-func TestDrains(t *testing.T) {
-	r := newHarness(t, nil)
-	r.handle(EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: "s1", State: Draining}}})
-	r.handle(EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: "s2", State: Removed}}})
+func TestDrainingServers(t *testing.T) {
+	h := newHarness(t, nil)
+	h.handle(EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: "s1", State: Draining}}})
+	h.handle(EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: "s2", State: Removed}}})
 	for i := 0; i < 8; i++ {
-		if _, s := r.mustSend("get", "wide"); s.Server != "s3" {
+		if _, s := h.mustSend("get", "wide"); s.Server != "s3" {
 			t.Fatalf("sent to %s, want s3", s.Server)
 		}
-		r.endAttempt(fmt.Sprint("q", r.n), 0, "s3", OutcomeOK)
+		h.endAttempt(fmt.Sprint("q", h.n), 0, "s3", OutcomeOK)
 	}
-	r.handle(EndpointUpdate{Kind: FullUpdate, Servers: []Server{{ID: "s2"}}})
-	if _, s := r.mustSend("get", "wide"); s.Server != "s2" {
+	h.handle(EndpointUpdate{Kind: FullUpdate, Servers: []Server{{ID: "s2"}}})
+	if _, s := h.mustSend("get", "wide"); s.Server != "s2" {
 		t.Errorf("sent to %s, which a full list left out, want s2", s.Server)
 	}
-	r.handle(EndpointUpdate{Kind: FailedUpdate})
-	if _, acts := r.request("get", "wide", "c", 1); len(actionsOf[Send](acts)) != 1 {
-		t.Errorf("a failed list call lost the former list: %#v", acts)
+	h.handle(EndpointUpdate{Kind: FailedUpdate})
+	if _, acts := h.request("get", "wide", "c", 1); len(actionsOf[Send](acts)) != 1 {
+		t.Errorf("a failed discovery lost the former list: %#v", acts)
 	}
 }
 
-// On a day on which all servers are replaced again and again nothing of those that have gone stays.
-func TestServersThatHaveGoneAreForgotten(t *testing.T) {
-	r := newHarness(t, nil)
-	id, s := r.mustSend("get", "wide")
+// Where servers are replaced all day by ones of new names, the removed ones would else be kept for good.
+func TestRemovedServersAreDropped(t *testing.T) {
+	h := newHarness(t, nil)
+	id, s := h.mustSend("get", "wide")
 	for i := range 1000 {
-		r.now += 100 * ms
-		r.handle(EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: fmt.Sprint("new", i), Zone: "a"}, {ID: fmt.Sprint("new", i-1), State: Removed},
+		h.now += 100 * ms
+		h.handle(EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: fmt.Sprint("new", i), Zone: "a"},
+			{ID: fmt.Sprint("new", i-1), State: Removed},
 			{ID: "s1", State: Removed}, {ID: "s2", State: Removed}, {ID: "s3", State: Removed}}})
-		r.handle(TimerFired{heartbeatToken})
+		h.handle(TimerFired{heartbeatToken})
 	}
-	if n := len(r.g.endpoints.sorted); n != 2 || len(r.g.endpoints.byID) != 2 || len(r.g.endpoints.byShortID) != 2 {
-		t.Errorf("%d servers are kept, want the one that is listed and the one that still holds an attempt", n)
+	if n := len(h.g.endpoints.sorted); n != 2 || len(h.g.endpoints.byID) != 2 || len(h.g.endpoints.byShortID) != 2 {
+		t.Errorf("%d servers are kept, want the one that is listed and the one with an attempt in flight", n)
 	}
-	r.endAttempt(id, 0, s.Server, OutcomeOK)
-	r.handle(TimerFired{heartbeatToken})
-	if n := len(r.g.endpoints.sorted); n != 1 {
+	h.endAttempt(id, 0, s.Server, OutcomeOK)
+	h.handle(TimerFired{heartbeatToken})
+	if n := len(h.g.endpoints.sorted); n != 1 {
 		t.Errorf("%d servers are kept, want 1", n)
 	}
 }
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -7,14 +7,16 @@
 	"winghatch/decide"
 )
 
-// A gateway is told what happens and says what to do; the caller does it.
+// A gateway is handed what happened and returns what is to be done; the caller does it.
 func Example() {
 	cfg := decide.Config{
 		Gateways: 1,
-		Classes:  []decide.Class{{Name: "read", Idempotency: decide.Idempotent, LatencyObjective: time.Second, Deadline: 4 * time.Second, PriorityWeight: 1}},
-		Plans:    []decide.Plan{{Name: "basic", Rate: 5, Burst: 20, PriorityWeight: 1}},
-		Limits:   decide.Limits{MaxAttempts: 3},
-		Safety:   decide.Safety{SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 2, OverloadWindow: time.Second},
+		Classes: []decide.Class{{Name: "read", Idempotency: decide.Idempotent, LatencyObjective: time.Second,
+			Deadline: 4 * time.Second, PriorityWeight: 1}},
+		Plans:  []decide.Plan{{Name: "basic", Rate: 5, Burst: 20, PriorityWeight: 1}},
+		Limits: decide.Limits{MaxAttempts: 3},
+		Safety: decide.Safety{SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 2,
+			OverloadWindow: time.Second},
 	}
 	g, err := decide.New(cfg, 1)
 	if err != nil {
@@ -29,10 +31,10 @@
 		case decide.Send:
 			fmt.Println("send", a.ID, "to", a.Server)
 		case decide.Reject:
-			fmt.Println("refuse", a.ID)
+			fmt.Println("reject", a.ID)
 		}
 	}
-	// Tell the gateway how the attempt ended; Done says that its answer went to the client.
+	// Report how the attempt ended; RequestDone says that its response is the final answer.
 	g.Handle(now+20*time.Millisecond, decide.AttemptEnded{ID: "r1", Server: "10.0.0.1:80", Outcome: decide.OutcomeOK,
 		Duration: 20 * time.Millisecond, RequestDone: true})
 	// Output: send r1 to 10.0.0.1:80
--- a/decide/gateway_test.go
+++ b/decide/gateway_test.go
@@ -9,25 +9,26 @@
 )
 
 func TestBadInput(t *testing.T) {
-	r := newHarness(t, nil)
+	h := newHarness(t, nil)
 	for _, e := range []Request{{ID: "a", Class: "none", Plan: "wide"}, {ID: "b", Class: "get", Plan: "none"}} {
-		if acts := r.handle(e); len(actionsOf[Reject](acts)) != 1 {
-			t.Errorf("%#v: got %#v, want Refuse", e, acts)
+		if acts := h.handle(e); len(actionsOf[Reject](acts)) != 1 {
+			t.Errorf("%#v: got %#v, want Reject", e, acts)
 		}
 	}
 	for _, e := range []Event{AttemptEnded{ID: "zz", Outcome: OutcomeOK}, ClientDisconnected{"zz"}, TimerFired{1 << 60},
-		ResponseStarted{ID: "zz"}, HealthCheckEnded{Server: "zz"}, CounterUpdated{Name: 4}, AttemptEnded{ID: "zz", Attempt: -1}} {
-		if acts := r.handle(e); len(acts) != 0 {
+		ResponseStarted{ID: "zz"}, HealthCheckEnded{Server: "zz"}, CounterUpdated{Name: 4},
+		AttemptEnded{ID: "zz", Attempt: -1}} {
+		if acts := h.handle(e); len(acts) != 0 {
 			t.Errorf("%#v: got %#v, want nothing", e, acts)
 		}
 	}
-	id, s := r.mustSend("get", "wide")
-	r.handle(ClientDisconnected{id})
-	if acts := r.endAttempt(id, 0, s.Server, OutcomeTimedOut); len(acts) != 0 {
+	id, s := h.mustSend("get", "wide")
+	h.handle(ClientDisconnected{id})
+	if acts := h.endAttempt(id, 0, s.Server, OutcomeTimedOut); len(acts) != 0 {
 		t.Errorf("answered a request whose client is gone: %#v", acts)
 	}
-	if acts := r.endAttempt(id, 0, s.Server, OutcomeTimedOut); len(acts) != 0 {
-		t.Errorf("answered an outcome told twice: %#v", acts)
+	if acts := h.endAttempt(id, 0, s.Server, OutcomeTimedOut); len(acts) != 0 {
+		t.Errorf("answered an outcome that came twice: %#v", acts)
 	}
 }
 
@@ -40,24 +41,25 @@
 	}
 }
 
-// TestRulesUnderRandomEvents checks the five rules over long random legal events.
+// TestRulesUnderRandomEvents checks the rules that always hold over long random events.
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := int64(10); seed < 30; seed++ {
 		playRandom(t, seed)
 	}
 }
 
+// trackedRequest is what playRandom knows of a request.
 type trackedRequest struct {
 	req      Request
 	class    Class
 	attempts []Send
 	at       []time.Duration
-	out      map[int]bool
+	inFlight map[int]bool
 	mayRun   map[int]bool
 	done     bool
 }
 
-// playRandom plays the servers, the clients, the list and a peer at random, and checks each action.
+// playRandom plays servers, clients, discovery and a peer at random, and checks each action.
 func playRandom(t *testing.T, seed int64) (log []Action) {
 	t.Helper()
 	rnd := rand.New(rand.NewSource(seed))
@@ -87,10 +89,10 @@
 				t.Fatalf("seed %d: Send for finished request %s", seed, a.ID)
 			}
 			if state[a.Server] != Serving {
-				t.Fatalf("seed %d: Send to %s, which drains or is gone", seed, a.Server)
+				t.Fatalf("seed %d: Send to %s, which is draining or removed", seed, a.Server)
 			}
-			if len(f.attempts) >= cfg.Limits.MaxAttempts || (!cfg.Limits.Hedging && len(f.out) > 0) {
-				t.Fatalf("seed %d: attempt %d with %d out", seed, len(f.attempts), len(f.out))
+			if len(f.attempts) >= cfg.Limits.MaxAttempts || (!cfg.Limits.Hedging && len(f.inFlight) > 0) {
+				t.Fatalf("seed %d: attempt %d with %d in flight", seed, len(f.attempts), len(f.inFlight))
 			}
 			for n := range f.attempts {
 				if !f.mayRun[n] || f.class.Idempotency == Idempotent {
@@ -109,15 +111,16 @@
 			}
 			n := len(f.attempts)
 			f.attempts, f.at = append(f.attempts, a), append(f.at, now)
-			f.out[n], f.mayRun[n] = true, true
+			f.inFlight[n], f.mayRun[n] = true, true
 		case Reject:
 			f := flights[a.ID]
 			if f.done {
 				t.Fatalf("seed %d: second final answer for %s", seed, a.ID)
 			}
 			for n := range f.attempts {
-				if f.mayRun[n] && (f.class.Idempotency == NotIdempotent || (f.class.Idempotency == IdempotentByKey && f.class.DedupScope != DedupInFleet)) {
-					t.Fatalf("seed %d: refused %s after attempt %d may have run", seed, f.class.Name, n)
+				if f.mayRun[n] && (f.class.Idempotency == NotIdempotent ||
+					(f.class.Idempotency == IdempotentByKey && f.class.DedupScope != DedupInFleet)) {
+					t.Fatalf("seed %d: rejected %s after attempt %d may have run", seed, f.class.Name, n)
 				}
 			}
 			f.done = true
@@ -138,7 +141,7 @@
 	handle(EndpointUpdate{Kind: StaleUpdate, Servers: servers})
 	end := func(id string, n int, o Outcome) {
 		f := flights[id]
-		delete(f.out, n)
+		delete(f.inFlight, n)
 		if o.neverRan() {
 			f.mayRun[n] = false
 		}
@@ -156,7 +159,7 @@
 				Customer: fmt.Sprint("c", rnd.Intn(6)), Units: float64(1 + rnd.Intn(4)),
 				Deadline: now + time.Duration(500+rnd.Intn(1000))*ms, GatewayCount: 3}
 			q.Customer += q.Plan
-			flights[id] = &trackedRequest{req: q, class: c, out: map[int]bool{}, mayRun: map[int]bool{}}
+			flights[id] = &trackedRequest{req: q, class: c, inFlight: map[int]bool{}, mayRun: map[int]bool{}}
 			order = append(order, id)
 			handle(q)
 		case k < 11:
@@ -176,7 +179,7 @@
 		for _, id := range order {
 			f := flights[id]
 			for n := 0; n < len(f.attempts); n++ {
-				if !f.out[n] {
+				if !f.inFlight[n] {
 					continue
 				}
 				if now >= f.at[n]+f.attempts[n].Timeout {
@@ -189,11 +192,12 @@
 				t.Fatalf("seed %d: no final answer for %s", seed, id)
 			}
 		}
-		order = filterIDs(order, func(id string) bool { return !flights[id].done || len(flights[id].out) > 0 })
+		order = filterIDs(order, func(id string) bool { return !flights[id].done || len(flights[id].inFlight) > 0 })
 	}
 	return log
 }
 
+// filterIDs returns the IDs that are wanted.
 func filterIDs(ids []string, want func(string) bool) (out []string) {
 	for _, id := range ids {
 		if want(id) {
@@ -227,7 +231,8 @@
 			g.Handle(now, GossipReceived{From: g.owner(r.customer.key, 0), Text: w.encode()})
 		}
 		if r := g.requests[id]; r != nil && len(r.attempts) > 0 {
-			g.Handle(now, AttemptEnded{ID: id, Server: r.attempts[0].endpoint.ID, Outcome: OutcomeOK, Duration: ms, RequestDone: true})
+			g.Handle(now, AttemptEnded{ID: id, Server: r.attempts[0].endpoint.ID, Outcome: OutcomeOK,
+				Duration: ms, RequestDone: true})
 		}
 	}
 }
--- a/decide/outlier_test.go
+++ b/decide/outlier_test.go
@@ -7,18 +7,18 @@
 )
 
 func TestOutlierEjection(t *testing.T) {
-	r := newHarness(t, nil)
+	h := newHarness(t, nil)
 	fails := 0
 	for i := 0; i < 200; i++ {
-		id, s := r.mustSend("get", "wide")
-		r.now += 20 * ms
+		id, s := h.mustSend("get", "wide")
+		h.now += 20 * ms
 		if s.Server != "s1" {
-			r.endAttempt(id, 0, s.Server, OutcomeOK)
+			h.endAttempt(id, 0, s.Server, OutcomeOK)
 			continue
 		}
 		fails++
-		for _, m := range actionsOf[Send](r.endAttempt(id, 0, "s1", OutcomeError)) {
-			r.endAttempt(id, 1, m.Server, OutcomeOK)
+		for _, m := range actionsOf[Send](h.endAttempt(id, 0, "s1", OutcomeError)) {
+			h.endAttempt(id, 1, m.Server, OutcomeOK)
 		}
 	}
 	if fails > 12 {
@@ -44,57 +44,57 @@
 	}
 }
 
-func TestSilentServerIsLeft(t *testing.T) {
-	r := newHarness(t, nil)
+func TestSilentServerIsAvoided(t *testing.T) {
+	h := newHarness(t, nil)
 	lost := 0
 	for i := 0; i < 200; i++ {
-		id, s := r.mustSend("get", "wide")
-		r.now += 30 * ms
+		id, s := h.mustSend("get", "wide")
+		h.now += 30 * ms
 		if s.Server != "s1" {
-			r.endAttempt(id, 0, s.Server, OutcomeOK)
+			h.endAttempt(id, 0, s.Server, OutcomeOK)
 		} else {
 			lost++
 		}
-		for token, target := range r.g.timers.pending {
-			if a := r.g.findAttempt(target.requestID, target.attempt); a != nil && r.now > a.sentAt+time.Second {
-				r.handle(TimerFired{token})
+		for token, target := range h.g.timers.pending {
+			if a := h.g.findAttempt(target.requestID, target.attempt); a != nil && h.now > a.sentAt+time.Second {
+				h.handle(TimerFired{token})
 			}
 		}
 	}
 	if lost > 40 {
-		t.Errorf("%d of 200 went to a server that never answers", lost)
+		t.Errorf("%d of 200 went to a server that never responds", lost)
 	}
 }
 
 func TestSlownessFades(t *testing.T) {
-	r := newHarness(t, nil)
-	s := r.g.endpoints.sorted[0]
+	h := newHarness(t, nil)
+	s := h.g.endpoints.sorted[0]
 	for i := 0; i < 10; i++ {
-		r.g.observeOwn(s, r.g.classes.byName["get"], 3*time.Second, false)
+		h.g.observeOwn(s, h.g.classes.byName["get"], 3*time.Second, false)
 	}
-	slow := r.g.slowness(s)
-	r.now += time.Minute
-	r.handle(TimerFired{heartbeatToken})
-	if got := r.g.slowness(s); slow < 1.3 || got > 1.1 {
-		t.Errorf("slowness went from %v to %v in a minute without answers, want it to fade to about 1", slow, got)
+	slow := h.g.slowness(s)
+	h.now += time.Minute
+	h.handle(TimerFired{heartbeatToken})
+	if got := h.g.slowness(s); slow < 1.3 || got > 1.1 {
+		t.Errorf("slowness went from %v to %v in a minute without responses, want it to fade to about 1", slow, got)
 	}
 }
 
-// TestClassFailureIsAvoided: told that a server leaves one class, a gateway sends it the others only.
+// TestClassFailureIsAvoided: a server that is known to fail one class gets the others only.
 func TestClassFailureIsAvoided(t *testing.T) {
-	r := newHarness(t, nil)
+	h := newHarness(t, nil)
 	for i := 0; i < 8; i++ {
-		r.g.observe(r.g.endpoints.byID["s1"], r.g.classes.byName["pay"], 5, true)
+		h.g.observe(h.g.endpoints.byID["s1"], h.g.classes.byName["pay"], 5, true)
 	}
 	got := map[string]int{}
 	for i := 0; i < 30; i++ {
 		for _, class := range []string{"pay", "get"} {
-			id, s := r.mustSend(class, "wide")
+			id, s := h.mustSend(class, "wide")
 			got[class+s.Server]++
-			r.endAttempt(id, 0, s.Server, OutcomeOK)
+			h.endAttempt(id, 0, s.Server, OutcomeOK)
 		}
 	}
 	if got["pays1"] > 0 {
-		t.Errorf("sent %d of a class to a server that leaves it: %v", got["pays1"], got)
+		t.Errorf("sent %d of a class to a server that fails it: %v", got["pays1"], got)
 	}
 }
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -9,23 +9,23 @@
 )
 
 func TestSlowStart(t *testing.T) {
-	r := newHarness(t, nil)
+	h := newHarness(t, nil)
 	run := func(d time.Duration) map[string]int {
 		n := map[string]int{}
-		for end := r.now + d; r.now < end; r.now += 20 * ms {
-			id, s := r.mustSend("get", "wide")
+		for end := h.now + d; h.now < end; h.now += 20 * ms {
+			id, s := h.mustSend("get", "wide")
 			n[s.Server]++
-			r.now += 5 * ms
-			r.endAttempt(id, 0, s.Server, OutcomeOK)
+			h.now += 5 * ms
+			h.endAttempt(id, 0, s.Server, OutcomeOK)
 		}
 		return n
 	}
 	run(10 * time.Second)
-	r.handle(EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: "s1", Zone: "a", StartedAt: r.now - ms}}})
+	h.handle(EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: "s1", Zone: "a", StartedAt: h.now - ms}}})
 	n := run(time.Second)
 	warm := float64(n["s2"]+n["s3"]) / 2
 	if most := slowStartMargin * 2 * 0.3 * warm * 1.2; float64(n["s1"]) > most+1 {
-		t.Errorf("cold server got %d in its first second, want %v at most", n["s1"], most)
+		t.Errorf("the server in slow start got %d in its first second, want %v at most", n["s1"], most)
 	}
 	run(10 * time.Second)
 	if n = run(2 * time.Second); n["s1"] < n["s2"]/2 {
@@ -33,15 +33,15 @@
 	}
 }
 
-// TestColdServerOverAllGateways: of 300 gateways with two and a half requests a second each, all together send a
-// server that starts a trickle: some of what a warm one gets, less than the rule allows, and not one request each.
-func TestColdServerOverAllGateways(t *testing.T) {
+// TestSlowStartOverAllGateways: all of 300 gateways with few requests each send a started server a trickle
+// together: some of what a warm one gets, less than the rule allows, and not one request each.
+func TestSlowStartOverAllGateways(t *testing.T) {
 	var servers []Server
 	for i := 0; i < 20; i++ {
 		servers = append(servers, Server{ID: fmt.Sprint("s", i), Zone: "a"})
 	}
 	cfg := testConfig()
-	cfg.Limits.Gossip = false // the quota is no matter here
+	cfg.Limits.Gossip = false // the quota does not matter here
 	cfg.Gateways = 300
 	cold, warm := 0, 0
 	for i := 0; i < cfg.Gateways; i++ {
@@ -55,7 +55,8 @@
 			now := time.Duration(n+1) * 400 * ms
 			g.Handle(now, TimerFired{heartbeatToken})
 			if n == 25 {
-				g.Handle(now, EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: "s0", Zone: "a", StartedAt: now}}})
+				g.Handle(now, EndpointUpdate{Kind: DeltaUpdate,
+					Servers: []Server{{ID: "s0", Zone: "a", StartedAt: now}}})
 			}
 			id := fmt.Sprint(n)
 			for _, s := range actionsOf[Send](g.Handle(now, Request{ID: id, Class: "get", Plan: "wide", Customer: "x",
@@ -65,17 +66,18 @@
 				} else if n >= 25 {
 					warm++
 				}
-				g.Handle(now+50*ms, AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: 50 * ms, RequestDone: true})
+				g.Handle(now+50*ms, AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: 50 * ms,
+					RequestDone: true})
 			}
 		}
 	}
 	usual := float64(warm) / 19
 	if most := cfg.Safety.OverloadMultiple * 0.4 * usual; float64(cold) > most || cold == 0 {
-		t.Errorf("the cold server got %d in 2 s, a warm one %v: want some, %v at most", cold, usual, most)
+		t.Errorf("the server in slow start got %d in 2 s, a warm one %v: want some, %v at most", cold, usual, most)
 	}
 }
 
-// coldFleet is many gateways that send what comes to them, to servers that all answer in time.
+// slowStartFleet is many gateways that forward what comes, to servers that all respond in time.
 type slowStartFleet struct {
 	t        *testing.T
 	cfg      Config
@@ -86,6 +88,7 @@
 	sentTo   map[string]int
 }
 
+// start starts a gateway, or starts it again with no memory.
 func (f *slowStartFleet) start(i int, servers []Server) {
 	f.cfg.Rank = i
 	f.n++
@@ -97,7 +100,7 @@
 	f.gateways[i] = g
 }
 
-// step lets ten milliseconds pass in which requests come at a rate of so many a second, at gateways by chance.
+// step lets ten milliseconds pass in which requests come at that rate a second, at random gateways.
 func (f *slowStartFleet) step(rng *rand.Rand, rate float64) {
 	f.now += 10 * ms
 	for _, do := range f.pending[f.now] {
@@ -112,29 +115,33 @@
 	for range poisson(rng, rate/100) {
 		f.n++
 		id, g := fmt.Sprint(f.n), f.gateways[rng.Intn(len(f.gateways))]
-		for _, s := range actionsOf[Send](g.Handle(f.now, Request{ID: id, Class: "get", Plan: "wide", Customer: id, Units: 1,
-			Deadline: f.now + 2*time.Second, GatewayCount: 1})) {
+		for _, s := range actionsOf[Send](g.Handle(f.now,
+			Request{ID: id, Class: "get", Plan: "wide", Customer: id, Units: 1,
+				Deadline: f.now + 2*time.Second, GatewayCount: 1})) {
 			f.sentTo[s.Server]++
 			f.pending[f.now+50*ms] = append(f.pending[f.now+50*ms], func() {
-				g.Handle(f.now, AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: 50 * ms, RequestDone: true})
+				g.Handle(f.now, AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: 50 * ms,
+					RequestDone: true})
 			})
 		}
 	}
 }
 
-// TestColdServersByTheFleetsSum: whatever the number of gateways, also where each has less than a request for a cold server,
-// under a burst, and where gateways start anew meanwhile, their sum stays within what the settings allow and chance.
-func TestColdServersByTheFleetsSum(t *testing.T) {
+// TestSlowStartBudgetOfTheFleet: whatever the number of gateways, also where each has less than a request for a
+// started server, in a burst, and while gateways restart, their sum stays within what the settings and chance
+// allow.
+func TestSlowStartBudgetOfTheFleet(t *testing.T) {
 	const servers, perServer = 10, 40.0 // requests a second that a warm server takes
 	for _, gateways := range []int{1, 3, 30, 300} {
 		for _, c := range []struct {
 			name           string
-			burst, restart float64 // times the traffic; part of the gateways that start anew a second
+			burst, restart float64 // factor on the traffic; part of the gateways that restart a second
 		}{{"even", 1, 0}, {"burst", 2.4, 0}, {"restarts", 1, 0.3}} {
 			rng := rand.New(rand.NewSource(int64(gateways)))
 			cfg := testConfig()
-			cfg.Limits.Gossip, cfg.Gateways = false, gateways // the quota is no matter here
-			f := &slowStartFleet{t: t, cfg: cfg, gateways: make([]*Gateway, gateways), pending: map[time.Duration][]func(){}, sentTo: map[string]int{}}
+			cfg.Limits.Gossip, cfg.Gateways = false, gateways // the quota does not matter here
+			f := &slowStartFleet{t: t, cfg: cfg, gateways: make([]*Gateway, gateways),
+				pending: map[time.Duration][]func(){}, sentTo: map[string]int{}}
 			var list []Server
 			for i := range servers {
 				list = append(list, Server{ID: fmt.Sprint("s", i), Zone: "a"})
@@ -158,16 +165,19 @@
 						f.start(rng.Intn(gateways), list)
 					}
 				}
-				// A warm server of like size takes what it got before the burst.
-				can := cfg.Safety.SlowStartCapacity + (1-cfg.Safety.SlowStartCapacity)*float64(f.now-began-cfg.Safety.OverloadWindow)/float64(cfg.Safety.SlowStartDuration)
+				// A warm server of the same capacity takes what it got before the burst.
+				safety := &cfg.Safety
+				progress := float64(f.now-began-safety.OverloadWindow) / float64(safety.SlowStartDuration)
+				can := safety.SlowStartCapacity + (1-safety.SlowStartCapacity)*progress
 				n := cfg.Safety.OverloadMultiple * can * perServer * cfg.Safety.OverloadWindow.Seconds()
 				if got := float64(f.sentTo["s0"] - from); got > n+2*math.Sqrt(n)+2 {
-					t.Errorf("%d gateways, %s: the cold server got %.0f within %v at %v, want %.1f and chance at most", gateways, c.name, got,
+					t.Errorf("%d gateways, %s: got %.0f within %v at %v, want %.1f and chance at most",
+						gateways, c.name, got,
 						cfg.Safety.OverloadWindow, f.now-began, n)
 				}
 			}
 			if f.sentTo["s0"] == before {
-				t.Errorf("%d gateways, %s: the cold server got nothing", gateways, c.name)
+				t.Errorf("%d gateways, %s: the server in slow start got nothing", gateways, c.name)
 			}
 		}
 	}
--- a/decide/usagereport_test.go
+++ b/decide/usagereport_test.go
@@ -8,36 +8,38 @@
 	"time"
 )
 
-func TestMeterDecidesThePartWherePeersAreSilent(t *testing.T) {
+func TestUsageReportsDecideTheShareWithoutGossip(t *testing.T) {
 	for metered, want := range map[int]float64{1 + 100: 0.9, 1 + 1000: 1.0 / 3, 0: 1.0 / 3} {
-		r := newHarness(t, nil)
-		id, s := r.mustSend("get", "wide")
-		r.handle(AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: ms, RequestDone: true, ReportedUsage: metered})
-		c := r.g.customers.byKey[hashKey("c")]
-		r.g.charge(c, 1800) // 900 units a second over the memory, of a rate of 1000
-		if r.g.refresh(c); math.Abs(c.bucket.share-want) > 0.01 {
-			t.Errorf("told %d: part is %v, want %v", metered, c.bucket.share, want)
+		h := newHarness(t, nil)
+		id, s := h.mustSend("get", "wide")
+		h.handle(AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: ms, RequestDone: true,
+			ReportedUsage: metered})
+		c := h.g.customers.byKey[hashKey("c")]
+		h.g.charge(c, 1800) // 900 units a second over the memory, of a rate of 1000
+		if h.g.refresh(c); math.Abs(c.bucket.share-want) > 0.01 {
+			t.Errorf("reported %d: share is %v, want %v", metered, c.bucket.share, want)
 		}
 	}
 }
 
-// TestQuotasWhereGatewaysHearNothingOfEachOther plays eighty gateways without messages. Customers ask at random ones; the
-// meter tells with each answer what a customer used of its quota in the last whole second. A cap of two attempts out is
-// shared by gateways each of which could let one pass, and a mark of a few units by gateways each of which has a bucket.
-func TestQuotasWhereGatewaysHearNothingOfEachOther(t *testing.T) {
+// TestQuotasByUsageReportsAlone: eighty gateways exchange no gossip. Customers send to random ones; each response
+// reports what a customer used of its quota in the last whole second. A limit of two attempts in flight is shared
+// by gateways each of which could let one pass, and a mark of a few units by gateways each of which has a bucket.
+func TestQuotasByUsageReportsAlone(t *testing.T) {
 	const gateways, seconds, from = 80, 40, 20
 	for _, c := range []struct {
 		plan       Plan
-		ask        [2]float64 // requests a second of customers that ask for much and for little
-		most, fair float64    // of what is let in: times the quota of those, share of these
+		demand     [2]float64 // requests a second of customers that demand much and little
+		most, fair float64    // of what is admitted: times the quota of the former, part of the latter
 	}{
 		{Plan{Name: "p", MaxInFlight: 2}, [2]float64{30, 1}, 2, 0.35},
 		{Plan{Name: "p", Rate: 4, Burst: 8}, [2]float64{40, 1}, 2, 0.6},
 	} {
 		cfg := testConfig()
-		cfg.Plans, cfg.Limits.Gossip, cfg.Gateways, cfg.UsageReportPeriod, cfg.SettledOnResponse = []Plan{c.plan}, false, gateways, time.Second, false
+		cfg.Plans, cfg.Limits.Gossip, cfg.Gateways = []Plan{c.plan}, false, gateways
+		cfg.UsageReportPeriod, cfg.SettledOnResponse = time.Second, false
 		rng := rand.New(rand.NewSource(3))
-		var gws []*Gateway
+		var fleet []*Gateway
 		for i := range gateways {
 			cfg.Rank = i
 			g, err := New(cfg, int64(i))
@@ -49,68 +51,70 @@
 				servers = append(servers, Server{ID: fmt.Sprint("s", n), Zone: "a"})
 			}
 			g.Handle(0, EndpointUpdate{Kind: FullUpdate, Servers: servers})
-			gws = append(gws, g)
+			fleet = append(fleet, g)
 		}
-		type answer struct {
+		type response struct {
 			g          int
 			id, server string
 			customer   int
 		}
-		const customers, service = 10, 400 * ms // every other one asks for much
-		due := map[time.Duration][]answer{}
-		var out, peak, told, used [customers]float64
-		var asked, let, busy [2]float64
+		const customers, service = 10, 400 * ms // every other one demands much
+		due := map[time.Duration][]response{}
+		var inFlight, peak, reported, used [customers]float64
+		var requested, admitted, busy [2]float64
 		step := 10 * ms
 		for now := step; now < seconds*time.Second; now += step {
 			if now%time.Second == 0 {
 				for i := range customers {
-					if told[i] = 1 + 100*used[i]/max(c.plan.Rate, 1); c.plan.MaxInFlight > 0 {
-						told[i] = 1 + 100*peak[i]/float64(c.plan.MaxInFlight)
+					if reported[i] = 1 + 100*used[i]/max(c.plan.Rate, 1); c.plan.MaxInFlight > 0 {
+						reported[i] = 1 + 100*peak[i]/float64(c.plan.MaxInFlight)
 					}
-					peak[i], used[i] = out[i], 0
+					peak[i], used[i] = inFlight[i], 0
 				}
 			}
 			for _, a := range due[now] {
-				out[a.customer]--
-				gws[a.g].Handle(now, AttemptEnded{ID: a.id, Server: a.server, Outcome: OutcomeOK, Duration: service, RequestDone: true, ReportedUsage: int(told[a.customer])})
+				inFlight[a.customer]--
+				fleet[a.g].Handle(now, AttemptEnded{ID: a.id, Server: a.server, Outcome: OutcomeOK,
+					Duration: service, RequestDone: true, ReportedUsage: int(reported[a.customer])})
 			}
 			delete(due, now)
 			if now%(100*ms) == 0 {
-				for _, g := range gws {
+				for _, g := range fleet {
 					g.Handle(now, TimerFired{heartbeatToken})
 				}
 			}
 			for i := range customers {
-				for range poisson(rng, c.ask[i%2]*step.Seconds()) {
+				for range poisson(rng, c.demand[i%2]*step.Seconds()) {
 					g := rng.Intn(gateways)
 					id := fmt.Sprint(now, i, g, rng.Int())
-					acts := gws[g].Handle(now, Request{ID: id, Class: "get", Plan: "p", Customer: fmt.Sprint("c", i), Units: 1,
+					acts := fleet[g].Handle(now, Request{ID: id, Class: "get", Plan: "p",
+						Customer: fmt.Sprint("c", i), Units: 1,
 						Deadline: now + 2*time.Second, GatewayCount: gateways})
 					late := now >= from*time.Second
-					asked[i%2] += float64(boolToInt(late))
+					requested[i%2] += float64(boolToInt(late))
 					for _, s := range actionsOf[Send](acts) {
-						out[i]++
+						inFlight[i]++
 						used[i]++
-						peak[i] = max(peak[i], out[i])
-						let[i%2] += float64(boolToInt(late))
-						due[now+service] = append(due[now+service], answer{g, id, s.Server, i})
+						peak[i] = max(peak[i], inFlight[i])
+						admitted[i%2] += float64(boolToInt(late))
+						due[now+service] = append(due[now+service], response{g, id, s.Server, i})
 					}
 				}
 				if now >= from*time.Second {
-					busy[i%2] += out[i] * step.Seconds()
+					busy[i%2] += inFlight[i] * step.Seconds()
 				}
 			}
 		}
 		quota := float64(c.plan.MaxInFlight)
 		got := busy[0] / (customers / 2) / (seconds - from)
 		if c.plan.Rate > 0 {
-			quota, got = c.plan.Rate, let[0]/(customers/2)/(seconds-from)
+			quota, got = c.plan.Rate, admitted[0]/(customers/2)/(seconds-from)
 		}
 		if got > c.most*quota || got < 0.4*quota {
-			t.Errorf("%+v: customers that ask for much get %.1f, want %v to %v", c.plan, got, 0.4*quota, c.most*quota)
+			t.Errorf("%+v: customers that demand much get %.1f, want %v to %v", c.plan, got, 0.4*quota, c.most*quota)
 		}
-		if share := let[1] / asked[1]; share < c.fair {
-			t.Errorf("%+v: of customers that ask for little %.2f is let in, want %v", c.plan, share, c.fair)
+		if share := admitted[1] / requested[1]; share < c.fair {
+			t.Errorf("%+v: of customers that demand little %.2f is admitted, want %v", c.plan, share, c.fair)
 		}
 	}
 }
