--- a/decide/customers.go
+++ b/decide/customers.go
@@ -1,7 +1,6 @@
 package decide
 
 import (
-	"math"
 	"slices"
 	"time"
 )
@@ -41,20 +40,17 @@
 // customerTable holds the customers and their plans.
 type customerTable struct {
 	byKey     map[uint64]*customer
-	order     []*customer // in the order in which they were added; the head is looked at next by dropIdle
+	order     []*customer // the head is the next one that dropIdle looks at
 	overrides map[uint64]*planOverride
 
-	planIndex map[string]int
-	// By plan: the usual demand ratio that one recent request of a customer stands for, as a logarithm.
-	logDemandPerRequest []float64
+	planIndex map[string]int // by name
 }
 
 func newCustomerTable(plans []Plan) customerTable {
 	t := customerTable{
-		byKey:               map[uint64]*customer{},
-		overrides:           map[uint64]*planOverride{},
-		planIndex:           map[string]int{},
-		logDemandPerRequest: slices.Repeat([]float64{math.Log(initialDemandPerRequest)}, len(plans)),
+		byKey:     map[uint64]*customer{},
+		overrides: map[uint64]*planOverride{},
+		planIndex: map[string]int{},
 	}
 	for i, p := range plans {
 		t.planIndex[p.Name] = i
--- a/decide/gateway.go
+++ b/decide/gateway.go
@@ -16,6 +16,7 @@
 
 	classes     classTable
 	customers   customerTable
+	planDemand  planDemand
 	endpoints   endpointTable
 	requests    map[string]*request // that have no final answer yet, or an attempt in flight
 	timers      timerTable
@@ -44,6 +45,7 @@
 		rng:         rand.New(rand.NewSource(seed)),
 		classes:     newClassTable(cfg.Classes),
 		customers:   newCustomerTable(cfg.Plans),
+		planDemand:  newPlanDemand(len(cfg.Plans)),
 		requests:    map[string]*request{},
 		timers:      newTimerTable(),
 		retryBudget: retryBudget{tokens: maxRetryBudget},
--- a/decide/status.go
+++ b/decide/status.go
@@ -10,7 +10,7 @@
 	RetryBudget        float64          // further attempts that the retry budget allows
 	LastStall          time.Duration    // of the event loop; 0: there was none
 	Servers            []ServerStatus   // by ID
-	Customers          []CustomerStatus // in the order in which they were first seen
+	Customers          []CustomerStatus // in an order that changes as idle ones are looked for
 	Peers              []PeerStatus     // by rank; empty without full gossip
 	UnresponsiveOwners []int            // ranks of the owners that are not asked for grants now
 }
--- a/decide/usagereport.go
+++ b/decide/usagereport.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"slices"
 	"time"
 )
 
@@ -51,6 +52,14 @@
 	return usage{factor: 1, demandRatioAt: -time.Hour} // never
 }
 
+// planDemand is, by plan, the usual demand ratio that one recent request of a customer stands for, as a
+// logarithm.
+type planDemand []float64
+
+func newPlanDemand(plans int) planDemand {
+	return slices.Repeat(planDemand{math.Log(initialDemandPerRequest)}, plans)
+}
+
 func (u *usage) countRequest(now time.Duration) {
 	u.recentRequests = 1 + u.recentRequests*
 		math.Exp(-(now-u.recentRequestsAt).Seconds()/demandRatioMemory.Seconds())
@@ -71,7 +80,7 @@
 // of these exceed their quota, one that keeps it is rejected too often until it is reported on.
 func (g *Gateway) demandRatio(c *customer) float64 {
 	u := &c.usage
-	usual := u.recentRequests * math.Exp(g.customers.logDemandPerRequest[c.planNo])
+	usual := u.recentRequests * math.Exp(g.planDemand[c.planNo])
 	faded := math.Exp(-(g.now - u.demandRatioAt).Seconds() / demandRatioMemory.Seconds())
 	return usual + (u.demandRatio-usual)*faded
 }
@@ -102,7 +111,7 @@
 	admitted := min(1, 1/last) // part of its requests, in the period of the report
 	u.demandRatio = max(minDemandRatio, last+gain*(percent/100/admitted-last))
 	u.demandRatioAt = g.now
-	usual := &g.customers.logDemandPerRequest[c.planNo]
+	usual := &g.planDemand[c.planNo]
 	perRequest := math.Log(u.demandRatio / u.recentRequests)
 	*usual += planDemandGain * min(1/admitted, maxPlanDemandWeight) * (perRequest - *usual)
 }
