--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,8 @@
-// Command wirehost hosts gateways of package decide on the wire of the bench: batches of events on standard
-// input, one reply a batch on standard output. It translates and decides nothing.
+// Command wirehost hosts gateways of package decide for a simulator. It reads batches of messages from standard
+// input, one JSON object a line, and writes one reply a batch to standard output. It translates messages to
+// events and actions to messages, and decides nothing.
+//
+// It ends when its input does. Input that it can't read ends it with exit code 1 and the line on standard error.
 package main
 
 import (
@@ -17,30 +20,41 @@
 	}
 }
 
-// serve answers batches until the input ends.
+// bufferSize is that of either direction: a batch holds messages of many gateways.
+const bufferSize = 1 << 20
+
+// serve replies to batches until the input ends.
 func serve(in io.Reader, out io.Writer) error {
-	r := bufio.NewReaderSize(in, 1<<20)
-	w := bufio.NewWriterSize(out, 1<<20)
+	r := bufio.NewReaderSize(in, bufferSize)
+	w := bufio.NewWriterSize(out, bufferSize)
 	h := newHost()
-	for n := 1; ; n++ {
-		line, err := r.ReadBytes('\n')
+	for number := 1; ; number++ {
+		line, readErr := r.ReadBytes('\n')
 		if len(line) > 0 {
-			reply, err := h.batch(line)
-			if err != nil {
-				return fmt.Errorf("line %d: %w", n, err)
-			}
-			if _, err := w.Write(append(reply, '\n')); err != nil {
-				return err
-			}
-			if err := w.Flush(); err != nil {
-				return err
+			if err := serveLine(h, line, w); err != nil {
+				return fmt.Errorf("line %d: %w", number, err)
 			}
 		}
-		if errors.Is(err, io.EOF) {
+		if errors.Is(readErr, io.EOF) {
 			return nil
 		}
-		if err != nil {
-			return err
+		if readErr != nil {
+			return fmt.Errorf("read line %d: %w", number, readErr)
 		}
 	}
 }
+
+// serveLine replies to one batch.
+func serveLine(h *host, line []byte, w *bufio.Writer) error {
+	reply, err := h.handleBatch(line)
+	if err != nil {
+		return err
+	}
+	if _, err := w.Write(append(reply, '\n')); err != nil {
+		return fmt.Errorf("write reply: %w", err)
+	}
+	if err := w.Flush(); err != nil {
+		return fmt.Errorf("write reply: %w", err)
+	}
+	return nil
+}
