--- /dev/null
+++ b/internal/platform/settings/document.go
@@ -0,0 +1,156 @@
+package settings
+
+import (
+	"time"
+
+	"winghatch/decide"
+)
+
+// document is the settings object. Its fields have the keys of the platform; times are nanoseconds. Keys that are
+// not named here are ignored.
+type document struct {
+	Rank, Instances int
+	Zone            string
+	MembershipMode  string
+	Classes         []class
+	TiersOfService  []tier
+	Extra           extra
+	Limits          limits
+	Safety          safety
+	Prices          prices
+	Telemetry       struct{ How string }
+}
+
+type class struct {
+	Name, Effect, Group               string
+	AimNs, GiveUpNs, WindowNs         int64
+	AimStretch, Importance, LateWorth float64
+	Stream                            bool
+}
+
+type tier struct {
+	Name                                     string
+	Refill, MostAtOnce                       float64
+	NeverOverRate, NeverOverDepth, HardSlack float64
+	Parallel                                 int
+	Pays, BeyondEarns, ExcessCost            float64
+}
+
+type extra struct {
+	HasCounter, CostAfter              bool
+	CounterPrice, PeerIntake, UnitsTop float64
+	CountWaitNs, MeterNs               int64
+}
+
+type limits struct {
+	SendCap, OpenCap                                    int
+	ParallelTries, MayCancel, Peers, Probes, RetryAfter bool
+	MaxRetryAfterNs, ConnectTimeoutNs, ConnIdleNs       int64
+}
+
+type safety struct {
+	AnswerSlackNs, DrainGraceNs, ColdNs, FallNs, AskWithinNs int64
+	ColdFrom, FallMultiple                                   float64
+}
+
+type prices struct {
+	CrossZone, Waste, Probe, Peer, LateFail float64
+}
+
+// The values of a class's Effect and Group. A class without a Group has the smallest.
+var (
+	effects = map[string]decide.Idempotency{
+		"safe":   decide.Idempotent,
+		"keyed":  decide.IdempotentByKey,
+		"unsafe": decide.NotIdempotent,
+	}
+	groups = map[string]decide.DedupScope{
+		"all":  decide.DedupInFleet,
+		"zone": decide.DedupInZone,
+		"cell": decide.DedupInCell,
+		"":     decide.DedupInCell,
+	}
+)
+
+// config converts all but the classes and the plans.
+func (d *document) config() decide.Config {
+	return decide.Config{
+		Rank:              d.Rank,
+		Gateways:          d.Instances,
+		Zone:              d.Zone,
+		SettledOnResponse: d.Extra.CostAfter,
+		MaxUnits:          d.Extra.UnitsTop,
+		UsageReportPeriod: time.Duration(d.Extra.MeterNs),
+		GossipCapacity:    d.Extra.PeerIntake,
+		Counter:           d.Extra.HasCounter,
+		CounterTimeout:    time.Duration(d.Extra.CountWaitNs),
+		Limits:            d.Limits.convert(),
+		Safety:            d.Safety.convert(),
+		Prices: decide.Prices{
+			CrossZone:   d.Prices.CrossZone,
+			Waste:       d.Prices.Waste,
+			HealthCheck: d.Prices.Probe,
+			Gossip:      d.Prices.Peer,
+			LateFailure: d.Prices.LateFail,
+			Counter:     d.Extra.CounterPrice,
+		},
+		ReportsOnProbe: d.Telemetry.How == "probe",
+		Subscribe:      d.MembershipMode == "subscribe",
+	}
+}
+
+func (l *limits) convert() decide.Limits {
+	return decide.Limits{
+		MaxAttempts:    l.SendCap,
+		Hedging:        l.ParallelTries,
+		Cancel:         l.MayCancel,
+		Gossip:         l.Peers,
+		HealthChecks:   l.Probes,
+		RetryAfter:     l.RetryAfter,
+		MaxRetryAfter:  time.Duration(l.MaxRetryAfterNs),
+		ConnectTimeout: time.Duration(l.ConnectTimeoutNs),
+	}
+}
+
+func (s *safety) convert() decide.Safety {
+	return decide.Safety{
+		AnswerSlack:       time.Duration(s.AnswerSlackNs),
+		DrainGrace:        time.Duration(s.DrainGraceNs),
+		SlowStartCapacity: s.ColdFrom,
+		SlowStartDuration: time.Duration(s.ColdNs),
+		OverloadMultiple:  s.FallMultiple,
+		OverloadWindow:    time.Duration(s.FallNs),
+		ListMaxAge:        time.Duration(s.AskWithinNs),
+	}
+}
+
+// convert takes Effect and Group as converted, as their values may be unknown.
+func (k *class) convert(effect decide.Idempotency, group decide.DedupScope) decide.Class {
+	return decide.Class{
+		Name:             k.Name,
+		Idempotency:      effect,
+		DedupScope:       group,
+		DedupWindow:      time.Duration(k.WindowNs),
+		LatencyObjective: time.Duration(k.AimNs),
+		ObjectiveStretch: k.AimStretch,
+		Deadline:         time.Duration(k.GiveUpNs),
+		PriorityWeight:   k.Importance,
+		LateWeight:       k.LateWorth,
+		Streaming:        k.Stream,
+	}
+}
+
+func (t *tier) convert() decide.Plan {
+	return decide.Plan{
+		Name:           t.Name,
+		Rate:           t.Refill,
+		Burst:          t.MostAtOnce,
+		CeilingRate:    t.NeverOverRate,
+		CeilingBurst:   t.NeverOverDepth,
+		CeilingSlack:   t.HardSlack,
+		MaxInFlight:    t.Parallel,
+		PriorityWeight: t.Pays,
+		OverQuotaValue: t.BeyondEarns,
+		OverQuotaCost:  t.ExcessCost,
+	}
+}
--- /dev/null
+++ b/internal/platform/settings/settings_test.go
@@ -0,0 +1,139 @@
+package settings
+
+import (
+	"encoding/json"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"winghatch/decide"
+)
+
+// object has each key with a value of its own, so that none can take the place of another, and one unknown key.
+const object = `{"Rank":1,"Instances":3,"Zone":"a","MembershipMode":"subscribe","Unknown":{"x":1},
+"Classes":[{"Name":"get","Effect":"keyed","Group":"zone","AimNs":1,"GiveUpNs":2,"WindowNs":3,"AimStretch":4,
+ "Importance":5,"LateWorth":6,"Stream":true}],
+"TiersOfService":[{"Name":"p","Refill":7,"MostAtOnce":8,"NeverOverRate":9,"NeverOverDepth":10,"HardSlack":11,
+ "Parallel":12,"Pays":13,"BeyondEarns":14,"ExcessCost":15}],
+"Extra":{"HasCounter":true,"CostAfter":true,"CounterPrice":16,"PeerIntake":17,"UnitsTop":18,"CountWaitNs":19,
+ "MeterNs":20},
+"Limits":{"SendCap":21,"OpenCap":22,"ParallelTries":true,"MayCancel":true,"Peers":true,"Probes":true,
+ "RetryAfter":true,"MaxRetryAfterNs":23,"ConnectTimeoutNs":24,"ConnIdleNs":25},
+"Safety":{"AnswerSlackNs":26,"DrainGraceNs":27,"ColdNs":28,"FallNs":29,"AskWithinNs":30,"ColdFrom":31,
+ "FallMultiple":32},
+"Prices":{"CrossZone":33,"Waste":34,"Probe":35,"Peer":36,"LateFail":37},
+"Telemetry":{"How":"probe"}}`
+
+func TestParse(t *testing.T) {
+	want := decide.Config{
+		Rank:     1,
+		Gateways: 3,
+		Zone:     "a",
+		Classes: []decide.Class{{
+			Name:             "get",
+			Idempotency:      decide.IdempotentByKey,
+			DedupScope:       decide.DedupInZone,
+			LatencyObjective: 1,
+			Deadline:         2,
+			DedupWindow:      3,
+			ObjectiveStretch: 4,
+			PriorityWeight:   5,
+			LateWeight:       6,
+			Streaming:        true,
+		}},
+		Plans: []decide.Plan{{
+			Name:           "p",
+			Rate:           7,
+			Burst:          8,
+			CeilingRate:    9,
+			CeilingBurst:   10,
+			CeilingSlack:   11,
+			MaxInFlight:    12,
+			PriorityWeight: 13,
+			OverQuotaValue: 14,
+			OverQuotaCost:  15,
+		}},
+		SettledOnResponse: true,
+		GossipCapacity:    17,
+		MaxUnits:          18,
+		Counter:           true,
+		CounterTimeout:    19,
+		UsageReportPeriod: 20,
+		Limits: decide.Limits{
+			MaxAttempts:    21,
+			Hedging:        true,
+			Cancel:         true,
+			Gossip:         true,
+			HealthChecks:   true,
+			RetryAfter:     true,
+			MaxRetryAfter:  23,
+			ConnectTimeout: 24,
+		},
+		Safety: decide.Safety{
+			AnswerSlack:       26,
+			DrainGrace:        27,
+			SlowStartDuration: 28,
+			OverloadWindow:    29,
+			ListMaxAge:        30,
+			SlowStartCapacity: 31,
+			OverloadMultiple:  32,
+		},
+		Prices: decide.Prices{
+			Counter:     16,
+			CrossZone:   33,
+			Waste:       34,
+			HealthCheck: 35,
+			Gossip:      36,
+			LateFailure: 37,
+		},
+		ReportsOnProbe: true,
+		Subscribe:      true,
+	}
+	cfg, connections, err := Parse([]byte(object))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(cfg, want) {
+		t.Errorf("got %+v, want %+v", cfg, want)
+	}
+	if want := (ConnectionLimits{MaxOpenRequests: 22, IdleTimeout: 25 * time.Nanosecond}); connections != want {
+		t.Errorf("got %+v, want %+v", connections, want)
+	}
+}
+
+// TestParseErrors: the error names the key.
+func TestParseErrors(t *testing.T) {
+	const otherTier = `{"Name":"p"},`
+	for _, c := range []struct{ old, replacement, want string }{
+		{`"Zone":"a"`, `"Zone":1`, `field "Zone": can't take a number`},
+		{`"SendCap":21`, `"SendCap":"x"`, `field "Limits.SendCap": can't take a string`},
+		{`"ConnIdleNs":25`, `"ConnIdleNs":-1`, "Limits.ConnIdleNs is -1"},
+		{`"ConnectTimeoutNs":24`, `"ConnectTimeoutNs":-1`, "Limits.ConnectTimeoutNs is -1"},
+		{`"GiveUpNs":2`, `"GiveUpNs":0`, "Classes[0].GiveUpNs is 0"},
+		{`"WindowNs":3`, `"WindowNs":-1`, "Classes[0].WindowNs is -1"},
+		{`"Effect":"keyed"`, `"Effect":"odd"`, `Classes[0].Effect: unknown "odd"`},
+		{`"Group":"zone"`, `"Group":"odd"`, `Classes[0].Group: unknown "odd"`},
+		{`"Classes":[`, `"Classes":[{"Name":"get","Effect":"safe","GiveUpNs":1},`, `Classes[1].Name is "get"`},
+		{`"TiersOfService":[`, `"TiersOfService":[` + otherTier, `TiersOfService[1].Name is "p"`},
+	} {
+		if !strings.Contains(object, c.old) {
+			t.Fatalf("the object has no %s", c.old)
+		}
+		_, _, err := Parse(json.RawMessage(strings.Replace(object, c.old, c.replacement, 1)))
+		if err == nil || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%s: got error %v, want one with %q", c.replacement, err, c.want)
+		}
+	}
+}
+
+func TestLoadReportField(t *testing.T) {
+	for wire, want := range map[string]string{
+		"outstanding": "inflight", "backlog": "queue", "utilization": "util", "recent_ms": "latency_ms",
+		"throughput": "qps", "errors_per_s": "errors_per_s",
+	} {
+		if got := LoadReportField(wire); got != want {
+			t.Errorf("%s: got %s, want %s", wire, got, want)
+		}
+	}
+}
