--- /dev/null
+++ b/internal/aggregate/stored_test.go
@@ -0,0 +1,72 @@
+package aggregate
+
+import (
+	"bufio"
+	"fmt"
+	"math/rand"
+	"os"
+	"testing"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// transcript plays a random history of a small fleet and returns how many messages its gateways sent and a hash of
+// these and of the totals at the end.
+func transcript(seed int64) (messages int, hash uint64) {
+	rng := rand.New(rand.NewSource(seed))
+	n := 1 + int(seed)%7
+	d := xxhash.New()
+	w := newWorld(n, 8, seed)
+	w.record = func(from, to int, data []byte) { fmt.Fprintf(d, "%d to %d: %x\n", from, to, data) }
+	w.loss, w.twice = []float64{0, 0.3}[rng.Intn(2)], []float64{0, 0.5}[rng.Intn(2)]
+	for range 30 {
+		i := rng.Intn(n)
+		switch rng.Intn(8) {
+		case 0:
+			for k := range w.side {
+				w.side[k] = rng.Intn(2)
+			}
+		case 1:
+			w.start(i)
+		default:
+			for range rng.Intn(5) {
+				w.add(i, w.names[rng.Intn(len(w.names))], Totals{1, uint64(rng.Intn(3)), uint64(rng.Intn(2)), 3 * rng.Float64()})
+			}
+			w.run(time.Duration(rng.Intn(8000)) * time.Millisecond)
+		}
+	}
+	clear(w.side)
+	w.run(time.Minute)
+	for _, x := range w.xs {
+		for _, s := range x.FleetTotals() {
+			fmt.Fprintf(d, "%t %s %t %d %d %d %v\n", s.Key.Class, s.Key.Name, s.Primary, s.Served, s.Rejected, s.Failed, s.Units)
+		}
+	}
+	return w.sent, d.Sum64()
+}
+
+// During a roll-out gateways of two versions report to each other. A change of the messages, of when they are sent or
+// of what is added up shows as another transcript of the random histories: the stored ones are of an earlier version.
+func TestStoredTranscripts(t *testing.T) {
+	f, err := os.Open("testdata/transcripts.txt")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer f.Close()
+	lines := 0
+	for scanner := bufio.NewScanner(f); scanner.Scan(); lines++ {
+		var seed int64
+		var messages int
+		var hash uint64
+		if _, err := fmt.Sscanf(scanner.Text(), "%d %d %x", &seed, &messages, &hash); err != nil {
+			t.Fatal(err)
+		}
+		if n, h := transcript(seed); n != messages || h != hash {
+			t.Errorf("seed %d: %d messages of hash %x, stored are %d of %x", seed, n, h, messages, hash)
+		}
+	}
+	if lines == 0 {
+		t.Error("no transcript is stored")
+	}
+}
--- a/internal/aggregate/sums_test.go
+++ b/internal/aggregate/sums_test.go
@@ -11,18 +11,19 @@
 
 // world is some summers on a network that loses, delays, doubles and splits.
 type world struct {
-	xs    []*Aggregator
-	rng   *rand.Rand
-	now   time.Duration
-	due   []letter
-	loss  float64
-	twice float64
-	side  []int
-	life  uint64
-	names []Key
-	truth map[Key]Totals
-	sent  int
-	bytes int
+	xs     []*Aggregator
+	rng    *rand.Rand
+	now    time.Duration
+	due    []letter
+	loss   float64
+	twice  float64
+	side   []int
+	life   uint64
+	names  []Key
+	truth  map[Key]Totals
+	sent   int
+	bytes  int
+	record func(from, to int, data []byte) // sees every message, if set
 }
 
 type letter struct {
@@ -75,6 +76,9 @@
 				continue
 			}
 			for _, s := range x.Tick(w.now) {
+				if w.record != nil {
+					w.record(i, s.To, s.Data)
+				}
 				w.sent++
 				w.bytes += len(s.Data)
 				for n := 1; n <= 2; n++ {
--- a/internal/quotaplan/plans_test.go
+++ b/internal/quotaplan/plans_test.go
@@ -37,7 +37,8 @@
 	ids    map[uint64]uint64 // of reservations, by number
 	reply  []Reply
 	sent   int
-	deaf   bool // planted fault: nothing is compared
+	deaf   bool                        // planted fault: nothing is compared
+	record func(gateway int, a Action) // sees every action, if set
 }
 
 type letter struct {
@@ -79,6 +80,9 @@
 
 func (w *world) handle(i int, ev Event) {
 	for _, a := range w.books[i].Handle(w.now, ev) {
+		if w.record != nil {
+			w.record(i, a)
+		}
 		switch a := a.(type) {
 		case Persist:
 			w.disks[i][a.Change.hash()] = a.Change
--- a/internal/reservation/ledger_test.go
+++ b/internal/reservation/ledger_test.go
@@ -42,6 +42,7 @@
 	badDisk bool          // planted fault: what is said to be kept is lost by a crash
 	twice   bool          // planted fault: a gateway forgets that it made the tokens
 	life    uint64
+	record  func(gateway int, a Action) // sees every action, if set
 }
 
 type pass struct {
@@ -113,6 +114,9 @@
 func (w *world) handle(i int, ev Event) {
 	l := w.ls[i]
 	for _, a := range l.Handle(w.now, ev) {
+		if w.record != nil {
+			w.record(i, a)
+		}
 		switch a := a.(type) {
 		case Admit:
 			c := w.open[a.ID]
