--- a/internal/quotaplan/stored_test.go
+++ b/internal/quotaplan/stored_test.go
@@ -50,10 +50,11 @@
 // storedChanges are the changes whose bytes are in testdata/changes.txt, in the order of the file.
 func storedChanges() []Change {
 	return []Change{
-		{Number: 1, Kind: Move, Member: "escuela", Plan: "wide", From: 1_500_000_000, Stamp: 1_000_000_001, Origin: 0, Incarnation: 11},
+		{Number: 1, Kind: Move, Member: "escuela", Plan: "wide", From: 1_500_000_000,
+			Stamp: 1_000_000_001, Origin: 0, Incarnation: 11},
 		{Number: 2, Kind: Terms, Plan: "hard", From: 1_000_000_002, Stamp: 1_000_000_002, Origin: 2, Incarnation: 1 << 60,
-			Terms: decide.Plan{Name: "hard", Rate: 30, Burst: 61.5, CeilingRate: 60, CeilingBurst: 120, CeilingSlack: 6, MaxInFlight: 9,
-				PriorityWeight: 1.25, OverQuotaValue: 0.5, OverQuotaCost: 0.125}},
+			Terms: decide.Plan{Name: "hard", Rate: 30, Burst: 61.5, CeilingRate: 60, CeilingBurst: 120, CeilingSlack: 6,
+				MaxInFlight: 9, PriorityWeight: 1.25, OverQuotaValue: 0.5, OverQuotaCost: 0.125}},
 		{Number: 1 << 50, Kind: Reserve, Member: "c", Units: 100, Rate: 20, From: 3_000_000_000, To: 13_000_000_000,
 			Stamp: 1_000_000_003, Origin: 1, Incarnation: 7},
 		{Number: 4, Kind: Shorten, Units: 62.5, Target: 1 << 50, Stamp: 1_000_000_004, Origin: 65535, Incarnation: 7},
@@ -83,11 +84,11 @@
 
 // storedReplica is the replica that testdata/messages.txt was exchanged with.
 func storedReplica() *Replica {
-	b := New(settings(0, 3))
+	r := New(settings(0, 3))
 	for i, c := range storedChanges() {
-		b.Restore(c, i == 0)
+		r.Restore(c, i == 0)
 	}
-	return b
+	return r
 }
 
 // Logs and peers hold changes that an earlier version of the program encoded. If a field moved or changed its size, a
@@ -160,7 +161,8 @@
 	for range 120 {
 		i := rng.Intn(n)
 		number++
-		c := Change{Number: number, Member: []string{"a", "b", "c"}[rng.Intn(3)], Plan: []string{"small", "wide", "hard"}[rng.Intn(3)]}
+		c := Change{Number: number, Member: []string{"a", "b", "c"}[rng.Intn(3)]}
+		c.Plan = []string{"small", "wide", "hard"}[rng.Intn(3)]
 		if rng.Intn(10) == 0 {
 			c.Number = 1 + number/2
 		}
@@ -182,8 +184,8 @@
 			c.Kind, c.Units = []Kind{Cancel, Shorten}[rng.Intn(2)], 20*rng.Float64()
 			c.Target = 1 + uint64(rng.Int63n(int64(number)))
 		case 7:
-			for k := range w.side {
-				w.side[k] = rng.Intn(2)
+			for k := range w.partition {
+				w.partition[k] = rng.Intn(2)
 			}
 			continue
 		case 8:
--- /dev/null
+++ b/internal/quotaplan/validate.go
@@ -0,0 +1,98 @@
+package quotaplan
+
+import "time"
+
+// maxDateInPast is how far in the past the date of a submitted change may be, in nanoseconds.
+const maxDateInPast = int64(time.Second)
+
+// Check reports why a change can't be submitted at the wall clock's time, in Unix nanoseconds, or nil if it can.
+func (r *Replica) Check(wall int64, c *Change) *Error {
+	if err := r.checkNumber(c); err != nil {
+		return err
+	}
+	if len(r.pending) >= maxPendingSubmits {
+		return invalid(c, "log", "%d changes wait to be kept, want fewer than %d", len(r.pending), maxPendingSubmits)
+	}
+	if !c.finite() {
+		return invalid(c, "units", "figures of %v, %v, %+v, want numbers of 0 or more", c.Units, c.Rate, c.Terms)
+	}
+	if err := r.checkNames(c); err != nil {
+		return err
+	}
+	if c.Kind != Cancel && c.Kind != Shorten && c.From != 0 && c.From < wall-maxDateInPast {
+		return invalid(c, "from", "%s, want a time that is to come", formatTime(c.From))
+	}
+	switch c.Kind {
+	case Move:
+		return nil
+	case Terms:
+		return checkTerms(c)
+	case Reserve:
+		return r.checkReserve(c)
+	case Cancel, Shorten:
+		return r.checkTarget(wall, c)
+	}
+	return invalid(c, "kind", "%s, want move, terms, reserve, cancel or shorten", c.Kind)
+}
+
+func (r *Replica) checkNumber(c *Change) *Error {
+	if c.Number == 0 {
+		return invalid(c, "number", "0, want 1 or more")
+	}
+	if old := r.derived.byNumber[c.Number]; old != nil {
+		return invalid(c, "number", "seen before: %s", old)
+	}
+	if _, ok := r.pending[c.Number]; ok {
+		return invalid(c, "number", "seen before, it is being kept")
+	}
+	return nil
+}
+
+func (r *Replica) checkNames(c *Change) *Error {
+	if len(c.Member) > maxNameBytes || len(c.Plan) > maxNameBytes {
+		return invalid(c, "member", "a name of %d bytes, want %d at most", max(len(c.Member), len(c.Plan)), maxNameBytes)
+	}
+	if c.Kind == Move || c.Kind == Reserve {
+		if _, ok := r.members[c.Member]; !ok {
+			return invalid(c, "member", "%q, want a member of the settings", c.Member)
+		}
+	}
+	if c.Kind == Move || c.Kind == Terms {
+		if _, ok := r.plans[c.Plan]; !ok {
+			return invalid(c, "plan", "%q, want one of %s", c.Plan, nameList(r.planNames))
+		}
+	}
+	return nil
+}
+
+func checkTerms(c *Change) *Error {
+	p := &c.Terms
+	switch {
+	case (p.Rate > 0) != (p.Burst > 0):
+		return invalid(c, "burst", "rate %v and burst %v, want both or neither", p.Rate, p.Burst)
+	case (p.CeilingRate > 0) != (p.CeilingBurst > 0):
+		return invalid(c, "ceiling-burst", "rate %v and burst %v, want both or neither", p.CeilingRate, p.CeilingBurst)
+	case p.CeilingRate > 0 && p.CeilingRate < p.Rate:
+		return invalid(c, "ceiling-rate", "%v, want the rate of %v or more", p.CeilingRate, p.Rate)
+	}
+	return nil
+}
+
+func (r *Replica) checkTarget(wall int64, c *Change) *Error {
+	target := r.derived.byNumber[c.Target]
+	switch {
+	case target == nil:
+		return invalid(c, "target", "%d, want the number of a change", c.Target)
+	case target.Kind == Cancel || target.Kind == Shorten:
+		return invalid(c, "target", "%d is a %s, want a move, terms or a reservation", c.Target, target.Kind)
+	case r.derived.cancelledBy[c.Target] != 0:
+		return invalid(c, "target", "%d was cancelled by %d", c.Target, r.derived.cancelledBy[c.Target])
+	case target.Kind == Reserve && target.To <= wall:
+		return invalid(c, "target", "%d ended at %s", c.Target, formatTime(target.To))
+	case c.Kind == Shorten && target.Kind != Reserve:
+		return invalid(c, "target", "%d is a %s, want a reservation", c.Target, target.Kind)
+	case c.Kind == Shorten && !(c.Units < r.derived.currentUnits(target)):
+		return invalid(c, "units", "%v, want less than the %v of %d", c.Units, r.derived.currentUnits(target), c.Target)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/quotaplan/world_test.go
@@ -0,0 +1,171 @@
+package quotaplan
+
+import (
+	"fmt"
+	"maps"
+	"math/rand"
+	"slices"
+	"time"
+
+	"winghatch/decide"
+)
+
+const sec = int64(time.Second)
+
+func settings(rank, n int) Settings {
+	return Settings{Rank: rank, Gateways: n, Incarnation: uint64(rank + 1), Seed: int64(rank), Capacity: 1000,
+		MaxRequestUnits: 8,
+		Plans: []decide.Plan{
+			{Name: "small", Rate: 3, Burst: 12, PriorityWeight: 1},
+			{Name: "wide", Rate: 100, Burst: 300, PriorityWeight: 1},
+			{Name: "hard", Rate: 30, Burst: 60, CeilingRate: 60, CeilingBurst: 120, CeilingSlack: 6}},
+		Members: []Member{{"a", "small", 0, n}, {"b", "wide", 0, n}, {"c", "hard", 0, n}}}
+}
+
+// world is the replicas of a fleet, on a network that loses and delays messages and can be partitioned.
+type world struct {
+	replicas       []*Replica
+	disks          []map[uint64]Change // what each has persisted, by hash
+	own            []map[uint64]bool
+	rng            *rand.Rand
+	now            Instant
+	inTransit      []message
+	loss           float64
+	partition      []int // gateways of different ones do not reach each other
+	plans          []map[string]decide.Plan
+	units          []map[uint64]float64
+	reservationIDs map[uint64]uint64 // of reservations, by number
+	replies        []Reply
+	sent           int
+	noComparison   bool                        // planted fault: comparisons are lost
+	record         func(gateway int, a Action) // sees every action, if set
+}
+
+type message struct {
+	at       Instant
+	from, to int
+	data     []byte
+}
+
+func newWorld(n int, seed int64) *world {
+	w := &world{
+		replicas:       make([]*Replica, n),
+		disks:          make([]map[uint64]Change, n),
+		own:            make([]map[uint64]bool, n),
+		plans:          make([]map[string]decide.Plan, n),
+		units:          make([]map[uint64]float64, n),
+		partition:      make([]int, n),
+		reservationIDs: map[uint64]uint64{},
+		rng:            rand.New(rand.NewSource(seed)),
+		now:            Instant{time.Hour, 1000 * sec},
+	}
+	for i := range w.replicas {
+		w.disks[i], w.own[i] = map[uint64]Change{}, map[uint64]bool{}
+		w.start(i, 1)
+	}
+	return w
+}
+
+// start starts a process of a gateway with what its disk has.
+func (w *world) start(i int, process uint64) {
+	s := settings(i, len(w.replicas))
+	s.Incarnation = process*1000 + uint64(i)
+	w.replicas[i] = New(s)
+	w.plans[i], w.units[i] = map[string]decide.Plan{}, map[uint64]float64{}
+	for _, m := range s.Members {
+		w.plans[i][m.Name] = w.replicas[i].EffectivePlan(m.Name)
+	}
+	for _, h := range slices.Sorted(maps.Keys(w.disks[i])) {
+		w.replicas[i].Restore(w.disks[i][h], w.own[i][h])
+	}
+	w.handle(i, Start{})
+}
+
+func (w *world) handle(i int, ev Event) {
+	for _, a := range w.replicas[i].Handle(w.now, ev) {
+		if w.record != nil {
+			w.record(i, a)
+		}
+		switch a := a.(type) {
+		case Persist:
+			w.disks[i][a.Change.hash()] = a.Change
+			w.own[i][a.Change.hash()] = a.Own
+			if a.Own {
+				w.handle(i, Persisted{a.Change.Number})
+			}
+		case Send:
+			w.sent++
+			if len(a.Data) > maxMessageBytes+400 {
+				panic(fmt.Sprintf("a message of %d bytes", len(a.Data)))
+			}
+			if w.noComparison && a.Data[0] != messageChanges {
+				continue
+			}
+			if w.rng.Float64() >= w.loss {
+				late := time.Duration(1+w.rng.Intn(20)) * time.Millisecond
+				w.inTransit = append(w.inTransit, message{Instant{w.now.Mono + late, w.now.Wall + int64(late)}, i, a.To, a.Data})
+			}
+		case ApplyPlan:
+			w.plans[i][a.Member] = a.Plan
+		case AddReservation:
+			w.units[i][a.ID] = a.Units
+			w.reservationIDs[a.Number] = a.ID
+		case ResizeReservation:
+			w.units[i][a.ID] = a.Units
+		case Reply:
+			w.replies = append(w.replies, a)
+		}
+	}
+}
+
+func (w *world) run(d time.Duration) {
+	for end := w.now.Mono + d; w.now.Mono < end; {
+		w.now.Mono += 5 * time.Millisecond
+		w.now.Wall += int64(5 * time.Millisecond)
+		var ready, rest []message
+		for _, l := range w.inTransit {
+			if l.at.Mono <= w.now.Mono {
+				ready = append(ready, l)
+			} else {
+				rest = append(rest, l)
+			}
+		}
+		w.inTransit = rest
+		for _, l := range ready {
+			if w.partition[l.from] == w.partition[l.to] {
+				w.handle(l.to, MessageReceived{l.from, l.data})
+			}
+		}
+		for i, r := range w.replicas {
+			if n := r.nextTick(); n.Mono <= w.now.Mono || n.Wall <= w.now.Wall {
+				w.handle(i, Tick{})
+			}
+		}
+	}
+}
+
+func (w *world) submit(i int, c Change) *Error {
+	w.handle(i, Submit{c.Number, c})
+	return w.replies[len(w.replies)-1].Err
+}
+
+// difference names the first difference between two replicas, or nothing.
+func (w *world) difference() string {
+	n, sum := w.replicas[0].Digest()
+	for i, r := range w.replicas {
+		if m, s := r.Digest(); m != n || s != sum {
+			return fmt.Sprintf("gateway %d has %d changes, gateway 0 has %d", i, m, n)
+		}
+		for m, p := range w.plans[0] {
+			if w.plans[i][m] != p {
+				return fmt.Sprintf("%s is on %+v at gateway %d and on %+v at 0", m, w.plans[i][m], i, p)
+			}
+		}
+		for id, u := range w.units[0] {
+			if w.units[i][id] != u {
+				return fmt.Sprintf("reservation %d is of %v at gateway %d and of %v at 0", id, w.units[i][id], i, u)
+			}
+		}
+	}
+	return ""
+}
