--- a/internal/quotaplan/replica_test.go
+++ b/internal/quotaplan/replica_test.go
@@ -13,8 +13,8 @@
 
 // Replicas that never agree again would keep members on different plans at different gateways, for good. TestModel
 // plays random histories of changes, lost messages, partitions and restarts with and without a disk: once the gateways
-// reach each other all replicas are equal, and no acknowledged change is gone unless the disk of its gateway is. Without
-// comparisons it must find a difference.
+// reach each other all replicas are equal, and no acknowledged change is gone unless the disk of its gateway is.
+// Without comparisons it must find a difference.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		if s := playModel(rt, false); s != "" {
--- a/internal/reservation/stored_test.go
+++ b/internal/reservation/stored_test.go
@@ -55,35 +55,36 @@
 	return lines
 }
 
-// exchange is what the ledger of testdata/messages.txt is told, by the word that a line begins with.
-func exchange(t *testing.T, line string) Event {
+// parseEvent is the event of a line of testdata/messages.txt, by the word that it begins with.
+func parseEvent(t *testing.T, line string) Event {
 	t.Helper()
 	word, rest, _ := strings.Cut(line, " ")
 	switch word {
 	case "reservation":
-		return AddReservation{quotaplan.Reservation{ID: 77, Number: 3, Member: "escuela", Units: 120, From: 1000 * sec, To: 2000 * sec, Rate: 40,
-			Burst: 60, Ceiling: true, First: 1, Spread: 3, Mine: true}, []CeilingShare{{0, 0.25}, {1, 0.25}, {2, 0.5}}}
+		r := quotaplan.Reservation{ID: 77, Number: 3, Member: "escuela", Units: 120, From: 1000 * sec, To: 2000 * sec,
+			Rate: 40, Burst: 60, Ceiling: true, First: 1, Spread: 3, Mine: true}
+		return AddReservation{r, []CeilingShare{{0, 0.25}, {1, 0.25}, {2, 0.5}}}
 	case "persisted":
 		var e Persisted
-		scan(t, rest, "%d", &e.Number)
+		scanLine(t, rest, "%d", &e.Number)
 		return e
 	case "received":
 		var e MessageReceived
-		scan(t, rest, "%d %x", &e.From, &e.Data)
+		scanLine(t, rest, "%d %x", &e.From, &e.Data)
 		return e
 	case "request":
 		e := Request{Member: "escuela"}
-		scan(t, rest, "%s %g %d", &e.ID, &e.Units, &e.Deadline)
+		scanLine(t, rest, "%s %g %d", &e.ID, &e.Units, &e.Deadline)
 		return e
 	case "ended":
 		var e RequestEnded
-		scan(t, rest, "%s %g", &e.ID, &e.Used)
+		scanLine(t, rest, "%s %g", &e.ID, &e.Used)
 		return e
 	case "time":
 		return Tick{}
 	case "resize":
 		e := ResizeReservation{ID: 77}
-		scan(t, rest, "%g", &e.Units)
+		scanLine(t, rest, "%g", &e.Units)
 		return e
 	case "drain":
 		return Drain{}
@@ -91,7 +92,7 @@
 	return nil
 }
 
-func scan(t *testing.T, line, format string, to ...any) {
+func scanLine(t *testing.T, line, format string, to ...any) {
 	t.Helper()
 	if _, err := fmt.Sscanf(line, format, to...); err != nil {
 		t.Fatalf("%q: %v", line, err)
@@ -106,7 +107,7 @@
 		var id uint64
 		var free float64
 		var raw []byte
-		scan(t, line, "%d %g %x", &id, &free, &raw)
+		scanLine(t, line, "%d %g %x", &id, &free, &raw)
 		l := New(Settings{Rank: 0, Gateways: 4, MaxRequestUnits: 8, Epoch: 99})
 		if err := l.Restore(raw); err != nil {
 			t.Fatal(err)
@@ -116,7 +117,8 @@
 		}
 		// Before its window nothing is drawn, so all that it holds is free.
 		now := quotaplan.Instant{Mono: time.Hour, Wall: 1000 * sec}
-		l.Handle(now, AddReservation{Reservation: quotaplan.Reservation{ID: id, Member: "m", Units: 1000, From: 2000 * sec, To: 3000 * sec}})
+		r := quotaplan.Reservation{ID: id, Member: "m", Units: 1000, From: 2000 * sec, To: 3000 * sec}
+		l.Handle(now, AddReservation{Reservation: r})
 		if v := l.Views(); !v[0].Ended && v[0].Free != free {
 			t.Errorf("state %d: %v units are free, stored are %v", i, v[0].Free, free)
 		}
@@ -131,13 +133,13 @@
 	lines := readLines(t, "messages.txt")
 	now := quotaplan.Instant{}
 	for i := 0; i < len(lines); {
-		scan(t, lines[i], "at %d %d", &now.Mono, &now.Wall)
+		scanLine(t, lines[i], "at %d %d", &now.Mono, &now.Wall)
 		event := lines[i+1]
 		var want, got []string
 		for i += 2; i < len(lines) && !strings.HasPrefix(lines[i], "at "); i++ {
 			want = append(want, lines[i])
 		}
-		for _, a := range l.Handle(now, exchange(t, event)) {
+		for _, a := range l.Handle(now, parseEvent(t, event)) {
 			got = append(got, describe(a))
 		}
 		if !slices.Equal(got, want) {
@@ -176,8 +178,8 @@
 		case 1:
 			w.stalled[i] = !w.stalled[i]
 		case 2:
-			for k := range w.side {
-				w.side[k] = rng.Intn(2)
+			for k := range w.partition {
+				w.partition[k] = rng.Intn(2)
 			}
 		case 3:
 			if !w.down[i] && !w.stalled[i] {
@@ -186,10 +188,10 @@
 				w.kill(i, true)
 			}
 		case 4:
-			w.units = min(w.units, w.res.Units*(0.7+0.3*rng.Float64()))
-			for k := range w.ls {
+			w.units = min(w.units, w.reservation.Units*(0.7+0.3*rng.Float64()))
+			for k := range w.ledgers {
 				if !w.down[k] {
-					w.handle(k, ResizeReservation{w.res.ID, w.units})
+					w.handle(k, ResizeReservation{w.reservation.ID, w.units})
 				}
 			}
 		default:
@@ -202,10 +204,10 @@
 			})
 		}
 	}
-	for k := range w.ls {
+	for k := range w.ledgers {
 		w.stalled[k] = false
 	}
-	w.now.Wall = w.res.To - sec/2
+	w.now.Wall = w.reservation.To - sec/2
 	w.run(2 * time.Second)
 	return actions, d.Sum64()
 }
@@ -217,7 +219,7 @@
 		var seed int64
 		var actions int
 		var hash uint64
-		scan(t, line, "%d %d %x", &seed, &actions, &hash)
+		scanLine(t, line, "%d %d %x", &seed, &actions, &hash)
 		if n, h := transcript(seed); n != actions || h != hash {
 			t.Errorf("seed %d: %d actions of hash %x, stored are %d of %x", seed, n, h, actions, hash)
 		}
--- /dev/null
+++ b/internal/reservation/world_test.go
@@ -0,0 +1,258 @@
+package reservation
+
+import (
+	"fmt"
+	"math/rand"
+	"time"
+
+	"winghatch/internal/quotaplan"
+)
+
+const sec = int64(time.Second)
+
+// world is the ledgers of a fleet, on a network that loses messages and can be partitioned, over disks that take a
+// while. One reservation is used, which gateway 0 accepted.
+type world struct {
+	n             int // gateways
+	ledgers       []*Ledger
+	rng           *rand.Rand
+	now           quotaplan.Instant
+	reservation   quotaplan.Reservation
+	units         float64 // of the reservation, after the last resize
+	ceilingShares []CeilingShare
+	process       uint64        // the last one that was started
+	serviceTime   time.Duration // of a request
+
+	disks       [][][]byte // persisted states of each gateway, in order
+	persistedAt []time.Duration
+	own         []bool // it is on the disk that the gateway accepted the reservation
+	down        []bool
+	stalled     []bool
+
+	inTransit []delivery
+	loss      float64
+	partition []int // gateways of different ones do not reach each other
+
+	lastRequest int
+	inFlight    map[string]openRequest
+	admitted    []admission
+	rejected    map[Reason]int
+	asked       float64 // units of all requests
+	used        float64 // units of admitted requests
+	returned    float64 // units returned to ordinary use
+
+	badDisk   bool // planted fault: what is said to be durable is lost in a crash
+	mintTwice bool // planted fault: a gateway forgets that it minted the tokens
+
+	record func(gateway int, a Action) // sees every action, if set
+}
+
+type admission struct {
+	at    time.Duration
+	units float64
+}
+
+type openRequest struct {
+	gateway int
+	units   float64
+	process uint64
+}
+
+// delivery is an event on its way to a gateway; process 0: to whichever process it has then.
+type delivery struct {
+	at      time.Duration
+	to      int
+	process uint64
+	event   Event
+}
+
+func newWorld(n int, seed int64, res quotaplan.Reservation) *world {
+	w := &world{
+		n:           n,
+		ledgers:     make([]*Ledger, n),
+		rng:         rand.New(rand.NewSource(seed)),
+		now:         quotaplan.Instant{Mono: time.Hour, Wall: 1000 * sec},
+		reservation: res,
+		units:       res.Units,
+		serviceTime: 30 * time.Millisecond,
+		disks:       make([][][]byte, n),
+		persistedAt: make([]time.Duration, n),
+		own:         make([]bool, n),
+		down:        make([]bool, n),
+		stalled:     make([]bool, n),
+		partition:   make([]int, n),
+		inFlight:    map[string]openRequest{},
+		rejected:    map[Reason]int{},
+	}
+	w.reservation.ID, w.reservation.Member, w.reservation.Spread = 77, "m", n
+	w.reservation.From, w.reservation.To = w.now.Wall+sec, w.now.Wall+1000*sec
+	w.own[0] = true
+	for i := range n {
+		w.ceilingShares = append(w.ceilingShares, CeilingShare{i, 1 / float64(n)})
+	}
+	if n > 10 && res.Ceiling { // as where a customer's ceiling is enforced by its quota owners
+		w.ceilingShares = []CeilingShare{{1, 0.5}, {2, 0.5}}
+	}
+	for i := range n {
+		w.start(i)
+	}
+	return w
+}
+
+// start starts a process of a gateway with what its disk has.
+func (w *world) start(i int) {
+	w.process++
+	w.down[i], w.stalled[i] = false, false
+	w.ledgers[i] = New(Settings{Rank: i, Gateways: w.n, MaxRequestUnits: 8, Epoch: w.process, Seed: int64(w.process)})
+	for _, s := range w.disks[i] {
+		if err := w.ledgers[i].Restore(s); err != nil {
+			panic(err)
+		}
+	}
+	for id, r := range w.inFlight {
+		if r.gateway == i {
+			delete(w.inFlight, id)
+		}
+	}
+	r := w.reservation
+	r.Mine = w.own[i]
+	w.handle(i, AddReservation{r, w.ceilingShares})
+	if w.units < w.reservation.Units {
+		w.handle(i, ResizeReservation{w.reservation.ID, w.units})
+	}
+}
+
+// kill ends a gateway's process, and loses its disk unless disk is true.
+func (w *world) kill(i int, disk bool) {
+	w.down[i] = true
+	if !disk {
+		w.disks[i], w.own[i] = nil, false
+	}
+}
+
+func (w *world) handle(i int, ev Event) {
+	l := w.ledgers[i]
+	deliver := func(at time.Duration, to int, process uint64, ev Event) {
+		w.inTransit = append(w.inTransit, delivery{at, to, process, ev})
+	}
+	for _, a := range l.Handle(w.now, ev) {
+		if w.record != nil {
+			w.record(i, a)
+		}
+		switch a := a.(type) {
+		case Admit:
+			r := w.inFlight[a.ID]
+			w.used += r.units
+			w.admitted = append(w.admitted, admission{w.now.Mono, r.units})
+			deliver(w.now.Mono+w.serviceTime, i, l.settings.Epoch, RequestEnded{a.ID, r.units})
+		case Reject:
+			w.rejected[a.Reason]++
+			delete(w.inFlight, a.ID)
+		case Persist:
+			state := append([]byte(nil), a.State...)
+			if w.mintTwice {
+				state[17] &^= 1
+			}
+			// A disk takes a while, and keeps the order.
+			w.persistedAt[i] = max(w.persistedAt[i], w.now.Mono+time.Duration(1+w.rng.Intn(8))*time.Millisecond)
+			deliver(w.persistedAt[i], i, l.settings.Epoch, stateWritten{a.Number, state})
+		case Send:
+			if w.rng.Float64() >= w.loss {
+				late := time.Duration(1+w.rng.Intn(10)) * time.Millisecond
+				deliver(w.now.Mono+late, a.To, 0, MessageReceived{i, a.Data})
+			}
+		case ReturnUnits:
+			w.returned += a.Units
+		}
+	}
+}
+
+// stateWritten is a state on its way to the disk.
+type stateWritten struct {
+	number uint64
+	state  []byte
+}
+
+func (stateWritten) event() {}
+
+// step lets 2 ms pass and delivers what is due.
+func (w *world) step() {
+	w.now.Mono += 2 * time.Millisecond
+	w.now.Wall += int64(2 * time.Millisecond)
+	var ready, rest []delivery
+	for _, d := range w.inTransit {
+		switch {
+		case d.at > w.now.Mono, w.stalled[d.to]:
+			rest = append(rest, d)
+		default:
+			ready = append(ready, d)
+		}
+	}
+	w.inTransit = rest
+	for _, d := range ready {
+		if w.down[d.to] || d.process != 0 && d.process != w.ledgers[d.to].settings.Epoch {
+			continue
+		}
+		switch e := d.event.(type) {
+		case stateWritten:
+			if !w.badDisk {
+				w.disks[d.to] = append(w.disks[d.to], e.state)
+			}
+			w.handle(d.to, Persisted{e.number})
+		case MessageReceived:
+			if w.partition[e.From] == w.partition[d.to] {
+				w.handle(d.to, e)
+			}
+		default:
+			w.handle(d.to, d.event)
+		}
+	}
+	for i, l := range w.ledgers {
+		if n := l.nextTick(); !w.down[i] && !w.stalled[i] && (n.Mono <= w.now.Mono || n.Wall <= w.now.Wall) {
+			w.handle(i, Tick{})
+		}
+	}
+}
+
+func (w *world) run(d time.Duration) {
+	for end := w.now.Mono + d; w.now.Mono < end; {
+		w.step()
+	}
+}
+
+// send sends a request to a gateway, unless it is down or stalled.
+func (w *world) send(i int, units float64) {
+	if w.down[i] || w.stalled[i] {
+		return
+	}
+	w.lastRequest++
+	id := fmt.Sprint("c", w.lastRequest)
+	w.inFlight[id] = openRequest{i, units, w.process}
+	w.asked += units
+	w.handle(i, Request{id, "m", units, w.now.Mono + 2*time.Second})
+}
+
+// load sends requests of some units each, at a rate of units a second, to the gateways that pick names.
+func (w *world) load(d time.Duration, rate, units float64, pick func() int) {
+	gap := time.Duration(units / rate * float64(time.Second))
+	at := w.now.Mono
+	for end := w.now.Mono + d; w.now.Mono < end; {
+		for at <= w.now.Mono {
+			w.send(pick(), units)
+			at += gap
+		}
+		w.step()
+	}
+}
+
+// excess is the most by which admitted units went over a rate, in units a second, and a burst.
+func (w *world) excess(rate, burst float64) (over float64) {
+	store, last := burst, time.Duration(0)
+	for _, p := range w.admitted {
+		store = min(burst, store+rate*(p.at-last).Seconds())
+		last = p.at
+		store -= p.units
+		over = max(over, -store)
+	}
+	return over
+}
