--- a/internal/metrics/measures_test.go
+++ b/internal/metrics/metrics_test.go
@@ -10,44 +10,54 @@
 	dto "github.com/prometheus/client_model/go"
 )
 
-func full() *Set {
+// newFullSet returns a set whose view has something of all that may be absent.
+func newFullSet() *Set {
 	return New(Options{Classes: []string{"look"}, Plans: []string{"p"}, MaxMembers: 3}, func() View {
-		return View{Servers: map[string]int{"cold": 1}, Datagrams: map[string]int64{"sent": 1}, FrontendRejections: map[string]int64{"silent": 1},
-			Plans: map[string]PlanTotals{"p": {1, 2, 0.5}}, Usage: &UsageBacklog{Records: 1}, RemoteWriteSamples: map[string]float64{"sent": 1}}
+		return View{
+			Servers:            map[string]int{"cold": 1},
+			Datagrams:          map[string]int64{"sent": 1},
+			FrontendRejections: map[string]int64{"silent": 1},
+			Plans:              map[string]PlanTotals{"p": {1, 2, 0.5}},
+			Usage:              &UsageBacklog{Records: 1},
+			RemoteWriteSamples: map[string]float64{"sent": 1},
+		}
 	})
 }
 
+var servedRequest = Request{Class: "look", Plan: "p", Member: "m", Outcome: "served", Units: 2, Duration: time.Second,
+	AttemptDuration: time.Millisecond}
+
 func gather(t *testing.T, s *Set) map[string]*dto.MetricFamily {
 	t.Helper()
-	fams, err := s.Registry.Gather()
+	families, err := s.Registry.Gather()
 	if err != nil {
 		t.Fatal(err)
 	}
 	out := map[string]*dto.MetricFamily{}
-	for _, f := range fams {
+	for _, f := range families {
 		out[f.GetName()] = f
 	}
 	return out
 }
 
-// TestLint has names, units and help looked at by Prometheus' own linter.
+// TestLint has names, units and help texts checked by Prometheus' own linter.
 func TestLint(t *testing.T) {
-	s := full()
-	s.RequestEnded(Request{Class: "look", Plan: "p", Member: "m", Outcome: "served", Units: 2, Duration: time.Second, AttemptDuration: time.Millisecond})
+	s := newFullSet()
+	s.RequestEnded(servedRequest)
 	s.RequestEnded(Request{Class: "look", Plan: "p", Member: "m", Outcome: "refused", Reason: "shed"})
 	s.AttemptEnded("look", "ok", time.Second)
 	s.RetrySent("error")
 	s.LoopTurn(time.Millisecond)
 	s.GrantMessage("a...", "out")
-	var fams []*dto.MetricFamily
+	var families []*dto.MetricFamily
 	n := 0
 	for name, f := range gather(t, s) {
 		if len(name) > 10 && name[:10] == "winghatch_" {
-			fams = append(fams, f)
+			families = append(families, f)
 			n++
 		}
 	}
-	problems, err := promlint.NewWithMetricFamilies(fams).Lint()
+	problems, err := promlint.NewWithMetricFamilies(families).Lint()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,11 +76,12 @@
 	}
 }
 
-// TestLabelsAreBounded sends 50,000 members and as many made-up classes.
+// TestLabelsAreBounded counts requests of 50,000 members, classes and plans: the series stay few and no unit is lost.
 func TestLabelsAreBounded(t *testing.T) {
-	s := full()
+	s := newFullSet()
 	for i := range 50000 {
-		s.RequestEnded(Request{Class: fmt.Sprint("c", i), Plan: fmt.Sprint("p", i), Member: fmt.Sprint("m", i), Outcome: "served", Units: 1})
+		s.RequestEnded(Request{Class: fmt.Sprint("c", i), Plan: fmt.Sprint("p", i), Member: fmt.Sprint("m", i),
+			Outcome: "served", Units: 1})
 	}
 	f := gather(t, s)
 	series := 0
@@ -97,9 +108,8 @@
 }
 
 func BenchmarkFinal(b *testing.B) {
-	s := full()
-	c := Request{Class: "look", Plan: "p", Member: "m", Outcome: "served", Units: 2, Duration: time.Second, AttemptDuration: time.Millisecond}
+	s := newFullSet()
 	for b.Loop() {
-		s.RequestEnded(c)
+		s.RequestEnded(servedRequest)
 	}
 }
--- a/internal/metrics/names_test.go
+++ b/internal/metrics/names_test.go
@@ -11,8 +11,8 @@
 	"winghatch/internal/aggregate"
 )
 
-// TestNames pins the names, types, labels and fixed label values of all metrics. Dashboards, alerts and stored series know
-// them, so they never change; a new one is added to the file by hand.
+// TestNames pins the names, types, labels and fixed label values of all metrics. Dashboards, alerts and stored series
+// know them, so they never change; a new one is added to the file by hand.
 func TestNames(t *testing.T) {
 	s := New(Options{Classes: []string{"look"}, Plans: []string{"p"}, MaxMembers: 3}, func() View {
 		return View{
@@ -22,7 +22,7 @@
 			Plans:              map[string]PlanTotals{"p": {}},
 			Usage:              &UsageBacklog{Rejecting: true},
 			RemoteWriteSamples: map[string]float64{"sent": 1},
-			FleetTotals:        []aggregate.FleetTotal{
+			FleetTotals: []aggregate.FleetTotal{
 				{Key: aggregate.Key{Class: true, Name: "look"}, Primary: true},
 				{Key: aggregate.Key{Name: "m"}},
 			},
