--- /dev/null
+++ b/internal/upstream/http/response.go
@@ -0,0 +1,74 @@
+package http
+
+import (
+	"net/http"
+	"strconv"
+	"strings"
+
+	"winghatch/decide"
+	"winghatch/internal/http1"
+	"winghatch/internal/upstream"
+)
+
+const (
+	maxReportFigures = 8
+	maxReportFigure  = 1e12 // exclusive
+	unitsLimit       = 1 << 31
+)
+
+// parseResult maps a response to the result of its attempt. Figures on load and usage that cannot be parsed are left
+// out; the response counts without them.
+func (p *Pool) parseResult(r *http1.Response) upstream.Result {
+	var result upstream.Result
+	rejected, _ := r.Get("X-Turned-Away")
+	switch {
+	case r.Status == http.StatusOK:
+		result.Outcome = decide.OutcomeOK
+		result.Body = r.Body
+	case (r.Status == http.StatusServiceUnavailable || r.Status == http.StatusGatewayTimeout) && rejected == "1":
+		result.Outcome = decide.OutcomeRejected
+	default:
+		result.Outcome = decide.OutcomeError
+	}
+	if v, n := r.Get("X-Quota-Used"); n == 1 {
+		if used, err := strconv.ParseUint(v, 10, 31); err == nil {
+			result.ReportedUsage = 1 + int(used)
+		}
+	}
+	if v, n := r.Get("X-Units-Charged"); n == 1 {
+		if units, err := strconv.ParseFloat(v, 64); err == nil && p.isChargeable(units) {
+			result.ActualUnits = units
+		}
+	}
+	if v, n := r.Get("X-Pressure"); n == 1 {
+		result.LoadReport = p.parseLoadReport(v)
+	}
+	return result
+}
+
+// isChargeable reports whether a response may charge so many units.
+func (p *Pool) isChargeable(units float64) bool {
+	if p.opts.MaxUnits == 0 {
+		return units > 0 && units < unitsLimit
+	}
+	return units > 0 && units <= p.opts.MaxUnits
+}
+
+// parseLoadReport parses a report such as "inflight=7,queue=2". If any part cannot be parsed, or there are too many,
+// it returns nil: half a report would be taken for the whole.
+func (p *Pool) parseLoadReport(text string) decide.LoadReport {
+	report := decide.LoadReport{}
+	for part := range strings.SplitSeq(text, ",") {
+		name, number, ok := strings.Cut(strings.TrimSpace(part), "=")
+		figure, err := strconv.ParseFloat(number, 64)
+		inRange := figure >= 0 && figure < maxReportFigure
+		if !ok || err != nil || !inRange || len(report) == maxReportFigures {
+			return nil
+		}
+		if p.opts.LoadReportName != nil {
+			name = p.opts.LoadReportName(name)
+		}
+		report[name] = figure
+	}
+	return report
+}
--- /dev/null
+++ b/internal/upstream/http/response_test.go
@@ -0,0 +1,121 @@
+package http
+
+import (
+	"io"
+	"net"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"winghatch/decide"
+	"winghatch/internal/upstream"
+)
+
+// A wrong outcome makes the core repeat an attempt that ran, or give up one that did not.
+func TestOutcomesAreTrue(t *testing.T) {
+	shut, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	refused := shut.Addr().String()
+	shut.Close()
+	send := func(text string) string {
+		return startResponder(t, func(nc net.Conn, _ string) { io.WriteString(nc, text) })
+	}
+	sendAndClose := func(text string) string {
+		return startResponder(t, func(nc net.Conn, _ string) {
+			io.WriteString(nc, text)
+			nc.Close()
+		})
+	}
+	const empty = "Content-Length: 0\r\n\r\n"
+	ok := upstream.Result{Outcome: decide.OutcomeOK, Body: []byte("hi")}
+	okWithFigures := upstream.Result{Outcome: decide.OutcomeOK, Body: []byte("hi"), ReportedUsage: 86, ActualUnits: 3,
+		LoadReport: decide.LoadReport{"inflight": 7, "util": 0.5}}
+	rejected := upstream.Result{Outcome: decide.OutcomeRejected}
+	failed := upstream.Result{Outcome: decide.OutcomeError}
+	reset := upstream.Result{Outcome: decide.OutcomeReset}
+	for _, c := range []struct {
+		name, addr string
+		want       upstream.Result
+	}{
+		{"served", send(okHead + "\r\nhi"), ok},
+		{"figures", send(okHead + "X-Quota-Used: 85\r\nX-Units-Charged: 3\r\nX-Pressure: inflight=7,util=0.5\r\n\r\nhi"),
+			okWithFigures},
+		{"figures that can't be read", send(okHead + "X-Quota-Used: -3\r\nX-Units-Charged: many\r\n" +
+			"X-Pressure: a=b;;\r\n\r\nhi"), ok},
+		{"units beyond the most", send(okHead + "X-Units-Charged: 9000\r\n\r\nhi"), ok},
+		{"interim answers", send("HTTP/1.1 103 E\r\n\r\n" + okHead + "\r\nhi"), ok},
+		{"error", send("HTTP/1.1 500 E\r\n" + empty), failed},
+		{"turned away", send("HTTP/1.1 503 E\r\nX-Turned-Away: 1\r\n" + empty), rejected},
+		{"503 without the mark", send("HTTP/1.1 503 E\r\n" + empty), failed},
+		{"another status", send("HTTP/1.1 404 E\r\n" + empty), failed},
+		{"noise", send("\x01\x02\x03\r\n\r\n"), failed},
+		{"3 GB", send("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx"), failed},
+		{"endless head", send("HTTP/1.1 200 OK\r\n" + strings.Repeat("X: yyyyyyyyyyyyyyyyyyyyyyyy\r\n", 1000)), failed},
+		{"break after the last byte", sendAndClose(""), reset},
+		{"break within the answer", sendAndClose(okHead + "\r\nh"), reset},
+		{"refused", refused, upstream.Result{Outcome: decide.OutcomeConnectFailed}},
+	} {
+		p := newPool(t, Options{MaxUnits: 8}, Server{ID: "a", Addr: c.addr})
+		call, ch := newAttempt("a", "1")
+		p.Send(call)
+		if got := waitResult(t, ch); !reflect.DeepEqual(got, c.want) {
+			t.Errorf("%s: %+v, want %+v", c.name, got, c.want)
+		}
+	}
+}
+
+// A response without a length ends with its connection. Where that is reset instead, the attempt may have run but the
+// response is not complete. Long ones are read up to MaxBodyBytes, and all together up to MaxTotalBodyBytes.
+func TestAnswersUpToTheEnd(t *testing.T) {
+	long := strings.Repeat("a", 200<<10)
+	addr := startResponder(t, func(nc net.Conn, txn string) {
+		defer nc.Close()
+		head := "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
+		switch txn {
+		case "end":
+			io.WriteString(nc, head+"hi")
+		case "long":
+			io.WriteString(nc, head+long)
+		case "reset":
+			io.WriteString(nc, head+"h")
+			nc.(*net.TCPConn).SetLinger(0)
+		case "endless":
+			for {
+				if _, err := io.WriteString(nc, head+long); err != nil {
+					return
+				}
+			}
+		}
+	})
+	p := newPool(t, Options{MaxBodyBytes: 1 << 20, MaxTotalBodyBytes: 2 << 20}, Server{ID: "a", Addr: addr})
+	for _, c := range []struct {
+		txn  string
+		want decide.Outcome
+		body string
+	}{
+		{"end", decide.OutcomeOK, "hi"},
+		{"long", decide.OutcomeOK, long},
+		{"reset", decide.OutcomeReset, ""},
+		{"endless", decide.OutcomeError, ""},
+	} {
+		call, ch := newAttempt("a", c.txn)
+		p.Send(call)
+		if got := waitResult(t, ch); got.Outcome != c.want || string(got.Body) != c.body {
+			t.Errorf("%s: outcome %v and %d bytes, want %v and %d", c.txn, got.Outcome, len(got.Body), c.want, len(c.body))
+		}
+	}
+	for end := time.Now().Add(10 * time.Second); p.bodyBytes.Load() != 0; time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("%d bytes of answers are still counted", p.bodyBytes.Load())
+		}
+	}
+	p.opts.MaxTotalBodyBytes = 100 << 10
+	call, ch := newAttempt("a", "long")
+	p.Send(call)
+	if got := waitResult(t, ch); got.Outcome != decide.OutcomeError {
+		t.Errorf("beyond the sum: outcome %v, want %v", got.Outcome, decide.OutcomeError)
+	}
+}
