--- a/decide/demandshare.go
+++ b/decide/demandshare.go
@@ -18,7 +18,7 @@
 	demandGossipStep = 0.25
 )
 
-// demand is what was asked of a customer's quota at this gateway, whether it was admitted or not.
+// demand is what requests at this gateway demand of a customer's quota, admitted or not.
 type demand struct {
 	rate      rate
 	total     float64 // units since the customer is known here
@@ -53,39 +53,39 @@
 		b.share = min(1, max(even, own/max(own, c.fromOwner.fleetDemand)))
 		return
 	}
-	all, heardAt := g.fleetDemand(c, own, prior)
-	alone := len(g.gossip.peers) == 0 && c.gatewayCount > 1
-	if g.now-heardAt >= peerStaleAfter || all == 0 || alone {
+	all, reportedUpTo := g.fleetDemand(c, own, prior)
+	noGossip := len(g.gossip.peers) == 0 && c.gatewayCount > 1
+	if g.now-reportedUpTo >= peerStaleAfter || all == 0 || noGossip {
 		b.share = g.shareByUsage(c, even)
 		return
 	}
 	b.share = max(even, own/all)
-	if c.gatewayCount > 1 && heardAt > b.reconciledAt {
-		b.reconciledAt = heardAt
+	if c.gatewayCount > 1 && reportedUpTo > b.reconciledAt {
+		b.reconciledAt = reportedUpTo
 		g.reconcileLevel(c, all)
 	}
 }
 
-// fleetDemand adds the demand that peers report to the own, in units a second. heardAt is the time at
-// which the last of the customer's gateways was heard that is silent for longest.
-func (g *Gateway) fleetDemand(c *customer, own, prior float64) (all float64, heardAt time.Duration) {
-	all, heardAt = own, g.now
+// fleetDemand adds the demand that peers report to the own, in units a second. All of the customer's gateways
+// have reported up to the time reportedUpTo.
+func (g *Gateway) fleetDemand(c *customer, own, prior float64) (all float64, reportedUpTo time.Duration) {
+	all, reportedUpTo = own, g.now
 	for i := range g.gossip.peers {
 		if i == g.cfg.Rank || !g.servesCustomer(c, i) {
 			continue
 		}
 		all += c.gossip.totals[i].demandRate.perSecond(g.now) + prior
 		p := &g.gossip.peers[i]
-		heardAt = min(heardAt, p.lastHeard)
+		reportedUpTo = min(reportedUpTo, p.lastReceived)
 		if !p.known {
-			heardAt = g.now - peerStaleAfter
+			reportedUpTo = g.now - peerStaleAfter
 		}
 	}
-	return all, heardAt
+	return all, reportedUpTo
 }
 
 // reconcileLevel sets the level to this gateway's share of the fleet's, once each peer has reported
-// again: the level assumes that peers use just their shares. While more is asked for than leaks, the
+// again: the level assumes that peers use just their shares. While more is demanded than leaks the
 // level is only raised: all contend for the same room, and each would take it at once.
 func (g *Gateway) reconcileLevel(c *customer, fleetDemand float64) {
 	b := &c.bucket
--- a/decide/gossip.go
+++ b/decide/gossip.go
@@ -7,7 +7,7 @@
 )
 
 // Gateways that can afford it use full gossip: each sends each other totals of what its customers used
-// and asked for. Totals make lost and repeated datagrams harmless, a sequence number makes late ones so,
+// and demanded. Totals make lost and repeated datagrams harmless, a sequence number makes late ones so,
 // and an epoch tells the incarnations of a peer apart. Larger fleets use owner gateways instead; see
 // quotaowner.go.
 
@@ -31,8 +31,8 @@
 
 // peer is another gateway, with full gossip.
 type peer struct {
-	known        bool // heard since this gateway started
-	lastHeard    time.Duration
+	known        bool // a datagram of it came since this gateway started
+	lastReceived time.Duration
 	epoch, seq   int  // of its last datagram
 	startedLater bool // it was restarted since this gateway started, so its totals began at 0 meanwhile
 
@@ -65,7 +65,7 @@
 
 // customerGossip is what gateways report to each other of a customer.
 type customerGossip struct {
-	usedTotal float64      // units charged here, as reported; the total asked for is in demand
+	usedTotal float64      // units charged here; the demanded ones are in demand
 	totals    []peerTotals // reported by peers, by rank
 	queuedFor []bool       // by rank: the peer's pending entries contain the customer
 }
@@ -74,7 +74,7 @@
 type peerTotals struct {
 	known      bool // it has, in its present incarnation
 	used       int  // total of charged units, modulo 4096
-	demanded   int  // total of units asked for, modulo 4096
+	demanded   int  // total of demanded units, modulo 4096
 	demandRate rate
 }
 
@@ -158,7 +158,7 @@
 	if restarted {
 		g.startIncarnation(e.From, p)
 	}
-	p.epoch, p.seq, p.known, p.lastHeard = epoch, seq, true, g.now
+	p.epoch, p.seq, p.known, p.lastReceived = epoch, seq, true, g.now
 	for s := e.Text[gossipHeadLength:]; s != ""; s = s[gossipEntryLength:] {
 		g.mergeTotals(e.From, p, parseGossipEntry(s[:gossipEntryLength]))
 	}
--- a/decide/grantcodec.go
+++ b/decide/grantcodec.go
@@ -62,7 +62,7 @@
 type grantAnswer struct {
 	granted     bool
 	fleetLevel  float64 // units in the customer's bucket
-	fleetDemand float64 // units a second that all gateways ask for
+	fleetDemand float64 // units a second that all gateways demand
 	rejectWait  float64 // if not granted: seconds for which the gateway is not to ask again
 }
 
--- a/decide/latency.go
+++ b/decide/latency.go
@@ -36,8 +36,8 @@
 // would come, and the class would be turned away for good.
 func (g *Gateway) usualLatency(k *class) float64 {
 	initial := initialLatencyFraction * k.LatencyObjective.Seconds()
-	faded := math.Exp(-(g.now - k.lastResponse).Seconds() / g.evidenceMemory())
-	return min(k.usualLatency, initial+(k.usualLatency-initial)*faded)
+	fade := math.Exp(-(g.now - k.lastResponse).Seconds() / g.evidenceMemory())
+	return min(k.usualLatency, initial+(k.usualLatency-initial)*fade)
 }
 
 // expectedLatency is the time, in seconds, that a server's response to a request of the class should take.
--- a/decide/quota.go
+++ b/decide/quota.go
@@ -65,7 +65,7 @@
 	if r.rejectReason == "" && c.plan.CeilingRate > 0 && c.ceilingExceeded(r.units) {
 		r.rejectReason = ReasonOverCeiling
 	}
-	if g.metersOnly(c) {
+	if g.onlyUsageReports(c) {
 		c.usage.countRequest(g.now)
 		if r.rejectReason == "" && g.rng.Float64()*g.demandRatio(c) >= 1 {
 			r.rejectReason = ReasonOverQuota
@@ -130,7 +130,7 @@
 	r.units = actual
 }
 
-// refund gives back the charge of a request of which nothing was sent.
+// refund gives back the charge of a request of which nothing was sent, also to an owner that granted it.
 func (g *Gateway) refund(r *request) {
 	if r.Reserved {
 		return
--- a/decide/quotaowner.go
+++ b/decide/quotaowner.go
@@ -84,7 +84,7 @@
 // ownedBucket is what a gateway keeps of a customer that it owns, beside the bucket's fleet level.
 type ownedBucket struct {
 	grants     []grant
-	demandRate rate    // units that all gateways ask for
+	demandRate rate    // units that all gateways demand
 	rejectWait float64 // seconds for which gateways are to reject requests by themselves
 }
 
@@ -99,7 +99,7 @@
 
 // ownerReport is what a customer's owner last replied.
 type ownerReport struct {
-	fleetDemand float64 // units a second that all gateways ask for
+	fleetDemand float64 // units a second that all gateways demand
 	repliedAt   time.Duration
 	rejectUntil time.Duration // requests are rejected without a grant request until then
 }
--- a/decide/status.go
+++ b/decide/status.go
@@ -130,7 +130,7 @@
 func (g *Gateway) peerStatus() (all []PeerStatus) {
 	for i, p := range g.gossip.peers {
 		if i != g.cfg.Rank {
-			all = append(all, PeerStatus{i, p.known, g.now - p.lastHeard, len(p.pending)})
+			all = append(all, PeerStatus{i, p.known, g.now - p.lastReceived, len(p.pending)})
 		}
 	}
 	return all
--- a/decide/usagereport.go
+++ b/decide/usagereport.go
@@ -20,7 +20,7 @@
 	// initialDemandPerRequest is the demand ratio that one recent request stands for before any report.
 	initialDemandPerRequest = 0.25
 
-	// minDemandRatio is the least demand ratio. A customer that asks for little is admitted again at once.
+	// minDemandRatio is the least demand ratio. A customer that demands little is admitted again at once.
 	minDemandRatio = 0.25
 
 	// planDemandGain is the gain of one customer's ratio in the usual one of its plan.
@@ -39,7 +39,7 @@
 	reportedAt time.Duration
 	factor     float64 // on the share that follows from the report, at most 1
 
-	// What the customer asks for, over what its quota allows, as of demandRatioAt.
+	// What the customer demands over what its quota allows, as of demandRatioAt.
 	demandRatio   float64
 	demandRatioAt time.Duration
 
@@ -67,11 +67,11 @@
 }
 
 // metersOnly reports whether usage reports are all that a customer's gateways know of each other.
-func (g *Gateway) metersOnly(c *customer) bool {
+func (g *Gateway) onlyUsageReports(c *customer) bool {
 	return g.cfg.UsageReportPeriod > 0 && c.gatewayCount > 1 && g.gossip.full && len(g.gossip.peers) == 0
 }
 
-// demandRatio is what a customer asks for over what its quota allows, fleet-wide. Its inverse is the part
+// demandRatio is what a customer demands over what its quota allows, fleet-wide. Its inverse is the part
 // of its requests that is admitted. Chance has to decide where one gateway's share of a mark or a limit
 // is less than a request: one request at each of hundreds of gateways is far beyond it, and each of them
 // sees no other.
@@ -81,14 +81,14 @@
 func (g *Gateway) demandRatio(c *customer) float64 {
 	u := &c.usage
 	usual := u.recentRequests * math.Exp(g.planDemand[c.planNo])
-	faded := math.Exp(-(g.now - u.demandRatioAt).Seconds() / demandRatioMemory.Seconds())
-	return usual + (u.demandRatio-usual)*faded
+	fade := math.Exp(-(g.now - u.demandRatioAt).Seconds() / demandRatioMemory.Seconds())
+	return usual + (u.demandRatio-usual)*fade
 }
 
 // updateUsage takes a usage report, in percent of the rate or, for plans without one, of the attempts in
 // flight.
 func (g *Gateway) updateUsage(c *customer, percent float64) {
-	if g.metersOnly(c) && c.usage.recentRequests > 0 {
+	if g.onlyUsageReports(c) && c.usage.recentRequests > 0 {
 		g.updateDemandRatio(c, percent)
 	}
 	u := &c.usage
@@ -116,7 +116,7 @@
 	*usual += planDemandGain * min(1/admitted, maxPlanDemandWeight) * (perRequest - *usual)
 }
 
-// shareByUsage is the share of a customer whose other gateways are not heard: the own part of the reported
+// shareByUsage is the share of a customer whose other gateways send no gossip: the own part of the reported
 // usage, less while that exceeds the rate, or the even share without a recent report.
 func (g *Gateway) shareByUsage(c *customer, even float64) float64 {
 	u := &c.usage
