--- a/decide/usagereport_test.go
+++ b/decide/usagereport_test.go
@@ -26,7 +26,7 @@
 // reports what a customer used of its quota in the last whole second. A limit of two attempts in flight is shared
 // by gateways each of which could let one pass, and a mark of a few units by gateways each of which has a bucket.
 func TestQuotasByUsageReportsAlone(t *testing.T) {
-	const gateways, seconds, from = 80, 40, 20
+	const end, from = 40 * time.Second, 20 * time.Second // counted are the seconds from, to the end
 	for _, c := range []struct {
 		plan       Plan
 		demand     [2]float64 // requests a second of customers that demand much and little
@@ -35,86 +35,138 @@
 		{Plan{Name: "p", MaxInFlight: 2}, [2]float64{30, 1}, 2, 0.35},
 		{Plan{Name: "p", Rate: 4, Burst: 8}, [2]float64{40, 1}, 2, 0.6},
 	} {
-		cfg := testConfig()
-		cfg.Plans, cfg.Limits.Gossip, cfg.Gateways = []Plan{c.plan}, false, gateways
-		cfg.UsageReportPeriod, cfg.SettledOnResponse = time.Second, false
-		rng := rand.New(rand.NewSource(3))
-		var fleet []*Gateway
-		for i := range gateways {
-			cfg.Rank = i
-			g, err := New(cfg, int64(i))
-			if err != nil {
-				t.Fatal(err)
-			}
-			var servers []Server
-			for n := range 40 {
-				servers = append(servers, Server{ID: fmt.Sprint("s", n), Zone: "a"})
-			}
-			g.Handle(0, EndpointUpdate{Kind: FullUpdate, Servers: servers})
-			fleet = append(fleet, g)
-		}
-		type response struct {
-			g          int
-			id, server string
-			customer   int
-		}
-		const customers, service = 10, 400 * ms // every other one demands much
-		due := map[time.Duration][]response{}
-		var inFlight, peak, reported, used [customers]float64
-		var requested, admitted, busy [2]float64
-		step := 10 * ms
-		for now := step; now < seconds*time.Second; now += step {
-			if now%time.Second == 0 {
-				for i := range customers {
-					if reported[i] = 1 + 100*used[i]/max(c.plan.Rate, 1); c.plan.MaxInFlight > 0 {
-						reported[i] = 1 + 100*peak[i]/float64(c.plan.MaxInFlight)
-					}
-					peak[i], used[i] = inFlight[i], 0
-				}
-			}
-			for _, a := range due[now] {
-				inFlight[a.customer]--
-				fleet[a.g].Handle(now, AttemptEnded{ID: a.id, Server: a.server, Outcome: OutcomeOK,
-					Duration: service, RequestDone: true, ReportedUsage: int(reported[a.customer])})
-			}
-			delete(due, now)
-			if now%(100*ms) == 0 {
-				for _, g := range fleet {
-					g.Handle(now, TimerFired{heartbeatToken})
-				}
-			}
-			for i := range customers {
-				for range poisson(rng, c.demand[i%2]*step.Seconds()) {
-					g := rng.Intn(gateways)
-					id := fmt.Sprint(now, i, g, rng.Int())
-					acts := fleet[g].Handle(now, Request{ID: id, Class: "get", Plan: "p",
-						Customer: fmt.Sprint("c", i), Units: 1,
-						Deadline: now + 2*time.Second, GatewayCount: gateways})
-					late := now >= from*time.Second
-					requested[i%2] += float64(boolToInt(late))
-					for _, s := range actionsOf[Send](acts) {
-						inFlight[i]++
-						used[i]++
-						peak[i] = max(peak[i], inFlight[i])
-						admitted[i%2] += float64(boolToInt(late))
-						due[now+service] = append(due[now+service], response{g, id, s.Server, i})
-					}
-				}
-				if now >= from*time.Second {
-					busy[i%2] += inFlight[i] * step.Seconds()
-				}
-			}
+		f := newReportingFleet(t, c.plan)
+		for f.now = reportingStep; f.now < end; f.now += reportingStep {
+			f.counting = f.now >= from
+			f.step(c.demand)
 		}
 		quota := float64(c.plan.MaxInFlight)
-		got := busy[0] / (customers / 2) / (seconds - from)
+		got := f.busy[0] / (reportingCustomers / 2) / (end - from).Seconds()
 		if c.plan.Rate > 0 {
-			quota, got = c.plan.Rate, admitted[0]/(customers/2)/(seconds-from)
+			quota, got = c.plan.Rate, f.admitted[0]/(reportingCustomers/2)/(end-from).Seconds()
 		}
 		if got > c.most*quota || got < 0.4*quota {
 			t.Errorf("%+v: customers that demand much get %.1f, want %v to %v", c.plan, got, 0.4*quota, c.most*quota)
 		}
-		if share := admitted[1] / requested[1]; share < c.fair {
+		if share := f.admitted[1] / f.requested[1]; share < c.fair {
 			t.Errorf("%+v: of customers that demand little %.2f is admitted, want %v", c.plan, share, c.fair)
 		}
 	}
 }
+
+const (
+	reportingGateways  = 80
+	reportingCustomers = 10 // every other one demands much
+	reportingStep      = 10 * ms
+	reportingService   = 400 * ms // time of a response
+)
+
+// reportingFleet is gateways without gossip, to which responses report what customers used.
+type reportingFleet struct {
+	plan     Plan
+	gateways []*Gateway
+	rng      *rand.Rand
+	now      time.Duration
+	due      map[time.Duration][]reportingResponse
+
+	inFlight, peak, used, reported [reportingCustomers]float64
+
+	// Sums over customers that demand much, and little, while counting: requests, and seconds of attempts in flight.
+	counting                  bool
+	requested, admitted, busy [2]float64
+}
+
+type reportingResponse struct {
+	gateway    int
+	id, server string
+	customer   int
+}
+
+func newReportingFleet(t *testing.T, plan Plan) *reportingFleet {
+	t.Helper()
+	cfg := testConfig()
+	cfg.Plans, cfg.Limits.Gossip, cfg.Gateways = []Plan{plan}, false, reportingGateways
+	cfg.UsageReportPeriod, cfg.SettledOnResponse = time.Second, false
+	var servers []Server
+	for n := range 40 {
+		servers = append(servers, Server{ID: fmt.Sprint("s", n), Zone: "a"})
+	}
+	f := &reportingFleet{plan: plan, rng: rand.New(rand.NewSource(3)), due: map[time.Duration][]reportingResponse{}}
+	for i := range reportingGateways {
+		cfg.Rank = i
+		g, err := New(cfg, int64(i))
+		if err != nil {
+			t.Fatal(err)
+		}
+		g.Handle(0, EndpointUpdate{Kind: FullUpdate, Servers: servers})
+		f.gateways = append(f.gateways, g)
+	}
+	return f
+}
+
+// step plays what happens at one time, with requests at the rates of customers that demand much and little.
+func (f *reportingFleet) step(demand [2]float64) {
+	if f.now%time.Second == 0 {
+		f.report()
+	}
+	for _, a := range f.due[f.now] {
+		f.inFlight[a.customer]--
+		f.gateways[a.gateway].Handle(f.now, AttemptEnded{
+			ID:            a.id,
+			Server:        a.server,
+			Outcome:       OutcomeOK,
+			Duration:      reportingService,
+			RequestDone:   true,
+			ReportedUsage: int(f.reported[a.customer]),
+		})
+	}
+	delete(f.due, f.now)
+	if f.now%(100*ms) == 0 {
+		for _, g := range f.gateways {
+			g.Handle(f.now, TimerFired{heartbeatToken})
+		}
+	}
+	for i := range reportingCustomers {
+		for range poisson(f.rng, demand[i%2]*reportingStep.Seconds()) {
+			f.request(i)
+		}
+		if f.counting {
+			f.busy[i%2] += f.inFlight[i] * reportingStep.Seconds()
+		}
+	}
+}
+
+// report makes the usage reports of the last second.
+func (f *reportingFleet) report() {
+	for i := range reportingCustomers {
+		f.reported[i] = 1 + 100*f.used[i]/max(f.plan.Rate, 1)
+		if f.plan.MaxInFlight > 0 {
+			f.reported[i] = 1 + 100*f.peak[i]/float64(f.plan.MaxInFlight)
+		}
+		f.peak[i], f.used[i] = f.inFlight[i], 0
+	}
+}
+
+// request sends a request of a customer to a random gateway.
+func (f *reportingFleet) request(customer int) {
+	g := f.rng.Intn(reportingGateways)
+	id := fmt.Sprint(f.now, customer, g, f.rng.Int())
+	counted := float64(boolToInt(f.counting))
+	f.requested[customer%2] += counted
+	for _, s := range actionsOf[Send](f.gateways[g].Handle(f.now, Request{
+		ID:           id,
+		Class:        "get",
+		Plan:         "p",
+		Customer:     fmt.Sprint("c", customer),
+		Units:        1,
+		Deadline:     f.now + 2*time.Second,
+		GatewayCount: reportingGateways,
+	})) {
+		f.inFlight[customer]++
+		f.used[customer]++
+		f.peak[customer] = max(f.peak[customer], f.inFlight[customer])
+		f.admitted[customer%2] += counted
+		at := f.now + reportingService
+		f.due[at] = append(f.due[at], reportingResponse{g, id, s.Server, customer})
+	}
+}
