--- a/decide/actions.go
+++ b/decide/actions.go
@@ -35,16 +35,16 @@
 		Token uint64
 	}
 
-	// HealthCheck asks a server for its load.
+	// HealthCheck asks a server for its load. No decision asks for it.
 	HealthCheck struct{ Server string }
 
-	// CloseIdle closes the idle connections to a server.
+	// CloseIdle closes the idle connections to a server. No decision asks for it.
 	CloseIdle struct{ Server string }
 
-	// Subscribe starts or ends the stream of updates of the endpoint list.
+	// Subscribe starts or ends the stream of updates of the endpoint list. No decision asks for it.
 	Subscribe struct{ On bool }
 
-	// FetchList asks once for the whole endpoint list.
+	// FetchList asks once for the whole endpoint list. No decision asks for it.
 	FetchList struct{}
 
 	// SendGossip sends a datagram to another gateway.
@@ -53,14 +53,14 @@
 		Text string
 	}
 
-	// AddToCounter adds to a number of the shared counter.
+	// AddToCounter adds to a number of the shared counter. No decision asks for it.
 	AddToCounter struct {
 		Name uint64
 		Add  float64
 		TTL  time.Duration
 	}
 
-	// Log adds a line to the operator's log.
+	// Log adds a line to the operator's log. No decision asks for it.
 	Log struct{ Text string }
 )
 
--- a/decide/events.go
+++ b/decide/events.go
@@ -20,7 +20,7 @@
 		Deadline                   time.Duration // when the client gives up
 		FirstGateway, GatewayCount int           // the customer's gateways: rank of the first, and how many
 		IsRetry                    bool          // the client had sent it before
-		Mutates                    bool
+		Mutates                    bool // it changes data; no decision uses this
 		Reserved                   bool // its units were reserved elsewhere: it passes the quota uncharged
 	}
 
@@ -58,7 +58,7 @@
 	// TimerFired answers SetTimer.
 	TimerFired struct{ Token uint64 }
 
-	// HealthCheckEnded answers HealthCheck.
+	// HealthCheckEnded answers HealthCheck. No decision uses it.
 	HealthCheckEnded struct {
 		Server     string
 		Outcome    Outcome
@@ -72,7 +72,7 @@
 		Text string
 	}
 
-	// CounterUpdated answers AddToCounter.
+	// CounterUpdated answers AddToCounter. No decision uses it.
 	CounterUpdated struct {
 		Name     uint64
 		Outcome  Outcome
@@ -125,7 +125,7 @@
 }
 
 // LoadReport is a server's own account of its load, by the name of the figure (queue, util, qps,
-// latency_ms, inflight, errors_per_s).
+// latency_ms, inflight, errors_per_s). No decision uses it.
 type LoadReport map[string]float64
 
 // Outcome says how an attempt ended.
