--- /dev/null
+++ b/bench/modes.go
@@ -0,0 +1,171 @@
+package main
+
+import (
+	"fmt"
+	"math"
+	"os"
+	"path/filepath"
+	"time"
+
+	"winghatch/internal/config"
+	"winghatch/internal/wal"
+)
+
+// writeExportSettings writes settings like file's with a usage export.
+func writeExportSettings(file, dir, to string, m wal.SyncMode, disk int) (string, error) {
+	f, err := config.Load(file)
+	if err != nil {
+		return "", err
+	}
+	f.StateDirPattern = filepath.Join(dir, "kept-"+m.String()+"-%d")
+	f.UsageExport.URL, f.UsageExport.Durability, f.UsageExport.MaxLogBytes = "http://"+to+"/use", m, disk
+	out := filepath.Join(dir, "export-"+m.String()+".kdl")
+	return out, os.WriteFile(out, config.Format(f), 0o600)
+}
+
+// measureUsageExport measures the gateway without an export and with one of each durability, in turn.
+func measureUsageExport(dir, file string, warm, span time.Duration) error {
+	s, err := startReceiver()
+	if err != nil {
+		return err
+	}
+	files := map[string]string{"off": file}
+	for _, m := range []wal.SyncMode{wal.SyncNever, wal.SyncInterval, wal.SyncAlways} {
+		if files[m.String()], err = writeExportSettings(file, dir, s.addr, m, 2<<30-1); err != nil {
+			return err
+		}
+	}
+	modes := &comparison{what: "export", modes: []string{"off", "none", "interval", "each"}, files: files}
+	if err := modes.measure(warm, span); err != nil {
+		return err
+	}
+	fmt.Printf("fsync of %d bytes on this disk: %v\n\n", 4096, syncTime(dir))
+	return nil
+}
+
+// measureMetrics measures the gateway without measures, with them, and with a receiver that is down.
+func measureMetrics(dir, file string, warm, span time.Duration) error {
+	s, err := startReceiver()
+	if err != nil {
+		return err
+	}
+	files := map[string]string{"off": file}
+	f, err := config.Load(file)
+	if err != nil {
+		return err
+	}
+	f.Metrics.Enabled, f.Metrics.URL, f.Metrics.Interval, f.Metrics.VersionOne = true, "http://"+s.addr+"/api/v1/write", time.Second, true
+	files["on"] = filepath.Join(dir, "measures.kdl")
+	if err := os.WriteFile(files["on"], config.Format(f), 0o600); err != nil {
+		return err
+	}
+	files["receiver down"] = files["on"]
+	modes := &comparison{what: "measures each second", modes: []string{"off", "receiver down", "on"}, files: files}
+	modes.before = func(mode string) { s.down.Store(mode == "receiver down") }
+	return modes.measure(warm, span)
+}
+
+// The load under which modes are compared.
+const (
+	modeSessions = 64
+	modeOpen     = 512 // calls open at once over all sessions
+	modeRounds   = 3
+)
+
+// comparison measures a gateway under the settings of several modes, in turn. The first mode is what the others are compared with.
+type comparison struct {
+	what   string
+	modes  []string
+	files  map[string]string // settings, by mode
+	before func(mode string) // prepares a round; may be nil
+}
+
+// run measures one round of a mode.
+func (m *comparison) run(mode string, measure func(c *clientPool)) error {
+	if m.before != nil {
+		m.before(mode)
+	}
+	p, err := startProcess("gateway", m.files[mode], "")
+	if err != nil {
+		return err
+	}
+	defer p.stop()
+	c, err := dialAll(p.addr, modeSessions)
+	if err != nil {
+		return err
+	}
+	measure(c)
+	c.close()
+	if n := c.failed.Load(); n > 0 {
+		return fmt.Errorf("%s %s: %d calls were not served", m.what, mode, n)
+	}
+	return nil
+}
+
+// measure prints the calls a second of each mode and, at half of the slowest's, the latency of each.
+func (m *comparison) measure(warm, span time.Duration) error {
+	rates, err := m.rates(warm, span/modeRounds)
+	if err != nil {
+		return err
+	}
+	least := int64(math.MaxInt64)
+	for _, mode := range m.modes {
+		least = min(least, median(rates[mode]))
+	}
+	rate := 0.5 * float64(least)
+	p50, p99 := map[string][]int64{}, map[string][]int64{}
+	for range modeRounds {
+		for _, mode := range m.modes {
+			err := m.run(mode, func(c *clientPool) {
+				c.runOpenLoop(rate, warm, span)
+				p50[mode] = append(p50[mode], c.latency.ValueAtQuantile(50))
+				p99[mode] = append(p99[mode], c.latency.ValueAtQuantile(99))
+			})
+			if err != nil {
+				return err
+			}
+		}
+	}
+	fmt.Printf("%s, %d sessions, %d calls open; quantiles at %.0f calls a second, half of the slowest's most\n\n",
+		m.what, modeSessions, modeOpen, rate)
+	fmt.Printf("| %s | calls/s | to %s | p50 | p99 |\n| --- | --- | --- | --- | --- |\n", m.what, m.modes[0])
+	for _, mode := range m.modes {
+		got := median(rates[mode])
+		fmt.Printf("| %s | %d | %.2f | %v | %v |\n", mode, got, float64(got)/float64(median(rates[m.modes[0]])),
+			time.Duration(median(p50[mode])).Round(time.Microsecond), time.Duration(median(p99[mode])).Round(time.Microsecond))
+	}
+	fmt.Println()
+	return nil
+}
+
+// rates returns the calls a second of each round, by mode.
+func (m *comparison) rates(warm, span time.Duration) (map[string][]int64, error) {
+	rates := map[string][]int64{}
+	for range modeRounds {
+		for _, mode := range m.modes {
+			err := m.run(mode, func(c *clientPool) {
+				rates[mode] = append(rates[mode], int64(c.runClosedLoop(modeOpen, warm, span)))
+			})
+			if err != nil {
+				return nil, err
+			}
+		}
+	}
+	return rates, nil
+}
+
+// syncTime returns how long the disk takes to write and sync 4 KiB, or 0 where it can't.
+func syncTime(dir string) time.Duration {
+	f, err := os.Create(filepath.Join(dir, "sync"))
+	if err != nil {
+		return 0
+	}
+	defer f.Close()
+	began := time.Now()
+	const n = 50
+	for range n {
+		f.Write(make([]byte, 4096))
+		f.Sync()
+	}
+	return (time.Since(began) / n).Round(time.Microsecond)
+}
--- /dev/null
+++ b/bench/process.go
@@ -0,0 +1,101 @@
+package main
+
+import (
+	"bufio"
+	"encoding/json"
+	"fmt"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"time"
+)
+
+// process is one path from clients to servers: a process of its own, or none, where clients talk to a server directly.
+type process struct {
+	name   string
+	addr   string
+	cmd    *exec.Cmd
+	stdin  *bufio.Writer
+	stdout *bufio.Scanner
+}
+
+// freeAddress returns a loopback address on which nothing listens.
+func freeAddress() string {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		panic(err)
+	}
+	defer ln.Close()
+	return ln.Addr().String()
+}
+
+// startProcess starts this program as a measured process; profile is the file of its CPU profile, or empty.
+func startProcess(name, file, profile string) (*process, error) {
+	exe, err := os.Executable()
+	if err != nil {
+		return nil, err
+	}
+	p := &process{name: name, cmd: exec.Command(exe, "child", name, file, profile)}
+	p.cmd.Stderr = os.Stderr
+	w, err := p.cmd.StdinPipe()
+	if err != nil {
+		return nil, err
+	}
+	r, err := p.cmd.StdoutPipe()
+	if err != nil {
+		return nil, err
+	}
+	p.stdin, p.stdout = bufio.NewWriter(w), bufio.NewScanner(r)
+	p.stdout.Buffer(nil, 1<<20)
+	if err := p.cmd.Start(); err != nil {
+		return nil, err
+	}
+	if !p.stdout.Scan() {
+		return nil, fmt.Errorf("%s does not start", name)
+	}
+	p.addr = p.stdout.Text()
+	return p, nil
+}
+
+// processUsage is what a measured process tells of itself.
+type processUsage struct {
+	CPU             time.Duration
+	Heap            uint64        // bytes in use after a collection, with stacks
+	DecideShare     float64       // of the CPU time, in package decide
+	SchedulingDelay time.Duration // 99th percentile of a ready goroutine's wait for a processor
+	GCPause         time.Duration // and of the collector's pauses
+}
+
+// usage asks the process for its usage; a path without a process has none.
+func (p *process) usage() (u processUsage, err error) {
+	if p.cmd == nil {
+		return u, nil
+	}
+	fmt.Fprintln(p.stdin, "usage")
+	p.stdin.Flush()
+	if !p.stdout.Scan() {
+		return u, fmt.Errorf("%s is gone", p.name)
+	}
+	return u, json.Unmarshal(p.stdout.Bytes(), &u)
+}
+
+// stop ends the process and waits for it.
+func (p *process) stop() {
+	if p.cmd != nil {
+		fmt.Fprintln(p.stdin, "quit")
+		p.stdin.Flush()
+		p.cmd.Wait()
+	}
+}
+
+// paths are the ways from clients to servers that are compared: none, the gateway, the gateway with a core that decides nothing, a relay.
+var paths = []string{"direct", "gateway", "plain", "relay"}
+
+// startPath starts the path of that name with a CPU profile.
+func startPath(name, dir, file, server string) (*process, error) {
+	if name == "direct" {
+		return &process{name: name, addr: server}, nil
+	}
+	return startProcess(name, file, filepath.Join(dir, name+".prof"))
+}
