--- a/internal/reservation/stored_test.go
+++ b/internal/reservation/stored_test.go
@@ -168,41 +168,7 @@
 	w.run(1100 * time.Millisecond)
 	w.loss = []float64{0, 0.1, 0.4}[rng.Intn(3)]
 	for range 40 {
-		i := rng.Intn(n)
-		if w.down[i] {
-			w.start(i)
-		}
-		switch rng.Intn(10) {
-		case 0:
-			w.kill(i, rng.Intn(3) > 0)
-		case 1:
-			w.stalled[i] = !w.stalled[i]
-		case 2:
-			for k := range w.partition {
-				w.partition[k] = rng.Intn(2)
-			}
-		case 3:
-			if !w.down[i] && !w.stalled[i] {
-				w.handle(i, Drain{})
-				w.run(100 * time.Millisecond)
-				w.kill(i, true)
-			}
-		case 4:
-			w.units = min(w.units, w.reservation.Units*(0.7+0.3*rng.Float64()))
-			for k := range w.ledgers {
-				if !w.down[k] {
-					w.handle(k, ResizeReservation{w.reservation.ID, w.units})
-				}
-			}
-		default:
-			one := rng.Intn(2) == 0
-			w.load(time.Duration(20+rng.Intn(600))*time.Millisecond, 10+100*rng.Float64(), 0.5+7*rng.Float64(), func() int {
-				if one {
-					return i
-				}
-				return w.rng.Intn(n)
-			})
-		}
+		randomStep(rng, w)
 	}
 	for k := range w.ledgers {
 		w.stalled[k] = false
@@ -212,6 +178,45 @@
 	return actions, d.Sum64()
 }
 
+// randomStep draws one fault or some load.
+func randomStep(rng *rand.Rand, w *world) {
+	i := rng.Intn(w.n)
+	if w.down[i] {
+		w.start(i)
+	}
+	switch rng.Intn(10) {
+	case 0:
+		w.kill(i, rng.Intn(3) > 0)
+	case 1:
+		w.stalled[i] = !w.stalled[i]
+	case 2:
+		for k := range w.partition {
+			w.partition[k] = rng.Intn(2)
+		}
+	case 3:
+		if !w.down[i] && !w.stalled[i] {
+			w.handle(i, Drain{})
+			w.run(100 * time.Millisecond)
+			w.kill(i, true)
+		}
+	case 4:
+		w.units = min(w.units, w.reservation.Units*(0.7+0.3*rng.Float64()))
+		for k := range w.ledgers {
+			if !w.down[k] {
+				w.handle(k, ResizeReservation{w.reservation.ID, w.units})
+			}
+		}
+	default:
+		one := rng.Intn(2) == 0
+		w.load(time.Duration(20+rng.Intn(600))*time.Millisecond, 10+100*rng.Float64(), 0.5+7*rng.Float64(), func() int {
+			if one {
+				return i
+			}
+			return w.rng.Intn(w.n)
+		})
+	}
+}
+
 // A change of any decision (order, arithmetic, a draw of a random number) shows as another transcript of the random
 // histories: the stored ones are of the version whose data is beside them.
 func TestStoredTranscripts(t *testing.T) {
--- a/internal/wal/wal_test.go
+++ b/internal/wal/log_test.go
@@ -5,189 +5,18 @@
 	"encoding/binary"
 	"errors"
 	"fmt"
-	"io"
 	"os"
 	"path/filepath"
 	"slices"
-	"strings"
 	"sync"
-	"syscall"
 	"testing"
 	"time"
 
 	"pgregory.net/rapid"
 )
 
-// disk is a file system in memory that forgets what was not synced when it crashes, and fails as told.
-type disk struct {
-	mu      sync.Mutex
-	files   map[string]*content
-	names   map[string]*content // that a crash leaves
-	full    int                 // bytes left; -1: no bound
-	badSync bool
-	steps   int  // operations until the process is gone; -1: it is not
-	noSync  bool // planted fault: a sync that does nothing and says nothing
-	syncs   int
-}
-
-type content struct {
-	data   []byte
-	synced int
-}
-
-func newDisk() *disk {
-	return &disk{files: map[string]*content{}, names: map[string]*content{}, full: -1, steps: -1}
-}
-
-// gone counts an operation, and reports whether the process has gone before it; mu is held.
-func (d *disk) gone() bool {
-	if d.steps > 0 {
-		d.steps--
-		return false
-	}
-	return d.steps == 0
-}
-
-type handle struct {
-	d *disk
-	c *content
-}
-
-func (d *disk) Create(name string) (File, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.files[name] != nil {
-		return nil, os.ErrExist
-	}
-	if d.full == 0 || d.gone() {
-		return nil, syscall.ENOSPC
-	}
-	c := &content{}
-	d.files[name] = c
-	return &handle{d, c}, nil
-}
-
-func (h *handle) Write(b []byte) (int, error) {
-	h.d.mu.Lock()
-	defer h.d.mu.Unlock()
-	if h.d.gone() {
-		return 0, syscall.EIO
-	}
-	n := len(b)
-	var err error
-	if h.d.full >= 0 && n > h.d.full {
-		n, err = h.d.full, syscall.ENOSPC // a short write
-	}
-	if h.d.full >= 0 {
-		h.d.full -= n
-	}
-	h.c.data = append(h.c.data, b[:n]...)
-	return n, err
-}
-
-func (h *handle) Sync() error {
-	h.d.mu.Lock()
-	defer h.d.mu.Unlock()
-	h.d.syncs++
-	if h.d.badSync || h.d.gone() {
-		return syscall.EIO
-	}
-	if !h.d.noSync {
-		h.c.synced = len(h.c.data)
-	}
-	return nil
-}
-
-func (h *handle) Close() error { return nil }
-
-type reader struct{ *bytes.Reader }
-
-func (reader) Close() error { return nil }
-
-func (d *disk) Open(name string) (io.ReadSeekCloser, error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	c := d.files[name]
-	if c == nil {
-		return nil, os.ErrNotExist
-	}
-	return reader{bytes.NewReader(slices.Clone(c.data))}, nil
-}
-
-func (d *disk) Rename(from, to string) error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.gone() {
-		return syscall.EIO
-	}
-	d.files[to] = d.files[from]
-	delete(d.files, from)
-	return nil
-}
-
-func (d *disk) Remove(name string) error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.files[name] == nil {
-		return os.ErrNotExist
-	}
-	if d.gone() {
-		return syscall.EIO
-	}
-	delete(d.files, name)
-	return nil
-}
-
-func (d *disk) SyncDir(string) error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.gone() {
-		return syscall.EIO
-	}
-	clear(d.names)
-	for k, v := range d.files {
-		d.names[k] = v
-	}
-	return nil
-}
-
-type entry struct {
-	name string
-	size int64
-}
-
-func (e entry) Name() string               { return e.name }
-func (e entry) IsDir() bool                { return false }
-func (e entry) Type() os.FileMode          { return 0 }
-func (e entry) Info() (os.FileInfo, error) { return e, nil }
-func (e entry) Size() int64                { return e.size }
-func (e entry) Mode() os.FileMode          { return 0 }
-func (e entry) ModTime() time.Time         { return time.Time{} }
-func (e entry) Sys() any                   { return nil }
-
-func (d *disk) List(string) (out []os.DirEntry, err error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for k, v := range d.files {
-		out = append(out, entry{filepath.Base(k), int64(len(v.data))})
-	}
-	return out, nil
-}
-
-// crash is what the machine's end leaves: synced bytes of synced names, and tail bytes more of each file.
-func (d *disk) crash(tail int) *disk {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	out := newDisk()
-	for k, c := range d.names {
-		n := min(len(c.data), c.synced+tail)
-		v := &content{slices.Clone(c.data[:n]), n}
-		out.files[k], out.names[k] = v, v
-	}
-	return out
-}
-
-func open(t testing.TB, dir string, o Options) (*Log, *Recovery, []string) {
+// openLog opens a log, to be closed with the test, and returns the payloads that it recovered.
+func openLog(t testing.TB, dir string, o Options) (*Log, *Recovery, []string) {
 	t.Helper()
 	var got []string
 	l, rec, err := Open(dir, o, nil, func(r Record) error { got = append(got, string(r.Payload)); return nil })
@@ -198,7 +27,8 @@
 	return l, rec, got
 }
 
-func write(t testing.TB, l *Log, from, to int) {
+// appendRecords appends "record N" for each number and waits until all are durable.
+func appendRecords(t testing.TB, l *Log, from, to int) {
 	t.Helper()
 	for i := from; i <= to; i++ {
 		if _, err := l.Append([]byte(fmt.Sprintf("record %d", i))); err != nil {
@@ -210,23 +40,24 @@
 	}
 }
 
+// TestReopen recovers what each mode wrote, and has a cursor read it and what is appended behind it.
 func TestReopen(t *testing.T) {
 	for _, m := range []SyncMode{SyncAlways, SyncInterval, SyncNever} {
 		dir := t.TempDir()
-		l, rec, _ := open(t, dir, Options{Mode: m, SegmentBytes: 300})
+		l, rec, _ := openLog(t, dir, Options{Mode: m, SegmentBytes: 300})
 		if rec.Last != 0 {
 			t.Errorf("%+v", rec)
 		}
-		write(t, l, 1, 50)
+		appendRecords(t, l, 1, 50)
 		if _, _, err := Open(dir, Options{}, nil, nil); !errors.Is(err, ErrLocked) {
 			t.Errorf("%v, want ErrLocked", err)
 		}
 		l.Close()
-		l, rec, got := open(t, dir, Options{Mode: m})
+		l, rec, got := openLog(t, dir, Options{Mode: m})
 		if rec.Last != 50 || len(got) != 50 || got[49] != "record 50" || rec.Gaps != nil || rec.TornBytes != 0 {
 			t.Errorf("%v: %+v %d", m, rec, len(got))
 		}
-		write(t, l, 51, 60)
+		appendRecords(t, l, 51, 60)
 		c := l.NewCursor(1)
 		for i := 1; i <= 60; i++ {
 			r, ok, err := c.Next()
@@ -237,19 +68,19 @@
 		if _, ok, _ := c.Next(); ok {
 			t.Error("a record that is none")
 		}
-		write(t, l, 61, 61)
+		appendRecords(t, l, 61, 61)
 		if r, ok, _ := c.Next(); !ok || r.Number != 61 {
 			t.Error("the cursor does not go on")
 		}
 	}
 }
 
-// TestEveryByte cuts the log at each byte of its last record, and zeroes it from there: the record is gone, those
-// before are whole, and what is written next is read.
+// A crash of the machine leaves the last write cut at any byte, or with zeroes behind it. TestEveryByte leaves each of
+// these: the record is lost, those before are recovered, and what is appended next is read.
 func TestEveryByte(t *testing.T) {
 	dir := t.TempDir()
-	l, _, _ := open(t, dir, Options{})
-	write(t, l, 1, 3)
+	l, _, _ := openLog(t, dir, Options{})
+	appendRecords(t, l, 1, 3)
 	l.Close()
 	file := filepath.Join(dir, segmentName(1))
 	whole, err := os.ReadFile(file)
@@ -265,24 +96,25 @@
 				b = append(b, make([]byte, len(whole)-cut+100)...)
 			}
 			os.WriteFile(filepath.Join(dir, segmentName(1)), b, 0o600)
-			l, rec, got := open(t, dir, Options{})
+			l, rec, got := openLog(t, dir, Options{})
 			if len(got) != 2 || rec.Last != 2 || rec.Gaps != nil || rec.TornBytes != int64(len(b)-(len(whole)-last)) {
 				t.Fatalf("cut at %d, zeroed %t: %+v %v", cut, zero, rec, got)
 			}
-			write(t, l, 30, 30)
+			appendRecords(t, l, 30, 30)
 			l.Close()
-			if _, rec, got := open(t, dir, Options{}); len(got) != 3 || got[2] != "record 30" || rec.Gaps != nil {
+			if _, rec, got := openLog(t, dir, Options{}); len(got) != 3 || got[2] != "record 30" || rec.Gaps != nil {
 				t.Fatalf("cut at %d, zeroed %t: then %+v %v", cut, zero, rec, got)
 			}
 		}
 	}
 }
 
-// TestFlip turns a bit at every place of a segment: the records beside it are kept, what is missing is said.
+// A disk damages a bit. TestFlip flips one in each byte of a segment: only the record that has it is lost, and a gap is
+// reported.
 func TestFlip(t *testing.T) {
 	dir := t.TempDir()
-	l, _, _ := open(t, dir, Options{})
-	write(t, l, 1, 5)
+	l, _, _ := openLog(t, dir, Options{})
+	appendRecords(t, l, 1, 5)
 	l.Close()
 	file := filepath.Join(dir, segmentName(1))
 	whole, _ := os.ReadFile(file)
@@ -293,7 +125,7 @@
 		b[at] ^= 1 << (at % 8)
 		os.WriteFile(filepath.Join(dir, segmentName(1)), b, 0o600)
 		hit := (at-segmentHeaderBytes)/size + 1
-		l, rec, got := open(t, dir, Options{})
+		l, rec, got := openLog(t, dir, Options{})
 		if len(got) != 4 || slices.Contains(got, fmt.Sprintf("record %d", hit)) {
 			t.Fatalf("bit at %d: %v", at, got)
 		}
@@ -321,18 +153,19 @@
 	}
 }
 
-// TestFailures lets the disk fill, syncs fail and the directory be gone: nothing is acknowledged meanwhile, and what
-// waited is durable when the log works again, once.
+// The disk fills up, or a sync fails, and the system may drop what it had not written. TestFailures expects that
+// nothing is acknowledged meanwhile, and that all records are durable, once each, when the log works again.
 func TestFailures(t *testing.T) {
-	for name, fault := range map[string]func(d *disk, on bool){
-		"full": func(d *disk, on bool) { d.full = map[bool]int{true: 30, false: -1}[on] },
-		"sync": func(d *disk, on bool) { d.badSync = on },
+	for name, fault := range map[string]func(d *faultDisk, on bool){
+		"full": func(d *faultDisk, on bool) { d.spaceLeft = map[bool]int{true: 30, false: -1}[on] },
+		"sync": func(d *faultDisk, on bool) { d.failSync = on },
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := newDisk()
+			d := newFaultDisk()
 			fails := make(chan error, 100)
-			l, _, _ := open(t, t.TempDir(), Options{FS: d, RetryInterval: 2 * time.Millisecond, OnFailure: func(err error) { fails <- err }})
-			write(t, l, 1, 3)
+			l, _, _ := openLog(t, t.TempDir(), Options{FS: d, RetryInterval: 2 * time.Millisecond,
+				OnFailure: func(err error) { fails <- err }})
+			appendRecords(t, l, 1, 3)
 			d.mu.Lock()
 			fault(d, true)
 			d.mu.Unlock()
@@ -351,65 +184,74 @@
 			if err := <-fails; err != nil {
 				t.Fatal(err)
 			}
-			write(t, l, 7, 8)
+			appendRecords(t, l, 7, 8)
 			l.Close()
-			_, rec, got := open(t, l.Dir(), Options{FS: d.crash(0)})
-			if strings.Join(got, " ") != "record 1 record 2 record 3 record 4 record 5 record 6 record 7 record 8" || rec.Gaps != nil {
+			_, rec, got := openLog(t, l.Dir(), Options{FS: d.crash(0)})
+			var want []string
+			for i := 1; i <= 8; i++ {
+				want = append(want, fmt.Sprintf("record %d", i))
+			}
+			if !slices.Equal(got, want) || rec.Gaps != nil {
 				t.Errorf("%v %+v", got, rec)
 			}
 		})
 	}
 }
 
-// TestSnapshotNotAhead refuses a snapshot of what is not durable: a crash would leave it ahead of its log.
+// A snapshot that covers records which a crash takes from the log would have the next ones, under the same numbers,
+// count as covered. TestSnapshotNotAhead expects that such a snapshot fails.
 func TestSnapshotNotAhead(t *testing.T) {
-	d := newDisk()
-	l, _, _ := open(t, t.TempDir(), Options{FS: d, RetryInterval: time.Hour})
-	write(t, l, 1, 2)
+	d := newFaultDisk()
+	l, _, _ := openLog(t, t.TempDir(), Options{FS: d, RetryInterval: time.Hour})
+	appendRecords(t, l, 1, 2)
 	d.mu.Lock()
-	d.badSync = true
+	d.failSync = true
 	d.mu.Unlock()
 	l.Append([]byte("record 3"))
 	if err := l.Snapshot(3, []byte("three")); err == nil {
 		t.Error("a snapshot covers a record that is not durable")
 	}
 	d.mu.Lock()
-	d.badSync = false
+	d.failSync = false
 	d.mu.Unlock()
 	if err := l.Snapshot(2, []byte("two")); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestKilledWhileReviving has a sync fail in the mode that tells what the system has, and kills the process at each step of
-// the new segment: what was told is there.
+// In the mode SyncInterval records are acknowledged when the system has them. Then a sync fails, and the process is
+// killed while the log writes them to a new segment of the same name. TestKilledWhileReviving kills it at each
+// operation: what was acknowledged must be recovered.
 func TestKilledWhileReviving(t *testing.T) {
 	for step := 1; step <= 8; step++ {
-		d := newDisk()
+		d := newFaultDisk()
 		dir := t.TempDir()
-		l, _, _ := open(t, dir, Options{FS: d, Mode: SyncInterval, SyncInterval: time.Millisecond, RetryInterval: time.Millisecond})
+		l, _, _ := openLog(t, dir, Options{FS: d, Mode: SyncInterval, SyncInterval: time.Millisecond,
+			RetryInterval: time.Millisecond})
 		d.mu.Lock()
-		d.badSync = true
+		d.failSync = true
 		d.mu.Unlock()
 		l.Append([]byte("record 1"))
-		for until := time.Now().Add(10 * time.Second); l.Err() == nil && time.Now().Before(until); time.Sleep(time.Millisecond) {
+		for until := time.Now().Add(10 * time.Second); l.Err() == nil && time.Now().Before(until); {
+			time.Sleep(time.Millisecond)
 		}
-		told := l.LastDurable()
+		acknowledged := l.LastDurable()
 		d.mu.Lock()
-		d.badSync, d.steps = false, step
+		d.failSync, d.operationsLeft = false, step
 		d.mu.Unlock()
 		l.Close()
 		d.mu.Lock()
-		d.steps = -1 // the next life
+		d.operationsLeft = -1 // the next life
 		d.mu.Unlock()
-		if _, rec, _ := open(t, dir, Options{FS: d}); rec.Last < told || told == 0 {
-			t.Errorf("killed at step %d: %+v, record %d was told", step, rec, told)
+		if _, rec, _ := openLog(t, dir, Options{FS: d}); rec.Last < acknowledged || acknowledged == 0 {
+			t.Errorf("killed at step %d: %+v, record %d was acknowledged", step, rec, acknowledged)
 		}
 	}
 }
 
+// TestBounds reaches Options.MaxBytes, which snapshots make room under again, and MaxRecord.
 func TestBounds(t *testing.T) {
-	l, _, _ := open(t, t.TempDir(), Options{MaxBytes: 400, SegmentBytes: 100})
+	l, _, _ := openLog(t, t.TempDir(), Options{MaxBytes: 400, SegmentBytes: 100})
 	n := 0
 	for ; n < 100; n++ {
 		if _, err := l.Append(make([]byte, 30)); errors.Is(err, ErrFull) {
@@ -420,7 +262,7 @@
 	if n == 0 || n == 100 || l.Size() > 400 {
 		t.Fatalf("%d records, %d bytes", n, l.Size())
 	}
-	for range 2 { // the second lets go of what only the first still needed
+	for range 2 { // the second removes what only the first still needed
 		if err := l.Snapshot(l.LastDurable(), []byte("state")); err != nil {
 			t.Fatal(err)
 		}
@@ -433,20 +275,21 @@
 	}
 }
 
-// TestSnapshot recovers from the newest whole snapshot, also where that is not the newest.
+// A snapshot may be damaged, or a crash may cut one. TestSnapshot flips a bit in each byte of the newest one: recovery
+// begins at the one before, from which all segments are still there.
 func TestSnapshot(t *testing.T) {
 	dir := t.TempDir()
-	l, _, _ := open(t, dir, Options{SegmentBytes: 64})
-	write(t, l, 1, 10)
+	l, _, _ := openLog(t, dir, Options{SegmentBytes: 64})
+	appendRecords(t, l, 1, 10)
 	l.Snapshot(10, []byte("ten"))
-	write(t, l, 11, 20)
+	appendRecords(t, l, 11, 20)
 	l.Snapshot(20, []byte("twenty"))
-	write(t, l, 21, 25)
+	appendRecords(t, l, 21, 25)
 	l.Close()
 	if _, err := os.Stat(filepath.Join(dir, segmentName(1))); err == nil {
 		t.Error("the first segment is kept")
 	}
-	l, rec, got := open(t, dir, Options{})
+	l, rec, got := openLog(t, dir, Options{})
 	if string(rec.Snapshot) != "twenty" || rec.SnapshotRecord != 20 || len(got) != 5 || rec.Last != 25 {
 		t.Fatalf("%+v %v", rec, got)
 	}
@@ -457,24 +300,24 @@
 		bad := slices.Clone(b)
 		bad[at] ^= 4
 		os.WriteFile(file, bad, 0o600)
-		l, rec, got := open(t, dir, Options{})
+		l, rec, got := openLog(t, dir, Options{})
 		if string(rec.Snapshot) != "ten" || len(got) != 15 || len(rec.DamagedSnapshots) != 1 || rec.Gaps != nil {
 			t.Fatalf("bit at %d: %+v %v", at, rec, got)
 		}
 		l.Close()
 	}
 	os.WriteFile(filepath.Join(dir, snapshotName(30)+".new"), []byte("cut"), 0o600) // a crash in the middle of one
-	if _, rec, _ := open(t, dir, Options{}); rec.Last != 25 {
+	if _, rec, _ := openLog(t, dir, Options{}); rec.Last != 25 {
 		t.Errorf("%+v", rec)
 	}
 }
 
-// checkCrash writes, snapshots and crashes at random and finds what was acknowledged and is lost, or comes otherwise.
+// checkCrash writes, snapshots and crashes at random and reports whether an acknowledged record was lost or altered.
 func checkCrash(t interface {
 	Fatalf(string, ...any)
 }, rt *rapid.T, dir string, noSync bool) (lost bool) {
-	d := newDisk()
-	d.noSync = noSync
+	d := newFaultDisk()
+	d.ignoreSync = noSync
 	next := 1
 	for range rapid.IntRange(1, 5).Draw(rt, "lives") {
 		n := 0
@@ -510,16 +353,17 @@
 			l.Sync(10 * time.Second)
 		}
 		// The crash comes while the writer may still be at work.
-		acked := l.LastDurable()
+		acknowledged := l.LastDurable()
 		after := d.crash(rapid.IntRange(0, 60).Draw(rt, "tail"))
 		l.Close()
-		d, next = after, int(acked)+1
-		d.noSync = noSync
+		d, next = after, int(acknowledged)+1
+		d.ignoreSync = noSync
 	}
 	return false
 }
 
-// TestCrash is a model check: whatever was acknowledged is there after any crash.
+// TestCrash expects that whatever was acknowledged is recovered after any crash, and that a disk which ignores syncs is
+// found.
 func TestCrash(t *testing.T) {
 	dir := t.TempDir() // of the lock alone
 	rapid.Check(t, func(rt *rapid.T) {
@@ -538,11 +382,11 @@
 	}
 }
 
-// TestConcurrent appends from many goroutines while a cursor reads and snapshots trim.
+// TestConcurrent appends from several goroutines while a cursor reads and snapshots remove segments.
 func TestConcurrent(t *testing.T) {
 	var from uint64 = 1
 	var mu sync.Mutex
-	l, _, _ := open(t, t.TempDir(), Options{Mode: SyncInterval, SegmentBytes: 4 << 10, RetainFrom: func() uint64 {
+	l, _, _ := openLog(t, t.TempDir(), Options{Mode: SyncInterval, SegmentBytes: 4 << 10, RetainFrom: func() uint64 {
 		mu.Lock()
 		defer mu.Unlock()
 		return from
@@ -587,6 +431,7 @@
 	wg.Wait()
 }
 
+// FuzzScan damages a segment: each byte counts once, as header, record, torn or skipped.
 func FuzzScan(f *testing.F) {
 	good := appendRecord(appendRecord(appendSegmentHeader(nil, 1), 1, []byte("a")), 2, []byte("bc"))
 	f.Add(good, 30, byte(1))
@@ -595,7 +440,7 @@
 			b[at] ^= x
 		}
 		total := int64(0)
-		torn, skipped, err := scanSegment(bytes.NewReader(b), func(r Record, from, to int64) error {
+		torn, skipped, err := scanSegment(bytes.NewReader(b), func(_ Record, from, to int64) error {
 			total += to - from
 			return nil
 		})
@@ -605,11 +450,11 @@
 	})
 }
 
-// BenchmarkAppend tells what the modes cost.
+// BenchmarkAppend measures the modes.
 func BenchmarkAppend(b *testing.B) {
 	for _, m := range []SyncMode{SyncAlways, SyncInterval, SyncNever} {
 		b.Run(m.String(), func(b *testing.B) {
-			l, _, _ := open(b, b.TempDir(), Options{Mode: m})
+			l, _, _ := openLog(b, b.TempDir(), Options{Mode: m})
 			p := make([]byte, 120)
 			b.SetBytes(int64(len(p)))
 			for b.Loop() {
