--- a/internal/encoding/pack.go
+++ b/internal/encoding/encoding.go
@@ -1,5 +1,7 @@
-// Package pack writes and reads the fields of records and messages: integers as varints of Go's encoding/binary or in 8 bytes,
-// strings with their length before them, figures as 8 bytes of IEEE 754; what has a fixed size is little-endian.
+// Package encoding writes and reads the fields of stored records and of messages between gateways.
+//
+// Integers are varints of Go's encoding/binary, or 8 bytes; strings have their length before them as a varint; figures
+// are 8 bytes of IEEE 754. What has a fixed size is little-endian.
 package encoding
 
 import (
@@ -7,17 +9,19 @@
 	"math"
 )
 
-// String appends a string.
+// AppendString appends a string and its length.
 func AppendString(b []byte, s string) []byte {
-	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
+	b = binary.AppendUvarint(b, uint64(len(s)))
+	return append(b, s...)
 }
 
-// Float appends a figure.
+// AppendFloat64 appends a figure.
 func AppendFloat64(b []byte, v float64) []byte {
 	return binary.LittleEndian.AppendUint64(b, math.Float64bits(v))
 }
 
-// Reader takes fields off bytes. Once one is cut, or not what is wanted, it is Bad and all that follow are zero.
+// Reader reads fields off the front of Rest. Once a field is cut short or not valid the reader is Malformed, and all
+// fields that follow are zero, so a caller checks once, at the end.
 type Reader struct {
 	Rest      []byte
 	Malformed bool
@@ -25,7 +29,7 @@
 
 func (r *Reader) fail() { r.Malformed, r.Rest = true, nil }
 
-// Byte takes one.
+// Byte reads one byte.
 func (r *Reader) Byte() byte {
 	if len(r.Rest) == 0 {
 		r.fail()
@@ -36,7 +40,7 @@
 	return v
 }
 
-// U64 takes 8 bytes.
+// Uint64 reads an integer of 8 bytes.
 func (r *Reader) Uint64() uint64 {
 	if len(r.Rest) < 8 {
 		r.fail()
@@ -47,7 +51,7 @@
 	return v
 }
 
-// Float takes a figure; one that is none or infinite is bad.
+// Float64 reads a figure. NaN and the infinities are malformed.
 func (r *Reader) Float64() float64 {
 	v := math.Float64frombits(r.Uint64())
 	if math.IsNaN(v) || math.IsInf(v, 0) {
@@ -57,10 +61,10 @@
 	return v
 }
 
-// Uvarint takes a whole number of most at most.
-func (r *Reader) Uvarint(most uint64) uint64 {
+// Uvarint reads an unsigned varint. One above limit is malformed.
+func (r *Reader) Uvarint(limit uint64) uint64 {
 	v, n := binary.Uvarint(r.Rest)
-	if n <= 0 || v > most {
+	if n <= 0 || v > limit {
 		r.fail()
 		return 0
 	}
@@ -68,7 +72,7 @@
 	return v
 }
 
-// Varint takes a whole number with a sign.
+// Varint reads a signed varint.
 func (r *Reader) Varint() int64 {
 	v, n := binary.Varint(r.Rest)
 	if n <= 0 {
@@ -79,9 +83,9 @@
 	return v
 }
 
-// String takes a string of most bytes at most.
-func (r *Reader) String(most uint64) string {
-	n := r.Uvarint(most)
+// String reads a string. One of more than limit bytes is malformed.
+func (r *Reader) String(limit uint64) string {
+	n := r.Uvarint(limit)
 	if n > uint64(len(r.Rest)) {
 		r.fail()
 		return ""
