--- a/internal/remotewrite/queue/sendq_test.go
+++ b/internal/remotewrite/queue/queue_test.go
@@ -14,12 +14,16 @@
 	return out
 }
 
-// TestModel is a model check: whatever the receiver answers, what it took is in order and came once for each batch that
-// it acknowledged; each item is sent, rejected or dropped, the oldest first; and the bounds hold at every step.
+// A queue that sends a sample twice, out of order or never shows operators wrong metrics. TestModel answers batches at
+// random: what is accepted is in order and sent once, each item is sent, rejected or dropped, the oldest first, and the
+// bounds hold at every step.
 func TestModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		s := Settings{MaxItems: rapid.IntRange(1, 60).Draw(rt, "items"), MaxBytes: rapid.SampledFrom([]int{0, 150, 400}).Draw(rt, "bytes"),
-			BatchSize: rapid.IntRange(1, 12).Draw(rt, "batch")}
+		s := Settings{
+			MaxItems:  rapid.IntRange(1, 60).Draw(rt, "items"),
+			MaxBytes:  rapid.SampledFrom([]int{0, 150, 400}).Draw(rt, "bytes"),
+			BatchSize: rapid.IntRange(1, 12).Draw(rt, "batch"),
+		}
 		q := New(s)
 		bad := map[int]bool{}
 		for range rapid.IntRange(0, 4).Draw(rt, "bad") {
@@ -42,24 +46,12 @@
 				q.Resume()
 				continue
 			}
-			a := Response{Status: 200, BodySent: true}
-			switch rapid.IntRange(0, 4).Draw(rt, "answer") {
-			case 0:
-				a.Status = 503
-			case 1:
-				a.BodySent = false
-			default:
-				for _, it := range b {
-					if bad[it.Data.(int)] {
-						a.Status = 400
-					}
-				}
-			}
-			if rapid.IntRange(0, 3).Draw(rt, "meanwhile") == 0 { // more comes while the batch is out
+			r := drawResponse(rt, b, bad)
+			if rapid.IntRange(0, 3).Draw(rt, "meanwhile") == 0 { // while the batch is in flight
 				q.Enqueue(items(next, next+7))
 				next += 7
 			}
-			v, wait := q.HandleResponse(a)
+			v, wait := q.HandleResponse(r)
 			if v == Accepted {
 				for _, it := range b {
 					if it.Data.(int) <= last {
@@ -74,8 +66,9 @@
 			}
 		}
 		c := q.Counts()
-		if int(c.Enqueued) != next || int(c.Sent) != got || c.Enqueued != c.Sent+c.Rejected+c.DroppedFull+c.DroppedExpired+uint64(c.Waiting) {
-			rt.Fatalf("%+v: %d put, %d taken", c, next, got)
+		counted := c.Sent + c.Rejected + c.DroppedFull + c.DroppedExpired + uint64(c.Waiting)
+		if int(c.Enqueued) != next || int(c.Sent) != got || c.Enqueued != counted {
+			rt.Fatalf("%+v: %d enqueued, %d accepted", c, next, got)
 		}
 		if int(c.Rejected) > len(bad) {
 			rt.Fatalf("%d rejected, %d are bad", c.Rejected, len(bad))
@@ -83,22 +76,52 @@
 	})
 }
 
+// drawResponse draws an answer to a batch; one with a bad item is not accepted.
+func drawResponse(rt *rapid.T, batch []Item, bad map[int]bool) Response {
+	r := Response{Status: 200, BodySent: true}
+	switch rapid.IntRange(0, 4).Draw(rt, "answer") {
+	case 0:
+		r.Status = 503
+	case 1:
+		r.BodySent = false
+	default:
+		for _, it := range batch {
+			if bad[it.Data.(int)] {
+				r.Status = 400
+			}
+		}
+	}
+	return r
+}
+
+// TestJudge reads each sort of answer.
 func TestJudge(t *testing.T) {
 	for _, c := range []struct {
-		a    Response
+		r    Response
 		want Verdict
 	}{
-		{Response{Status: 204, BodySent: true}, Accepted}, {Response{Status: 200}, Retry}, {Response{}, Retry}, {Response{Status: 500, BodySent: true}, Retry},
-		{Response{Status: 429, BodySent: true}, Retry}, {Response{Status: 302, BodySent: true}, Retry}, {Response{Status: 400, BodySent: true}, Rejected},
-		{Response{Status: 404}, Rejected}, {Response{Status: 413}, Rejected}, {Response{Status: 415, VersionTwo: true}, Downgrade}, {Response{Status: 415}, Rejected},
-		{Response{Status: 200, BodySent: true, VersionTwo: true}, Downgrade}, {Response{Status: 200, BodySent: true, VersionTwo: true, WrittenCounted: true}, Accepted},
+		{Response{}, Retry},
+		{Response{Status: 200}, Retry},
+		{Response{Status: 204, BodySent: true}, Accepted},
+		{Response{Status: 302, BodySent: true}, Retry},
+		{Response{Status: 400, BodySent: true}, Rejected},
+		{Response{Status: 404}, Rejected},
+		{Response{Status: 413}, Rejected},
+		{Response{Status: 415}, Rejected},
+		{Response{Status: 429, BodySent: true}, Retry},
+		{Response{Status: 500, BodySent: true}, Retry},
+		{Response{Status: 200, BodySent: true, VersionTwo: true}, Downgrade},
+		{Response{Status: 200, BodySent: true, VersionTwo: true, WrittenCounted: true}, Accepted},
+		{Response{Status: 415, VersionTwo: true}, Downgrade},
 	} {
-		if got := Classify(c.a); got != c.want {
-			t.Errorf("%+v: %v, want %v", c.a, got, c.want)
+		if got := Classify(c.r); got != c.want {
+			t.Errorf("%+v: %v, want %v", c.r, got, c.want)
 		}
 	}
 }
 
+// TestWaits backs off for as long as the receiver asks, within a bound, then drops what is too old, and sends smaller
+// batches after a 413.
 func TestWaits(t *testing.T) {
 	q := New(Settings{MaxItems: 100, BatchSize: 10, MaxAge: time.Minute})
 	q.Enqueue(items(0, 30))
@@ -116,9 +139,11 @@
 	}
 	q.Resume()
 	if b := q.Next(2 * time.Minute); b != nil || q.Counts().DroppedExpired != 30 {
-		t.Errorf("%v, %+v: old ones are sent", b, q.Counts())
+		t.Errorf("%v, %+v: expired items are sent", b, q.Counts())
+	}
+	for range 4 {
+		q.Enqueue([]Item{{EnqueuedAt: 2 * time.Minute}})
 	}
-	q.Enqueue([]Item{{EnqueuedAt: 2 * time.Minute}, {EnqueuedAt: 2 * time.Minute}, {EnqueuedAt: 2 * time.Minute}, {EnqueuedAt: 2 * time.Minute}})
 	q.Next(2 * time.Minute)
 	q.HandleResponse(Response{Status: 413})
 	if b := q.Next(2 * time.Minute); len(b) != 2 {
@@ -126,7 +151,7 @@
 	}
 }
 
-// BenchmarkFull puts items into a full queue while a batch is out.
+// BenchmarkFull enqueues into a full queue while a batch is in flight.
 func BenchmarkFull(b *testing.B) {
 	q := New(Settings{MaxItems: 100000, BatchSize: 2000})
 	q.Enqueue(items(0, 100000))
--- /dev/null
+++ b/internal/remotewrite/shard.go
@@ -0,0 +1,129 @@
+package remotewrite
+
+import (
+	"context"
+	"net/http"
+	"sync"
+	"time"
+
+	"github.com/golang/snappy"
+
+	"winghatch/internal/httppost"
+	"winghatch/internal/remotewrite/queue"
+)
+
+// Headers of remote write.
+const (
+	headerVersion           = "X-Prometheus-Remote-Write-Version"
+	headerSamplesWritten    = "X-Prometheus-Remote-Write-Samples-Written"
+	headerHistogramsWritten = "X-Prometheus-Remote-Write-Histograms-Written"
+
+	contentTypeV1 = "application/x-protobuf"
+	contentTypeV2 = "application/x-protobuf;proto=io.prometheus.write.v2.Request"
+	versionV1     = "0.1.0"
+	versionV2     = "2.0.0"
+)
+
+// shard sends the samples of some series, in order.
+type shard struct {
+	writer *Writer
+	mu     sync.Mutex
+	queue  *queue.Queue
+	wake   chan struct{} // the queue has something, or the writer is closing
+}
+
+// notify makes the shard look at its queue.
+func (s *shard) notify() {
+	select {
+	case s.wake <- struct{}{}:
+	default:
+	}
+}
+
+// run sends until the context ends, or until the queue is empty once the writer is closing.
+func (s *shard) run(ctx context.Context) {
+	for ctx.Err() == nil {
+		batch := s.nextBatch()
+		if len(batch) == 0 {
+			if s.writer.closing.Load() {
+				return
+			}
+			select {
+			case <-ctx.Done():
+			case <-s.wake:
+			}
+			continue
+		}
+		response, reason := s.writer.send(ctx, batch)
+		s.mu.Lock()
+		verdict, wait := s.queue.HandleResponse(response)
+		s.mu.Unlock()
+		s.logVerdict(verdict, reason, len(batch))
+		if wait > 0 {
+			s.backOff(ctx, wait)
+		}
+	}
+}
+
+func (s *shard) nextBatch() []*Sample {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	items := s.queue.Next(time.Since(s.writer.startedAt))
+	batch := make([]*Sample, len(items))
+	for i, it := range items {
+		batch[i] = it.Data.(*Sample)
+	}
+	return batch
+}
+
+func (s *shard) logVerdict(v queue.Verdict, reason string, samples int) {
+	log := s.writer.options.Log
+	switch v {
+	case queue.Downgrade:
+		if !s.writer.versionOne.Swap(true) {
+			log.Warn("Receiver speaks remote write 1.0 only", "reason", reason)
+		}
+	case queue.Rejected:
+		log.Warn("Receiver rejected samples", "reason", reason, "count", samples)
+	}
+}
+
+func (s *shard) backOff(ctx context.Context, wait time.Duration) {
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+	case <-timer.C:
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.queue.Resume()
+}
+
+// send sends one batch in the version that the receiver speaks. The second result says why it was not accepted.
+func (w *Writer) send(ctx context.Context, batch []*Sample) (queue.Response, string) {
+	versionOne := w.versionOne.Load()
+	encode, contentType, version := encodeV2, contentTypeV2, versionV2
+	if versionOne {
+		encode, contentType, version = encodeV1, contentTypeV1, versionV1
+	}
+	raw, err := encode(batch)
+	if err != nil {
+		// A batch that can't be encoded is given up as if the receiver had rejected it.
+		return queue.Response{Status: http.StatusBadRequest}, err.Error()
+	}
+	header := http.Header{
+		"Content-Type":     {contentType},
+		"Content-Encoding": {"snappy"},
+		headerVersion:      {version},
+		"User-Agent":       {"winghatch"},
+	}
+	res := httppost.Post(ctx, &w.client, w.options.URL, header, snappy.Encode(nil, raw))
+	return queue.Response{
+		Status:         res.Status,
+		BodySent:       res.BodySent,
+		VersionTwo:     !versionOne,
+		WrittenCounted: res.Header.Get(headerSamplesWritten) != "" || res.Header.Get(headerHistogramsWritten) != "",
+		RetryAfter:     res.RetryAfter,
+	}, res.Reason
+}
