--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -37,13 +37,14 @@
 `
 }
 
+// TestGood reads a document, and the one that Format writes of it.
 func TestGood(t *testing.T) {
 	f, err := Parse("f", []byte(good()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Decide.Plans[0].Rate != 1.5 || f.Decide.Classes[1].DedupScope != decide.DedupInZone || f.Caps.MaxMessageBytes != 64<<10 ||
-		f.Members[0].First != 1 || f.Decide.Classes[1].DedupWindow != 1500*time.Millisecond {
+	if f.Decide.Plans[0].Rate != 1.5 || f.Decide.Classes[1].DedupScope != decide.DedupInZone ||
+		f.Caps.MaxMessageBytes != 64<<10 || f.Members[0].First != 1 || f.Decide.Classes[1].DedupWindow != 1500*time.Millisecond {
 		t.Errorf("%+v", f)
 	}
 	back, err := Parse("f", Format(f))
@@ -52,7 +53,7 @@
 	}
 }
 
-// TestBad changes one thing of a good document and wants an error with place, field and value.
+// TestBad changes one thing of a good document and expects an error with place, field and value.
 func TestBad(t *testing.T) {
 	for _, c := range [][3]string{
 		{`intake "40/s"`, `intake "-1/s"`, `f:4:12: intake: "-1/s", want a rate`},
@@ -104,16 +105,17 @@
 	}
 }
 
-// TestAllErrors wants all errors at once, in the order of the text.
+// TestAllErrors expects all errors at once, in the order of the text.
 func TestAllErrors(t *testing.T) {
 	in := strings.NewReplacer(`"40/s"`, `"x"`, `worth 2`, `worth x`, `open=100`, `open=0`).Replace(good())
 	_, err := Parse("f", []byte(in))
-	if errs, ok := err.(decode.Errors); !ok || len(errs) != 3 || errs[0].Pos.Line != 4 || errs[1].Pos.Line != 7 || errs[2].Pos.Line != 12 {
+	errs, ok := err.(decode.Errors)
+	if !ok || len(errs) != 3 || errs[0].Pos.Line != 4 || errs[1].Pos.Line != 7 || errs[2].Pos.Line != 12 {
 		t.Errorf("%v", err)
 	}
 }
 
-// TestAnyFleet writes drawn fleets and reads them back.
+// TestAnyFleet writes random fleets and reads them back.
 func TestAnyFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := defaults()
@@ -127,10 +129,20 @@
 		f.Decide.Gateways = n
 		num := rapid.Float64Range(0, 1e6)
 		aim := time.Duration(rapid.Int64Range(1e6, 1e12).Draw(t, "aim"))
-		f.Decide.Classes = []decide.Class{{Name: name.Draw(t, "class"), Idempotency: decide.Idempotent, DedupScope: decide.DedupInFleet, LatencyObjective: aim,
-			Deadline: 2 * aim, PriorityWeight: num.Draw(t, "worth")}}
-		f.Decide.Plans = []decide.Plan{{Name: name.Draw(t, "plan"), Rate: 1 + num.Draw(t, "rate"), Burst: 1 + num.Draw(t, "burst"),
-			PriorityWeight: num.Draw(t, "price")}}
+		f.Decide.Classes = []decide.Class{{
+			Name:             name.Draw(t, "class"),
+			Idempotency:      decide.Idempotent,
+			DedupScope:       decide.DedupInFleet,
+			LatencyObjective: aim,
+			Deadline:         2 * aim,
+			PriorityWeight:   num.Draw(t, "worth"),
+		}}
+		f.Decide.Plans = []decide.Plan{{
+			Name:           name.Draw(t, "plan"),
+			Rate:           1 + num.Draw(t, "rate"),
+			Burst:          1 + num.Draw(t, "burst"),
+			PriorityWeight: num.Draw(t, "price"),
+		}}
 		f.Members = []Member{{Name: name.Draw(t, "member"), Plan: f.Decide.Plans[0].Name, Spread: n,
 			Keys: []credentials.Digest{f.Secret.MemberKeyHasher().Sum(nil)}}}
 		back, err := Parse("f", Format(f))
--- /dev/null
+++ b/internal/config/load.go
@@ -0,0 +1,163 @@
+// Package config reads the settings of a fleet of gateways from a KDL document into a checked Fleet, and writes a
+// Fleet as a document. The gateway, the checker and the replayer all use Load, so what one accepts all accept.
+//
+// Names of fields in documents are the users'; the names of fields of Fleet are those of the code. They are mapped in
+// this package only: in the blocks' functions on reading, in Format on writing.
+package config
+
+import (
+	"fmt"
+	"os"
+	"strings"
+
+	"winghatch/internal/config/decode"
+	"winghatch/internal/config/kdl"
+	"winghatch/internal/credentials"
+)
+
+// Load reads a file. Errors of its content are decode.Errors.
+func Load(file string) (*Fleet, error) {
+	src, err := os.ReadFile(file)
+	if err != nil {
+		return nil, err
+	}
+	return Parse(file, src)
+}
+
+// Parse reads a document; file is only named in errors. The error is decode.Errors with all that is wrong.
+func Parse(file string, src []byte) (*Fleet, error) {
+	nodes, err := decode.Parse(file, src)
+	if err != nil {
+		return nil, err
+	}
+	d := &decoder{Decoder: decode.Decoder{File: file}}
+	f := defaults()
+	found := 0
+	for _, n := range nodes {
+		if n.Name != "fleet" {
+			d.Fail(n.Pos, n.Name, "%q is not known, want one node named \"fleet\"", n.Name)
+		} else if found++; found > 1 {
+			d.Fail(n.Pos, "fleet", "given before, want one")
+		} else {
+			d.fleet(f, n)
+		}
+	}
+	if found == 0 {
+		d.Fail(kdl.Pos{Line: 1, Column: 1}, "fleet", "missing")
+	}
+	if err := d.Err(); err != nil {
+		return nil, err
+	}
+	for rank := range f.Gateways {
+		if _, err := f.DecideConfig(rank); err != nil {
+			return nil, decode.Errors{{File: file, Pos: nodes[0].Pos, Field: "fleet", Text: err.Error()}}
+		}
+	}
+	return f, nil
+}
+
+// Draft reads a fleet node that may lack addresses, keys and the secret, as that of a scenario does. Errors are added
+// to d.
+func Draft(d *decode.Decoder, n *kdl.Node) *Fleet {
+	f := defaults()
+	x := &decoder{Decoder: *d, draft: true}
+	x.fleet(f, n)
+	d.Errors = x.Errors
+	return f
+}
+
+// decoder reads the blocks of a fleet.
+type decoder struct {
+	decode.Decoder
+	draft bool // the fleet may lack what the caller fills in
+
+	// Seen so far.
+	zones, classNames, planNames, memberNames map[string]bool
+	members                                   []memberBlock
+}
+
+// memberBlock is a member and its place, which is checked once all plans and gateways are known.
+type memberBlock struct {
+	at     string
+	pos    kdl.Pos
+	member Member
+}
+
+// required returns the names of fields that must be given; none of a draft.
+func (d *decoder) required(names ...string) []string {
+	if d.draft {
+		return nil
+	}
+	return names
+}
+
+func (d *decoder) fleet(f *Fleet, n *kdl.Node) {
+	for _, names := range []*map[string]bool{&d.zones, &d.classNames, &d.planNames, &d.memberNames} {
+		*names = map[string]bool{}
+	}
+	f.Name = d.Named("fleet", n, map[string]bool{})
+	d.Block("", n, d.fleetFields(f), d.fleetBlocks(f), d.required("secret")...)
+	f.Decide.Gateways = len(f.Gateways)
+	if len(f.Gateways) == 0 && !d.draft {
+		d.Fail(n.Pos, "gateway", "missing, want one or more")
+	}
+	d.checkMembers(f)
+	d.checkStateDir(f, n)
+	d.checkGossip(f, n)
+}
+
+// checkMembers adds the members to the fleet.
+func (d *decoder) checkMembers(f *Fleet) {
+	owners := map[credentials.Digest]string{}
+	for _, b := range d.members {
+		m := b.member
+		if !d.planNames[m.Plan] && m.Plan != "" {
+			d.Fail(b.pos, b.at+".plan", "%q, want one of %s", m.Plan, listNames(d.planNames))
+		}
+		if m.First >= len(f.Gateways) || m.Spread > len(f.Gateways) {
+			d.Fail(b.pos, b.at+".spread", "first %d and spread %d, want gateways 0 to %d", m.First, m.Spread,
+				len(f.Gateways)-1)
+		}
+		if m.Spread == 0 {
+			m.Spread = len(f.Gateways)
+		}
+		for _, k := range m.Keys {
+			if owner := owners[k]; owner != "" {
+				d.Fail(b.pos, b.at+".key", "%s, the key of %s", k, owner)
+			}
+			owners[k] = m.Name
+		}
+		f.Members = append(f.Members, m)
+	}
+}
+
+func (d *decoder) checkStateDir(f *Fleet, n *kdl.Node) {
+	if f.UsageExport.URL != "" && f.StateDirPattern == "" && !d.draft {
+		d.Fail(n.Pos, "kept", "missing, export is given and has its log there")
+	}
+	if f.StateDirPattern != "" && !strings.Contains(f.StateDirPattern, rankPlaceholder) && len(f.Gateways) > 1 {
+		d.Fail(n.Pos, "kept", "%q, want %%d in it, which stands for the rank: each gateway has its own", f.StateDirPattern)
+	}
+}
+
+func (d *decoder) checkGossip(f *Fleet, n *kdl.Node) {
+	if !f.Decide.Limits.Gossip {
+		return
+	}
+	for i, g := range f.Gateways {
+		if g.GossipAddress == "" && !d.draft {
+			d.Fail(n.Pos, fmt.Sprintf("gateway[%d].peer", i), "missing, limits.peers is #true")
+		}
+	}
+	if f.Decide.GossipCapacity == 0 && !d.Has("intake") {
+		d.Fail(n.Pos, "intake", "missing, limits.peers is #true")
+	}
+}
+
+// listNames lists the names of a set for an error.
+func listNames(set map[string]bool) string {
+	if len(set) == 0 {
+		return "none (none is given)"
+	}
+	return strings.Join(decode.SortedKeys(set), ", ")
+}
