--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -38,8 +38,8 @@
 	tape  bytes.Buffer
 }
 
-// freePort is a port that stays free until the test binds it. One that the kernel gives and takes back may be given to an
-// outgoing connection before.
+// freePort is a port that stays free until the test binds it. One that the kernel gives and takes back may be given
+// to an outgoing connection before.
 func freePort(t testing.TB) string {
 	var r ports.Reservation
 	addr, err := r.Addr()
--- a/internal/gateway/jsonkeys_test.go
+++ b/internal/gateway/jsonkeys_test.go
@@ -10,8 +10,8 @@
 	"testing"
 )
 
-// TestJSONKeys pins the keys of what operators read and send as JSON, in their order. Tools of other versions and scripts
-// read these keys, so a renamed field must keep its key; a new key is added to the file by hand.
+// TestJSONKeys pins the keys of what operators read and send as JSON, in their order. Tools of other versions and
+// scripts read these keys, so a renamed field must keep its key; a new key is added to the file by hand.
 func TestJSONKeys(t *testing.T) {
 	for _, test := range []struct {
 		file  string
--- a/internal/gateway/measured_test.go
+++ b/internal/gateway/measured_test.go
@@ -12,8 +12,8 @@
 	"winghatch/internal/testbed/metricsreceiver"
 )
 
-// TestMeasuresAgree compares what the receiver of measures has with what clients and nodes counted, to the unit: on a quiet
-// gateway and on one whose nodes fail, whose receiver is away for a while, and that is stopped.
+// TestMeasuresAgree compares what the receiver of measures has with what clients and nodes counted, to the unit: on a
+// quiet gateway and on one whose nodes fail, whose receiver is away for a while, and that is stopped.
 func TestMeasuresAgree(t *testing.T) {
 	for _, bad := range []bool{false, true} {
 		t.Run(fmt.Sprintf("bad %t", bad), func(t *testing.T) {
@@ -84,7 +84,8 @@
 	}
 }
 
-// TestSumsOverGateways sums what three gateways counted, at both homes of each name, while one of them is stopped and started.
+// TestSumsOverGateways sums what three gateways counted, at both homes of each name, while one of them is stopped and
+// started.
 func TestSumsOverGateways(t *testing.T) {
 	recv, err := metricsreceiver.Start("127.0.0.1:0")
 	if err != nil {
--- a/internal/gateway/owed_test.go
+++ b/internal/gateway/owed_test.go
@@ -227,8 +227,8 @@
 	}
 }
 
-// TestExportReadOnly starts on a disk that takes no file: it refuses, or serves uncovered, and goes on when the disk takes them;
-// a place that can't be a directory is an error that names it.
+// TestExportReadOnly starts on a disk that takes no file: it refuses, or serves uncovered, and goes on when the disk
+// takes them; a place that can't be a directory is an error that names it.
 func TestExportReadOnly(t *testing.T) {
 	for _, policy := range []outbox.Policy{outbox.PolicyReject, outbox.PolicyServe} {
 		x := newCounted(t, func(f *config.Fleet) { f.UsageExport.OnUnwritable = policy })
--- /dev/null
+++ b/internal/gateway/params.go
@@ -0,0 +1,49 @@
+package gateway
+
+import (
+	"encoding/json"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// attemptParams encodes what a server is told of an attempt where the front end has no encoding of its own: the
+// params of a JSON-RPC request.
+func (r *openRequest) attemptParams(number int, timeLeft time.Duration) []byte {
+	b := make([]byte, 0, 160+len(r.Payload))
+	b = append(b, `{"request":`...)
+	b = strconv.AppendQuote(b, r.ID)
+	b = append(b, `,"attempt":`...)
+	b = strconv.AppendInt(b, int64(number), 10)
+	b = append(b, `,"member":`...)
+	b = appendJSONString(b, r.Customer)
+	if r.IdempotencyKey != "" {
+		b = append(b, `,"key":`...)
+		b = appendJSONString(b, r.IdempotencyKey)
+	}
+	b = append(b, `,"units":`...)
+	b = strconv.AppendFloat(b, r.Units, 'g', -1, 64)
+	b = append(b, `,"timeout_ms":`...)
+	b = strconv.AppendFloat(b, float64(timeLeft)/float64(time.Millisecond), 'f', 3, 64)
+	if r.trace.Span.IsValid() {
+		b = append(b, `,"traceparent":"`...)
+		b = append(b, r.trace.Traceparent(r.attempts[number].span)...)
+		b = append(b, '"')
+	}
+	if len(r.Payload) > 0 {
+		b = append(b, `,"work":`...)
+		b = append(b, r.Payload...)
+	}
+	return append(b, '}')
+}
+
+func appendJSONString(dst []byte, s string) []byte {
+	needsEscape := func(r rune) bool { return r < ' ' || r == '"' || r == '\\' || r > '~' }
+	if !strings.ContainsFunc(s, needsEscape) { // as nearly all names and keys
+		dst = append(dst, '"')
+		dst = append(dst, s...)
+		return append(dst, '"')
+	}
+	raw, _ := json.Marshal(s) // a string always can be
+	return append(dst, raw...)
+}
--- /dev/null
+++ b/internal/gateway/planlog.go
@@ -0,0 +1,198 @@
+package gateway
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+
+	"winghatch/internal/quotaplan"
+	"winghatch/internal/reservation"
+	"winghatch/internal/wal"
+)
+
+// Records of the plan log: a byte that tells the kind, then what the package named writes.
+const (
+	recordOwnChange   = 1 // quotaplan.Change that this gateway accepted
+	recordPeerChange  = 2 // quotaplan.Change of another gateway
+	recordReservation = 3 // state of a reservation of reservation.Ledger
+)
+
+const (
+	// planSnapshotInterval is how many records the plan log grows by before a snapshot replaces them.
+	planSnapshotInterval = 4096
+	// planSegmentBytes is the size of its segments.
+	planSegmentBytes = 4 << 20
+)
+
+// pendingRecord is a record that is not durable yet, and what waits for it: either a change or a state.
+type pendingRecord struct {
+	record           uint64
+	changeNumber     uint64 // of a change that this gateway accepted; 0: none
+	reservationState uint64 // number of a state of the ledger; 0: none
+}
+
+// openLog opens the plan log and restores what it holds. The log's goroutines tell the loop, through its queue, what
+// has become durable and whether writing fails.
+func (p *quotaPlans) openLog(o PlanOptions) error {
+	options := wal.Options{
+		Mode:         wal.SyncAlways,
+		SegmentBytes: planSegmentBytes,
+		FS:           o.FS,
+		OnDurable:    func(record uint64) { p.loop.queue.post(planRecordsDurable{record}) },
+		OnFailure:    func(err error) { p.loop.queue.post(planLogStatus{err}) },
+	}
+	restoreSnapshot := func(recovery *wal.Recovery) error { return p.restoreSnapshot(recovery.Snapshot) }
+	restoreRecord := func(r wal.Record) error {
+		if err := p.restore(r.Payload); err != nil {
+			return fmt.Errorf("record %d: %w", r.Number, err)
+		}
+		return nil
+	}
+	log, recovery, err := wal.Open(o.Dir, options, restoreSnapshot, restoreRecord)
+	if err != nil {
+		return err
+	}
+	p.log, p.lastRecord, p.snapshotAt = log, recovery.Last, recovery.SnapshotRecord
+	recovery.Report(o.Log, "plans", o.Dir)
+	return nil
+}
+
+func (p *quotaPlans) restore(payload []byte) error {
+	if len(payload) == 0 {
+		return errors.New("a record without a kind")
+	}
+	kind, data := payload[0], payload[1:]
+	switch kind {
+	case recordOwnChange, recordPeerChange:
+		c, _, err := quotaplan.ParseChange(data)
+		if err != nil {
+			return err
+		}
+		p.replica.Restore(c, kind == recordOwnChange)
+		return nil
+	case recordReservation:
+		return p.reservations.Restore(data)
+	}
+	return fmt.Errorf("a record of kind %d, want 1 to 3", kind)
+}
+
+// snapshot returns all records that still count, each with its length before it in 4 bytes, little-endian.
+func (p *quotaPlans) snapshot() (out []byte) {
+	add := func(kind byte, data []byte) {
+		out = binary.LittleEndian.AppendUint32(out, uint32(len(data)+1))
+		out = append(out, kind)
+		out = append(out, data...)
+	}
+	for _, c := range p.replica.Changes() {
+		kind := byte(recordPeerChange)
+		if p.replica.Own(&c) {
+			kind = recordOwnChange
+		}
+		add(kind, c.Append(nil))
+	}
+	for _, state := range p.reservations.States() {
+		add(recordReservation, state)
+	}
+	return out
+}
+
+// restoreSnapshot takes what snapshot wrote.
+func (p *quotaPlans) restoreSnapshot(snapshot []byte) error {
+	for len(snapshot) > 0 {
+		if len(snapshot) < 4 {
+			return errSnapshotTruncated
+		}
+		length, rest := binary.LittleEndian.Uint32(snapshot), snapshot[4:]
+		if uint64(length) > uint64(len(rest)) {
+			return errSnapshotTruncated
+		}
+		if err := p.restore(rest[:length]); err != nil {
+			return err
+		}
+		snapshot = rest[length:]
+	}
+	return nil
+}
+
+var errSnapshotTruncated = errors.New("the snapshot is truncated")
+
+func (p *quotaPlans) persistChange(action quotaplan.Persist) {
+	kind, pending := byte(recordPeerChange), pendingRecord{}
+	if action.Own {
+		kind, pending.changeNumber = recordOwnChange, action.Change.Number
+	}
+	p.persist(kind, action.Change.Append(nil), pending)
+}
+
+// persist appends a record. Without a log it counts as durable at once, as an input of its own.
+func (p *quotaPlans) persist(kind byte, data []byte, pending pendingRecord) {
+	if p.log == nil {
+		p.lastRecord++
+		pending.record = p.lastRecord
+		p.pending = append(p.pending, pending)
+		p.loop.queue.post(planRecordsDurable{pending.record})
+		return
+	}
+	number, err := p.log.Append(append([]byte{kind}, data...))
+	if err != nil {
+		p.logger.Error("Failed to append to the plan log", "err", err)
+		if pending.changeNumber != 0 {
+			p.loop.queue.post(changeNotPersisted{pending.changeNumber, err.Error()})
+		}
+		// A state of a reservation that is not persisted must have no effect, nor may any later one: their numbers
+		// stand for all before them. Until the next restart fewer reserved units can be used, never more.
+		if pending.reservationState != 0 && p.firstUnpersisted == 0 {
+			p.firstUnpersisted = pending.reservationState
+		}
+		return
+	}
+	p.lastRecord, pending.record = number, number
+	p.pending = append(p.pending, pending)
+}
+
+// recordsDurable is called when all records up to a number are durable. It tells the replica and the ledger, and
+// takes a snapshot if the log has grown by enough.
+func (p *quotaPlans) recordsDurable(record uint64) {
+	for len(p.pending) > 0 && p.pending[0].record <= record {
+		pending := p.pending[0]
+		p.pending = p.pending[1:]
+		switch {
+		case pending.changeNumber != 0:
+			p.handlePlanEvent(quotaplan.Persisted{Number: pending.changeNumber})
+		case pending.reservationState != 0 &&
+			(p.firstUnpersisted == 0 || pending.reservationState < p.firstUnpersisted):
+			p.handleReservationEvent(reservation.Persisted{Number: pending.reservationState})
+		}
+	}
+	if p.log == nil || len(p.pending) > 0 || p.lastRecord-p.snapshotAt < planSnapshotInterval {
+		return
+	}
+	p.snapshotAt = p.lastRecord
+	p.log.SnapshotAsync(p.lastRecord, p.snapshot(), func(err error) {
+		if err != nil {
+			p.logger.Error("Failed to write a snapshot of the plan log", "err", err)
+		}
+	})
+}
+
+// logStatusChanged is called when writing the log fails, or works again (nil).
+func (p *quotaPlans) logStatusChanged(err error) {
+	if err == nil {
+		p.failure = ""
+		p.logger.Info("The plan log can be written again")
+		return
+	}
+	p.failure = err.Error()
+	p.logger.Error("Failed to write the plan log, changes and reservations wait", "err", err)
+}
+
+// close is called after the loop has ended.
+func (p *quotaPlans) close() {
+	if p.log == nil || p.closed {
+		return
+	}
+	p.closed = true
+	if err := p.log.Close(); err != nil {
+		p.logger.Error("Failed to close the plan log", "err", err)
+	}
+}
--- /dev/null
+++ b/internal/gateway/quotaplans.go
@@ -0,0 +1,260 @@
+package gateway
+
+import (
+	"log/slog"
+	"math"
+	"time"
+
+	"winghatch/decide"
+	"winghatch/internal/config"
+	"winghatch/internal/frontend"
+	"winghatch/internal/quotaplan"
+	"winghatch/internal/reservation"
+	"winghatch/internal/wal"
+)
+
+// maxPlansLogged is how many members' plans one change logs a line each for; a change of a plan concerns all members
+// on it.
+const maxPlansLogged = 20
+
+// quotaPlans carries out what the replica of plan changes and the ledger of reservations ask for. The loop owns it.
+// Nothing counts before its record in the plan log is durable.
+type quotaPlans struct {
+	loop         *Loop
+	replica      *quotaplan.Replica
+	reservations *reservation.Ledger
+	wallClock    func() int64 // nanoseconds of Unix time
+	logger       *slog.Logger
+
+	replicaTickAt      quotaplan.Instant
+	reservationsTickAt quotaplan.Instant
+	replies            map[uint64]func(quotaplan.Reply) // by token
+	lastToken          uint64
+	handedOver         chan struct{} // of a gateway that drains; nil: it does not, or has handed everything over
+
+	log              *wal.Log // nil: nothing is persisted
+	pending          []pendingRecord
+	lastRecord       uint64
+	snapshotAt       uint64 // lastRecord at the last snapshot
+	firstUnpersisted uint64 // first state of a reservation that the log did not take; 0: none
+	failure          string // why the log can't be written
+	closed           bool
+}
+
+// PlanOptions configure the plan changes and reservations of a gateway.
+type PlanOptions struct {
+	Plans        quotaplan.Settings
+	Reservations reservation.Settings
+	Dir          string       // of the log; empty: nothing is persisted
+	FS           wal.FS       // nil: the disk
+	WallClock    func() int64 // nanoseconds of Unix time
+	Log          *slog.Logger
+}
+
+func newPlanOptions(f *config.Fleet, rank int, incarnation uint64, seed int64) PlanOptions {
+	maxUnits := max(1, f.Decide.MaxUnits)
+	o := PlanOptions{
+		Plans: quotaplan.Settings{
+			Rank:            rank,
+			Gateways:        len(f.Gateways),
+			Plans:           f.Decide.Plans,
+			Capacity:        f.CapacityPerSecond,
+			MaxRequestUnits: maxUnits,
+			Incarnation:     incarnation,
+			Seed:            seed,
+		},
+		Reservations: reservation.Settings{
+			Rank:            rank,
+			Gateways:        len(f.Gateways),
+			MaxRequestUnits: maxUnits,
+			Epoch:           incarnation,
+			Seed:            seed,
+		},
+	}
+	for _, m := range f.Members {
+		member := quotaplan.Member{Name: m.Name, Plan: m.Plan, First: m.First, Spread: m.Spread}
+		o.Plans.Members = append(o.Plans.Members, member)
+	}
+	return o
+}
+
+// openPlans recovers plan changes and reservations from the plan log.
+func openPlans(l *Loop, o PlanOptions) (*quotaPlans, error) {
+	never := quotaplan.Instant{Mono: math.MaxInt64, Wall: math.MaxInt64}
+	p := &quotaPlans{
+		loop:               l,
+		replica:            quotaplan.New(o.Plans),
+		reservations:       reservation.New(o.Reservations),
+		wallClock:          o.WallClock,
+		logger:             o.Log,
+		replicaTickAt:      never,
+		reservationsTickAt: never,
+		replies:            map[uint64]func(quotaplan.Reply){},
+	}
+	if o.Dir != "" {
+		if err := p.openLog(o); err != nil {
+			return nil, err
+		}
+	}
+	return p, nil
+}
+
+// start gives the plans that were recovered to the core. It is the first input of the loop.
+func (p *quotaPlans) start() { p.handlePlanEvent(quotaplan.Start{}) }
+
+func (p *quotaPlans) now() quotaplan.Instant {
+	return quotaplan.Instant{Mono: p.loop.now, Wall: p.wallClock()}
+}
+
+// tick does what is due and returns how long it may be until the next call.
+func (p *quotaPlans) tick() time.Duration {
+	now := p.now()
+	isDue := func(at quotaplan.Instant) bool { return at.Mono <= now.Mono || at.Wall <= now.Wall }
+	if isDue(p.replicaTickAt) {
+		p.handlePlanEvent(quotaplan.Tick{})
+	}
+	if isDue(p.reservationsTickAt) {
+		p.handleReservationEvent(reservation.Tick{})
+	}
+	wait := time.Hour
+	for _, at := range []quotaplan.Instant{p.replicaTickAt, p.reservationsTickAt} {
+		wait = min(wait, at.Mono-now.Mono)
+		if at.Wall < now.Wall+int64(time.Hour) { // further off the difference may overflow
+			wait = min(wait, time.Duration(at.Wall-now.Wall))
+		}
+	}
+	return max(wait, time.Millisecond)
+}
+
+// submit hands in a plan change. reply is called in the loop, once the change is durable or rejected.
+func (p *quotaPlans) submit(c quotaplan.Change, reply func(quotaplan.Reply)) {
+	p.lastToken++
+	p.replies[p.lastToken] = reply
+	p.handlePlanEvent(quotaplan.Submit{Token: p.lastToken, Change: c})
+}
+
+// handOver offers the reserved units of this gateway to others. done is closed once they have all of them.
+func (p *quotaPlans) handOver(done chan struct{}) {
+	p.handedOver = done
+	p.handleReservationEvent(reservation.Drain{})
+}
+
+func (p *quotaPlans) handlePlanEvent(ev quotaplan.Event) {
+	applied := 0
+	defer func() {
+		if applied > maxPlansLogged {
+			p.logger.Info("Plans applied", "members", applied)
+		}
+	}()
+	for _, action := range p.replica.Handle(p.now(), ev) {
+		switch action := action.(type) {
+		case quotaplan.Persist:
+			p.persistChange(action)
+		case quotaplan.Reply:
+			if reply := p.replies[action.Token]; reply != nil {
+				delete(p.replies, action.Token)
+				reply(action)
+			}
+		case quotaplan.Send:
+			p.loop.sendToPeer(action.To, channelPlans, action.Data)
+		case quotaplan.ApplyPlan:
+			if applied++; applied <= maxPlansLogged {
+				p.logger.Info("Plan applied", "member", action.Member, "plan", action.Plan.Name,
+					"rate", action.Plan.Rate, "burst", action.Plan.Burst, "change", action.Change)
+			}
+			p.loop.handleEvent(decide.PlanChange{Customer: action.Member, Plan: action.Plan})
+		case quotaplan.AddReservation:
+			p.logger.Info("Reservation added", "member", action.Member, "number", action.Number,
+				"units", action.Units)
+			p.handleReservationEvent(reservation.AddReservation{
+				Reservation:   action.Reservation,
+				CeilingShares: p.ceilingShares(action.Reservation),
+			})
+		case quotaplan.ResizeReservation:
+			p.handleReservationEvent(reservation.ResizeReservation{ID: action.ID, Units: action.Units})
+		case quotaplan.ScheduleTick:
+			p.replicaTickAt = action.At
+		case quotaplan.LogWarning:
+			p.logger.Warn(action.Text)
+		}
+	}
+}
+
+func (p *quotaPlans) handleReservationEvent(ev reservation.Event) {
+	for _, action := range p.reservations.Handle(p.now(), ev) {
+		switch action := action.(type) {
+		case reservation.Admit:
+			if r := p.loop.requests[action.ID]; r != nil && !r.finished {
+				p.loop.admit(r)
+			} else {
+				p.loop.queue.post(reservationReleased{action.ID})
+			}
+		case reservation.Reject:
+			p.reject(action)
+		case reservation.Persist:
+			p.persist(recordReservation, action.State, pendingRecord{reservationState: action.Number})
+		case reservation.Send:
+			p.loop.sendToPeer(action.To, channelReservations, action.Data)
+		case reservation.ReturnUnits:
+			p.logger.Info("Reserved units returned", "member", action.Member, "units", action.Units)
+			p.loop.handleEvent(decide.PlanChange{
+				Customer:      action.Member,
+				Plan:          p.replica.EffectivePlan(action.Member),
+				ReturnedUnits: action.Units,
+			})
+		case reservation.ScheduleTick:
+			p.reservationsTickAt = action.At
+		}
+	}
+	if p.handedOver != nil && p.reservations.Unsettled() < 1e-9 { // units, but for rounding
+		close(p.handedOver)
+		p.handedOver = nil
+	}
+}
+
+// reject ends a request that gets no reserved units.
+func (p *quotaPlans) reject(action reservation.Reject) {
+	r := p.loop.requests[action.ID]
+	if r == nil || r.finished {
+		return
+	}
+	r.awaitingReservation = false
+	p.loop.finish(r, frontend.Response{
+		Kind:       frontend.Rejected,
+		Reason:     string(action.Reason),
+		RetryAfter: p.loop.cfg.Limits.MaxRetryAfter,
+	})
+}
+
+// ceilingSharer is a core that tells where it keeps a customer's ceiling tokens.
+type ceilingSharer interface {
+	CeilingShares(customer string, first, spread int) []decide.CeilingShare
+}
+
+// ceilingShares returns which gateways hold a member's ceiling tokens; even shares for a core that does not tell.
+func (p *quotaPlans) ceilingShares(r quotaplan.Reservation) (shares []reservation.CeilingShare) {
+	core, ok := p.loop.core.(ceilingSharer)
+	if !ok {
+		spread := max(1, r.Spread)
+		for i := range spread {
+			rank := (r.First + i) % p.loop.cfg.Gateways
+			shares = append(shares, reservation.CeilingShare{Rank: rank, Fraction: 1 / float64(spread)})
+		}
+		return shares
+	}
+	for _, s := range core.CeilingShares(r.Member, r.First, r.Spread) {
+		shares = append(shares, reservation.CeilingShare{Rank: s.Rank, Fraction: s.Fraction})
+	}
+	return shares
+}
+
+// effectivePlan returns the name of the plan that a request is served under: a plan change may have replaced the one of
+// the settings.
+func (l *Loop) effectivePlan(r *openRequest) string {
+	if l.plans != nil {
+		if name := l.plans.replica.EffectivePlan(r.Customer).Name; name != "" {
+			return name
+		}
+	}
+	return r.Plan
+}
--- /dev/null
+++ b/internal/gateway/requests.go
@@ -0,0 +1,207 @@
+package gateway
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"winghatch/decide"
+	"winghatch/internal/frontend"
+	"winghatch/internal/metrics"
+	"winghatch/internal/reservation"
+	"winghatch/internal/tracing"
+	"winghatch/internal/upstream"
+)
+
+// responseMargin is kept free before the deadline of a request that waits for reserved units, so that a rejection
+// reaches the client in time.
+const responseMargin = 5 * time.Millisecond
+
+// openRequest is a request that has no final answer yet, or attempts in flight. The loop owns it.
+type openRequest struct {
+	*frontend.Request
+	arrivedAt time.Duration
+	attempts  []*attempt
+	inFlight  int  // of attempts
+	finished  bool // it has its final answer, or its client left
+
+	awaitingReservation bool    // the core does not know it yet
+	reservedUsed        float64 // reserved units that ended attempts used
+
+	trace   tracing.Context // set if the loop has a tracer
+	sampled bool            // its trace is exported
+	// Of the final answer, for the trace.
+	finishedAt    time.Duration
+	outcome       string
+	reason        string
+	responseUnits float64
+}
+
+// Reserve counts a request in. It returns false if the cap on open requests is reached; the queue's length is bounded
+// by that cap too.
+func (l *Loop) Reserve() bool {
+	if l.OpenRequests.Add(1) > l.maxOpenRequests {
+		l.OpenRequests.Add(-1)
+		return false
+	}
+	return true
+}
+
+// Submit hands a request, which Reserve has counted, to the loop.
+func (l *Loop) Submit(r *frontend.Request) { l.queue.post(requestReceived{r}) }
+
+// Disconnected tells the loop that the client of a request left.
+func (l *Loop) Disconnected(id string) { l.queue.post(clientDisconnected{id}) }
+
+// FailOpenRequests answers every open request as failed and returns after that. It is called when the process is
+// about to be killed.
+func (l *Loop) FailOpenRequests() {
+	l.Do(func() {
+		for _, id := range slices.Sorted(maps.Keys(l.requests)) {
+			if r := l.requests[id]; r != nil && !r.finished {
+				l.respond(r, frontend.Response{Kind: frontend.Failed})
+				l.abandonRequest(r)
+			}
+		}
+	})
+}
+
+func (l *Loop) startRequest(received *frontend.Request) {
+	r := &openRequest{Request: received, arrivedAt: l.now}
+	l.requests[r.ID] = r
+	if l.tracer != nil {
+		r.trace = tracing.StartContext(r.TraceParent, l.tracer.random)
+	}
+	if l.usage != nil && l.usage.rejecting() {
+		l.finish(r, frontend.Response{
+			Kind:       frontend.Rejected,
+			Reason:     reasonUncovered,
+			RetryAfter: l.cfg.Limits.MaxRetryAfter,
+		})
+		return
+	}
+	if !r.Reserved {
+		l.admit(r)
+		return
+	}
+	if l.plans == nil {
+		l.finish(r, frontend.Response{Kind: frontend.Rejected, Reason: string(reservation.NoReservation)})
+		return
+	}
+	r.awaitingReservation = true
+	l.plans.handleReservationEvent(reservation.Request{
+		ID:       r.ID,
+		Member:   r.Customer,
+		Units:    r.Units,
+		Deadline: r.Deadline - responseMargin,
+	})
+}
+
+// admit hands a request to the core; a reserved one only once its units are drawn.
+func (l *Loop) admit(r *openRequest) {
+	r.awaitingReservation = false
+	l.handleEvent(decide.Request{
+		ID:           r.ID,
+		Class:        r.Class,
+		Plan:         r.Plan,
+		Customer:     r.Customer,
+		Units:        r.Units,
+		Deadline:     r.Deadline,
+		FirstGateway: r.FirstGateway,
+		GatewayCount: r.GatewayCount,
+		IsRetry:      r.IsRetry,
+		Mutates:      r.Mutates,
+		Reserved:     r.Reserved,
+	})
+}
+
+// disconnect ends a request whose client left.
+func (l *Loop) disconnect(id string) {
+	r := l.requests[id]
+	if r == nil || r.finished {
+		return
+	}
+	r.finished = true
+	l.Abandoned.Add(1)
+	l.OpenRequests.Add(-1)
+	l.sampleTrace(r, metrics.OutcomeAbandoned, "", 0)
+	l.countResponse(r, metrics.OutcomeAbandoned, frontend.Response{})
+	l.abandonRequest(r)
+}
+
+// abandonRequest has the core give up what it still does for a finished request.
+func (l *Loop) abandonRequest(r *openRequest) {
+	if !r.awaitingReservation {
+		l.handleEvent(decide.ClientDisconnected{ID: r.ID})
+	}
+	l.release(r)
+}
+
+// finish answers and releases a request; r may be nil, for one that is gone.
+func (l *Loop) finish(r *openRequest, response frontend.Response) {
+	if r == nil {
+		return
+	}
+	l.respond(r, response)
+	l.release(r)
+}
+
+// respond gives a request its one final answer. A second one is dropped and logged: the client would take it for the
+// answer to another request.
+func (l *Loop) respond(r *openRequest, response frontend.Response) {
+	if r.finished {
+		l.log.Error("Dropped a second final answer", "request", r.ID, "kind", response.Kind.String())
+		return
+	}
+	r.finished = true
+	l.OpenRequests.Add(-1)
+	switch response.Kind {
+	case frontend.Served:
+		l.Served.Add(1)
+	case frontend.Rejected:
+		l.Rejected.Add(1)
+		l.rejections[response.Reason]++
+	case frontend.Failed:
+		l.Failed.Add(1)
+	}
+	l.sampleTrace(r, response.Kind.String(), response.Reason, response.Units)
+	l.countResponse(r, response.Kind.String(), response)
+	if l.debug {
+		l.log.Debug("Request finished", "request", r.ID, "member", r.Customer, "class", r.Class, "plan", r.Plan,
+			"retry", r.IsRetry, "kind", response.Kind.String(), "reason", response.Reason, "attempts", len(r.attempts),
+			"duration", l.now-r.arrivedAt, "time_left", r.Deadline-r.arrivedAt, "units", r.Units)
+	}
+	if l.tamper.Response != nil {
+		l.tamper.Response(response, r.Done)
+		return
+	}
+	r.Done(response)
+}
+
+// release forgets a finished request once none of its attempts is in flight.
+func (l *Loop) release(r *openRequest) {
+	if !r.finished || r.inFlight > 0 || l.requests[r.ID] != r {
+		return
+	}
+	delete(l.requests, r.ID)
+	l.exportTrace(r)
+	if r.Reserved && l.plans != nil {
+		l.plans.handleReservationEvent(reservation.RequestEnded{ID: r.ID, Used: r.reservedUsed})
+	}
+}
+
+// settleReserved notes how many reserved units an attempt used: what its answer reports, if the settings have answers
+// settle requests, or the estimate if it may have run.
+func (r *openRequest) settleReserved(result upstream.Result, settledOnResponse bool) {
+	switch result.Outcome {
+	case decide.OutcomeRejected, decide.OutcomeConnectFailed, decide.OutcomeNotDispatched:
+		// It did not run.
+	case decide.OutcomeOK:
+		r.reservedUsed = r.Units
+		if settledOnResponse && result.ActualUnits > 0 {
+			r.reservedUsed = result.ActualUnits
+		}
+	default:
+		r.reservedUsed = max(r.reservedUsed, r.Units)
+	}
+}
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -1,116 +1,152 @@
 package gateway
 
 import (
-	"encoding/json"
+	"maps"
+	"strconv"
+	"time"
 
 	"winghatch/decide"
-	"winghatch/internal/gossip"
-	"winghatch/internal/reservation"
+	"winghatch/internal/usage/outbox"
 )
 
-// The types below give structs of other packages their keys in the JSON that operators read and send. The keys never
-// change, so that tools and gateways of different versions, and scripts, understand each other; TestJSONKeys pins them.
+// State is what operators read of a gateway at GET /state. Counts are since the start of the process. The JSON keys are
+// read by tools and scripts and never change; TestJSONKeys pins them.
+type State struct {
+	Fleet              string            `json:"fleet"`
+	Rank               int               `json:"rank"`
+	Zone               string            `json:"zone,omitempty"`
+	Uptime             time.Duration     `json:"up_ns"`
+	Sessions           int               `json:"sessions"`
+	OpenRequests       int64             `json:"open"`
+	QueueLength        int               `json:"queue"` // of the loop's inputs
+	LoopTurns          int64             `json:"turns"`
+	Served             int64             `json:"served"`
+	Rejected           map[string]int64  `json:"refused"`     // by reason
+	FrontendRejections map[string]int64  `json:"turned_away"` // by reason; these never reached the loop
+	Failed             int64             `json:"failed"`
+	Abandoned          int64             `json:"gone"` // requests whose client left first
+	Attempts           int64             `json:"attempts"`
+	Outcomes           map[string]int64  `json:"outcomes"` // of attempts
+	LateResponses      int64             `json:"late"`     // to attempts that had ended
+	ServerConnections  int               `json:"node_connections"`
+	Datagrams          DatagramCounts    `json:"datagrams"`
+	CustomerNames      map[uint64]string `json:"names"` // by their keys in Core
+	Core               CoreState         `json:"core"`
 
-// DatagramCounts counts the datagrams to and from other gateways by what became of them.
-type DatagramCounts struct {
-	Sent       int64 `json:"Sent"`
-	Unsent     int64 `json:"Unsent"`
-	Taken      int64 `json:"Taken"`
-	Forged     int64 `json:"Forged"`
-	Foreign    int64 `json:"Foreign"`
-	Repeated   int64 `json:"Repeated"`
-	OverIntake int64 `json:"OverIntake"`
+	PlanChanges    int                `json:"changes"`     // that are known here
+	PlanDigest     string             `json:"changes_sum"` // equal where the same changes are known
+	Reservations   []ReservationState `json:"reservations,omitempty"`
+	Usage          *UsageState        `json:"export,omitempty"`
+	PlanLogFailure string             `json:"book_log,omitempty"` // why the plan log can't be written
 }
 
-func datagramCounts(c gossip.Counts) DatagramCounts {
-	return DatagramCounts{
-		Sent:       c.Sent,
-		Unsent:     c.Unsent,
-		Taken:      c.Taken,
-		Forged:     c.Forged,
-		Foreign:    c.Foreign,
-		Repeated:   c.Repeated,
-		OverIntake: c.OverIntake,
-	}
+// UsageState is the state of the usage outbox.
+type UsageState struct {
+	Incarnation  uint64                `json:"life"`
+	OpenAttempts int                   `json:"open"` // without a settlement in the log
+	Records      uint64                `json:"records"`
+	Acknowledged uint64                `json:"acked"` // the receiver has all records up to this one
+	Bytes        int64                 `json:"bytes"` // of the log
+	MaxBytes     int64                 `json:"bound"`
+	Rejecting    bool                  `json:"refusing"` // requests are rejected, as their use can't be recorded
+	Failure      string                `json:"failure,omitempty"`
+	Outbox       outbox.Counts         `json:"desk"`
+	Delivery     outbox.DeliveryCounts `json:"ship"`
+	LostRecords  uint64                `json:"lost_records"`
+	Gaps         int                   `json:"holes"`      // in the log, as of the start
+	TornBytes    int64                 `json:"torn_bytes"` // at the log's end, as of the start
 }
 
-// ReservationState is a reservation as a gateway has it. Units and tokens are those of the member's quota.
-type ReservationState struct {
-	ID           uint64  `json:"ID"`
-	Number       uint64  `json:"Number"` // of the plan change that made it
-	Member       string  `json:"Member"`
-	Units        float64 `json:"Units"` // as first made
-	From         int64   `json:"From"`  // start of the window, nanoseconds of Unix time
-	To           int64   `json:"To"`    // end of the window, nanoseconds of Unix time
-	Rate         float64 `json:"Rate"`  // units a second over all gateways; 0: no bound
-	Burst        float64 `json:"Burst"` // units at once, with a Rate
-	Ceiling      bool    `json:"Ceiling"`
-	FirstGateway int     `json:"First"`
-	GatewayCount int     `json:"Spread"`
-	MadeHere     bool    `json:"Mine"`
-
-	Open        bool    `json:"Open"`
-	Ended       bool    `json:"Ended"`
-	HeldTokens  float64 `json:"Free"`  // tokens held at this gateway
-	DrawnTokens float64 `json:"Drawn"` // tokens drawn from them
-	InFlight    int     `json:"Out"`   // requests in flight
-	Waiting     int     `json:"Waiting"`
-	UsedUnits   float64 `json:"Spent"` // units used at this gateway since it started
-	GivenUnits  float64 `json:"Given"`
-	CeilingRoom float64 `json:"Room"` // under the member's ceiling; 0 where there is none
+// State returns the state as of now. It waits for the loop.
+func (g *Gateway) State() State {
+	s := State{
+		Fleet:              g.fleet.Name,
+		Rank:               g.rank,
+		Zone:               g.fleet.Gateways[g.rank].Zone,
+		Uptime:             g.clock.Now() - clockOrigin,
+		Sessions:           g.frontend.SessionCount(),
+		FrontendRejections: g.frontend.Rejections(),
+		ServerConnections:  g.upstream.Conns(),
+		Rejected:           map[string]int64{},
+		Outcomes:           map[string]int64{},
+		CustomerNames:      map[uint64]string{},
+	}
+	if g.peers != nil {
+		s.Datagrams = datagramCounts(g.peers.Counts())
+	}
+	for _, m := range g.fleet.Members {
+		s.CustomerNames[decide.CustomerKey(m.Name)] = m.Name
+	}
+	l := g.loop
+	l.Do(func() { l.addTo(&s) })
+	s.OpenRequests = l.OpenRequests.Load()
+	s.Served = l.Served.Load()
+	s.Failed = l.Failed.Load()
+	s.Abandoned = l.Abandoned.Load()
+	s.Attempts = l.Attempts.Load()
+	s.LateResponses = l.LateResponses.Load() + g.upstream.LateResponses()
+	return s
 }
 
-func reservationState(v reservation.View) ReservationState {
-	return ReservationState{
-		ID:           v.ID,
-		Number:       v.Number,
-		Member:       v.Member,
-		Units:        v.Units,
-		From:         v.From,
-		To:           v.To,
-		Rate:         v.Rate,
-		Burst:        v.Burst,
-		Ceiling:      v.Ceiling,
-		FirstGateway: v.First,
-		GatewayCount: v.Spread,
-		MadeHere:     v.Mine,
-		Open:         v.Open,
-		Ended:        v.Ended,
-		HeldTokens:   v.Free,
-		DrawnTokens:  v.Drawn,
-		InFlight:     v.Out,
-		Waiting:      v.Waiting,
-		UsedUnits:    v.Spent,
-		GivenUnits:   v.Given,
-		CeilingRoom:  v.Room,
+// addTo adds what the loop owns.
+func (l *Loop) addTo(s *State) {
+	s.QueueLength = l.queue.len()
+	s.LoopTurns = l.turns
+	s.Core = CoreState{l.core.Status()}
+	if l.usage != nil {
+		s.Usage = l.usage.state()
 	}
+	changes, digest := l.plans.replica.Digest()
+	s.PlanChanges, s.PlanDigest = changes, strconv.FormatUint(digest, 16)
+	s.Reservations = convertAll(l.plans.reservations.Views(), reservationState)
+	s.PlanLogFailure = l.plans.failure
+	maps.Copy(s.Rejected, l.rejections)
+	maps.Copy(s.Outcomes, l.outcomes)
 }
 
-// PlanTerms is a plan in the JSON of plan changes.
-type PlanTerms struct{ decide.Plan }
-
-type planTermsJSON struct {
-	Name           string  `json:"Name"`
-	Rate           float64 `json:"Rate"`
-	Burst          float64 `json:"Burst"`
-	CeilingRate    float64 `json:"CeilingRate"`
-	CeilingBurst   float64 `json:"CeilingBurst"`
-	CeilingSlack   float64 `json:"CeilingSlack"`
-	MaxInFlight    int     `json:"MaxOpen"`
-	PriorityWeight float64 `json:"Price"`
-	OverQuotaValue float64 `json:"OverWorth"`
-	OverQuotaCost  float64 `json:"OverCost"`
+func (u *usageOutbox) state() *UsageState {
+	return &UsageState{
+		Incarnation:  u.outbox.Incarnation(),
+		OpenAttempts: u.outbox.Unsettled(),
+		Records:      u.log.LastDurable(),
+		Acknowledged: u.outbox.LastAcknowledged(),
+		Bytes:        u.log.Size(),
+		MaxBytes:     u.maxBytes,
+		Rejecting:    u.rejecting(),
+		Failure:      u.failure,
+		Outbox:       u.outbox.Counts,
+		Delivery:     u.sender.Counts(),
+		LostRecords:  u.sender.LostRecords.Load(),
+		Gaps:         u.gaps,
+		TornBytes:    u.tornBytes,
+	}
 }
 
-// MarshalJSON writes the plan under its stored keys.
-func (p PlanTerms) MarshalJSON() ([]byte, error) { return json.Marshal(planTermsJSON(p.Plan)) }
+// LoopSummary is what package platform logs of a loop now and then.
+type LoopSummary struct {
+	Rejected     map[string]int64 // by reason, since the start
+	Outcomes     map[string]int64 // of attempts, since the start
+	Pressure     float64
+	RetryBudget  float64
+	OpenRequests int           // with a final answer too, while attempts are in flight
+	TimerLag     time.Duration // how late a timer was at most: the process was not scheduled, or busy
+	LongestTurn  time.Duration // of the loop
+}
 
-// UnmarshalJSON reads what MarshalJSON writes.
-func (p *PlanTerms) UnmarshalJSON(raw []byte) error {
-	var v planTermsJSON
-	if err := json.Unmarshal(raw, &v); err != nil {
-		return err
-	}
-	p.Plan = decide.Plan(v)
-	return nil
+// Summary returns a summary. TimerLag and LongestTurn are since the last one.
+func (l *Loop) Summary() (s LoopSummary) {
+	l.Do(func() {
+		status := l.core.Status()
+		s = LoopSummary{
+			Rejected:     maps.Clone(l.rejections),
+			Outcomes:     maps.Clone(l.outcomes),
+			Pressure:     status.Pressure,
+			RetryBudget:  status.RetryBudget,
+			OpenRequests: len(l.requests),
+			TimerLag:     l.timerLag,
+			LongestTurn:  l.longestTurn,
+		}
+		l.timerLag, l.longestTurn = 0, 0
+	})
+	return s
 }
--- a/internal/gateway/storeddata_test.go
+++ b/internal/gateway/storeddata_test.go
@@ -15,8 +15,8 @@
 	"winghatch/internal/usage/outbox"
 )
 
-// What a gateway wrote to disk must stay readable by every later version: a state directory outlives an upgrade. The files
-// under testdata were written by the text of commit 49a4395 and are never written anew.
+// What a gateway wrote to disk must stay readable by every later version: a state directory outlives an upgrade. The
+// files under testdata were written by the text of commit 49a4395 and are never written anew.
 
 // copyDir copies test data to where a log may be opened, as opening one writes to it.
 func copyDir(t *testing.T, from string) string {
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestReadsStoredPlans opens a plan log with a move, new terms of a plan and a reservation that was used, and a snapshot
-// of the same.
+// TestReadsStoredPlans opens a plan log with a move, new terms of a plan and a reservation that was used, and a
+// snapshot of the same.
 func TestReadsStoredPlans(t *testing.T) {
 	const incarnation, first = 1796282050655553362, 1796282050656569102
 	want := []quotaplan.Change{
--- a/internal/gateway/traced_test.go
+++ b/internal/gateway/traced_test.go
@@ -12,8 +12,8 @@
 	"winghatch/internal/testbed/tracereceiver"
 )
 
-// TestTraces follows a client's trace through a call with a failed attempt, finds the cause of a refusal in its span and the
-// trace of a histogram's exemplar, and holds nobody up while the receiver is away.
+// TestTraces follows a client's trace through a call with a failed attempt, finds the cause of a refusal in its span
+// and the trace of a histogram's exemplar, and holds nobody up while the receiver is away.
 func TestTraces(t *testing.T) {
 	recv, err := tracereceiver.Start("127.0.0.1:0")
 	if err != nil {
