--- a/internal/gateway/storeddata_test.go
+++ b/internal/gateway/storeddata_test.go
@@ -8,6 +8,7 @@
 	"path/filepath"
 	"strings"
 	"testing"
+	"time"
 
 	"winghatch/decide"
 	"winghatch/internal/config"
@@ -46,6 +47,9 @@
 		recovery.SnapshotRecord != 9 || len(recovery.Gaps) > 0 || recovery.TornBytes > 0 {
 		t.Errorf("%+v %+v acknowledged %d incarnation %d", recovery, box.Counts, box.LastAcknowledged(), box.Incarnation())
 	}
+	if err := log.Sync(10 * time.Second); err != nil { // a cursor reads what is durable
+		t.Fatal(err)
+	}
 	cursor := log.NewCursor(1)
 	defer cursor.Close()
 	var got strings.Builder
