--- a/bench/export.go
+++ b/bench/export.go
@@ -208,8 +208,8 @@
 		return 0, err
 	}
 	defer l.Close()
-	d := outbox.New(outbox.OutboxSettings{Incarnation: 1})
-	do := func(acts []outbox.OutboxAction) error {
+	d := outbox.New(outbox.Settings{Incarnation: 1})
+	do := func(acts []outbox.Action) error {
 		for _, a := range acts {
 			a, ok := a.(outbox.Append)
 			if !ok {
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -86,11 +86,11 @@
 // rejecting reports whether requests are rejected at once, as the intents of their attempts could not be written.
 func (u *usageOutbox) rejecting() bool { return u.outbox.Rejecting(u.hasRoom()) }
 
-func (u *usageOutbox) handle(ev outbox.OutboxEvent) {
+func (u *usageOutbox) handle(ev outbox.Event) {
 	runOutboxActions(u.outbox, u.log, u.logger, u.outbox.Handle(ev), u.execute)
 }
 
-func (u *usageOutbox) execute(action outbox.OutboxAction) {
+func (u *usageOutbox) execute(action outbox.Action) {
 	switch action := action.(type) {
 	case outbox.Release:
 		if a := u.attempts[action.ID]; a != nil && a.awaitingIntent {
--- a/internal/gateway/usagelog.go
+++ b/internal/gateway/usagelog.go
@@ -32,7 +32,7 @@
 // log's options of these names; they may be nil.
 func OpenOutbox(o OutboxOptions, retainFrom func() uint64, onDurable func(uint64), onFailure func(error)) (
 	*outbox.Outbox, *wal.Log, *wal.Recovery, error) {
-	box := outbox.New(outbox.OutboxSettings{Policy: o.Export.OnUnwritable, Incarnation: o.Incarnation})
+	box := outbox.New(outbox.Settings{Policy: o.Export.OnUnwritable, Incarnation: o.Incarnation})
 	maxBytes := int64(o.Export.MaxLogBytes)
 	options := wal.Options{
 		Mode:         o.Export.Durability,
@@ -56,7 +56,7 @@
 		return nil, nil, nil, err
 	}
 	recovery.Report(o.Log, "usage", o.Dir)
-	runOutboxActions(box, log, o.Log, box.Start(o.WallClock()), func(outbox.OutboxAction) {})
+	runOutboxActions(box, log, o.Log, box.Start(o.WallClock()), func(outbox.Action) {})
 	if n := box.Counts.Orphans; n > 0 {
 		o.Log.Warn("Attempts of a former incarnation are exported at their estimates", "attempts", n)
 	}
@@ -65,8 +65,8 @@
 
 // runOutboxActions appends records of an outbox to its log and hands the outbox the result of each before the next
 // action is looked at. execute carries out all other actions.
-func runOutboxActions(box *outbox.Outbox, log *wal.Log, logger *slog.Logger, actions []outbox.OutboxAction,
-	execute func(outbox.OutboxAction)) {
+func runOutboxActions(box *outbox.Outbox, log *wal.Log, logger *slog.Logger, actions []outbox.Action,
+	execute func(outbox.Action)) {
 	for len(actions) > 0 {
 		action := actions[0]
 		actions = actions[1:]
--- /dev/null
+++ b/internal/usage/outbox/events.go
@@ -0,0 +1,67 @@
+package outbox
+
+// ID names an attempt within an incarnation of a gateway.
+type ID uint64
+
+// IDs that no attempt has.
+const (
+	firstOrphanID = ID(1) << 62 // from here on, of attempts of former incarnations
+	gapID         = ID(1) << 63 // of the gap
+)
+
+// Event is something that happened to an outbox's attempts, its log or its receiver.
+type Event interface{ event() }
+
+type (
+	// RecordIntent asks whether an attempt may be sent. It is answered by Append, Release or Deny.
+	RecordIntent struct {
+		ID      ID
+		Attempt Attempt
+		HasRoom bool // the log has room for more than the settlements that are owed
+	}
+	// Appended is the answer to Append. It comes before any other event, unless the Append has ID 0.
+	Appended struct {
+		ID      ID
+		Record  uint64 // number of the record
+		Failure string // why there is none; empty: there is
+	}
+	// Durable tells that all records up to a number are durable.
+	Durable struct{ Record uint64 }
+	// LogStatus tells that writing the log fails, or works again.
+	LogStatus struct{ Failure string } // empty: it works
+	// Settle ends an attempt.
+	Settle struct {
+		ID        ID
+		Outcome   Outcome
+		UsedUnits float64 // as answered, else as estimated
+		WallTime  int64   // nanoseconds of Unix time
+	}
+	// Acknowledged tells that the receiver has all records up to a number.
+	Acknowledged struct{ Record uint64 }
+)
+
+func (RecordIntent) event() {}
+func (Appended) event()     {}
+func (Durable) event()      {}
+func (LogStatus) event()    {}
+func (Settle) event()       {}
+func (Acknowledged) event() {}
+
+// Action is something that an outbox asks its owner to do.
+type Action interface{ action() }
+
+type (
+	// Append asks for a record in the log. It is answered by Appended, unless ID is 0.
+	Append struct {
+		ID      ID
+		Payload []byte
+	}
+	// Release lets an attempt be sent.
+	Release struct{ ID ID }
+	// Deny forbids an attempt: nothing of it may leave.
+	Deny struct{ ID ID }
+)
+
+func (Append) action()  {}
+func (Release) action() {}
+func (Deny) action()    {}
--- a/internal/usage/outbox/export_test.go
+++ b/internal/usage/outbox/outbox_test.go
@@ -57,7 +57,7 @@
 
 func (o *office) start() {
 	life := uint64(0)
-	o.desk = New(OutboxSettings{Policy: o.policy, Incarnation: life})
+	o.desk = New(Settings{Policy: o.policy, Incarnation: life})
 	if o.snap != nil {
 		if err := o.desk.RestoreSnapshot(o.snap); err != nil {
 			panic(err)
@@ -76,7 +76,7 @@
 	o.sync()
 }
 
-func (o *office) do(acts []OutboxAction) {
+func (o *office) do(acts []Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case Append:
@@ -366,15 +366,16 @@
 	o = newOffice(1, PolicyReject, none)
 	o.do(o.desk.Handle(LogStatus{"no space"}))
 	o.try()
-	if !o.desk.Rejecting(true) || !o.denied["t1"] || !New(OutboxSettings{}).Rejecting(false) {
+	if !o.desk.Rejecting(true) || !o.denied["t1"] || !New(Settings{}).Rejecting(false) {
 		t.Error("a try is let pass that the log can't cover")
 	}
 }
 
-// TestLife takes a life above all in the log, whatever the clock gives for it: one that stepped back would else give keys again.
+// TestLife takes a life above all in the log, whatever the clock gives for it: one that stepped back would else give
+// keys again.
 func TestLife(t *testing.T) {
-	d := New(OutboxSettings{Incarnation: 5})
-	for i, a := range New(OutboxSettings{Incarnation: 9}).Start(1) {
+	d := New(Settings{Incarnation: 5})
+	for i, a := range New(Settings{Incarnation: 9}).Start(1) {
 		if err := d.Restore(uint64(i+1), a.(Append).Payload); err != nil {
 			t.Fatal(err)
 		}
@@ -403,7 +404,7 @@
 }
 
 // drive runs a shipper until it is idle; status answers each batch.
-func drive(t *testing.T, s *Delivery, log []string, status func(batch []Event) PostResult) (acks []uint64, slept []time.Duration, aside []string) {
+func drive(t *testing.T, s *Delivery, log []string, status func(batch []UsageEvent) PostResult) (acks []uint64, slept []time.Duration, aside []string) {
 	t.Helper()
 	var ev DeliveryEvent = Start{}
 	for range 10000 {
@@ -416,7 +417,7 @@
 				for i := int(a.After); i < len(log) && len(f.Events) < a.MaxEvents; i++ {
 					f.LastRecord = uint64(i + 1)
 					if log[i] != "" {
-						f.Events = append(f.Events, Event{uint64(i + 1), []byte(log[i])})
+						f.Events = append(f.Events, UsageEvent{uint64(i + 1), []byte(log[i])})
 					}
 				}
 				ev = f
@@ -447,7 +448,7 @@
 				log = append(log, fmt.Sprint("e", i), "") // between them records that are no events
 			}
 			have := map[string]int{}
-			acks, _, aside := drive(t, NewDelivery(DeliverySettings{BatchSize: 16}), log, func(b []Event) PostResult {
+			acks, _, aside := drive(t, NewDelivery(DeliverySettings{BatchSize: 16}), log, func(b []UsageEvent) PostResult {
 				for _, e := range b {
 					if string(e.JSON) == fmt.Sprint("e", bad) {
 						return PostResult{Status: 400, BodySent: true}
@@ -496,7 +497,7 @@
 	for _, p := range []PostResult{{Status: 500, BodySent: true}, {Status: 503, BodySent: true}, {Status: 0, Reason: "refused"}, {Status: 200, BodySent: false},
 		{Status: 302, BodySent: true}, {Status: 404, BodySent: true}, {Status: 401, BodySent: true}} {
 		n := 0
-		acks, slept, aside := drive(t, NewDelivery(DeliverySettings{BatchSize: 5, Seed: 3}), []string{"a", "b"}, func([]Event) PostResult {
+		acks, slept, aside := drive(t, NewDelivery(DeliverySettings{BatchSize: 5, Seed: 3}), []string{"a", "b"}, func([]UsageEvent) PostResult {
 			if n++; n < 12 {
 				return p
 			}
@@ -510,7 +511,7 @@
 		}
 	}
 	n := 0
-	_, slept, _ := drive(t, NewDelivery(DeliverySettings{BatchSize: 5}), []string{"a"}, func([]Event) PostResult {
+	_, slept, _ := drive(t, NewDelivery(DeliverySettings{BatchSize: 5}), []string{"a"}, func([]UsageEvent) PostResult {
 		if n++; n == 1 {
 			return PostResult{Status: 429, RetryAfter: 7 * time.Second, BodySent: true}
 		}
@@ -534,6 +535,6 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		parseRecord(b)
 		EncodeEvent("f", 1, 1, b)
-		New(OutboxSettings{}).RestoreSnapshot(b)
+		New(Settings{}).RestoreSnapshot(b)
 	})
 }
--- a/internal/usage/sender/courier.go
+++ b/internal/usage/sender/courier.go
@@ -151,7 +151,7 @@
 	return outbox.WaitEnded{}
 }
 
-func (c *Sender) post(ctx context.Context, evs []outbox.Event) outbox.DeliveryEvent {
+func (c *Sender) post(ctx context.Context, evs []outbox.UsageEvent) outbox.DeliveryEvent {
 	raw := []byte{'['}
 	for i, ev := range evs {
 		if i > 0 {
--- a/internal/usage/sender/courier_test.go
+++ b/internal/usage/sender/courier_test.go
@@ -23,8 +23,8 @@
 
 // owe fills a log with the settled tries of one life, by the desk itself.
 func owe(t testing.TB, l *wal.Log, n int) {
-	d := outbox.New(outbox.OutboxSettings{Incarnation: 5})
-	do := func(acts []outbox.OutboxAction) {
+	d := outbox.New(outbox.Settings{Incarnation: 5})
+	do := func(acts []outbox.Action) {
 		for _, a := range acts {
 			if a, ok := a.(outbox.Append); ok {
 				no, err := l.Append(a.Payload)
