--- a/internal/frontend/connlimit/connlimit.go
+++ b/internal/frontend/connlimit/connlimit.go
@@ -1,10 +1,11 @@
-// Package connlimit decides which connections of clients stay when descriptors are few: it does no I/O and reads no
-// clock; the same calls in the same order always close the same connections.
+// Package connlimit decides which client connections stay when descriptors run short, and which have timed out. It
+// does no I/O and reads no clock: the same calls in the same order always close the same connections. Times are spans
+// since any fixed moment, of a monotonic clock.
 //
-// A connection holds a seat from its coming to its going. It is silent until its first byte, reading until a request is
-// whole, active while one is open, and idle between two. For a new connection the silent ones give way first, then the idle
-// ones, then those that are being read, each longest first; active ones never. A connection whose socket holds bytes that
-// nobody has read yet is spared: they may be a whole request.
+// A connection counts from Accept to Remove. It is silent until its first byte, reading until a request is complete,
+// active while one is open, and idle between two. At the limit a new connection evicts another one: silent ones
+// first, then idle ones, then reading ones, of each the one that has been so longest; active ones never. A connection
+// whose socket holds unread bytes is not evicted: they may be a complete request.
 package connlimit
 
 import (
@@ -13,27 +14,27 @@
 )
 
 const (
-	// A connection has this long for its first request, and for each further one from its first byte on. Clients owe
-	// a request at once; what trickles or is silent holds a seat that others need. It also keeps the promise that
-	// such a client is turned away within three seconds.
+	// requestTimeout is the time for a connection's first request, from Accept on, and for each further one, from its
+	// first byte on. Clients send a request at once; one that trickles or is silent holds a connection that others
+	// need. It is short enough for such a client to be turned away within three seconds, the sweep included.
 	requestTimeout = 2 * time.Second
-	// One with unread bytes is spared for so much longer at most: the process may have been held up, but a client that
-	// sends without end must go too.
+	// requestGrace is added to requestTimeout while unread bytes wait in the socket, as the process may have been
+	// held up. It is bounded, so that a client that sends without end is turned away too.
 	requestGrace = 400 * time.Millisecond
-	// One at rest may be closed after two seconds; while there is room it stays for this long, as opening it anew costs
-	// both sides more than keeping it.
+	// idleTimeout is the time between two requests, while there is room: a new connection costs both sides more than
+	// an idle one.
 	idleTimeout = 10 * time.Second
-	// Above this part of the seats, those at rest go after tightIdleTimeout.
-	tightShare       = 0.75
+	// tightIdleTimeout takes the place of idleTimeout while more than tightShare of the limit is in use.
 	tightIdleTimeout = 2 * time.Second
+	tightShare       = 0.75
 )
 
 // ID names a connection.
 type ID uint64
 
+// state is a connection's, in the order in which connections are evicted.
 type state int
 
-// In the order in which connections give way.
 const (
 	silent state = iota
 	idle
@@ -41,34 +42,36 @@
 	active
 )
 
+// entry is a connection.
 type entry struct {
 	id    ID
 	state state
-	since time.Duration
-	elem  *list.Element // in the line of its state; nil while active
+	since time.Duration // its timeout runs from here
+	elem  *list.Element // in the queue of its state; nil while active
 }
 
-// Limiter holds the seats of one gateway.
+// Limiter holds the connections of one gateway. It is not safe for concurrent use.
 type Limiter struct {
 	maxConns int
 	entries  map[ID]*entry
-	queues   [active]*list.List // silent, idle, reading: longest first
+	queues   [active]*list.List // silent, idle and reading connections, ordered by since
 }
 
-// New returns a limiter of so many connections.
-func New(most int) *Limiter {
-	l := &Limiter{maxConns: most, entries: map[ID]*entry{}}
+// New returns a limiter of maxConns connections.
+func New(maxConns int) *Limiter {
+	l := &Limiter{maxConns: maxConns, entries: map[ID]*entry{}}
 	for st := range l.queues {
 		l.queues[st] = list.New()
 	}
 	return l
 }
 
-// Len is how many seats are held.
+// Len is how many connections are held.
 func (l *Limiter) Len() int { return len(l.entries) }
 
-// Accept gives a new connection a seat. If all are held, another is to be closed for it; false says that none may, and the
-// new one is to be closed. unread tells whether a connection's socket holds bytes that nobody has read.
+// Accept adds a new connection. At the limit another one is removed for it, which the caller has to close. ok is
+// false if none may be: the new connection is not added and has to be closed. unread reports whether a connection's
+// socket holds unread bytes.
 func (l *Limiter) Accept(now time.Duration, id ID, unread func(ID) bool) (evicted ID, evicts, ok bool) {
 	if len(l.entries) >= l.maxConns {
 		if evicted, evicts = l.victim(unread); !evicts {
@@ -76,17 +79,17 @@
 		}
 		l.Remove(evicted)
 	}
-	s := &entry{id: id, since: now}
-	l.entries[id] = s
-	l.enqueue(s)
+	e := &entry{id: id, since: now}
+	l.entries[id] = e
+	l.enqueue(e)
 	return evicted, evicts, true
 }
 
-// weakest finds the connection that gives way first.
+// victim finds the connection to evict first.
 func (l *Limiter) victim(unread func(ID) bool) (id ID, ok bool) {
-	for _, line := range l.queues {
-		for e := line.Front(); e != nil; e = e.Next() {
-			if id := e.Value.(*entry).id; !unread(id) {
+	for _, queue := range l.queues {
+		for elem := queue.Front(); elem != nil; elem = elem.Next() {
+			if id := elem.Value.(*entry).id; !unread(id) {
 				return id, true
 			}
 		}
@@ -94,82 +97,88 @@
 	return 0, false
 }
 
-// Closed takes a seat back.
+// Remove removes a connection, if it is held.
 func (l *Limiter) Remove(id ID) {
-	if s := l.entries[id]; s != nil {
-		l.dequeue(s)
+	if e := l.entries[id]; e != nil {
+		l.dequeue(e)
 		delete(l.entries, id)
 	}
 }
 
-func (l *Limiter) dequeue(s *entry) {
-	if s.elem != nil {
-		l.queues[s.state].Remove(s.elem)
-		s.elem = nil
+// MarkReading says that the first byte of a request arrived. The time for a first request runs from Accept.
+func (l *Limiter) MarkReading(now time.Duration, id ID) {
+	if e := l.entries[id]; e != nil && e.state == silent {
+		now = e.since
 	}
+	l.setState(id, reading, now)
 }
 
-// enter puts a seat into the line of its state, which is in the order of since.
-func (l *Limiter) enqueue(s *entry) {
-	line := l.queues[s.state]
-	before := line.Back()
-	for before != nil && before.Value.(*entry).since > s.since {
-		before = before.Prev()
+// MarkActive says that a request is complete.
+func (l *Limiter) MarkActive(now time.Duration, id ID) { l.setState(id, active, now) }
+
+// MarkIdle says that its response is written.
+func (l *Limiter) MarkIdle(now time.Duration, id ID) { l.setState(id, idle, now) }
+
+// Expired removes the connections that have timed out and returns them, for the caller to close. unread is as in
+// Accept.
+func (l *Limiter) Expired(now time.Duration, unread func(ID) bool) (expired []ID) {
+	timeouts := [active]time.Duration{silent: requestTimeout, idle: l.currentIdleTimeout(), reading: requestTimeout}
+	for st, timeout := range timeouts {
+		var next *list.Element
+		for elem := l.queues[st].Front(); elem != nil; elem = next {
+			next = elem.Next()
+			e := elem.Value.(*entry)
+			overdue := now - e.since - timeout
+			if overdue < 0 {
+				break
+			}
+			// Unread bytes are the next request of an idle connection, or may complete a request.
+			if unread(e.id) && (e.state == idle || overdue < requestGrace) {
+				continue
+			}
+			expired = append(expired, e.id)
+			l.Remove(e.id)
+		}
 	}
-	if before == nil {
-		s.elem = line.PushFront(s)
-		return
+	return expired
+}
+
+func (l *Limiter) currentIdleTimeout() time.Duration {
+	if float64(len(l.entries)) > tightShare*float64(l.maxConns) {
+		return tightIdleTimeout
 	}
-	s.elem = line.InsertAfter(s, before)
+	return idleTimeout
 }
 
 func (l *Limiter) setState(id ID, st state, since time.Duration) {
-	s := l.entries[id]
-	if s == nil || s.state == st {
+	e := l.entries[id]
+	if e == nil || e.state == st {
 		return
 	}
-	l.dequeue(s)
-	s.state, s.since = st, since
+	l.dequeue(e)
+	e.state, e.since = st, since
 	if st != active {
-		l.enqueue(s)
+		l.enqueue(e)
 	}
 }
 
-// Reading says that the first byte of a request came. A first request's time runs from the connection's coming.
-func (l *Limiter) MarkReading(now time.Duration, id ID) {
-	if s := l.entries[id]; s != nil && s.state == silent {
-		now = s.since
+// enqueue puts a connection into the queue of its state, by since.
+func (l *Limiter) enqueue(e *entry) {
+	queue := l.queues[e.state]
+	before := queue.Back()
+	for before != nil && before.Value.(*entry).since > e.since {
+		before = before.Prev()
 	}
-	l.setState(id, reading, now)
+	if before == nil {
+		e.elem = queue.PushFront(e)
+		return
+	}
+	e.elem = queue.InsertAfter(e, before)
 }
 
-// Active says that a request is whole.
-func (l *Limiter) MarkActive(now time.Duration, id ID) { l.setState(id, active, now) }
-
-// Idle says that its answer is written.
-func (l *Limiter) MarkIdle(now time.Duration, id ID) { l.setState(id, idle, now) }
-
-// Expired takes back the seats whose time is up and returns them. unread is as in Accept.
-func (l *Limiter) Expired(now time.Duration, unread func(ID) bool) (out []ID) {
-	rest := idleTimeout
-	if float64(len(l.entries)) > tightShare*float64(l.maxConns) {
-		rest = tightIdleTimeout
-	}
-	for st, timeout := range [active]time.Duration{silent: requestTimeout, idle: rest, reading: requestTimeout} {
-		var next *list.Element
-		for e := l.queues[st].Front(); e != nil; e = next {
-			next = e.Next()
-			s := e.Value.(*entry)
-			over := now - s.since - timeout
-			if over < 0 {
-				break
-			}
-			if unread(s.id) && (state(st) == idle || over < requestGrace) {
-				continue
-			}
-			out = append(out, s.id)
-			l.Remove(s.id)
-		}
+func (l *Limiter) dequeue(e *entry) {
+	if e.elem != nil {
+		l.queues[e.state].Remove(e.elem)
+		e.elem = nil
 	}
-	return out
 }
--- a/internal/frontend/connlimit/connlimit_test.go
+++ b/internal/frontend/connlimit/connlimit_test.go
@@ -9,97 +9,104 @@
 
 func none(ID) bool { return false }
 
+// Clients connect and send nothing until the limit is reached. A new connection takes the place of one without an
+// open request, never of one with a request.
 func TestSilentOnesGiveWayToNewOnes(t *testing.T) {
-	b := New(4)
+	l := New(4)
 	for id := ID(1); id <= 4; id++ {
-		b.Accept(0, id, none)
+		l.Accept(0, id, none)
 	}
-	b.MarkActive(0, 1)
-	b.MarkActive(0, 2)
-	b.MarkIdle(time.Second, 2)
-	if out, closes, ok := b.Accept(time.Second, 5, none); !ok || !closes || out != 3 {
-		t.Errorf("closed %d (%t, %t), want 3, the longest without a request", out, closes, ok)
+	l.MarkActive(0, 1)
+	l.MarkActive(0, 2)
+	l.MarkIdle(time.Second, 2)
+	if evicted, evicts, ok := l.Accept(time.Second, 5, none); !ok || !evicts || evicted != 3 {
+		t.Errorf("evicted %d (%t, %t), want 3, the longest without a request", evicted, evicts, ok)
 	}
-	b.MarkActive(time.Second, 4)
-	b.MarkActive(time.Second, 5)
-	if out, closes, ok := b.Accept(time.Second, 6, none); !ok || !closes || out != 2 {
-		t.Errorf("closed %d (%t, %t), want 2, which rests", out, closes, ok)
+	l.MarkActive(time.Second, 4)
+	l.MarkActive(time.Second, 5)
+	if evicted, evicts, ok := l.Accept(time.Second, 6, none); !ok || !evicts || evicted != 2 {
+		t.Errorf("evicted %d (%t, %t), want 2, which is idle", evicted, evicts, ok)
 	}
-	b.MarkActive(time.Second, 6)
-	if _, closes, ok := b.Accept(time.Second, 7, none); ok || closes {
-		t.Errorf("a seat was taken from a connection with an open request")
+	l.MarkActive(time.Second, 6)
+	if _, evicts, ok := l.Accept(time.Second, 7, none); ok || evicts {
+		t.Errorf("a connection with an open request was evicted")
 	}
 }
 
+// A silent connection holds a descriptor that others need; one with an open request must never time out.
 func TestTimeoutsOfConnections(t *testing.T) {
-	b := New(100)
-	b.Accept(0, 1, none)
-	b.Accept(0, 2, none)
-	b.MarkActive(time.Second, 2)
-	if out := b.Expired(2*time.Second, none); len(out) != 1 || out[0] != 1 {
-		t.Errorf("due after two seconds: %v, want 1, which never asked", out)
+	l := New(100)
+	l.Accept(0, 1, none)
+	l.Accept(0, 2, none)
+	l.MarkActive(time.Second, 2)
+	if expired := l.Expired(2*time.Second, none); len(expired) != 1 || expired[0] != 1 {
+		t.Errorf("due after two seconds: %v, want 1, which never asked", expired)
 	}
-	if out := b.Expired(time.Hour, none); len(out) != 0 {
-		t.Errorf("due: %v, want none while a request is open", out)
+	if expired := l.Expired(time.Hour, none); len(expired) != 0 {
+		t.Errorf("due: %v, want none while a request is open", expired)
 	}
-	b.MarkIdle(time.Hour, 2)
-	if out := b.Expired(time.Hour+idleTimeout, none); len(out) != 1 || b.Len() != 0 {
-		t.Errorf("due after its rest: %v, %d held, want 2 and none", out, b.Len())
+	l.MarkIdle(time.Hour, 2)
+	if expired := l.Expired(time.Hour+idleTimeout, none); len(expired) != 1 || l.Len() != 0 {
+		t.Errorf("due after its idle timeout: %v, %d held, want 2 and none", expired, l.Len())
 	}
 }
 
-// Silent ones give way first, then those at rest, then what is being read; unread bytes spare each.
+// At the limit silent connections are evicted first, then idle ones, then reading ones. One with unread bytes may
+// hold a complete request and must not be evicted.
 func TestTheOrderInWhichConnectionsGiveWay(t *testing.T) {
-	b := New(4)
+	l := New(4)
 	for id := ID(1); id <= 4; id++ {
-		b.Accept(0, id, none)
+		l.Accept(0, id, none)
 	}
-	b.MarkReading(0, 1)
-	b.MarkActive(0, 2)
-	b.MarkIdle(0, 2)
+	l.MarkReading(0, 1)
+	l.MarkActive(0, 2)
+	l.MarkIdle(0, 2)
 	unread := map[ID]bool{3: true}
 	for i, want := range []ID{4, 5, 6} {
-		if out, closes, ok := b.Accept(0, ID(5+i), func(id ID) bool { return unread[id] }); !ok || !closes || out != want {
-			t.Errorf("closed %d (%t, %t), want %d, which is silent", out, closes, ok, want)
+		evicted, evicts, ok := l.Accept(0, ID(5+i), func(id ID) bool { return unread[id] })
+		if !ok || !evicts || evicted != want {
+			t.Errorf("evicted %d (%t, %t), want %d, which is silent", evicted, evicts, ok, want)
 		}
 	}
 	unread[7] = true
 	for i, want := range []ID{2, 1} {
-		if out, closes, ok := b.Accept(0, ID(8+i), func(id ID) bool { return unread[id] || id > 7 }); !ok || !closes || out != want {
-			t.Errorf("closed %d (%t, %t), want %d", out, closes, ok, want)
+		evicted, evicts, ok := l.Accept(0, ID(8+i), func(id ID) bool { return unread[id] || id > 7 })
+		if !ok || !evicts || evicted != want {
+			t.Errorf("evicted %d (%t, %t), want %d", evicted, evicts, ok, want)
 		}
 	}
-	if _, closes, ok := b.Accept(0, 10, func(ID) bool { return true }); ok || closes {
-		t.Error("a seat was taken from a connection with unread bytes")
+	if _, evicts, ok := l.Accept(0, 10, func(ID) bool { return true }); ok || evicts {
+		t.Error("a connection with unread bytes was evicted")
 	}
 }
 
-// Unread bytes spare a connection whose time is up, at rest for as long as they wait, else for a while.
+// The process was held up while a request arrived, and its connection times out before it is read. Unread bytes keep
+// an idle connection open for as long as they wait, any other one for the grace.
 func TestUnreadBytesPutOffTimeouts(t *testing.T) {
 	all := func(ID) bool { return true }
-	b := New(100)
-	b.Accept(0, 1, none)
-	b.Accept(0, 2, none)
-	b.MarkReading(time.Second, 2)
-	b.Accept(0, 3, none)
-	b.MarkActive(0, 3)
-	b.MarkIdle(0, 3)
-	if out := b.Expired(requestTimeout+requestGrace-1, all); len(out) != 0 {
-		t.Errorf("closed %v, want none while bytes wait", out)
+	l := New(100)
+	l.Accept(0, 1, none)
+	l.Accept(0, 2, none)
+	l.MarkReading(time.Second, 2)
+	l.Accept(0, 3, none)
+	l.MarkActive(0, 3)
+	l.MarkIdle(0, 3)
+	if expired := l.Expired(requestTimeout+requestGrace-1, all); len(expired) != 0 {
+		t.Errorf("closed %v, want none while bytes wait", expired)
 	}
-	if out := b.Expired(requestTimeout+requestGrace, all); len(out) != 2 || out[0] != 1 || out[1] != 2 {
-		t.Errorf("closed %v, want 1 and 2: a first request's time runs from the connection's coming", out)
+	if expired := l.Expired(requestTimeout+requestGrace, all); len(expired) != 2 || expired[0] != 1 || expired[1] != 2 {
+		t.Errorf("closed %v, want 1 and 2: a first request's time runs from Accept", expired)
 	}
-	if out := b.Expired(time.Hour, all); len(out) != 0 {
-		t.Errorf("closed %v, want none: a request has come", out)
+	if expired := l.Expired(time.Hour, all); len(expired) != 0 {
+		t.Errorf("closed %v, want none: a request has arrived", expired)
 	}
-	if out := b.Expired(time.Hour, none); len(out) != 1 || out[0] != 3 {
-		t.Errorf("closed %v, want 3", out)
+	if expired := l.Expired(time.Hour, none); len(expired) != 1 || expired[0] != 3 {
+		t.Errorf("closed %v, want 3", expired)
 	}
 }
 
-// Whatever comes in whatever order: never more seats than there are, none is taken from an active one, and the same calls
-// have the same results.
+// For any calls in any order: the limit holds, no active connection is closed, none with unread bytes is evicted, and
+// the same calls have the same results.
 func TestConnectionsModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.IntRange(1, 6).Draw(t, "most")
@@ -113,15 +120,16 @@
 			var gone []ID
 			switch rapid.IntRange(0, 6).Draw(t, "call") {
 			case 0:
-				out, closes, ok := a.Accept(now, n+100, waits)
-				if unread[out] {
-					t.Fatalf("%d, with unread bytes, lost its seat to a new one", out)
+				evicted, evicts, ok := a.Accept(now, n+100, waits)
+				if unread[evicted] {
+					t.Fatalf("%d, with unread bytes, was evicted", evicted)
 				}
-				if out2, closes2, ok2 := b.Accept(now, n+100, waits); out != out2 || closes != closes2 || ok != ok2 {
-					t.Fatal("two books differ")
+				evicted2, evicts2, ok2 := b.Accept(now, n+100, waits)
+				if evicted != evicted2 || evicts != evicts2 || ok != ok2 {
+					t.Fatal("two limiters differ")
 				}
-				if closes {
-					gone = append(gone, out)
+				if evicts {
+					gone = append(gone, evicted)
 				}
 			case 1:
 				a.MarkActive(now, id+100)
@@ -149,11 +157,13 @@
 			}
 			for _, g := range gone {
 				if activeOnes[g] {
-					t.Fatalf("active %d lost its seat", g)
+					t.Fatalf("active %d was closed", g)
 				}
 			}
-			if a.Len() > most || a.queues[silent].Len()+a.queues[idle].Len()+a.queues[reading].Len()+len(activeOnes) != a.Len() {
-				t.Fatalf("%d seats of %d, %d silent, %d idle, %d reading, %d active", a.Len(), most, a.queues[silent].Len(), a.queues[idle].Len(), a.queues[reading].Len(), len(activeOnes))
+			silentOnes, idleOnes, readingOnes := a.queues[silent].Len(), a.queues[idle].Len(), a.queues[reading].Len()
+			if a.Len() > most || silentOnes+idleOnes+readingOnes+len(activeOnes) != a.Len() {
+				t.Fatalf("%d connections of %d: %d silent, %d idle, %d reading, %d active", a.Len(), most,
+					silentOnes, idleOnes, readingOnes, len(activeOnes))
 			}
 		}
 	})
