--- /dev/null
+++ b/internal/frontend/http/read.go
@@ -0,0 +1,103 @@
+package http
+
+import (
+	"io"
+	"syscall"
+	"time"
+
+	"winghatch/internal/socket"
+)
+
+// Read returns pipelined bytes first, then reads from the socket, for the http1.Reader.
+func (c *conn) Read(b []byte) (int, error) {
+	s := c.server
+	s.mu.Lock()
+	if n, arrivedAt, ok := c.pipeline.take(b); ok {
+		c.arrivedAt = arrivedAt
+		s.bodyBytes -= int64(n)
+		s.mu.Unlock()
+		return n, nil
+	}
+	overflowed := c.pipeline.overflowed
+	s.mu.Unlock()
+	if overflowed {
+		return 0, io.EOF
+	}
+	n, err := c.readSocket(b)
+	c.arrivedAt = c.readAt
+	return n, err
+}
+
+// readSocket reads from the socket. Errors that pass are retried. Each read holds the server's lock, so that bytes
+// are either still in the socket, where Peek sees them, or the connection is known to be reading a request.
+func (c *conn) readSocket(b []byte) (int, error) {
+	c.readBuf = b
+	for {
+		if err := c.raw.Read(c.readFunc); err != nil {
+			return 0, err
+		}
+		if c.readErr != nil && socket.IsTransient(c.readErr) {
+			time.Sleep(socket.RetryPause)
+			continue
+		}
+		if c.readN == 0 && c.readErr == nil {
+			return 0, io.EOF
+		}
+		return c.readN, c.readErr
+	}
+}
+
+// readStep makes one read that does not wait; false has the runtime call it again once the socket is readable.
+func (c *conn) readStep(fd uintptr) bool {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	c.readN, c.readErr = socket.ReadNow(fd, c.readBuf)
+	if c.readErr == syscall.EAGAIN {
+		return false
+	}
+	if c.readErr != nil && socket.IsTransient(c.readErr) {
+		return true
+	}
+	if c.readN == 0 {
+		c.clientGone = true
+		return true
+	}
+	if c.phase == idle || c.phase == reading && !c.requestBegun {
+		c.setPhase(reading)
+	}
+	c.requestBegun = true
+	c.readAt = c.server.clock()
+	return true
+}
+
+// hasUnread reports whether the socket holds unread bytes; s.mu is held.
+func (c *conn) hasUnread() bool {
+	unread, _ := socket.Peek(c.raw)
+	return unread
+}
+
+// clientLeft reports whether the client of a request has gone, or the request is not open any more. It looks at the
+// socket too: when an attempt is written, the reader may not have run since the client closed.
+func (c *conn) clientLeft(requestID string) bool {
+	c.server.mu.Lock()
+	defer c.server.mu.Unlock()
+	if c.clientGone || c.requestID != requestID {
+		return true
+	}
+	_, c.clientGone = socket.Peek(c.raw)
+	return c.clientGone
+}
+
+// reserveBody counts bytes of a body against Server.maxBodyBytes and reports whether they fit: hundreds of large
+// bodies at once must not exceed the memory limit of the process.
+func (c *conn) reserveBody(n int) bool {
+	s := c.server
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.hasBodyRoom(n) {
+		return false
+	}
+	s.bodyBytes += int64(n)
+	c.bodyBytes += int64(n)
+	return true
+}
--- a/internal/frontend/http/request.go
+++ b/internal/frontend/http/request.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math"
+	"net/http"
 	"strconv"
 	"strings"
 	"time"
@@ -12,132 +13,174 @@
 	"winghatch/internal/http1"
 )
 
-// Rules is what the settings say of requests that can be used.
+// Longest values of fields, in bytes.
+const (
+	maxTxnBytes      = 64
+	maxNameBytes     = 128 // of a class, a plan or an idempotency key
+	maxQuotaBytes    = 256
+	maxNumberBytes   = 12
+	customerIDBytes  = 16 // hex digits
+	customerIDsBelow = 1 << 33
+)
+
+// Rules is what the settings say of requests: which classes and plans there are, and the bounds of X-Quota.
 type Rules struct {
 	classes  map[string]decide.Class
 	plans    map[string]bool
 	gateways int
-	maxUnits float64 // of one request at most; 0: any number
+	maxUnits float64 // of one request; 0: any number
 }
 
-// NewRules takes them from the settings.
+// NewRules takes the rules from the settings.
 func NewRules(c *decide.Config) *Rules {
-	r := &Rules{classes: map[string]decide.Class{}, plans: map[string]bool{}, gateways: c.Gateways, maxUnits: c.MaxUnits}
-	for _, k := range c.Classes {
-		r.classes[k.Name] = k
+	r := &Rules{
+		classes:  map[string]decide.Class{},
+		plans:    map[string]bool{},
+		gateways: c.Gateways,
+		maxUnits: c.MaxUnits,
+	}
+	for _, class := range c.Classes {
+		r.classes[class.Name] = class
 	}
-	for _, p := range c.Plans {
-		r.plans[p.Name] = true
+	for _, plan := range c.Plans {
+		r.plans[plan.Name] = true
 	}
 	return r
 }
 
-// customers is the bound on a customer's number.
-const customerLimit = 1 << 33
-
-// fault is a field that can't be used.
-func requestError(status int, form string, args ...any) error {
-	return &http1.Error{Status: status, Reason: fmt.Sprintf(form, args...)}
+// requestError is an error that is answered with a status and its text.
+func requestError(status int, format string, args ...any) error {
+	return &http1.Error{Status: status, Reason: fmt.Sprintf(format, args...)}
 }
 
-// one reads a field that must come just once, of visible characters and not too long.
-func singleField(q *http1.Request, name string, most int) (string, error) {
-	v, n := q.Get(name)
-	if n != 1 {
-		return "", requestError(400, "%d fields %s, want one", n, name)
-	}
-	if v == "" || len(v) > most || strings.ContainsFunc(v, func(c rune) bool { return c <= ' ' || c > '~' }) {
-		return "", requestError(400, "%s is %.40q, want 1 to %d visible characters", name, v, most)
-	}
-	return v, nil
+func badRequest(format string, args ...any) error {
+	return requestError(http.StatusBadRequest, format, args...)
 }
 
-// parsed is a request that can be used.
+// parsedRequest is what goes on to servers of a valid request.
 type parsedRequest struct {
 	txn, method, target, idempotencyKey, contentType string
 	body                                             []byte
 }
 
-// read checks a whole request against the settings, before the core hears of it: what can't be used must neither
-// charge nor make a customer.
-func (r *Rules) parse(q *http1.Request, body []byte, now time.Duration) (*frontend.Request, *parsedRequest, error) {
-	p := &parsedRequest{method: q.A, target: q.B, body: body}
+// parse checks a complete request against the rules, before the core has it: an invalid one must neither charge a
+// quota nor make the core keep state for a customer. Errors are *http1.Error. arrivedAt is when the request's last
+// byte arrived, from which its remaining time runs.
+func (r *Rules) parse(q *http1.Request, body []byte, arrivedAt time.Duration) (
+	*frontend.Request, *parsedRequest, error) {
+	parsed := &parsedRequest{method: q.Method, target: q.Target, body: body}
 	var err error
-	if p.txn, err = singleField(q, "X-Txn", 64); err != nil {
+	if parsed.txn, err = singleField(q, "X-Txn", maxTxnBytes); err != nil {
 		return nil, nil, err
 	}
-	name, err := singleField(q, "X-Lane", 128)
+	className, err := singleField(q, "X-Lane", maxNameBytes)
 	if err != nil {
 		return nil, nil, err
 	}
-	class, ok := r.classes[name]
+	class, ok := r.classes[className]
 	if !ok {
-		return nil, nil, requestError(400, "X-Lane: no class %.40q", name)
+		return nil, nil, badRequest("X-Lane: no class %.40q", className)
 	}
-	plan, err := singleField(q, "X-Plan", 128)
+	plan, err := singleField(q, "X-Plan", maxNameBytes)
 	if err != nil {
 		return nil, nil, err
 	}
 	if !r.plans[plan] {
-		return nil, nil, requestError(400, "X-Plan: no plan %.40q", plan)
+		return nil, nil, badRequest("X-Plan: no plan %.40q", plan)
 	}
-	who, err := singleField(q, "X-Customer", 16)
+	customer, err := parseCustomer(q)
 	if err != nil {
 		return nil, nil, err
 	}
-	if n, err := strconv.ParseUint(who, 16, 64); err != nil || len(who) != 16 || n >= customerLimit || who != strings.ToLower(who) {
-		return nil, nil, requestError(400, "X-Customer is %.40q, want 16 hex digits of a number under 2^33", who)
-	}
-	left, err := singleField(q, "X-Remaining-Ms", 12)
+	remaining, err := parseRemaining(q, class.Deadline)
 	if err != nil {
 		return nil, nil, err
 	}
-	ms, ok := parseDigits(left)
-	if most := math.Ceil(float64(class.Deadline) / float64(time.Millisecond)); !ok || ms < 1 || ms > most {
-		return nil, nil, requestError(400, "X-Remaining-Ms is %.40q, want a whole number of 1 to %g", left, most)
+	request := &frontend.Request{
+		Class:    className,
+		Plan:     plan,
+		Customer: customer,
+		Deadline: arrivedAt + remaining,
+		Mutates:  class.Idempotency != decide.Idempotent,
 	}
-	c := &frontend.Request{Class: name, Plan: plan, Customer: who, Deadline: now + time.Duration(ms)*time.Millisecond,
-		Mutates: class.Idempotency != decide.Idempotent}
-	if c.Units, c.GatewayCount, c.FirstGateway, err = r.parseQuota(q); err != nil {
+	if request.Units, request.GatewayCount, request.FirstGateway, err = r.parseQuota(q); err != nil {
 		return nil, nil, err
 	}
-	if again, n := q.Get("X-Resent"); n > 0 {
-		c.IsRetry = again == "1"
+	if resent, n := q.Get("X-Resent"); n > 0 {
+		request.IsRetry = resent == "1"
+	}
+	return request, parsed, parsed.checkClass(q, &class)
+}
+
+// singleField reads a field that must occur once, of visible ASCII characters and of bounded length.
+func singleField(q *http1.Request, name string, maxBytes int) (string, error) {
+	value, n := q.Get(name)
+	if n != 1 {
+		return "", badRequest("%d fields %s, want one", n, name)
+	}
+	if value == "" || len(value) > maxBytes || strings.ContainsFunc(value, isInvisible) {
+		return "", badRequest("%s is %.40q, want 1 to %d visible characters", name, value, maxBytes)
+	}
+	return value, nil
+}
+
+func isInvisible(c rune) bool { return c <= ' ' || c > '~' }
+
+func parseCustomer(q *http1.Request) (string, error) {
+	id, err := singleField(q, "X-Customer", customerIDBytes)
+	if err != nil {
+		return "", err
+	}
+	n, err := strconv.ParseUint(id, 16, 64)
+	if err != nil || len(id) != customerIDBytes || n >= customerIDsBelow || id != strings.ToLower(id) {
+		return "", badRequest("X-Customer is %.40q, want 16 hex digits of a number under 2^33", id)
 	}
-	return c, p, p.checkClass(q, &class)
+	return id, nil
 }
 
-// fits checks method, body and key against what the class's effect asks for.
+// parseRemaining reads the time that the client has left, which is bounded by its class's deadline.
+func parseRemaining(q *http1.Request, deadline time.Duration) (time.Duration, error) {
+	text, err := singleField(q, "X-Remaining-Ms", maxNumberBytes)
+	if err != nil {
+		return 0, err
+	}
+	ms, ok := parseDigits(text)
+	if most := math.Ceil(float64(deadline) / float64(time.Millisecond)); !ok || ms < 1 || ms > most {
+		return 0, badRequest("X-Remaining-Ms is %.40q, want a whole number of 1 to %g", text, most)
+	}
+	return time.Duration(ms) * time.Millisecond, nil
+}
+
+// checkClass checks method, body and idempotency key against what the class asks for.
 func (p *parsedRequest) checkClass(q *http1.Request, class *decide.Class) error {
-	_, keys := q.Get("Idempotency-Key")
-	_, types := q.Get("Content-Type")
-	if types == 1 {
-		p.contentType, _ = q.Get("Content-Type")
+	if contentType, n := q.Get("Content-Type"); n == 1 {
+		p.contentType = contentType
 	}
-	want := "POST"
+	want := http.MethodPost
 	if class.Idempotency == decide.Idempotent {
-		want = "GET"
+		want = http.MethodGet
 	}
 	if p.method != want {
-		return requestError(405, "method %.20q for class %q, want %s", p.method, class.Name, want)
+		return requestError(http.StatusMethodNotAllowed, "method %.20q for class %q, want %s",
+			p.method, class.Name, want)
 	}
-	if want == "GET" && len(p.body) > 0 {
-		return requestError(400, "a body of %d bytes with GET", len(p.body))
+	if want == http.MethodGet && len(p.body) > 0 {
+		return badRequest("a body of %d bytes with GET", len(p.body))
 	}
 	if class.Idempotency != decide.IdempotentByKey {
-		if keys > 0 {
-			return requestError(400, "Idempotency-Key with class %q, which has none", class.Name)
+		if _, n := q.Get("Idempotency-Key"); n > 0 {
+			return badRequest("Idempotency-Key with class %q, which has none", class.Name)
 		}
 		return nil
 	}
 	var err error
-	p.idempotencyKey, err = singleField(q, "Idempotency-Key", 128)
+	p.idempotencyKey, err = singleField(q, "Idempotency-Key", maxNameBytes)
 	return err
 }
 
-// digits reads a whole number of a few digits.
+// parseDigits parses a whole number of a few digits, without sign or exponent.
 func parseDigits(s string) (float64, bool) {
-	if s == "" || len(s) > 12 {
+	if s == "" || len(s) > maxNumberBytes {
 		return 0, false
 	}
 	for i := range len(s) {
@@ -145,69 +188,102 @@
 			return 0, false
 		}
 	}
-	v, err := strconv.ParseFloat(s, 64)
-	return v, err == nil
+	n, err := strconv.ParseFloat(s, 64)
+	return n, err == nil
+}
+
+// parseDecimal parses digits with an optional fraction.
+func parseDecimal(s string) (float64, bool) {
+	whole, fraction, hasPoint := strings.Cut(s, ".")
+	if !hasPoint {
+		return parseDigits(s)
+	}
+	if _, ok := parseDigits(whole); !ok {
+		return 0, false
+	}
+	if _, ok := parseDigits(fraction); !ok {
+		return 0, false
+	}
+	n, err := strconv.ParseFloat(s, 64)
+	return n, err == nil
 }
 
-// quota reads "units=2,spread=3,first=1". What else it may hold some day is no concern of ours.
-func (r *Rules) parseQuota(q *http1.Request) (units float64, spread, first int, err error) {
-	text, err := singleField(q, "X-Quota", 256)
+// parseQuota parses X-Quota, such as "units=2,spread=3,first=1". Other names in it are ignored.
+func (r *Rules) parseQuota(q *http1.Request) (units float64, gatewayCount, firstGateway int, err error) {
+	text, err := singleField(q, "X-Quota", maxQuotaBytes)
 	if err != nil {
 		return 0, 0, 0, err
 	}
-	got := map[string]float64{}
+	values := map[string]float64{}
 	for part := range strings.SplitSeq(text, ",") {
-		name, v, ok := strings.Cut(part, "=")
+		name, value, ok := strings.Cut(part, "=")
 		if !ok {
-			return 0, 0, 0, requestError(400, "X-Quota: %.40q, want name=value", part)
+			return 0, 0, 0, badRequest("X-Quota: %.40q, want name=value", part)
 		}
-		if name != "units" && name != "spread" && name != "first" {
+		var n float64
+		switch name {
+		case "units":
+			n, ok = parseDecimal(value)
+		case "spread", "first":
+			n, ok = parseDigits(value)
+		default:
 			continue
 		}
-		whole, frac, point := strings.Cut(v, ".")
-		n, ok := parseDigits(whole)
-		if point && ok && name == "units" {
-			if _, ok = parseDigits(frac); ok {
-				n, err = strconv.ParseFloat(v, 64)
-				ok = err == nil
-			}
-		} else if point {
-			ok = false
-		}
-		if _, twice := got[name]; !ok || twice {
-			return 0, 0, 0, requestError(400, "X-Quota: %s is %.40q, want one number", name, v)
+		if _, twice := values[name]; !ok || twice {
+			return 0, 0, 0, badRequest("X-Quota: %s is %.40q, want one number", name, value)
 		}
-		got[name] = n
+		values[name] = n
 	}
-	if len(got) != 3 {
-		return 0, 0, 0, requestError(400, "X-Quota is %.40q, want units, spread and first", text)
+	if len(values) != 3 {
+		return 0, 0, 0, badRequest("X-Quota is %.40q, want units, spread and first", text)
 	}
-	if u := got["units"]; u <= 0 || r.maxUnits > 0 && u > r.maxUnits {
-		return 0, 0, 0, requestError(400, "X-Quota: units is %g, want more than 0 and %g at most", u, r.maxUnits)
+	units = values["units"]
+	if units <= 0 || r.maxUnits > 0 && units > r.maxUnits {
+		return 0, 0, 0, badRequest("X-Quota: units is %g, want more than 0 and %g at most", units, r.maxUnits)
 	}
-	if s := got["spread"]; s < 1 || s > float64(r.gateways) {
-		return 0, 0, 0, requestError(400, "X-Quota: spread is %g, want 1 to %d", s, r.gateways)
+	spread := values["spread"]
+	if spread < 1 || spread > float64(r.gateways) {
+		return 0, 0, 0, badRequest("X-Quota: spread is %g, want 1 to %d", spread, r.gateways)
 	}
-	if f := got["first"]; f >= float64(r.gateways) {
-		return 0, 0, 0, requestError(400, "X-Quota: first is %g, want 0 to %d", f, r.gateways-1)
+	first := values["first"]
+	if first >= float64(r.gateways) {
+		return 0, 0, 0, badRequest("X-Quota: first is %g, want 0 to %d", first, r.gateways-1)
 	}
-	return got["units"], int(got["spread"]), int(got["first"]), nil
+	return units, int(spread), int(first), nil
 }
 
-// form makes the bytes of an attempt: what the client sent goes on unchanged, with the time that is left.
+// encode returns the bytes of an attempt: what the client sent goes on unchanged, with the time that is left.
 func (p *parsedRequest) encode(left time.Duration) []byte {
-	b := make([]byte, 0, 192+len(p.target)+len(p.txn)+len(p.idempotencyKey)+len(p.body))
-	b = append(append(append(append(b, p.method...), ' '), p.target...), " HTTP/1.1\r\nHost: service.internal\r\nX-Txn: "...)
-	b = append(append(b, p.txn...), "\r\nX-Remaining-Ms: "...)
-	b = strconv.AppendInt(b, max(0, left.Milliseconds()), 10)
+	const fieldBytes = 192 // about what the names and the fixed fields take
+	b := make([]byte, 0, fieldBytes+len(p.target)+len(p.txn)+len(p.idempotencyKey)+len(p.body))
+	b = append(b, p.method...)
+	b = append(b, ' ')
+	b = append(b, p.target...)
+	b = append(b, " HTTP/1.1\r\nHost: service.internal"...)
+	b = appendField(b, "X-Txn", p.txn)
+	b = appendNumberField(b, "X-Remaining-Ms", max(0, left.Milliseconds()))
 	if p.idempotencyKey != "" {
-		b = append(append(b, "\r\nIdempotency-Key: "...), p.idempotencyKey...)
+		b = appendField(b, "Idempotency-Key", p.idempotencyKey)
 	}
 	if p.contentType != "" {
-		b = append(append(b, "\r\nContent-Type: "...), p.contentType...)
+		b = appendField(b, "Content-Type", p.contentType)
 	}
-	if p.method != "GET" {
-		b = strconv.AppendInt(append(b, "\r\nContent-Length: "...), int64(len(p.body)), 10)
+	if p.method != http.MethodGet {
+		b = appendNumberField(b, "Content-Length", int64(len(p.body)))
 	}
-	return append(append(b, "\r\n\r\n"...), p.body...)
+	b = append(b, "\r\n\r\n"...)
+	return append(b, p.body...)
+}
+
+// appendField appends the end of the line before and a field without its end.
+func appendField(b []byte, name, value string) []byte {
+	b = append(b, "\r\n"...)
+	b = append(b, name...)
+	b = append(b, ": "...)
+	return append(b, value...)
+}
+
+func appendNumberField(b []byte, name string, value int64) []byte {
+	b = appendField(b, name, "")
+	return strconv.AppendInt(b, value, 10)
 }
--- /dev/null
+++ b/internal/frontend/http/request_test.go
@@ -0,0 +1,171 @@
+package http
+
+import (
+	"strings"
+	"testing"
+	"time"
+
+	"winghatch/internal/frontend"
+)
+
+// The core decides by what a request says, and the server gets what the client sent: both must be unchanged.
+func TestWhatACallIsMadeOf(t *testing.T) {
+	core, _, addr := startServer(t, 10)
+	c := dial(t, addr).send(requestText("POST /api?x=1", "X-Resent: 1") + "abc")
+	r := <-core.submitted
+	if r.Class != "put" || r.Plan != "team" || r.Customer != "00000000b4d65521" || r.Units != 2 || r.GatewayCount != 3 ||
+		r.FirstGateway != 1 || !r.IsRetry || !r.Mutates {
+		t.Errorf("%+v", r)
+	}
+	if left := r.Deadline - time.Since(startedAt); left > 480*time.Millisecond || left < -10*time.Second {
+		t.Errorf("deadline in %v, want 480 ms at most", left)
+	}
+	want := "POST /api?x=1 HTTP/1.1\r\nHost: service.internal\r\nX-Txn: t1\r\nX-Remaining-Ms: 200\r\n" +
+		"Idempotency-Key: k1\r\nContent-Length: 3\r\n\r\nabc"
+	if got := string(r.EncodeAttempt(0, 200*time.Millisecond)); got != want {
+		t.Errorf("goes on as %q, want %q", got, want)
+	}
+	r.Done(frontend.Response{Kind: frontend.Served, Body: []byte("body")})
+	if status, body, _ := c.read(); status != 200 || body != "body" {
+		t.Errorf("answer %d %q, want 200 and the body unchanged", status, body)
+	}
+	for _, want := range []struct {
+		response   frontend.Response
+		status     int
+		retryAfter string
+	}{
+		{frontend.Response{Kind: frontend.Rejected, RetryAfter: 80 * time.Millisecond}, 429, "0.080"},
+		{frontend.Response{Kind: frontend.Rejected}, 429, ""},
+		{frontend.Response{Kind: frontend.Failed}, 502, ""},
+	} {
+		c.send(requestText("POST /api") + "abc")
+		(<-core.submitted).Done(want.response)
+		if status, _, h := c.read(); status != want.status || h.Get("Retry-After") != want.retryAfter {
+			t.Errorf("answer %d, Retry-After %q, want %d, %q", status, h.Get("Retry-After"), want.status, want.retryAfter)
+		}
+	}
+}
+
+// An invalid request must neither charge a quota nor make state for a customer: it never reaches the core, and the
+// client can read why.
+func TestRequestsThatCantBeUsed(t *testing.T) {
+	core, _, addr := startServer(t, 100)
+	for _, c := range []struct {
+		text   string
+		status int
+	}{
+		{requestText("POST /api", "X-Txn"), 400},
+		{requestText("POST /api", "X-Txn: "), 400},
+		{requestText("POST /api", "X-Txn: a b"), 400},
+		{requestText("POST /api", "X-Lane: none"), 400},
+		{requestText("POST /api", "X-Lane"), 400},
+		{requestText("POST /api", "X-Plan: none"), 400},
+		{requestText("POST /api", "X-Customer: 00000002b4d65521"), 400},
+		{requestText("POST /api", "X-Customer: b4d65521"), 400},
+		{requestText("POST /api", "X-Customer: 00000000b4d6552g"), 400},
+		{requestText("POST /api", "X-Customer: -000000000000001"), 400},
+		{requestText("POST /api", "X-Remaining-Ms: soon"), 400},
+		{requestText("POST /api", "X-Remaining-Ms: -5"), 400},
+		{requestText("POST /api", "X-Remaining-Ms: 0"), 400},
+		{requestText("POST /api", "X-Remaining-Ms: 1e3"), 400},
+		{requestText("POST /api", "X-Remaining-Ms: NaN"), 400},
+		{requestText("POST /api", "X-Remaining-Ms: 99999999999999"), 400},
+		{requestText("POST /api", "X-Remaining-Ms: 1001"), 400},
+		{requestText("POST /api", "X-Remaining-Ms"), 400},
+		{requestText("POST /api", "X-Quota: units=NaN,spread=3,first=1"), 400},
+		{requestText("POST /api", "X-Quota: units=Inf,spread=3,first=1"), 400},
+		{requestText("POST /api", "X-Quota: units=0,spread=3,first=1"), 400},
+		{requestText("POST /api", "X-Quota: units=9,spread=3,first=1"), 400},
+		{requestText("POST /api", "X-Quota: units=-1,spread=3,first=1"), 400},
+		{requestText("POST /api", "X-Quota: units=2,spread=4,first=1"), 400},
+		{requestText("POST /api", "X-Quota: units=2,spread=0,first=1"), 400},
+		{requestText("POST /api", "X-Quota: units=2,spread=3,first=3"), 400},
+		{requestText("POST /api", "X-Quota: units=2,spread=3,first=-1"), 400},
+		{requestText("POST /api", "X-Quota: units=2,spread=1.5,first=1"), 400},
+		{requestText("POST /api", "X-Quota: units=2,units=2,spread=1,first=1"), 400},
+		{requestText("POST /api", "X-Quota: units=2"), 400},
+		{requestText("POST /api", "X-Quota: units"), 400},
+		{requestText("POST /api", "X-Quota"), 400},
+		{requestText("GET /api", "Idempotency-Key"), 405},
+		{requestText("DELETE /api"), 405},
+		{requestText("POST /api", "Idempotency-Key"), 400},
+		{requestText("POST /api", "X-Lane: pay"), 400},
+		{requestText("GET /api", "X-Lane: get", "Idempotency-Key"), 400},
+		{requestText("POST /api", "Content-Length"), 411},
+		{requestText("POST /api", "Content-Length: 62914560"), 413},
+		{requestText("POST /api", "Transfer-Encoding: chunked"), 400},
+		{"\x16\x03\x01\r\n\r\n", 400},
+		{"POST /api HTTP/1.1\r\nX: " + strings.Repeat("a", 20000), 431},
+	} {
+		if status, body, _ := dial(t, addr).send(c.text + "abc").read(); status != c.status {
+			t.Errorf("%.300q: %d %q, want %d", c.text, status, body, c.status)
+		}
+	}
+	if n := core.count(); n != 0 {
+		t.Errorf("the core heard of %d of them", n)
+	}
+}
+
+// Two clients use the same X-Txn at once. The second is refused, the first is not touched.
+func TestAnIDThatIsOpenIsTurnedAway(t *testing.T) {
+	core, _, addr := startServer(t, 10)
+	a := dial(t, addr).send(requestText("POST /api") + "abc")
+	first := <-core.submitted
+	if status, _, _ := dial(t, addr).send(requestText("POST /api") + "abc").read(); status != 409 {
+		t.Errorf("the same id: %d, want 409", status)
+	}
+	first.Done(frontend.Response{Kind: frontend.Served, Body: []byte("x")})
+	if status, _, _ := a.read(); status != 200 {
+		t.Errorf("the open request: %d, want 200", status)
+	}
+	dial(t, addr).send(requestText("POST /api") + "abc")
+	<-core.submitted // it is free again
+}
+
+// A request waits behind another one of its connection. Its remaining time runs from its last byte, not from when it
+// is parsed: else its server gets more time than the client has left.
+func TestARequestBehindAnotherHasRunItsTime(t *testing.T) {
+	const waits = 300 * time.Millisecond
+	core, s, addr := startServer(t, 10)
+	c := dial(t, addr).send(requestText("POST /api") + "abc")
+	first := <-core.submitted
+	c.send(requestText("POST /api", "X-Txn: t2") + "abc")
+	waitUntil(t, "the second was read ahead", func() bool {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		for _, c := range s.conns {
+			return c.requestBegun && !c.hasUnread()
+		}
+		return false
+	})
+	read := s.clock()
+	time.Sleep(waits)
+	c.send(requestText("POST /api", "X-Txn: t3")[:20])
+	first.Done(frontend.Response{Kind: frontend.Served})
+	if left := (<-core.submitted).Deadline - read; left > 480*time.Millisecond {
+		t.Errorf("the second's time ends %v after it was read, want the 480 ms that it arrived with", left)
+	}
+}
+
+// Hundreds of large bodies at once must not exceed the memory limit of the process.
+func TestBodiesAreBoundedInSum(t *testing.T) {
+	core, s, addr := startServer(t, 40)
+	s.maxBodyBytes = 100 << 10
+	large := requestText("POST /api", "Content-Length: 81920") + strings.Repeat("a", 81920)
+	first := dial(t, addr).send(large)
+	call := <-core.submitted
+	if status, _, _ := dial(t, addr).send(strings.Replace(large, "t1", "t2", 1)).read(); status != 503 {
+		t.Errorf("a second large body: %d, want 503", status)
+	}
+	call.Done(frontend.Response{Kind: frontend.Served})
+	first.read()
+	c := dial(t, addr).send(strings.Replace(large, "t1", "t3", 1))
+	<-core.submitted
+	c.nc.Close()
+	<-core.disconnected
+	waitUntil(t, "its room is free", func() bool {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		return s.bodyBytes == 0
+	})
+}
--- a/internal/frontend/http/server.go
+++ b/internal/frontend/http/server.go
@@ -1,10 +1,14 @@
-// Package http is the gateway's front in HTTP/1.1: one goroutine a connection reads requests and makes calls of
-// them; the loop itself writes an answer, without waiting, the moment it is final. It knows no quotas. Which
-// connections stay when descriptors are few is decided by package connlimit.
+// Package http is the frontend in HTTP/1.1. One goroutine a connection reads requests and submits them to the core;
+// the loop itself writes a response, without waiting, as soon as it is final. The package knows no quotas. Which
+// connections stay when descriptors run short is decided by package connlimit.
 //
-// A connection ends by a half-close and a lingering close (RFC 9112, section 9.6): its writing side is shut, from then on
-// nothing that comes is a request, what comes is read and dropped within bounds, then it is closed. To close with bytes
-// unread would reset it, and the reset may overtake an answer.
+// The gateway ends a client's connection by a half-close and a lingering close (RFC 9112, section 9.6): it shuts its
+// writing side, from then on takes no request, reads and drops what still arrives within bounds, and closes. A close
+// over unread bytes would reset the connection, and the reset may overtake a response.
+//
+// Files: server.go accepts connections and stops, conn.go has the life of a connection, read.go reads of its socket,
+// pipeline.go bytes that come while a request is open, close.go the end, request.go the check of a request,
+// response.go the writing of a response.
 package http
 
 import (
@@ -12,6 +16,7 @@
 	"errors"
 	"log/slog"
 	"net"
+	"net/http"
 	"os"
 	"sync"
 	"sync/atomic"
@@ -24,68 +29,92 @@
 )
 
 const (
-	maxHeadBytes      = 8 << 10
-	maxBodyBytes      = 1 << 20   // the protocol says 64 KiB, the days of long requests bring more
-	readBufferBytes   = 4 << 10   // size of a connection's buffer
-	maxPipelinedBytes = 128 << 10 // of what comes behind an open request is kept
-	maxDroppedBytes   = 64 << 20  // of what comes behind that is read, to see the client's end
-	maxLingerBytes    = 256 << 10
-	peekInterval      = 50 * time.Millisecond  // at a client whose bytes are not read on
-	lingerTimeout     = 300 * time.Millisecond // for a client to read what was written last, and to close
-	lingerDivisor     = 4                      // of the connections, one part is for those that linger alone
-	writeTimeout      = 2 * time.Second        // for a client to take an answer that its socket's buffer did not, at least
-	responseGrace     = 500 * time.Millisecond // behind its time a request may still be answered
-	acceptRetryPause  = 10 * time.Millisecond
-	sweepInterval     = 200 * time.Millisecond
+	acceptRetryPause = 10 * time.Millisecond // after an accept that failed
+	sweepInterval    = 200 * time.Millisecond
+	// lingerDivisor gives one part in so many of Options.MaxConns to lingering connections alone.
+	lingerDivisor = 4
 )
 
-// Counts are what operators are told of the front.
-type Counters struct {
-	Conns, Accepted, TimedOut, Evicted, BadRequests, RefusedConns, Requests atomic.Int64
-}
+// reasonStopping is told to a client whose request comes as the gateway stops.
+const reasonStopping = "the gateway stops"
 
-// Options are the front's bounds.
+// Options are the limits of a Server.
 type Options struct {
-	MaxConns     int   // held at once, those that linger among them
-	MaxBodyBytes int64 // bytes of bodies held at once, over all connections; 0: any
+	// MaxConns bounds the connections held at once. A quarter of them, one at least, is left to connections that
+	// linger after their half-close; the others are evicted in the order of package connlimit. Less than 2 counts as
+	// 2.
+	MaxConns int
+	// MaxBodyBytes bounds the request bodies and pipelined bytes held at once, over all connections. A request
+	// without room is refused with 503. Zero: no bound.
+	MaxBodyBytes int64
+}
+
+// Counters are the frontend's figures for operators. Conns is a gauge, the others only grow.
+type Counters struct {
+	Conns        atomic.Int64 // connections held, lingering ones included
+	Accepted     atomic.Int64 // connections
+	TimedOut     atomic.Int64 // connections ended by a request or idle timeout
+	Evicted      atomic.Int64 // connections ended to make room for a new one
+	RefusedConns atomic.Int64 // new connections closed as none could be evicted
+	BadRequests  atomic.Int64 // requests refused before the core had them
+	Requests     atomic.Int64 // requests submitted to the core
 }
 
-// Server is the front. Make it with New.
+// Server is the frontend. Make it with New, start it with Serve; stop it with Drain, StopAccepting, CloseInactive and
+// Close, in this order.
 type Server struct {
 	Counters
-	rules *Rules
-	core  frontend.Core
-	clock func() time.Duration
-	log   *slog.Logger
-	ready func() bool
-
-	// One lock guards what the server and its connections hold: a read, the choice of a connection to close and the
-	// write of an answer are then never in the midst of each other. No system call under it waits.
+	rules    *Rules
+	core     frontend.Core
+	clock    func() time.Duration
+	log      *slog.Logger
+	ready    func() bool
+	maxConns int
+
+	// mu guards the fields from here on, and those of connections that say so. One lock for all makes a read, the
+	// choice of a connection to close and the write of a response exclude each other: else a request could be read
+	// between the look at its connection and the connection's end, and be lost. No system call under it waits.
 	mu           sync.Mutex
-	limit        *connlimit.Limiter
-	maxConns     int // connections, those that linger among them
+	limit        *connlimit.Limiter // of connections that do not linger
 	conns        map[connlimit.ID]*conn
 	openTxns     map[string]struct{} // X-Txn of open requests
 	lastID       connlimit.ID
-	lingering    *list.List // connections that are shut and not closed yet, longest first
-	toClose      []*conn    // of those, the ones that release is to close
-	bodyBytes    int64
-	maxBodyBytes int64
-	draining     bool // answers say that their connection ends
-	stopping     bool // no request is taken any more
+	lingering    *list.List // of *conn; those that are half-closed and not closed yet, the longest first
+	toClose      []*conn    // connections that unlockAndClose is to close
+	bodyBytes    int64      // held: bodies of open requests and pipelined bytes
+	maxBodyBytes int64      // 0: no bound
+	draining     bool       // responses end their connections
+	stopping     bool       // no request is taken any more
 	closed       bool
-	wg           sync.WaitGroup
-	quit         chan struct{}
+
+	wg   sync.WaitGroup // a connection's reader, and the writer of a remainder
+	quit chan struct{}  // closed by Close; ends the sweep
 }
 
-// New returns a front. ready tells whether the gateway can serve.
-func New(rules *Rules, core frontend.Core, o Options, clock func() time.Duration, ready func() bool, log *slog.Logger) *Server {
-	most := max(2, o.MaxConns)
-	return &Server{rules: rules, core: core, clock: clock, log: log, ready: ready, limit: connlimit.New(most - max(1, most/lingerDivisor)),
-		conns: map[connlimit.ID]*conn{}, openTxns: map[string]struct{}{}, maxConns: most, lingering: list.New(), maxBodyBytes: o.MaxBodyBytes, quit: make(chan struct{})}
+// New returns a server. clock is the gateway's monotonic clock; ready reports whether the gateway can serve, for the
+// health check.
+func New(rules *Rules, core frontend.Core, o Options, clock func() time.Duration, ready func() bool,
+	log *slog.Logger) *Server {
+	maxConns := max(2, o.MaxConns)
+	return &Server{
+		rules:        rules,
+		core:         core,
+		clock:        clock,
+		log:          log,
+		ready:        ready,
+		maxConns:     maxConns,
+		limit:        connlimit.New(maxConns - max(1, maxConns/lingerDivisor)),
+		conns:        map[connlimit.ID]*conn{},
+		openTxns:     map[string]struct{}{},
+		lingering:    list.New(),
+		maxBodyBytes: o.MaxBodyBytes,
+		quit:         make(chan struct{}),
+	}
 }
 
-// Serve accepts until the listener is closed, or its deadline has come and no connection waits to be accepted.
+// Serve accepts connections until the listener is closed. It also returns once the listener's deadline has passed and
+// its backlog is empty, so that what the kernel has accepted by then is served. The sweep that it starts ends with
+// Close.
 func (s *Server) Serve(ln *net.TCPListener) {
 	go s.sweep()
 	for {
@@ -101,12 +130,13 @@
 			}
 			ln.SetDeadline(time.Now().Add(acceptRetryPause))
 		default:
-			s.log.Warn("accept", "err", err) // EMFILE and the like: what is due frees descriptors
+			s.log.Warn("Accept failed, retrying", "err", err) // EMFILE and the like: the sweep frees descriptors
 			time.Sleep(acceptRetryPause)
 		}
 	}
 }
 
+// accept takes a new connection, or closes it if there is no room.
 func (s *Server) accept(nc *net.TCPConn) {
 	raw, err := nc.SyscallConn()
 	if err != nil {
@@ -116,11 +146,11 @@
 	if !s.admit(nc, raw) {
 		s.RefusedConns.Add(1)
 		nc.Close()
-		return
 	}
 }
 
-// seat gives a new connection its place, if need be another's.
+// admit registers a new connection and starts its reader. At the limit another connection is evicted for it; false:
+// none may be.
 func (s *Server) admit(nc *net.TCPConn, raw syscall.RawConn) bool {
 	s.mu.Lock()
 	defer s.unlockAndClose()
@@ -129,13 +159,13 @@
 	}
 	s.lastID++
 	id := s.lastID
-	out, evicts, ok := s.limit.Accept(s.clock(), id, s.unread)
+	evicted, evicts, ok := s.limit.Accept(s.clock(), id, s.unread)
 	if !ok {
 		return false
 	}
 	if evicts {
 		s.Evicted.Add(1)
-		s.conns[out].closeInactive(503, "too many connections")
+		s.conns[evicted].closeInactive(http.StatusServiceUnavailable, "too many connections")
 	}
 	s.evictLingering()
 	c := newConn(s, id, nc, raw)
@@ -147,65 +177,71 @@
 	return true
 }
 
-// unread reports whether bytes wait in a connection's socket; s.mu is held.
+// unread reports whether a connection's socket holds unread bytes; s.mu is held.
 func (s *Server) unread(id connlimit.ID) bool { return s.conns[id].hasUnread() }
 
-// sweep shuts what is due.
+// hasBodyRoom reports whether n more bytes may be held; s.mu is held.
+func (s *Server) hasBodyRoom(n int) bool {
+	return s.maxBodyBytes == 0 || s.bodyBytes+int64(n) <= s.maxBodyBytes
+}
+
+// sweep ends connections whose timeout has passed, until Close.
 func (s *Server) sweep() {
-	t := time.NewTicker(sweepInterval)
-	defer t.Stop()
+	ticker := time.NewTicker(sweepInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-s.quit:
 			return
-		case <-t.C:
+		case <-ticker.C:
 		}
 		s.closeExpired(s.clock())
 	}
 }
 
-// closeExpired shuts the connections whose time is up.
 func (s *Server) closeExpired(now time.Duration) {
 	s.mu.Lock()
 	defer s.unlockAndClose()
 	for _, id := range s.limit.Expired(now, s.unread) {
 		s.TimedOut.Add(1)
-		s.conns[id].closeInactive(408, "the request was not whole in time")
+		s.conns[id].closeInactive(http.StatusRequestTimeout, "the request was not whole in time")
 	}
 }
 
-// Drain says on every further answer that its connection ends with it.
+// Drain makes every further response say that its connection ends with it.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	s.draining = true
 	s.mu.Unlock()
 }
 
-// StopAccepting ends what rests and takes no further request: one whose bytes had begun to come is refused, so that it has an
-// answer before the process ends, and one that comes later finds its connection shut.
+// StopAccepting ends idle connections and takes no further request. A request of which a byte was read is refused, so
+// that it has a response before the process ends; one that comes later finds its connection half-closed.
 func (s *Server) StopAccepting() {
 	s.mu.Lock()
 	defer s.unlockAndClose()
 	s.stopping = true
 	for _, c := range s.conns {
-		if (c.phase == idle || c.phase == reading && !c.requestBegun) && !c.hasUnread() {
-			c.closeInactive(503, "the gateway stops")
+		waiting := c.phase == idle || c.phase == reading && !c.requestBegun
+		if waiting && !c.hasUnread() {
+			c.closeInactive(http.StatusServiceUnavailable, reasonStopping)
 		}
 	}
 }
 
-// TurnAway ends every connection that has no request open, also where one is half read: the process is about to end.
+// CloseInactive ends every connection without an open request, also where one is half read: the process is about to
+// end.
 func (s *Server) CloseInactive() {
 	s.mu.Lock()
 	defer s.unlockAndClose()
 	for _, c := range s.conns {
 		if c.phase != active {
-			c.closeInactive(503, "the gateway stops")
+			c.closeInactive(http.StatusServiceUnavailable, reasonStopping)
 		}
 	}
 }
 
-// Close ends all connections and waits for their goroutines.
+// Close ends all connections at once and waits for their goroutines.
 func (s *Server) Close() {
 	s.mu.Lock()
 	if !s.closed {
--- /dev/null
+++ b/internal/http1/request_test.go
@@ -0,0 +1,154 @@
+package http1
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"io"
+	"strconv"
+	"strings"
+	"testing"
+	"testing/iotest"
+
+	"pgregory.net/rapid"
+)
+
+var testLimits = Limits{MaxHeadBytes: 8 << 10, MaxBodyBytes: 64 << 10}
+
+func newTestReader(r io.Reader) *Reader { return NewReader(bufio.NewReaderSize(r, 4<<10), testLimits) }
+
+// readMessage reads a request with its body.
+func readMessage(r *Reader) (*Request, []byte, error) {
+	q, err := r.ReadRequest()
+	if err != nil {
+		return nil, nil, err
+	}
+	body, err := r.ReadBody(q.BodyLength)
+	return q, body, err
+}
+
+const goodHead = "POST /api?a=b HTTP/1.1\r\nHost: s\r\nX-Txn: 1\r\n"
+
+// A request that another parser could read in another way may hide a second one; it must be refused, not guessed at.
+func TestRequestsThatCantBeUsed(t *testing.T) {
+	for _, c := range []struct {
+		name, text string
+		status     int
+	}{
+		{"both lengths", goodHead + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
+		{"both, other order", goodHead + "Transfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n0\r\n\r\n", 400},
+		{"two lengths", goodHead + "Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc", 400},
+		{"a list of lengths", goodHead + "Content-Length: 3, 3\r\n\r\nabc", 400},
+		{"negative", goodHead + "Content-Length: -3\r\n\r\nabc", 400},
+		{"signed", goodHead + "Content-Length: +3\r\n\r\nabc", 400},
+		{"hex", goodHead + "Content-Length: 0x3\r\n\r\nabc", 400},
+		{"no digits", goodHead + "Content-Length: \r\n\r\n", 400},
+		{"huge", goodHead + "Content-Length: 62914560\r\n\r\n", 413},
+		{"beyond any integer", goodHead + "Content-Length: 99999999999999999999999999\r\n\r\n", 413},
+		{"gzip", goodHead + "Transfer-Encoding: gzip, chunked\r\n\r\n", 501},
+		{"two codings", goodHead + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 501},
+		{"chunk longer than told", goodHead + "Transfer-Encoding: chunked\r\n\r\n2\r\nabc\r\n0\r\n\r\n", 400},
+		{"chunk of negative size", goodHead + "Transfer-Encoding: chunked\r\n\r\n-2\r\nab\r\n0\r\n\r\n", 400},
+		{"chunk too long", goodHead + "Transfer-Encoding: chunked\r\n\r\nfffffffffff\r\nab\r\n0\r\n\r\n", 413},
+		{"bare line feed", "GET / HTTP/1.1\nHost: s\n\n", 400},
+		{"bare carriage return", "GET / HTTP/1.1\r\nHost: s\rX: y\r\n\r\n", 400},
+		{"folded line", "GET / HTTP/1.1\r\nHost: s\r\n folded\r\n\r\n", 400},
+		{"space before the colon", "GET / HTTP/1.1\r\nHost : s\r\n\r\n", 400},
+		{"no name", "GET / HTTP/1.1\r\nHost: s\r\n: x\r\n\r\n", 400},
+		{"no colon", "GET / HTTP/1.1\r\nHost: s\r\nabc\r\n\r\n", 400},
+		{"a zero byte", "GET / HTTP/1.1\r\nHost: s\r\nX: a\x00b\r\n\r\n", 400},
+		{"no host", "GET / HTTP/1.1\r\n\r\n", 400},
+		{"two hosts", "GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", 400},
+		{"version", "GET / HTTP/2.0\r\nHost: s\r\n\r\n", 505},
+		{"no version", "GET /\r\nHost: s\r\n\r\n", 505},
+		{"one word", "GET\r\nHost: s\r\n\r\n", 400},
+		{"noise", "\x16\x03\x01\x02\x00\x01\x00\r\n\r\n", 400},
+		{"whole address", "GET http://s/ HTTP/1.1\r\nHost: s\r\n\r\n", 400},
+		{"space in the path", "GET /a b HTTP/1.1\r\nHost: s\r\n\r\n", 505},
+		{"long path", "GET /" + strings.Repeat("a", 3000) + " HTTP/1.1\r\nHost: s\r\n\r\n", 414},
+		{"long line", "GET / HTTP/1.1\r\nHost: s\r\nX: " + strings.Repeat("a", 5000) + "\r\n\r\n", 431},
+		{"long head", "GET / HTTP/1.1\r\nHost: s\r\n" + strings.Repeat("X: "+strings.Repeat("a", 400)+"\r\n", 30) +
+			"\r\n", 431},
+		{"many fields", "GET / HTTP/1.1\r\nHost: s\r\n" + strings.Repeat("X: a\r\n", 100) + "\r\n", 431},
+		{"expectation", goodHead + "Expect: 200-maybe\r\nContent-Length: 3\r\n\r\nabc", 417},
+	} {
+		_, _, err := readMessage(newTestReader(strings.NewReader(c.text)))
+		var e *Error
+		if !errors.As(err, &e) || e.Status != c.status {
+			t.Errorf("%s: error %v, want status %d", c.name, err, c.status)
+		}
+	}
+}
+
+// A client may close, or be cut off, at any byte. What it sent until then is no request.
+func TestWhatEndsTooEarlyIsNoRequest(t *testing.T) {
+	whole := goodHead + "Content-Length: 3\r\n\r\nabc"
+	for n := range len(whole) {
+		_, _, err := readMessage(newTestReader(strings.NewReader(whole[:n])))
+		if want := io.ErrUnexpectedEOF; n > 0 && !errors.Is(err, want) || n == 0 && err != io.EOF {
+			t.Errorf("after %d bytes: %v, want %v", n, err, want)
+		}
+	}
+}
+
+// Segments end anywhere. However the bytes are cut up, the messages are the same, and
+// bytes behind one stay for the next.
+func TestMessagesAreTheSameHoweverTheyComeInPieces(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		var text bytes.Buffer
+		var bodies []string
+		for range rapid.IntRange(1, 4).Draw(t, "messages") {
+			body := rapid.StringMatching(`[a-z\r\n]{0,40}`).Draw(t, "body")
+			bodies = append(bodies, body)
+			text.WriteString(goodHead)
+			if rapid.Bool().Draw(t, "chunked") {
+				text.WriteString("Transfer-Encoding: chunked\r\n\r\n")
+				for i := 0; i < len(body); i += 16 {
+					part := body[i:min(i+16, len(body))]
+					text.WriteString(strings.ToUpper(string("0123456789abcdef"[len(part)%16])))
+					if len(part) == 16 {
+						text.Truncate(text.Len() - 1)
+						text.WriteString("10")
+					}
+					text.WriteString(";x=y\r\n" + part + "\r\n")
+				}
+				text.WriteString("0\r\nTrailer: x\r\n\r\n")
+			} else {
+				text.WriteString("Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body)
+			}
+		}
+		var in io.Reader = &text
+		if rapid.Bool().Draw(t, "byte by byte") {
+			in = iotest.OneByteReader(in)
+		}
+		r := newTestReader(in)
+		for i, want := range bodies {
+			q, body, err := readMessage(r)
+			if err != nil || string(body) != want || q.Target != "/api?a=b" {
+				t.Fatalf("message %d: %q, %v, want %q", i, body, err, want)
+			}
+		}
+		if _, err := r.ReadRequest(); err != io.EOF {
+			t.Fatalf("behind the last: %v, want %v", err, io.EOF)
+		}
+	})
+}
+
+func FuzzRequest(f *testing.F) {
+	f.Add([]byte(goodHead + "Content-Length: 3\r\n\r\nabc"))
+	f.Add([]byte(goodHead + "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"))
+	f.Fuzz(func(t *testing.T, b []byte) {
+		r := newTestReader(bytes.NewReader(b))
+		for {
+			q, body, err := readMessage(r)
+			if err != nil {
+				return
+			}
+			_, codings := q.Get("Transfer-Encoding")
+			_, lengths := q.Get("Content-Length")
+			if lengths > 0 && codings > 0 || lengths > 1 || len(body) > testLimits.MaxBodyBytes {
+				t.Fatalf("%q was accepted", b)
+			}
+		}
+	})
+}
