--- a/internal/gossip/plain/plain.go
+++ b/internal/gossip/plain/plain.go
@@ -1,5 +1,6 @@
-// Package plain carries messages between gateways as bare datagrams on a network of their own: a sender is known by
-// its address. Foreign senders, what is too long and what comes faster than the stated intake is dropped and counted.
+// Package plain carries gossip between gateways as bare UDP datagrams, on a network of their own: a sender is known
+// by its address. Datagrams of unknown senders, longer than MaxDatagram or beyond the rate limit are dropped and
+// counted.
 package plain
 
 import (
@@ -11,86 +12,107 @@
 	"time"
 )
 
-// Most is how many bytes a datagram may have.
+// MaxDatagram is the longest datagram, in bytes.
 const MaxDatagram = 256
 
-// readPause is the wait behind a read that failed.
-const readPause = time.Millisecond
+// readRetryPause is the pause after a read that failed.
+const readRetryPause = time.Millisecond
 
-// Counts are what operators are told.
-type Counters struct{ Sent, Received, UnknownSender, TooLong, RateLimited, Failed atomic.Int64 }
+// Counters are figures for operators, in datagrams.
+type Counters struct {
+	Sent          atomic.Int64
+	Received      atomic.Int64
+	UnknownSender atomic.Int64 // dropped
+	TooLong       atomic.Int64 // dropped, sent or received
+	RateLimited   atomic.Int64 // dropped
+	Failed        atomic.Int64 // sends
+}
 
-// Link is this gateway's end.
+// Transport is this gateway's socket. Send and Serve may be used at the same time.
 type Transport struct {
 	Counters
 	conn  *net.UDPConn
 	rank  int
-	peers []netip.AddrPort
-	ranks map[netip.AddrPort]int
-
-	rate, tokens float64 // messages a second that are taken in; those that may come now
-	refilledAt   time.Time
+	peers []netip.AddrPort       // by rank
+	ranks map[netip.AddrPort]int // of peers
+	limit rateLimit              // Serve's own
 }
 
-// New takes the socket and the addresses of all gateways by their numbers. intake is in messages a second; 0: any.
-func New(pc *net.UDPConn, rank int, peers []string, intake float64) (*Transport, error) {
-	l := &Transport{conn: pc, rank: rank, ranks: map[netip.AddrPort]int{}, rate: intake, tokens: intake, refilledAt: time.Now()}
-	for i, p := range peers {
-		a, err := netip.ParseAddrPort(p)
+// New returns a transport on a socket, which it owns from then on. peers are the addresses of all gateways by rank,
+// this one's included. rate is how many datagrams are received in a second; 0: any.
+func New(conn *net.UDPConn, rank int, peers []string, rate float64) (*Transport, error) {
+	t := &Transport{
+		conn:  conn,
+		rank:  rank,
+		ranks: map[netip.AddrPort]int{},
+		limit: rateLimit{rate: rate, tokens: rate, refilledAt: time.Now()},
+	}
+	for i, peer := range peers {
+		addr, err := netip.ParseAddrPort(peer)
 		if err != nil {
-			return nil, fmt.Errorf("peers[%d]: %q: %w", i, p, err)
+			return nil, fmt.Errorf("peers[%d]: %q: %w", i, peer, err)
 		}
-		l.peers = append(l.peers, a)
-		l.ranks[a] = i
+		t.peers = append(t.peers, addr)
+		t.ranks[addr] = i
 	}
-	return l, nil
+	return t, nil
 }
 
-// Send sends a message to the gateway of that number. It does not wait, and tells nobody if it is lost.
-func (l *Transport) Send(to int, text string) {
-	if to < 0 || to >= len(l.peers) || to == l.rank {
+// Send sends a message to the gateway of a rank. It does not wait; a message may be lost without notice.
+func (t *Transport) Send(to int, text string) {
+	if to < 0 || to >= len(t.peers) || to == t.rank {
 		return
 	}
 	if len(text) > MaxDatagram {
-		l.TooLong.Add(1)
+		t.TooLong.Add(1)
 		return
 	}
-	if _, err := l.conn.WriteToUDPAddrPort([]byte(text), l.peers[to]); err != nil {
-		l.Failed.Add(1)
+	if _, err := t.conn.WriteToUDPAddrPort([]byte(text), t.peers[to]); err != nil {
+		t.Failed.Add(1)
 		return
 	}
-	l.Sent.Add(1)
+	t.Sent.Add(1)
 }
 
-// Serve hands on what comes until Close.
-func (l *Transport) Serve(take func(from int, text string)) {
-	var b [MaxDatagram + 1]byte
+// Serve passes received messages to handle until Close.
+func (t *Transport) Serve(handle func(from int, text string)) {
+	var buf [MaxDatagram + 1]byte // a longer datagram shows by the byte more
 	for {
-		n, addr, err := l.conn.ReadFromUDPAddrPort(b[:])
+		n, addr, err := t.conn.ReadFromUDPAddrPort(buf[:])
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // it passes, however long it takes
-			time.Sleep(readPause)
+		if err != nil { // any other error passes
+			time.Sleep(readRetryPause)
 			continue
 		}
-		from, ok := l.ranks[netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())]
+		from, known := t.ranks[netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())]
 		switch {
-		case !ok || from == l.rank:
-			l.UnknownSender.Add(1)
+		case !known || from == t.rank:
+			t.UnknownSender.Add(1)
 		case n > MaxDatagram:
-			l.TooLong.Add(1)
-		case !l.allow(time.Now()):
-			l.RateLimited.Add(1)
+			t.TooLong.Add(1)
+		case !t.limit.allow(time.Now()):
+			t.RateLimited.Add(1)
 		default:
-			l.Received.Add(1)
-			take(from, string(b[:n]))
+			t.Received.Add(1)
+			handle(from, string(buf[:n]))
 		}
 	}
 }
 
-// admit bounds what a flood makes the loop do; a second's worth may come at once.
-func (l *Transport) allow(now time.Time) bool {
+// Close closes the socket and so ends Serve.
+func (t *Transport) Close() { t.conn.Close() }
+
+// rateLimit is a token bucket that holds a second's worth: a flood must not keep the loop from its requests.
+type rateLimit struct {
+	rate       float64 // tokens a second; 0 or less: no limit
+	tokens     float64
+	refilledAt time.Time
+}
+
+// allow takes a token, if there is one.
+func (l *rateLimit) allow(now time.Time) bool {
 	if l.rate <= 0 {
 		return true
 	}
@@ -102,6 +124,3 @@
 	l.tokens--
 	return true
 }
-
-// Close ends Serve.
-func (l *Transport) Close() { l.conn.Close() }
