--- a/internal/discovery/http/call.go
+++ b/internal/discovery/http/call.go
@@ -5,6 +5,7 @@
 	"context"
 	"fmt"
 	"net"
+	"net/http"
 	"strconv"
 	"time"
 
@@ -12,36 +13,43 @@
 	"winghatch/internal/socket"
 )
 
-// question is what a call asks discovery for.
+const (
+	readBufferBytes = 4 << 10
+	maxHeadBytes    = 8 << 10
+)
+
+// query is what a call asks discovery for: the full list, or what is newer than a version. For the latter discovery
+// waits until there is something, but no longer than wait.
 type query struct {
 	full bool
-	from uint64        // what is newer than this version ...
-	wait time.Duration // ... within this wait
+	from uint64
+	wait time.Duration
 }
 
 func (q query) path() string {
 	if q.full {
 		return "/registry/instances"
 	}
-	return "/registry/instances?from=" + strconv.FormatUint(q.from, 10) + "&hold_ms=" + strconv.FormatInt(q.wait.Milliseconds(), 10)
+	return "/registry/instances?from=" + strconv.FormatUint(q.from, 10) +
+		"&hold_ms=" + strconv.FormatInt(q.wait.Milliseconds(), 10)
 }
 
-// call is one question under way on a connection of its own.
+// call is one query under way, on a connection of its own.
 type call struct {
 	query
-	cancel context.CancelFunc
+	cancel context.CancelFunc // ends it and its connection
 }
 
-// answer is how a call ended.
+// result is how a call ended.
 type result struct {
 	call   *call
 	list   *List
-	faults entryErrors
+	errors entryErrors // beside the list
 	err    error
-	conn   *conn // for the next call; nil: it has ended
+	conn   *conn // for the next call; nil: it is closed
 }
 
-// agentConn is a connection to discovery.
+// conn is a connection to discovery.
 type conn struct {
 	nc     net.Conn
 	reader *http1.Reader
@@ -53,40 +61,42 @@
 		return nil, err
 	}
 	nc = socket.WithRetry(nc)
-	return &conn{nc, http1.NewReader(bufio.NewReaderSize(nc, 4<<10), http1.Limits{MaxHeadBytes: 8 << 10})}, nil
+	limits := http1.Limits{MaxHeadBytes: maxHeadBytes}
+	return &conn{nc, http1.NewReader(bufio.NewReaderSize(nc, readBufferBytes), limits)}, nil
 }
 
-// ask carries out a call; the context ends it and its connection.
-func execute(ctx context.Context, addr string, c *call, conn *conn) (a result) {
-	a = result{call: c}
-	if conn == nil {
-		if conn, a.err = dial(ctx, addr); a.err != nil {
-			return a
+// execute carries out a call on a connection, or on a new one if it is nil. The context ends the call and its
+// connection.
+func execute(ctx context.Context, addr string, c *call, cn *conn) result {
+	r := result{call: c}
+	if cn == nil {
+		if cn, r.err = dial(ctx, addr); r.err != nil {
+			return r
 		}
 	}
-	stop := context.AfterFunc(ctx, func() { conn.nc.Close() })
+	stop := context.AfterFunc(ctx, func() { cn.nc.Close() })
 	var last bool
-	a.list, a.faults, last, a.err = conn.fetch(c.path())
-	if !stop() || last || a.err != nil {
-		conn.nc.Close()
-		return a
+	r.list, r.errors, last, r.err = cn.fetch(c.path())
+	if !stop() || last || r.err != nil {
+		cn.nc.Close()
+		return r
 	}
-	a.conn = conn
-	return a
+	r.conn = cn
+	return r
 }
 
-// get asks once. last says that the connection ends with the answer.
-func (c *conn) fetch(path string) (l *List, bad entryErrors, last bool, err error) {
+// fetch makes one request; last says that the connection ends with the response.
+func (c *conn) fetch(path string) (list *List, bad entryErrors, last bool, err error) {
 	if _, err = c.nc.Write([]byte("GET " + path + " HTTP/1.1\r\nHost: service.internal\r\n\r\n")); err != nil {
 		return nil, bad, true, err
 	}
-	r, body, err := c.reader.StreamResponse()
+	response, body, err := c.reader.StreamResponse()
 	if err != nil {
 		return nil, bad, true, err
 	}
-	if r.Status != 200 {
-		return nil, bad, true, fmt.Errorf("registry: %s: status %d, want 200", path, r.Status)
+	if response.Status != http.StatusOK {
+		return nil, bad, true, fmt.Errorf("discovery: %s: status %d, want 200", path, response.Status)
 	}
-	l, bad, err = decode(body)
-	return l, bad, r.Close, err
+	list, bad, err = decode(body)
+	return list, bad, response.Close, err
 }
--- a/internal/discovery/http/watch.go
+++ b/internal/discovery/http/watch.go
@@ -1,71 +1,76 @@
+// Package http follows the endpoint list of the platform's discovery over HTTP/1.1: once the full list, then the
+// changes by long polls. It checks what it reads and judges no server.
+//
+// Files: list.go has the list and its checks, decode.go reads it, call.go makes one call, watch.go and follower.go
+// decide which call comes next, starttimes.go estimates when servers started.
 package http
 
 import (
+	"cmp"
 	"context"
-	"fmt"
 	"log/slog"
-	"slices"
 	"sync"
 	"time"
 )
 
-// Options of Follow.
+// Options of a Watch. The times of the zero value are the defaults; MaxStaleness says how they add up.
 type Options struct {
-	// Take is given each list that brings news, and the time since discovery was last heard before it.
-	OnList func(l *List, gap time.Duration)
+	// OnList is called with each list that is new, and the time since discovery was last heard before it. It is
+	// called by Run, which goes on when it returns.
+	OnList func(list *List, silence time.Duration)
 	Log    *slog.Logger
 
-	// Hold is how long a watch waits for news; Silent how much longer its answer may take, and Patience how long that of a
-	// call that owes no wait, before another call is begun beside it; Again the pause after a failure, which grows to againMost. Zeroes stand for 2 s,
-	// 500 ms, 750 ms and 100 ms. See MaxStaleness.
-	LongPoll, ResponseGrace, HedgeDelay, RetryBackoff time.Duration
+	// LongPoll is how long a call waits at discovery for a change. Longer polls cost fewer calls and let a silent
+	// discovery go unnoticed for longer. Zero: 2 s.
+	LongPoll time.Duration
+	// ResponseGrace is how much longer the response to a long poll may take before another call is made beside it.
+	// Zero: 500 ms.
+	ResponseGrace time.Duration
+	// HedgeDelay is how long a call without a long poll may take before another one is made beside it. Zero: 750 ms.
+	HedgeDelay time.Duration
+	// RetryBackoff is the pause after a failure; it doubles up to maxRetryBackoff, or is constant where it is longer
+	// than that. Zero: 100 ms.
+	RetryBackoff time.Duration
 }
 
 const (
-	callTimeout     = 10 * time.Second       // of one call, with its connection
-	maxCalls        = 4                      // at once
-	maxRetryBackoff = 400 * time.Millisecond // the pause behind failures grows to this
-	warnInterval    = 5 * time.Second
-	// lookFor is the wait of a call that only asks what was missed.
-	resumeWait = 100 * time.Millisecond
+	defaultLongPoll      = 2 * time.Second
+	defaultResponseGrace = 500 * time.Millisecond
+	defaultHedgeDelay    = 750 * time.Millisecond
+	defaultRetryBackoff  = 100 * time.Millisecond
 )
 
-// MaxStaleness is the longest time from the silence of a watch to the third call after it, where two calls behind the silence
-// find no answer either. A change counts as told 6 s after the silence at the latest, or 2 s after the wait is over if that
-// is later: what is left of that is for a discovery that is slow to answer. Hold trades that time against a call for each
-// wait that brings no news.
+func (o Options) withDefaults() Options {
+	o.LongPoll = cmp.Or(o.LongPoll, defaultLongPoll)
+	o.ResponseGrace = cmp.Or(o.ResponseGrace, defaultResponseGrace)
+	o.HedgeDelay = cmp.Or(o.HedgeDelay, defaultHedgeDelay)
+	o.RetryBackoff = cmp.Or(o.RetryBackoff, defaultRetryBackoff)
+	return o
+}
+
+// MaxStaleness is the longest time from when discovery falls silent to the third call after that, where two calls in
+// between find no answer either. A change has to be known 6 s after the silence began at the latest, or 2 s after a
+// long poll ends if that is later. What is left of that after MaxStaleness is for a discovery that is slow to answer.
 func (o Options) MaxStaleness() time.Duration {
 	o = o.withDefaults()
 	return o.LongPoll + o.ResponseGrace + 2*o.HedgeDelay
 }
 
-// withDefaults puts the usual times in the place of zeroes.
-func (o Options) withDefaults() Options {
-	for _, d := range []struct {
-		v     *time.Duration
-		usual time.Duration
-	}{{&o.LongPoll, 2 * time.Second}, {&o.ResponseGrace, 500 * time.Millisecond}, {&o.HedgeDelay, 750 * time.Millisecond}, {&o.RetryBackoff, 100 * time.Millisecond}} {
-		if *d.v == 0 {
-			*d.v = d.usual
-		}
-	}
-	return o
-}
-
-// Watch follows one address after the other. Make it with New.
+// Watch follows the list at one address after the other. Make it with New.
 type Watch struct {
 	opts  Options
 	mu    sync.Mutex
 	addr  string
-	moved chan struct{} // the address was named anew
+	moved chan struct{} // has room for one; SetAddr was called
 }
 
-// New returns a watch of an address.
+// New returns a watch of an address, host:port. Run starts it.
 func New(addr string, o Options) *Watch {
 	return &Watch{opts: o.withDefaults(), addr: addr, moved: make(chan struct{}, 1)}
 }
 
-// Move follows another address from now on; if it is the same one, what is new is asked for at once.
+// SetAddr follows another address from now on; the same address is asked at once for what is new. It never blocks and
+// is safe for concurrent use.
 func (w *Watch) SetAddr(addr string) {
 	w.mu.Lock()
 	w.addr = addr
@@ -76,166 +81,26 @@
 	}
 }
 
-// Run follows until the context ends.
-func (w *Watch) Run(ctx context.Context) {
-	f := &follower{opts: w.opts, ctx: ctx, results: make(chan result), backoff: w.opts.RetryBackoff}
-	defer f.calls.Wait()
-	defer f.cancelAll()
+func (w *Watch) currentAddr() string {
 	w.mu.Lock()
-	f.addr = w.addr
-	w.mu.Unlock()
-	f.nextCall = time.NewTimer(0)
-	defer f.nextCall.Stop()
+	defer w.mu.Unlock()
+	return w.addr
+}
+
+// Run follows the list until the context ends, and then waits for its calls.
+func (w *Watch) Run(ctx context.Context) {
+	f := newFollower(ctx, w.opts, w.currentAddr())
+	defer f.close()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-w.moved:
-			w.mu.Lock()
-			addr := w.addr
-			w.mu.Unlock()
-			f.setAddr(addr)
+			f.setAddr(w.currentAddr())
 		case <-f.nextCall.C:
 			f.hedge()
-		case a := <-f.results:
-			f.handle(a)
-		}
-	}
-}
-
-// follower is a watch's state, owned by Run. Slow is not silent: a call that takes long goes on while others are begun beside
-// it, and the first whole answer ends the others. After a failure the watch is resumed where it was; only if that fails too
-// the whole list is asked for, whose size is the greater part of what following costs.
-type follower struct {
-	opts       Options
-	ctx        context.Context
-	addr       string
-	synced     bool // a list was taken from this address
-	rev        uint64
-	answeredAt time.Time     // the last answer came
-	retries    int           // calls begun since the last answer, beyond the one that it led to
-	backoff    time.Duration // behind the next failure
-	inFlight   []*call       // longest first
-	results    chan result
-	nextCall   *time.Timer // to begin another call
-	warnedAt   time.Time   // of a failure; zero: not since the last answer
-	calls      sync.WaitGroup
-}
-
-// begin starts a call, on a connection if there is one.
-func (f *follower) begin(q query, conn *conn) {
-	ctx, cancel := context.WithTimeout(f.ctx, callTimeout)
-	c := &call{q, cancel}
-	f.inFlight = append(f.inFlight, c)
-	f.calls.Add(1)
-	addr := f.addr
-	go func() {
-		defer f.calls.Done()
-		defer cancel()
-		a := execute(ctx, addr, c, conn)
-		select {
-		case f.results <- a:
-		case <-ctx.Done():
-			// It was ended, or its time is over and Run ends it.
-			select {
-			case f.results <- result{call: c, err: ctx.Err()}:
-			case <-f.ctx.Done():
-			}
-			if a.conn != nil {
-				a.conn.nc.Close()
-			}
+		case r := <-f.results:
+			f.handle(r)
 		}
-	}()
-}
-
-// hedge begins a call beside those that have no answer yet.
-func (f *follower) hedge() {
-	if len(f.inFlight) == maxCalls {
-		// The longest goes on, as discovery may be slow; of those behind it the longest gives way.
-		f.inFlight[1].cancel()
-		f.inFlight = slices.Delete(f.inFlight, 1, 2)
-	}
-	q := query{full: true}
-	if f.synced && f.retries == 0 {
-		q = query{from: f.rev, wait: resumeWait}
-	}
-	f.retries++
-	f.begin(q, nil)
-	f.nextCall.Reset(f.opts.HedgeDelay)
-}
-
-func (f *follower) cancelAll() {
-	for _, c := range f.inFlight {
-		c.cancel()
-	}
-	f.inFlight = nil
-}
-
-func (f *follower) setAddr(addr string) {
-	if addr != f.addr {
-		f.cancelAll()
-		f.backoff = f.opts.RetryBackoff
-		f.addr, f.synced, f.warnedAt = addr, false, time.Time{}
-	}
-	f.retries = 0
-	f.hedge()
-}
-
-func (f *follower) handle(a result) {
-	i := slices.Index(f.inFlight, a.call)
-	if i < 0 { // it was cancelled
-		if a.conn != nil {
-			a.conn.nc.Close()
-		}
-		return
-	}
-	f.inFlight = slices.Delete(f.inFlight, i, i+1)
-	if a.faults.n > 0 {
-		f.opts.Log.Warn("entries of the list can't be used", "addr", f.addr, "entries", a.faults.n, "first", a.faults.first)
-	}
-	if err := f.validate(a); err != nil {
-		f.warn(err)
-		if a.conn != nil {
-			a.conn.nc.Close()
-		}
-		if len(f.inFlight) == 0 { // a crowded discovery is not helped by calls in a row
-			f.nextCall.Reset(f.backoff)
-			f.backoff = min(2*f.backoff, max(maxRetryBackoff, f.opts.RetryBackoff))
-		}
-		return
-	}
-	f.cancelAll()
-	news := !f.synced || a.list.Full || a.list.Rev != f.rev || len(a.list.Targets) > 0
-	f.backoff = f.opts.RetryBackoff
-	f.synced, f.rev, f.retries, f.warnedAt = true, a.list.Rev, 0, time.Time{}
-	// The next call first: what changes until it is there counts as told.
-	f.begin(query{from: f.rev, wait: f.opts.LongPoll}, a.conn)
-	f.nextCall.Reset(f.opts.LongPoll + f.opts.ResponseGrace)
-	gap := time.Since(f.answeredAt)
-	f.answeredAt = time.Now()
-	if news {
-		f.opts.OnList(a.list, gap)
-	}
-}
-
-// warn tells of a failure; one that goes on for long is told of now and then.
-func (f *follower) warn(err error) {
-	if time.Since(f.warnedAt) > warnInterval {
-		f.warnedAt = time.Now()
-		f.opts.Log.Warn("the list can't be followed", "addr", f.addr, "err", err)
-	}
-}
-
-// fits reports why an answer can't be taken.
-func (f *follower) validate(a result) error {
-	switch {
-	case a.err != nil:
-		return a.err
-	case a.call.full && !a.list.Full:
-		return fmt.Errorf("registry: rev %d is no whole list, asked for one", a.list.Rev)
-	case !a.list.Full && a.list.Rev < a.call.from:
-		f.synced = false // discovery began anew: only a whole list tells
-		return fmt.Errorf("registry: rev %d after %d, the whole list is wanted", a.list.Rev, a.call.from)
 	}
-	return nil
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -259,7 +259,7 @@
 	w.until("the bad file is told of", func() bool { return w.logged("the new configuration can't be used") })
 	w.config("127.0.0.1:1")
 	w.proc.Process.Signal(syscall.SIGHUP)
-	w.until("the dead address is tried", func() bool { return w.logged("can't be followed") })
+	w.until("the dead address is tried", func() bool { return w.logged("Endpoint list cannot be followed") })
 	told := make(chan string, 1000)
 	w.config(agent(t, w.addr, told))
 	for range 3 {
