--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -1,9 +1,15 @@
-// Package platform runs a gateway of the platform: it reads what the platform tells it, puts front, pool, watch and
-// datagrams around the loop, fits the process to its limits and follows the platform's signals. It decides nothing.
+// Package platform runs one gateway of the platform (winghatch serve): it reads the configuration file, starts the
+// frontend, the pool of server connections, the discovery watch and the gossip transport around the gateway's loop,
+// keeps the process within its limits and follows the platform's signals. It makes no decision on requests.
+//
+// Files: config.go reads the configuration, gateway.go starts and stops a gateway, limits.go divides descriptors and
+// memory, signals.go and reload.go follow signals, drain.go is the graceful shutdown, status.go the status line,
+// listen.go binds addresses, logwriter.go writes the log.
 package platform
 
 import (
 	"encoding/json"
+	"errors"
 	"fmt"
 	"net"
 	"os"
@@ -13,20 +19,27 @@
 	"winghatch/internal/platform/settings"
 )
 
-// Config is what one gateway is told, checked.
+// Config is a checked configuration.
 type Config struct {
-	Name, Listen, Discovery string
-	Seed                    int64
-	Cores                   float64
-	MemoryMB, Sockets       int
-	PeerListen              string
-	Peers                   []string
-	LastKnown               discoveryhttp.List
-	Decide                  decide.Config
-	Transport               settings.ConnectionLimits
+	Name      string // of this gateway, for the log
+	Listen    string // host:port for clients
+	Discovery string // host:port of discovery
+	Seed      int64  // of the core's random numbers
+
+	// The limits of the process; 0: not limited. Cores is for the log alone.
+	Cores    float64
+	MemoryMB int
+	Sockets  int // file descriptors
+
+	PeerListen string   // host:port for gossip; empty without peers
+	Peers      []string // addresses of all gateways, this one's included, by rank
+
+	LastKnown        discoveryhttp.List // the endpoint list that the former process held, maybe long out of date
+	Decide           decide.Config
+	ConnectionLimits settings.ConnectionLimits
 }
 
-// words are the file's.
+// configFile is the file as it is written.
 type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -43,7 +56,8 @@
 	Settings   json.RawMessage    `json:"settings"`
 }
 
-// Load reads and checks the file. Errors name file, field and value.
+// Load reads and checks the file. Errors name file, field and value; one that is an fs.PathError means that the file
+// could not be read.
 func Load(file string) (*Config, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -57,53 +71,92 @@
 }
 
 func parse(raw []byte) (*Config, error) {
-	var w configFile
-	if err := json.Unmarshal(raw, &w); err != nil {
+	var f configFile
+	if err := json.Unmarshal(raw, &f); err != nil {
 		return nil, settings.FieldError(err)
 	}
-	c := &Config{Name: w.Name, Listen: w.Listen, Discovery: w.Discovery, Cores: w.Limits.Cores, MemoryMB: w.Limits.MemoryMB,
-		Sockets: w.Limits.Sockets, PeerListen: w.PeerListen, Peers: w.Peers, LastKnown: w.Known}
-	for _, f := range []struct{ name, v string }{{"listen", c.Listen}, {"discovery", c.Discovery}} {
-		if _, _, err := net.SplitHostPort(f.v); err != nil {
-			return nil, fmt.Errorf("field %q is %q, want host:port", f.name, f.v)
-		}
+	c := &Config{
+		Name:       f.Name,
+		Listen:     f.Listen,
+		Discovery:  f.Discovery,
+		Cores:      f.Limits.Cores,
+		MemoryMB:   f.Limits.MemoryMB,
+		Sockets:    f.Limits.Sockets,
+		PeerListen: f.PeerListen,
+		Peers:      f.Peers,
+		LastKnown:  f.Known,
 	}
-	if w.Limits.Cores < 0 {
-		return nil, fmt.Errorf("field \"limits.cores\" is %v, want more than 0", w.Limits.Cores)
+	if err := checkAddress("listen", c.Listen); err != nil {
+		return nil, err
 	}
-	if c.MemoryMB < 0 {
-		return nil, fmt.Errorf("field \"limits.memory_mb\" is %d, want more than 0", c.MemoryMB)
+	if err := checkAddress("discovery", c.Discovery); err != nil {
+		return nil, err
 	}
-	if c.Sockets != 0 && c.Sockets < minSockets {
-		return nil, fmt.Errorf("field \"limits.sockets\" is %d, want %d or more", c.Sockets, minSockets)
+	if err := c.checkLimits(); err != nil {
+		return nil, err
 	}
-	if w.Seed != "" {
-		var seed uint64
-		if _, err := fmt.Sscanf(w.Seed, "%x", &seed); err != nil {
-			return nil, fmt.Errorf("field \"seed\" is %q, want hex digits", w.Seed)
-		}
-		c.Seed = int64(seed)
+	var err error
+	if c.Seed, err = parseSeed(f.Seed); err != nil {
+		return nil, err
 	}
 	if err := c.LastKnown.Check(); err != nil {
 		return nil, fmt.Errorf("field \"known\": %w", err)
 	}
-	if len(w.Settings) == 0 {
-		return nil, fmt.Errorf("field \"settings\" is missing")
+	if len(f.Settings) == 0 {
+		return nil, errors.New("field \"settings\" is missing")
 	}
-	var err error
-	if c.Decide, c.Transport, err = settings.Parse(w.Settings); err != nil {
+	if c.Decide, c.ConnectionLimits, err = settings.Parse(f.Settings); err != nil {
 		return nil, fmt.Errorf("field \"settings\": %w", err)
 	}
-	if err = c.Decide.Validate(); err != nil {
+	if err := c.Decide.Validate(); err != nil {
 		return nil, fmt.Errorf("field \"settings\": %w", err)
 	}
-	if c.Decide.Limits.Gossip && c.Decide.Gateways > 1 {
-		if len(c.Peers) != c.Decide.Gateways {
-			return nil, fmt.Errorf("field \"peers\" has %d addresses, want %d", len(c.Peers), c.Decide.Gateways)
-		}
-		if _, _, err := net.SplitHostPort(c.PeerListen); err != nil {
-			return nil, fmt.Errorf("field \"peer_listen\" is %q, want host:port", c.PeerListen)
-		}
+	if err := c.checkPeers(); err != nil {
+		return nil, err
 	}
 	return c, nil
 }
+
+func checkAddress(field, value string) error {
+	if _, _, err := net.SplitHostPort(value); err != nil {
+		return fmt.Errorf("field %q is %q, want host:port", field, value)
+	}
+	return nil
+}
+
+func (c *Config) checkLimits() error {
+	switch {
+	case c.Cores < 0:
+		return fmt.Errorf("field \"limits.cores\" is %v, want more than 0", c.Cores)
+	case c.MemoryMB < 0:
+		return fmt.Errorf("field \"limits.memory_mb\" is %d, want more than 0", c.MemoryMB)
+	case c.Sockets != 0 && c.Sockets < minSockets:
+		return fmt.Errorf("field \"limits.sockets\" is %d, want %d or more", c.Sockets, minSockets)
+	}
+	return nil
+}
+
+// parseSeed parses hex digits; empty stands for 0.
+func parseSeed(text string) (int64, error) {
+	if text == "" {
+		return 0, nil
+	}
+	var seed uint64
+	if _, err := fmt.Sscanf(text, "%x", &seed); err != nil {
+		return 0, fmt.Errorf("field \"seed\" is %q, want hex digits", text)
+	}
+	return int64(seed), nil
+}
+
+// hasGossip reports whether there are other gateways that this one can hear.
+func (c *Config) hasGossip() bool { return c.Decide.Limits.Gossip && c.Decide.Gateways > 1 }
+
+func (c *Config) checkPeers() error {
+	if !c.hasGossip() {
+		return nil
+	}
+	if len(c.Peers) != c.Decide.Gateways {
+		return fmt.Errorf("field \"peers\" has %d addresses, want %d", len(c.Peers), c.Decide.Gateways)
+	}
+	return checkAddress("peer_listen", c.PeerListen)
+}
--- a/internal/platform/crossing_test.go
+++ b/internal/platform/crossing_test.go
@@ -140,7 +140,7 @@
 	}
 	w.config(agent(t, w.addr, told))
 	w.proc.Process.Signal(syscall.SIGHUP)
-	w.until("the list moves", func() bool { return w.logged("the list moves") })
+	w.until("the list moves", func() bool { return w.logged("Following another discovery address") })
 	w.proc.Process.Signal(syscall.SIGTERM)
 	w.end(10 * time.Second)
 }
--- a/internal/platform/drain.go
+++ b/internal/platform/drain.go
@@ -1,36 +1,39 @@
 package platform
 
-import (
-	"time"
+import "time"
+
+// The platform ends a process by SIGTERM, and by SIGKILL no earlier than a class's longest deadline and killGrace
+// later. Of the deadline, maxKillDeadline counts at most.
+const (
+	killGrace       = 700 * time.Millisecond
+	maxKillDeadline = 3 * time.Second
 )
 
-// The platform ends a process by SIGTERM, and by SIGKILL no earlier than the longest deadline of a class and killAfter later;
-// of the deadline killDeadlineMost counts at most.
+// The steps of a graceful shutdown, from SIGTERM or up to the earliest SIGKILL.
 const (
-	killGrace         = 700 * time.Millisecond
-	maxKillDeadline   = 3 * time.Second
-	acceptGrace       = 700 * time.Millisecond // a stopping gateway goes on accepting: clients still find it
-	answerMargin      = 250 * time.Millisecond // ahead of the kill all has its answer, though the process be held up
-	exitMargin        = 50 * time.Millisecond
+	acceptGrace       = 700 * time.Millisecond // after SIGTERM connections are accepted: clients still find the gateway
+	answerMargin      = 250 * time.Millisecond // before the kill all is answered, also if the process is held up
+	exitMargin        = 50 * time.Millisecond  // before the kill the process exits
 	drainPollInterval = 5 * time.Millisecond
 )
 
-// killAt is the earliest time at which a process that was told to end may be killed.
-func (g *Gateway) killAt(told time.Time) time.Time {
+// killAt is the earliest time at which a process that got SIGTERM may be killed.
+func (g *Gateway) killAt(terminated time.Time) time.Time {
 	longest := time.Duration(0)
-	for _, k := range g.cfg.Decide.Classes {
-		longest = max(longest, k.Deadline)
+	for _, class := range g.cfg.Decide.Classes {
+		longest = max(longest, class.Deadline)
 	}
-	return told.Add(min(longest, maxKillDeadline) + killGrace)
+	return terminated.Add(min(longest, maxKillDeadline) + killGrace)
 }
 
-// Drain takes requests for a while, answers all it has taken before the process may be killed, and stops. It was told to at
-// that time.
-func (g *Gateway) Drain(told time.Time) {
-	kill := g.killAt(told)
+// Drain is the graceful shutdown after a SIGTERM at the time given: it accepts for a while, answers all that it has
+// taken before the process may be killed, and stops.
+func (g *Gateway) Drain(terminated time.Time) {
+	kill := g.killAt(terminated)
 	g.frontend.Drain()
-	time.Sleep(time.Until(told.Add(acceptGrace)))
-	g.ln.SetDeadline(time.Now()) // Serve takes what the machine has accepted and returns
+	time.Sleep(time.Until(terminated.Add(acceptGrace)))
+	// By a deadline, not by Close: Serve first takes what waits in the backlog, which a Close would reset.
+	g.ln.SetDeadline(time.Now())
 	<-g.acceptDone
 	g.ln.Close()
 	g.frontend.StopAccepting()
@@ -41,9 +44,12 @@
 	g.Stop()
 }
 
-// await returns once all is answered and closed, or at a time.
-func (g *Gateway) awaitIdle(until time.Time) {
-	for (g.loop.OpenRequests.Load() > 0 || g.frontend.Conns.Load() > 0) && time.Now().Before(until) {
+// awaitIdle returns once all requests are answered and all clients' connections closed, or at the deadline.
+func (g *Gateway) awaitIdle(deadline time.Time) {
+	for time.Now().Before(deadline) {
+		if g.loop.OpenRequests.Load() == 0 && g.frontend.Conns.Load() == 0 {
+			return
+		}
 		time.Sleep(drainPollInterval)
 	}
 }
--- a/internal/platform/logwriter.go
+++ b/internal/platform/logwriter.go
@@ -9,36 +9,39 @@
 
 const (
 	logQueueLines   = 512                    // that wait to be written
-	logFlushTimeout = 100 * time.Millisecond // for what waits at the end
+	logFlushTimeout = 100 * time.Millisecond // for lines that wait at the end
 )
 
-// LogWriter writes a log without ever waiting for who reads it: nothing that serves requests may stand still for a log. Lines
-// that find no room are dropped and counted.
+// LogWriter writes a log without waiting for its reader. The reader of standard error may be gone or stand still; a
+// request must not wait for it. Lines that find the queue full are dropped and counted in a line of their own.
 type LogWriter struct {
-	lines   chan []byte
+	lines   chan []byte // nil is the end
 	dropped atomic.Int64
-	done    chan struct{}
+	done    chan struct{} // closed behind the last line
 }
 
-// NewLogWriter starts a writer; each Write is a line.
-func NewLogWriter(to io.Writer) *LogWriter {
+// NewLogWriter returns a writer to out; each Write is a line. Its goroutine runs until Close, or until the process
+// ends where out blocks for good.
+func NewLogWriter(out io.Writer) *LogWriter {
 	l := &LogWriter{lines: make(chan []byte, logQueueLines), done: make(chan struct{})}
-	go func() {
-		for line := range l.lines {
-			if line == nil {
-				close(l.done)
-				return
-			}
-			if n := l.dropped.Swap(0); n > 0 {
-				fmt.Fprintf(to, "level=WARN msg=\"lines of the log were dropped\" lines=%d\n", n)
-			}
-			to.Write(line)
-		}
-	}()
+	go l.run(out)
 	return l
 }
 
-// Write takes a line.
+func (l *LogWriter) run(out io.Writer) {
+	for line := range l.lines {
+		if line == nil {
+			close(l.done)
+			return
+		}
+		if n := l.dropped.Swap(0); n > 0 {
+			fmt.Fprintf(out, "level=WARN msg=\"Log lines were dropped\" lines=%d\n", n)
+		}
+		out.Write(line)
+	}
+}
+
+// Write queues a line. It never fails.
 func (l *LogWriter) Write(line []byte) (int, error) {
 	select {
 	case l.lines <- append([]byte(nil), line...):
@@ -48,16 +51,16 @@
 	return len(line), nil
 }
 
-// Close writes what waits, for a bounded time. What is written to it later is lost.
+// Close writes the lines that wait, for logFlushTimeout at most. Later lines are lost.
 func (l *LogWriter) Close() {
-	over := time.After(logFlushTimeout)
+	timeout := time.After(logFlushTimeout)
 	select {
-	case l.lines <- nil: // the end
-	case <-over:
+	case l.lines <- nil:
+	case <-timeout:
 		return
 	}
 	select {
 	case <-l.done:
-	case <-over:
+	case <-timeout:
 	}
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -256,7 +256,7 @@
 		t.Fatal(err)
 	}
 	w.proc.Process.Signal(syscall.SIGHUP)
-	w.until("the bad file is told of", func() bool { return w.logged("the new configuration can't be used") })
+	w.until("the bad file is told of", func() bool { return w.logged("New configuration cannot be used") })
 	w.config("127.0.0.1:1")
 	w.proc.Process.Signal(syscall.SIGHUP)
 	w.until("the dead address is tried", func() bool { return w.logged("Endpoint list cannot be followed") })
--- /dev/null
+++ b/internal/platform/status.go
@@ -0,0 +1,102 @@
+package platform
+
+import (
+	"context"
+	"fmt"
+	"runtime"
+	"syscall"
+	"time"
+)
+
+const statusInterval = 5 * time.Second
+
+// logStatusPeriodically logs the status line until the context ends.
+func (g *Gateway) logStatusPeriodically(ctx context.Context) {
+	ticker := time.NewTicker(statusInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+			g.LogStatus()
+		}
+	}
+}
+
+// LogStatus logs a line of figures for operators. docs/platform.md says what to look at when.
+func (g *Gateway) LogStatus() {
+	var attrs []any
+	attrs = append(attrs, g.processStatus()...)
+	attrs = append(attrs, g.requestStatus()...)
+	attrs = append(attrs, g.clientConnStatus()...)
+	attrs = append(attrs, g.serverConnStatus()...)
+	g.log.Info("Status", attrs...)
+}
+
+func (g *Gateway) processStatus() []any {
+	var usage syscall.Rusage
+	syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
+	var mem runtime.MemStats
+	runtime.ReadMemStats(&mem)
+	return []any{
+		"uptime", time.Since(g.startedAt).Round(time.Millisecond),
+		"cpu_ms", (usage.Utime.Nano() + usage.Stime.Nano()) / 1e6,
+		"rss_max_kb", usage.Maxrss,
+		"heap_kb", mem.HeapAlloc >> 10,
+		"sys_kb", mem.Sys >> 10,
+		"gc_cycles", mem.NumGC,
+		"goroutines", runtime.NumGoroutine(),
+	}
+}
+
+func (g *Gateway) requestStatus() []any {
+	summary := g.loop.Summary()
+	return []any{
+		"requests", g.frontend.Requests.Load(),
+		"open", g.loop.OpenRequests.Load(),
+		"served", g.loop.Served.Load(),
+		"failed", g.loop.Failed.Load(),
+		"client_gone", g.loop.Counters.Abandoned.Load(),
+		"rejected", summary.Rejected,
+		"outcomes", summary.Outcomes,
+		"late_responses", g.loop.LateResponses.Load(),
+		"timer_lag", summary.TimerLag,
+		"longest_turn", summary.LongestTurn,
+		"pressure", summary.Pressure,
+		"retry_budget", summary.RetryBudget,
+		"held", summary.OpenRequests,
+	}
+}
+
+func (g *Gateway) clientConnStatus() []any {
+	c := &g.frontend.Counters
+	return []any{
+		"client_conns", c.Conns.Load(),
+		"accepted", c.Accepted.Load(),
+		"timed_out", c.TimedOut.Load(),
+		"evicted", c.Evicted.Load(),
+		"bad_requests", c.BadRequests.Load(),
+		"refused_conns", c.RefusedConns.Load(),
+	}
+}
+
+func (g *Gateway) serverConnStatus() []any {
+	c := &g.pool.Counters
+	return []any{
+		"server_conns", c.Conns.Load(),
+		"dials", c.Dials.Load(),
+		"dial_failures", c.DialFailures.Load(),
+		"malformed_responses", c.MalformedResponses.Load(),
+		"stale_conns", c.StaleConns.Load(),
+		"conn_limit_reached", c.ConnLimitReached.Load(),
+	}
+}
+
+// classSummaries has each class with its latency objective and deadline, which differ from deployment to deployment.
+func classSummaries(c *Config) (summaries []string) {
+	for _, class := range c.Decide.Classes {
+		summaries = append(summaries, fmt.Sprintf("%s %v/%v", class.Name, class.LatencyObjective, class.Deadline))
+	}
+	return summaries
+}
