--- a/internal/recording/wire.go
+++ b/internal/recording/wire.go
@@ -2,15 +2,15 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"time"
 
 	"winghatch/decide"
 )
 
-// The stored form of the settings, the events and the actions of package decide. A stored key never changes, so that recordings of
-// earlier versions stay readable; a field of decide that is renamed keeps its key here. Each type has the fields of its counterpart
-// in decide, in the same order: a field that is added there and forgotten here does not compile.
+// The stored form of the settings, events and actions of package decide. A stored key never changes, so that
+// recordings of earlier versions stay readable; a field that is renamed in decide keeps its key here. Each type
+// has the fields of its counterpart in decide, in the same order: the conversion between the two does not compile
+// when a field is added there and forgotten here.
 
 type storedClass struct {
 	Name             string             `json:"Name"`
@@ -195,14 +195,14 @@
 	storedLog struct{ Text string }
 )
 
-// convert applies one conversion to each element and keeps nil as nil.
-func convert[From, To any](from []From, one func(From) To) []To {
+// convert converts each element; a nil slice stays nil.
+func convert[From, To any](from []From, convertOne func(From) To) []To {
 	if from == nil {
 		return nil
 	}
 	to := make([]To, len(from))
 	for i, v := range from {
-		to[i] = one(v)
+		to[i] = convertOne(v)
 	}
 	return to
 }
@@ -249,9 +249,10 @@
 	}
 }
 
-// storedKind tells the stored name of an event or an action, and returns its stored form.
-func storedKind(v any) (kind string, stored any) {
-	switch v := v.(type) {
+// storedKind returns the stored name of an event or an action and its stored form; an empty name for any other
+// value.
+func storedKind(value any) (kind string, stored any) {
+	switch v := value.(type) {
 	case decide.EndpointUpdate:
 		servers := convert(v.Servers, func(s decide.Server) storedServer { return storedServer(s) })
 		return "FleetUpdate", storedEndpointUpdate{v.Kind, v.Version, servers}
@@ -301,10 +302,10 @@
 	return "", nil
 }
 
-// loader reads the stored form of one kind.
+// loader decodes the stored form of one kind.
 type loader[T any] func(raw json.RawMessage) (T, error)
 
-// load makes the loader of a kind whose stored form converts to an event or an action.
+// load returns the loader of a kind whose stored form converts to an event or an action.
 func load[Stored, T any](convert func(Stored) T) loader[T] {
 	return func(raw json.RawMessage) (T, error) {
 		var s Stored
@@ -345,13 +346,3 @@
 	"Count":     load(func(s storedAddToCounter) decide.Action { return decide.AddToCounter(s) }),
 	"Log":       load(func(s storedLog) decide.Action { return decide.Log(s) }),
 }
-
-// loadTyped reads a stored value by the loader of its kind.
-func loadValue[T any](t storedValue, loaders map[string]loader[T]) (T, error) {
-	load, ok := loaders[t.Kind]
-	if !ok {
-		var none T
-		return none, fmt.Errorf("kind %q is not known", t.Kind)
-	}
-	return load(t.Value)
-}
