--- a/internal/upstream/websocket/upstream_test.go
+++ b/internal/upstream/websocket/pool_test.go
@@ -12,13 +12,13 @@
 
 	"winghatch/decide"
 	"winghatch/internal/invariant"
-	backend "winghatch/internal/testbed/backend"
+	"winghatch/internal/testbed/backend"
 	"winghatch/internal/upstream"
 	"winghatch/internal/websocket"
 	"winghatch/internal/wsconn"
 )
 
-func options() Options {
+func testOptions() Options {
 	return Options{ConnectTimeout: 2 * time.Second, MaxConns: 2, CallsPerConn: 1000, IdleTimeout: time.Minute,
 		Conn: wsconn.Options{WriteTimeout: 5 * time.Second}}
 }
@@ -44,7 +44,7 @@
 	return upstream.Result{}
 }
 
-// server takes connections by hand: f gets each after its handshake.
+// startServer accepts connections and calls f for each after its handshake.
 func startServer(t *testing.T, f func(net.Conn, *bufio.Reader)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -73,14 +73,17 @@
 	return ln.Addr().String()
 }
 
-// answerTo is the answer to the first call of a connection, as bytes of a frame.
-func answerTo(id int) []byte {
-	return websocket.AppendFrame(nil, true, websocket.Text, fmt.Appendf(nil, `{"jsonrpc":"2.0","result":{"units":2,"metered":3,"load":{"queue":1},"body":7},"id":%d}`, id), nil)
+// responseFrame is a frame with the response to the call with an id.
+func responseFrame(id int) []byte {
+	result := `{"units":2,"metered":3,"load":{"queue":1},"body":7}`
+	message := fmt.Appendf(nil, `{"jsonrpc":"2.0","result":%s,"id":%d}`, result, id)
+	return websocket.AppendFrame(nil, true, websocket.Text, message, nil)
 }
 
-// TestCutInAnswer breaks a connection behind every byte of an answer: Reset until the last, then OK.
+// TestCutInAnswer: the server breaks the connection at some byte of its response. The call ends as Reset unless the
+// whole response has come, and it ends once.
 func TestCutInAnswer(t *testing.T) {
-	whole := answerTo(1)
+	whole := responseFrame(1)
 	for at := 0; at <= len(whole); at += 7 {
 		if at+7 > len(whole) {
 			at = len(whole)
@@ -91,12 +94,15 @@
 				nc.Write(whole[:at])
 			}
 		})
-		p := New(options())
+		p := New(testOptions())
 		_, got := send(p, addr, `{}`)
 		if at < len(whole) {
 			want(t, got, decide.OutcomeReset)
-		} else if r := want(t, got, decide.OutcomeOK); r.ActualUnits != 2 || r.ReportedUsage != 3 || r.LoadReport["queue"] != 1 || string(r.Body) != "7" {
-			t.Errorf("%+v", r)
+		} else {
+			r := want(t, got, decide.OutcomeOK)
+			if r.ActualUnits != 2 || r.ReportedUsage != 3 || r.LoadReport["queue"] != 1 || string(r.Body) != "7" {
+				t.Errorf("%+v", r)
+			}
 		}
 		p.Close()
 		if len(got) != 0 {
@@ -105,9 +111,9 @@
 	}
 }
 
-// TestCutBeforeRead breaks a connection that took calls: some are flushed, some still wait in the queue behind
-// a peer that reads nothing. Each is Reset if a byte may have left, NoConnection only if none did; what the
-// server got is no more than what is told as Reset.
+// TestCutBeforeRead: a connection breaks while some calls are written and others wait in the queue, because the server
+// reads nothing. A call ends as Reset if a byte of it may have been written and as ConnectFailed only if none was: no
+// call that the server received ends as ConnectFailed, as the core would run it again.
 func TestCutBeforeRead(t *testing.T) {
 	var mu sync.Mutex
 	got := map[string]bool{}
@@ -127,7 +133,7 @@
 			mu.Unlock()
 		}
 	})
-	o := options()
+	o := testOptions()
 	o.MaxConns = 1
 	o.Conn.MaxQueue = 64 << 20
 	p := New(o)
@@ -158,12 +164,13 @@
 	}
 }
 
+// connected is the number of connections to a server whose handshake is done.
 func (p *Pool) connected(addr string) (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if d := p.servers[addr]; d != nil {
-		for _, k := range d.conns {
-			if k.ws != nil {
+	if s := p.servers[addr]; s != nil {
+		for _, c := range s.conns {
+			if c.ws != nil {
 				n++
 			}
 		}
@@ -171,21 +178,22 @@
 	return n
 }
 
-// TestNoConnection asks where nothing listens, where nobody does the handshake, and where it is refused.
+// TestNoConnection calls servers that do not listen, that never answer the handshake, and that reject it. Every call
+// ends as ConnectFailed, and the pool keeps no connection.
 func TestNoConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	silent := ln.Addr().String() // takes connections in its backlog and says nothing
+	silent := ln.Addr().String() // connections stay in its backlog
 	defer ln.Close()
-	gone, _ := net.Listen("tcp", "127.0.0.1:0")
-	gone.Close()
-	rude, _ := net.Listen("tcp", "127.0.0.1:0")
-	defer rude.Close()
+	closed, _ := net.Listen("tcp", "127.0.0.1:0")
+	closed.Close()
+	rejecting, _ := net.Listen("tcp", "127.0.0.1:0")
+	defer rejecting.Close()
 	go func() {
 		for {
-			nc, err := rude.Accept()
+			nc, err := rejecting.Accept()
 			if err != nil {
 				return
 			}
@@ -193,11 +201,11 @@
 			nc.Close()
 		}
 	}()
-	o := options()
+	o := testOptions()
 	o.ConnectTimeout = 100 * time.Millisecond
 	p := New(o)
 	defer p.Close()
-	for _, addr := range []string{silent, gone.Addr().String(), rude.Addr().String()} {
+	for _, addr := range []string{silent, closed.Addr().String(), rejecting.Addr().String()} {
 		for range 3 {
 			_, got := send(p, addr, `{}`)
 			want(t, got, decide.OutcomeConnectFailed)
@@ -206,7 +214,8 @@
 	until(t, "none is left", func() bool { return p.Conns() == 0 })
 }
 
-// TestAbandon gives calls up before they leave and after; a late answer finds nobody and is counted.
+// TestAbandon abandons a call that was sent, one that waits for its connection, and one that has ended. The response to
+// an abandoned call is counted as late.
 func TestAbandon(t *testing.T) {
 	first := make(chan struct{})
 	addr := startServer(t, func(nc net.Conn, br *bufio.Reader) {
@@ -221,33 +230,34 @@
 				return
 			}
 			if strings.Contains(string(m.Data), `"cancel"`) {
-				nc.Write(answerTo(1))
+				nc.Write(responseFrame(1))
 			}
 		}
 	})
-	p := New(options())
+	p := New(testOptions())
 	defer p.Close()
 	c, got := send(p, addr, `{}`)
 	<-first
 	if g := p.Abandon(c); g != upstream.MayHaveRun {
-		t.Errorf("a sent call is given up as %d", g)
+		t.Errorf("abandoning a sent call: %d", g)
 	}
 	until(t, "a late answer is counted", func() bool { return p.LateResponses() > 0 })
 	ln, _ := net.Listen("tcp", "127.0.0.1:0")
 	defer ln.Close()
 	c2, got2 := send(p, ln.Addr().String(), `{}`)
 	if g := p.Abandon(c2); g != upstream.NotSent {
-		t.Errorf("a call that waits for its connection is given up as %d", g)
+		t.Errorf("abandoning a call that waits for its connection: %d", g)
 	}
 	if g := p.Abandon(c2); g != upstream.AlreadyEnded {
-		t.Errorf("a second time it is %d", g)
+		t.Errorf("abandoning it again: %d", g)
 	}
 	if len(got)+len(got2) > 0 {
-		t.Error("a call that was given up has an outcome")
+		t.Error("an abandoned call has an outcome")
 	}
 }
 
-// TestNode runs calls through an emulated node: many at once on few connections, full, failing, closed when idle.
+// TestNode sends calls to an emulated server: many at once on few connections, then with faults. Idle connections are
+// closed; one that carries a call is not.
 func TestNode(t *testing.T) {
 	log := invariant.NewLog(nil)
 	n, err := backend.Start(backend.Options{Address: "127.0.0.1:0", Log: log, Cores: 4, Speed: 1, Queue: 1000,
@@ -256,7 +266,7 @@
 		t.Fatal(err)
 	}
 	defer n.Stop()
-	o := options()
+	o := testOptions()
 	o.CallsPerConn, o.MaxConns, o.IdleTimeout = 10, 3, 20*time.Millisecond
 	p := New(o)
 	defer p.Close()
@@ -277,9 +287,11 @@
 	n.SetFault(func(x *backend.Fault) { x.ErrorShare, x.Unresponsive = 0, true })
 	_, ch = send(p, n.Addr(), `{"request":"s"}`)
 	until(t, "the call arrived", func() bool {
-		return slices.ContainsFunc(log.Records(), func(r invariant.Record) bool { return r.Kind == invariant.Received && r.Request == "s" })
+		return slices.ContainsFunc(log.Records(), func(r invariant.Record) bool {
+			return r.Kind == invariant.Received && r.Request == "s"
+		})
 	})
-	p.CloseIdle(n.Addr()) // it carries a call, so it stays
+	p.CloseIdle(n.Addr())
 	if p.Conns() != 1 {
 		t.Error("a connection with a call was closed as idle")
 	}
@@ -287,21 +299,22 @@
 	want(t, ch, decide.OutcomeReset)
 }
 
-// TestIdleFromTheStart gives every call up while its connection is being opened: it is closed as idle all the same.
+// TestIdleFromTheStart: every call of a connection is abandoned during its handshake. The connection carried no call,
+// so no last call starts its idle timer; it is closed as idle all the same.
 func TestIdleFromTheStart(t *testing.T) {
-	shake := make(chan struct{})
+	handshake := make(chan struct{})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
 	go wsconn.Serve(ln, func(nc net.Conn) {
-		<-shake
+		<-handshake
 		if l, err := wsconn.Accept(nc, Protocol, 5*time.Second, nil, wsconn.Options{}); err == nil {
 			l.Read()
 		}
 	})
-	o := options()
+	o := testOptions()
 	o.IdleTimeout = 10 * time.Millisecond
 	p := New(o)
 	defer p.Close()
@@ -309,7 +322,7 @@
 	if p.Abandon(c) != upstream.NotSent {
 		t.Fatal("a byte left before the handshake")
 	}
-	close(shake)
+	close(handshake)
 	until(t, "the connection is closed", func() bool { return p.Conns() == 0 })
 }
 
