--- a/internal/wsconn/link_test.go
+++ b/internal/wsconn/conn_test.go
@@ -14,7 +14,7 @@
 	"winghatch/internal/websocket"
 )
 
-// ends are both ends of a connection over a real socket.
+// ends returns both ends of a connection over a socket.
 func ends(t *testing.T, o Options) (client, server *Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -34,6 +34,8 @@
 	return New(a, bufio.NewReader(a), websocket.Client, o), New(b, bufio.NewReader(b), websocket.Server, o)
 }
 
+// TestOrder sends many messages with pings between them: they arrive in order, and the connection ends with a complete
+// close handshake.
 func TestOrder(t *testing.T) {
 	c, s := ends(t, Options{})
 	const n = 5000
@@ -56,29 +58,38 @@
 	if _, err := s.Read(); !errors.As(err, &pc) || pc.Code != websocket.CodeNormal || pc.Reason != "done" {
 		t.Fatalf("%v", err)
 	}
-	// The close handshake is done whole: the closing side reads the answer to its close frame.
+	// The closing side reads the answer to its close frame.
 	if _, err := c.Read(); !errors.As(err, &pc) || pc.Code != websocket.CodeNormal {
 		t.Errorf("%v", err)
 	}
 	if c.Send([]byte("x")) != ErrClosed || s.Send([]byte("x")) != ErrClosed {
-		t.Error("a closed connection takes messages")
+		t.Error("a closed connection accepts messages")
 	}
 }
 
-// TestNotBegun leaves out a message that is no longer wanted when its turn comes.
+// TestNotBegun sends a message that is cancelled when the writer gets to it: nothing of it is written.
 func TestNotBegun(t *testing.T) {
 	c, s := ends(t, Options{})
-	var asked atomic.Int32
-	c.SendIf([]byte("no"), func() bool { asked.Add(1); return false })
-	c.SendIf([]byte("yes"), func() bool { asked.Add(1); return true })
-	if m, err := s.Read(); err != nil || string(m) != "yes" || asked.Load() != 2 {
+	var calls atomic.Int32
+	beforeWrite := func(result bool) func() bool {
+		return func() bool {
+			calls.Add(1)
+			return result
+		}
+	}
+	c.SendIf([]byte("no"), beforeWrite(false))
+	c.SendIf([]byte("yes"), beforeWrite(true))
+	if m, err := s.Read(); err != nil || string(m) != "yes" || calls.Load() != 2 {
 		t.Errorf("%q %v", m, err)
 	}
 }
 
-// TestSlowPeer writes to a peer that reads nothing: the queue's bound or the time to write ends it.
+// TestSlowPeer writes to a peer that reads nothing: the bound of the queue or the write timeout disconnects it.
 func TestSlowPeer(t *testing.T) {
-	for _, o := range []Options{{MaxQueue: 64 << 10, WriteTimeout: time.Minute}, {MaxQueue: 1 << 30, WriteTimeout: 50 * time.Millisecond}} {
+	for _, o := range []Options{
+		{MaxQueue: 64 << 10, WriteTimeout: time.Minute},
+		{MaxQueue: 1 << 30, WriteTimeout: 50 * time.Millisecond},
+	} {
 		c, _ := ends(t, o)
 		data := []byte(strings.Repeat("x", 16<<10))
 		var err error
@@ -91,23 +102,25 @@
 			}
 		}
 		if err == nil {
-			t.Fatal("a peer that takes nothing was never cut off")
+			t.Fatal("a peer that reads nothing was never disconnected")
 		}
 		if _, err := c.Read(); err == nil {
-			t.Error("a cut connection still reads")
+			t.Error("a closed connection still reads")
 		}
 	}
 }
 
-// TestSilentClose closes towards a peer that does not answer: the reader ends all the same.
+// TestSilentClose closes towards a peer that does not answer: the reader ends after the close timeout.
 func TestSilentClose(t *testing.T) {
 	c, _ := ends(t, Options{CloseTimeout: 50 * time.Millisecond})
 	c.Close(websocket.CodeNormal, "")
 	if _, err := c.Read(); err == nil {
-		t.Error("no end")
+		t.Error("Read returned no error")
 	}
 }
 
+// TestRefusedMessages sends messages that the server must not accept. The server ends the connection with the close code
+// for the reason, and the client reads it.
 func TestRefusedMessages(t *testing.T) {
 	for code, raw := range map[int][]byte{
 		websocket.CodeUnsupported: websocket.AppendFrame(nil, true, websocket.Binary, []byte("x"), &[4]byte{1}),
@@ -121,7 +134,7 @@
 		}
 		var pc *PeerClosedError
 		if _, err := c.Read(); !errors.As(err, &pc) || pc.Code != code {
-			t.Errorf("the peer was told %v, want %d", err, code)
+			t.Errorf("the peer got %v, want close code %d", err, code)
 		}
 		if _, err := c.reader.Next(); err != io.EOF {
 			t.Errorf("%v", err)
@@ -129,7 +142,8 @@
 	}
 }
 
-// TestEmptyPings floods a connection with empty pings and reads nothing: the answers have a bound too.
+// TestEmptyPings: a peer floods the connection with empty pings and reads nothing. The queue bounds the pongs too, and
+// the peer is disconnected.
 func TestEmptyPings(t *testing.T) {
 	c, s := ends(t, Options{MaxQueue: 64 << 10, WriteTimeout: time.Minute})
 	go func() {
@@ -142,14 +156,14 @@
 	}()
 	s.nc.(*net.TCPConn).SetWriteBuffer(1)
 	if _, err := s.Read(); err == nil {
-		t.Error("the connection goes on")
+		t.Error("the connection is still open")
 	}
 }
 
-// TestKeep cuts a peer that answers no ping and leaves one alone that does.
+// TestKeep pings two peers, of which one does not answer: that one is disconnected, the other is not.
 func TestKeep(t *testing.T) {
-	_, deaf := ends(t, Options{})
-	client, kept := ends(t, Options{})
+	_, silent := ends(t, Options{})
+	client, answering := ends(t, Options{})
 	go func() {
 		for {
 			if _, err := client.Read(); err != nil {
@@ -157,31 +171,31 @@
 			}
 		}
 	}()
-	go kept.Read()
+	go answering.Read()
 	ctx, stop := context.WithCancel(context.Background())
-	cut := make(chan struct{}, 1)
+	closed := make(chan struct{}, 1)
 	ended := make(chan struct{})
 	go func() {
-		PingIdle(ctx, 20*time.Millisecond, func() []*Conn { return []*Conn{deaf, kept} }, func() {
+		PingIdle(ctx, 20*time.Millisecond, func() []*Conn { return []*Conn{silent, answering} }, func() {
 			select {
-			case cut <- struct{}{}:
+			case closed <- struct{}{}:
 			default:
 			}
 		})
 		close(ended)
 	}()
-	if _, err := deaf.Read(); err == nil {
-		t.Error("a deaf peer is kept")
+	if _, err := silent.Read(); err == nil {
+		t.Error("a silent peer is still connected")
 	}
-	<-cut
-	if err := kept.Send([]byte("x")); err != nil {
-		t.Errorf("a peer that answers was cut: %v", err)
+	<-closed
+	if err := answering.Send([]byte("x")); err != nil {
+		t.Errorf("a peer that answers was disconnected: %v", err)
 	}
 	stop()
 	<-ended
 }
 
-// TestFrameLimit refuses a frame over its bound in a message within the message's.
+// TestFrameLimit sends a frame over its limit in a message within the limit of messages: it is refused.
 func TestFrameLimit(t *testing.T) {
 	c, s := ends(t, Options{MaxFrame: 10})
 	c.Send([]byte("0123456789"))
