--- /dev/null
+++ b/internal/websocket/closeframe.go
@@ -0,0 +1,60 @@
+package websocket
+
+import "unicode/utf8"
+
+// Codes of a close frame (RFC 6455 section 7.4.1).
+const (
+	CodeNormal      = 1000
+	CodeGoingAway   = 1001
+	CodeProtocol    = 1002
+	CodeUnsupported = 1003
+	CodeNoStatus    = 1005 // never sent
+	CodeAbnormal    = 1006 // never sent
+	CodeInvalidData = 1007
+	CodePolicy      = 1008
+	CodeTooBig      = 1009
+	CodeInternal    = 1011
+)
+
+// maxControlPayload is the longest payload of a control frame (RFC 6455 section 5.5).
+const maxControlPayload = 125
+
+// ClosePayload returns the payload of a close frame. A reason that is too long is cut at a character. The payload is
+// empty for the codes that are never sent and for 0.
+func ClosePayload(code int, reason string) []byte {
+	if code == CodeNoStatus || code == CodeAbnormal || code == 0 {
+		return nil
+	}
+	for len(reason) > maxControlPayload-2 {
+		_, n := utf8.DecodeLastRuneInString(reason)
+		reason = reason[:len(reason)-n]
+	}
+	return append([]byte{byte(code >> 8), byte(code)}, reason...)
+}
+
+// ParseClose reads the payload of a close frame that Next returned. Without a code it returns CodeNoStatus.
+func ParseClose(payload []byte) (code int, reason string) {
+	if len(payload) < 2 {
+		return CodeNoStatus, ""
+	}
+	return int(payload[0])<<8 | int(payload[1]), string(payload[2:])
+}
+
+// validateClose checks the payload of the peer's close frame (RFC 6455 section 7.4).
+func validateClose(payload []byte) error {
+	if len(payload) == 0 {
+		return nil
+	}
+	if len(payload) == 1 {
+		return protocolErrorf(CodeProtocol, "close frame with half a code")
+	}
+	code, reason := ParseClose(payload)
+	known := code >= 1000 && code <= 1014 && code != 1004 && code != CodeNoStatus && code != CodeAbnormal
+	if !known && (code < 3000 || code > 4999) {
+		return protocolErrorf(CodeProtocol, "close code %d may not be sent", code)
+	}
+	if !utf8.ValidString(reason) {
+		return protocolErrorf(CodeInvalidData, "close reason that is not UTF-8")
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/websocket/reader.go
@@ -0,0 +1,178 @@
+package websocket
+
+import (
+	"bufio"
+	"errors"
+	"io"
+)
+
+const (
+	// readStep is how many bytes the buffer of a message grows at a time: a header that announces a large frame must not
+	// allocate it.
+	readStep = 64 << 10
+
+	// keptBuffer is the largest buffer, in bytes, that is kept between messages, so that an idle session does not hold
+	// the memory of its largest message.
+	keptBuffer = 4 << 10
+)
+
+// Message is a complete message, or one control frame. Data is valid until the next call of Next.
+type Message struct {
+	Opcode Opcode
+	Data   []byte
+}
+
+// Reader reads the messages of a connection. It is not safe for concurrent use.
+type Reader struct {
+	in         *bufio.Reader
+	role       Role
+	maxMessage int64 // bytes of a message
+	maxFrame   int64 // bytes of a frame's payload
+	buf        []byte
+	control    [maxControlPayload]byte
+	opcode     Opcode // of the message being read
+	inMessage  bool   // between the fragments of a message
+	validator  utf8Validator
+	closed     bool // a close frame or an error was returned
+}
+
+// NewReader returns a reader for the side of a connection that has the role. A message of more than maxMessage bytes is
+// refused with CodeTooBig, before the payload of the frame that exceeds the limit is read.
+func NewReader(in *bufio.Reader, role Role, maxMessage int64) *Reader {
+	return &Reader{in: in, role: role, maxMessage: maxMessage, maxFrame: maxMessage}
+}
+
+// LimitFrames refuses a frame of more than maxFrame bytes of payload with CodeTooBig (RFC 6455 section 10.4 recommends
+// limits on frames and on messages).
+func (r *Reader) LimitFrames(maxFrame int64) { r.maxFrame = min(maxFrame, r.maxMessage) }
+
+// Next returns the next message or control frame. The error is a *ProtocolError, io.ErrUnexpectedEOF if the connection
+// ended inside a frame or a message, io.EOF if it ended elsewhere, or another of the connection. After a close frame or
+// an error it returns io.EOF.
+func (r *Reader) Next() (Message, error) {
+	if r.closed {
+		return Message{}, io.EOF
+	}
+	m, err := r.readMessage()
+	if err != nil || m.Opcode == Close {
+		r.closed = true
+	}
+	return m, err
+}
+
+func (r *Reader) readMessage() (Message, error) {
+	if !r.inMessage {
+		r.releaseLargeBuffer()
+	}
+	for {
+		h, err := r.readFrameHeader()
+		if err != nil {
+			return Message{}, err
+		}
+		if h.opcode.IsControl() {
+			return r.readControl(h)
+		}
+		done, err := r.readFragment(h)
+		if err != nil {
+			return Message{}, err
+		}
+		if done {
+			return Message{r.opcode, r.buf}, nil
+		}
+	}
+}
+
+func (r *Reader) readControl(h frameHeader) (Message, error) {
+	data := r.control[:h.length]
+	if err := r.readFull(data); err != nil {
+		return Message{}, err
+	}
+	if h.masked {
+		Mask(data, h.mask, 0)
+	}
+	if h.opcode == Close {
+		if err := validateClose(data); err != nil {
+			return Message{}, err
+		}
+	}
+	return Message{h.opcode, data}, nil
+}
+
+// releaseLargeBuffer empties the buffer of the last message, and drops it if it is larger than keptBuffer.
+func (r *Reader) releaseLargeBuffer() {
+	if cap(r.buf) > keptBuffer {
+		r.buf = nil
+	}
+	r.buf = r.buf[:0]
+}
+
+// readFragment reads a data frame into the buffer of its message. done is set behind the last frame of the message.
+func (r *Reader) readFragment(h frameHeader) (done bool, err error) {
+	if err := r.beginFragment(h); err != nil {
+		return false, err
+	}
+	if err := r.readPayload(h); err != nil {
+		return false, err
+	}
+	if !h.fin {
+		return false, nil
+	}
+	r.inMessage = false
+	if r.opcode == Text && !r.validator.complete() {
+		return false, protocolErrorf(CodeInvalidData, "text that ends inside a character")
+	}
+	return true, nil
+}
+
+// beginFragment checks a data frame against the message that it belongs to, and against the limits.
+func (r *Reader) beginFragment(h frameHeader) error {
+	switch {
+	case h.opcode == Continuation && !r.inMessage:
+		return protocolErrorf(CodeProtocol, "continuation frame outside a message")
+	case h.opcode != Continuation && r.inMessage:
+		return protocolErrorf(CodeProtocol, "a new message inside a fragmented one")
+	}
+	if !r.inMessage {
+		r.opcode, r.inMessage, r.validator = h.opcode, true, utf8Validator{}
+	}
+	if h.length > r.maxFrame {
+		return protocolErrorf(CodeTooBig, "frame of more than %d bytes", r.maxFrame)
+	}
+	if int64(len(r.buf))+h.length > r.maxMessage {
+		return protocolErrorf(CodeTooBig, "message of more than %d bytes", r.maxMessage)
+	}
+	return nil
+}
+
+// readPayload appends a data frame's payload to the buffer, unmasked and checked as far as it has come.
+func (r *Reader) readPayload(h frameHeader) error {
+	maskOffset := 0
+	for left := h.length; left > 0; {
+		n := int(min(left, readStep))
+		start := len(r.buf)
+		r.buf = append(r.buf, make([]byte, n)...)
+		part := r.buf[start:]
+		if err := r.readFull(part); err != nil {
+			return err
+		}
+		if h.masked {
+			maskOffset = Mask(part, h.mask, maskOffset)
+		}
+		if r.opcode == Text && !r.validator.feed(part) {
+			return protocolErrorf(CodeInvalidData, "text that is not UTF-8")
+		}
+		left -= int64(n)
+	}
+	return nil
+}
+
+// readFull fills p. An end of the connection is io.ErrUnexpectedEOF.
+func (r *Reader) readFull(p []byte) error {
+	if _, err := io.ReadFull(r.in, p); err != nil {
+		if errors.Is(err, io.EOF) {
+			return io.ErrUnexpectedEOF
+		}
+		return err
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/websocket/reader_test.go
@@ -0,0 +1,178 @@
+package websocket
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"io"
+	"strings"
+	"testing"
+	"unicode/utf8"
+
+	"pgregory.net/rapid"
+)
+
+var key = [4]byte{1, 2, 3, 250}
+
+// reader reads data through a small buffer, so that frames are split over reads.
+func reader(data []byte, role Role) *Reader {
+	return NewReader(bufio.NewReaderSize(bytes.NewReader(data), 16), role, 1<<20)
+}
+
+// TestBreaches reads frames that RFC 6455 forbids. Each ends the connection with the close code for its reason.
+func TestBreaches(t *testing.T) {
+	masked := func(fin bool, opcode Opcode, payload string) []byte {
+		return AppendFrame(nil, fin, opcode, []byte(payload), &key)
+	}
+	splitCharacter := append(masked(false, Text, "\xe2\x82"), masked(true, Continuation, "x")...)
+	for name, c := range map[string]struct {
+		data []byte
+		code int
+	}{
+		"unmasked from a client":    {AppendFrame(nil, true, Text, []byte("x"), nil), CodeProtocol},
+		"reserved bit":              {[]byte{0xC1, 0x80, 0, 0, 0, 0}, CodeProtocol},
+		"unknown opcode":            {[]byte{0x83, 0x80, 0, 0, 0, 0}, CodeProtocol},
+		"unknown control opcode":    {[]byte{0x8B, 0x80, 0, 0, 0, 0}, CodeProtocol},
+		"fragmented ping":           {masked(false, Ping, "x"), CodeProtocol},
+		"long ping":                 {masked(true, Ping, strings.Repeat("x", 126)), CodeProtocol},
+		"16-bit length of 125":      {[]byte{0x81, 0xFE, 0, 125}, CodeProtocol},
+		"64-bit length of 65535":    {[]byte{0x81, 0xFF, 0, 0, 0, 0, 0, 0, 0xff, 0xff}, CodeProtocol},
+		"64-bit length, top bit":    {[]byte{0x81, 0xFF, 0x80, 0, 0, 0, 0, 1, 0, 0}, CodeProtocol},
+		"continuation of nothing":   {masked(true, Continuation, "x"), CodeProtocol},
+		"text inside text":          {append(masked(false, Text, "x"), masked(true, Text, "y")...), CodeProtocol},
+		"too big":                   {append([]byte{0x82, 0xFF, 0, 0, 0, 0, 0, 0x20, 0, 0}, key[:]...), CodeTooBig},
+		"invalid byte":              {masked(true, Text, "a\xff"), CodeInvalidData},
+		"invalid over a border":     {splitCharacter, CodeInvalidData},
+		"ends inside a character":   {masked(true, Text, "\xe2\x82"), CodeInvalidData},
+		"surrogate":                 {masked(true, Text, "\xed\xa0\x80"), CodeInvalidData},
+		"close with half a code":    {masked(true, Close, "x"), CodeProtocol},
+		"close with 1005":           {masked(true, Close, "\x03\xed"), CodeProtocol},
+		"close with 999":            {masked(true, Close, "\x03\xe7"), CodeProtocol},
+		"close reason not in UTF-8": {masked(true, Close, "\x03\xe8\xff"), CodeInvalidData},
+	} {
+		t.Run(name, func(t *testing.T) {
+			r := reader(c.data, Server)
+			_, err := r.Next()
+			for err == nil {
+				_, err = r.Next()
+			}
+			if CloseCode(err) != c.code {
+				t.Errorf("got %v, want close code %d", err, c.code)
+			}
+			if _, err := r.Next(); err != io.EOF {
+				t.Errorf("after an error Next returns %v, want io.EOF", err)
+			}
+		})
+	}
+}
+
+// TestCuts ends a stream at every byte: the reader returns complete messages or an unexpected end, never a part of a
+// message.
+func TestCuts(t *testing.T) {
+	data := AppendFrame(nil, false, Text, []byte("héllo "), &key)
+	data = AppendFrame(data, true, Ping, []byte("p"), &key)
+	data = AppendFrame(data, true, Continuation, []byte("wörld"), &key)
+	for n := range data {
+		r := reader(data[:n], Server)
+		for {
+			m, err := r.Next()
+			if err != nil {
+				if n > 0 && !errors.Is(err, io.ErrUnexpectedEOF) {
+					t.Fatalf("cut at %d: %v, want an unexpected end", n, err)
+				}
+				break
+			}
+			if m.Opcode == Text {
+				t.Fatalf("cut at %d: message %q", n, m.Data)
+			}
+		}
+	}
+}
+
+// TestAnySplit splits messages into random frames, with pings between them, and into random reads: the same messages
+// are returned.
+func TestAnySplit(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		messages := rapid.SliceOfN(rapid.String(), 1, 5).Draw(t, "messages")
+		role := rapid.SampledFrom([]Role{Server, Client}).Draw(t, "role")
+		var mask *[4]byte
+		if role == Server {
+			mask = &key
+		}
+		var data []byte
+		pings := 0
+		for _, m := range messages {
+			rest, opcode := []byte(m), Text
+			for {
+				n := rapid.IntRange(0, len(rest)).Draw(t, "fragment")
+				last := n == len(rest)
+				data = AppendFrame(data, last, opcode, rest[:n], mask)
+				rest, opcode = rest[n:], Continuation
+				if last {
+					break
+				}
+				if rapid.Bool().Draw(t, "ping") {
+					data = AppendFrame(data, true, Ping, []byte("?"), mask)
+					pings++
+				}
+			}
+		}
+		in := &chunks{data, rapid.IntRange(1, 40).Draw(t, "read")}
+		r := NewReader(bufio.NewReaderSize(in, 16), role, 1<<20)
+		var got []string
+		for {
+			m, err := r.Next()
+			if err == io.EOF {
+				break
+			}
+			if err != nil {
+				t.Fatal(err)
+			}
+			if m.Opcode == Ping {
+				pings--
+			} else {
+				got = append(got, string(m.Data))
+			}
+		}
+		if pings != 0 || strings.Join(got, "\x00") != strings.Join(messages, "\x00") {
+			t.Fatalf("got %q, want %q; %d pings are missing", got, messages, pings)
+		}
+	})
+}
+
+// chunks returns at most maxRead bytes a read.
+type chunks struct {
+	data    []byte
+	maxRead int
+}
+
+func (c *chunks) Read(p []byte) (int, error) {
+	if len(c.data) == 0 {
+		return 0, io.EOF
+	}
+	n := copy(p[:min(len(p), c.maxRead)], c.data)
+	c.data = c.data[n:]
+	return n, nil
+}
+
+// FuzzReader: whatever comes, a message is within the limit and text is UTF-8.
+func FuzzReader(f *testing.F) {
+	f.Add(AppendFrame(nil, true, Text, []byte("x"), &key), true)
+	f.Add([]byte{0x82, 0xFF, 0, 0, 0, 0, 0, 0x20, 0, 0}, false)
+	f.Fuzz(func(t *testing.T, data []byte, server bool) {
+		role := Client
+		if server {
+			role = Server
+		}
+		r := NewReader(bufio.NewReader(bytes.NewReader(data)), role, 1000)
+		for {
+			m, err := r.Next()
+			if err != nil {
+				return
+			}
+			if len(m.Data) > 1000 || m.Opcode == Text && !utf8.Valid(m.Data) {
+				t.Fatalf("message %q", m.Data)
+			}
+		}
+	})
+}
--- /dev/null
+++ b/internal/websocket/request.go
@@ -0,0 +1,77 @@
+package websocket
+
+import (
+	"bufio"
+	"bytes"
+	"crypto/rand"
+	"encoding/base64"
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+)
+
+// Request is the client's side of one handshake. It is not reusable while a handshake is in progress.
+type Request struct {
+	Host, Path string
+	Protocol   string            // subprotocol; empty: none
+	Header     map[string]string // further header fields
+	key        string            // of the last call of Bytes
+}
+
+// Bytes returns the opening handshake. Each call makes a new key.
+func (r *Request) Bytes() []byte {
+	var raw [16]byte
+	rand.Read(raw[:]) // never fails, see crypto/rand
+	r.key = base64.StdEncoding.EncodeToString(raw[:])
+	var b bytes.Buffer
+	fmt.Fprintf(&b, "GET %s HTTP/1.1\r\nHost: %s\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n"+
+		"Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: %s\r\n", r.Path, r.Host, r.key)
+	if r.Protocol != "" {
+		fmt.Fprintf(&b, "Sec-WebSocket-Protocol: %s\r\n", r.Protocol)
+	}
+	for name, value := range r.Header {
+		fmt.Fprintf(&b, "%s: %s\r\n", name, value)
+	}
+	b.WriteString("\r\n")
+	return b.Bytes()
+}
+
+// ReadResponse reads the server's response and checks it (RFC 6455 section 4.1). The error is a *HandshakeError if the
+// server rejected the handshake.
+func (r *Request) ReadResponse(in *bufio.Reader) error {
+	line, err := readLine(in, maxLine)
+	if err != nil {
+		return err
+	}
+	version, rest, _ := strings.Cut(line, " ")
+	code, reason, _ := strings.Cut(rest, " ")
+	status, err := strconv.Atoi(code)
+	if err != nil || version != "HTTP/1.1" {
+		return fmt.Errorf("websocket: status line %q is malformed", truncate(line))
+	}
+	header, err := readHeaderFields(in)
+	if err != nil {
+		return fmt.Errorf("websocket: response to the handshake: %w", err)
+	}
+	if status != 101 {
+		return handshakeErrorf(status, "%s", reason)
+	}
+	return r.validateResponse(header)
+}
+
+// validateResponse checks the header of a response with status 101.
+func (r *Request) validateResponse(header Header) error {
+	switch {
+	case !header.Has("upgrade", "websocket") || !header.Has("connection", "upgrade"):
+		return errors.New("websocket: response 101 does not upgrade to websocket")
+	case header["sec-websocket-accept"] != acceptKey(r.key):
+		return fmt.Errorf("websocket: Sec-WebSocket-Accept is %q, want %q",
+			truncate(header["sec-websocket-accept"]), acceptKey(r.key))
+	case header["sec-websocket-extensions"] != "":
+		return fmt.Errorf("websocket: extension %q was not requested", truncate(header["sec-websocket-extensions"]))
+	case header["sec-websocket-protocol"] != r.Protocol:
+		return fmt.Errorf("websocket: subprotocol %q, want %q", truncate(header["sec-websocket-protocol"]), r.Protocol)
+	}
+	return nil
+}
