--- a/internal/jsonrpc/jsonrpc_test.go
+++ b/internal/jsonrpc/message_test.go
@@ -5,12 +5,13 @@
 	"testing"
 )
 
+// TestParse parses single messages, valid and invalid. An invalid one keeps its id for the response if it can be read.
 func TestParse(t *testing.T) {
 	for in, want := range map[string]struct {
-		id     ID
-		method string
-		bad    bool
-		quiet  bool
+		id           ID
+		method       string
+		invalid      bool
+		notification bool
 	}{
 		`{"jsonrpc":"2.0","method":"m","id":1}`:                     {"1", "m", false, false},
 		`{"jsonrpc":"2.0","method":"m","id":"\u0061"}`:              {`"a"`, "m", false, false},
@@ -31,32 +32,42 @@
 		`{"jsonrpc":"2.0","id":7,"result":null,"error":{"code":1}}`: {"7", "", false, false},
 		`1`: {"null", "", true, false},
 	} {
-		items, batch, err := Parse([]byte(in), 10)
-		if err != nil || batch || len(items) != 1 {
-			t.Fatalf("%s: %v, %v", in, items, err)
+		messages, batch, err := Parse([]byte(in), 10)
+		if err != nil || batch || len(messages) != 1 {
+			t.Fatalf("%s: %v, %v", in, messages, err)
 		}
-		it := items[0]
-		if it.ID != want.id || it.Method != want.method || it.Invalid != want.bad || it.IsNotification() != want.quiet {
-			t.Errorf("%s: %+v, want %+v", in, it, want)
+		m := messages[0]
+		if m.ID != want.id || m.Method != want.method || m.Invalid != want.invalid ||
+			m.IsNotification() != want.notification {
+			t.Errorf("%s: %+v, want %+v", in, m, want)
 		}
 	}
 }
 
 // TestBatches follows the examples of the specification's section 7.
 func TestBatches(t *testing.T) {
-	for in, code := range map[string]int{`{"jsonrpc": "2.0", "method": "foobar, "params": "bar", "baz]`: CodeParse, `[`: CodeParse, ``: CodeParse,
-		`[]`: CodeInvalidRequest, `[1,2,3,4]`: CodeInvalidRequest} {
+	for in, code := range map[string]int{
+		`{"jsonrpc": "2.0", "method": "foobar, "params": "bar", "baz]`: CodeParse,
+		`[`:         CodeParse,
+		``:          CodeParse,
+		`[]`:        CodeInvalidRequest,
+		`[1,2,3,4]`: CodeInvalidRequest,
+	} {
 		if _, _, err := Parse([]byte(in), 3); err == nil || err.Code != code {
 			t.Errorf("%s: %v, want code %d", in, err, code)
 		}
 	}
-	items, batch, err := Parse([]byte(` [1, {"jsonrpc":"2.0","method":"m"}, {"jsonrpc":"2.0","method":"n","id":"x"}]`), 3)
-	if err != nil || !batch || len(items) != 3 || !items[0].Invalid || !items[1].IsNotification() || items[2].ID != `"x"` {
-		t.Errorf("%+v %v %v", items, batch, err)
+	const in = ` [1, {"jsonrpc":"2.0","method":"m"}, {"jsonrpc":"2.0","method":"n","id":"x"}]`
+	messages, batch, err := Parse([]byte(in), 3)
+	if err != nil || !batch || len(messages) != 3 {
+		t.Fatalf("%+v %v %v", messages, batch, err)
+	}
+	if !messages[0].Invalid || !messages[1].IsNotification() || messages[2].ID != `"x"` {
+		t.Errorf("%+v", messages)
 	}
 }
 
-// FuzzMembers compares with encoding/json.
+// FuzzMembers: the members of an object are those that encoding/json decodes.
 func FuzzMembers(f *testing.F) {
 	f.Add([]byte(` { "a" : [1,{"b":"]}"}] , "\\u0063\\"":-1.5e3,"d":null,"a":"\\\\" } `))
 	f.Fuzz(func(t *testing.T, in []byte) {
@@ -65,7 +76,10 @@
 			return
 		}
 		got := map[string]json.RawMessage{}
-		ForEachMember(in, func(name string, v json.RawMessage) error { got[name] = v; return nil })
+		ForEachMember(in, func(name string, value json.RawMessage) error {
+			got[name] = value
+			return nil
+		})
 		if len(got) != len(want) {
 			t.Fatalf("%q has members %q, want %q", in, got, want)
 		}
@@ -77,20 +91,20 @@
 	})
 }
 
+// FuzzParse: whatever is parsed can be answered, in JSON and with the same id.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`[{"jsonrpc":"2.0","method":"m","id":1,"params":{}}]`))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		items, _, err := Parse(in, 5)
-		if err == nil && len(items) == 0 || len(items) > 5 {
-			t.Fatalf("%d items, %v", len(items), err)
+		messages, _, err := Parse(in, 5)
+		if err == nil && len(messages) == 0 || len(messages) > 5 {
+			t.Fatalf("%d messages, %v", len(messages), err)
 		}
-		for _, it := range items {
-			if it.ID == "" {
+		for _, m := range messages {
+			if m.ID == "" {
 				continue
 			}
-			// What is answered must be JSON with the same id, whatever came.
-			out := AppendError(nil, it.ID, &Error{Code: 1, Message: "\x00\"<"})
-			if back, _, err := Parse(out, 1); err != nil || !json.Valid(out) || back[0].ID != it.ID {
+			out := AppendError(nil, m.ID, &Error{Code: 1, Message: "\x00\"<"})
+			if back, _, err := Parse(out, 1); err != nil || !json.Valid(out) || back[0].ID != m.ID {
 				t.Fatalf("%q is answered as %q", in, out)
 			}
 		}
--- /dev/null
+++ b/internal/jsonrpc/parse.go
@@ -0,0 +1,138 @@
+package jsonrpc
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"unicode/utf8"
+)
+
+// Parse reads a message or a batch of at most maxBatch messages; batch tells which. The error is set if nothing of the
+// input can be used: the response is then this error with NullID (specification section 6). Params and results of a
+// single message are parts of data.
+func Parse(data []byte, maxBatch int) (messages []Message, batch bool, err *Error) {
+	data = bytes.TrimLeft(data, whitespace)
+	if len(data) == 0 || data[0] != '[' {
+		if !json.Valid(data) {
+			return nil, false, &Error{Code: CodeParse, Message: "parse error"}
+		}
+		return []Message{parseMessage(data)}, false, nil
+	}
+	var raws []json.RawMessage
+	if json.Unmarshal(data, &raws) != nil {
+		return nil, false, &Error{Code: CodeParse, Message: "parse error"}
+	}
+	if len(raws) == 0 {
+		return nil, false, &Error{Code: CodeInvalidRequest, Message: "a batch of nothing"}
+	}
+	if len(raws) > maxBatch {
+		return nil, false, &Error{Code: CodeInvalidRequest,
+			Message: fmt.Sprintf("a batch of %d calls, %d at most", len(raws), maxBatch)}
+	}
+	for _, raw := range raws {
+		messages = append(messages, parseMessage(raw))
+	}
+	return messages, true, nil
+}
+
+// envelope holds the members of a message that have a meaning; the others are ignored.
+type envelope struct {
+	version, method, params, id, result, err json.RawMessage
+}
+
+func (e *envelope) set(name string, value json.RawMessage) error {
+	switch name {
+	case "jsonrpc":
+		e.version = value
+	case "method":
+		e.method = value
+	case "params":
+		e.params = value
+	case "id":
+		e.id = value
+	case "result":
+		e.result = value
+	case "error":
+		e.err = value
+	}
+	return nil
+}
+
+// parseMessage reads one message, which must be valid JSON.
+func parseMessage(raw []byte) Message {
+	trimmed := bytes.TrimLeft(raw, whitespace)
+	if len(trimmed) == 0 || trimmed[0] != '{' {
+		return invalidMessage(NullID, "not an object")
+	}
+	var e envelope
+	ForEachMember(raw, e.set) // set returns no error
+	id, ok := parseID(e.id)
+	if !ok {
+		return invalidMessage(NullID, "id is neither a string, a number nor null")
+	}
+	if version, ok := DecodeString(e.version); !ok || version != "2.0" {
+		return invalidMessage(id, `member "jsonrpc" is not "2.0"`)
+	}
+	if e.method == nil {
+		return parseResponse(id, e)
+	}
+	method, ok := DecodeString(e.method)
+	if !ok || method == "" {
+		return invalidMessage(id, "method is not a string with something in it")
+	}
+	if len(e.params) > 0 && e.params[0] != '{' && e.params[0] != '[' {
+		return invalidMessage(id, "params is neither an object nor an array")
+	}
+	return Message{ID: id, Method: method, Params: e.params}
+}
+
+// parseResponse reads a response: it has an id, and either a result or an error. A null result beside an error counts
+// as none.
+func parseResponse(id ID, e envelope) Message {
+	var responseErr *Error
+	if e.err != nil && string(e.err) != "null" {
+		responseErr = new(Error)
+		if json.Unmarshal(e.err, responseErr) != nil {
+			return invalidMessage(id, "error is not an error object")
+		}
+		if string(e.result) == "null" {
+			e.result = nil
+		}
+	}
+	hasResult, hasError := e.result != nil, responseErr != nil
+	if hasResult == hasError || id == "" {
+		return invalidMessage(id, "neither a call nor an answer")
+	}
+	return Message{ID: id, Result: e.result, Err: responseErr}
+}
+
+// invalidMessage returns a message that can't be used, to be answered with NullID if it has no id.
+func invalidMessage(id ID, reason string) Message {
+	if id == "" {
+		id = NullID
+	}
+	return Message{ID: id, Invalid: true, Err: &Error{Code: CodeInvalidRequest, Message: reason}}
+}
+
+// parseID returns an id in one form, so that two spellings of a string are the same id. Without an id it returns an
+// empty one.
+func parseID(raw json.RawMessage) (ID, bool) {
+	if len(raw) == 0 {
+		return "", true
+	}
+	switch c := raw[0]; {
+	case c == '"':
+		if bytes.IndexByte(raw, '\\') < 0 && utf8.Valid(raw) {
+			return ID(raw), true
+		}
+		s, ok := DecodeString(raw)
+		if !ok {
+			return "", false
+		}
+		canonical, _ := json.Marshal(s) // a string can be marshalled
+		return ID(canonical), true
+	case c == '-' || c >= '0' && c <= '9', string(raw) == "null":
+		return ID(raw), true
+	}
+	return "", false
+}
