--- a/internal/testbed/await/await.go
+++ b/internal/testbed/await/await.go
@@ -6,13 +6,19 @@
 	"time"
 )
 
-// Until returns once f holds, and fails the test if it does not within half a minute.
-func Until(t testing.TB, what string, f func() bool) {
+const (
+	timeout  = 30 * time.Second
+	interval = 2 * time.Millisecond // between two evaluations of a condition
+)
+
+// Until returns once the condition holds, and fails the test if it does not within the timeout. name is the condition
+// in words.
+func Until(t testing.TB, name string, condition func() bool) {
 	t.Helper()
-	for until := time.Now().Add(30 * time.Second); time.Now().Before(until); time.Sleep(2 * time.Millisecond) {
-		if f() {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(interval) {
+		if condition() {
 			return
 		}
 	}
-	t.Fatal("never: " + what)
+	t.Fatal("never: " + name)
 }
--- /dev/null
+++ b/internal/testbed/metricsreceiver/write.go
@@ -0,0 +1,142 @@
+package metricsreceiver
+
+import (
+	"errors"
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/golang/snappy"
+
+	"winghatch/internal/remotewrite"
+)
+
+// maxBodyBytes bounds a batch, compressed.
+const maxBodyBytes = 64 << 20
+
+// handleWrite takes a batch as the specification asks, unless a fault says otherwise.
+func (r *Receiver) handleWrite(w http.ResponseWriter, req *http.Request) {
+	r.mu.Lock()
+	fault := r.fault
+	r.mu.Unlock()
+	time.Sleep(fault.Delay)
+	if fault.RespondEarly {
+		respondEarly(w)
+		return
+	}
+	raw, err := io.ReadAll(io.LimitReader(req.Body, maxBodyBytes))
+	if err != nil {
+		return
+	}
+	if fault.Status != 0 {
+		if fault.RetryAfter != "" {
+			w.Header().Set("Retry-After", fault.RetryAfter)
+		}
+		http.Error(w, "trouble", fault.Status)
+		return
+	}
+	v2 := strings.Contains(req.Header.Get("Content-Type"), "io.prometheus.write.v2")
+	if fault.MisreadsV2 && v2 {
+		return
+	}
+	if err := checkHeader(req, v2, fault); err != nil {
+		http.Error(w, err.Error(), http.StatusUnsupportedMediaType)
+		return
+	}
+	samples, err := decodeBatch(raw, v2)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
+	if fault.MaxSamples > 0 && len(samples) > fault.MaxSamples {
+		http.Error(w, "too large", http.StatusRequestEntityTooLarge)
+		return
+	}
+	names, err := seriesNames(samples, fault)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return
+	}
+	r.store(samples, names, req.Header.Get(versionHeader), len(raw))
+	if fault.DropConnection {
+		panic(http.ErrAbortHandler) // closes the connection without an answer
+	}
+	if v2 {
+		reportWritten(w, samples)
+	}
+	w.WriteHeader(http.StatusNoContent)
+}
+
+const versionHeader = "X-Prometheus-Remote-Write-Version"
+
+// respondEarly answers before the request's body is read.
+func respondEarly(w http.ResponseWriter) {
+	nc, _, err := w.(http.Hijacker).Hijack()
+	if err != nil {
+		return
+	}
+	defer nc.Close()
+	io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
+}
+
+func checkHeader(req *http.Request, v2 bool, fault Fault) error {
+	if fault.OnlyV1 && v2 {
+		return errors.New("want prometheus.WriteRequest")
+	}
+	version2 := req.Header.Get(versionHeader) == "2.0.0"
+	if req.Header.Get("Content-Encoding") != "snappy" || v2 != version2 {
+		return errors.New("headers: want snappy, and a version that is the content's")
+	}
+	return nil
+}
+
+func decodeBatch(raw []byte, v2 bool) ([]remotewrite.Sample, error) {
+	body, err := snappy.Decode(nil, raw)
+	if err != nil {
+		return nil, err
+	}
+	if v2 {
+		return remotewrite.DecodeV2(body)
+	}
+	return remotewrite.DecodeV1(body)
+}
+
+// seriesNames returns the name of each sample's series, or an error if the fault rejects one of them.
+func seriesNames(samples []remotewrite.Sample, fault Fault) (names []string, err error) {
+	for _, s := range samples {
+		name := seriesName(s.Series)
+		if fault.Reject != "" && strings.Contains(name, fault.Reject) {
+			return nil, errors.New(name + ": not taken")
+		}
+		names = append(names, name)
+	}
+	return names, nil
+}
+
+func (r *Receiver) store(samples []remotewrite.Sample, names []string, version string, size int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for i, s := range samples {
+		r.add(names[i], s)
+	}
+	r.Batches[version]++
+	r.Bytes += size
+	r.Samples += len(samples)
+}
+
+// reportWritten sets the header fields by which a 2.0 sender sees that its batch was understood.
+func reportWritten(w http.ResponseWriter, samples []remotewrite.Sample) {
+	floats, histograms := 0, 0
+	for _, s := range samples {
+		if s.Histogram != nil {
+			histograms++
+		} else {
+			floats++
+		}
+	}
+	w.Header().Set("X-Prometheus-Remote-Write-Samples-Written", strconv.Itoa(floats))
+	w.Header().Set("X-Prometheus-Remote-Write-Histograms-Written", strconv.Itoa(histograms))
+	w.Header().Set("X-Prometheus-Remote-Write-Exemplars-Written", "0")
+}
--- a/internal/testbed/ports/ports.go
+++ b/internal/testbed/ports/ports.go
@@ -1,4 +1,4 @@
-// Package ports finds loopback ports that nobody takes before they are bound.
+// Package ports finds loopback ports that nobody else takes before they are bound, or while they are not.
 package ports
 
 import (
@@ -9,31 +9,37 @@
 	"time"
 )
 
-// lowest and highest port that are taken for what must be bound later, or come back at the same address: below the range
-// that the kernel gives to outgoing connections, so that nobody takes it meanwhile.
+// The range of ports. It lies below the range from which the kernel takes the ports of outgoing connections, so that
+// none of them takes a port meanwhile.
 const (
 	lowestPort  = 12000
 	highestPort = 32000
 )
 
-// Reserved holds ports against others on this machine, also other processes: a port is taken by whoever binds it at
-// lockHost, a loopback address that nothing else uses, until Release. Without that two days, or tests, may find the same
-// port free before either binds it.
-type Reservation struct{ locks []net.Listener }
+const (
+	// lockHost is a loopback address that nothing else uses. Whoever listens on a port there holds the port for itself
+	// on 127.0.0.1: other tests and processes that use this package leave it alone, even while nobody listens on it.
+	lockHost = "127.77.0.1"
 
-const lockHost = "127.77.0.1"
+	maxTries     = 1000
+	probeTimeout = time.Second
+)
+
+// Reservation holds ports until Release. The zero value holds none. It is not safe for concurrent use.
+type Reservation struct{ locks []net.Listener }
 
-// Addr finds a port at which nobody listens. It is asked for by a connection and not by binding it: a socket just
-// closed may hold its port for a moment longer.
+// Addr reserves a port on which nobody listens and returns its address, host:port. Whether somebody listens is found
+// out by a connection rather than by listening: a listener that was just closed may hold its port for a moment
+// longer.
 func (r *Reservation) Addr() (string, error) {
-	for range 1000 {
-		p := lowestPort + rand.IntN(highestPort-lowestPort)
-		lock, err := net.Listen("tcp", fmt.Sprintf("%s:%d", lockHost, p))
+	for range maxTries {
+		port := lowestPort + rand.IntN(highestPort-lowestPort)
+		lock, err := net.Listen("tcp", fmt.Sprintf("%s:%d", lockHost, port))
 		if err != nil {
 			continue
 		}
-		addr := fmt.Sprintf("127.0.0.1:%d", p)
-		if nc, err := net.DialTimeout("tcp", addr, time.Second); err == nil {
+		addr := fmt.Sprintf("127.0.0.1:%d", port)
+		if nc, err := net.DialTimeout("tcp", addr, probeTimeout); err == nil {
 			nc.Close()
 			lock.Close()
 			continue
@@ -44,9 +50,9 @@
 	return "", errors.New("ports: none is free")
 }
 
-// Release lets all ports go.
+// Release releases all ports.
 func (r *Reservation) Release() {
-	for _, l := range r.locks {
-		l.Close()
+	for _, lock := range r.locks {
+		lock.Close()
 	}
 }
--- /dev/null
+++ b/internal/testbed/usagereceiver/store.go
@@ -0,0 +1,113 @@
+package usagereceiver
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"errors"
+	"io"
+	"net/http"
+	"os"
+	"strings"
+)
+
+// eventKey identifies an event (CloudEvents 1.0, section "source" and "id").
+type eventKey struct{ source, id string }
+
+func (e Event) key() eventKey { return eventKey{e.Source, e.ID} }
+
+// store keeps events once, in memory and in a file with one line of JSON each. It is not safe for concurrent use.
+type store struct {
+	file   *os.File
+	seen   map[eventKey]bool
+	events []Event
+	failed error // of the file; nothing is added after it
+}
+
+// openStore loads a file. A line that a crash has truncated is dropped: its batch was not acknowledged.
+func openStore(name string) (s *store, duplicates int, err error) {
+	file, err := os.OpenFile(name, os.O_CREATE|os.O_RDWR, 0o600)
+	if err != nil {
+		return nil, 0, err
+	}
+	s = &store{file: file, seen: map[eventKey]bool{}}
+	in := bufio.NewReader(file)
+	intact := int64(0)
+	for {
+		line, err := in.ReadBytes('\n')
+		var e Event
+		if err != nil || json.Unmarshal(line, &e) != nil {
+			break
+		}
+		intact += int64(len(line))
+		if s.seen[e.key()] {
+			duplicates++
+			continue
+		}
+		s.remember(e)
+	}
+	if err := file.Truncate(intact); err != nil {
+		return nil, 0, err
+	}
+	if _, err := file.Seek(intact, io.SeekStart); err != nil {
+		return nil, 0, err
+	}
+	return s, duplicates, nil
+}
+
+// add writes and syncs the events that are new, and remembers them after that: a batch is acknowledged only once all of
+// it is durable.
+func (s *store) add(events []Event) (duplicates int, err error) {
+	if s.failed != nil {
+		return 0, s.failed
+	}
+	var lines bytes.Buffer
+	var added []Event
+	inBatch := map[eventKey]bool{}
+	for _, e := range events {
+		if s.seen[e.key()] || inBatch[e.key()] {
+			duplicates++
+			continue
+		}
+		inBatch[e.key()] = true
+		raw, _ := json.Marshal(e) // it was unmarshalled from JSON
+		lines.Write(append(raw, '\n'))
+		added = append(added, e)
+	}
+	if s.failed = s.write(lines.Bytes()); s.failed != nil {
+		return duplicates, s.failed
+	}
+	for _, e := range added {
+		s.remember(e)
+	}
+	return duplicates, nil
+}
+
+func (s *store) write(data []byte) error {
+	if _, err := s.file.Write(data); err != nil {
+		return err
+	}
+	return s.file.Sync()
+}
+
+func (s *store) remember(e Event) {
+	s.seen[e.key()] = true
+	s.events = append(s.events, e)
+}
+
+// parseBatch decodes a batch and checks that each event has the required attributes.
+func parseBatch(req *http.Request, body []byte) ([]Event, error) {
+	if !strings.HasPrefix(req.Header.Get("Content-Type"), "application/cloudevents-batch+json") {
+		return nil, errors.New("Content-Type: want application/cloudevents-batch+json")
+	}
+	var events []Event
+	if err := json.Unmarshal(body, &events); err != nil {
+		return nil, err
+	}
+	for _, e := range events {
+		if e.Version != "1.0" || e.ID == "" || e.Source == "" || e.Type == "" {
+			return nil, errors.New("an event lacks specversion 1.0, id, source or type")
+		}
+	}
+	return events, nil
+}
