--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -256,7 +256,7 @@
 			time.Sleep(time.Second)
 			st := s.Stats()
 			fmt.Printf("asked %d  served %d  refused %d %v  failed %d  lost %d  unreachable %d  p50 %dus  p99 %dus\n", st.Requests, st.Served,
-				st.Refused, st.Reasons, st.Failed, st.Lost, st.Unreachable, st.Latency.ValueAtQuantile(50), st.Latency.ValueAtQuantile(99))
+				st.Rejected, st.Reasons, st.Failed, st.Lost, st.Unreachable, st.Latency.ValueAtQuantile(50), st.Latency.ValueAtQuantile(99))
 		}
 	}()
 	s.Run(ctx)
--- a/cmd/winghatch/day.go
+++ b/cmd/winghatch/day.go
@@ -58,7 +58,7 @@
 		at := func(q float64) time.Duration {
 			return (time.Duration(st.Latency.ValueAtQuantile(q)) * time.Microsecond).Round(time.Millisecond)
 		}
-		fmt.Printf("| %s | %d | %s | %s | %s | %s | %s | %d | %v | %v | %d of 5 |\n", name, st.Requests, part(st.WithinObjective), part(st.Refused),
+		fmt.Printf("| %s | %d | %s | %s | %s | %s | %s | %d | %v | %v | %d of 5 |\n", name, st.Requests, part(st.WithinObjective), part(st.Rejected),
 			part(st.Failed), part(st.Lost), part(st.Unreachable), res.Attempts, at(50), at(99), res.Verdict.RulesKept())
 		if res.Verdict.RulesKept() < 5 {
 			fmt.Fprint(os.Stderr, res.Verdict)
@@ -174,7 +174,7 @@
 	row("orders asked", st.Requests)
 	row("served", st.Served)
 	row("served within the aim", st.WithinObjective)
-	row("refused at last", st.Refused)
+	row("refused at last", st.Rejected)
 	var reasons []string
 	for r := range st.Reasons {
 		reasons = append(reasons, r)
