--- a/internal/wsconn/conn_test.go
+++ b/internal/wsconn/conn_test.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestRefusedMessages sends messages that the server must not accept. The server ends the connection with the close code
-// for the reason, and the client reads it.
+// TestRefusedMessages sends messages that the server must not accept. The server ends the connection with the close
+// code for the reason, and the client reads it.
 func TestRefusedMessages(t *testing.T) {
 	for code, raw := range map[int][]byte{
 		websocket.CodeUnsupported: websocket.AppendFrame(nil, true, websocket.Binary, []byte("x"), &[4]byte{1}),
