--- a/decide/config.go
+++ b/decide/config.go
@@ -88,10 +88,10 @@
 	CrossZone, Waste, HealthCheck, Gossip, LateFailure, Counter float64
 }
 
-// Config is what a gateway knows when it starts. Some settings are for the caller, or kept for recordings, and
-// no decision reads them: Counter, CounterTimeout, Prices, ReportsOnProbe, Subscribe, the HealthChecks and
-// ConnectTimeout of Limits, the AnswerSlack, DrainGrace and ListMaxAge of Safety, the OverQuotaValue and
-// OverQuotaCost of a Plan.
+// Config is what a gateway knows when it starts. Some settings are for the caller, or kept for
+// recordings, and no decision reads them: Counter, CounterTimeout, Prices, ReportsOnProbe, Subscribe, the
+// HealthChecks and ConnectTimeout of Limits, the AnswerSlack, DrainGrace and ListMaxAge of Safety, the
+// OverQuotaValue and OverQuotaCost of a Plan.
 type Config struct {
 	Rank, Gateways    int // number of this gateway, from 0, and how many there are
 	Zone              string
--- a/decide/events.go
+++ b/decide/events.go
@@ -20,8 +20,8 @@
 		Deadline                   time.Duration // when the client gives up
 		FirstGateway, GatewayCount int           // the customer's gateways: rank of the first, and how many
 		IsRetry                    bool          // the client had sent it before
-		Mutates                    bool // it changes data; no decision uses this
-		Reserved                   bool // its units were reserved elsewhere: it passes the quota uncharged
+		Mutates                    bool          // no decision uses it
+		Reserved                   bool          // its units were reserved elsewhere: it passes uncharged
 	}
 
 	// PlanChange puts a customer on a plan from now on, whatever plan its requests name. Plan.Name must be
