--- a/decide/admission.go
+++ b/decide/admission.go
@@ -21,8 +21,8 @@
 	// minReportedInFlightPerServer is minInFlightPerServer for the load that gateways report.
 	minReportedInFlightPerServer = 6.0
 
-	// The gain in the mean load of a gateway: of one that reports its load, and of the own at each
-	// heartbeat. The own takes the place of the others' within seconds where none report.
+	// Gains in the mean load: of a gateway that reports its load, and of this gateway at each heartbeat.
+	// Where none reports, the mean becomes this gateway's own load within seconds.
 	reportedLoadGain = 0.1
 	ownLoadGain      = 0.03
 
@@ -46,7 +46,7 @@
 	timeLeftNoise = 20 * time.Millisecond
 )
 
-// fleetLoad is the load of the usual gateway, as a mean of what gateways report and of the own.
+// fleetLoad is the mean load of a gateway, from what others report and from this one.
 type fleetLoad struct {
 	inFlight     float64 // attempts in flight, and orphans
 	responseRate float64 // successful responses a second
@@ -54,13 +54,13 @@
 	valueDensity float64 // usual value of a request for a second of a server's work
 }
 
-// update takes a gateway's load, reported or own, into the mean.
+// update adds a gateway's load to the mean.
 func (l *fleetLoad) update(inFlight, responseRate, gain float64) {
 	l.inFlight += gain * (inFlight - l.inFlight)
 	l.responseRate += gain * (responseRate - l.responseRate)
 }
 
-// receiveRequest takes a request. It is decided on at once, or once an owner has replied.
+// receiveRequest handles a new request. It is decided at once, or when an owner replies.
 func (g *Gateway) receiveRequest(e Request) {
 	if g.requests[e.ID] != nil {
 		return
@@ -127,7 +127,7 @@
 // is rejected before it costs quota or servers.
 //
 // After a stall, requests of the whole stall are found at once; the time that each has left, compared
-// with the most that a first request had, tells its age. A retry belongs to its first request, and all of
+// with the most that a first request had, gives its age. A retry belongs to its first request, and all of
 // a client's retries end with the class's deadline: one that has less time left than a first request has
 // waited for the rest. This is wrong for clients that give their requests unequal times.
 func (g *Gateway) requestAge(k *class, e Request) time.Duration {
--- a/decide/attempt.go
+++ b/decide/attempt.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// responseStarted takes that a streamed response has begun.
+// responseStarted handles the start of a streamed response.
 func (g *Gateway) responseStarted(e ResponseStarted) {
 	if a := g.findAttempt(e.ID, e.Attempt); a != nil {
 		g.requests[e.ID].streaming = true
@@ -63,8 +63,8 @@
 	}
 }
 
-// attemptEnded takes the end of an attempt. A request that has no final answer by it is retried, or given
-// up once none of its attempts is in flight.
+// attemptEnded handles the end of an attempt. A request that has no final answer by it is retried, or
+// given up once none of its attempts is in flight.
 func (g *Gateway) attemptEnded(e AttemptEnded) {
 	r, a := g.requests[e.ID], g.findAttempt(e.ID, e.Attempt)
 	if a == nil || a.ended {
@@ -123,8 +123,8 @@
 	g.finish(r)
 }
 
-// finish takes that a request has its final answer, or needs none. What is still in flight is cancelled,
-// but for a streamed response.
+// finish ends a request that has its final answer, or needs none any more. What is still in flight is
+// cancelled, but for a streamed response.
 func (g *Gateway) finish(r *request) {
 	if r == nil {
 		return
--- a/decide/customers.go
+++ b/decide/customers.go
@@ -84,8 +84,8 @@
 	return c
 }
 
-// setGateways takes from a request through which gateways the customer's requests come. A set that is empty
-// or larger than the fleet is ignored.
+// setGateways sets through which gateways the customer's requests come, as a request says. A set that is
+// empty or larger than the fleet is ignored.
 func (c *customer) setGateways(first, count, fleet int) {
 	if count <= 0 || count > fleet || (c.gatewayCount == count && c.firstGateway == first) {
 		return
--- a/decide/demandshare.go
+++ b/decide/demandshare.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// fleetDemand adds the demand that peers report to the own, in units a second. All of the customer's gateways
-// have reported up to the time reportedUpTo.
+// fleetDemand is the demand of all the customer's gateways, in units a second: this one's, and what peers
+// report. All peers have reported up to the time reportedUpTo.
 func (g *Gateway) fleetDemand(c *customer, own, prior float64) (all float64, reportedUpTo time.Duration) {
 	all, reportedUpTo = own, g.now
 	for i := range g.gossip.peers {
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -7,10 +7,10 @@
 //
 // # Calls
 //
-// A Gateway belongs to one goroutine, usually an event loop. Handle, Status and CeilingShares must not run
-// at the same time. Handle does not block, and it may not be called from within the carrying out of its
-// own actions: what an action causes at once (a failed dial, a cancelled attempt) is an event of its own,
-// handled after the actions of the present one. The returned slice belongs to the caller.
+// A Gateway belongs to one goroutine, usually an event loop. Handle, Status and CeilingShares must not
+// run at the same time. Handle does not block, and must not be called while the caller is still carrying
+// out its actions: what an action causes at once (a failed dial, a cancelled attempt) is an event of its
+// own, handled after the actions of the present one. The returned slice belongs to the caller.
 //
 // # Time
 //
--- a/decide/endpoints.go
+++ b/decide/endpoints.go
@@ -89,7 +89,7 @@
 	return s
 }
 
-// updateEndpoints takes a change of the endpoint list. After a failed discovery the former list stays.
+// updateEndpoints applies a change of the endpoint list. After a failed discovery the former list stays.
 func (g *Gateway) updateEndpoints(e EndpointUpdate) {
 	if e.Kind == FailedUpdate {
 		return
@@ -115,7 +115,7 @@
 	t.updateTotals(g.now)
 }
 
-// updateEndpoint takes a server's entry in the list.
+// updateEndpoint applies a server's entry in the list.
 func (g *Gateway) updateEndpoint(s *endpoint, entry Server) {
 	slowStartUntil := entry.StartedAt + g.cfg.Safety.SlowStartDuration
 	switch {
@@ -130,7 +130,7 @@
 }
 
 // dropRemoved drops removed servers once nothing of this gateway runs there. Where servers are replaced
-// all day by ones of new names, all of them would else be kept and looked at.
+// all day by ones of new names, all of them would otherwise be kept and looked at.
 func (t *endpointTable) dropRemoved(now time.Duration) {
 	if !t.hasRemoved {
 		return
@@ -185,7 +185,7 @@
 	t.markActive(s)
 }
 
-// attemptEnded takes back what attemptSent counted.
+// attemptEnded undoes what attemptSent counted.
 func (t *endpointTable) attemptEnded(s *endpoint) {
 	s.inFlight--
 	t.totals.inFlight--
--- a/decide/gateway.go
+++ b/decide/gateway.go
@@ -99,8 +99,8 @@
 
 func (g *Gateway) emit(a Action) { g.actions = append(g.actions, a) }
 
-// timesObjective is so many times the shortest latency objective. Times that belong to a request are
-// given in it, as deployments differ in scale.
+// timesObjective returns a multiple of the shortest latency objective. Times that belong to a request are
+// given as such multiples, since deployments differ in scale.
 func (g *Gateway) timesObjective(n float64) time.Duration {
 	return time.Duration(n * g.classes.shortestObjective * float64(time.Second))
 }
--- a/decide/gossip.go
+++ b/decide/gossip.go
@@ -43,7 +43,7 @@
 
 // gossipState is what full gossip needs.
 type gossipState struct {
-	full  bool   // each gateway sends to each other; else customers have owners
+	full  bool   // all gateways exchange gossip; otherwise customers have owners
 	epoch int    // of this incarnation
 	peers []peer // by rank, with an unused one for this gateway; empty without full gossip or without gossip
 }
@@ -136,7 +136,7 @@
 	}
 }
 
-// receiveGossip takes a datagram of another gateway. What is malformed, late or of an unknown sender is
+// receiveGossip handles a datagram of another gateway. What is malformed, late or of an unknown sender is
 // dropped.
 func (g *Gateway) receiveGossip(e GossipReceived) {
 	if e.From < 0 || e.From >= g.cfg.Gateways || e.From == g.cfg.Rank {
@@ -174,8 +174,9 @@
 	}
 }
 
-// mergeTotals adds what a peer's totals have grown by. The first totals of an incarnation count whole if it
-// began after this gateway; else they include what was used before, and the reported level stands for that.
+// mergeTotals adds what a peer's totals have grown by. The first totals of an incarnation count in full
+// if it began after this gateway started. Otherwise they include what was used before, and the reported
+// level stands for that.
 func (g *Gateway) mergeTotals(from int, p *peer, e gossipEntry) {
 	if e.planNo >= len(g.cfg.Plans) {
 		return
--- a/decide/latency.go
+++ b/decide/latency.go
@@ -31,9 +31,9 @@
 	k.usualLatency += max(usualLatencyGain, 1/k.responses) * (seconds - k.usualLatency)
 }
 
-// usualLatency is a class's usual latency now, in seconds. A long one fades without new responses. Else,
-// after a slow spell, each request of the class would be rejected as having no time left, no response
-// would come, and the class would be turned away for good.
+// usualLatency is a class's usual latency now, in seconds. A long one fades without new responses.
+// Otherwise, after a slow spell, each request of the class would be rejected as having no time left, no
+// response would come, and the class would be turned away for good.
 func (g *Gateway) usualLatency(k *class) float64 {
 	initial := initialLatencyFraction * k.LatencyObjective.Seconds()
 	fade := math.Exp(-(g.now - k.lastResponse).Seconds() / g.evidenceMemory())
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	// slownessGain is the gain of a response in a server's slowness: a few tell.
+	// slownessGain is the gain of a response in a server's slowness: a few responses show it.
 	slownessGain = 0.2
 
 	// maxRelativeLatency bounds what one response may say of a server's slowness.
@@ -106,7 +106,7 @@
 	return min(1, g.endpoints.totals.serving/max(responses, 1))
 }
 
-// observe takes how a request of a class fared at a server, here or at another gateway: its latency over
+// observe learns from a request of a class at a server, sent here or by another gateway: its latency over
 // the class's usual one, and whether it failed. Failures are held against one class, as a server may have
 // lost what only that class needs. A class of which one server gets all costly requests makes that server
 // look slow.
@@ -124,7 +124,7 @@
 	}
 }
 
-// observeReported takes an observation of another gateway.
+// observeReported learns from an observation of another gateway.
 func (g *Gateway) observeReported(o observation) {
 	s := g.endpoints.byShortID[o.endpoint]
 	if s == nil || o.class >= len(g.cfg.Classes) {
@@ -133,8 +133,8 @@
 	g.observe(s, g.classes.byName[g.cfg.Classes[o.class].Name], o.relativeLatency, o.failed)
 }
 
-// observeOwn takes how an own request fared, and keeps it for grant messages. What is found at the end of a
-// stall says nothing of the server: it was late here.
+// observeOwn learns from a request of this gateway, and keeps the observation for grant messages. What is
+// found at the end of a stall says nothing of the server: it was late here.
 func (g *Gateway) observeOwn(s *endpoint, k *class, latency time.Duration, failed bool) {
 	if g.endsStall() {
 		return
@@ -147,7 +147,7 @@
 	}
 }
 
-// recordOutcome takes what the end of an attempt says of its server.
+// recordOutcome learns from the end of an attempt what it says of the server.
 func (g *Gateway) recordOutcome(r *request, a *attempt, e AttemptEnded) {
 	s := a.endpoint
 	switch e.Outcome {
--- a/decide/quota.go
+++ b/decide/quota.go
@@ -47,7 +47,7 @@
 }
 
 // ceilingSlice is the part of a customer's ceiling that one gateway keeps: an even one of all its
-// gateways, or of its owners. Unlike the share it does not follow demand, as a ceiling may not be
+// gateways, or of its owners. Unlike the share it does not follow demand, as a ceiling must not be
 // exceeded while gateways disagree.
 func (g *Gateway) ceilingSlice(c *customer) float64 {
 	if !g.gossip.full {
--- a/decide/quotaowner.go
+++ b/decide/quotaowner.go
@@ -39,9 +39,9 @@
 	// meanwhile is within the ceiling's slack.
 	ceilingGrantLifetime = 100 * time.Millisecond
 
-	// An owner that gets too many grant requests raises the wait of those it rejects, from minRejectWait by
-	// rejectWaitGrowth each up to maxRejectWait; else it lowers it by rejectWaitShrink each. The waits are
-	// seconds.
+	// An owner that gets too many grant requests raises the wait of those it rejects, from minRejectWait
+	// by rejectWaitGrowth each up to maxRejectWait; otherwise it lowers it by rejectWaitShrink each. The
+	// waits are seconds.
 	minRejectWait    = 0.1
 	maxRejectWait    = 30.0
 	rejectWaitGrowth = 1.15
@@ -123,9 +123,9 @@
 }
 
 // initialFleetLevel is the level that the bucket of a new customer is taken to have. A standby may know
-// nothing of what the owner granted, so its bucket starts full: it grants only what leaks. Else the
+// nothing of what the owner granted, so its bucket starts full: it grants only what leaks. Otherwise the
 // standby would hand out a second quota each time that the owner dies, stalls or is cut off, and
-// customers would be seen to get up to twice their quota.
+// customers would get up to twice their quota.
 func (g *Gateway) initialFleetLevel(c *customer) float64 {
 	if !g.gossip.full && g.owner(c.key, 0) != g.cfg.Rank {
 		return c.plan.Burst
@@ -170,9 +170,9 @@
 	g.setTimer(r.ID, grantTimer, min(r.usefulUntil, g.now+wait))
 }
 
-// grantTimedOut takes that an owner did not reply in time. If the timer itself is late this gateway
-// stalled, and the reply may be among the events that it finds now: it waits a little more, or a stall of
-// this gateway would make it take each owner for unresponsive.
+// grantTimedOut handles a reply that did not come in time. If the timer itself is late, this gateway
+// stalled and the reply may be among the events that it finds now: it waits a little more. Otherwise a
+// stall of this gateway would mark each owner as unresponsive.
 func (g *Gateway) grantTimedOut(r *request, dueAt time.Duration) {
 	if g.now-dueAt > grantTimeoutMargin && g.now < r.usefulUntil {
 		g.setTimer(r.ID, grantTimer, min(r.usefulUntil, g.now+grantTimeoutMargin))
@@ -249,8 +249,8 @@
 	}
 }
 
-// receiveGrantMessage takes a grant message of another gateway. What is malformed, of an unknown plan or
-// sent to the wrong owner is dropped.
+// receiveGrantMessage handles a grant message of another gateway. What is malformed, of an unknown plan
+// or sent to the wrong owner is dropped.
 func (g *Gateway) receiveGrantMessage(from int, text string) {
 	m, ok := parseGrantMessage(text)
 	if !ok || m.planNo >= len(g.cfg.Plans) {
@@ -277,7 +277,7 @@
 	}
 }
 
-// receiveGrantReply takes an owner's reply: it corrects share and level, and decides on the request.
+// receiveGrantReply handles an owner's reply: it corrects share and level, and decides on the request.
 func (g *Gateway) receiveGrantReply(from int, m *grantMessage, a grantAnswer) {
 	r := g.owners.pending[m.number]
 	if r == nil || r.customer.key != m.key {
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -26,7 +26,7 @@
 )
 
 // retryBudget bounds the further attempts, retries and hedged requests, to a part of the first ones:
-// servers that are slow or fail would else be sent several times the work. It holds attempts.
+// servers that are slow or fail would otherwise be sent several times the work. It holds attempts.
 type retryBudget struct{ tokens float64 }
 
 // earn counts a first attempt.
@@ -41,7 +41,7 @@
 // connections or behind a cut link.
 //
 // A gateway that meets a server rarely sees no response of it either way, so until a few should have come
-// only what is known of the server may speak against it. Else all gateways would cancel what merely
+// only what is known of the server may speak against it. Otherwise all gateways would cancel what merely
 // waits; servers would work on it all the same, and the fleet would jam by its own further attempts. The
 // price is that a server which has just gone silent is noticed late by those who meet it rarely.
 func (g *Gateway) attemptOverdue(r *request, a *attempt) {
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -71,8 +71,8 @@
 
 // endpointCost is the expected latency with the failures, the zone and chance taken in. Where evidence is
 // too scarce to know the load of a server the cost is drawn at random, so that each server is chosen with
-// a chance in proportion to the inverse of its cost. All gateways would else run to the same few servers,
-// and with even chances they would jam the slow ones.
+// a chance in proportion to the inverse of its cost. Otherwise all gateways would choose the same few
+// servers, and with even chances they would jam the slow ones.
 func (g *Gateway) endpointCost(r *request, s *endpoint, failures float64) float64 {
 	cost := g.expectedLatency(s, r.class) / max(minSuccessRatio, 1-failures) * (1 + costNoise*g.rng.Float64())
 	if g.evidenceScarcity() == 1 {
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -26,8 +26,8 @@
 }
 
 // heldBySlowStart reports whether a server is in slow start and has no budget for a request. The budget
-// begins at a random part of a request, see updateEndpoint: hundreds of gateways would else send it one
-// each at once.
+// begins at a random part of a request, see updateEndpoint: otherwise hundreds of gateways would send it
+// one each at once.
 func (g *Gateway) heldBySlowStart(s *endpoint) bool {
 	w := &s.slowStart
 	if w.until <= g.now {
@@ -38,7 +38,7 @@
 	return w.budget < 1
 }
 
-// spend takes a request from the budget.
+// spend counts a request against the budget.
 func (w *slowStart) spend(now time.Duration) {
 	if w.until > now {
 		w.budget--
--- a/decide/status.go
+++ b/decide/status.go
@@ -4,7 +4,7 @@
 
 // Status is a gateway's state, for operators. No decision is taken by it.
 type Status struct {
-	FullGossip         bool // each gateway sends gossip to each other; else customers have owners
+	FullGossip         bool // all gateways exchange gossip; otherwise customers have owners
 	OpenRequests       int
 	Pressure           float64          // work in flight over what is allowed; over 1 it is shed
 	RetryBudget        float64          // further attempts that the retry budget allows
--- a/decide/usagereport.go
+++ b/decide/usagereport.go
@@ -85,8 +85,8 @@
 	return usual + (u.demandRatio-usual)*fade
 }
 
-// updateUsage takes a usage report, in percent of the rate or, for plans without one, of the attempts in
-// flight.
+// updateUsage applies a usage report, in percent of the rate or, for plans without one, of the attempts
+// in flight.
 func (g *Gateway) updateUsage(c *customer, percent float64) {
 	if g.onlyUsageReports(c) && c.usage.recentRequests > 0 {
 		g.updateDemandRatio(c, percent)
@@ -116,7 +116,7 @@
 	*usual += planDemandGain * min(1/admitted, maxPlanDemandWeight) * (perRequest - *usual)
 }
 
-// shareByUsage is the share of a customer whose other gateways send no gossip: the own part of the reported
+// shareByUsage is the share of a customer whose other gateways send no gossip: its part of the reported
 // usage, less while that exceeds the rate, or the even share without a recent report.
 func (g *Gateway) shareByUsage(c *customer, even float64) float64 {
 	u := &c.usage
--- a/internal/platform/settings/document.go
+++ b/internal/platform/settings/document.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// convert takes Effect and Group as converted, as their values may be unknown.
+// convert needs the converted Effect and Group, since their values may be unknown.
 func (k *class) convert(effect decide.Idempotency, group decide.DedupScope) decide.Class {
 	return decide.Class{
 		Name:             k.Name,
