--- /dev/null
+++ b/internal/config/kdl/build.go
@@ -0,0 +1,116 @@
+package kdl
+
+import (
+	"fmt"
+	"math"
+
+	"github.com/alecthomas/participle/v2/lexer"
+)
+
+// builder makes nodes of the syntax tree and keeps the first error.
+type builder struct {
+	file  string
+	first *Error
+}
+
+func (b *builder) fail(p lexer.Position, format string, args ...any) {
+	if b.first == nil {
+		b.first = &Error{b.file, position(p), fmt.Sprintf(format, args...)}
+	}
+}
+
+func (b *builder) err() error {
+	if b.first == nil {
+		return nil
+	}
+	return b.first
+}
+
+func position(p lexer.Position) Pos { return Pos{p.Line, p.Column} }
+
+// nodes are those of a list that are not commented out by a slashdash.
+func (b *builder) nodes(in []*entryNode) []*Node {
+	var out []*Node
+	for _, e := range in {
+		if n := b.node(e); !e.Dash {
+			out = append(out, n)
+		}
+	}
+	return out
+}
+
+func (b *builder) node(e *entryNode) *Node {
+	n := &Node{Pos: position(e.Name.Pos), Type: b.annotation(e.Type), Name: b.text(e.Name)}
+	hasBlock := false
+	for _, x := range e.Entries {
+		switch {
+		case x.Children != nil:
+			children := b.nodes(x.Children.Nodes)
+			if x.Dash {
+				continue
+			}
+			if hasBlock {
+				b.fail(x.Pos, "a second block of children")
+			}
+			hasBlock, n.Children = true, children
+		case hasBlock:
+			b.fail(x.Pos, "a value after the block of children")
+		case x.Prop != nil:
+			p := Prop{position(x.Prop.Pos), b.text(x.Prop.Name), b.value(x.Prop.Value)}
+			if !x.Dash {
+				n.Props = append(n.Props, p)
+			}
+		default:
+			if v := b.value(x.Value); !x.Dash {
+				n.Args = append(n.Args, v)
+			}
+		}
+	}
+	return n
+}
+
+// annotation is the text of a type annotation; empty: there is none.
+func (b *builder) annotation(a *annotation) string {
+	if a == nil {
+		return ""
+	}
+	return b.text(a.Name)
+}
+
+func (b *builder) value(v *value) Value {
+	out := Value{Pos: position(v.Pos), Type: b.annotation(v.Type)}
+	if v.Keyword != nil {
+		b.keyword(v, &out)
+		return out
+	}
+	if w := v.Text.Word; w != nil {
+		if num, ok, err := number(*w); ok {
+			if err != nil {
+				b.fail(v.Pos, "%v", err)
+			}
+			out.Kind, out.Text, out.Num = Number, *w, num
+			return out
+		}
+	}
+	out.Kind, out.Text = String, b.text(v.Text)
+	return out
+}
+
+// keyword sets the value of a keyword.
+func (b *builder) keyword(v *value, out *Value) {
+	word := *v.Keyword
+	switch word {
+	case "#true", "#false":
+		out.Kind, out.Bool = Bool, word == "#true"
+	case "#null":
+		out.Kind = Null
+	case "#inf":
+		out.Kind, out.Text, out.Num = Number, word, math.Inf(1)
+	case "#-inf":
+		out.Kind, out.Text, out.Num = Number, word, math.Inf(-1)
+	case "#nan":
+		out.Kind, out.Text, out.Num = Number, word, math.NaN()
+	default:
+		b.fail(v.Pos, "keyword %s is not known", word)
+	}
+}
--- /dev/null
+++ b/internal/config/kdl/grammar.go
@@ -0,0 +1,101 @@
+package kdl
+
+import (
+	"github.com/alecthomas/participle/v2"
+	"github.com/alecthomas/participle/v2/lexer"
+)
+
+// Newline and white space of the specification (sections 3.17 and 3.18).
+const (
+	newline = `(?:\r\n|[\r\n\x{85}\x{0B}\x{0C}\x{2028}\x{2029}])`
+	space   = `[\t \x{A0}\x{1680}\x{2000}-\x{200A}\x{202F}\x{205F}\x{3000}]`
+	// What an identifier may not hold.
+	notIdent = `\\/(){};\[\]"#=\t \x{A0}\x{1680}\x{2000}-\x{200A}\x{202F}\x{205F}\x{3000}` +
+		`\r\n\x{85}\x{0B}\x{0C}\x{2028}\x{2029}`
+	ident = `[^` + notIdent + `]+`
+)
+
+var lex = lexer.MustStateful(lexer.Rules{
+	"Root": {
+		{Name: "BOM", Pattern: `\x{FEFF}`},
+		{Name: "Slashdash", Pattern: `/-`},
+		{Name: "LineComment", Pattern: `//[^\r\n\x{85}\x{0B}\x{0C}\x{2028}\x{2029}]*`},
+		{Name: "comment", Pattern: `/\*`, Action: lexer.Push("Comment")},
+		{Name: "Continued", Pattern: `\\(?:` + space + `|/\*(?:[^*]|\*[^/])*\*/)*(?://[^\r\n]*)?(?:` + newline + `|$)`},
+		{Name: "Newline", Pattern: newline},
+		{Name: "space", Pattern: space + `+`},
+		{Name: "RawMulti3", Pattern: `###"""(?s:.*?)"""###`},
+		{Name: "RawMulti2", Pattern: `##"""(?s:.*?)"""##`},
+		{Name: "RawMulti1", Pattern: `#"""(?s:.*?)"""#`},
+		{Name: "Raw3", Pattern: `###"[^\r\n]*?"###`},
+		{Name: "Raw2", Pattern: `##"[^\r\n]*?"##`},
+		{Name: "Raw1", Pattern: `#"[^\r\n]*?"#`},
+		{Name: "Multi", Pattern: `"""(?s:(?:\\.|[^\\])*?)"""`},
+		{Name: "Quoted", Pattern: `"(?:\\(?:(?:` + space + `|` + newline + `)+|(?s:.))` +
+			`|[^"\\\r\n\x{85}\x{0B}\x{0C}\x{2028}\x{2029}])*"`},
+		{Name: "Keyword", Pattern: `#-?[a-z]+`},
+		{Name: "Word", Pattern: ident},
+		{Name: "Punct", Pattern: `[(){};=]`},
+	},
+	"Comment": {
+		{Name: "commentOpen", Pattern: `/\*`, Action: lexer.Push("Comment")},
+		{Name: "commentEnd", Pattern: `\*/`, Action: lexer.Pop()},
+		{Name: "commentText", Pattern: `[^*/]+|[*/]`},
+	},
+})
+
+// The grammar, as participle reads it from the tags. Spaces do not matter to it.
+type document struct {
+	Nodes []*entryNode `parser:"BOM? (Newline | LineComment | ';' | @@)*"`
+}
+
+// A node needs no rule of its own for what ends it: the builder finds a value behind a block of children.
+type entryNode struct {
+	Pos     lexer.Position
+	Dash    bool        `parser:"( @Slashdash (Newline | LineComment | Continued)* )?"`
+	Type    *annotation `parser:"@@?"`
+	Name    *text       `parser:"@@"`
+	Entries []*entry    `parser:"(Continued | @@)*"`
+}
+
+type annotation struct {
+	Name *text `parser:"'(' @@ ')'"`
+}
+
+type entry struct {
+	Pos      lexer.Position
+	Dash     bool      `parser:"( @Slashdash (Newline | LineComment | Continued)* )?"`
+	Children *children `parser:"( @@"`
+	Prop     *prop     `parser:"| @@"`
+	Value    *value    `parser:"| @@ )"`
+}
+
+type children struct {
+	Open  string       `parser:"@'{'"`
+	Nodes []*entryNode `parser:"(Newline | LineComment | Continued | ';' | @@)* '}'"`
+}
+
+type prop struct {
+	Pos   lexer.Position
+	Name  *text  `parser:"@@ '='"`
+	Value *value `parser:"@@"`
+}
+
+type value struct {
+	Pos     lexer.Position
+	Type    *annotation `parser:"@@?"`
+	Keyword *string     `parser:"( @Keyword"`
+	Text    *text       `parser:"| @@ )"`
+}
+
+type text struct {
+	Pos    lexer.Position
+	Quoted *string `parser:"  @Quoted"`
+	Multi  *string `parser:"| @Multi"`
+	Raw    *string `parser:"| @(Raw1 | Raw2 | Raw3)"`
+	RawM   *string `parser:"| @(RawMulti1 | RawMulti2 | RawMulti3)"`
+	Word   *string `parser:"| @Word"`
+}
+
+var parser = participle.MustBuild[document](participle.Lexer(lex),
+	participle.Elide("space", "comment", "commentOpen", "commentEnd", "commentText"), participle.UseLookahead(8))
--- a/internal/config/kdl/kdl_test.go
+++ b/internal/config/kdl/kdl_test.go
@@ -8,6 +8,7 @@
 	"pgregory.net/rapid"
 )
 
+// one parses a node with one argument and returns that.
 func one(t *testing.T, in string) Value {
 	t.Helper()
 	nodes, err := Parse("f", []byte("n "+in))
@@ -17,6 +18,7 @@
 	return nodes[0].Args[0]
 }
 
+// TestStrings reads each form of a string.
 func TestStrings(t *testing.T) {
 	for in, want := range map[string]string{
 		`"a\n\t\"\\\s\u{e9}"`:           "a\n\t\"\\ é",
@@ -37,6 +39,7 @@
 	}
 }
 
+// TestNumbers reads each form of a number.
 func TestNumbers(t *testing.T) {
 	for in, want := range map[string]float64{"0": 0, "-1": -1, "+1_000": 1000, "1.5e-3": .0015, "0xFf": 255, "0o17": 15,
 		"0b101": 5, "1e3": 1000, "#inf": math.Inf(1), "#-inf": math.Inf(-1)} {
@@ -46,8 +49,10 @@
 	}
 }
 
+// TestDocument reads nodes with arguments, properties, children, annotations and comments of each kind.
 func TestDocument(t *testing.T) {
-	nodes, err := Parse("f", []byte("\uFEFFa 1 x=#true /-2 /-y=3 \\ // on\n  #null {\n  /- gone {\n z\n }\n b; (t)c (u)1\n}\n/* x /* y */ z */ d /-{ e }\n/-\nf\n"))
+	nodes, err := Parse("f", []byte("\uFEFFa 1 x=#true /-2 /-y=3 \\ // on\n  #null {\n"+
+		"  /- gone {\n z\n }\n b; (t)c (u)1\n}\n/* x /* y */ z */ d /-{ e }\n/-\nf\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -63,6 +68,7 @@
 	}
 }
 
+// TestErrors expects an error with its place for each malformed document.
 func TestErrors(t *testing.T) {
 	for in, want := range map[string]string{
 		"a {":                            "f:1",
@@ -96,7 +102,7 @@
 	}
 }
 
-// TestAnyString reads any string that is quoted as the language asks.
+// TestAnyString reads any string that is quoted as the language requires.
 func TestAnyString(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := rapid.String().Draw(t, "s")
@@ -124,8 +130,14 @@
 	return s
 }
 
+// FuzzParse expects nodes with a place, or an error with one, of any document.
 func FuzzParse(f *testing.F) {
-	for _, s := range []string{"a 1 {\nb\n}", "a #\"x\"# \"\"\"\n x\n \"\"\"", "/- a\nb /*c*/ (t)1 x=#nan", "a \\\n 0x1f"} {
+	for _, s := range []string{
+		"a 1 {\nb\n}",
+		"a #\"x\"# \"\"\"\n x\n \"\"\"",
+		"/- a\nb /*c*/ (t)1 x=#nan",
+		"a \\\n 0x1f",
+	} {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, in []byte) {
