--- a/internal/gateway/storeddata_test.go
+++ b/internal/gateway/storeddata_test.go
@@ -8,6 +8,7 @@
 	"path/filepath"
 	"strings"
 	"testing"
+	"time"
 
 	"winghatch/decide"
 	"winghatch/internal/config"
@@ -15,8 +16,8 @@
 	"winghatch/internal/usage/outbox"
 )
 
-// What a gateway wrote to disk must stay readable by every later version: a state directory outlives an upgrade. The files
-// under testdata were written by the text of commit 49a4395 and are never written anew.
+// What a gateway wrote to disk must stay readable by every later version: a state directory outlives an upgrade. The
+// files under testdata were written by the text of commit 49a4395 and are never written anew.
 
 // copyDir copies test data to where a log may be opened, as opening one writes to it.
 func copyDir(t *testing.T, from string) string {
@@ -46,6 +47,9 @@
 		recovery.SnapshotRecord != 9 || len(recovery.Gaps) > 0 || recovery.TornBytes > 0 {
 		t.Errorf("%+v %+v acknowledged %d incarnation %d", recovery, box.Counts, box.LastAcknowledged(), box.Incarnation())
 	}
+	if err := log.Sync(10 * time.Second); err != nil { // a cursor reads what is durable
+		t.Fatal(err)
+	}
 	cursor := log.NewCursor(1)
 	defer cursor.Close()
 	var got strings.Builder
@@ -74,8 +78,8 @@
 	}
 }
 
-// TestReadsStoredPlans opens a plan log with a move, new terms of a plan and a reservation that was used, and a snapshot
-// of the same.
+// TestReadsStoredPlans opens a plan log with a move, new terms of a plan and a reservation that was used, and a
+// snapshot of the same.
 func TestReadsStoredPlans(t *testing.T) {
 	const incarnation, first = 1796282050655553362, 1796282050656569102
 	want := []quotaplan.Change{
