--- a/internal/aggregate/aggregator.go
+++ b/internal/aggregate/aggregator.go
@@ -22,7 +22,7 @@
 	minReportInterval = 5 * time.Second
 	// maxCapacityFraction is the part of GossipCapacity that reports take.
 	maxCapacityFraction = 0.1
-	// changeRepeats is the reports that tell a total that has changed: messages may be lost.
+	// changeRepeats is how many reports repeat a total that has changed: messages may be lost.
 	changeRepeats = 3
 	// refreshCount is the unchanged totals in each report to an owner, in turn.
 	refreshCount = 8
--- a/internal/config/blocks.go
+++ b/internal/config/blocks.go
@@ -11,6 +11,7 @@
 	"winghatch/internal/config/decode"
 	"winghatch/internal/config/kdl"
 	"winghatch/internal/credentials"
+	"winghatch/internal/quotaplan"
 	"winghatch/internal/usage/outbox"
 	"winghatch/internal/wal"
 )
@@ -125,14 +126,8 @@
 		"over-worth":    decode.Number(&p.OverQuotaValue, 0, maxInteger),
 		"over-cost":     decode.Number(&p.OverQuotaCost, 0, maxInteger),
 	}, nil)
-	if (p.Rate > 0) != (p.Burst > 0) {
-		d.Fail(n.Pos, at+".burst", "rate %v and burst %v, want both or neither", p.Rate, p.Burst)
-	}
-	if (p.CeilingRate > 0) != (p.CeilingBurst > 0) {
-		d.Fail(n.Pos, at+".ceiling-burst", "rate %v and burst %v, want both or neither", p.CeilingRate, p.CeilingBurst)
-	}
-	if p.CeilingRate > 0 && p.CeilingRate < p.Rate {
-		d.Fail(n.Pos, at+".ceiling-rate", "%v, want the rate of %v or more", p.CeilingRate, p.Rate)
+	for _, e := range quotaplan.CheckPlan(&p) {
+		d.Fail(n.Pos, at+"."+e.Field, "%s", e.Text)
 	}
 	return p
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -44,7 +44,8 @@
 		t.Fatal(err)
 	}
 	if f.Decide.Plans[0].Rate != 1.5 || f.Decide.Classes[1].DedupScope != decide.DedupInZone ||
-		f.Caps.MaxMessageBytes != 64<<10 || f.Members[0].First != 1 || f.Decide.Classes[1].DedupWindow != 1500*time.Millisecond {
+		f.Decide.Classes[1].DedupWindow != 1500*time.Millisecond ||
+		f.Caps.MaxMessageBytes != 64<<10 || f.Members[0].First != 1 {
 		t.Errorf("%+v", f)
 	}
 	back, err := Parse("f", Format(f))
--- a/internal/quotaplan/effective.go
+++ b/internal/quotaplan/effective.go
@@ -28,7 +28,7 @@
 	reservations         []*Change // of all members, in the order of changes
 }
 
-// announced is what the caller was told last.
+// announced is what the caller knows: the last of what was emitted.
 type announced struct {
 	plans      map[string]decide.Plan // in force, by member
 	units      map[uint64]float64     // of reservations, by ID
--- a/internal/quotaplan/replica.go
+++ b/internal/quotaplan/replica.go
@@ -141,7 +141,7 @@
 
 func (r *Replica) submit(e Submit) {
 	c := e.Change
-	if err := r.Check(r.now.Wall, &c); err != nil {
+	if err := r.check(&c); err != nil {
 		r.emit(Reply{e.Token, c, err})
 		return
 	}
--- a/internal/quotaplan/replica_test.go
+++ b/internal/quotaplan/replica_test.go
@@ -322,7 +322,7 @@
 		t.Fatal(s)
 	}
 	if w.units[3][w.reservationIDs[1]] != 400 || w.units[3][w.reservationIDs[2]] != 0 {
-		t.Errorf("held %v, want 1 whole and 2 void", w.units[3])
+		t.Errorf("reservations of %v units, want the first whole and the second void", w.units[3])
 	}
 	if h := w.replicas[0].History("b"); h[1].Status != Void || !strings.Contains(h[1].Reason, "room for 100") {
 		t.Errorf("%+v", h)
--- a/internal/quotaplan/stored_test.go
+++ b/internal/quotaplan/stored_test.go
@@ -157,7 +157,7 @@
 		actions++
 		fmt.Fprintf(d, "%d %s\n", gateway, describe(a))
 	}
-	life, number := uint64(1), uint64(0)
+	process, number := uint64(1), uint64(0)
 	for range 120 {
 		i := rng.Intn(n)
 		number++
@@ -189,11 +189,11 @@
 			}
 			continue
 		case 8:
-			life++
+			process++
 			if rng.Intn(2) == 0 {
 				w.disks[i] = map[uint64]Change{}
 			}
-			w.start(i, life)
+			w.start(i, process)
 			continue
 		case 9:
 			w.now.Wall += rng.Int63n(6*sec) - 3*sec
--- a/internal/quotaplan/validate.go
+++ b/internal/quotaplan/validate.go
@@ -1,17 +1,22 @@
 package quotaplan
 
-import "time"
+import (
+	"fmt"
+	"time"
+
+	"winghatch/decide"
+)
 
 // maxDateInPast is how far in the past the date of a submitted change may be, in nanoseconds.
 const maxDateInPast = int64(time.Second)
 
-// Check reports why a change can't be submitted at the wall clock's time, in Unix nanoseconds, or nil if it can.
-func (r *Replica) Check(wall int64, c *Change) *Error {
+// check reports why a change can't be submitted now, or nil if it can.
+func (r *Replica) check(c *Change) *Error {
 	if err := r.checkNumber(c); err != nil {
 		return err
 	}
 	if len(r.pending) >= maxPendingSubmits {
-		return invalid(c, "log", "%d changes wait to be kept, want fewer than %d", len(r.pending), maxPendingSubmits)
+		return invalid(c, "log", "%d changes wait for the disk, want fewer than %d", len(r.pending), maxPendingSubmits)
 	}
 	if !c.finite() {
 		return invalid(c, "units", "figures of %v, %v, %+v, want numbers of 0 or more", c.Units, c.Rate, c.Terms)
@@ -19,7 +24,7 @@
 	if err := r.checkNames(c); err != nil {
 		return err
 	}
-	if c.Kind != Cancel && c.Kind != Shorten && c.From != 0 && c.From < wall-maxDateInPast {
+	if c.Kind != Cancel && c.Kind != Shorten && c.From != 0 && c.From < r.now.Wall-maxDateInPast {
 		return invalid(c, "from", "%s, want a time that is to come", formatTime(c.From))
 	}
 	switch c.Kind {
@@ -30,7 +35,7 @@
 	case Reserve:
 		return r.checkReserve(c)
 	case Cancel, Shorten:
-		return r.checkTarget(wall, c)
+		return r.checkTarget(c)
 	}
 	return invalid(c, "kind", "%s, want move, terms, reserve, cancel or shorten", c.Kind)
 }
@@ -43,7 +48,7 @@
 		return invalid(c, "number", "seen before: %s", old)
 	}
 	if _, ok := r.pending[c.Number]; ok {
-		return invalid(c, "number", "seen before, it is being kept")
+		return invalid(c, "number", "seen before, it is being persisted")
 	}
 	return nil
 }
@@ -66,19 +71,13 @@
 }
 
 func checkTerms(c *Change) *Error {
-	p := &c.Terms
-	switch {
-	case (p.Rate > 0) != (p.Burst > 0):
-		return invalid(c, "burst", "rate %v and burst %v, want both or neither", p.Rate, p.Burst)
-	case (p.CeilingRate > 0) != (p.CeilingBurst > 0):
-		return invalid(c, "ceiling-burst", "rate %v and burst %v, want both or neither", p.CeilingRate, p.CeilingBurst)
-	case p.CeilingRate > 0 && p.CeilingRate < p.Rate:
-		return invalid(c, "ceiling-rate", "%v, want the rate of %v or more", p.CeilingRate, p.Rate)
+	if errs := CheckPlan(&c.Terms); len(errs) > 0 {
+		return &Error{c.Number, errs[0].Field, errs[0].Text}
 	}
 	return nil
 }
 
-func (r *Replica) checkTarget(wall int64, c *Change) *Error {
+func (r *Replica) checkTarget(c *Change) *Error {
 	target := r.derived.byNumber[c.Target]
 	switch {
 	case target == nil:
@@ -87,7 +86,7 @@
 		return invalid(c, "target", "%d is a %s, want a move, terms or a reservation", c.Target, target.Kind)
 	case r.derived.cancelledBy[c.Target] != 0:
 		return invalid(c, "target", "%d was cancelled by %d", c.Target, r.derived.cancelledBy[c.Target])
-	case target.Kind == Reserve && target.To <= wall:
+	case target.Kind == Reserve && target.To <= r.now.Wall:
 		return invalid(c, "target", "%d ended at %s", c.Target, formatTime(target.To))
 	case c.Kind == Shorten && target.Kind != Reserve:
 		return invalid(c, "target", "%d is a %s, want a reservation", c.Target, target.Kind)
@@ -96,3 +95,23 @@
 	}
 	return nil
 }
+
+// FieldError says which field of a plan is invalid, by its name in settings, and which values are valid.
+type FieldError struct{ Field, Text string }
+
+// CheckPlan reports which figures of a plan contradict each other.
+func CheckPlan(p *decide.Plan) (errs []FieldError) {
+	if (p.Rate > 0) != (p.Burst > 0) {
+		errs = append(errs, FieldError{"burst",
+			fmt.Sprintf("rate %v and burst %v, want both or neither", p.Rate, p.Burst)})
+	}
+	if (p.CeilingRate > 0) != (p.CeilingBurst > 0) {
+		errs = append(errs, FieldError{"ceiling-burst",
+			fmt.Sprintf("rate %v and burst %v, want both or neither", p.CeilingRate, p.CeilingBurst)})
+	}
+	if p.CeilingRate > 0 && p.CeilingRate < p.Rate {
+		errs = append(errs, FieldError{"ceiling-rate",
+			fmt.Sprintf("%v, want the rate of %v or more", p.CeilingRate, p.Rate)})
+	}
+	return errs
+}
--- a/internal/remotewrite/queue/queue.go
+++ b/internal/remotewrite/queue/queue.go
@@ -8,7 +8,6 @@
 
 import (
 	"math/rand"
-	"net/http"
 	"time"
 )
 
@@ -164,7 +163,7 @@
 
 // split halves a rejected batch of n items.
 func (q *Queue) split(n, status int) {
-	if status == http.StatusRequestEntityTooLarge {
+	if status == statusEntityTooLarge {
 		q.batchSize = max(1, n/2) // all further batches, too
 	}
 	if q.suspects == 0 {
--- a/internal/remotewrite/queue/response.go
+++ b/internal/remotewrite/queue/response.go
@@ -1,8 +1,12 @@
 package queue
 
-import (
-	"net/http"
-	"time"
+import "time"
+
+// HTTP statuses that have a meaning of their own. Decisions do not import net/http.
+const (
+	statusEntityTooLarge       = 413
+	statusUnsupportedMediaType = 415
+	statusTooManyRequests      = 429
 )
 
 // Response is a receiver's answer to a batch.
@@ -38,9 +42,9 @@
 			return Downgrade
 		}
 		return Accepted
-	case r.VersionTwo && r.Status == http.StatusUnsupportedMediaType:
+	case r.VersionTwo && r.Status == statusUnsupportedMediaType:
 		return Downgrade
-	case r.Status == http.StatusTooManyRequests || r.Status >= 500 || r.Status < 400:
+	case r.Status == statusTooManyRequests || r.Status >= 500 || r.Status < 400:
 		return Retry
 	}
 	return Rejected
--- a/internal/reservation/doc.go
+++ b/internal/reservation/doc.go
@@ -12,7 +12,7 @@
 // held back until the caller has returned Persisted. After a start the caller passes the last state of each reservation
 // to Restore. The package does no I/O, reads no clock and starts no goroutine; a Ledger is not safe for concurrent use.
 //
-// The life of a token at a gateway: free (persisted, not spendable), drawing (its draw is being persisted), drawn
+// The states of a token at a gateway: free (persisted, not spendable), drawing (its draw is being persisted), drawn
 // (spendable; lost in a crash), and then in flight with a request until that has ended. A transfer takes it from the
 // free ones of the sender to the free ones of the receiver.
 package reservation
--- a/internal/reservation/holding.go
+++ b/internal/reservation/holding.go
@@ -9,7 +9,7 @@
 	"winghatch/internal/quotaplan"
 )
 
-// holder is one life of a gateway's state of a reservation. A gateway that lost its disk gets a new epoch, and so is
+// holder is a gateway's state of a reservation, in one epoch. A gateway that lost its disk begins a new epoch and is
 // another holder: tokens that were sent to the former one are gone.
 type holder struct {
 	rank  int
--- a/internal/reservation/transfer.go
+++ b/internal/reservation/transfer.go
@@ -23,7 +23,7 @@
 	minEmptyBackoff    = 500 * time.Millisecond // a peer that had nothing is not asked for so long ...
 	maxEmptyBackoff    = 8 * time.Second        // ... doubling up to this while it has nothing
 	reportLifetime     = 5 * time.Second        // a peer's report of its tokens is passed on for so long
-	reportTrusted      = 500 * time.Millisecond // a peer's own report is not replaced by what another one tells
+	reportTrusted      = 500 * time.Millisecond // a peer's own report is not replaced by another one's
 	tieBreak           = 1e-6                   // of a token: random part of a peer's score
 )
 
@@ -243,7 +243,7 @@
 	return room
 }
 
-// transferTo is the message that tells a holder the total that was sent to it.
+// transferTo encodes the message with the total that was sent to a holder.
 func (l *Ledger) transferTo(h *holding, to holder, request uint64, room float64) []byte {
 	m := transferMessage{reservation: h.ID, request: request, epoch: h.epoch, receiverEpoch: to.epoch, room: room,
 		left: max(0, h.free)}
@@ -255,8 +255,8 @@
 	return m.encode()
 }
 
-// richest is the gateway that reported most tokens lately, but for one; -1: unknown. Peers are told of it: after a
-// rolling restart, when few gateways hold all tokens, the others would find them one by one.
+// richest is the gateway that reported most tokens lately, but for one; -1: unknown. Transfers name it: after a rolling
+// restart, when few gateways hold all tokens, the others would otherwise ask one by one.
 func (l *Ledger) richest(h *holding, but int) (rank int, tokens float64) {
 	rank = -1
 	for i := range h.peers {
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -83,21 +83,21 @@
 	appendRecords(t, l, 1, 3)
 	l.Close()
 	file := filepath.Join(dir, segmentName(1))
-	whole, err := os.ReadFile(file)
+	content, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	last := len(appendRecord(nil, 3, []byte("record 3")))
-	for cut := len(whole) - last; cut < len(whole); cut++ {
+	for cut := len(content) - last; cut < len(content); cut++ {
 		for _, zero := range []bool{false, true} {
 			dir := t.TempDir()
-			b := slices.Clone(whole[:cut])
+			b := slices.Clone(content[:cut])
 			if zero {
-				b = append(b, make([]byte, len(whole)-cut+100)...)
+				b = append(b, make([]byte, len(content)-cut+100)...)
 			}
 			os.WriteFile(filepath.Join(dir, segmentName(1)), b, 0o600)
 			l, rec, got := openLog(t, dir, Options{})
-			if len(got) != 2 || rec.Last != 2 || rec.Gaps != nil || rec.TornBytes != int64(len(b)-(len(whole)-last)) {
+			if len(got) != 2 || rec.Last != 2 || rec.Gaps != nil || rec.TornBytes != int64(len(b)-(len(content)-last)) {
 				t.Fatalf("cut at %d, zeroed %t: %+v %v", cut, zero, rec, got)
 			}
 			appendRecords(t, l, 30, 30)
@@ -117,11 +117,11 @@
 	appendRecords(t, l, 1, 5)
 	l.Close()
 	file := filepath.Join(dir, segmentName(1))
-	whole, _ := os.ReadFile(file)
+	content, _ := os.ReadFile(file)
 	size := len(appendRecord(nil, 1, []byte("record 1")))
-	for at := segmentHeaderBytes; at < len(whole); at++ {
+	for at := segmentHeaderBytes; at < len(content); at++ {
 		dir := t.TempDir()
-		b := slices.Clone(whole)
+		b := slices.Clone(content)
 		b[at] ^= 1 << (at % 8)
 		os.WriteFile(filepath.Join(dir, segmentName(1)), b, 0o600)
 		hit := (at-segmentHeaderBytes)/size + 1
@@ -134,7 +134,7 @@
 			t.Fatalf("bit at %d: %+v", at, rec)
 		}
 		if rec.TornBytes+rec.SkippedBytes < int64(size) {
-			t.Fatalf("bit at %d: %+v does not say it", at, rec)
+			t.Fatalf("bit at %d: %+v does not report it", at, rec)
 		}
 		c, n := l.NewCursor(1), 0
 		for {
@@ -173,7 +173,7 @@
 				l.Append([]byte(fmt.Sprintf("record %d", i)))
 			}
 			if err := <-fails; err == nil {
-				t.Fatal("no failure is told")
+				t.Fatal("no failure is reported")
 			}
 			if l.LastDurable() > 4 || l.Err() == nil {
 				t.Fatalf("record %d counts as durable", l.LastDurable())
@@ -241,7 +241,7 @@
 		d.mu.Unlock()
 		l.Close()
 		d.mu.Lock()
-		d.operationsLeft = -1 // the next life
+		d.operationsLeft = -1 // the next process
 		d.mu.Unlock()
 		if _, rec, _ := openLog(t, dir, Options{FS: d}); rec.Last < acknowledged || acknowledged == 0 {
 			t.Errorf("killed at step %d: %+v, record %d was acknowledged", step, rec, acknowledged)
