--- a/internal/reservation/ledger.go
+++ b/internal/reservation/ledger.go
@@ -151,8 +151,7 @@
 	return next
 }
 
-// View is a reservation as this gateway has it. The names of its fields are keys of the state page. All amounts are in
-// units.
+// View is a reservation as this gateway has it. All amounts are in units.
 type View struct {
 	quotaplan.Reservation
 	Open, Ended bool
@@ -185,17 +184,3 @@
 	}
 	return out
 }
-
-// Unsettled is the tokens that a draining gateway still holds, or has sent and has no acknowledgement for.
-func (l *Ledger) Unsettled() (sum float64) {
-	for _, h := range l.byEnd {
-		if h.ended {
-			continue
-		}
-		sum += max(0, h.free)
-		for _, t := range h.sent {
-			sum += t.total - t.acknowledged
-		}
-	}
-	return sum
-}
