--- a/internal/aggregate/aggregator_test.go
+++ b/internal/aggregate/aggregator_test.go
@@ -183,9 +183,9 @@
 	}
 }
 
-// TestHomeRestarts restarts a first owner: the second one has the truth all along, and the first one counts from its
+// TestOwnerRestarts restarts a first owner: the second one has the truth all along, and the first one counts from its
 // start on, nothing twice.
-func TestHomeRestarts(t *testing.T) {
+func TestOwnerRestarts(t *testing.T) {
 	w := newWorld(4, 1, 3)
 	m := Key{false, "m0"}
 	feed := func() {
@@ -242,8 +242,8 @@
 	}
 }
 
-// FuzzHeard receives any message.
-func FuzzHeard(f *testing.F) {
+// FuzzReceive receives any message.
+func FuzzReceive(f *testing.F) {
 	f.Add(make([]byte, 60), 1)
 	f.Fuzz(func(_ *testing.T, b []byte, from int) {
 		w := newWorld(3, 2, 1)
@@ -253,7 +253,7 @@
 
 // A gateway starts a moment before an owner and has nothing to report at first. What it counted later, also of a key
 // that it reported last, was taken for the past of a former process and never summed.
-func TestCountsBehindAnEmptyFirstBeatAreSummed(t *testing.T) {
+func TestCountsBehindAnEmptyFirstReportAreSummed(t *testing.T) {
 	names := []Key{{true, "look"}, {false, "m"}}
 	for seed := range int64(20) {
 		for _, n := range names {
--- a/internal/credentials/credentials_test.go
+++ b/internal/credentials/credentials_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestBook finds members by their keys, and none by a key that is cut, longer or written otherwise, nor by the first
-// bytes of a digest alone.
-func TestBook(t *testing.T) {
+// TestMemberIndex finds members by their keys, and none by a key that is cut, longer or written otherwise, nor by the
+// first bytes of a digest alone.
+func TestMemberIndex(t *testing.T) {
 	s := Secret{1}
 	x := NewMemberIndex(s)
 	one, two := NewMemberKey(), NewMemberKey()
--- a/internal/quotaplan/replica_test.go
+++ b/internal/quotaplan/replica_test.go
@@ -160,8 +160,8 @@
 	}
 }
 
-// TestRefused submits invalid changes: each is rejected with its field and what is valid, and changes nothing.
-func TestRefused(t *testing.T) {
+// TestRejected submits invalid changes: each is rejected with its field and what is valid, and changes nothing.
+func TestRejected(t *testing.T) {
 	w := newWorld(1, 1)
 	now := w.now.Wall
 	ok := Change{Number: 5, Kind: Move, Member: "a", Plan: "wide"}
@@ -274,8 +274,9 @@
 	at("hard", 30)
 }
 
-// TestSetAside has a reservation lower the rate and the ceiling of ordinary requests within its window only.
-func TestSetAside(t *testing.T) {
+// TestReservationLowersPlan has a reservation lower the rate and the ceiling of ordinary requests within its window
+// only.
+func TestReservationLowersPlan(t *testing.T) {
 	w := newWorld(2, 1)
 	now := w.now.Wall
 	c := Change{Number: 1, Kind: Reserve, Member: "c", Units: 100, Rate: 20, From: now + 2*sec, To: now + 12*sec}
@@ -372,7 +373,7 @@
 	})
 }
 
-func FuzzHeard(f *testing.F) {
+func FuzzReceive(f *testing.F) {
 	c := Change{Number: 1, Kind: Move, Member: "a", Plan: "wide"}
 	f.Add(append([]byte{messageChanges}, c.Append(nil)...))
 	f.Add(append([]byte{messageRanges}, make([]byte, rangeBytes)...))
--- a/internal/remotewrite/queue/queue_test.go
+++ b/internal/remotewrite/queue/queue_test.go
@@ -94,8 +94,8 @@
 	return r
 }
 
-// TestJudge reads each sort of answer.
-func TestJudge(t *testing.T) {
+// TestClassify reads each sort of answer.
+func TestClassify(t *testing.T) {
 	for _, c := range []struct {
 		r    Response
 		want Verdict
@@ -120,9 +120,9 @@
 	}
 }
 
-// TestWaits backs off for as long as the receiver asks, within a bound, then drops what is too old, and sends smaller
+// TestBackoff backs off for as long as the receiver asks, within a bound, then drops what is too old, and sends smaller
 // batches after a 413.
-func TestWaits(t *testing.T) {
+func TestBackoff(t *testing.T) {
 	q := New(Settings{MaxItems: 100, BatchSize: 10, MaxAge: time.Minute})
 	q.Enqueue(items(0, 30))
 	q.Next(0)
--- a/internal/reservation/ledger_test.go
+++ b/internal/reservation/ledger_test.go
@@ -208,8 +208,8 @@
 	}
 }
 
-// TestCut shortens a reservation below its use, and cancels one while requests are in flight.
-func TestCut(t *testing.T) {
+// TestResize shortens a reservation below its use, and cancels one while requests are in flight.
+func TestResize(t *testing.T) {
 	w := newWorld(3, 1, quotaplan.Reservation{Units: 300})
 	w.run(1100 * time.Millisecond)
 	w.load(time.Second, 150, 2, func() int { return 0 })
@@ -270,8 +270,8 @@
 }
 
 // A disk that takes nothing, while peers go on to request tokens, must not fill the memory, and no transfer may be sent
-// that a crash would take back. TestDiskStands counts what is deferred.
-func TestDiskStands(t *testing.T) {
+// that a crash would take back. TestDiskBlocked counts what is deferred.
+func TestDiskBlocked(t *testing.T) {
 	l := New(Settings{Rank: 0, Gateways: 2, MaxRequestUnits: 8, Epoch: 1})
 	now := quotaplan.Instant{Mono: time.Hour, Wall: 1000 * sec}
 	r := quotaplan.Reservation{ID: 77, Member: "m", Units: 1e6, From: 1000 * sec, To: 2000 * sec, Spread: 2, Mine: true}
@@ -289,7 +289,7 @@
 	}
 }
 
-func FuzzHeard(f *testing.F) {
+func FuzzReceive(f *testing.F) {
 	f.Add(requestMessage{77, 1, 2, 5, 5}.encode(), 1)
 	f.Add(append([]byte{messageTransfer}, make([]byte, 72)...), 2)
 	f.Add(append([]byte{messageAcknowledgement}, make([]byte, 32)...), 0)
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -220,9 +220,9 @@
 }
 
 // In the mode SyncInterval records are acknowledged when the system has them. Then a sync fails, and the process is
-// killed while the log writes them to a new segment of the same name. TestKilledWhileReviving kills it at each
+// killed while the log writes them to a new segment of the same name. TestKilledWhileResuming kills it at each
 // operation: what was acknowledged must be recovered.
-func TestKilledWhileReviving(t *testing.T) {
+func TestKilledWhileResuming(t *testing.T) {
 	for step := 1; step <= 8; step++ {
 		d := newFaultDisk()
 		dir := t.TempDir()
