--- a/internal/usage/sender/sender_test.go
+++ b/internal/usage/sender/sender_test.go
@@ -162,13 +162,17 @@
 	r := newRig(t, 35)
 	r.receiver.SetFault(func(f *usagereceiver.Fault) { f.Reject = "r-" })
 	c := r.run(sender.Options{MaxDeadLetterBytes: 1000})
-	eventually(t, "the bound is reported", func() bool { return strings.Contains(c.Counts().LastReason, "1000 at most") })
+	eventually(t, "the bound is reported", func() bool {
+		return strings.Contains(c.Counts().LastReason, "1000 at most")
+	})
 	if n := c.Counts().DeadLetters; n == 0 || n > 3 {
 		t.Errorf("%d dead letters in 1000 bytes", n)
 	}
 	os.Rename(filepath.Join(r.dir, "aside"), filepath.Join(r.dir, "moved"))
 	r.receiver.SetFault(func(f *usagereceiver.Fault) { f.Reject = "" })
-	eventually(t, "the others are there", func() bool { return len(r.receiver.Events()) == 35-int(c.Counts().DeadLetters) })
+	eventually(t, "the others are there", func() bool {
+		return len(r.receiver.Events()) == 35-int(c.Counts().DeadLetters)
+	})
 }
 
 // TestReceiverKilled stops the receiver while it is sent to, six times, and starts it with the file that it left.
