--- /dev/null
+++ b/decide/admission_test.go
@@ -0,0 +1,168 @@
+package decide
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+func TestNoServer(t *testing.T) {
+	h := newHarness(t, nil, []Server{}...)
+	h.handle(EndpointUpdate{Kind: FullUpdate})
+	if _, acts := h.request("get", "wide", "c", 1); len(actionsOf[Reject](acts)) != 1 {
+		t.Errorf("without servers: got %#v, want Reject", acts)
+	}
+}
+
+// Attempts that were cancelled may still run at their servers. If they counted for nothing, a jammed server would be
+// sent more and more.
+func TestOrphansCountAsLoad(t *testing.T) {
+	h := newHarness(t, nil)
+	for i := 0; i < 6; i++ {
+		id, acts := h.request("get", "wide", "c", 1)
+		if s := actionsOf[Send](acts); len(s) == 1 {
+			h.endAttempt(id, 0, s[0].Server, OutcomeCancelled)
+		}
+	}
+	if _, acts := h.request("get", "wide", "c", 1); len(actionsOf[Reject](acts)) != 1 {
+		t.Errorf("forwarded to servers that still run what nobody waits for: %#v", acts)
+	}
+	h.now += h.g.timesObjective(orphanLifetime) + time.Second
+	h.mustSend("get", "wide")
+}
+
+// TestReportedLoadSheds: a gateway with nothing in flight, to which others report much work for the responses that
+// come, sheds before it has met the jam itself. It admits again when they report little, and by itself when none
+// reports any more.
+func TestReportedLoadSheds(t *testing.T) {
+	fleet := newCluster(t, 300, nil)
+	g := fleet.gateways[3]
+	report := func(inFlight, responseRate float64) {
+		for i := 0; i < 40; i++ {
+			w := grantMessage{kind: grantRelease, key: 1, planNo: 0, figureCount: 1, inFlight: inFlight,
+				responseRate: responseRate}
+			g.Handle(fleet.now, GossipReceived{From: 9, Text: w.encode()})
+		}
+	}
+	total := 0
+	admitted := func() (n int) {
+		for i := 0; i < 100; i++ {
+			total++
+			id := fmt.Sprint("r", total)
+			n += len(actionsOf[SendGossip](g.Handle(fleet.now,
+				Request{ID: id, Class: "get", Plan: "wide", Customer: id, Units: 1,
+					Deadline: fleet.now + time.Second, GatewayCount: 300})))
+		}
+		return n
+	}
+	report(5, 2)
+	if n := admitted(); n > 0 {
+		t.Errorf("%d of 100 not shed when a jam is reported, want none", n)
+	}
+	report(0, 2)
+	if n := admitted(); n < 90 {
+		t.Errorf("%d of 100 not shed when its end is reported, want 90 or more", n)
+	}
+	report(5, 2)
+	for i := 0; i < 300; i++ { // long, as 300 gateways have but two servers
+		fleet.now += ownerHeartbeatInterval
+		g.Handle(fleet.now, TimerFired{heartbeatToken})
+	}
+	if n := admitted(); n < 90 {
+		t.Errorf("%d of 100 not shed after 30 s without a report, want 90 or more", n)
+	}
+}
+
+// With times in milliseconds, a deployment with short objectives had its rejected clients come back when their
+// objective was nearly over, and orphans kept idle servers closed. Times of a request follow the objectives.
+func TestTimesFollowTheLatencyObjectives(t *testing.T) {
+	for _, by := range []float64{0.2, 0.35, 1, 2} {
+		h := newScaledHarness(t, by)
+		objective := time.Duration(by * float64(time.Second))
+		id, s := h.mustSend("get", "wide")
+		h.endAttempt(id, 0, s.Server, OutcomeCancelled)
+		server := h.g.endpoints.byID[s.Server]
+		if len(server.orphans) != 1 {
+			t.Fatalf("objectives times %g: no orphan of an attempt that was cancelled", by)
+		}
+		h.now += 4 * objective
+		h.handle(TimerFired{heartbeatToken})
+		if h.g.endpoints.outstanding(server, h.g.now); len(server.orphans) != 0 {
+			t.Errorf("objectives times %g: an orphan is load 4 objectives after its attempt was sent", by)
+		}
+		var retryAfter time.Duration
+		for range 200 {
+			_, acts := h.request("get", "small", "greedy", 1)
+			for _, a := range actionsOf[Reject](acts) {
+				retryAfter = a.RetryAfter
+			}
+		}
+		if retryAfter <= 0 || retryAfter > objective/2 {
+			t.Errorf("objectives times %g: Retry-After is %v, want time left for a response within %v", by, retryAfter,
+				objective)
+		}
+	}
+}
+
+// A retry that had waited elsewhere for most of its objective was served too late, on its customer's quota. It is
+// as old as the first request of its client.
+func TestRetryIsAsOldAsItsFirstRequest(t *testing.T) {
+	for _, c := range []struct {
+		// of 4 s for all requests; first ones come with 3.5 s and have an objective of 1 s
+		left             time.Duration
+		retry, forwarded bool
+	}{
+		{3500 * ms, false, true}, {3500 * ms, true, true}, {3490 * ms, true, true}, // a little less says nothing
+		{3400 * ms, true, true}, {3300 * ms, true, true}, {2990 * ms, true, false}, {1000 * ms, true, false},
+		{1000 * ms, false, true}, // a first request of an impatient client
+	} {
+		h := newHarness(t, nil)
+		request := func(left time.Duration, retry bool) []Action {
+			h.n++
+			return h.handle(Request{ID: fmt.Sprint("q", h.n), Class: "get", Plan: "wide", Customer: "c", Units: 1,
+				Deadline:     h.now + left,
+				GatewayCount: 3, IsRetry: retry})
+		}
+		request(3500*ms, false)
+		level := h.g.customers.byKey[hashKey("c")].bucket.level
+		acts := request(c.left, c.retry)
+		if got := len(actionsOf[Send](acts)) > 0; got != c.forwarded {
+			t.Errorf("%v left, a retry %t: forwarded %t, want %t", c.left, c.retry, got, c.forwarded)
+		}
+		for _, s := range actionsOf[Send](acts) {
+			if most := h.g.classes.byName["get"].LatencyObjective - (4*time.Second - c.left); c.retry &&
+				c.left < 3480*ms && s.Timeout > most {
+				t.Errorf("%v left, a retry: waits %v for a response, want %v at most", c.left, s.Timeout, most)
+			}
+		}
+		if !c.forwarded && h.g.customers.byKey[hashKey("c")].bucket.level != level {
+			t.Errorf("%v left, a retry: it was rejected and charged", c.left)
+		}
+	}
+}
+
+// TestRequestAgeAfterAStall: a gateway finds all requests of a stall at once. Those too old for their objective are
+// rejected, each at once, the others forwarded. The late responses it finds do not count against their servers.
+func TestRequestAgeAfterAStall(t *testing.T) {
+	h := newHarness(t, func(c *Config) { c.Limits.Gossip = false })
+	h.serve("get", "wide", "c", 1) // comes with two seconds
+	id, s := h.mustSend("get", "wide")
+	slow := h.g.endpoints.byID[s.Server].health.slowness
+	for i := 0; i < 3; i++ {
+		h.now += h.g.heartbeatInterval()
+		h.handle(TimerFired{heartbeatToken})
+	}
+	h.now += 2*h.g.heartbeatInterval() + 1500*ms
+	h.handle(AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: 1600 * ms, RequestDone: true})
+	if got := h.g.endpoints.byID[s.Server].health.slowness; got != slow {
+		t.Errorf("a late response found after a stall raised the server's slowness from %v to %v", slow, got)
+	}
+	for _, left := range []time.Duration{900 * ms, 1100 * ms, 1900 * ms} {
+		acts := h.handle(Request{ID: left.String(), Class: "get", Plan: "wide", Customer: "c", Units: 1,
+			Deadline: h.now + left, GatewayCount: 3})
+		if sent, want := len(actionsOf[Send](acts)), boolToInt(left > time.Second); sent != want ||
+			len(actionsOf[Reject](acts)) != 1-want {
+			t.Errorf("with %v of 2 s left: forwarded %d, want %d, else a rejection: %v", left, sent, want, acts)
+		}
+	}
+}
--- /dev/null
+++ b/decide/attempt.go
@@ -0,0 +1,148 @@
+package decide
+
+import (
+	"slices"
+	"time"
+)
+
+// request is a request that has no final answer yet, or an attempt in flight.
+type request struct {
+	Request
+	class        *class
+	customer     *customer
+	units        float64       // charged: estimated, then actual
+	extraUnits   float64       // units used beyond those that an owner granted
+	usefulUntil  time.Duration // a response after this has no value
+	attempts     []*attempt
+	inFlight     int  // attempts
+	streaming    bool // a response has begun
+	finished     bool // it has its final answer, or its client has left
+	grant        grantState
+	rejectReason RejectReason // if it comes to that
+}
+
+// attempt is a request at a server.
+type attempt struct {
+	endpoint   *endpoint
+	number     int
+	sentAt     time.Duration
+	ended      bool
+	mayHaveRun bool // true until an outcome proves that it did not
+}
+
+// findAttempt returns an attempt of an open request, or nil.
+func (g *Gateway) findAttempt(id string, number int) *attempt {
+	if r := g.requests[id]; r != nil && number >= 0 && number < len(r.attempts) {
+		return r.attempts[number]
+	}
+	return nil
+}
+
+// send starts an attempt, with the request's remaining time as its deadline.
+func (g *Gateway) send(r *request, s *endpoint) {
+	a := &attempt{endpoint: s, number: len(r.attempts), sentAt: g.now, mayHaveRun: true}
+	r.attempts = append(r.attempts, a)
+	r.inFlight++
+	r.customer.inFlight++
+	s.meanInFlight += meanInFlightGain * (g.endpoints.outstanding(s, g.now) - s.meanInFlight)
+	s.slowStart.spend(g.now)
+	overdue := time.Duration(overdueFactor * g.expectedLatency(s, r.class) * float64(time.Second))
+	overdueAt := g.now + max(g.timesObjective(minOverdue), overdue)
+	g.endpoints.attemptSent(s, g.now)
+	g.emit(Send{r.ID, s.ID, max(r.usefulUntil-g.now, time.Millisecond), r.writeBefore()})
+	if overdueAt < r.usefulUntil {
+		g.setTimer(r.ID, a.number, overdueAt)
+	}
+}
+
+// responseStarted takes that a streamed response has begun.
+func (g *Gateway) responseStarted(e ResponseStarted) {
+	if a := g.findAttempt(e.ID, e.Attempt); a != nil {
+		g.requests[e.ID].streaming = true
+		a.endpoint.lastResponse = g.now
+	}
+}
+
+// attemptEnded takes the end of an attempt. A request that has no final answer by it is retried, or given
+// up once none of its attempts is in flight.
+func (g *Gateway) attemptEnded(e AttemptEnded) {
+	r, a := g.requests[e.ID], g.findAttempt(e.ID, e.Attempt)
+	if a == nil || a.ended {
+		return
+	}
+	a.ended = true
+	a.mayHaveRun = !e.Outcome.neverRan()
+	r.inFlight--
+	r.customer.inFlight--
+	g.endpoints.attemptEnded(a.endpoint)
+	g.recordOutcome(r, a, e)
+	g.settle(r, e.ActualUnits)
+	if e.ReportedUsage > 0 {
+		g.updateUsage(r.customer, float64(e.ReportedUsage-1))
+	}
+	if e.RequestDone {
+		g.finish(r)
+	}
+	if r.finished {
+		g.forget(r)
+		return
+	}
+	if e.Outcome == OutcomeNotDispatched && len(r.attempts) == 1 {
+		g.refund(r)
+	}
+	if r.inFlight > 0 {
+		return
+	}
+	if e.Outcome != OutcomeNotDispatched && g.retry(r, a.endpoint, retryPrice(e.Outcome)) {
+		return
+	}
+	g.giveUp(r)
+}
+
+// retryPrice is what a retry after the outcome takes of the retry budget. One after an attempt that got no
+// connection is free, as that cost no server anything.
+func retryPrice(o Outcome) float64 {
+	if o == OutcomeConnectFailed {
+		return 0
+	}
+	return 1
+}
+
+// giveUp gives the final answer without a response: a rejection where the client may send the request again
+// without harm, else a failure.
+func (g *Gateway) giveUp(r *request) {
+	k := r.class
+	mayHaveRun := slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.mayHaveRun })
+	repeatable := !mayHaveRun || k.Idempotency == Idempotent ||
+		(k.Idempotency == IdempotentByKey && k.DedupScope == DedupInFleet)
+	if repeatable && r.inFlight == 0 {
+		g.reject(r.ID, ReasonNeverExecuted)
+	} else {
+		g.emit(Fail{r.ID})
+	}
+	g.finish(r)
+}
+
+// finish takes that a request has its final answer, or needs none. What is still in flight is cancelled,
+// but for a streamed response.
+func (g *Gateway) finish(r *request) {
+	if r == nil {
+		return
+	}
+	r.finished, r.grant.awaited = true, false
+	delete(g.owners.pending, r.grant.number)
+	for _, a := range r.attempts {
+		if !a.ended && g.cfg.Limits.Cancel && !r.streaming {
+			g.emit(Cancel{r.ID, a.number})
+		}
+	}
+	g.forget(r)
+}
+
+// forget drops a finished request once none of its attempts is in flight.
+func (g *Gateway) forget(r *request) {
+	if r.finished && r.inFlight == 0 && g.requests[r.ID] != nil {
+		g.releaseGrant(r)
+		delete(g.requests, r.ID)
+	}
+}
--- /dev/null
+++ b/decide/gossip_test.go
@@ -0,0 +1,237 @@
+package decide
+
+import (
+	"fmt"
+	"math"
+	"strings"
+	"testing"
+	"time"
+)
+
+// entryText is an entry of a gossip datagram.
+func entryText(key string, plan, used, asked, level int) string {
+	var b strings.Builder
+	encodeDigits(&b, hashKey(key), 6)
+	encodeDigits(&b, uint64(plan), 1)
+	encodeDigits(&b, uint64(used), 2)
+	encodeDigits(&b, uint64(asked), 2)
+	encodeDigits(&b, uint64(level), 1)
+	return b.String()
+}
+
+// gossipText is a gossip datagram.
+func gossipText(epoch, seq int, entries ...string) string {
+	var b strings.Builder
+	b.WriteString(gossipVersion)
+	encodeDigits(&b, uint64(epoch), 2)
+	encodeDigits(&b, uint64(seq), 2)
+	return b.String() + strings.Join(entries, "")
+}
+
+func TestShareFollowsDemand(t *testing.T) {
+	h := newHarness(t, nil)
+	h.request("get", "wide", "x", 100)
+	c := h.g.customers.byKey[hashKey("x")]
+	h.handle(GossipReceived{From: 1, Text: gossipText(1, 1, entryText("x", 0, 0, 0, 0))})
+	h.handle(GossipReceived{From: 2, Text: gossipText(1, 1)})
+	h.handle(GossipReceived{From: 1, Text: gossipText(1, 2, entryText("x", 0, 0, 900, 0))})
+	h.g.refresh(c)
+	if math.Abs(c.bucket.share-1.0/3) > 1e-9 {
+		t.Errorf("share is %v with a tenth of the demand, want the even one", c.bucket.share)
+	}
+	h.request("get", "wide", "x", 2700)
+	h.g.refresh(c)
+	if c.bucket.share < 0.65 || c.bucket.share > 0.8 {
+		t.Errorf("share is %v with three quarters of the demand, want about 0.73", c.bucket.share)
+	}
+	h.now += 2 * time.Second
+	h.handle(TimerFired{heartbeatToken})
+	h.g.refresh(c)
+	if c.bucket.share != 1.0/3 {
+		t.Errorf("share is %v with silent peers, want the even one", c.bucket.share)
+	}
+}
+
+func TestReportedUseSettlesTheLevel(t *testing.T) {
+	h := newHarness(t, nil)
+	h.handle(GossipReceived{From: 1, Text: gossipText(1, 1, entryText("x", 1, 0, 0, 0))})
+	h.handle(GossipReceived{From: 2, Text: gossipText(1, 1)})
+	_, acts := h.request("get", "small", "x", 1)
+	if len(actionsOf[Send](acts)) != 1 {
+		t.Fatalf("rejected though all peers report that nothing was used: %#v", acts)
+	}
+	h.now += 100 * ms
+	h.handle(GossipReceived{From: 1, Text: gossipText(1, 2, entryText("x", 1, 12, 12, 0))})
+	h.handle(GossipReceived{From: 2, Text: gossipText(1, 2)})
+	if _, acts = h.request("get", "small", "x", 1); len(actionsOf[Send](acts)) != 0 {
+		t.Errorf("forwarded though a peer reports that the whole burst is used")
+	}
+	h.now += 2 * time.Second // the peers have fallen silent, and the use that they reported leaks
+	if _, acts = h.request("get", "small", "x", 1); len(actionsOf[Send](acts)) != 1 {
+		t.Errorf("rejected after two seconds of leaking: %#v", acts)
+	}
+}
+
+func TestLateOrMalformedGossipIsDropped(t *testing.T) {
+	h := newHarness(t, nil)
+	h.handle(GossipReceived{From: 1, Text: gossipText(1, 5, entryText("x", 1, 0, 0, 0))})
+	h.handle(GossipReceived{From: 1, Text: gossipText(1, 6, entryText("x", 1, 4, 4, 0))})
+	c := h.g.customers.byKey[hashKey("x")]
+	for _, e := range []GossipReceived{
+		{From: 1, Text: gossipText(1, 6, entryText("x", 1, 4, 4, 0))},  // again
+		{From: 1, Text: gossipText(1, 5, entryText("x", 1, 0, 0, 0))},  // late
+		{From: 0, Text: gossipText(1, 9, entryText("x", 1, 9, 9, 0))},  // own rank
+		{From: 9, Text: gossipText(1, 9, entryText("x", 1, 9, 9, 0))},  // no such gateway
+		{From: -1, Text: gossipText(1, 9, entryText("x", 1, 9, 9, 0))}, // neither
+		{From: 1, Text: "Z" + gossipText(1, 9, entryText("x", 1, 9, 9, 0))[1:]},
+		{From: 1, Text: gossipText(1, 9, entryText("x", 1, 9, 9, 0)) + "!"},
+		{From: 1, Text: gossipText(1, 9) + "!!!!!!!!!!!!"},
+		{From: 1, Text: ""},
+	} {
+		h.handle(e)
+		if c.bucket.fleetLevel != 4 {
+			t.Fatalf("after %#v the fleet level is %v, want 4", e, c.bucket.fleetLevel)
+		}
+	}
+	h.handle(GossipReceived{From: 1, Text: gossipText(1, 7, entryText("y", 60, 9, 9, 0))}) // of an unknown plan
+	// A new incarnation of the peer counts from 0 again, and all that it used since is new.
+	h.handle(GossipReceived{From: 1, Text: gossipText(2, 1, entryText("x", 1, 3, 3, 0))})
+	if c.bucket.fleetLevel != 7 {
+		t.Errorf("after the peer's restart the fleet level is %v, want 7", c.bucket.fleetLevel)
+	}
+}
+
+func TestRestartedGatewayTakesThePeersLevel(t *testing.T) {
+	h := newHarness(t, nil)
+	h.handle(GossipReceived{From: 1, Text: gossipText(1, 40, entryText("x", 1, 700, 800, 30))})
+	h.handle(GossipReceived{From: 2, Text: gossipText(3, 50)})
+	if _, acts := h.request("get", "small", "x", 1); len(actionsOf[Send](acts)) != 0 {
+		t.Error("a restarted gateway forwarded though its peers report that the burst is used up")
+	}
+}
+
+func TestGossipSize(t *testing.T) {
+	h := newHarness(t, nil)
+	for i := 0; i < 100; i++ {
+		h.serve("get", "wide", fmt.Sprint("c", i), 1)
+	}
+	entries := map[int]int{}
+	for i := 0; i < 20; i++ {
+		h.now += 200 * ms
+		for _, m := range actionsOf[SendGossip](h.handle(TimerFired{heartbeatToken})) {
+			if len(m.Text) > maxGossipBytes {
+				t.Fatalf("datagram of %d bytes, want %d at most", len(m.Text), maxGossipBytes)
+			}
+			entries[m.To] += (len(m.Text) - gossipHeadLength) / gossipEntryLength
+		}
+	}
+	if entries[1] != 100 || entries[2] != 100 || entries[0] != 0 {
+		t.Errorf("sent entries about %v customers by gateway, want 100 each for 1 and 2", entries)
+	}
+}
+
+// FuzzGossip: whatever datagram comes, it must neither panic nor make a level negative.
+func FuzzGossip(f *testing.F) {
+	f.Add(gossipText(1, 1, entryText("x", 1, 5, 5, 5)))
+	f.Add(gossipText(4095, 4095))
+	f.Add("b")
+	f.Add("a0102zzzz")
+	f.Fuzz(func(t *testing.T, text string) {
+		g, err := New(testConfig(), 1)
+		if err != nil {
+			t.Fatal(err)
+		}
+		g.Handle(time.Second, GossipReceived{From: 1, Text: text})
+		for _, c := range g.customers.order {
+			if c.bucket.fleetLevel < 0 || math.IsNaN(c.bucket.fleetLevel) {
+				t.Errorf("fleet level is %v", c.bucket.fleetLevel)
+			}
+		}
+	})
+}
+
+// TestQuotaOverAllGateways: whatever the size of the fleet, what all gateways admit stays near rate and burst while
+// the traffic shifts between them, and most of it is admitted where it is within the quota.
+func TestQuotaOverAllGateways(t *testing.T) {
+	for _, n := range []int{3, 300} {
+		for _, ask := range []float64{0.5, 4} { // times the rate
+			fleet := newCluster(t, n, nil)
+			fleet.run(3*time.Second, 100*ms, "small", 0, func(int) int { return 0 })
+			const rate, units, secs = 3.0, 2.0, 24.0
+			gap := time.Duration(units / (ask * rate) * float64(time.Second))
+			for k := 0; k < 3; k++ { // the traffic gathers on a tenth of the gateways, then on others
+				few := max(1, n/10)
+				fleet.run(8*time.Second, gap, "small", units,
+					func(int) int { return (k*few + fleet.rng.Intn(few)) % n })
+			}
+			most := rate*secs + 12 + 2*units
+			least := 0.8 * min(ask*rate*secs, rate*secs)
+			if fleet.used > 1.15*most || fleet.used < least {
+				t.Errorf("%d gateways, %v times the rate: used %v, want %v to %v", n, ask, fleet.used, least, most)
+			}
+		}
+	}
+}
+
+// TestGossipStaysWithinCapacity: a customer demands many times its quota at all of 300 gateways.
+func TestGossipStaysWithinCapacity(t *testing.T) {
+	fleet := newCluster(t, 300, nil)
+	fleet.run(12*time.Second, 4*ms, "small", 2, func(int) int { return fleet.rng.Intn(300) })
+	for i := range fleet.received {
+		fleet.received[i] = 0
+	}
+	fleet.run(5*time.Second, 4*ms, "small", 2, func(int) int { return fleet.rng.Intn(300) })
+	for i, n := range fleet.received {
+		if float64(n)/5 > fleet.cfg.GossipCapacity {
+			t.Errorf("gateway %d was sent %d datagrams in 5 s, want %v a second at most", i, n,
+				fleet.cfg.GossipCapacity)
+		}
+	}
+}
+
+// TestCeilingOverAllGateways: while most gateways restart, what all forward stays under the ceiling.
+func TestCeilingOverAllGateways(t *testing.T) {
+	for _, n := range []int{3, 300} {
+		fleet := newCluster(t, n, nil)
+		tokens, last, used := 60.0, fleet.now, 0.0
+		for k := 0; k < 60; k++ {
+			if k%10 == 5 {
+				for i := range fleet.gateways {
+					if fleet.rng.Float64() < 0.9 {
+						fleet.start(i)
+					}
+				}
+			}
+			fleet.run(100*ms, 10*ms, "hard", 4, func(int) int { return fleet.rng.Intn(n) })
+			tokens = min(60, tokens+30*(fleet.now-last).Seconds()) - (fleet.used - used)
+			if last, used = fleet.now, fleet.used; tokens < -6 {
+				t.Fatalf("%d gateways: the ceiling's tokens fell to %v, want -6 at least", n, tokens)
+			}
+		}
+		if fleet.used < 30 {
+			t.Errorf("%d gateways: forwarded %v units in 6 s under a ceiling of 30 a second", n, fleet.used)
+		}
+	}
+}
+
+// TestRestartsHandOutNoFreshQuota: nine of ten gateways restart, twice. Each time buckets begin half full.
+func TestRestartsHandOutNoFreshQuota(t *testing.T) {
+	for _, n := range []int{3, 300} {
+		fleet := newCluster(t, n, nil)
+		fleet.run(3*time.Second, 100*ms, "small", 0, func(int) int { return 0 })
+		for k := 0; k < 3; k++ {
+			if k > 0 {
+				for i := range fleet.gateways {
+					if fleet.rng.Float64() < 0.9 {
+						fleet.start(i)
+					}
+				}
+			}
+			fleet.run(5*time.Second, 170*ms, "small", 2, func(int) int { return fleet.rng.Intn(n) })
+		}
+		const rate, burst, secs = 3.0, 12.0, 15.0
+		if most := 1.15 * (rate*secs + burst + 2*initialLevel*burst); fleet.used > most || fleet.used < 0.7*rate*secs {
+			t.Errorf("%d gateways: used %v in 15 s, want %v to %v", n, fleet.used, 0.7*rate*secs, most)
+		}
+	}
+}
