--- /dev/null
+++ b/internal/gateway/attempts_test.go
@@ -0,0 +1,92 @@
+package gateway
+
+import (
+	"bytes"
+	"fmt"
+	"log/slog"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"winghatch/decide"
+	"winghatch/internal/frontend"
+	"winghatch/internal/upstream"
+)
+
+// holdingUpstream hands the calls that it is given to the test.
+type holdingUpstream struct{ sent chan *upstream.Call }
+
+func (h *holdingUpstream) Send(c *upstream.Call) { h.sent <- c }
+func (h *holdingUpstream) Abandon(c *upstream.Call) upstream.AbandonResult {
+	return c.Abandon()
+}
+func (h *holdingUpstream) CloseIdle(string) {}
+
+var noWriteBound atomic.Bool // of the attempts of sendingCore
+
+// sendingCore forwards each request once. The attempt has to be written within 200 ms, unless noWriteBound is set.
+type sendingCore struct{}
+
+func (sendingCore) Handle(now time.Duration, ev decide.Event) []decide.Action {
+	if r, ok := ev.(decide.Request); ok {
+		s := decide.Send{ID: r.ID, Server: "s", Timeout: 500 * time.Millisecond}
+		if !noWriteBound.Load() {
+			s.WriteBefore = now + 200*time.Millisecond
+		}
+		return []decide.Action{s}
+	}
+	return nil
+}
+func (sendingCore) Status() decide.Status { return decide.Status{} }
+
+// TestAttemptsAreFormedAtTheirWrite has the time pass between the decision for an attempt and its write, as
+// connecting takes: the server is told the time that is left then, and nothing is written after the bound of the
+// attempt, without time left, or for a client that has gone.
+func TestAttemptsAreFormedAtTheirWrite(t *testing.T) {
+	var now atomic.Int64
+	now.Store(int64(time.Hour))
+	h := &holdingUpstream{sent: make(chan *upstream.Call, 10)}
+	clock := func() time.Duration { return time.Duration(now.Load()) }
+	cfg := decide.Config{Limits: decide.Limits{MaxAttempts: 3}}
+	l := NewLoop(cfg, sendingCore{}, clock, h, nil, nil, slog.New(slog.DiscardHandler))
+	l.SetMaxOpenRequests(10)
+	go l.Run()
+	t.Cleanup(l.Stop)
+	var clientGone atomic.Bool
+	submit := func(id string) *upstream.Call {
+		l.Submit(&frontend.Request{
+			ID:         id,
+			Deadline:   clock() + 400*time.Millisecond,
+			ClientGone: clientGone.Load,
+			Done:       func(frontend.Response) {},
+			EncodeAttempt: func(_ int, timeLeft time.Duration) []byte {
+				return fmt.Append(nil, timeLeft.Milliseconds())
+			},
+		})
+		return <-h.sent
+	}
+	c := submit("a")
+	now.Add(int64(150 * time.Millisecond))
+	if got := c.BuildParams(); !bytes.Equal(got, []byte("250")) || c.Cancelled() {
+		t.Errorf("written 150 ms after its decision it tells %s ms, late %t, want 250 and false", got, c.Cancelled())
+	}
+	now.Add(int64(50 * time.Millisecond))
+	if !c.Cancelled() {
+		t.Error("it may be written after its bound")
+	}
+	noWriteBound.Store(true)
+	c = submit("c")
+	if now.Add(int64(399 * time.Millisecond)); c.Cancelled() || string(c.BuildParams()) != "1" {
+		t.Errorf("with a millisecond left it tells %s, late %t, want 1 and false", c.BuildParams(), c.Cancelled())
+	}
+	if now.Add(1); !c.Cancelled() {
+		t.Error("it may be written with less left than can be told")
+	}
+	c = submit("b")
+	if c.Cancelled() {
+		t.Error("a new one is late")
+	}
+	if clientGone.Store(true); !c.Cancelled() {
+		t.Error("it may be written for a client that has gone")
+	}
+}
--- a/internal/gateway/measured_test.go
+++ b/internal/gateway/metrics_test.go
@@ -12,7 +12,7 @@
 	"winghatch/internal/testbed/metricsreceiver"
 )
 
-// TestMeasuresAgree compares what the receiver of measures has with what clients and nodes counted, to the unit: on a
+// TestMeasuresAgree compares the metrics at their receiver with what clients and servers counted, to the unit: on a
 // quiet gateway and on one whose nodes fail, whose receiver is away for a while, and that is stopped.
 func TestMeasuresAgree(t *testing.T) {
 	for _, bad := range []bool{false, true} {
@@ -22,19 +22,19 @@
 				t.Fatal(err)
 			}
 			defer recv.Stop()
-			b := newBench(t, 3, func(f *config.Fleet) {
+			g := newTestGateway(t, 3, func(f *config.Fleet) {
 				f.Metrics.Enabled, f.Metrics.URL, f.Metrics.Interval = true, recv.URL(), 20*time.Millisecond
 				f.Metrics.MaxSamples, f.Metrics.MaxBytes, f.Metrics.BatchSize, f.Metrics.Shards = 200000, 64<<20, 500, 2
 				f.Metrics.MaxAge, f.Metrics.Timeout, f.Metrics.MaxMembers = time.Minute, time.Second, 10
 			})
 			if bad {
-				b.nodes[0].SetFault(func(x *backend.Fault) { x.ErrorShare = 0.5 })
+				g.servers[0].SetFault(func(x *backend.Fault) { x.ErrorShare = 0.5 })
 				recv.SetFault(func(x *metricsreceiver.Fault) { x.Status = 503 })
 			}
-			c, poor := b.dial(b.key), b.dial("poor")
+			c, poor := g.dial(g.key), g.dial("poor")
 			served, units := 0, 0.0
 			for i := range 300 {
-				c.send(call(i, []string{"look", "submit"}[i%2], fmt.Sprintf(`{"units":2,"key":"k%d"}`, i)))
+				c.send(rpcCall(i, []string{"look", "submit"}[i%2], fmt.Sprintf(`{"units":2,"key":"k%d"}`, i)))
 			}
 			for range 300 {
 				if strings.Contains(c.read(), `"result"`) {
@@ -46,12 +46,12 @@
 			if bad {
 				recv.SetFault(func(x *metricsreceiver.Fault) { x.Status = 0 })
 			}
-			attempts, refused := b.gw.State().Attempts, refusals(b.gw.State())
-			c.nc.Close()
-			poor.nc.Close()
-			b.gw.Drain()
+			attempts, refused := g.gateway.State().Attempts, rejections(g.gateway.State())
+			c.conn.Close()
+			poor.conn.Close()
+			g.gateway.Drain()
 			ran := 0
-			for _, n := range b.nodes {
+			for _, n := range g.servers {
 				ran += n.Completed()
 			}
 			for _, w := range []struct {
@@ -79,27 +79,28 @@
 			if recv.OutOfOrder > 0 {
 				t.Errorf("%d samples out of order", recv.OutOfOrder)
 			}
-			t.Logf("%d series, %d samples, %.1f bytes each", len(recv.Names()), recv.Samples, float64(recv.Bytes)/float64(recv.Samples))
+			t.Logf("%d series, %d samples, %.1f bytes each", len(recv.Names()), recv.Samples,
+				float64(recv.Bytes)/float64(recv.Samples))
 		})
 	}
 }
 
-// TestSumsOverGateways sums what three gateways counted, at both homes of each name, while one of them is stopped and
-// started.
+// TestSumsOverGateways has three gateways count requests: both gateways that add up a name have the total of all
+// three, also after one of the three was stopped and started.
 func TestSumsOverGateways(t *testing.T) {
 	recv, err := metricsreceiver.Start("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer recv.Stop()
-	x := newTrio(t, func(f *config.Fleet) {
+	fleet := newTestFleet(t, func(f *config.Fleet) {
 		f.Metrics.Enabled, f.Metrics.URL, f.Metrics.Interval = true, recv.URL(), 100*time.Millisecond
 		f.Metrics.MaxSamples, f.Metrics.MaxBytes, f.Metrics.BatchSize, f.Metrics.Shards = 200000, 64<<20, 500, 2
 		f.Metrics.MaxAge, f.Metrics.Timeout, f.Metrics.MaxMembers = time.Minute, time.Second, 10
 	})
 	served := 0
 	for i := range 3 {
-		n, _ := x.dialAt(i, x.key).serve(10, `{"units":1.5}`)
+		n, _ := fleet.dialAt(i, fleet.key).serve(10, `{"units":1.5}`)
 		served += n
 	}
 	sum := func(metric string, labels ...string) (most float64) {
@@ -110,34 +111,36 @@
 	}
 	agree := func() {
 		t.Helper()
-		eventually(t, "both homes have the sums", func() bool {
+		eventually(t, "both gateways have the totals", func() bool {
 			return recv.Sum("winghatch_sum_units_total", `name="m"`, `replica="0"`) == 1.5*float64(served) &&
 				recv.Sum("winghatch_sum_units_total", `name="m"`, `replica="1"`) == 1.5*float64(served)
 		})
-		// The class has homes of its own, which are told at other beats.
-		eventually(t, "the class has its sum", func() bool {
-			return sum("winghatch_sum_calls_total", `kind="class"`, `name="look"`, `outcome="served"`) == float64(served)
+		// Other gateways add up the class, at other times.
+		eventually(t, "the class has its total", func() bool {
+			total := sum("winghatch_sum_calls_total", `kind="class"`, `name="look"`, `outcome="served"`)
+			return total == float64(served)
 		})
 	}
 	agree()
-	// A gateway that is no home of the member: its later life adds to what its former one told.
+	// A gateway that does not add up the member: its next incarnation adds to what the one before reported.
 	away := -1
 	for i := range 3 {
-		home := false
+		owner := false
 		for _, n := range recv.Names() {
-			home = home || strings.HasPrefix(n, "winghatch_sum_units_total{") && strings.Contains(n, `name="m"`) && strings.Contains(n, fmt.Sprintf(`gateway="%d"`, i))
+			owner = owner || strings.HasPrefix(n, "winghatch_sum_units_total{") &&
+				strings.Contains(n, `name="m"`) && strings.Contains(n, fmt.Sprintf(`gateway="%d"`, i))
 		}
-		if !home {
+		if !owner {
 			away = i
 		}
 	}
 	if away < 0 {
-		t.Fatal("the member has three homes")
+		t.Fatal("all three gateways add up the member")
 	}
-	x.procs[away].Signal(syscall.SIGTERM)
-	x.procs[away].Wait() // it holds its logs until it ends
-	x.start(away)
-	n, _ := x.dialAt(away, x.key).serve(7, `{"units":1.5}`)
+	fleet.processes[away].Signal(syscall.SIGTERM)
+	fleet.processes[away].Wait() // it holds its logs until it ends
+	fleet.start(away)
+	n, _ := fleet.dialAt(away, fleet.key).serve(7, `{"units":1.5}`)
 	served += n
 	agree()
 }
--- a/internal/gateway/storeddata_test.go
+++ b/internal/gateway/storeddata_test.go
@@ -45,7 +45,8 @@
 	defer log.Close()
 	if box.Incarnation() != 2000 || box.LastAcknowledged() != 4 || box.Counts.Orphans != 2 || recovery.Last != 13 ||
 		recovery.SnapshotRecord != 9 || len(recovery.Gaps) > 0 || recovery.TornBytes > 0 {
-		t.Errorf("%+v %+v acknowledged %d incarnation %d", recovery, box.Counts, box.LastAcknowledged(), box.Incarnation())
+		t.Errorf("%+v %+v acknowledged %d incarnation %d", recovery, box.Counts, box.LastAcknowledged(),
+			box.Incarnation())
 	}
 	if err := log.Sync(10 * time.Second); err != nil { // a cursor reads what is durable
 		t.Fatal(err)
@@ -83,12 +84,13 @@
 func TestReadsStoredPlans(t *testing.T) {
 	const incarnation, first = 1796282050655553362, 1796282050656569102
 	want := []quotaplan.Change{
-		{Number: 1, Kind: quotaplan.Move, Member: "poor", Plan: "big", From: first, Stamp: first, Incarnation: incarnation},
+		{Number: 1, Kind: quotaplan.Move, Member: "poor", Plan: "big", From: first, Stamp: first,
+			Incarnation: incarnation},
 		{Number: 2, Kind: quotaplan.Terms, Plan: "big", From: 1796282050656752142, Stamp: 1796282050656752142,
 			Incarnation: incarnation, Terms: decide.Plan{Name: "big", Rate: 70, Burst: 90, CeilingRate: 140,
 				CeilingBurst: 200, CeilingSlack: 3, MaxInFlight: 12, PriorityWeight: 2.5}},
-		{Number: 3, Kind: quotaplan.Reserve, Member: "m", From: 1796282050657563948, To: 1796285650656563948, Units: 40, Rate: 6,
-			Stamp: 1796282050656885761, Incarnation: incarnation},
+		{Number: 3, Kind: quotaplan.Reserve, Member: "m", From: 1796282050657563948, To: 1796285650656563948,
+			Units: 40, Rate: 6, Stamp: 1796282050656885761, Incarnation: incarnation},
 	}
 	const wantState = "01b8b645e351ce16895207bc0902aded1801000000000000000000000000000036400000"
 	snapshot, err := os.ReadFile("testdata/plan-snapshot.hex")
--- a/internal/gateway/timers_test.go
+++ b/internal/gateway/timers_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestTimers sets, withdraws and takes timers in any order: each is due once, in the order of time and setting,
-// and a withdrawn one never.
+// TestTimers sets, cancels and takes timers in any order: each is due once, in the order of time and of setting, and a
+// cancelled one never.
 func TestTimers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type set struct {
--- a/internal/gateway/traced_test.go
+++ b/internal/gateway/tracing_test.go
@@ -12,7 +12,7 @@
 	"winghatch/internal/testbed/tracereceiver"
 )
 
-// TestTraces follows a client's trace through a call with a failed attempt, finds the cause of a refusal in its span
+// TestTraces follows a client's trace through a call with a failed attempt, finds the reason of a rejection in its span
 // and the trace of a histogram's exemplar, and holds nobody up while the receiver is away.
 func TestTraces(t *testing.T) {
 	recv, err := tracereceiver.Start("127.0.0.1:0")
@@ -25,29 +25,30 @@
 		t.Fatal(err)
 	}
 	defer meter.Stop()
-	b := newBench(t, 2, func(f *config.Fleet) {
-		f.Tracing.URL, f.Tracing.SampleFraction, f.Tracing.MaxPerSecond, f.Tracing.MaxSpans, f.Tracing.Timeout = recv.URL(), 0, 100, 2048, time.Second
+	g := newTestGateway(t, 2, func(f *config.Fleet) {
+		f.Tracing.URL, f.Tracing.Timeout = recv.URL(), time.Second
+		f.Tracing.SampleFraction, f.Tracing.MaxPerSecond, f.Tracing.MaxSpans = 0, 100, 2048
 		f.Metrics.Enabled, f.Metrics.URL, f.Metrics.Interval = true, meter.URL(), 50*time.Millisecond
 	})
-	c := b.dial(b.key)
+	c := g.dial(g.key)
 	if n, last := c.serve(20, `{}`); n != 20 { // served in time and asked for by nobody: share is 0
 		t.Fatal(last)
 	}
-	for _, n := range b.nodes {
+	for _, n := range g.servers {
 		n.SetFault(func(x *backend.Fault) { x.ErrorShare = 1 })
 	}
 	const traceID, parent = "4bf92f3577b34da6a3ce929d0e0e4736", "00f067aa0ba902b7"
 	ctx := `{"traceparent":"00-` + traceID + `-` + parent + `-01"}`
-	c.send(call("bad", "look", ctx))
+	c.send(rpcCall("bad", "look", ctx))
 	bad := c.read()
-	for _, n := range b.nodes {
+	for _, n := range g.servers {
 		n.SetFault(func(x *backend.Fault) { x.ErrorShare = 0 })
 	}
-	c.send(call("good", "look", ctx))
+	c.send(rpcCall("good", "look", ctx))
 	if s := c.read(); !strings.Contains(s, `"result"`) || strings.Contains(bad, `"result"`) {
 		t.Fatal(bad, s)
 	}
-	poor := b.dial("poor")
+	poor := g.dial("poor")
 	poor.serve(5, `{}`)
 	var refused tracereceiver.Span
 	eventually(t, "the spans are there", func() bool {
@@ -85,7 +86,8 @@
 		case "attempt":
 			attempts++
 			p := byID[s.ParentID]
-			if p.Name != "look" || s.Start.Before(p.Start) || s.End.Before(s.Start) || s.Error != (s.Attrs["winghatch.outcome"] != "ok") {
+			if p.Name != "look" || s.Start.Before(p.Start) || s.End.Before(s.Start) ||
+				s.Error != (s.Attrs["winghatch.outcome"] != "ok") {
 				t.Errorf("%+v under %+v", s, p)
 			}
 		}
@@ -93,7 +95,9 @@
 	if good != 1 || attempts < 2 {
 		t.Errorf("%d served, %d attempts", good, attempts)
 	}
-	eventually(t, "an exemplar joins the histogram to the trace", func() bool { return slices.Contains(meter.ExemplarTraces(), traceID) })
+	eventually(t, "an exemplar joins the histogram to the trace", func() bool {
+		return slices.Contains(meter.ExemplarTraces(), traceID)
+	})
 
 	recv.SetStatus(503)
 	began := time.Now()
