--- a/decide/config.go
+++ b/decide/config.go
@@ -1,7 +1,6 @@
 package decide
 
 import (
-	"errors"
 	"fmt"
 	"math"
 	"time"
@@ -110,22 +109,34 @@
 	Subscribe         bool // updates of the endpoint list come only after a subscription
 }
 
-// Validate returns an error that names the first setting with which a gateway can't work.
+// SettingError says which setting a gateway can't work with.
+type SettingError struct {
+	Field   string // path in [Config], for instance "Classes[0].LatencyObjective"
+	Problem string // for instance "is 0s, want more than 0"
+}
+
+func (e *SettingError) Error() string { return "decide: " + e.Field + " " + e.Problem }
+
+func invalid(field, problem string, args ...any) error {
+	return &SettingError{Field: field, Problem: fmt.Sprintf(problem, args...)}
+}
+
+// Validate returns a *SettingError for the first setting with which a gateway can't work.
 func (c *Config) Validate() error {
 	if c.Gateways < 1 {
-		return fmt.Errorf("decide: Gateways is %d, want 1 or more", c.Gateways)
+		return invalid("Gateways", "is %d, want 1 or more", c.Gateways)
 	}
 	if c.Rank < 0 || c.Rank >= c.Gateways {
-		return fmt.Errorf("decide: Rank is %d, want 0 to %d", c.Rank, c.Gateways-1)
+		return invalid("Rank", "is %d, want 0 to %d", c.Rank, c.Gateways-1)
 	}
 	if len(c.Classes) == 0 {
-		return errors.New("decide: Classes is empty, want one or more")
+		return invalid("Classes", "is empty, want one or more")
 	}
 	if c.Limits.MaxAttempts < 1 {
-		return fmt.Errorf("decide: Limits.MaxAttempts is %d, want 1 or more", c.Limits.MaxAttempts)
+		return invalid("Limits.MaxAttempts", "is %d, want 1 or more", c.Limits.MaxAttempts)
 	}
 	if c.Safety.SlowStartDuration > 0 && c.Safety.OverloadWindow <= 0 {
-		return fmt.Errorf("decide: Safety.OverloadWindow is %v, want more than 0", c.Safety.OverloadWindow)
+		return invalid("Safety.OverloadWindow", "is %v, want more than 0", c.Safety.OverloadWindow)
 	}
 	err := checkNumbers("", []setting{
 		{"Safety.SlowStartCapacity", c.Safety.SlowStartCapacity},
@@ -151,17 +162,17 @@
 
 func (k *Class) validate(path string) error {
 	if k.Name == "" {
-		return fmt.Errorf("decide: %s.Name is empty", path)
+		return invalid(path+".Name", "is empty")
 	}
 	if k.LatencyObjective <= 0 {
-		return fmt.Errorf("decide: %s.LatencyObjective is %v, want more than 0", path, k.LatencyObjective)
+		return invalid(path+".LatencyObjective", "is %v, want more than 0", k.LatencyObjective)
 	}
 	return checkNumbers(path+".", []setting{{"PriorityWeight", k.PriorityWeight}})
 }
 
 func (p *Plan) validate(path string) error {
 	if p.Name == "" {
-		return fmt.Errorf("decide: %s.Name is empty", path)
+		return invalid(path+".Name", "is empty")
 	}
 	return checkNumbers(path+".", []setting{
 		{"Rate", p.Rate},
@@ -186,7 +197,7 @@
 func checkNumbers(prefix string, settings []setting) error {
 	for _, s := range settings {
 		if math.IsNaN(s.value) || math.IsInf(s.value, 0) || s.value < 0 {
-			return fmt.Errorf("decide: %s%s is %v, want a number of 0 or more", prefix, s.name, s.value)
+			return invalid(prefix+s.name, "is %v, want a number of 0 or more", s.value)
 		}
 	}
 	return nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -80,7 +80,7 @@
 		{`ceiling-rate "20/s"`, `ceiling-rate "5/s"`, `want the rate of 10 or more`},
 		{`max-open 9`, `max-open 1.5`, `want a whole number`},
 		{`cold-from 0.2`, `cold-from 2`, `want a number from 0 to 1`},
-		{`fall-window "1s"`, ``, `Safety.OverloadWindow`},
+		{`fall-window "1s"`, ``, `safety.fall-window is 0s, want more than 0`},
 		{`attempts=3`, `attempts=0`, `want a whole number from 1 to 100`},
 		{`message="64KiB"`, `message="64KB"`, `want a size`},
 		{`listen="127.0.0.1:7001"`, `listen="127.0.0.1"`, `want an address`},
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"errors"
 	"fmt"
 	"strconv"
 	"strings"
@@ -118,7 +119,12 @@
 		return c, fmt.Errorf("rank: %d, want 0 to %d", rank, len(f.Gateways)-1)
 	}
 	c.Rank, c.Zone = rank, f.Gateways[rank].Zone
-	return c, c.Validate()
+	err := c.Validate()
+	var setting *decide.SettingError
+	if errors.As(err, &setting) && setting.Field == "Safety.OverloadWindow" {
+		return c, fmt.Errorf("safety.fall-window %s, as cold-for is given", setting.Problem)
+	}
+	return c, err
 }
 
 // StateDir is the directory of what must outlive a process of one gateway; empty: there is none.
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -108,7 +108,7 @@
 	if c.Decide, c.ConnectionLimits, err = settings.Parse(f.Settings); err != nil {
 		return nil, fmt.Errorf("field \"settings\": %w", err)
 	}
-	if err := c.Decide.Validate(); err != nil {
+	if err := settings.Validate(&c.Decide); err != nil {
 		return nil, fmt.Errorf("field \"settings\": %w", err)
 	}
 	if err := c.checkPeers(); err != nil {
--- /dev/null
+++ b/internal/platform/settings/key.go
@@ -0,0 +1,55 @@
+package settings
+
+import (
+	"errors"
+	"fmt"
+	"regexp"
+	"strings"
+
+	"winghatch/decide"
+)
+
+// keyOf has the platform's key of each field of decide.Config that Validate can refuse, without the number of a class or plan.
+var keyOf = map[string]string{
+	"Rank":                       "Rank",
+	"Gateways":                   "Instances",
+	"GossipCapacity":             "Extra.PeerIntake",
+	"MaxUnits":                   "Extra.UnitsTop",
+	"Limits.MaxAttempts":         "Limits.SendCap",
+	"Safety.SlowStartCapacity":   "Safety.ColdFrom",
+	"Safety.OverloadMultiple":    "Safety.FallMultiple",
+	"Safety.OverloadWindow":      "Safety.FallNs",
+	"Classes":                    "Classes",
+	"Classes[].Name":             "Classes[].Name",
+	"Classes[].LatencyObjective": "Classes[].AimNs",
+	"Classes[].PriorityWeight":   "Classes[].Importance",
+	"Plans[].Name":               "TiersOfService[].Name",
+	"Plans[].Rate":               "TiersOfService[].Refill",
+	"Plans[].Burst":              "TiersOfService[].MostAtOnce",
+	"Plans[].CeilingRate":        "TiersOfService[].NeverOverRate",
+	"Plans[].CeilingBurst":       "TiersOfService[].NeverOverDepth",
+	"Plans[].CeilingSlack":       "TiersOfService[].HardSlack",
+	"Plans[].MaxInFlight":        "TiersOfService[].Parallel",
+	"Plans[].PriorityWeight":     "TiersOfService[].Pays",
+	"Plans[].OverQuotaValue":     "TiersOfService[].BeyondEarns",
+	"Plans[].OverQuotaCost":      "TiersOfService[].ExcessCost",
+}
+
+var index = regexp.MustCompile(`\[\d+\]`)
+
+// Validate checks a configuration that Parse returned. Its error names the platform's key.
+func Validate(c *decide.Config) error {
+	err := c.Validate()
+	var setting *decide.SettingError
+	if !errors.As(err, &setting) {
+		return err
+	}
+	key, ok := keyOf[index.ReplaceAllString(setting.Field, "[]")]
+	if !ok {
+		return err
+	}
+	if number := index.FindString(setting.Field); number != "" {
+		key = strings.Replace(key, "[]", number, 1)
+	}
+	return fmt.Errorf("%s %s", key, setting.Problem)
+}
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -20,7 +20,7 @@
 }
 
 // Parse reads the settings object. An error names the key. The configuration still has to pass
-// [decide.Config.Validate].
+// [Validate].
 func Parse(raw json.RawMessage) (decide.Config, ConnectionLimits, error) {
 	var d document
 	if err := json.Unmarshal(raw, &d); err != nil {
@@ -47,7 +47,7 @@
 	return err
 }
 
-// check refuses times that connections can't work with. Other numbers are checked by decide.Config.Validate.
+// check refuses times that connections can't work with. Other numbers are checked by Validate.
 func (l *limits) check() error {
 	if l.ConnIdleNs < 0 {
 		return fmt.Errorf("Limits.ConnIdleNs is %d, want 0 or more", l.ConnIdleNs)
