--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -20,8 +20,8 @@
 	CloseIdle(server string)
 }
 
-// minAttemptTimeout is the least time that an attempt can pass on to its server, which is told whole milliseconds. With
-// less left an attempt is not written.
+// minAttemptTimeout is the least time left that an attempt can pass on to its server, in whole milliseconds. An attempt
+// with less is not written.
 const minAttemptTimeout = time.Millisecond
 
 // outcomeNames are the outcomes of attempts in logs, metrics, traces and the state. Operators' tools know them, so they
@@ -93,7 +93,7 @@
 }
 
 // newCall returns the call of an attempt. Connecting takes time, so whether it may leave at all, and the time left that
-// its server is told where the front end encodes it, are settled when it is written. writeBefore is 0 for no bound.
+// its server gets where the front end encodes it, are determined when it is written. writeBefore is 0 for no bound.
 func (l *Loop) newCall(a *attempt, timeLeft, writeBefore time.Duration) *upstream.Call {
 	r := a.request
 	timeoutAt := l.now + timeLeft
--- a/internal/gateway/attempts_test.go
+++ b/internal/gateway/attempts_test.go
@@ -40,7 +40,7 @@
 func (sendingCore) Status() decide.Status { return decide.Status{} }
 
 // TestAttemptsAreFormedAtTheirWrite has the time pass between the decision for an attempt and its write, as
-// connecting takes: the server is told the time that is left then, and nothing is written after the bound of the
+// connecting takes: the server gets the time that is left then, and nothing is written after the bound of the
 // attempt, without time left, or for a client that has gone.
 func TestAttemptsAreFormedAtTheirWrite(t *testing.T) {
 	var now atomic.Int64
@@ -68,7 +68,8 @@
 	c := submit("a")
 	now.Add(int64(150 * time.Millisecond))
 	if got := c.BuildParams(); !bytes.Equal(got, []byte("250")) || c.Cancelled() {
-		t.Errorf("written 150 ms after its decision it tells %s ms, late %t, want 250 and false", got, c.Cancelled())
+		t.Errorf("written 150 ms after its decision its timeout is %s ms, cancelled %t, want 250 and false",
+			got, c.Cancelled())
 	}
 	now.Add(int64(50 * time.Millisecond))
 	if !c.Cancelled() {
@@ -77,10 +78,11 @@
 	noWriteBound.Store(true)
 	c = submit("c")
 	if now.Add(int64(399 * time.Millisecond)); c.Cancelled() || string(c.BuildParams()) != "1" {
-		t.Errorf("with a millisecond left it tells %s, late %t, want 1 and false", c.BuildParams(), c.Cancelled())
+		t.Errorf("with a millisecond left its timeout is %s, cancelled %t, want 1 and false",
+			c.BuildParams(), c.Cancelled())
 	}
 	if now.Add(1); !c.Cancelled() {
-		t.Error("it may be written with less left than can be told")
+		t.Error("it may be written with less time left than can be passed on")
 	}
 	c = submit("b")
 	if c.Cancelled() {
--- a/internal/gateway/changesfile.go
+++ b/internal/gateway/changesfile.go
@@ -26,7 +26,7 @@
 )
 
 // ReadChanges reads a file of plan changes: KDL nodes named "change" with the fields of one each, times in RFC 3339. It
-// returns where each change stands. The error tells all that is wrong, with places.
+// returns the place of each change. The error lists all mistakes with their places.
 func ReadChanges(file string, src []byte) ([]quotaplan.Change, []kdl.Pos, error) {
 	nodes, err := decode.Parse(file, src)
 	if err != nil {
--- a/internal/gateway/drainoutbox.go
+++ b/internal/gateway/drainoutbox.go
@@ -28,7 +28,7 @@
 
 // DrainOutbox delivers what the outbox of a gateway that does not run still holds, such as one that will never come
 // back. Attempts that its last incarnation left open are exported at their estimates. It returns once the receiver
-// has everything, or with an error that wraps that of ctx and tells the receiver's last answer.
+// has everything, or with an error that wraps that of ctx and has the receiver's last answer.
 func DrainOutbox(ctx context.Context, f *config.Fleet, rank int, log *slog.Logger) (DrainResult, error) {
 	if rank < 0 || rank >= len(f.Gateways) {
 		return DrainResult{}, fmt.Errorf("rank: %d, want 0 to %d", rank, len(f.Gateways)-1)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -53,7 +53,7 @@
 	Tamper Tamper
 }
 
-// Gateway is a running gateway. Start starts its goroutines, Stop ends them in the order that it tells.
+// Gateway is a running gateway. Start starts its goroutines, Stop ends them in the order that is documented there.
 type Gateway struct {
 	fleet       *config.Fleet
 	rank        int
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -49,8 +49,9 @@
 	<-done
 }
 
-// TestStartsFromKeptList kills a gateway and starts it again while the list is away: it serves by its last list,
-// and slowly. A bucket whose past is unknown counts as half full, a store under a ceiling as empty.
+// TestStartsFromKeptList kills a gateway and starts it while discovery is away: it serves by the list that it cached,
+// with all servers in slow start. A bucket whose past is unknown counts as half full, the tokens under a ceiling as
+// used up.
 func TestStartsFromKeptList(t *testing.T) {
 	kept := filepath.Join(t.TempDir(), "list-%d")
 	g := newTestGateway(t, 1, func(f *config.Fleet) {
@@ -65,7 +66,7 @@
 		m.Keys = append(m.Keys, f.Secret.MemberKeyHasher().Sum([]byte("roofed")))
 		f.Members = append(f.Members, m)
 	})
-	eventually(t, "the list is kept", func() bool {
+	eventually(t, "the list is cached", func() bool {
 		u, err := discoveryws.LoadList(strings.ReplaceAll(kept, "%d", "0"))
 		return err == nil && len(u.Endpoints) == 1
 	})
@@ -82,7 +83,7 @@
 		}
 		return n
 	}
-	eventually(t, "the last list is taken", func() bool { return served(g.key) > 0 })
+	eventually(t, "the cached list is taken", func() bool { return served(g.key) > 0 })
 	if n := served("poor"); n < 15 || n > 21 {
 		t.Errorf("after a start %d of 60 are served, want half the mark of 40", n)
 	}
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -42,7 +42,7 @@
 	Status() decide.Status
 }
 
-// Tamper breaks a gateway on purpose, so that tests can tell whether package invariant finds it. Nothing else sets it.
+// Tamper breaks a gateway on purpose, so that tests can check whether package invariant finds it. Nothing else sets it.
 type Tamper struct {
 	Event    func(decide.Event) decide.Event // replaces an event; a nil result keeps it from the core
 	Actions  func(decide.Event, []decide.Action) []decide.Action
@@ -216,7 +216,7 @@
 	return wait
 }
 
-// fireTimer tells the core of its own timer, or ends an attempt that has timed out.
+// fireTimer hands the core its own timer, or ends an attempt that has timed out.
 func (l *Loop) fireTimer(token uint64, a *attempt) {
 	if a == nil {
 		l.handleEvent(decide.TimerFired{Token: token})
--- a/internal/gateway/params.go
+++ b/internal/gateway/params.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// attemptParams encodes what a server is told of an attempt where the front end has no encoding of its own: the
+// attemptParams encodes what a server gets with an attempt where the front end has no encoding of its own: the
 // params of a JSON-RPC request.
 func (r *openRequest) attemptParams(number int, timeLeft time.Duration) []byte {
 	b := make([]byte, 0, 160+len(r.Payload))
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -9,7 +9,7 @@
 // Peers carries messages to other gateways, by their ranks. Send does not block; a message may get lost.
 type Peers interface{ Send(to int, text string) }
 
-// The first byte of a message between gateways tells whom it is for. No message of the core begins with one of these.
+// The first byte of a message between gateways is its channel. No message of the core begins with one of these.
 const (
 	channelPlans        = 0x01 // package quotaplan
 	channelReservations = 0x02 // package reservation
--- a/internal/gateway/planlog.go
+++ b/internal/gateway/planlog.go
@@ -10,7 +10,7 @@
 	"winghatch/internal/wal"
 )
 
-// Records of the plan log: a byte that tells the kind, then what the package named writes.
+// Records of the plan log: a byte for the kind, then what the package named writes.
 const (
 	recordOwnChange   = 1 // quotaplan.Change that this gateway accepted
 	recordPeerChange  = 2 // quotaplan.Change of another gateway
@@ -31,8 +31,8 @@
 	reservationState uint64 // number of a state of the ledger; 0: none
 }
 
-// openLog opens the plan log and restores what it holds. The log's goroutines tell the loop, through its queue, what
-// has become durable and whether writing fails.
+// openLog opens the plan log and restores what it holds. The log's goroutines report to the loop, through its queue,
+// what has become durable and whether writing fails.
 func (p *quotaPlans) openLog(o PlanOptions) error {
 	options := wal.Options{
 		Mode:         wal.SyncAlways,
@@ -150,7 +150,7 @@
 	p.pending = append(p.pending, pending)
 }
 
-// recordsDurable is called when all records up to a number are durable. It tells the replica and the ledger, and
+// recordsDurable is called when all records up to a number are durable. It informs the replica and the ledger, and
 // takes a snapshot if the log has grown by enough.
 func (p *quotaPlans) recordsDurable(record uint64) {
 	for len(p.pending) > 0 && p.pending[0].record <= record {
--- a/internal/gateway/quotaplans.go
+++ b/internal/gateway/quotaplans.go
@@ -226,12 +226,12 @@
 	})
 }
 
-// ceilingSharer is a core that tells where it keeps a customer's ceiling tokens.
+// ceilingSharer is a core that knows which gateways hold a customer's ceiling tokens.
 type ceilingSharer interface {
 	CeilingShares(customer string, first, spread int) []decide.CeilingShare
 }
 
-// ceilingShares returns which gateways hold a member's ceiling tokens; even shares for a core that does not tell.
+// ceilingShares returns which gateways hold a member's ceiling tokens; even shares for a core that does not know.
 func (p *quotaPlans) ceilingShares(r quotaplan.Reservation) (shares []reservation.CeilingShare) {
 	core, ok := p.loop.core.(ceilingSharer)
 	if !ok {
--- a/internal/gateway/quotaplans_test.go
+++ b/internal/gateway/quotaplans_test.go
@@ -175,7 +175,9 @@
 		_, err := gw.Submit(quotaplan.Change{Number: 1, Kind: quotaplan.Move, Member: "poor", Plan: "big"})
 		done <- err
 	}()
-	eventually(t, "the failure is told", func() bool { return strings.Contains(gw.State().PlanLogFailure, "no space") })
+	eventually(t, "the failure is reported", func() bool {
+		return strings.Contains(gw.State().PlanLogFailure, "no space")
+	})
 	if n := gw.State().PlanChanges; n != 0 {
 		t.Errorf("%d changes count", n)
 	}
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -50,7 +50,7 @@
 // Submit hands a request, which Reserve has counted, to the loop.
 func (l *Loop) Submit(r *frontend.Request) { l.queue.post(requestReceived{r}) }
 
-// Disconnected tells the loop that the client of a request left.
+// Disconnected reports to the loop that the client of a request left.
 func (l *Loop) Disconnected(id string) { l.queue.post(clientDisconnected{id}) }
 
 // FailOpenRequests answers every open request as failed and returns after that. It is called when the process is
--- a/internal/gateway/start.go
+++ b/internal/gateway/start.go
@@ -24,7 +24,7 @@
 const upstreamReadBuffer = 16 << 10 // bytes
 
 // Start binds the sockets that the settings name, recovers what was persisted and runs a gateway. After an error
-// nothing of it is left behind. The error tells the gateway's rank and the setting.
+// nothing of it is left behind. The error names the gateway's rank and the setting.
 func Start(f *config.Fleet, o Options) (_ *Gateway, err error) {
 	cfg, err := f.DecideConfig(o.Rank)
 	if err != nil {
--- a/internal/gateway/tracing.go
+++ b/internal/gateway/tracing.go
@@ -11,7 +11,7 @@
 	"winghatch/internal/tracing"
 )
 
-// tracerStream tells the tracer's random numbers from others that are drawn with the same seed.
+// tracerStream separates the tracer's random numbers from others that are drawn with the same seed.
 const tracerStream = 7
 
 // requestTracer draws span ids and decides at the end of a request whether its trace is exported. The loop owns it; the
--- a/internal/gateway/tracing_test.go
+++ b/internal/gateway/tracing_test.go
@@ -71,7 +71,7 @@
 	for _, s := range recv.Spans() {
 		if s.TraceID != traceID {
 			if s.Attrs["winghatch.outcome"] == "served" && s.Name == "look" {
-				t.Errorf("a call in time that nobody sampled is told: %+v", s)
+				t.Errorf("a request in time that nobody sampled is exported: %+v", s)
 			}
 			continue
 		}
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -24,9 +24,9 @@
 	settlementReservePerAttempt = 1 << 10
 )
 
-// usageOutbox carries out what the outbox of usage asks for: no byte of an attempt leaves before its intent is durable,
-// and its settlement follows its end. The loop owns it. The goroutine of run and those of the log tell the loop through
-// its queue what they did.
+// usageOutbox carries out what the outbox of usage asks for: no byte of an attempt leaves before its intent is
+// durable, and its settlement follows its end. The loop owns it. The goroutine of run and those of the log report to
+// the loop through its queue what they did.
 type usageOutbox struct {
 	loop      *Loop
 	outbox    *outbox.Outbox
--- a/internal/gateway/usage_test.go
+++ b/internal/gateway/usage_test.go
@@ -81,8 +81,8 @@
 	}
 	c.send(rpcCall(1, "quick", `{"units":4}`))
 	c.read()
-	tries := int(u.gateway.State().Attempts)
-	eventually(t, "all is exported", func() bool { return len(u.usage()) == tries })
+	attempts := int(u.gateway.State().Attempts)
+	eventually(t, "all is exported", func() bool { return len(u.usage()) == attempts })
 	kinds := map[string]int{}
 	for _, u := range u.usage() {
 		kinds[fmt.Sprint(u.Outcome, " ", u.Units, " ", u.Estimated)]++
@@ -118,7 +118,7 @@
 			u.fs.failWrites.Store(true)
 			c.send(rpcCall(1, "look", `{}`)) // the first whose intent can't be written; rejected or served
 			c.read()
-			eventually(t, "the failure is told", func() bool { return u.gateway.State().Usage.Failure != "" })
+			eventually(t, "the failure is reported", func() bool { return u.gateway.State().Usage.Failure != "" })
 			ran := u.servers[0].Completed() + u.servers[1].Completed()
 			n, last := c.serve(10, `{"units":2}`)
 			ran = u.servers[0].Completed() + u.servers[1].Completed() - ran
@@ -137,7 +137,7 @@
 				t.Error(last)
 			}
 			if policy == outbox.PolicyServe {
-				eventually(t, "the gap is told", func() bool {
+				eventually(t, "the gap is reported", func() bool {
 					for _, e := range u.receiver.Events() {
 						var g outbox.GapData
 						if e.Type == outbox.TypeGap && json.Unmarshal(e.Data, &g) == nil && g.Units >= 20 {
@@ -179,6 +179,13 @@
 		t.Errorf("%d bytes, the bound is %d", s.Bytes, s.MaxBytes)
 	}
 	u.receiver.SetFault(func(t *usagereceiver.Fault) { t.Status = 0 })
+	t.Cleanup(func() {
+		if t.Failed() { // a request that was retried has more than one event
+			s := u.gateway.State()
+			t.Logf("%d events, %d served; attempts %v; usage %+v", len(u.receiver.Events()), served, s.Outcomes,
+				s.Usage)
+		}
+	})
 	eventually(t, "all is exported", func() bool { return len(u.receiver.Events()) == served })
 	eventually(t, "there is room again", func() bool { return !u.gateway.State().Usage.Rejecting })
 	if n, last := c.serve(3, `{}`); n != 3 {
@@ -206,7 +213,7 @@
 	eventually(t, "three are out", func() bool {
 		var s State
 		json.Unmarshal([]byte(stateOf(u.fleet, 0)), &s)
-		return s.Usage != nil && s.Usage.Records >= 1+13+10 // a life, 13 intents, 10 settlements
+		return s.Usage != nil && s.Usage.Records >= 1+13+10 // a start, 13 intents, 10 settlements
 	})
 	p.Process.Signal(syscall.SIGKILL)
 	p.Wait()
@@ -217,7 +224,7 @@
 	}
 	stop()
 	u.receiver.SetFault(func(t *usagereceiver.Fault) { t.Status = 0 })
-	for range 2 { // a second time there is nothing to tell
+	for range 2 { // the second time there is nothing to deliver
 		if _, err := DrainOutbox(context.Background(), u.fleet, 0, slog.New(slog.DiscardHandler)); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/metrics/collector.go
+++ b/internal/metrics/collector.go
@@ -61,43 +61,45 @@
 }
 
 var (
-	descSessions           = newDesc("sessions", "Clients' sessions.")
-	descOpenRequests       = newDesc("open_calls", "Calls without a final answer.")
-	descPressure           = newDesc("open_work_ratio", "Work open over the cap on it.")
+	descSessions           = newDesc("sessions", "Open sessions of clients.")
+	descOpenRequests       = newDesc("open_calls", "Open requests: without a final answer.")
+	descPressure           = newDesc("open_work_ratio", "Work in flight over the cap on it.")
 	descQueueLength        = newDesc("loop_queue_length", "Inputs that wait for the loop.")
-	descLateResponses      = newDesc("late_answers_total", "Answers to attempts that were over.")
-	descUnresponsiveOwners = newDesc("homes_silent", "Homes that are not asked for now, as they gave no answer.")
-	descServers            = newDesc("nodes",
-		"Nodes by state; ejected: fails a class far more often than the best do.", "state")
+	descLateResponses      = newDesc("late_answers_total", "Answers to attempts that had ended.")
+	descUnresponsiveOwners = newDesc("homes_silent",
+		"Quota owners that are not asked for now, as they did not respond.")
+	descServers = newDesc("nodes",
+		"Servers by state; ejected: fails a class far more often than the best do; cold: in slow start.", "state")
 	descDatagrams = newDesc("peer_datagrams_total",
 		"Datagrams to and from other gateways, by what became of them.", "result")
 	descFrontendRejections = newDesc("turned_away_total",
-		"Calls and handshakes that the front turned away, by reason.", "reason")
+		"Requests and handshakes that the front end rejected, by reason.", "reason")
 	descPlanLevel = newDesc("plan_level_units",
-		"Units in the buckets of a plan's customers, at this gateway.", "plan")
-	descPlanHeadroom = newDesc("plan_room_units", "Units that these buckets still bear.", "plan")
+		"Leaky-bucket levels of a plan's customers, at this gateway.", "plan")
+	descPlanHeadroom = newDesc("plan_room_units", "Units up to the high-water marks of these buckets.", "plan")
 	descPlanShare    = newDesc("plan_part_ratio",
-		"Mean part of rate and mark that this gateway has of a plan's customers.", "plan")
-	descUsageRecords      = newDesc("export_owed_records", "Records that the accounting is not known to have.")
-	descUsageBytes        = newDesc("export_log_bytes", "Bytes of the export's log.")
-	descUsageOpenAttempts = newDesc("export_open_tries", "Tries without a settlement in the log.")
+		"Mean share of rate and burst that this gateway has of a plan's customers.", "plan")
+	descUsageRecords      = newDesc("export_owed_records", "Records that the usage receiver is not known to have.")
+	descUsageBytes        = newDesc("export_log_bytes", "Bytes of the outbox log.")
+	descUsageOpenAttempts = newDesc("export_open_tries", "Attempts without a settlement in the log.")
 	descUncoveredUnits    = newDesc("export_uncovered_units_total",
-		"Units let pass while the log could not be written.")
+		"Units of attempts that were sent while the log could not be written.")
 	descUncoveredAttempts = newDesc("export_uncovered_tries_total",
-		"Tries let pass while the log could not be written.")
-	descUsageRejecting     = newDesc("export_refusing", "1 while calls are refused as their use can't be covered.")
-	descPlanChanges        = newDesc("plan_changes", "Changes in the book of plans.")
+		"Attempts that were sent while the log could not be written.")
+	descUsageRejecting = newDesc("export_refusing",
+		"1 while requests are rejected, as their use can't be recorded.")
+	descPlanChanges        = newDesc("plan_changes", "Plan changes that this gateway knows.")
 	descReservedUnits      = newDesc("reserved_units", "Units of reservations held at this gateway.")
 	descRemoteWriteWaiting = newDesc("remote_write_waiting_samples",
 		"Samples that wait to be sent by remote write.")
 	descRemoteWriteSamples = newDesc("remote_write_samples_total",
 		"Samples for remote write, by what became of them.", "result")
 	descTotalRequests = newDesc("sum_calls_total",
-		"Calls at all gateways by their final answer, of a class or member whose home this gateway is; "+
+		"Requests at all gateways by their final answer, of a class or member that this gateway adds up; "+
 			"see docs/metrics.md.",
 		"kind", "name", "outcome", "replica")
 	descTotalUnits = newDesc("sum_units_total",
-		"Units of answered calls at all gateways, of a class or member whose home this gateway is.",
+		"Units of served requests at all gateways, of a class or member that this gateway adds up.",
 		"kind", "name", "replica")
 )
 
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -110,31 +110,32 @@
 
 // register creates and registers all metrics that the set counts itself.
 func (s *Set) register() {
-	s.requests = s.newCounter("calls_total", "Calls by their final answer; gone: the client left before it.",
+	s.requests = s.newCounter("calls_total", "Requests by their final answer; gone: the client left before it.",
 		"class", "plan", "outcome")
-	s.rejections = s.newCounter("refusals_total", "Calls refused, by reason.", "reason")
-	s.attempts = s.newCounter("attempts_total", "Attempts at nodes, by how they ended.", "class", "outcome")
+	s.rejections = s.newCounter("refusals_total", "Rejected requests, by reason.", "reason")
+	s.attempts = s.newCounter("attempts_total", "Attempts, by how they ended.", "class", "outcome")
 	s.retries = s.newCounter("further_attempts_total",
-		"Attempts beyond a call's first, by how the one before had ended, or open: it was still out.", "after")
+		"Retries, by how the attempt before had ended; open: it was in flight.", "after")
 	s.grantMessages = s.newCounter("home_words_total",
-		"Words between gateways and the homes of customers.", "kind", "way")
+		"Messages between gateways and quota owners.", "kind", "way")
 	s.memberUnits = s.newCounter("member_units_total",
-		"Units of answered calls, of capped members by name.", "member")
+		"Units of served requests, by member up to the cap on names.", "member")
 	s.memberRejections = s.newCounter("member_refusals_total",
-		"Calls refused, of capped members by name.", "member")
+		"Rejected requests, by member up to the cap on names.", "member")
 
 	s.requestDuration = prometheus.NewHistogramVec(
-		histogramOpts("call_duration_seconds", "From a call's arrival to its final answer."),
+		histogramOpts("call_duration_seconds", "From a request's arrival to its final answer."),
 		[]string{"class", "outcome"})
 	s.attemptDuration = prometheus.NewHistogramVec(
 		histogramOpts("attempt_duration_seconds", "From an attempt's start to its end."),
 		[]string{"class"})
 	s.addedDuration = prometheus.NewHistogram(
-		histogramOpts("added_duration_seconds", "A served call's time less that of the attempt that served it."))
+		histogramOpts("added_duration_seconds",
+			"Duration of a served request less that of the attempt that served it."))
 	s.loopTurnDuration = prometheus.NewHistogram(
-		histogramOpts("loop_turn_duration_seconds", "Turns of the loop that owns all decisions."))
+		histogramOpts("loop_turn_duration_seconds", "Turns of the event loop."))
 	s.membersLeftOut = prometheus.NewGauge(prometheus.GaugeOpts{Name: namePrefix + "members_left_out",
-		Help: "Members whose use is told under one name, as the cap on names is reached."})
+		Help: "Members whose use is counted under one name, as the cap on names is reached."})
 	s.Registry.MustRegister(s.requestDuration, s.attemptDuration, s.addedDuration, s.loopTurnDuration, s.membersLeftOut)
 }
 
--- a/internal/tracing/context.go
+++ b/internal/tracing/context.go
@@ -29,7 +29,7 @@
 	return c
 }
 
-// parse sets what a traceparent tells, if it is well formed: version, trace id, span id and flags in hexadecimal. A
+// parse takes the fields of a traceparent, if it is well formed: version, trace id, span id and flags in hexadecimal. A
 // later version may have more fields; version ff is invalid.
 func (c *Context) parse(traceparent string) bool {
 	fields := strings.Split(traceparent, "-")
--- a/internal/usage/outbox/delivery.go
+++ b/internal/usage/outbox/delivery.go
@@ -68,7 +68,7 @@
 		Event  UsageEvent
 		Reason string
 	}
-	// Acknowledge tells that the receiver has all up to a record, or they are dead letters. It has no answer.
+	// Acknowledge reports that the receiver has all up to a record, or that they are dead letters. It has no answer.
 	Acknowledge struct{ Record uint64 }
 	// Wait asks to wait; an idle one ends as soon as records have become durable.
 	Wait struct {
@@ -136,7 +136,7 @@
 	case DeadLetterStored:
 		if ev.Failure != "" {
 			d.Counts.LastReason = ev.Failure
-			return []DeliveryAction{d.backOff(0)} // then it is posted and refused again, until it can be stored
+			return []DeliveryAction{d.backOff(0)} // then it is posted and rejected until it can be stored
 		}
 		d.Counts.DeadLetters++
 		return d.delivered(1)
--- a/internal/usage/outbox/model_test.go
+++ b/internal/usage/outbox/model_test.go
@@ -19,7 +19,7 @@
 	lostIntent                     // an attempt leaves without its intent
 )
 
-// coverage tells whether the intent of an attempt was in the log when it left.
+// coverage is whether the intent of an attempt was in the log when it left.
 type coverage int
 
 const (
--- a/internal/usage/outbox/outbox.go
+++ b/internal/usage/outbox/outbox.go
@@ -26,7 +26,7 @@
 // intent is written, so no more come than those of the attempts in flight.
 const maxUnloggedSettlements = 20000
 
-// Policy tells what happens to requests while the log can't be written.
+// Policy is what happens to requests while the log can't be written.
 type Policy int
 
 const (
@@ -56,7 +56,7 @@
 	unlogged        []ID // settlements that the log did not take
 
 	acknowledged       uint64 // the receiver has all records up to this one
-	acknowledgedLogged uint64 // the same, as the log tells it
+	acknowledgedLogged uint64 // the same, as the log has it
 
 	// Use that was not covered by an intent and is not reported yet.
 	gapAttempts   uint64
--- a/internal/usage/outbox/outbox_test.go
+++ b/internal/usage/outbox/outbox_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestGapIsTold serves while the log fails: once it works again the receiver is told how much was not covered. With the
+// TestGapIsTold serves while the log fails: once it works again the receiver gets how much was not covered. With the
 // other policy the attempt is denied.
 func TestGapIsTold(t *testing.T) {
 	o := newSimulation(1, PolicyServe, noFault)
--- a/internal/usage/outbox/records.go
+++ b/internal/usage/outbox/records.go
@@ -65,7 +65,7 @@
 	WallTime    int64 // nanoseconds of Unix time
 }
 
-// Records of the log: a byte that tells the kind, then integers as varints, strings with their length before them, and
+// Records of the log: a byte for the kind, then integers as varints, strings with their length before them, and
 // floats as 8 bytes of IEEE 754, little-endian.
 //
 //	'I'  intent: request, attempt, member, plan, class, server, units, flags (1 reserved)
@@ -119,7 +119,7 @@
 	return binary.AppendVarint(b, g.WallTime)
 }
 
-// logRecord is a record of the log; kind tells which of the fields are set.
+// logRecord is a record of the log; kind determines which of the fields are set.
 type logRecord struct {
 	kind       byte
 	attempt    Attempt    // of an intent
--- a/internal/usage/sender/sender.go
+++ b/internal/usage/sender/sender.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// NotifyRecords tells that records have become durable. It never blocks.
+// NotifyRecords reports that records have become durable. It never blocks.
 func (s *Sender) NotifyRecords() {
 	select {
 	case s.wake <- struct{}{}:
--- a/internal/usage/sender/sender_test.go
+++ b/internal/usage/sender/sender_test.go
@@ -127,7 +127,7 @@
 			r := newRig(t, 35)
 			r.receiver.SetFault(func(f *usagereceiver.Fault) { *f = fault })
 			c := r.run(sender.Options{Timeout: 200 * time.Millisecond})
-			eventually(t, "it is tried again", func() bool { return c.Counts().Retries >= 2 })
+			eventually(t, "it is sent again", func() bool { return c.Counts().Retries >= 2 })
 			if len(r.acknowledged) > 0 {
 				t.Error("acknowledged without an answer")
 			}
@@ -193,7 +193,7 @@
 	r.hasAll(200)
 }
 
-// TestHole damages a part of the log: the events of the rest are sent, and the number of lost records is told.
+// TestHole damages a part of the log: the events of the rest are sent, and the number of lost records is counted.
 func TestHole(t *testing.T) {
 	r := newRig(t, 30)
 	r.log.Close()
