--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -44,7 +44,8 @@
 		t.Fatal(err)
 	}
 	if f.Decide.Plans[0].Rate != 1.5 || f.Decide.Classes[1].DedupScope != decide.DedupInZone ||
-		f.Caps.MaxMessageBytes != 64<<10 || f.Members[0].First != 1 || f.Decide.Classes[1].DedupWindow != 1500*time.Millisecond {
+		f.Decide.Classes[1].DedupWindow != 1500*time.Millisecond ||
+		f.Caps.MaxMessageBytes != 64<<10 || f.Members[0].First != 1 {
 		t.Errorf("%+v", f)
 	}
 	back, err := Parse("f", Format(f))
@@ -79,7 +80,7 @@
 		{`ceiling-rate "20/s"`, `ceiling-rate "5/s"`, `want the rate of 10 or more`},
 		{`max-open 9`, `max-open 1.5`, `want a whole number`},
 		{`cold-from 0.2`, `cold-from 2`, `want a number from 0 to 1`},
-		{`fall-window "1s"`, ``, `Safety.OverloadWindow`},
+		{`fall-window "1s"`, ``, `safety.fall-window is 0s, want more than 0`},
 		{`attempts=3`, `attempts=0`, `want a whole number from 1 to 100`},
 		{`message="64KiB"`, `message="64KB"`, `want a size`},
 		{`listen="127.0.0.1:7001"`, `listen="127.0.0.1"`, `want an address`},
