--- a/internal/platform/fault_test.go
+++ b/internal/platform/fault_test.go
@@ -3,20 +3,23 @@
 import (
 	"fmt"
 	"io"
-	"os"
+	"runtime"
 	"sync/atomic"
 	"syscall"
 	"testing"
 	"time"
+	"unsafe"
+
+	"golang.org/x/sys/unix"
 
 	"winghatch/internal/socket"
 )
 
-// failCalls makes every third system call on this process's sockets fail for a moment, by turns for want of buffers and of
-// memory, and every fifth write short.
-func failCalls() {
+// failSystemCalls makes every third system call on this process's sockets fail for a moment, with ENOBUFS and ENOMEM
+// by turns, and every fifth write short.
+func failSystemCalls() {
 	var n atomic.Int64
-	fails := func() error {
+	fail := func() error {
 		switch n.Add(1) % 6 {
 		case 0:
 			return syscall.ENOBUFS
@@ -28,7 +31,7 @@
 	write, read, recv := socket.Write, socket.Read, socket.Recv
 	var writes atomic.Int64
 	socket.Write = func(fd int, b []byte) (int, error) {
-		if err := fails(); err != nil {
+		if err := fail(); err != nil {
 			return -1, err
 		}
 		if writes.Add(1)%5 == 0 && len(b) > 1 {
@@ -37,124 +40,106 @@
 		return write(fd, b)
 	}
 	socket.Read = func(fd int, b []byte) (int, error) {
-		if err := fails(); err != nil {
+		if err := fail(); err != nil {
 			return -1, err
 		}
 		return read(fd, b)
 	}
 	socket.Recv = func(fd int, b []byte, flags int) (int, error) {
-		if err := fails(); err != nil {
+		if err := fail(); err != nil {
 			return -1, err
 		}
 		return recv(fd, b, flags)
 	}
 }
 
-// System calls that fail for a moment lose no request: each is served, by a server's answer, on a connection that stays.
+// System calls fail for a moment, for want of buffers or memory. No request may be lost to that: each is served, on a
+// connection that stays.
 func TestCallsThatFailForAMomentLoseNoRequest(t *testing.T) {
-	w, _ := run(t, "PLATFORM_TEST_FAULTS=1")
-	w.answers()
+	g, _ := startGateway(t, envFaults+"=1")
+	g.respondAtOnce()
 	for i := range 4 {
-		c := w.dial()
+		c := g.dial()
 		for j := range 30 {
-			if j%2 == 0 {
-				io.WriteString(c.nc, post(fmt.Sprint("t", i, "-", j), "abc"))
-			} else {
-				fmt.Fprintf(c.nc, "GET /api HTTP/1.1\r\nHost: s\r\n%s\r\n", fields(fmt.Sprint("t", i, "-", j), "get", "team"))
+			txn := fmt.Sprint("t", i, "-", j)
+			text := postText(txn, "abc")
+			if j%2 == 1 {
+				text = "GET /api HTTP/1.1\r\nHost: s\r\n" + requestFields(txn, "get", "team") + "\r\n"
 			}
-			if count := answered([]*client{c}); count[200] != 1 {
+			io.WriteString(c.nc, text)
+			if count := countStatuses([]*client{c}); count[200] != 1 {
 				t.Fatalf("request %d of connection %d: answers by status %v, want 200", j, i, count)
 			}
 		}
 	}
 }
 
-// What can't be used is told so, and silent connections end, where calls fail for a moment too.
+// System calls fail for a moment. A request that cannot be used is still answered, and its connection ends.
 func TestCallsThatFailForAMomentHideNoError(t *testing.T) {
-	w, _ := run(t, "PLATFORM_TEST_FAULTS=1")
+	g, _ := startGateway(t, envFaults+"=1")
 	for i := range 20 {
-		c := w.dial()
-		io.WriteString(c.nc, "POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc")
-		if count := answered([]*client{c}); count[400] != 1 {
+		c := g.dial()
+		io.WriteString(c.nc, "POST /api HTTP/1.1\r\nHost: s\r\n"+
+			"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc")
+		if count := countStatuses([]*client{c}); count[400] != 1 {
 			t.Fatalf("connection %d: answers by status %v, want 400", i, count)
 		}
 	}
 }
 
-// While no descriptor is to be had, accept, socket and connect fail; what clients have sent meanwhile is answered once there
-// are some again, and the list is followed.
-func TestNoDescriptorsForAMoment(t *testing.T) {
-	w, _ := run(t, "PLATFORM_TEST_DESCRIPTORS=40")
-	w.answers()
-	var silent, clients []*client
-	for range 40 { // more than the process can hold
-		silent = append(silent, w.dial())
-	}
-	for i := range 5 {
-		c := w.dial()
-		io.WriteString(c.nc, post(fmt.Sprint("t", i), "abc"))
-		clients = append(clients, c)
-	}
-	told := make(chan string, 1000)
-	w.config(agent(t, w.addr, told))
-	w.proc.Process.Signal(syscall.SIGHUP)
-	w.until("accept fails", func() bool { return w.logged("too many open files") })
-	if count := answered(clients); count[0] > 0 {
-		t.Errorf("answers by status %v, want none closed without one", count)
-	}
-	select {
-	case <-told:
-	case <-time.After(5 * time.Second):
-		t.Error("the new list is not asked")
-	}
-	answered(silent[:1])
-	c := w.dial()
-	io.WriteString(c.nc, post("last", "abc"))
-	if count := answered([]*client{c}); count[200] != 1 {
-		t.Errorf("then: answers by status %v, want 200", count)
-	}
+// refuseSystemCalls sets a seccomp filter on this process: the calls that the platform refuses end with ENOSYS.
+func refuseSystemCalls() error {
+	const offNr, offArg = 0, 16 // of struct seccomp_data: the call, its first argument
+	load := func(off uint32) unix.SockFilter {
+		return unix.SockFilter{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: off}
+	}
+	jump := func(op uint16, k uint32, yes, no uint8) unix.SockFilter {
+		return unix.SockFilter{Code: unix.BPF_JMP | op | unix.BPF_K, Jt: yes, Jf: no, K: k}
+	}
+	ret := func(k uint32) unix.SockFilter { return unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: k} }
+	refused := ret(unix.SECCOMP_RET_ERRNO | uint32(unix.ENOSYS))
+	f := []unix.SockFilter{load(offNr)}
+	for _, nr := range []uint32{unix.SYS_FORK, unix.SYS_VFORK, unix.SYS_CLONE3, unix.SYS_EXECVE,
+		unix.SYS_IO_URING_SETUP, unix.SYS_SPLICE, unix.SYS_SENDFILE} {
+		f = append(f, jump(unix.BPF_JEQ, nr, 0, 1), refused)
+	}
+	// A clone that makes no thread is a fork.
+	f = append(f,
+		jump(unix.BPF_JEQ, unix.SYS_CLONE, 0, 3),
+		load(offArg),
+		jump(unix.BPF_JSET, unix.CLONE_THREAD, 1, 0),
+		refused,
+		ret(unix.SECCOMP_RET_ALLOW))
+	runtime.LockOSThread()
+	defer runtime.UnlockOSThread()
+	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
+		return err
+	}
+	p := unix.SockFprog{Len: uint16(len(f)), Filter: &f[0]}
+	const tsync = 1 // for all threads
+	_, _, errno := unix.Syscall(unix.SYS_SECCOMP, unix.SECCOMP_SET_MODE_FILTER, tsync, uintptr(unsafe.Pointer(&p)))
+	if errno != 0 {
+		return fmt.Errorf("seccomp: %w", errno)
+	}
+	if _, _, errno := unix.Syscall(unix.SYS_FORK, 0, 0, 0); errno != unix.ENOSYS {
+		return fmt.Errorf("fork is not refused: %v", errno)
+	}
+	return nil
 }
 
-// A process whose log is read no more goes on, whether its reader is gone or holds still.
-func TestALogThatNobodyReads(t *testing.T) {
-	for _, gone := range []bool{true, false} {
-		t.Run(fmt.Sprint("gone ", gone), func(t *testing.T) { logUnread(t, gone) })
-	}
-}
-
-func logUnread(t *testing.T, gone bool) {
-	w, told := run(t)
-	w.proc.Process.Kill()
-	<-w.ended
-	log, unread, err := os.Pipe()
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer unread.Close()
-	w.log = unread
-	if !gone { // the pipe is full
-		unread.SetWriteDeadline(time.Now().Add(200 * time.Millisecond))
-		for err == nil {
-			_, err = unread.Write(make([]byte, 4<<10))
-		}
-		defer log.Close()
-	}
-	w.start()
-	if gone {
-		log.Close()
-	}
-	for range 3 {
-		w.config("127.0.0.1:1") // each is told of in the log
-		w.proc.Process.Signal(syscall.SIGHUP)
-		time.Sleep(50 * time.Millisecond)
-		w.config(agent(t, w.addr, told))
-		w.proc.Process.Signal(syscall.SIGHUP)
-		time.Sleep(50 * time.Millisecond)
-	}
-	w.answer <- "a"
-	if status, _ := w.dial().ask("t1"); status != 200 {
-		t.Errorf("%d, want 200", status)
-	}
-	w.proc.Process.Signal(syscall.SIGTERM)
-	w.end(5 * time.Second)
+// The platform refuses fork, exec, io_uring, splice and sendfile. The gateway has to serve without, through a reload
+// and a stop.
+func TestServesWhereCallsAreRefused(t *testing.T) {
+	g, queries := startGateway(t, envRefuse+"=1")
+	g.responses <- "hello"
+	if status, body := g.request("GET /api", requestFields("t1", "get", "team")); status != 200 || body != "hello" {
+		t.Errorf("%d %q, want 200", status, body)
+	}
+	g.writeConfig(startDiscovery(t, g.serverAddr, queries))
+	g.signal(syscall.SIGHUP)
+	g.waitUntil("the list is followed elsewhere", func() bool {
+		return g.logContains("Following another discovery address")
+	})
+	g.signal(syscall.SIGTERM)
+	g.expectExit(10 * time.Second)
 }
--- /dev/null
+++ b/internal/platform/main_test.go
@@ -0,0 +1,75 @@
+package platform
+
+import (
+	"fmt"
+	"log/slog"
+	"os"
+	"strconv"
+	"syscall"
+	"testing"
+)
+
+// The environment of a test's gateway process.
+const (
+	envConfig      = "PLATFORM_TEST_CONFIG"      // the configuration file; its presence makes the test binary a gateway
+	envRefuse      = "PLATFORM_TEST_REFUSE"      // refuseSystemCalls
+	envFaults      = "PLATFORM_TEST_FAULTS"      // failSystemCalls
+	envDescriptors = "PLATFORM_TEST_DESCRIPTORS" // limit on descriptors
+)
+
+// TestMain makes the test binary the gateway's process where the environment says so: the same steps as the
+// command's.
+func TestMain(m *testing.M) {
+	file := os.Getenv(envConfig)
+	if file == "" {
+		os.Exit(m.Run())
+	}
+	if err := runGateway(file); err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		os.Exit(1)
+	}
+	os.Exit(0)
+}
+
+func runGateway(file string) error {
+	if os.Getenv(envRefuse) != "" {
+		if err := refuseSystemCalls(); err != nil {
+			return err
+		}
+	}
+	if os.Getenv(envFaults) != "" {
+		failSystemCalls()
+	}
+	if n, err := strconv.ParseUint(os.Getenv(envDescriptors), 10, 64); err == nil {
+		syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n, Max: n})
+	}
+	signals := Notify()
+	c, err := Load(file)
+	if err != nil {
+		return err
+	}
+	ApplyLimits(c)
+	out := NewLogWriter(os.Stderr)
+	g, err := Start(c, slog.New(slog.NewTextHandler(out, nil)))
+	if err != nil {
+		return err
+	}
+	g.Wait(file, signals)
+	out.Close()
+	return nil
+}
+
+// settingsText is a settings object with classes get and pay and plans team and small.
+const settingsText = `{
+"Classes":[
+ {"Name":"get","Effect":"safe","AimNs":2000000000,"GiveUpNs":4000000000,"Importance":1,"WindowNs":0},
+ {"Name":"pay","Effect":"unsafe","AimNs":2000000000,"GiveUpNs":4000000000,"Importance":1}],
+"TiersOfService":[
+ {"Name":"team","Refill":1000,"MostAtOnce":1000,"Pays":1},
+ {"Name":"small","Refill":0.001,"MostAtOnce":1,"Pays":1}],
+"Extra":{"UnitsTop":8,"PeerIntake":40},
+"Limits":{"SendCap":5,"MayCancel":true,"RetryAfter":true,"MaxRetryAfterNs":500000000,
+ "ConnectTimeoutNs":250000000,"ConnIdleNs":30000000000,"OpenCap":1000},
+"Safety":{"AnswerSlackNs":16000000,"DrainGraceNs":1000000000,"ColdFrom":0.2,"ColdNs":14000000000,
+ "FallMultiple":4,"FallNs":1000000000},
+"Instances":1,"Rank":0,"Zone":"a"}`
--- a/internal/platform/standin_test.go
+++ b/internal/platform/standin_test.go
@@ -8,34 +8,102 @@
 	"net/http"
 	"strconv"
 	"sync"
-	"syscall"
 	"testing"
 	"time"
 )
 
-// discovery is a list of servers over HTTP that answers, and takes connections up, as late as told.
-type discovery struct {
-	mu       sync.Mutex
-	rev      int
-	targets  map[string]map[string]any
-	indent   string
-	changed  chan struct{}
-	late     time.Duration // of each answer
-	lateOpen time.Duration // of the first byte that is read on a connection
-	asked    []string
-	bytes    int // of all answers
+// startDiscovery runs a discovery that lists one server and has no changes. Queries are sent to a channel.
+func startDiscovery(t *testing.T, server string, queries chan<- string) string {
+	t.Helper()
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /registry/instances", func(rw http.ResponseWriter, r *http.Request) {
+		select {
+		case queries <- r.URL.RawQuery:
+		default:
+		}
+		if r.URL.Query().Get("from") != "" {
+			select {
+			case <-r.Context().Done():
+			case <-time.After(time.Second):
+			}
+			fmt.Fprint(rw, `{"rev":41,"all":false,"targets":[]}`)
+			return
+		}
+		fmt.Fprintf(rw, `{"rev":41,"all":true,"targets":[{"uid":"s1","endpoint":%q,"az":"a","model":"m",`+
+			`"state":"ready","capacity_hint":1,"boot_ms":0}]}`, server)
+	})
+	return serveHTTP(t, mux)
 }
 
-func newDiscovery() *discovery {
-	return &discovery{rev: 41, targets: map[string]map[string]any{}, changed: make(chan struct{})}
+// startSilent runs a server that accepts connections and never responds.
+func startSilent(t *testing.T) string {
+	t.Helper()
+	ln := listenLocal(t)
+	go func() {
+		for {
+			nc, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			t.Cleanup(func() { nc.Close() })
+		}
+	}()
+	return ln.Addr().String()
+}
+
+// testingT is what stand-ins need of a test: *testing.T, or *rapid.T for one draw.
+type testingT interface {
+	Helper()
+	Fatal(args ...any)
+	Fatalf(format string, args ...any)
+	Cleanup(f func())
 }
 
+func listenLocal(t testingT) net.Listener {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	return ln
+}
+
+// serveHTTP runs a server until the test ends and returns its address.
+func serveHTTP(t testingT, h http.Handler) string {
+	t.Helper()
+	ln := listenLocal(t)
+	s := &http.Server{Handler: h}
+	go s.Serve(ln)
+	t.Cleanup(func() { s.Close() })
+	return ln.Addr().String()
+}
+
+// fakeDiscovery is a discovery whose list the test changes.
+type fakeDiscovery struct {
+	mu            sync.Mutex
+	rev           int
+	targets       map[string]map[string]any // by uid
+	indent        string
+	changed       chan struct{} // closed at the next change
+	responseDelay time.Duration // of each response
+	openDelay     time.Duration // of the first read of a connection
+	queries       []string
+	bytes         int // of all responses
+}
+
+func newDiscovery() *fakeDiscovery {
+	return &fakeDiscovery{rev: 41, targets: map[string]map[string]any{}, changed: make(chan struct{})}
+}
+
+// target is a server as discovery lists it.
 func target(uid, endpoint, state string, boot int64) map[string]any {
-	return map[string]any{"uid": uid, "endpoint": endpoint, "az": "a", "model": "m", "pod_group": 1, "state": state, "capacity_hint": 1.0, "boot_ms": boot}
+	return map[string]any{"uid": uid, "endpoint": endpoint, "az": "a", "model": "m", "pod_group": 1,
+		"state": state, "capacity_hint": 1.0, "boot_ms": boot}
 }
 
-// set changes servers; those that are gone stay out of whole lists.
-func (d *discovery) set(targets ...map[string]any) {
+// set changes servers; those that are gone are left out of full lists.
+func (d *fakeDiscovery) set(targets ...map[string]any) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.rev++
@@ -47,8 +115,9 @@
 	d.changed = make(chan struct{})
 }
 
-// since returns what is newer than a version; 0 asks for the whole list.
-func (d *discovery) since(from int) ([]byte, <-chan struct{}) {
+// since returns what is newer than a version, and a channel that is closed at the next change if there is nothing. 0
+// asks for the full list.
+func (d *fakeDiscovery) since(from int) ([]byte, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	list := []any{}
@@ -64,10 +133,10 @@
 	return raw, nil
 }
 
-func (d *discovery) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
+func (d *fakeDiscovery) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
-	late, lateOpen := d.late, d.lateOpen
-	d.asked = append(d.asked, r.URL.RawQuery)
+	late, lateOpen := d.responseDelay, d.openDelay
+	d.queries = append(d.queries, r.URL.RawQuery)
 	d.mu.Unlock()
 	from, _ := strconv.Atoi(r.URL.Query().Get("from"))
 	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
@@ -87,7 +156,7 @@
 		return
 	}
 	if lateOpen > 0 {
-		rw.Header().Set("Connection", "close") // so that connections are taken up anew
+		rw.Header().Set("Connection", "close") // so that the next call opens a connection
 	}
 	d.mu.Lock()
 	d.bytes += len(raw)
@@ -96,10 +165,10 @@
 	rw.Write(raw)
 }
 
-// slowListener takes connections up late: each waits before its first byte is read.
+// slowListener delays the first read of each connection.
 type slowListener struct {
 	net.Listener
-	d *discovery
+	d *fakeDiscovery
 }
 
 func (l slowListener) Accept() (net.Conn, error) {
@@ -109,7 +178,7 @@
 	}
 	l.d.mu.Lock()
 	defer l.d.mu.Unlock()
-	return &slowConn{Conn: nc, wait: l.d.lateOpen}, nil
+	return &slowConn{Conn: nc, wait: l.d.openDelay}, nil
 }
 
 type slowConn struct {
@@ -123,37 +192,46 @@
 	return c.Conn.Read(b)
 }
 
-// serve starts it and returns its address.
-func (d *discovery) serve(t *testing.T) string {
-	ln := listener(t)
+// serve runs the discovery and returns its address.
+func (d *fakeDiscovery) serve(t *testing.T) string {
+	t.Helper()
+	ln := listenLocal(t)
 	s := &http.Server{Handler: d}
 	go s.Serve(slowListener{ln, d})
 	t.Cleanup(func() { s.Close() })
 	return ln.Addr().String()
 }
 
-// counter is a server that answers at once and counts what came, by when it came.
-type counter struct {
+// queryCount is how many calls were made.
+func (d *fakeDiscovery) queryCount() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return len(d.queries)
+}
+
+// countingServer responds at once and counts requests by when they came.
+type countingServer struct {
 	mu   sync.Mutex
 	hits []time.Time
 	addr string
 }
 
-func newCounter(t *testing.T) *counter {
-	ln := listener(t)
-	c := &counter{addr: ln.Addr().String()}
-	s := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		c.mu.Lock()
-		c.hits = append(c.hits, time.Now())
-		c.mu.Unlock()
-		io.WriteString(rw, "a")
-	})}
-	go s.Serve(ln)
-	t.Cleanup(func() { s.Close() })
+func startCounting(t *testing.T) *countingServer {
+	t.Helper()
+	c := &countingServer{}
+	c.addr = serveHTTP(t, c)
 	return c
 }
 
-func (c *counter) since(at time.Time) (n int) {
+func (c *countingServer) ServeHTTP(rw http.ResponseWriter, _ *http.Request) {
+	c.mu.Lock()
+	c.hits = append(c.hits, time.Now())
+	c.mu.Unlock()
+	io.WriteString(rw, "a")
+}
+
+// since is how many requests came after a time.
+func (c *countingServer) since(at time.Time) (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, h := range c.hits {
@@ -163,43 +241,3 @@
 	}
 	return n
 }
-
-// pair is a gateway that follows a list of two servers, both of which serve.
-type pair struct {
-	*world
-	stays, drains *counter
-	d             *discovery
-}
-
-func newPair(t *testing.T) *pair {
-	t.Helper()
-	w, _ := run(t)
-	p := &pair{w, newCounter(t), newCounter(t), newDiscovery()}
-	p.d.set(target("stays", p.stays.addr, "ready", 0), target("drains", p.drains.addr, "ready", 0))
-	w.config(p.d.serve(t))
-	w.proc.Process.Signal(syscall.SIGHUP)
-	c := w.dial()
-	w.until("both serve", func() bool {
-		c.ask(fmt.Sprint("before", time.Now().UnixNano()))
-		return p.stays.since(time.Time{}) > 0 && p.drains.since(time.Time{}) > 0
-	})
-	return p
-}
-
-// drain makes the list tell that a server drains.
-func (p *pair) drain() { p.d.set(target("drains", p.drains.addr, "draining", 0)) }
-
-// keepsDrain asks 20 times once the drain counts as told.
-func (p *pair) keepsDrain(told time.Time) {
-	p.t.Helper()
-	time.Sleep(time.Until(told))
-	c := p.dial()
-	for i := range 20 {
-		if status, _ := c.ask(fmt.Sprint("after", i)); status != 200 {
-			p.t.Errorf("after the drain: %d, want 200", status)
-		}
-	}
-	if n := p.drains.since(told); n > 0 {
-		p.t.Errorf("%d of 20 went to a server whose drain had been told", n)
-	}
-}
