--- /dev/null
+++ b/decide/endpoints_test.go
@@ -0,0 +1,47 @@
+package decide
+
+import (
+	"fmt"
+	"testing"
+)
+
+func TestDrainingServers(t *testing.T) {
+	h := newHarness(t, nil)
+	h.handle(EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: "s1", State: Draining}}})
+	h.handle(EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: "s2", State: Removed}}})
+	for i := 0; i < 8; i++ {
+		if _, s := h.mustSend("get", "wide"); s.Server != "s3" {
+			t.Fatalf("sent to %s, want s3", s.Server)
+		}
+		h.endAttempt(fmt.Sprint("q", h.n), 0, "s3", OutcomeOK)
+	}
+	h.handle(EndpointUpdate{Kind: FullUpdate, Servers: []Server{{ID: "s2"}}})
+	if _, s := h.mustSend("get", "wide"); s.Server != "s2" {
+		t.Errorf("sent to %s, which a full list left out, want s2", s.Server)
+	}
+	h.handle(EndpointUpdate{Kind: FailedUpdate})
+	if _, acts := h.request("get", "wide", "c", 1); len(actionsOf[Send](acts)) != 1 {
+		t.Errorf("a failed discovery lost the former list: %#v", acts)
+	}
+}
+
+// Where servers are replaced all day by ones of new names, the removed ones would else be kept for good.
+func TestRemovedServersAreDropped(t *testing.T) {
+	h := newHarness(t, nil)
+	id, s := h.mustSend("get", "wide")
+	for i := range 1000 {
+		h.now += 100 * ms
+		h.handle(EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: fmt.Sprint("new", i), Zone: "a"},
+			{ID: fmt.Sprint("new", i-1), State: Removed},
+			{ID: "s1", State: Removed}, {ID: "s2", State: Removed}, {ID: "s3", State: Removed}}})
+		h.handle(TimerFired{heartbeatToken})
+	}
+	if n := len(h.g.endpoints.sorted); n != 2 || len(h.g.endpoints.byID) != 2 || len(h.g.endpoints.byShortID) != 2 {
+		t.Errorf("%d servers are kept, want the one that is listed and the one with an attempt in flight", n)
+	}
+	h.endAttempt(id, 0, s.Server, OutcomeOK)
+	h.handle(TimerFired{heartbeatToken})
+	if n := len(h.g.endpoints.sorted); n != 1 {
+		t.Errorf("%d servers are kept, want 1", n)
+	}
+}
--- /dev/null
+++ b/decide/gateway_test.go
@@ -0,0 +1,78 @@
+package decide
+
+import (
+	"fmt"
+	"reflect"
+	"testing"
+	"time"
+)
+
+func TestBadInput(t *testing.T) {
+	h := newHarness(t, nil)
+	for _, e := range []Request{{ID: "a", Class: "none", Plan: "wide"}, {ID: "b", Class: "get", Plan: "none"}} {
+		if acts := h.handle(e); len(actionsOf[Reject](acts)) != 1 {
+			t.Errorf("%#v: got %#v, want Reject", e, acts)
+		}
+	}
+	for _, e := range []Event{AttemptEnded{ID: "zz", Outcome: OutcomeOK}, ClientDisconnected{"zz"}, TimerFired{1 << 60},
+		ResponseStarted{ID: "zz"}, HealthCheckEnded{Server: "zz"}, CounterUpdated{Name: 4},
+		AttemptEnded{ID: "zz", Attempt: -1}} {
+		if acts := h.handle(e); len(acts) != 0 {
+			t.Errorf("%#v: got %#v, want nothing", e, acts)
+		}
+	}
+	id, s := h.mustSend("get", "wide")
+	h.handle(ClientDisconnected{id})
+	if acts := h.endAttempt(id, 0, s.Server, OutcomeTimedOut); len(acts) != 0 {
+		t.Errorf("answered a request whose client is gone: %#v", acts)
+	}
+	if acts := h.endAttempt(id, 0, s.Server, OutcomeTimedOut); len(acts) != 0 {
+		t.Errorf("answered an outcome that came twice: %#v", acts)
+	}
+}
+
+// TestDeterminism plays the same random events to two gateways, one alone and one beside others.
+func TestDeterminism(t *testing.T) {
+	one := playRandom(t, 3)
+	playRandom(t, 4)
+	if two := playRandom(t, 3); !reflect.DeepEqual(one, two) {
+		t.Error("the same events gave other actions")
+	}
+}
+
+// TestRulesUnderRandomEvents checks the rules that always hold over long random events.
+func TestRulesUnderRandomEvents(t *testing.T) {
+	for seed := int64(10); seed < 30; seed++ {
+		playRandom(t, seed)
+	}
+}
+
+func BenchmarkHandle(b *testing.B) {
+	cfg := testConfig()
+	cfg.Gateways = 500
+	g, err := New(cfg, 1)
+	if err != nil {
+		b.Fatal(err)
+	}
+	var servers []Server
+	for i := 0; i < 100; i++ {
+		servers = append(servers, Server{ID: fmt.Sprint("s", i), Zone: "a"})
+	}
+	g.Handle(time.Second, EndpointUpdate{Kind: FullUpdate, Servers: servers})
+	b.ReportAllocs()
+	for i := 0; i < b.N; i++ {
+		now := time.Second + time.Duration(i)*ms
+		id := fmt.Sprint(i)
+		key := fmt.Sprint("c", i%2000)
+		g.Handle(now, Request{ID: id, Class: "get", Plan: "wide", Customer: key, Units: 1,
+			Deadline: now + time.Second, GatewayCount: 200})
+		for no, r := range g.owners.pending {
+			w := grantMessage{kind: grantReply, key: r.customer.key, number: no, figureCount: 4, figures: [4]float64{1}}
+			g.Handle(now, GossipReceived{From: g.owner(r.customer.key, 0), Text: w.encode()})
+		}
+		if r := g.requests[id]; r != nil && len(r.attempts) > 0 {
+			g.Handle(now, AttemptEnded{ID: id, Server: r.attempts[0].endpoint.ID, Outcome: OutcomeOK,
+				Duration: ms, RequestDone: true})
+		}
+	}
+}
--- /dev/null
+++ b/decide/selection_test.go
@@ -0,0 +1,31 @@
+package decide
+
+import (
+	"testing"
+	"time"
+)
+
+// TestSelectionFollowsSpeedOnScarceEvidence: a server known to take twice the time gets about half as much, neither
+// nothing nor an even part.
+func TestSelectionFollowsSpeedOnScarceEvidence(t *testing.T) {
+	h := newSparseHarness(t, nil)
+	got := [2]float64{}
+	for i := 0; i < 1500; i++ {
+		h.now += time.Second // one request at a time: few responses for forty servers
+		for n, s := range h.g.endpoints.sorted {
+			s.health.slowness, s.health.slownessAt = 1+float64(n%2), h.now
+		}
+		id, s := h.mustSend("get", "wide")
+		var n int
+		for n = range h.g.endpoints.sorted {
+			if h.g.endpoints.sorted[n].ID == s.Server {
+				break
+			}
+		}
+		got[n%2]++
+		h.endAttempt(id, 0, s.Server, OutcomeOK)
+	}
+	if x := got[1] / got[0]; x < 0.4 || x > 0.65 {
+		t.Errorf("servers of twice the time got %v of what the others got, want about a half", x)
+	}
+}
--- a/internal/gateway/storeddata_test.go
+++ b/internal/gateway/storeddata_test.go
@@ -8,6 +8,7 @@
 	"path/filepath"
 	"strings"
 	"testing"
+	"time"
 
 	"winghatch/decide"
 	"winghatch/internal/config"
@@ -15,8 +16,8 @@
 	"winghatch/internal/usage/outbox"
 )
 
-// What a gateway wrote to disk must stay readable by every later version: a state directory outlives an upgrade. The files
-// under testdata were written by the text of commit 49a4395 and are never written anew.
+// What a gateway wrote to disk must stay readable by every later version: a state directory outlives an upgrade. The
+// files under testdata were written by the text of commit 49a4395 and are never written anew.
 
 // copyDir copies test data to where a log may be opened, as opening one writes to it.
 func copyDir(t *testing.T, from string) string {
@@ -44,7 +45,11 @@
 	defer log.Close()
 	if box.Incarnation() != 2000 || box.LastAcknowledged() != 4 || box.Counts.Orphans != 2 || recovery.Last != 13 ||
 		recovery.SnapshotRecord != 9 || len(recovery.Gaps) > 0 || recovery.TornBytes > 0 {
-		t.Errorf("%+v %+v acknowledged %d incarnation %d", recovery, box.Counts, box.LastAcknowledged(), box.Incarnation())
+		t.Errorf("%+v %+v acknowledged %d incarnation %d", recovery, box.Counts, box.LastAcknowledged(),
+			box.Incarnation())
+	}
+	if err := log.Sync(10 * time.Second); err != nil { // a cursor reads what is durable
+		t.Fatal(err)
 	}
 	cursor := log.NewCursor(1)
 	defer cursor.Close()
@@ -74,17 +79,18 @@
 	}
 }
 
-// TestReadsStoredPlans opens a plan log with a move, new terms of a plan and a reservation that was used, and a snapshot
-// of the same.
+// TestReadsStoredPlans opens a plan log with a move, new terms of a plan and a reservation that was used, and a
+// snapshot of the same.
 func TestReadsStoredPlans(t *testing.T) {
 	const incarnation, first = 1796282050655553362, 1796282050656569102
 	want := []quotaplan.Change{
-		{Number: 1, Kind: quotaplan.Move, Member: "poor", Plan: "big", From: first, Stamp: first, Incarnation: incarnation},
+		{Number: 1, Kind: quotaplan.Move, Member: "poor", Plan: "big", From: first, Stamp: first,
+			Incarnation: incarnation},
 		{Number: 2, Kind: quotaplan.Terms, Plan: "big", From: 1796282050656752142, Stamp: 1796282050656752142,
 			Incarnation: incarnation, Terms: decide.Plan{Name: "big", Rate: 70, Burst: 90, CeilingRate: 140,
 				CeilingBurst: 200, CeilingSlack: 3, MaxInFlight: 12, PriorityWeight: 2.5}},
-		{Number: 3, Kind: quotaplan.Reserve, Member: "m", From: 1796282050657563948, To: 1796285650656563948, Units: 40, Rate: 6,
-			Stamp: 1796282050656885761, Incarnation: incarnation},
+		{Number: 3, Kind: quotaplan.Reserve, Member: "m", From: 1796282050657563948, To: 1796285650656563948,
+			Units: 40, Rate: 6, Stamp: 1796282050656885761, Incarnation: incarnation},
 	}
 	const wantState = "01b8b645e351ce16895207bc0902aded1801000000000000000000000000000036400000"
 	snapshot, err := os.ReadFile("testdata/plan-snapshot.hex")
