--- a/decide/admission.go
+++ b/decide/admission.go
@@ -44,6 +44,13 @@
 
 	// timeLeftNoise is the difference between the time that two requests have left which says nothing.
 	timeLeftNoise = 20 * time.Millisecond
+
+	// minRateAge is the least age at which the rate of responses is corrected for its youth: right after
+	// the start the correction would divide by nearly 0.
+	minRateAge = time.Second / 4
+
+	// minValueDensity keeps the quotient by the usual value density finite.
+	minValueDensity = 1e-9
 )
 
 // fleetLoad is the mean load of a gateway, from what others report and from this one.
@@ -184,7 +191,7 @@
 // sees. There the bound is on the mean of the load that gateways report, too.
 func (g *Gateway) queueingPressure() float64 {
 	servers, gateways := g.endpoints.totals.serving, float64(g.cfg.Gateways)
-	sinceStart := max(g.now-g.startedAt, time.Second/4).Seconds()
+	sinceStart := max(g.now-g.startedAt, minRateAge).Seconds()
 	observed := 1 - math.Exp(-sinceStart/demandMemory.Seconds()) // the part that a young rate has seen
 	responseRate := g.evidence.responseRate.perSecond(g.now) / observed
 	allowed := responseRate * queueingTarget * g.classes.shortestObjective
@@ -201,9 +208,9 @@
 // value for their work are shed first.
 func (g *Gateway) shouldShed(r *request) bool {
 	value := r.class.PriorityWeight * r.customer.plan.PriorityWeight * r.units
-	density := value / max(r.class.usualLatency, 1e-6)
+	density := value / max(r.class.usualLatency, minUsualLatency)
 	g.load.valueDensity += valueDensityGain * (density - g.load.valueDensity)
-	bearable := shedThreshold + (1-shedThreshold)*min(1, density/max(g.load.valueDensity, 1e-9))
+	bearable := shedThreshold + (1-shedThreshold)*min(1, density/max(g.load.valueDensity, minValueDensity))
 	if r.Reserved {
 		bearable *= reservedShedFactor
 	}
--- a/decide/attempt.go
+++ b/decide/attempt.go
@@ -5,6 +5,9 @@
 	"time"
 )
 
+// minAttemptTimeout keeps Send.Timeout above 0: with 0 the attempt would have the request's deadline.
+const minAttemptTimeout = time.Millisecond
+
 // request is a request that has no final answer yet, or an attempt in flight.
 type request struct {
 	Request
@@ -49,7 +52,7 @@
 	overdue := time.Duration(overdueFactor * g.expectedLatency(s, r.class) * float64(time.Second))
 	overdueAt := g.now + max(g.timesObjective(minOverdue), overdue)
 	g.endpoints.attemptSent(s, g.now)
-	g.emit(Send{r.ID, s.ID, max(r.usefulUntil-g.now, time.Millisecond), r.writeBefore()})
+	g.emit(Send{r.ID, s.ID, max(r.usefulUntil-g.now, minAttemptTimeout), r.writeBefore()})
 	if overdueAt < r.usefulUntil {
 		g.setTimer(r.ID, a.number, overdueAt)
 	}
--- a/decide/endpoints.go
+++ b/decide/endpoints.go
@@ -16,6 +16,9 @@
 
 	// meanInFlightGain is the gain of one attempt in a server's mean load.
 	meanInFlightGain = 0.05
+
+	// initialMeanInFlight is the mean load of a server before any attempt.
+	initialMeanInFlight = 0.5
 )
 
 // endpoint is a server of the endpoint list, with what this gateway has there and knows of it.
@@ -77,7 +80,7 @@
 	}
 	s := &endpoint{
 		shortID:      hashKey(id) & shortIDMask,
-		meanInFlight: 0.5,
+		meanInFlight: initialMeanInFlight,
 		health:       newHealth(t.classes),
 	}
 	t.byShortID[s.shortID] = s
@@ -210,7 +213,7 @@
 	t.totals = totals
 }
 
-// markActive has updateTotals look at a server.
+// markActive makes updateTotals count a server.
 func (t *endpointTable) markActive(s *endpoint) {
 	if !s.active {
 		s.active = true
--- a/decide/gossip.go
+++ b/decide/gossip.go
@@ -43,7 +43,7 @@
 
 // gossipState is what full gossip needs.
 type gossipState struct {
-	full  bool   // all gateways exchange gossip; otherwise customers have owners
+	full  bool   // customers have no owners: all gateways exchange gossip, or none does
 	epoch int    // of this incarnation
 	peers []peer // by rank, with an unused one for this gateway; empty without full gossip or without gossip
 }
@@ -175,8 +175,8 @@
 }
 
 // mergeTotals adds what a peer's totals have grown by. The first totals of an incarnation count in full
-// if it began after this gateway started. Otherwise they include what was used before, and the reported
-// level stands for that.
+// if it began after this gateway started. Otherwise they include what was used before, for which
+// the reported level is taken.
 func (g *Gateway) mergeTotals(from int, p *peer, e gossipEntry) {
 	if e.planNo >= len(g.cfg.Plans) {
 		return
--- a/decide/gossipcodec.go
+++ b/decide/gossipcodec.go
@@ -82,7 +82,7 @@
 
 // levelToSteps is a level in units as it is sent.
 func levelToSteps(units, burst float64) int {
-	return int(min(63, math.Round(levelSteps*units/max(burst, 1))))
+	return int(min(maxDigit, math.Round(levelSteps*units/max(burst, 1))))
 }
 
 // stepsToLevel is a level that was sent, in units.
--- a/decide/grantcodec.go
+++ b/decide/grantcodec.go
@@ -94,8 +94,8 @@
 	encodeDigits(&b, m.key, 6)
 	encodeDigits(&b, uint64(m.planNo), 1)
 	encodeDigits(&b, m.number&maxGrantNumber, 2)
-	encodeDigits(&b, uint64(min(63, max(0, math.Round(m.inFlight)))), 1)
-	encodeDigits(&b, uint64(min(63, max(0, math.Round(responseRateSteps*m.responseRate)))), 1)
+	encodeDigits(&b, uint64(min(maxDigit, max(0, math.Round(m.inFlight)))), 1)
+	encodeDigits(&b, uint64(min(maxDigit, max(0, math.Round(responseRateSteps*m.responseRate)))), 1)
 	for _, x := range m.figures[:m.figureCount] {
 		encodeDigits(&b, uint64(min(figureMax, max(0, figureZero+math.Round(x*figureSteps)))), 2)
 	}
--- a/decide/latency.go
+++ b/decide/latency.go
@@ -12,6 +12,9 @@
 
 	// initialLatencyFraction is the usual latency before any response, as a part of the latency objective.
 	initialLatencyFraction = 0.2
+
+	// minUsualLatency, in seconds, keeps quotients by a usual latency finite.
+	minUsualLatency = 1e-6
 )
 
 // class is a configured class, with what is known of its responses at all servers.
@@ -33,7 +36,7 @@
 
 // usualLatency is a class's usual latency now, in seconds. A long one fades without new responses.
 // Otherwise, after a slow spell, each request of the class would be rejected as having no time left, no
-// response would come, and the class would be turned away for good.
+// response would come, and the class would be rejected for good.
 func (g *Gateway) usualLatency(k *class) float64 {
 	initial := initialLatencyFraction * k.LatencyObjective.Seconds()
 	fade := math.Exp(-(g.now - k.lastResponse).Seconds() / g.evidenceMemory())
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -23,7 +23,10 @@
 	// within bounds.
 	evidenceResponses = 4.0
 	minEvidenceMemory = 2 * time.Second
-	maxEvidenceMemory = 20.0 // seconds
+	maxEvidenceMemory = 20 * time.Second
+
+	// minObservationRate, in requests a second, keeps the quotient by that rate finite.
+	minObservationRate = 1e-3
 
 	// observationsPerMessage is how many observations a grant message carries.
 	observationsPerMessage = 3
@@ -95,8 +98,8 @@
 // rare.
 func (g *Gateway) evidenceMemory() float64 {
 	perSecond := g.evidence.observationRate.perSecond(g.now)
-	wanted := evidenceResponses * g.endpoints.totals.serving / max(perSecond, 1e-3)
-	return min(maxEvidenceMemory, max(minEvidenceMemory.Seconds(), wanted))
+	wanted := evidenceResponses * g.endpoints.totals.serving / max(perSecond, minObservationRate)
+	return min(maxEvidenceMemory.Seconds(), max(minEvidenceMemory.Seconds(), wanted))
 }
 
 // evidenceScarcity is 1 where this gateway sees fewer successful responses in demandMemory than there are
@@ -139,7 +142,7 @@
 	if g.endsStall() {
 		return
 	}
-	relative := latency.Seconds() / max(k.usualLatency, 1e-6)
+	relative := latency.Seconds() / max(k.usualLatency, minUsualLatency)
 	g.observe(s, k, relative, failed)
 	g.evidence.recent.add(observation{s.shortID, k.index, relative, failed})
 	if !failed {
--- a/decide/quotaowner.go
+++ b/decide/quotaowner.go
@@ -48,11 +48,15 @@
 	rejectWaitShrink = 0.9
 
 	// maxLeakWait is the longest, in seconds, that a gateway rejects by itself until the bucket has leaked.
-	maxLeakWait = 1
+	maxLeakWait = 1.0
+
+	// minLeakRate, in units a second, keeps the wait for a bucket that does not leak finite.
+	minLeakRate = 1e-9
 
 	// ownerHeartbeatInterval is the time between two heartbeats where there is no full gossip.
 	ownerHeartbeatInterval = 100 * time.Millisecond
 
+	// noGateway is the rank of no gateway.
 	noGateway = -1
 )
 
@@ -104,7 +108,7 @@
 	rejectUntil time.Duration // requests are rejected without a grant request until then
 }
 
-// grantState is how a request stands with the owners of its customer.
+// grantState is a request's exchange with the owners of its customer.
 type grantState struct {
 	number      uint64 // of its grant request
 	requests    int    // grant requests sent, those skipped for an unresponsive owner included
@@ -305,7 +309,7 @@
 // rejectUntilLeaked has this gateway reject requests by itself until the bucket can have leaked, or for
 // as long as the owner asks for.
 func (c *customer) rejectUntilLeaked(now time.Duration, units float64, a grantAnswer) {
-	leaks := min(maxLeakWait, (a.fleetLevel+units-c.plan.Burst)/max(c.plan.Rate, 1e-9))
+	leaks := min(maxLeakWait, (a.fleetLevel+units-c.plan.Burst)/max(c.plan.Rate, minLeakRate))
 	c.fromOwner.rejectUntil = now + time.Duration(max(a.rejectWait, leaks)*float64(time.Second))
 }
 
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -17,7 +17,7 @@
 	minMissingResponses = 2.0
 
 	// cancelFailureRatio is the failure ratio from which a server is known to leave requests without a
-	// response.
+	// response, so that an overdue attempt there is cancelled or hedged without waiting for more silence.
 	cancelFailureRatio = 0.3
 
 	// retryAfterObjectives is the Retry-After, in shortest latency objectives. It leaves time for a
@@ -96,8 +96,8 @@
 	return true
 }
 
-// mayRepeatAt guards against a request running twice that may not: it reports whether the server may get
-// the request, given the attempts that may have run.
+// mayRepeatAt reports whether a server may get the request, given the attempts that may have run. Without
+// it a request that must not run twice could.
 func (g *Gateway) mayRepeatAt(r *request, s *endpoint) bool {
 	k := r.class
 	if k.Idempotency == Idempotent {
@@ -128,9 +128,9 @@
 	return first.Cell == second.Cell
 }
 
-// writeBefore guards the same where an attempt waits for its connection. Servers forget a request a
-// window after the first attempt that may have run, and one written later runs again: the attempt may not
-// be written after that. 0: there is no such bound.
+// writeBefore is the time after which an attempt that still waits for its connection may not be written
+// any more. Servers forget a request a window after the first attempt that may have run, and one written
+// later would run a second time. 0: there is no such bound.
 func (r *request) writeBefore() time.Duration {
 	if r.class.Idempotency != IdempotentByKey {
 		return 0
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -16,7 +16,8 @@
 
 // slowStartRate is how many requests a second this gateway may send to a server in slow start. What it
 // sends to a usual warm server is its own part of the fleet's traffic; with the same multiple of it at
-// each gateway the fleet stays within the multiple of the server's capacity without any agreement.
+// each gateway the fleet stays within the multiple of the server's capacity without any agreement. It is 0
+// while this gateway sends to no warm server: then a server gets nothing before its slow start is over.
 func (g *Gateway) slowStartRate(s *endpoint) float64 {
 	perWarm := g.endpoints.totals.sendRate / max(g.endpoints.totals.warm, 1)
 	safety := &g.cfg.Safety
--- a/decide/status.go
+++ b/decide/status.go
@@ -4,7 +4,7 @@
 
 // Status is a gateway's state, for operators. No decision is taken by it.
 type Status struct {
-	FullGossip         bool // all gateways exchange gossip; otherwise customers have owners
+	FullGossip         bool // customers have no owners: all gateways exchange gossip, or none does
 	OpenRequests       int
 	Pressure           float64          // work in flight over what is allowed; over 1 it is shed
 	RetryBudget        float64          // further attempts that the retry budget allows
@@ -45,12 +45,12 @@
 // PeerStatus is what a gateway knows of a peer.
 type PeerStatus struct {
 	Rank        int
-	Known       bool          // it was heard since this gateway started
-	SinceHeard  time.Duration // without meaning if not Known
+	Known       bool          // a datagram of it came since this gateway started
+	SinceHeard  time.Duration // since the last one; without meaning if not Known
 	QueueLength int           // customers to send entries about
 }
 
-// CustomerKey stands for a customer in messages between gateways and in Status: a hash of its name.
+// CustomerKey is the key of a customer in messages between gateways and in Status: a hash of its name.
 func CustomerKey(customer string) uint64 { return hashKey(customer) }
 
 // Status returns the state as of the last event. It is for the goroutine that calls Handle.
--- a/decide/usagereport.go
+++ b/decide/usagereport.go
@@ -17,7 +17,7 @@
 	// demandRatioMemory is how fast a reported demand ratio fades to the usual one of the plan.
 	demandRatioMemory = 30 * time.Second
 
-	// initialDemandPerRequest is the demand ratio that one recent request stands for before any report.
+	// initialDemandPerRequest is the demand ratio that one recent request counts for before any report.
 	initialDemandPerRequest = 0.25
 
 	// minDemandRatio is the least demand ratio. A customer that demands little is admitted again at once.
@@ -52,8 +52,8 @@
 	return usage{factor: 1, demandRatioAt: -time.Hour} // never
 }
 
-// planDemand is, by plan, the usual demand ratio that one recent request of a customer stands for, as a
-// logarithm.
+// planDemand is, by plan, the natural logarithm of the usual demand ratio that one recent request of a
+// customer counts for.
 type planDemand []float64
 
 func newPlanDemand(plans int) planDemand {
@@ -66,7 +66,7 @@
 	u.recentRequestsAt = now
 }
 
-// metersOnly reports whether usage reports are all that a customer's gateways know of each other.
+// onlyUsageReports reports whether usage reports are all that a customer's gateways know of each other.
 func (g *Gateway) onlyUsageReports(c *customer) bool {
 	return g.cfg.UsageReportPeriod > 0 && c.gatewayCount > 1 && g.gossip.full && len(g.gossip.peers) == 0
 }
