--- a/internal/quotaplan/admission.go
+++ b/internal/quotaplan/admission.go
@@ -18,7 +18,8 @@
 
 	// minWindowSeconds keeps the mean rate finite. A change that a peer sent may have no window at all.
 	minWindowSeconds = 1e-9
-	// tolerance is the rounding error, relative to what is free, at which a reservation still fits.
+	// tolerance is the rounding error, relative to what is free, at which a reservation still fits: one that takes
+	// exactly what is free must not be rejected.
 	tolerance = 1e-9
 )
 
--- a/internal/quotaplan/antientropy.go
+++ b/internal/quotaplan/antientropy.go
@@ -13,7 +13,7 @@
 	compareJitterLow  = 0.75                   // of the interval: the shortest
 	compareJitterSpan = 0.5                    // of the interval: from the shortest to the longest
 	startFanout       = 3                      // comparisons at the start
-	forwardFanout     = 4                      // peers that a new change is forwarded to
+	forwardFanout     = 4                      // peers that a new change is forwarded to at once
 	maxListedHashes   = 48                     // of a differing range on both sides; more are split into ranges
 	rangeFanout       = 8                      // parts that a range is split into
 )
--- a/internal/quotaplan/changeset.go
+++ b/internal/quotaplan/changeset.go
@@ -37,7 +37,7 @@
 	return s.hashes[i:max(i, j)]
 }
 
-// xorOf combines hashes to one that does not depend on their order.
+// xorOf combines hashes into one value that does not depend on their order.
 func xorOf(hashes []uint64) (sum uint64) {
 	for _, h := range hashes {
 		sum ^= h
--- a/internal/quotaplan/effective.go
+++ b/internal/quotaplan/effective.go
@@ -11,7 +11,8 @@
 const (
 	// minOrdinaryOfRate is the part of a plan's rate and ceiling that reservations leave to ordinary use.
 	minOrdinaryOfRate = 0.05
-	// maxShareSum is what the shares of a plan that the gateways hold may sum to.
+	// maxShareSum is what the gateways' shares of one plan may sum to while demand shifts between them; tests of package
+	// decide hold it to that.
 	maxShareSum = 1.15
 )
 
@@ -33,7 +34,7 @@
 	plans      map[string]decide.Plan // in force, by member
 	units      map[uint64]float64     // of reservations, by ID
 	outdated   bool                   // derived was computed since
-	at         int64                  // wall clock of the announcement
+	at         int64                  // wall clock of the announcement, Unix nanoseconds
 	nextDateAt int64                  // first date of a change after it, Unix nanoseconds
 }
 
--- a/internal/quotaplan/events.go
+++ b/internal/quotaplan/events.go
@@ -23,7 +23,7 @@
 type (
 	// Start is the first event. Persisted changes are restored before it.
 	Start struct{}
-	// Submit hands in a change. It is answered by one Reply with the same Token.
+	// Submit asks for a change to be accepted. It is answered by one Reply with the same Token.
 	Submit struct {
 		Token  uint64
 		Change Change
--- a/internal/quotaplan/history.go
+++ b/internal/quotaplan/history.go
@@ -75,7 +75,7 @@
 		(c.Kind != Terms || o.Terms == c.Terms)
 }
 
-// Changes is the whole set, in its order, for a snapshot.
+// Changes returns all changes of the set, in its order, for a snapshot.
 func (r *Replica) Changes() (out []Change) {
 	for _, c := range r.set.ordered {
 		out = append(out, *c)
--- a/internal/quotaplan/replica.go
+++ b/internal/quotaplan/replica.go
@@ -8,7 +8,8 @@
 	"winghatch/decide"
 )
 
-// maxPendingSubmits bounds the submitted changes that wait for the disk.
+// maxPendingSubmits bounds the submitted changes that wait for the disk: while it does not answer, submits must not
+// fill the memory.
 const maxPendingSubmits = 256
 
 // Member is a customer of the settings.
@@ -48,9 +49,9 @@
 	actions []Action // of the event being handled
 
 	set       changeSet
-	own       map[uint64]bool // hashes of the changes that this gateway accepted
-	pending   map[uint64]pendingSubmit
-	lastStamp int64 // highest stamp known
+	own       map[uint64]bool          // hashes of the changes that this gateway accepted
+	pending   map[uint64]pendingSubmit // by number of the change
+	lastStamp int64                    // highest stamp known
 
 	derived   derived
 	stale     bool // the set has grown since derived was computed
--- a/internal/quotaplan/validate.go
+++ b/internal/quotaplan/validate.go
@@ -7,7 +7,8 @@
 	"winghatch/decide"
 )
 
-// maxDateInPast is how far in the past the date of a submitted change may be, in nanoseconds.
+// maxDateInPast is how far in the past the date of a submitted change may be, in nanoseconds: a date of now is past by
+// the time it arrives.
 const maxDateInPast = int64(time.Second)
 
 // check reports why a change can't be submitted now, or nil if it can.
@@ -25,7 +26,7 @@
 		return err
 	}
 	if c.Kind != Cancel && c.Kind != Shorten && c.From != 0 && c.From < r.now.Wall-maxDateInPast {
-		return invalid(c, "from", "%s, want a time that is to come", formatTime(c.From))
+		return invalid(c, "from", "%s, want a time in the future", formatTime(c.From))
 	}
 	switch c.Kind {
 	case Move:
