--- a/internal/reservation/doc.go
+++ b/internal/reservation/doc.go
@@ -7,8 +7,8 @@
 // its disk is back.
 //
 // A Ledger is a state machine: Handle takes an event with its time and returns actions, which the caller carries out in
-// order. The caller owns the disk and the sockets. A Persist action hands out the whole state of a reservation; what
-// depends on it (spending tokens that were drawn, telling a peer of tokens sent, acknowledging tokens received) is
+// order. The caller owns the disk and the sockets. A Persist action has the complete state of a reservation; what
+// depends on it (spending tokens that were drawn, sending tokens to a peer, acknowledging tokens received) is
 // held back until the caller has returned Persisted. After a start the caller passes the last state of each reservation
 // to Restore. The package does no I/O, reads no clock and starts no goroutine; a Ledger is not safe for concurrent use.
 //
--- a/internal/reservation/drain.go
+++ b/internal/reservation/drain.go
@@ -1,6 +1,7 @@
 package reservation
 
-// startDrain puts back the tokens that were drawn. offerRemaining hands all of them on.
+// startDrain puts back the tokens that were drawn, so that offerRemaining can offer them to other gateways: what stays
+// here is out of reach until this gateway is back.
 func (l *Ledger) startDrain() {
 	l.draining = true
 	for _, h := range l.byEnd {
--- a/internal/reservation/holding.go
+++ b/internal/reservation/holding.go
@@ -57,7 +57,7 @@
 	epoch    uint64
 	minted   bool    // its tokens were made here
 	ended    bool    // its window is over, or it was cancelled
-	removed  float64 // by resizes, of the whole reservation, as far as this gateway has taken its part off
+	removed  float64 // by resizes, of all gateways' parts together, as far as this gateway has taken its own off
 	free     float64 // tokens here that are not drawn; below 0: owed after a resize
 	sent     map[holder]*transfer
 	received map[holder]float64 // in total from each
@@ -81,8 +81,8 @@
 	offerTurn           int            // of the gateways, in offers
 
 	wakeAt time.Duration // something is due
-	spent  float64
-	given  float64
+	spent  float64       // by requests here
+	given  float64       // to other gateways
 }
 
 // holding returns the state of a reservation, a new one if it has none.
@@ -164,8 +164,8 @@
 	}
 	n := l.gateways(h)
 	if (l.settings.Rank-h.First+l.settings.Gateways)%l.settings.Gateways < n {
-		// This may leave less than nothing: the gateway then owes tokens that others hold, and requests them before it
-		// spends any more.
+		// free may become negative: the gateway then owes tokens that others hold, and requests them before it spends
+		// any more.
 		h.free -= by / float64(n)
 		h.free += max(0, h.drawn)
 		h.drawn = min(0, h.drawn)
--- a/internal/reservation/ledger.go
+++ b/internal/reservation/ledger.go
@@ -16,6 +16,8 @@
 	retentionAfterEnd = 24 * time.Hour
 	// minTickDelay keeps a deadline that has passed from making the caller spin.
 	minTickDelay = time.Millisecond
+	// queuePollInterval is how often a queue is looked at without an event: room under a ceiling refills with time.
+	queuePollInterval = transferRequestTimeout / 4
 )
 
 // Settings are the parameters of a Ledger.
@@ -128,7 +130,7 @@
 	switch {
 	case len(h.queue) > 0:
 		w := h.queue[0]
-		h.wakeAt = min(h.wakeAt, w.Deadline, w.queuedAt+maxQueueTime, l.now.Mono+transferRequestTimeout/4)
+		h.wakeAt = min(h.wakeAt, w.Deadline, w.queuedAt+maxQueueTime, l.now.Mono+queuePollInterval)
 	case h.free < 0:
 		h.wakeAt = min(h.wakeAt, l.now.Mono+transferRequestTimeout)
 	}
--- a/internal/reservation/persistence.go
+++ b/internal/reservation/persistence.go
@@ -138,7 +138,7 @@
 	readHoldings(r, func(k holder, total float64) { h.received[k] = total })
 	if r.Malformed {
 		delete(l.holdings, id)
-		return fmt.Errorf("reservation: a state of %d bytes is cut short", len(state))
+		return fmt.Errorf("reservation %016x: its state of %d bytes is cut short", id, len(state))
 	}
 	return nil
 }
--- a/internal/reservation/requests.go
+++ b/internal/reservation/requests.go
@@ -12,7 +12,8 @@
 	drawPeriod = 500 * time.Millisecond
 	// minDrawOfLargestRequest is the least draw, in largest requests: a small one would wait for the disk too often.
 	minDrawOfLargestRequest = 2.0
-	// negligibleDemand is a demand, in units a second, at which nothing is drawn ahead.
+	// negligibleDemand is a demand, in units a second, at which nothing is drawn ahead: drawn tokens of a reservation
+	// that is not used would only be lost in a crash.
 	negligibleDemand = 1e-3
 )
 
--- a/internal/reservation/transfer.go
+++ b/internal/reservation/transfer.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Answers.
+// How transfers are answered and repeated.
 const (
 	retainPeriod          = time.Second            // of its own demand a gateway keeps when it is asked
 	minRetransmitInterval = 250 * time.Millisecond // a transfer is repeated until it is acknowledged ...
@@ -80,8 +80,8 @@
 	return max(0, min(wanted, h.free-max(0, own-h.drawn)))
 }
 
-// spareRoom takes off this gateway's room what it can give of the room that a peer wants: what its own requests do not
-// wait for. It gives nothing rather than less than a request needs, which would expire unused.
+// spareRoom takes from this gateway's room what it can give of the room that a peer wants: what its own requests do
+// not wait for. It gives nothing rather than less than a request needs, which would expire unused.
 func (l *Ledger) spareRoom(h *holding, wanted float64) float64 {
 	if h.ended || !h.announced || !h.Ceiling || !(wanted > 0) {
 		return 0
@@ -131,8 +131,8 @@
 	}
 }
 
-// handleTransfer takes in tokens and room. Only what a total has grown by counts, so messages that come twice, late or
-// not at all do no harm.
+// handleTransfer adds the tokens and room of a transfer. Only what a total has grown by counts, so messages that come
+// twice, late or not at all do no harm.
 func (l *Ledger) handleTransfer(h *holding, from int, m transferMessage) {
 	sender := holder{from, m.epoch}
 	p := &h.peers[from]
--- a/internal/reservation/transferrequest.go
+++ b/internal/reservation/transferrequest.go
@@ -8,12 +8,14 @@
 
 // Requests for transfers.
 const (
-	maxTransferRequests    = 4                      // outstanding at once, of a reservation
-	transferRequestTimeout = 40 * time.Millisecond  // a peer is asked again after it
-	transferRequestRate    = 25.0                   // a second, of this gateway: peers take in only so many messages
-	transferRequestBurst   = 16.0                   // requests at once
-	requestAhead           = 250 * time.Millisecond // of demand is requested beyond what waiting requests need
-	maxOutstanding         = 64 * maxTransferRequests
+	maxTransferRequests    = 4                          // outstanding at once, of a reservation
+	transferRequestTimeout = 40 * time.Millisecond      // a peer is asked again after it
+	roomRequestInterval    = transferRequestTimeout / 2 // between two requests for room, of a reservation
+	transferRequestRate    = 25.0                       // a second, of this gateway: peers take in only so many messages
+	transferRequestBurst   = 16.0                       // requests at once
+	requestAhead           = 250 * time.Millisecond     // of demand is requested beyond what waiting requests need
+	// maxOutstanding bounds the requests that are remembered: those to peers that never answer would fill the memory.
+	maxOutstanding = 64 * maxTransferRequests
 )
 
 // What is known of peers.
@@ -33,7 +35,7 @@
 	return p.emptyAt > 0 && l.now.Mono-p.emptyAt < p.emptyBackoff
 }
 
-// requestTransfers asks peers for what waiting requests need, or a resize left owing, and a little ahead.
+// requestTransfers asks peers for what waiting requests need or a resize left owing, and for a little beyond it.
 func (l *Ledger) requestTransfers(h *holding) {
 	if l.draining || l.settings.Gateways < 2 {
 		return
@@ -56,7 +58,7 @@
 	missing := queued - h.room()
 	if h.Ceiling && missing > negligible && outstanding == 0 && l.now.Mono >= h.nextRoomRequestAt {
 		// Where all room is in use, an answer without any comes at once. The delay keeps that from being a loop.
-		h.nextRoomRequestAt = l.now.Mono + transferRequestTimeout/2
+		h.nextRoomRequestAt = l.now.Mono + roomRequestInterval
 		if peers := l.roomCandidates(h); len(peers) > 0 && l.takeTransferRequest() {
 			l.sendTransferRequest(h, peers[0], 0, missing)
 		}
