--- a/internal/wal/doc.go
+++ b/internal/wal/doc.go
@@ -23,11 +23,12 @@
 //
 // all little-endian. Snapshots are named "00000000000000000001.snap" by the last record that they cover and hold
 // "WHS1", four zero bytes, that number, the length of the payload in 8 bytes, the XXH64 of all this and of the payload,
-// and the payload. The file LOCK keeps a second process out. Names that end in ".new" are of a crash.
+// and the payload. The file LOCK keeps a second process out. Files whose names end in ".new" were left by
+// a crash.
 //
 // # Damage
 //
-// Only numbers tell what is missing. Bytes that are no record are skipped up to the next record whose checksum is
+// Only the numbers show what is missing. Bytes that are no record are skipped up to the next record whose checksum is
 // right. At the end of the log they are a torn tail, of which nothing was acknowledged in the modes that sync. Where
 // later records follow and numbers are missing it is a gap, which is reported, bounded by the numbers on both sides,
 // and does not keep the rest from being read. A record that comes twice, as after a failed write, counts once.
--- a/internal/wal/filesystem.go
+++ b/internal/wal/filesystem.go
@@ -52,11 +52,11 @@
 	return d.Sync()
 }
 
-// createFile writes a whole file under another name, syncs it and then gives it its name, so that after a crash the
-// name stands for all of it or for none. The file stays open.
+// createFile writes a file under another name, syncs it and then gives it its name, so that after a crash the file has
+// all of its content or does not exist. It stays open.
 func createFile(fs FS, dir, path string, content []byte) (File, error) {
 	temporary := path + ".new"
-	fs.Remove(temporary) // of a crash
+	fs.Remove(temporary) // left by a crash
 	f, err := fs.Create(temporary)
 	if err != nil {
 		return nil, err
--- a/internal/wal/lock.go
+++ b/internal/wal/lock.go
@@ -9,7 +9,8 @@
 
 const lockName = "LOCK"
 
-// lockDir takes a directory for this process until the returned file is closed. The kernel releases the lock when the
+// lockDir locks a directory for this process until the returned file is closed: two writers would give one number to
+// two records. The kernel releases the lock when the
 // process ends, however it ends.
 func lockDir(dir string) (*os.File, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -27,11 +27,11 @@
 	options Options
 	lock    *os.File
 
-	mu          sync.Mutex
-	nextNumber  uint64    // of the next record
-	pending     []byte    // records that the writer has not taken yet
-	lastPending uint64    // number of the last record appended
-	segments    []segment // the last one is being written, unless the log fails
+	mu          sync.Mutex // guards the fields from here to changed
+	nextNumber  uint64     // of the next record
+	pending     []byte     // records that the writer has not taken yet
+	lastPending uint64     // number of the last record appended
+	segments    []segment  // the last one is being written, unless the log fails
 	snapshots   []snapshotFile
 	totalBytes  int64  // of all files
 	lastDurable uint64 // all records up to it are durable
--- a/internal/wal/options.go
+++ b/internal/wal/options.go
@@ -19,6 +19,14 @@
 // String is the mode's name in settings.
 func (m SyncMode) String() string { return [...]string{"each", "interval", "none"}[m] }
 
+// What the zero values of Options mean.
+const (
+	defaultSyncInterval    = 100 * time.Millisecond
+	defaultSegmentBytes    = 16 << 20
+	defaultMaxPendingBytes = 8 << 20
+	defaultRetryInterval   = 500 * time.Millisecond
+)
+
 // Options configure a log.
 type Options struct {
 	Mode            SyncMode
@@ -42,16 +50,16 @@
 
 func (o Options) withDefaults() Options {
 	if o.SyncInterval <= 0 {
-		o.SyncInterval = 100 * time.Millisecond
+		o.SyncInterval = defaultSyncInterval
 	}
 	if o.SegmentBytes <= 0 {
-		o.SegmentBytes = 16 << 20
+		o.SegmentBytes = defaultSegmentBytes
 	}
 	if o.MaxPendingBytes <= 0 {
-		o.MaxPendingBytes = 8 << 20
+		o.MaxPendingBytes = defaultMaxPendingBytes
 	}
 	if o.RetryInterval <= 0 {
-		o.RetryInterval = 500 * time.Millisecond
+		o.RetryInterval = defaultRetryInterval
 	}
 	if o.FS == nil {
 		o.FS = Disk{}
--- a/internal/wal/recovery.go
+++ b/internal/wal/recovery.go
@@ -10,7 +10,7 @@
 type Gap struct {
 	From, To uint64 // numbers, both missing
 	Segment  string // name of the file
-	Offset   int64  // bytes
+	Offset   int64  // bytes; 0 from a Cursor, which does not know it
 }
 
 // String describes the gap for errors and logs.
@@ -75,7 +75,7 @@
 	return rec, nil
 }
 
-// recoverSnapshot reads the newest snapshot that is whole. Newer ones are passed over and no longer counted.
+// recoverSnapshot reads the newest undamaged snapshot. Newer ones are passed over and no longer counted.
 func (l *Log) recoverSnapshot(rec *Recovery, snapshots []snapshotFile) {
 	for i := len(snapshots) - 1; i >= 0; i-- {
 		number := snapshots[i].record
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -14,7 +14,8 @@
 	snapshotHeaderBytes   = 32
 	snapshotChecksumStart = 24
 
-	// snapshotTimeout is how long a snapshot waits for the records that it covers.
+	// snapshotTimeout is how long a snapshot waits for the records that it covers: on a disk that fails it must not hold
+	// up the next one, or Close, for good.
 	snapshotTimeout = 10 * time.Second
 	// snapshotsKept is how many snapshots are kept: the newest may turn out damaged.
 	snapshotsKept = 2
--- a/internal/wal/writer.go
+++ b/internal/wal/writer.go
@@ -5,6 +5,9 @@
 	"time"
 )
 
+// idleWait is how long the writer waits while it has nothing to do. Append and Close wake it, so any long time will do.
+const idleWait = time.Hour
+
 // writer is the state of the writer goroutine.
 type writer struct {
 	file    File // nil: none, after a failure
@@ -23,10 +26,10 @@
 func (l *Log) run() {
 	defer close(l.done)
 	w := &l.writer
-	alarm := time.NewTimer(time.Hour)
+	alarm := time.NewTimer(idleWait)
 	defer alarm.Stop()
 	for {
-		wait := time.Hour
+		wait := idleWait
 		if l.Err() != nil {
 			wait = l.options.RetryInterval
 		} else if w.needsSync {
@@ -94,7 +97,7 @@
 	}
 }
 
-// flush syncs, if sync is set, and tells what became durable; false: the sync failed.
+// flush syncs, if sync is set, and reports to OnDurable what became durable; false: the sync failed.
 func (l *Log) flush(sync bool) bool {
 	w := &l.writer
 	if sync && w.needsSync {
@@ -141,8 +144,8 @@
 }
 
 // startSegment closes the current segment and begins one with the records that are not synced: after a failure, all
-// that are not durable. It gets its name only once it is whole. A segment of the same name may be there, with records
-// that the system has and a sync did not reach; a kill in between must leave the one or the other.
+// that are not durable. It gets its name only once it is complete. A segment of the same name may be there, with
+// records that the system has and a sync did not reach; a kill in between must leave the one or the other.
 func (l *Log) startSegment() error {
 	w := &l.writer
 	if w.file != nil {
