--- a/internal/usage/outbox/delivery.go
+++ b/internal/usage/outbox/delivery.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// HTTP statuses by which the receiver says that a batch, as it is, can never be taken. Decisions do not import net/http.
+// HTTP statuses by which the receiver says that it will never accept a batch as it is. Any other failure, a wrong
+// credential or address too, is retried without end, as no usage may be lost. Decisions do not import net/http.
 const (
 	statusBadRequest     = 400
 	statusEntityTooLarge = 413
@@ -36,7 +37,8 @@
 		LastRecord uint64       // that was looked at
 		Failure    string       // why reading the log failed; empty: it did not
 	}
-	// PostResult is the answer to Post.
+	// PostResult is the answer to Post. A success counts only if BodySent: an answer that came before
+	// the whole batch was sent says nothing of the rest.
 	PostResult struct {
 		Status     int           // of HTTP; 0: no answer
 		RetryAfter time.Duration // 0: none was given
@@ -74,7 +76,7 @@
 		Event  UsageEvent
 		Reason string
 	}
-	// Acknowledge tells that the receiver has all up to a record, or they are dead letters. It has no answer.
+	// Acknowledge reports that the receiver has all up to a record, or they are dead letters. It has no answer.
 	Acknowledge struct{ Record uint64 }
 	// Wait asks to wait; an idle one ends as soon as records have become durable.
 	Wait struct {
@@ -142,7 +144,7 @@
 	case DeadLetterStored:
 		if ev.Failure != "" {
 			d.Counts.LastReason = ev.Failure
-			return []DeliveryAction{d.backOff(0)} // then it is posted and refused again, until it can be stored
+			return []DeliveryAction{d.backOff(0)} // then it is posted and rejected again, until it can be stored
 		}
 		d.Counts.DeadLetters++
 		return d.delivered(1)
@@ -212,7 +214,7 @@
 	if len(d.events) == 0 {
 		return []DeliveryAction{acknowledge, d.fetch()}
 	}
-	// Most batches have one bad event at most, so after a half that was accepted the rest is sent as a whole.
+	// Most batches have one bad event at most, so after a half that was accepted the rest is sent in one batch.
 	d.batchSize = len(d.events)
 	return []DeliveryAction{acknowledge, d.post()}
 }
--- a/internal/usage/outbox/events.go
+++ b/internal/usage/outbox/events.go
@@ -3,7 +3,7 @@
 // ID names an attempt within an incarnation of a gateway.
 type ID uint64
 
-// IDs that no attempt has.
+// IDs that no attempt of this incarnation has. The caller numbers attempts from below, so they never meet.
 const (
 	firstOrphanID = ID(1) << 62 // from here on, of attempts of former incarnations
 	gapID         = ID(1) << 63 // of the gap
@@ -25,9 +25,9 @@
 		Record  uint64 // number of the record
 		Failure string // why there is none; empty: there is
 	}
-	// Durable tells that all records up to a number are durable.
+	// Durable reports that all records up to a number are durable.
 	Durable struct{ Record uint64 }
-	// LogStatus tells that writing the log fails, or works again.
+	// LogStatus reports that writing the log fails, or works again.
 	LogStatus struct{ Failure string } // empty: it works
 	// Settle ends an attempt.
 	Settle struct {
@@ -36,7 +36,7 @@
 		UsedUnits float64 // as answered, else as estimated
 		WallTime  int64   // nanoseconds of Unix time
 	}
-	// Acknowledged tells that the receiver has all records up to a number.
+	// Acknowledged reports that the receiver has all records up to a number.
 	Acknowledged struct{ Record uint64 }
 )
 
--- a/internal/usage/outbox/outbox.go
+++ b/internal/usage/outbox/outbox.go
@@ -22,11 +22,11 @@
 	"winghatch/internal/encoding"
 )
 
-// maxUnloggedSettlements is how many settlements may wait for a log that does not take them. At that many no further
-// intent is written, so no more come than those of the attempts in flight.
+// maxUnloggedSettlements bounds the memory for settlements that wait for a log that does not take them. At that many no
+// further intent is written, so no more come than those of the attempts in flight.
 const maxUnloggedSettlements = 20000
 
-// Policy tells what happens to requests while the log can't be written.
+// Policy says what happens to requests while the log can't be written.
 type Policy int
 
 const (
@@ -56,7 +56,7 @@
 	unlogged        []ID // settlements that the log did not take
 
 	acknowledged       uint64 // the receiver has all records up to this one
-	acknowledgedLogged uint64 // the same, as the log tells it
+	acknowledgedLogged uint64 // the same, as recorded in the log
 
 	// Use that was not covered by an intent and is not reported yet.
 	gapAttempts   uint64
@@ -242,7 +242,7 @@
 	return append(actions, o.retryUnlogged()...)
 }
 
-// logStatusChanged takes that the log fails or works again. Attempts whose intents are not durable yet have not been
+// logStatusChanged notes that the log fails or works again. Attempts whose intents are not durable yet have not been
 // sent, so the policy decides on them. One that is sent then is still covered: its intent may become durable later,
 // and its settlement is written in any case.
 func (o *Outbox) logStatusChanged(failure string) (actions []Action) {
