--- a/internal/upstream/http/attempt.go
+++ b/internal/upstream/http/attempt.go
@@ -53,7 +53,8 @@
 func (p *Pool) Abandon(call *upstream.Call) upstream.AbandonResult {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	// Under the lock: between the write of an attempt and MarkSent it would be told as never written.
+	// Under the lock: between the write of an attempt and its MarkSent the result would be NotSent, and the request might
+	// run twice.
 	known := call.Abandon()
 	if c, ok := call.TransportState.(*conn); ok && c.call == call {
 		c.call = nil
@@ -72,8 +73,8 @@
 // connection came up or a full buffer drained.
 func isCancelled(call *upstream.Call) bool { return call.Cancelled != nil && call.Cancelled() }
 
-// writeAttempt writes the connection's attempt without waiting; p.mu is held. The socket's buffer takes it whole but
-// for the largest bodies, whose remainder gets a goroutine.
+// writeAttempt writes the connection's attempt without waiting; p.mu is held. The socket's buffer takes all of
+// it but for the largest bodies, whose remainder gets a goroutine.
 func (c *conn) writeAttempt() {
 	call := c.call
 	request := call.Params
--- a/internal/upstream/http/conn.go
+++ b/internal/upstream/http/conn.go
@@ -30,7 +30,7 @@
 	nc            *net.TCPConn
 	raw           syscall.RawConn
 	call          *upstream.Call // the attempt it carries or was dialed for; nil: none
-	idleElem      *list.Element    // in Pool.idleConns; nil unless idle
+	idleElem      *list.Element  // in Pool.idleConns; nil unless idle
 	idleSince     time.Time
 	respondedAt   time.Time     // when its last response was complete; zero: none yet
 	idleBefore    time.Duration // how long it was idle before the current attempt; 0 for a new connection
@@ -256,7 +256,7 @@
 	return true
 }
 
-// Read reads from the socket, for the http1.Reader. Errors that pass are retried. Each read holds the pool's lock, so
+// Read reads from the socket, for the http1.Reader. Transient errors are retried. Each read holds the pool's lock, so
 // that Send never takes a connection of which a byte was read that readStep has not noted yet.
 func (c *conn) Read(b []byte) (int, error) {
 	c.readBuf = b
--- a/internal/upstream/http/pool.go
+++ b/internal/upstream/http/pool.go
@@ -3,7 +3,7 @@
 // A connection carries one attempt at a time. An attempt is written in one piece and never sent again by this
 // package, as the server may not be able to recognise a repeat. Its outcome says what is known of it:
 //
-//   - OutcomeOK: a whole response with status 200.
+//   - OutcomeOK: a complete response with status 200.
 //   - OutcomeRejected: the server marked the response as refused before execution.
 //   - OutcomeConnectFailed: the last byte of the attempt was never written, so it did not run.
 //   - OutcomeNotDispatched: its Cancelled function reported true before the last byte was written.
@@ -120,9 +120,9 @@
 	return p
 }
 
-// Update takes changed entries of the endpoint list; full says that it is the whole list, so that servers it does not
-// name are removed. It has to be called before the loop learns of the same change: from its return on, nothing is
-// written to a server that is not serving. Attempts that still wait for a connection to such a server end as
+// Update takes changed entries of the endpoint list; full says that it is the complete list, so that servers it
+// does not name are removed. It has to be called before the loop learns of the same change: from its return on, nothing
+// is written to a server that is not serving. Attempts that still wait for a connection to such a server end as
 // OutcomeConnectFailed, and its idle connections are closed; attempts already written go on.
 func (p *Pool) Update(servers []Server, full bool) {
 	var ended []*upstream.Call
--- a/internal/upstream/http/response.go
+++ b/internal/upstream/http/response.go
@@ -10,10 +10,11 @@
 	"winghatch/internal/upstream"
 )
 
+// Bounds of what a response may report: a faulty server must not fill the memory or a customer's bucket.
 const (
-	maxReportFigures = 8
-	maxReportFigure  = 1e12 // exclusive
-	unitsLimit       = 1 << 31
+	maxReportFigures = 8       // in a load report
+	maxReportFigure  = 1e12    // exclusive
+	unitsLimit       = 1 << 31 // of a charge, exclusive, where Options.MaxUnits is 0
 )
 
 // parseResult maps a response to the result of its attempt. Figures on load and usage that cannot be parsed are left
@@ -55,7 +56,7 @@
 }
 
 // parseLoadReport parses a report such as "inflight=7,queue=2". If any part cannot be parsed, or there are too many,
-// it returns nil: half a report would be taken for the whole.
+// it returns nil: a part of a report would be taken for all of it.
 func (p *Pool) parseLoadReport(text string) decide.LoadReport {
 	report := decide.LoadReport{}
 	for part := range strings.SplitSeq(text, ",") {
