--- a/internal/frontend/http/close.go
+++ b/internal/frontend/http/close.go
@@ -67,7 +67,7 @@
 }
 
 // unlockAndClose unlocks s.mu and then closes the connections that were evicted meanwhile. A Close with the lock held
-// would wait for a reader's step under way, which may itself wait for the lock, and the server would never get on.
+// would wait for a reader's step under way, which may itself wait for the lock: a deadlock.
 func (s *Server) unlockAndClose() {
 	toClose := s.toClose
 	s.toClose = nil
@@ -97,8 +97,8 @@
 	c.unregister()
 }
 
-// disconnect tells the core that the open request's client has gone, if one is open. The core gives it no response,
-// so its X-Txn is released here.
+// disconnect reports to the core that the open request's client has gone, if one is open. The core gives it no
+// response, so its X-Txn is released here.
 func (c *conn) disconnect() {
 	s := c.server
 	s.mu.Lock()
--- a/internal/frontend/http/conn.go
+++ b/internal/frontend/http/conn.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	maxHeadBytes    = 8 << 10
+	maxHeadBytes    = 8 << 10 // of one request
 	maxBodyBytes    = 1 << 20 // of one request
 	readBufferBytes = 4 << 10 // also the longest line of a head
 )
 
-// phase is what a connection is in; package connlimit is told of each change.
+// phase is the state of a connection. setPhase passes each change to package connlimit.
 type phase int
 
 const (
--- a/internal/frontend/http/pipeline.go
+++ b/internal/frontend/http/pipeline.go
@@ -11,7 +11,7 @@
 
 const (
 	maxPipelinedBytes = 128 << 10 // kept of what arrives while a request is open
-	maxDroppedBytes   = 64 << 20  // read and dropped beyond that, to see the client's end
+	maxDroppedBytes   = 64 << 20  // read and dropped beyond that, to see when the client closes
 	pipelineReadBytes = 16 << 10  // of one read
 	// peekInterval is how often the socket of a client whose bytes are not read any more is checked for its end.
 	peekInterval = 50 * time.Millisecond
--- a/internal/frontend/http/read.go
+++ b/internal/frontend/http/read.go
@@ -28,7 +28,7 @@
 	return n, err
 }
 
-// readSocket reads from the socket. Errors that pass are retried. Each read holds the server's lock, so that bytes
+// readSocket reads from the socket. Transient errors are retried. Each read holds the server's lock, so that bytes
 // are either still in the socket, where Peek sees them, or the connection is known to be reading a request.
 func (c *conn) readSocket(b []byte) (int, error) {
 	c.readBuf = b
--- a/internal/frontend/http/request.go
+++ b/internal/frontend/http/request.go
@@ -13,14 +13,14 @@
 	"winghatch/internal/http1"
 )
 
-// Longest values of fields, in bytes.
+// Bounds of fields, which are checked before the core keeps anything of a request.
 const (
-	maxTxnBytes      = 64
+	maxTxnBytes      = 64  // lengths are in bytes
 	maxNameBytes     = 128 // of a class, a plan or an idempotency key
 	maxQuotaBytes    = 256
 	maxNumberBytes   = 12
-	customerIDBytes  = 16 // hex digits
-	customerIDsBelow = 1 << 33
+	customerIDBytes  = 16      // hex digits
+	customerIDsBelow = 1 << 33 // the customer's number
 )
 
 // Rules is what the settings say of requests: which classes and plans there are, and the bounds of X-Quota.
@@ -57,7 +57,7 @@
 	return requestError(http.StatusBadRequest, format, args...)
 }
 
-// parsedRequest is what goes on to servers of a valid request.
+// parsedRequest is what servers get of a valid request.
 type parsedRequest struct {
 	txn, method, target, idempotencyKey, contentType string
 	body                                             []byte
--- a/internal/frontend/http/server.go
+++ b/internal/frontend/http/server.go
@@ -29,13 +29,13 @@
 )
 
 const (
-	acceptRetryPause = 10 * time.Millisecond // after an accept that failed
+	acceptRetryPause = 10 * time.Millisecond // after an accept that failed, so that a lasting error takes no core
 	sweepInterval    = 200 * time.Millisecond
-	// lingerDivisor gives one part in so many of Options.MaxConns to lingering connections alone.
+	// lingerDivisor is the inverse of the part of Options.MaxConns that is kept for lingering connections.
 	lingerDivisor = 4
 )
 
-// reasonStopping is told to a client whose request comes as the gateway stops.
+// reasonStopping is the response to a client whose request comes as the gateway stops.
 const reasonStopping = "the gateway stops"
 
 // Options are the limits of a Server.
@@ -130,7 +130,7 @@
 			}
 			ln.SetDeadline(time.Now().Add(acceptRetryPause))
 		default:
-			s.log.Warn("Accept failed, retrying", "err", err) // EMFILE and the like: the sweep frees descriptors
+			s.log.Warn("Accept failed, retrying", "err", err) // such as EMFILE; the sweep frees descriptors
 			time.Sleep(acceptRetryPause)
 		}
 	}
