--- a/internal/gossip/datagram.go
+++ b/internal/gossip/datagram.go
@@ -19,7 +19,7 @@
 //	    32 keyed hash of all before it
 const (
 	magic      = "WHP1"
-	headerLen  = 4 + 8 + 2 + 2 + 8 + 8
+	headerLen  = 4 + 8 + 2 + 2 + 8 + 8 // the fields in the order above
 	hashLen    = 32
 	maxTextLen = 1200 // a datagram stays under 1,500 bytes, the usual MTU
 )
--- a/internal/gossip/replay.go
+++ b/internal/gossip/replay.go
@@ -8,7 +8,7 @@
 const (
 	// incarnationTimeout is how long the known incarnation of a sender has to be silent before an earlier epoch is
 	// accepted. Epochs are times of the sender's wall clock: one that restarts after a step back of its clock has the
-	// smaller epoch, and would otherwise never be heard again.
+	// smaller epoch, and its datagrams would otherwise be dropped for good.
 	incarnationTimeout = 2 * time.Second
 
 	// maxIncarnations is how many incarnations of a sender are remembered, so that old datagrams are still recognized
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -39,7 +39,7 @@
 	Sent       int64
 	Unsent     int64 // the text is too long, the receiver unknown, or the socket refused it
 	Taken      int64 // received and passed on
-	Forged     int64 // malformed, or the hash is wrong
+	Forged     int64 // malformed, or the hash is wrong, as with another secret
 	Foreign    int64 // of another fleet, for another gateway, or of an unknown sender
 	Repeated   int64 // received before, too old, or of an earlier incarnation
 	OverIntake int64 // beyond MaxMessageRate
@@ -97,8 +97,8 @@
 	return t, nil
 }
 
-// Send sends one message to the peer of a rank. It never fails towards the caller: a message that is not sent is
-// counted, and lost as any datagram may be.
+// Send sends one message to the peer of a rank. It returns no error, as any datagram may be lost: a message that is not
+// sent is counted as Unsent.
 func (t *Transport) Send(to int, text string) {
 	if to < 0 || to >= len(t.peerAddrs) || to == t.options.Rank || len(text) > maxTextLen {
 		t.counts[countUnsent].Add(1)
