--- a/internal/recording/reader.go
+++ b/internal/recording/reader.go
@@ -13,8 +13,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// TruncatedError reports that a recording ends inside a line, or that a line is damaged. Everything before Line
-// was read; nothing after it can be trusted.
+// TruncatedError reports that a recording ends inside a line, or that a line is damaged. Everything before Line was
+// read; nothing from Line on is, as a replay without a lost event would differ.
 type TruncatedError struct {
 	Line   int // from 1, the header
 	Reason string
@@ -75,7 +75,7 @@
 	return record, nil
 }
 
-// readLine returns the document of the next line once its checksum is verified.
+// readLine returns the JSON document of the next line once its checksum is verified.
 func (r *Reader) readLine() ([]byte, error) {
 	raw, err := r.in.ReadBytes('\n')
 	if len(raw) == 0 && errors.Is(err, io.EOF) {
@@ -96,6 +96,7 @@
 	return document, nil
 }
 
+// truncated is the error for the line last read.
 func (r *Reader) truncated(reason string) *TruncatedError { return &TruncatedError{r.line, reason} }
 
 // loadValue reads a stored value with the loader of its kind.
