--- a/internal/gossip/ratelimit.go
+++ b/internal/gossip/ratelimit.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// rateLimiter is a leaky bucket of messages that holds the messages of one second, and at least one. It keeps peers that
-// send too much from filling the event loop's queue.
+// rateLimiter is a leaky bucket of messages that holds those of one second, and at least one. It keeps peers that send
+// too much from filling the event loop's queue.
 type rateLimiter struct {
 	rate      float64 // messages a second
 	level     float64 // messages
