--- a/decide/retry.go
+++ b/decide/retry.go
@@ -57,7 +57,7 @@
 	silence := g.now - max(s.lastResponse, g.startedAt)
 	missing := s.sendRate.perSecond(g.now) * silence.Seconds()
 	if missing < minMissingResponses && !knownToFail {
-		g.lookAgain(r, a)
+		g.recheckLater(r, a)
 		return
 	}
 	if r.finished || r.streaming || !g.retryBudget.has(1) || r.class.Idempotency == NotIdempotent {
@@ -71,8 +71,8 @@
 	}
 }
 
-// lookAgain sets another timer for an overdue attempt.
-func (g *Gateway) lookAgain(r *request, a *attempt) {
+// recheckLater sets another timer for an overdue attempt, after half of the time that it has taken so far.
+func (g *Gateway) recheckLater(r *request, a *attempt) {
 	if at := g.now + (g.now-a.sentAt)/2; at < r.usefulUntil && !r.finished {
 		g.setTimer(r.ID, a.number, at)
 	}
--- a/internal/reservation/persistence.go
+++ b/internal/reservation/persistence.go
@@ -92,16 +92,17 @@
 	b = encoding.AppendFloat64(b, h.free)
 	b = binary.AppendUvarint(b, uint64(len(h.sent)))
 	for _, k := range sortedHolders(h.sent) {
-		b = appendHolding(b, k, h.sent[k].total)
+		b = appendHolderTotal(b, k, h.sent[k].total)
 	}
 	b = binary.AppendUvarint(b, uint64(len(h.received)))
 	for _, k := range sortedHolders(h.received) {
-		b = appendHolding(b, k, h.received[k])
+		b = appendHolderTotal(b, k, h.received[k])
 	}
 	return b
 }
 
-func appendHolding(b []byte, k holder, total float64) []byte {
+// appendHolderTotal writes a holder and the tokens sent to it, or received from it, in total.
+func appendHolderTotal(b []byte, k holder, total float64) []byte {
 	b = binary.AppendUvarint(b, uint64(k.rank))
 	b = binary.LittleEndian.AppendUint64(b, k.epoch)
 	return encoding.AppendFloat64(b, total)
@@ -132,10 +133,10 @@
 	h := l.holding(id)
 	h.epoch, h.minted, h.ended = epoch, flags&flagMinted > 0, flags&flagEnded > 0
 	h.removed, h.free = r.Float64(), r.Float64()
-	readHoldings(r, func(k holder, total float64) {
+	readHolderTotals(r, func(k holder, total float64) {
 		h.sent[k] = &transfer{total: total, retryInterval: minRetransmitInterval}
 	})
-	readHoldings(r, func(k holder, total float64) { h.received[k] = total })
+	readHolderTotals(r, func(k holder, total float64) { h.received[k] = total })
 	if r.Malformed {
 		delete(l.holdings, id)
 		return fmt.Errorf("reservation %016x: its state of %d bytes is cut short", id, len(state))
@@ -143,7 +144,8 @@
 	return nil
 }
 
-func readHoldings(r *encoding.Reader, add func(k holder, total float64)) {
+// readHolderTotals reads a count and as many of what appendHolderTotal wrote.
+func readHolderTotals(r *encoding.Reader, add func(k holder, total float64)) {
 	for n := r.Uvarint(maxStoredHolders); n > 0 && !r.Malformed; n-- {
 		k := holder{rank: int(r.Uvarint(maxStoredRank))}
 		k.epoch = r.Uint64()
