--- a/decide/admission.go
+++ b/decide/admission.go
@@ -70,7 +70,7 @@
 // receiveRequest handles a new request. It is decided at once, or when an owner replies.
 func (g *Gateway) receiveRequest(e Request) {
 	if g.requests[e.ID] != nil {
-		return
+		return // a repeated event: the request that is open gets the answer
 	}
 	k := g.classes.byName[e.Class]
 	planNo, ok := g.customers.planIndex[e.Plan]
--- a/decide/customers.go
+++ b/decide/customers.go
@@ -103,7 +103,8 @@
 // mark nothing passes until they have leaked at the new rate, under a higher one only the difference is
 // new, so a change there and back gives nothing away. A plan without a rate does not leak, so a level
 // from its time counts up to the mark only. Attempts in flight go on and count under the new limit, an
-// owner's grants stay. Ceiling tokens are cut to the new ceiling and never added.
+// owner's grants stay. Ceiling tokens are cut to the new ceiling and never added. A plan
+// that is not configured or not valid changes nothing.
 func (g *Gateway) changePlan(e PlanChange) {
 	planNo, ok := g.customers.planIndex[e.Plan.Name]
 	if !ok || e.Plan.validate("Plan") != nil {
--- a/decide/quotaowner.go
+++ b/decide/quotaowner.go
@@ -117,7 +117,8 @@
 	grantedBy   int // rank of the owner that admitted it, or noGateway
 }
 
-// owner is the rank of a customer's nth owner. It is the same at every gateway.
+// owner is the rank of a customer's nth owner. It is the same at every gateway. A fleet of one gateway has
+// full gossip and thus no owners, so there is no division by 0.
 func (g *Gateway) owner(key uint64, n int) int {
 	first := int(key % uint64(g.cfg.Gateways))
 	if n == 0 {
