--- a/internal/usage/outbox/events.go
+++ b/internal/usage/outbox/events.go
@@ -3,7 +3,7 @@
 // ID names an attempt within an incarnation of a gateway.
 type ID uint64
 
-// IDs that no attempt has.
+// IDs that no attempt of this incarnation has. The caller numbers attempts from below, so they never meet.
 const (
 	firstOrphanID = ID(1) << 62 // from here on, of attempts of former incarnations
 	gapID         = ID(1) << 63 // of the gap
