--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -152,6 +152,21 @@
 
 var eventually = await.Until
 
+// completed returns how many attempts the servers have run.
+func (g *testGateway) completed() (n int) {
+	for _, server := range g.servers {
+		n += server.Completed()
+	}
+	return n
+}
+
+// setErrorShare has the servers answer a share of all attempts with an error.
+func (g *testGateway) setErrorShare(share float64) {
+	for _, server := range g.servers {
+		server.SetFault(func(f *backend.Fault) { f.ErrorShare = share })
+	}
+}
+
 // client is a WebSocket client that can break the protocol.
 type client struct {
 	t      testing.TB
--- a/internal/gateway/quotaplans_test.go
+++ b/internal/gateway/quotaplans_test.go
@@ -84,26 +84,11 @@
 	fleet := newTestFleet(t, nil)
 	now := time.Now()
 	const units = 40.0
-	err := fleet.submit(0, quotaplan.Change{
-		Number: 5,
-		Kind:   quotaplan.Reserve,
-		Member: "poor",
-		Units:  units,
-		From:   now.Add(500 * time.Millisecond).UnixNano(),
-		To:     now.Add(60 * time.Second).UnixNano(),
-	})
-	if err != nil {
+	if err := fleet.reserve(0, 5, units, now.Add(500*time.Millisecond), now.Add(60*time.Second)); err != nil {
 		t.Fatal(err)
 	}
 	fleet.awaitChanges(1)
-	err = fleet.submit(1, quotaplan.Change{
-		Number: 6,
-		Kind:   quotaplan.Reserve,
-		Member: "poor",
-		Units:  500,
-		From:   now.Add(time.Second).UnixNano(),
-		To:     now.Add(31 * time.Second).UnixNano(),
-	})
+	err := fleet.reserve(1, 6, 500, now.Add(time.Second), now.Add(31*time.Second))
 	if err == nil || !strings.Contains(err.Error(), "room for") {
 		t.Errorf("%v, want the room that there is", err)
 	}
@@ -115,12 +100,7 @@
 		t.Errorf("%d ordinary calls of 5 served over the mark", n)
 	}
 	eventually(t, "the window is open everywhere", func() bool {
-		for i := range 3 {
-			if s := fleet.state(i); len(s.Reservations) != 1 || !s.Reservations[0].Open {
-				return false
-			}
-		}
-		return true
+		return fleet.reservationOpen(0) && fleet.reservationOpen(1) && fleet.reservationOpen(2)
 	})
 	used := 0.0
 	spend := func(c *client, n int) (last string) {
@@ -157,6 +137,24 @@
 	}
 }
 
+// reserve submits a reservation of member poor.
+func (fleet *testFleet) reserve(rank int, number uint64, units float64, from, to time.Time) error {
+	return fleet.submit(rank, quotaplan.Change{
+		Number: number,
+		Kind:   quotaplan.Reserve,
+		Member: "poor",
+		Units:  units,
+		From:   from.UnixNano(),
+		To:     to.UnixNano(),
+	})
+}
+
+// reservationOpen reports whether a gateway has one reservation, whose window is open.
+func (fleet *testFleet) reservationOpen(rank int) bool {
+	s := fleet.state(rank)
+	return len(s.Reservations) == 1 && s.Reservations[0].Open
+}
+
 // TestBookLogFails makes writes to the plan log fail: a plan change does not count and its submitter has no answer,
 // until the log can be written again.
 func TestBookLogFails(t *testing.T) {
--- a/internal/gateway/requests_test.go
+++ b/internal/gateway/requests_test.go
@@ -93,65 +93,9 @@
 	for _, n := range g.servers {
 		n.SetFault(func(x *backend.Fault) { x.Unresponsive = true })
 	}
-	leaves := []struct {
-		name string
-		f    func(c *client)
-	}{
-		{"vanishes", func(c *client) { c.conn.(*net.TCPConn).SetLinger(0); c.conn.Close() }},
-		{"closes in mid-message", func(c *client) {
-			f := frame(websocket.Text, rpcCall(9, "look", `{}`))
-			c.conn.Write(f[:len(f)/2])
-			c.conn.Close()
-		}},
-		{"half-closes", func(c *client) { c.conn.(*net.TCPConn).CloseWrite() }},
-		{"sends a call with its close", func(c *client) {
-			last := frame(websocket.Text, rpcCall("z", "folio", `{}`))
-			c.conn.Write(append(last, frame(websocket.Close, "\x03\xe8")...))
-		}},
-		{"breaks the protocol", func(c *client) { c.conn.Write([]byte{0xff, 0xff}) }},
-	}
 	goroutines := 0
-	for _, x := range append(leaves, leaves[0]) {
-		eventually(t, "work that nobody waits for is forgotten", func() bool {
-			return g.gateway.State().Core.Pressure == 0
-		})
-		before := g.gateway.State()
-		c := g.dial(g.key)
-		var msgs []string
-		for i := range 500 {
-			msgs = append(msgs, rpcCall(i, "folio", `{}`))
-		}
-		c.send(msgs...)
-		open := int64(0)
-		eventually(t, "all 500 are in", func() bool {
-			l := g.gateway.loop
-			in := int64(0)
-			l.Do(func() {
-				open = int64(len(l.requests))
-				in = open - rejections(before)
-				for _, v := range l.rejections {
-					in += v
-				}
-			})
-			return in == 500
-		})
-		if open < 200 {
-			t.Fatalf("only %d calls are open; refused %v", open, g.gateway.State().Rejected)
-		}
-		x.f(c)
-		eventually(t, x.name+": none is open", func() bool {
-			s := g.gateway.State()
-			return s.OpenRequests == 0 && s.Abandoned >= before.Abandoned+open
-		})
-		c.conn.Close()
-		eventually(t, x.name+": no session is left", func() bool { return g.gateway.frontend.SessionCount() == 0 })
-		eventually(t, x.name+": attempts that nobody waits for are given up", func() bool {
-			n := 0
-			g.gateway.loop.Do(func() { n = len(g.gateway.loop.requests) })
-			return n == 0
-		})
-		// Connections to nodes are closed when idle, so that what is left is not theirs.
-		eventually(t, x.name+": no connection is left", func() bool { return g.gateway.State().ServerConnections == 0 })
+	for _, departure := range append(departures, departures[0]) {
+		leaveWithOpenRequests(t, g, departure)
 		if goroutines == 0 {
 			eventually(t, "goroutines settle", func() bool {
 				n := runtime.NumGoroutine()
@@ -164,6 +108,72 @@
 	eventually(t, "goroutines are as after the first", func() bool { return runtime.NumGoroutine() <= goroutines+5 })
 }
 
+// departure is a way in which a client leaves.
+type departure struct {
+	name  string
+	leave func(c *client)
+}
+
+var departures = []departure{
+	{"vanishes", func(c *client) { c.conn.(*net.TCPConn).SetLinger(0); c.conn.Close() }},
+	{"closes in mid-message", func(c *client) {
+		f := frame(websocket.Text, rpcCall(9, "look", `{}`))
+		c.conn.Write(f[:len(f)/2])
+		c.conn.Close()
+	}},
+	{"half-closes", func(c *client) { c.conn.(*net.TCPConn).CloseWrite() }},
+	{"sends a call with its close", func(c *client) {
+		last := frame(websocket.Text, rpcCall("z", "folio", `{}`))
+		c.conn.Write(append(last, frame(websocket.Close, "\x03\xe8")...))
+	}},
+	{"breaks the protocol", func(c *client) { c.conn.Write([]byte{0xff, 0xff}) }},
+}
+
+// leaveWithOpenRequests has a client send 500 requests and leave, and waits until nothing of it is left.
+func leaveWithOpenRequests(t *testing.T, g *testGateway, d departure) {
+	t.Helper()
+	eventually(t, "work that nobody waits for is forgotten", func() bool {
+		return g.gateway.State().Core.Pressure == 0
+	})
+	before := g.gateway.State()
+	c := g.dial(g.key)
+	var msgs []string
+	for i := range 500 {
+		msgs = append(msgs, rpcCall(i, "folio", `{}`))
+	}
+	c.send(msgs...)
+	open := int64(0)
+	eventually(t, "all 500 are in", func() bool {
+		l := g.gateway.loop
+		in := int64(0)
+		l.Do(func() {
+			open = int64(len(l.requests))
+			in = open - rejections(before)
+			for _, v := range l.rejections {
+				in += v
+			}
+		})
+		return in == 500
+	})
+	if open < 200 {
+		t.Fatalf("only %d calls are open; refused %v", open, g.gateway.State().Rejected)
+	}
+	d.leave(c)
+	eventually(t, d.name+": none is open", func() bool {
+		s := g.gateway.State()
+		return s.OpenRequests == 0 && s.Abandoned >= before.Abandoned+open
+	})
+	c.conn.Close()
+	eventually(t, d.name+": no session is left", func() bool { return g.gateway.frontend.SessionCount() == 0 })
+	eventually(t, d.name+": attempts that nobody waits for are given up", func() bool {
+		n := 0
+		g.gateway.loop.Do(func() { n = len(g.gateway.loop.requests) })
+		return n == 0
+	})
+	// Connections to servers are closed when idle, so that what is left is not theirs.
+	eventually(t, d.name+": no connection is left", func() bool { return g.gateway.State().ServerConnections == 0 })
+}
+
 // TestAnswerAndTimer has servers answer right at the deadline, many times: each request has one final answer, whichever
 // came first.
 func TestAnswerAndTimer(t *testing.T) {
--- a/internal/gateway/storeddata_test.go
+++ b/internal/gateway/storeddata_test.go
@@ -29,6 +29,15 @@
 	return dir
 }
 
+func readTestdata(t *testing.T, name string) string {
+	t.Helper()
+	raw, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(raw)
+}
+
 // TestReadsStoredUsage opens an outbox log with a snapshot, settled attempts, one that is open, a gap and an
 // acknowledgement, and compares the events that come of it with those that the former version sent.
 func TestReadsStoredUsage(t *testing.T) {
@@ -70,11 +79,7 @@
 			fmt.Fprintf(&got, "%d %s\n", ev.Record, ev.JSON)
 		}
 	}
-	want, err := os.ReadFile("testdata/usage-events.txt")
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got.String() != string(want) {
+	if want := readTestdata(t, "usage-events.txt"); got.String() != want {
 		t.Errorf("events are\n%s, want\n%s", got.String(), want)
 	}
 }
@@ -93,10 +98,7 @@
 			Units: 40, Rate: 6, Stamp: 1796282050656885761, Incarnation: incarnation},
 	}
 	const wantState = "01b8b645e351ce16895207bc0902aded1801000000000000000000000000000036400000"
-	snapshot, err := os.ReadFile("testdata/plan-snapshot.hex")
-	if err != nil {
-		t.Fatal(err)
-	}
+	snapshot := readTestdata(t, "plan-snapshot.hex")
 	for _, test := range []struct {
 		name string
 		open func(l *Loop, o PlanOptions) (*quotaPlans, error)
@@ -106,7 +108,7 @@
 			return openPlans(l, o)
 		}},
 		{"snapshot", func(l *Loop, o PlanOptions) (*quotaPlans, error) {
-			raw, err := hex.DecodeString(strings.TrimSpace(string(snapshot)))
+			raw, err := hex.DecodeString(strings.TrimSpace(snapshot))
 			if err != nil {
 				return nil, err
 			}
@@ -118,11 +120,7 @@
 		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			f := &config.Fleet{Gateways: make([]config.Gateway, 1)}
-			f.Decide.Plans = []decide.Plan{{Name: "big", Rate: 1e5, Burst: 2e5}, {Name: "none", Rate: 1e-4, Burst: 1}}
-			f.Members = []config.Member{{Name: "m", Plan: "big", Spread: 1}, {Name: "poor", Plan: "none", Spread: 1}}
-			o := newPlanOptions(f, 0, incarnation+1, 1)
-			o.Log, o.WallClock = slog.New(slog.DiscardHandler), func() int64 { return first }
+			o := storedPlanOptions(incarnation+1, first)
 			p, err := test.open(&Loop{queue: newQueue()}, o)
 			if err != nil {
 				t.Fatal(err)
@@ -141,9 +139,19 @@
 			if len(states) != 1 || hex.EncodeToString(states[0]) != wantState {
 				t.Errorf("reservations are %x, want %s", states, wantState)
 			}
-			if written := hex.EncodeToString(p.snapshot()) + "\n"; written != string(snapshot) {
+			if written := hex.EncodeToString(p.snapshot()) + "\n"; written != snapshot {
 				t.Errorf("the snapshot is written as %s, want %s", written, snapshot)
 			}
 		})
 	}
 }
+
+// storedPlanOptions are those of the gateway that wrote the plan log, in a later incarnation.
+func storedPlanOptions(incarnation uint64, wallTime int64) PlanOptions {
+	f := &config.Fleet{Gateways: make([]config.Gateway, 1)}
+	f.Decide.Plans = []decide.Plan{{Name: "big", Rate: 1e5, Burst: 2e5}, {Name: "none", Rate: 1e-4, Burst: 1}}
+	f.Members = []config.Member{{Name: "m", Plan: "big", Spread: 1}, {Name: "poor", Plan: "none", Spread: 1}}
+	o := newPlanOptions(f, 0, incarnation, 1)
+	o.Log, o.WallClock = slog.New(slog.DiscardHandler), func() int64 { return wallTime }
+	return o
+}
--- a/internal/gateway/usage_test.go
+++ b/internal/gateway/usage_test.go
@@ -119,9 +119,9 @@
 			c.send(rpcCall(1, "look", `{}`)) // the first whose intent can't be written; rejected or served
 			c.read()
 			eventually(t, "the failure is reported", func() bool { return u.gateway.State().Usage.Failure != "" })
-			ran := u.servers[0].Completed() + u.servers[1].Completed()
+			ran := u.completed()
 			n, last := c.serve(10, `{"units":2}`)
-			ran = u.servers[0].Completed() + u.servers[1].Completed() - ran
+			ran = u.completed() - ran
 			if policy == outbox.PolicyReject && (n != 0 || ran != 0 || !strings.Contains(last, `"reason":"export"`)) {
 				t.Errorf("%d served, %d ran: %s", n, ran, last)
 			}
--- a/internal/usage/outbox/delivery.go
+++ b/internal/usage/outbox/delivery.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// HTTP statuses by which the receiver says that a batch, as it is, can never be taken. Decisions do not import net/http.
+// HTTP statuses by which the receiver tells that it will never accept a batch as it is. This package decides only, so
+// it does not import net/http.
 const (
 	statusBadRequest     = 400
 	statusEntityTooLarge = 413
--- a/internal/usage/outbox/model_test.go
+++ b/internal/usage/outbox/model_test.go
@@ -294,57 +294,6 @@
 // full, the receiver gets each attempt that left once, at the units that its server answered, and no other. The model
 // is itself checked with faults that it must find.
 func TestExactlyOnce(t *testing.T) {
-	play := func(rt *rapid.T, f plantedFault) string {
-		seed := rapid.Int64().Draw(rt, "seed")
-		policy := rapid.SampledFrom([]Policy{PolicyReject, PolicyServe}).Draw(rt, "policy")
-		o := newSimulation(seed, policy, f)
-		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
-			switch rapid.IntRange(0, 13).Draw(rt, "what") {
-			case 0, 1, 2:
-				o.attempt()
-			case 3, 4:
-				o.sync()
-			case 5, 6:
-				o.settleOne(OutcomeAnswered)
-			case 7:
-				o.settleOne(OutcomeUnanswered)
-			case 8:
-				o.settleOne(OutcomeNeverRan)
-			case 9:
-				o.deliver()
-			case 10:
-				o.crash()
-			case 11:
-				o.takeSnapshot()
-			case 12:
-				if !o.broken && f == noFault {
-					o.broken = true
-					o.do(o.outbox.Handle(LogStatus{"no space"}))
-				} else if o.broken {
-					o.broken = false
-					o.do(o.outbox.Handle(LogStatus{""}))
-				}
-			case 13:
-				o.full = !o.full && f == noFault
-			}
-		}
-		if o.full = false; o.broken { // of a log that was only full no status tells that it works again
-			o.broken = false
-			o.do(o.outbox.Handle(LogStatus{""}))
-		}
-		o.sync()
-		for id := range o.inFlight {
-			o.answered(id)
-		}
-		o.sync()
-		o.deliver()
-		if s := o.unsettled(); f == noFault && s != "" {
-			return s
-		}
-		o.crash()
-		o.deliver()
-		return o.verdict()
-	}
 	rapid.Check(t, func(rt *rapid.T) {
 		if s := play(rt, noFault); s != "" {
 			rt.Fatal(s)
@@ -366,3 +315,56 @@
 		}
 	}
 }
+
+// play runs a simulation with random steps to its end. It returns what is wrong, or nothing.
+func play(rt *rapid.T, f plantedFault) string {
+	seed := rapid.Int64().Draw(rt, "seed")
+	policy := rapid.SampledFrom([]Policy{PolicyReject, PolicyServe}).Draw(rt, "policy")
+	o := newSimulation(seed, policy, f)
+	for range rapid.IntRange(1, 60).Draw(rt, "steps") {
+		switch rapid.IntRange(0, 13).Draw(rt, "what") {
+		case 0, 1, 2:
+			o.attempt()
+		case 3, 4:
+			o.sync()
+		case 5, 6:
+			o.settleOne(OutcomeAnswered)
+		case 7:
+			o.settleOne(OutcomeUnanswered)
+		case 8:
+			o.settleOne(OutcomeNeverRan)
+		case 9:
+			o.deliver()
+		case 10:
+			o.crash()
+		case 11:
+			o.takeSnapshot()
+		case 12:
+			if !o.broken && f == noFault {
+				o.broken = true
+				o.do(o.outbox.Handle(LogStatus{"no space"}))
+			} else if o.broken {
+				o.broken = false
+				o.do(o.outbox.Handle(LogStatus{""}))
+			}
+		case 13:
+			o.full = !o.full && f == noFault
+		}
+	}
+	if o.full = false; o.broken { // of a log that was only full no status tells that it works again
+		o.broken = false
+		o.do(o.outbox.Handle(LogStatus{""}))
+	}
+	o.sync()
+	for id := range o.inFlight {
+		o.answered(id)
+	}
+	o.sync()
+	o.deliver()
+	if s := o.unsettled(); f == noFault && s != "" {
+		return s
+	}
+	o.crash()
+	o.deliver()
+	return o.verdict()
+}
