--- a/internal/discovery/http/decode.go
+++ b/internal/discovery/http/decode.go
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// entryLimitReader fails once more than maxEntryBytes came without the end of a JSON object: a list that never ends
-// must not fill the memory.
+// entryLimitReader fails once more than maxEntryBytes arrived without the end of a JSON object: a list that never
+// ends must not fill the memory.
 type entryLimitReader struct {
 	r        io.Reader
 	sinceEnd int // bytes
--- a/internal/discovery/http/follower.go
+++ b/internal/discovery/http/follower.go
@@ -20,9 +20,9 @@
 // follower is the state of a watch, owned by the goroutine of Watch.Run. Each call runs in a goroutine of its own and
 // ends with a result.
 //
-// A slow discovery is not a silent one: a call that takes long goes on while others are made beside it, and the first
-// complete response ends the others. After a failure the list is resumed from its last version; only if that fails as
-// well the full list is asked for, as its size is most of what following costs.
+// A slow discovery is not a silent one: a call that takes long stays open while others are made beside it, and the
+// first complete response ends the others. After a failure the list is resumed from its last version; only if that
+// fails as well the full list is asked for, as its size is most of what following costs.
 type follower struct {
 	opts Options
 	ctx  context.Context
@@ -30,13 +30,13 @@
 
 	synced     bool // a list was received from addr
 	rev        uint64
-	answeredAt time.Time     // when the last response came
+	answeredAt time.Time     // when the last response arrived
 	retries    int           // calls made since then, beyond the one that it led to
 	backoff    time.Duration // after the next failure
 	warnedAt   time.Time     // zero: not since the last response
 
 	nextCall *time.Timer // for a call beside those in flight, or after a failure
-	inFlight []*call     // the longest first
+	inFlight []*call     // the oldest first
 	results  chan result
 	running  sync.WaitGroup // calls' goroutines
 }
@@ -90,7 +90,7 @@
 // hedge makes a call beside those that have no response yet.
 func (f *follower) hedge() {
 	if len(f.inFlight) == maxCalls {
-		// The longest goes on, as discovery may be slow; the longest of the others is given up.
+		// The oldest call stays, as discovery may be slow; the oldest of the others is cancelled.
 		f.inFlight[1].cancel()
 		f.inFlight = slices.Delete(f.inFlight, 1, 2)
 	}
@@ -169,7 +169,7 @@
 	case r.call.full && !r.list.Full:
 		return fmt.Errorf("discovery: rev %d is a change, want the full list", r.list.Rev)
 	case !r.list.Full && r.list.Rev < r.call.from:
-		f.synced = false // discovery started anew: only a full list tells what is there
+		f.synced = false // discovery was restarted: its versions began anew
 		return fmt.Errorf("discovery: rev %d after %d, want the full list", r.list.Rev, r.call.from)
 	}
 	return nil
--- a/internal/discovery/http/list.go
+++ b/internal/discovery/http/list.go
@@ -22,8 +22,8 @@
 
 // List is the endpoint list, or a change of it.
 type List struct {
-	Rev     uint64   `json:"rev"` // grows with each change; anew from a discovery that started anew
-	Full    bool     `json:"all"` // the whole list: servers that it does not name are gone
+	Rev     uint64   `json:"rev"` // grows with each change; begins anew when discovery is restarted
+	Full    bool     `json:"all"` // the whole list: servers that it does not name are removed
 	Targets []Target `json:"targets"`
 }
 
--- a/internal/discovery/http/starttimes.go
+++ b/internal/discovery/http/starttimes.go
@@ -6,12 +6,12 @@
 	"winghatch/decide"
 )
 
-// startRetention is how long a server that left the list is remembered: one that comes back did not start anew.
+// startRetention is how long a server that left the list is remembered: one that returns in time was not restarted.
 const startRetention = 10 * time.Minute
 
 // StartTimes estimates when servers started, on the gateway's monotonic clock, for slow start. A server's boot_ms is
 // Unix time, and wall clocks may be stepped, this machine's and a server's alike. So a boot_ms is compared with other
-// servers' only, and a server that appears while the list is followed cannot be older than the last word from
+// servers' only, and a server that appears while the list is followed cannot be older than the last list from
 // discovery before it.
 //
 // In the first list the newest start is taken for now, as none can lie ahead; the others are older by the difference
--- a/internal/discovery/http/watch.go
+++ b/internal/discovery/http/watch.go
@@ -15,7 +15,7 @@
 
 // Options of a Watch. The times of the zero value are the defaults; MaxStaleness says how they add up.
 type Options struct {
-	// OnList is called with each list that is new, and the time since discovery was last heard before it. It is
+	// OnList is called with each list that is new, and the time since discovery last answered before it. It is
 	// called by Run, which goes on when it returns.
 	OnList func(list *List, silence time.Duration)
 	Log    *slog.Logger
--- a/internal/frontend/connlimit/connlimit.go
+++ b/internal/frontend/connlimit/connlimit.go
@@ -16,10 +16,10 @@
 const (
 	// requestTimeout is the time for a connection's first request, from Accept on, and for each further one, from its
 	// first byte on. Clients send a request at once; one that trickles or is silent holds a connection that others
-	// need. It is short enough for such a client to be turned away within three seconds, the sweep included.
+	// need. It is short enough for such a client to be rejected within three seconds, the sweep included.
 	requestTimeout = 2 * time.Second
 	// requestGrace is added to requestTimeout while unread bytes wait in the socket, as the process may have been
-	// held up. It is bounded, so that a client that sends without end is turned away too.
+	// suspended. It is bounded, so that a client that sends without end is rejected too.
 	requestGrace = 400 * time.Millisecond
 	// idleTimeout is the time between two requests, while there is room: a new connection costs both sides more than
 	// an idle one.
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -62,6 +62,6 @@
 	Reserve() bool
 	// Submit hands over a request. Its Done is called later, by the loop.
 	Submit(*Request)
-	// Disconnected says that the client of an open request has gone. The request gets no response.
+	// Disconnected says that the client of an open request has disconnected. The request gets no response.
 	Disconnected(id string)
 }
--- a/internal/frontend/http/close.go
+++ b/internal/frontend/http/close.go
@@ -43,7 +43,7 @@
 }
 
 // evictLingering ends the connections that have lingered longest until the total is within maxConns; unlockAndClose
-// closes them. s.mu is held.
+// closes them. Server.mu is held.
 func (s *Server) evictLingering() {
 	for s.lingering.Len() > 0 && s.lingering.Len()+s.limit.Len() > s.maxConns {
 		longest := s.lingering.Front().Value.(*conn)
@@ -53,7 +53,7 @@
 	}
 }
 
-// stopLingering takes a connection out of the lingering ones, if it is one; s.mu is held.
+// stopLingering takes a connection out of the lingering ones, if it is one; Server.mu is held.
 func (c *conn) stopLingering() {
 	if c.lingerElem != nil {
 		c.server.lingering.Remove(c.lingerElem)
@@ -61,7 +61,7 @@
 	}
 }
 
-// abort ends a connection in both directions. The reader, or unlockAndClose, closes it; s.mu is held.
+// abort ends a connection in both directions. The reader, or unlockAndClose, closes it; Server.mu is held.
 func (c *conn) abort() {
 	c.raw.Control(func(fd uintptr) { syscall.Shutdown(int(fd), syscall.SHUT_RDWR) })
 }
@@ -97,8 +97,8 @@
 	c.unregister()
 }
 
-// disconnect tells the core that the open request's client has gone, if one is open. The core gives it no response,
-// so its X-Txn is released here.
+// disconnect tells the core that the open request's client has disconnected, if one is open. The core gives it no
+// response, so its X-Txn is released here.
 func (c *conn) disconnect() {
 	s := c.server
 	s.mu.Lock()
--- a/internal/frontend/http/conn.go
+++ b/internal/frontend/http/conn.go
@@ -21,7 +21,7 @@
 	readBufferBytes = 4 << 10 // also the longest line of a head
 )
 
-// phase is what a connection is in; package connlimit is told of each change.
+// phase is the state of a connection; setPhase passes each change on to package connlimit.
 type phase int
 
 const (
@@ -91,7 +91,7 @@
 	}
 }
 
-// setPhase changes the phase; s.mu is held.
+// setPhase changes the phase; Server.mu is held.
 func (c *conn) setPhase(p phase) {
 	c.phase = p
 	limit, now := c.server.limit, c.server.clock()
--- a/internal/frontend/http/pipeline.go
+++ b/internal/frontend/http/pipeline.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	maxPipelinedBytes = 128 << 10 // kept of what arrives while a request is open
+	maxPipelinedBytes = 128 << 10 // buffered of what arrives while a request is open
 	maxDroppedBytes   = 64 << 20  // read and dropped beyond that, to see the client's end
 	pipelineReadBytes = 16 << 10  // of one read
 	// peekInterval is how often the socket of a client whose bytes are not read any more is checked for its end.
@@ -56,11 +56,12 @@
 	return n, arrivedAt, true
 }
 
-// hasPipelined reports whether bytes behind the current request were read; s.mu is held.
+// hasPipelined reports whether bytes behind the current request were read; Server.mu is held.
 func (c *conn) hasPipelined() bool { return c.reader.Buffered() > 0 || c.pipeline.bytes > 0 }
 
 // awaitResponse returns once the connection may take its next request. While one is open, the reader waits for the
-// client's end: bytes that arrive meanwhile must not hide it, so they are read and kept. False: the connection ends.
+// client's end: bytes that arrive meanwhile must not hide it, so they are read and buffered. False: the connection
+// ends.
 func (c *conn) awaitResponse() bool {
 	s := c.server
 	s.mu.Lock()
@@ -93,7 +94,7 @@
 	return c.phase != closing
 }
 
-// restoreReadDeadline takes back the deadline by which finishResponse woke the reader; s.mu is held.
+// restoreReadDeadline takes back the deadline by which finishResponse woke the reader; Server.mu is held.
 func (c *conn) restoreReadDeadline() {
 	if !c.pipeline.woken {
 		return
@@ -107,8 +108,8 @@
 }
 
 // readPipelined reads what arrives behind the open request, until finishResponse wakes it. What does not fit is
-// dropped, and nothing after it is a request: the connection ends behind the requests that were kept. False: the
-// client has gone. s.mu is held, but not while it waits.
+// dropped, and nothing after it is a request: the connection ends behind the requests that were buffered. False: the
+// client has disconnected. Server.mu is held, but not while it waits.
 func (c *conn) readPipelined(buf []byte) bool {
 	s, p := c.server, &c.pipeline
 	p.watching = true
@@ -131,7 +132,8 @@
 }
 
 // awaitWithoutReading waits for the open request's response while it only looks at the socket: a client that sends
-// without end must not cost more reads. False: the client has gone. s.mu is held, but not while it waits.
+// without end must not cost more reads. False: the client has disconnected. Server.mu is held, but not while it
+// waits.
 func (c *conn) awaitWithoutReading() bool {
 	s := c.server
 	c.pipeline.paused = true
--- a/internal/frontend/http/read.go
+++ b/internal/frontend/http/read.go
@@ -70,14 +70,14 @@
 	return true
 }
 
-// hasUnread reports whether the socket holds unread bytes; s.mu is held.
+// hasUnread reports whether the socket holds unread bytes; Server.mu is held.
 func (c *conn) hasUnread() bool {
 	unread, _ := socket.Peek(c.raw)
 	return unread
 }
 
-// clientLeft reports whether the client of a request has gone, or the request is not open any more. It looks at the
-// socket too: when an attempt is written, the reader may not have run since the client closed.
+// clientLeft reports whether the client of a request has disconnected, or the request is not open any more. It looks
+// at the socket too: when an attempt is written, the reader may not have run since the client closed.
 func (c *conn) clientLeft(requestID string) bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
--- a/internal/frontend/http/request.go
+++ b/internal/frontend/http/request.go
@@ -57,7 +57,7 @@
 	return requestError(http.StatusBadRequest, format, args...)
 }
 
-// parsedRequest is what goes on to servers of a valid request.
+// parsedRequest is the part of a valid request that is forwarded to servers.
 type parsedRequest struct {
 	txn, method, target, idempotencyKey, contentType string
 	body                                             []byte
@@ -252,7 +252,7 @@
 	return units, int(spread), int(first), nil
 }
 
-// encode returns the bytes of an attempt: what the client sent goes on unchanged, with the time that is left.
+// encode returns the bytes of an attempt: what the client sent is forwarded unchanged, with the time that is left.
 func (p *parsedRequest) encode(left time.Duration) []byte {
 	const fieldBytes = 192 // about what the names and the fixed fields take
 	b := make([]byte, 0, fieldBytes+len(p.target)+len(p.txn)+len(p.idempotencyKey)+len(p.body))
--- a/internal/frontend/http/response.go
+++ b/internal/frontend/http/response.go
@@ -67,7 +67,7 @@
 	s := c.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c.requestID != requestID { // its client has gone, and its X-Txn may be another request's by now
+	if c.requestID != requestID { // its client has disconnected, and its X-Txn may be another request's by now
 		return
 	}
 	delete(s.openTxns, c.txn)
@@ -77,7 +77,7 @@
 	c.writeResponse(encodeResponse(response, c.lastResponse), c.finishResponse)
 }
 
-// finishResponse ends the request whose response is written, and wakes the reader; s.mu is held.
+// finishResponse ends the request whose response is written, and wakes the reader; Server.mu is held.
 func (c *conn) finishResponse() {
 	c.server.bodyBytes -= c.bodyBytes
 	c.bodyBytes = 0
@@ -100,7 +100,8 @@
 }
 
 // writeResponse writes a response without waiting and calls done, under the lock, once it is written or cannot be.
-// What the socket's buffer does not take is written by a goroutine of its own, within a bounded time. s.mu is held.
+// What the socket's buffer does not take is written by a goroutine of its own, within a bounded time. Server.mu is
+// held.
 func (c *conn) writeResponse(b []byte, done func()) {
 	n, err := socket.WriteNow(c.raw, b)
 	if n == len(b) {
--- a/internal/frontend/http/server.go
+++ b/internal/frontend/http/server.go
@@ -35,7 +35,7 @@
 	lingerDivisor = 4
 )
 
-// reasonStopping is told to a client whose request comes as the gateway stops.
+// reasonStopping is the text for a client whose request arrives while the gateway stops.
 const reasonStopping = "the gateway stops"
 
 // Options are the limits of a Server.
@@ -177,10 +177,10 @@
 	return true
 }
 
-// unread reports whether a connection's socket holds unread bytes; s.mu is held.
+// unread reports whether a connection's socket holds unread bytes; Server.mu is held.
 func (s *Server) unread(id connlimit.ID) bool { return s.conns[id].hasUnread() }
 
-// hasBodyRoom reports whether n more bytes may be held; s.mu is held.
+// hasBodyRoom reports whether n more bytes may be held; Server.mu is held.
 func (s *Server) hasBodyRoom(n int) bool {
 	return s.maxBodyBytes == 0 || s.bodyBytes+int64(n) <= s.maxBodyBytes
 }
@@ -216,7 +216,7 @@
 }
 
 // StopAccepting ends idle connections and takes no further request. A request of which a byte was read is refused, so
-// that it has a response before the process ends; one that comes later finds its connection half-closed.
+// that it has a response before the process ends; one that arrives later finds its connection half-closed.
 func (s *Server) StopAccepting() {
 	s.mu.Lock()
 	defer s.unlockAndClose()
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -71,7 +71,7 @@
 
 // Error says why a message cannot be used.
 type Error struct {
-	Status int // tells a client so
+	Status int // of the response to a client
 	Reason string
 }
 
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -6,7 +6,7 @@
 	"net/http"
 )
 
-// maxInterimResponses is how many responses of 1xx may come before the final one.
+// maxInterimResponses is how many responses of 1xx may precede the final one.
 const maxInterimResponses = 16
 
 // Response is a server's message.
@@ -17,7 +17,7 @@
 	Close  bool   // the connection is of no further use
 }
 
-// ReadResponse reads a whole response and skips interim ones before it.
+// ReadResponse reads a complete response and skips interim ones before it.
 func (r *Reader) ReadResponse() (*Response, error) {
 	p, length, err := r.readResponseHead(r.limits.MaxBodyBytes)
 	if err != nil {
@@ -93,7 +93,7 @@
 	return untilClose, nil
 }
 
-// readUntilClose reads a body up to the end of the connection. A reset is no end: what came before it is not
+// readUntilClose reads a body up to the end of the connection. A reset is no end: what precedes it is not
 // complete.
 func (r *Reader) readUntilClose() (body []byte, err error) {
 	for {
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -34,7 +34,7 @@
 	PeerListen string   // host:port for gossip; empty without peers
 	Peers      []string // addresses of all gateways, this one's included, by rank
 
-	LastKnown        discoveryhttp.List // the endpoint list that the former process held, maybe long out of date
+	LastKnown        discoveryhttp.List // the endpoint list of the former process, maybe long out of date
 	Decide           decide.Config
 	ConnectionLimits settings.ConnectionLimits
 }
--- a/internal/platform/drain.go
+++ b/internal/platform/drain.go
@@ -12,7 +12,7 @@
 // The steps of a graceful shutdown, from SIGTERM or up to the earliest SIGKILL.
 const (
 	acceptGrace       = 700 * time.Millisecond // after SIGTERM connections are accepted: clients still find the gateway
-	answerMargin      = 250 * time.Millisecond // before the kill all is answered, also if the process is held up
+	answerMargin      = 250 * time.Millisecond // before the kill all is answered; the process may be suspended meanwhile
 	exitMargin        = 50 * time.Millisecond  // before the kill the process exits
 	drainPollInterval = 5 * time.Millisecond
 )
--- a/internal/platform/gateway.go
+++ b/internal/platform/gateway.go
@@ -26,7 +26,7 @@
 	// being written would be lost.
 	idleTimeoutShare   = 0.75
 	defaultDialTimeout = time.Second
-	// readyWithoutList is for how long a gateway waits for discovery before it serves by the list that it held last.
+	// readyWithoutList is for how long a gateway waits for discovery before it serves by the last known list.
 	readyWithoutList = 2 * time.Second
 	// unlimitedRequests is the limit on open requests where the settings do not tell one.
 	unlimitedRequests = 1 << 20
@@ -45,7 +45,7 @@
 	gossip   *plain.Transport // nil without peers
 	watch    *discoveryhttp.Watch
 
-	listReceived atomic.Bool   // discovery was heard
+	listReceived atomic.Bool   // discovery has answered
 	acceptDone   chan struct{} // closed once the frontend accepts no more
 
 	// The goroutines that spawn starts; Stop ends them, by stop or by closing what they serve, and waits.
@@ -132,7 +132,8 @@
 	})
 }
 
-// Ready reports whether requests can be served: discovery was heard, or the list that was held last has to do.
+// Ready reports whether requests can be served: discovery has answered, or waiting for it took too long and the last
+// known list is used.
 func (g *Gateway) Ready() bool {
 	if g.listReceived.Load() {
 		return true
@@ -160,7 +161,7 @@
 	g.wg.Wait()
 }
 
-// endpointList passes the list that discovery tells to the pool and to the loop.
+// endpointList passes the lists of discovery on to the pool and to the loop.
 type endpointList struct {
 	gateway *Gateway
 	clock   gateway.Clock
@@ -171,7 +172,7 @@
 	return discoveryhttp.NewStartTimes(c.Decide.Safety.SlowStartDuration, time.Now)
 }
 
-// receive takes a list from the watch; silence is the time since discovery was last heard before it.
+// receive takes a list from the watch; silence is the time since discovery last answered before it.
 func (e *endpointList) receive(list *discoveryhttp.List, silence time.Duration) {
 	kind := decide.DeltaUpdate
 	if list.Full {
--- a/internal/platform/logwriter.go
+++ b/internal/platform/logwriter.go
@@ -12,8 +12,8 @@
 	logFlushTimeout = 100 * time.Millisecond // for lines that wait at the end
 )
 
-// LogWriter writes a log without waiting for its reader. The reader of standard error may be gone or stand still; a
-// request must not wait for it. Lines that find the queue full are dropped and counted in a line of their own.
+// LogWriter writes a log without waiting for its reader. The reader of standard error may have exited or be stopped;
+// a request must not wait for it. Lines that find the queue full are dropped and counted in a line of their own.
 type LogWriter struct {
 	lines   chan []byte // nil is the end
 	dropped atomic.Int64
--- a/internal/platform/signals.go
+++ b/internal/platform/signals.go
@@ -12,7 +12,7 @@
 type Signals struct{ stop, reload chan os.Signal }
 
 // Notify receives the process's signals from now on. It has to come first in the process, or a signal may end it
-// without a graceful shutdown. SIGPIPE is ignored: a log whose reader is gone must not end the process.
+// without a graceful shutdown. SIGPIPE is ignored: a log whose reader has exited must not end the process.
 func Notify() Signals {
 	signal.Ignore(syscall.SIGPIPE)
 	s := Signals{stop: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
--- a/internal/upstream/http/attempt.go
+++ b/internal/upstream/http/attempt.go
@@ -49,11 +49,11 @@
 }
 
 // Abandon ends an attempt without a result and returns what is known of it. Its connection is closed at once, as a
-// response that comes later could be taken for the next attempt's; one that is still being dialed is kept.
+// response that arrives later could be taken for the next attempt's; one that is still being dialed is kept.
 func (p *Pool) Abandon(call *upstream.Call) upstream.AbandonResult {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	// Under the lock: between the write of an attempt and MarkSent it would be told as never written.
+	// Under the lock: between the write of an attempt and MarkSent it would be reported as never written.
 	known := call.Abandon()
 	if c, ok := call.TransportState.(*conn); ok && c.call == call {
 		c.call = nil
@@ -72,8 +72,8 @@
 // connection came up or a full buffer drained.
 func isCancelled(call *upstream.Call) bool { return call.Cancelled != nil && call.Cancelled() }
 
-// writeAttempt writes the connection's attempt without waiting; p.mu is held. The socket's buffer takes it whole but
-// for the largest bodies, whose remainder gets a goroutine.
+// writeAttempt writes the connection's attempt without waiting; Pool.mu is held. The socket's buffer takes it
+// completely but for the largest bodies, whose remainder gets a goroutine.
 func (c *conn) writeAttempt() {
 	call := c.call
 	request := call.Params
--- a/internal/upstream/http/attempt_test.go
+++ b/internal/upstream/http/attempt_test.go
@@ -56,7 +56,8 @@
 	}
 }
 
-// A server that stops reading holds up a large attempt. Given up then, it has not run: its last byte was never written.
+// A server that stops reading holds up a large attempt. Given up then, it has not run: its last byte was never
+// written.
 func TestAnAttemptGivenUpHalfWrittenNeverLeft(t *testing.T) {
 	got := make(chan struct{})
 	addr := startServer(t, func(net.Conn, *bufio.Reader) {
@@ -120,8 +121,8 @@
 	}
 }
 
-// A large body waited in a full buffer until its client had left. The attempt cannot run before its last byte, so it is
-// checked again before that byte.
+// A large body waited in a full buffer until its client had left. The attempt cannot run before its last byte, so it
+// is checked again before that byte.
 func TestAnAttemptThatIsLateBeforeItsLastByte(t *testing.T) {
 	begin := make(chan struct{})
 	ended := make(chan error, 1)
--- a/internal/upstream/http/conn.go
+++ b/internal/upstream/http/conn.go
@@ -30,7 +30,7 @@
 	nc            *net.TCPConn
 	raw           syscall.RawConn
 	call          *upstream.Call // the attempt it carries or was dialed for; nil: none
-	idleElem      *list.Element    // in Pool.idleConns; nil unless idle
+	idleElem      *list.Element  // in Pool.idleConns; nil unless idle
 	idleSince     time.Time
 	respondedAt   time.Time     // when its last response was complete; zero: none yet
 	idleBefore    time.Duration // how long it was idle before the current attempt; 0 for a new connection
@@ -50,7 +50,7 @@
 }
 
 // makeRoom reports whether another connection may be opened; at the limit it closes the one that has been idle
-// longest. p.mu is held.
+// longest. Pool.mu is held.
 func (p *Pool) makeRoom() bool {
 	if int(p.Conns.Load()) < p.opts.MaxConns {
 		return true
@@ -63,7 +63,7 @@
 	return true
 }
 
-// newConn registers a connection that is to be dialed for an attempt; p.mu is held. Its run must follow.
+// newConn registers a connection that is to be dialed for an attempt; Pool.mu is held. Its run must follow.
 func (p *Pool) newConn(s *server, call *upstream.Call) *conn {
 	c := &conn{pool: p, server: s, call: call}
 	c.readFunc = c.readStep
@@ -186,8 +186,8 @@
 	return reusable
 }
 
-// canReuse reports whether the connection may carry another attempt after a response; p.mu is held. Bytes that came
-// behind the response belong to no attempt, so the connection ends with them.
+// canReuse reports whether the connection may carry another attempt after a response; Pool.mu is held. Bytes that
+// arrived behind the response belong to no attempt, so the connection ends with them.
 func (c *conn) canReuse(r *http1.Response) bool {
 	return !r.Close && c.reader.Buffered() == 0 && !c.pool.closed && c.server.State == decide.Serving &&
 		!c.discarded && !c.writing
@@ -222,7 +222,7 @@
 	}
 }
 
-// discard takes a connection out of the pool and shuts it down; p.mu is held. The reader wakes up and closes the
+// discard takes a connection out of the pool and shuts it down; Pool.mu is held. The reader wakes up and closes the
 // descriptor: a Close here would wait for the reader's step under way, which may itself wait for p.mu, and the pool
 // would never get on.
 func (c *conn) discard() {
@@ -236,7 +236,7 @@
 	c.shutdown()
 }
 
-// shutdown ends an established connection in both directions. It never waits; p.mu is held.
+// shutdown ends an established connection in both directions. It never waits; Pool.mu is held.
 func (c *conn) shutdown() {
 	if c.raw != nil {
 		c.raw.Control(func(fd uintptr) { syscall.Shutdown(int(fd), syscall.SHUT_RDWR) })
--- a/internal/upstream/http/conn_test.go
+++ b/internal/upstream/http/conn_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// A server that drains gets no new attempts. One that was waiting for its connection when the drain was announced must
-// not be written later.
+// A server that drains gets no new attempts. One that was waiting for its connection when the drain was announced
+// must not be written later.
 func TestDrainToldWhileAnAttemptConnects(t *testing.T) {
 	addr := fullListener(t) // dialing takes longer than the test
 	p := newPool(t, Options{DialTimeout: 30 * time.Second}, Server{ID: "a", Addr: addr})
--- a/internal/upstream/http/idle.go
+++ b/internal/upstream/http/idle.go
@@ -17,7 +17,7 @@
 )
 
 // takeIdle takes the most recently used connection that is idle for at least reuseDelay and less than timeout; nil if
-// there is none. Connections found too old or unusable on the way are closed. p.mu is held.
+// there is none. Connections found too old or unusable on the way are closed. Pool.mu is held.
 func (s *server) takeIdle(timeout time.Duration) *conn {
 	now := time.Now()
 	for i := len(s.idle) - 1; i >= 0; i-- {
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// closeIdle closes a server's idle connections; p.mu is held.
+// closeIdle closes a server's idle connections; Pool.mu is held.
 func (s *server) closeIdle() {
 	for len(s.idle) > 0 {
 		s.idle[len(s.idle)-1].discard()
@@ -44,7 +44,7 @@
 
 // isUsable reports whether nothing arrived on an idle connection: not its end, by which the next attempt would be
 // lost, nor bytes, which would be taken for the response to it. The look at the socket is conclusive, as reads hold
-// p.mu: what was read already shows in readWhileIdle, what was not is still in the socket. p.mu is held.
+// p.mu: what was read already shows in readWhileIdle, what was not is still in the socket. Pool.mu is held.
 func (c *conn) isUsable() bool {
 	if c.readWhileIdle {
 		return false
@@ -56,14 +56,14 @@
 	return !unread && !ended
 }
 
-// enterIdle makes a connection without an attempt available; p.mu is held.
+// enterIdle makes a connection without an attempt available; Pool.mu is held.
 func (c *conn) enterIdle() {
 	c.idleSince = time.Now()
 	c.idleElem = c.pool.idleConns.PushBack(c)
 	c.server.idle = append(c.server.idle, c)
 }
 
-// leaveIdle takes a connection out of the idle ones, if it is one; p.mu is held.
+// leaveIdle takes a connection out of the idle ones, if it is one; Pool.mu is held.
 func (c *conn) leaveIdle() {
 	if c.idleElem == nil {
 		return
--- a/internal/upstream/http/idle_test.go
+++ b/internal/upstream/http/idle_test.go
@@ -33,7 +33,8 @@
 	}
 }
 
-// A server sends its response twice. The copy must not be taken for the response to the next attempt on the connection.
+// A server sends its response twice. The copy must not be taken for the response to the next attempt on the
+// connection.
 func TestWhatComesBehindAnAnswerReachesNoOtherRequest(t *testing.T) {
 	for name, late := range map[string]bool{"at once": false, "later": true} {
 		sent := make(chan struct{}, 100)
@@ -60,8 +61,8 @@
 	}
 }
 
-// A server sends a second response some milliseconds after the first, and the next attempt was written while it was on
-// its way: that attempt was answered with the former one's response.
+// A server sends a second response some milliseconds after the first, and the next attempt was written while it was
+// on its way: that attempt was answered with the former one's response.
 func TestASecondAnswerOnItsWayReachesNoOtherRequest(t *testing.T) {
 	const late, flight = 8 * time.Millisecond, 6 * time.Millisecond
 	addr := startServer(t, func(nc net.Conn, r *bufio.Reader) {
@@ -92,8 +93,8 @@
 	}
 }
 
-// A process that is held up does not close idle connections in time, and servers may have forgotten them. One that was
-// idle for longer than the timeout must not be used, though the sweep has not run.
+// A process that is held up does not close idle connections in time, and servers may have forgotten them. One that
+// was idle for longer than the timeout must not be used, though the sweep has not run.
 func TestAConnectionThatRestedTooLongIsNotUsed(t *testing.T) {
 	addr := startServer(t, func(nc net.Conn, r *bufio.Reader) {
 		for {
--- a/internal/upstream/http/pool.go
+++ b/internal/upstream/http/pool.go
@@ -3,7 +3,7 @@
 // A connection carries one attempt at a time. An attempt is written in one piece and never sent again by this
 // package, as the server may not be able to recognise a repeat. Its outcome says what is known of it:
 //
-//   - OutcomeOK: a whole response with status 200.
+//   - OutcomeOK: a complete response with status 200.
 //   - OutcomeRejected: the server marked the response as refused before execution.
 //   - OutcomeConnectFailed: the last byte of the attempt was never written, so it did not run.
 //   - OutcomeNotDispatched: its Cancelled function reported true before the last byte was written.
@@ -120,7 +120,7 @@
 	return p
 }
 
-// Update takes changed entries of the endpoint list; full says that it is the whole list, so that servers it does not
+// Update takes changed entries of the endpoint list; full says that it is the full list, so that servers it does not
 // name are removed. It has to be called before the loop learns of the same change: from its return on, nothing is
 // written to a server that is not serving. Attempts that still wait for a connection to such a server end as
 // OutcomeConnectFailed, and its idle connections are closed; attempts already written go on.
@@ -145,7 +145,7 @@
 	}
 }
 
-// updateServer applies one entry and returns the attempts that end by it; p.mu is held.
+// updateServer applies one entry and returns the attempts that end by it; Pool.mu is held.
 func (p *Pool) updateServer(entry Server) (ended []*upstream.Call) {
 	s := p.servers[entry.ID]
 	if s != nil && (s.Addr != entry.Addr || s.Incarnation != entry.Incarnation) {
@@ -180,7 +180,7 @@
 }
 
 // quiesce closes a server's idle connections and takes the attempts off connections that are being dialed. It returns
-// those attempts, which were not written; p.mu is held.
+// those attempts, which were not written; Pool.mu is held.
 func (p *Pool) quiesce(s *server) (ended []*upstream.Call) {
 	s.closeIdle()
 	for c := range p.conns {
--- a/internal/upstream/http/response.go
+++ b/internal/upstream/http/response.go
@@ -55,7 +55,7 @@
 }
 
 // parseLoadReport parses a report such as "inflight=7,queue=2". If any part cannot be parsed, or there are too many,
-// it returns nil: half a report would be taken for the whole.
+// it returns nil: a part would be taken for a complete report.
 func (p *Pool) parseLoadReport(text string) decide.LoadReport {
 	report := decide.LoadReport{}
 	for part := range strings.SplitSeq(text, ",") {
