--- a/internal/frontend/websocket/server.go
+++ b/internal/frontend/websocket/server.go
@@ -1,5 +1,9 @@
-// Package websocket is the front for clients: WebSocket sessions (RFC 6455) that carry JSON-RPC 2.0, a call a
-// message of work, its class as the method. A client is known by its key at the upgrade.
+// Package websocket is the frontend in WebSocket (RFC 6455): each session carries JSON-RPC 2.0, one call a request,
+// with its class as the method. A client proves who it is by a key at the handshake. The package knows no quotas.
+//
+// Files: server.go accepts connections and does handshakes, session.go has the calls of one connection, params.go
+// what a client says of a call, response.go the encoding of responses, clockskew.go the age of a call by its client's
+// clock.
 package websocket
 
 import (
@@ -8,7 +12,9 @@
 	"fmt"
 	"io"
 	"log/slog"
+	"maps"
 	"net"
+	"net/http"
 	"strconv"
 	"strings"
 	"sync"
@@ -23,119 +29,166 @@
 	"winghatch/internal/wsconn"
 )
 
-const protocol = "jsonrpc"
+const (
+	// protocol is the WebSocket subprotocol that clients have to offer.
+	protocol = "jsonrpc"
 
-// Server takes clients' connections.
+	minAcceptPause = time.Millisecond // after an accept that failed; doubles up to the maximum
+	maxAcceptPause = time.Second
+
+	fullWriteTimeout = time.Second // of the response to a connection beyond the limit
+	// A client whose handshake was rejected may still send: to close over unread bytes would reset the connection,
+	// and the reset may overtake the response. So that much is read for so long.
+	rejectLingerTimeout = 100 * time.Millisecond
+	rejectLingerBytes   = 64 << 10
+
+	closeReason = "this gateway stops"
+)
+
+// Reasons for which the frontend rejects a call or a connection, as operators see them.
+const (
+	reasonSessionLimit     = "sessions_cap"
+	reasonClosed           = "closed"
+	reasonDraining         = "draining"
+	reasonInFlightLimit    = "session_cap"
+	reasonOpenRequestLimit = "open_cap"
+	reasonUnresponsive     = "silent"
+	reasonHandshakePrefix  = "handshake_" // the HTTP status follows
+)
+
+// Server is the frontend. Make it with New, start it with Serve; stop it with Drain and Close.
 type Server struct {
 	core               frontend.Core
 	clock              func() time.Duration
 	log                *slog.Logger
 	limits             config.ResourceLimits
 	rank, gatewayCount int
-	maxUnits           float64
-	retryAfter         time.Duration
+	maxUnits           float64       // of one request; 0: any number
+	retryAfter         time.Duration // told with rejections of the frontend; 0: none
 	classes            map[string]*decide.Class
 	members            []config.Member
-	keys               *credentials.MemberIndex
-	prefix             string
-	ids                atomic.Uint64
+	keys               *credentials.MemberIndex // of members, by their place
+	idPrefix           string
+	lastID             atomic.Uint64
+
+	draining atomic.Bool
 
-	draining   atomic.Bool
 	mu         sync.Mutex
-	ln         net.Listener
-	conns      map[net.Conn]*session // nil while its handshake is under way
-	rejections map[string]int64
-	wg         sync.WaitGroup
+	ln         net.Listener          // nil until Serve
+	conns      map[net.Conn]*session // nil during the handshake
+	rejections map[string]int64      // by reason
+
+	wg sync.WaitGroup // connections
 }
 
-// New returns a server for one gateway of a fleet. prefix begins the ids of its calls and must differ from
-// life to life.
-func New(f *config.Fleet, rank int, prefix string, core frontend.Core, clock func() time.Duration, log *slog.Logger) *Server {
-	s := &Server{core: core, clock: clock, log: log, limits: f.Caps, rank: rank, gatewayCount: len(f.Gateways),
-		maxUnits: f.Decide.MaxUnits, classes: map[string]*decide.Class{}, members: f.Members,
-		keys: credentials.NewMemberIndex(f.Secret), prefix: prefix, conns: map[net.Conn]*session{}, rejections: map[string]int64{}}
+// New returns a server for one gateway of a fleet. idPrefix begins the ids of its requests and must differ between
+// two starts of a gateway. clock is the gateway's monotonic clock.
+func New(f *config.Fleet, rank int, idPrefix string, core frontend.Core, clock func() time.Duration,
+	log *slog.Logger) *Server {
+	s := &Server{
+		core:         core,
+		clock:        clock,
+		log:          log,
+		limits:       f.Caps,
+		rank:         rank,
+		gatewayCount: len(f.Gateways),
+		maxUnits:     f.Decide.MaxUnits,
+		classes:      map[string]*decide.Class{},
+		members:      f.Members,
+		keys:         credentials.NewMemberIndex(f.Secret),
+		idPrefix:     idPrefix,
+		conns:        map[net.Conn]*session{},
+		rejections:   map[string]int64{},
+	}
 	if f.Decide.Limits.RetryAfter {
 		s.retryAfter = f.Decide.Limits.MaxRetryAfter
 	}
 	for i := range f.Decide.Classes {
-		s.classes[f.Decide.Classes[i].Name] = &f.Decide.Classes[i]
+		class := &f.Decide.Classes[i]
+		s.classes[class.Name] = class
 	}
-	for i, m := range f.Members {
-		for _, d := range m.Keys {
-			s.keys.Add(d, i)
+	for i, member := range f.Members {
+		for _, digest := range member.Keys {
+			s.keys.Add(digest, i)
 		}
 	}
 	return s
 }
 
-func (s *Server) nextID() string { return s.prefix + strconv.FormatUint(s.ids.Add(1), 36) }
+func (s *Server) nextID() string { return s.idPrefix + strconv.FormatUint(s.lastID.Add(1), 36) }
 
-func (s *Server) countRejection(why string) {
+func (s *Server) countRejection(reason string) {
 	s.mu.Lock()
-	s.rejections[why]++
+	s.rejections[reason]++
 	s.mu.Unlock()
 }
 
-// TurnedAway tells how many calls and handshakes the front itself turned away, by reason.
+// Rejections is how many calls and handshakes the frontend itself rejected, by reason. The core's are not among them.
 func (s *Server) Rejections() map[string]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := map[string]int64{}
-	for k, v := range s.rejections {
-		out[k] = v
-	}
-	return out
+	return maps.Clone(s.rejections)
 }
 
-// Sessions is how many connections are held.
+// SessionCount is how many connections are held, those in their handshake included.
 func (s *Server) SessionCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// Serve takes connections until Drain or Close.
+// Serve accepts connections until Drain or Close. Each has a goroutine of its own, for which Close waits.
 func (s *Server) Serve(ln net.Listener) {
 	s.mu.Lock()
 	s.ln = ln
 	s.mu.Unlock()
-	if s.draining.Load() { // a stop that came before this one knew of no listener to close
+	if s.draining.Load() { // Drain or Close came first and knew no listener to close
 		ln.Close()
 		return
 	}
-	for wait := time.Millisecond; ; {
+	pause := minAcceptPause
+	for {
 		nc, err := ln.Accept()
-		if err != nil {
-			if errors.Is(err, net.ErrClosed) {
-				return
-			}
-			s.log.Warn("a connection can't be taken", "err", err) // such as no more file descriptors
-			time.Sleep(wait)
-			wait = min(2*wait, time.Second)
-			continue
+		if errors.Is(err, net.ErrClosed) {
+			return
 		}
-		wait = time.Millisecond
-		s.mu.Lock()
-		full := len(s.conns) >= s.limits.MaxSessions || s.draining.Load()
-		if !full {
-			s.conns[nc] = nil
-			s.wg.Add(1)
-		}
-		s.mu.Unlock()
-		if full {
-			s.countRejection("sessions_cap")
-			nc.SetWriteDeadline(time.Now().Add(time.Second))
-			nc.Write((&websocket.HandshakeError{Status: 503, Reason: "no more sessions"}).Response())
-			nc.Close()
+		if err != nil { // such as no more file descriptors
+			s.log.Warn("Accept failed, retrying", "err", err)
+			time.Sleep(pause)
+			pause = min(2*pause, maxAcceptPause)
 			continue
 		}
-		go s.serveSession(nc)
+		pause = minAcceptPause
+		if s.admit(nc) {
+			go s.serveSession(nc)
+		} else {
+			s.rejectConn(nc)
+		}
 	}
 }
 
-// session does the handshake and goes on in a goroutine of its own: what the handshake grew its stack to is not
-// kept for as long as an idle session lasts.
+// admit registers a connection; false: there are too many, or the gateway drains.
+func (s *Server) admit(nc net.Conn) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.conns) >= s.limits.MaxSessions || s.draining.Load() {
+		return false
+	}
+	s.conns[nc] = nil
+	s.wg.Add(1)
+	return true
+}
 
+func (s *Server) rejectConn(nc net.Conn) {
+	s.countRejection(reasonSessionLimit)
+	nc.SetWriteDeadline(time.Now().Add(fullWriteTimeout))
+	full := websocket.HandshakeError{Status: http.StatusServiceUnavailable, Reason: "no more sessions"}
+	nc.Write(full.Response())
+	nc.Close()
+}
+
+// serveSession does the handshake and then reads in another goroutine: the stack that the handshake has grown would
+// else be held for as long as an idle session lasts.
 func (s *Server) serveSession(nc net.Conn) {
 	c := s.handshake(nc)
 	if c == nil {
@@ -146,8 +199,8 @@
 	s.mu.Lock()
 	s.conns[nc] = c
 	s.mu.Unlock()
-	if s.draining.Load() {
-		c.ws.Close(websocket.CodeGoingAway, "this gateway stops")
+	if s.draining.Load() { // Drain may have come before the session was registered
+		c.ws.Close(websocket.CodeGoingAway, closeReason)
 	}
 	go func() {
 		c.readLoop()
@@ -162,31 +215,37 @@
 	s.wg.Done()
 }
 
-// open does the handshake. Until it is done the peer costs a goroutine and a small buffer, for a bounded time.
+// handshake does the handshake within its timeout and returns nil if it fails. Until it is done a client costs a
+// goroutine and a small buffer.
 func (s *Server) handshake(nc net.Conn) *session {
 	c := &session{server: s}
-	var err error
-	c.ws, err = wsconn.Accept(nc, protocol, s.limits.HandshakeTimeout, func(u *websocket.Upgrade) (err error) {
+	check := func(u *websocket.Upgrade) (err error) {
 		c.member, err = s.authenticate(u)
 		return err
-	}, wsconn.Options{MaxMessage: int64(s.limits.MaxMessageBytes), MaxFrame: int64(s.limits.MaxFrameBytes), MaxQueue: s.limits.MaxQueuedBytes, WriteTimeout: s.limits.WriteTimeout})
+	}
+	var err error
+	c.ws, err = wsconn.Accept(nc, protocol, s.limits.HandshakeTimeout, check, wsconn.Options{
+		MaxMessage:   int64(s.limits.MaxMessageBytes),
+		MaxFrame:     int64(s.limits.MaxFrameBytes),
+		MaxQueue:     s.limits.MaxQueuedBytes,
+		WriteTimeout: s.limits.WriteTimeout,
+	})
 	if err == nil {
 		return c
 	}
-	var r *websocket.HandshakeError
-	if errors.As(err, &r) {
-		s.countRejection("handshake_" + strconv.Itoa(r.Status))
-		nc.Write(r.Response())
-		// What the client still sends is taken for a moment: a reset would take the answer from it.
-		if tc, ok := nc.(*net.TCPConn); ok && tc.CloseWrite() == nil {
-			nc.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
-			io.CopyN(io.Discard, nc, 64<<10)
+	var rejected *websocket.HandshakeError
+	if errors.As(err, &rejected) {
+		s.countRejection(reasonHandshakePrefix + strconv.Itoa(rejected.Status))
+		nc.Write(rejected.Response())
+		if tcp, ok := nc.(*net.TCPConn); ok && tcp.CloseWrite() == nil {
+			nc.SetReadDeadline(time.Now().Add(rejectLingerTimeout))
+			io.CopyN(io.Discard, nc, rejectLingerBytes)
 		}
 	}
 	return nil
 }
 
-// known finds who a client is.
+// authenticate finds the member whose key the client presents. An error is a *websocket.HandshakeError.
 func (s *Server) authenticate(u *websocket.Upgrade) (*config.Member, error) {
 	scheme, key, _ := strings.Cut(u.Header["authorization"], " ")
 	i, ok := 0, false
@@ -194,36 +253,48 @@
 		i, ok = s.keys.Find(strings.TrimSpace(key))
 	}
 	if !ok {
-		return nil, &websocket.HandshakeError{Status: 401, Reason: "a key is wanted: Authorization: Bearer KEY",
-			ExtraHeader: "WWW-Authenticate: Bearer realm=\"winghatch\"\r\n"}
+		return nil, &websocket.HandshakeError{
+			Status:      http.StatusUnauthorized,
+			Reason:      "a key is wanted: Authorization: Bearer KEY",
+			ExtraHeader: "WWW-Authenticate: Bearer realm=\"winghatch\"\r\n",
+		}
 	}
 	if !u.Offers(protocol) {
-		return nil, &websocket.HandshakeError{Status: 400, Reason: "Sec-WebSocket-Protocol: want " + protocol}
+		return nil, &websocket.HandshakeError{
+			Status: http.StatusBadRequest,
+			Reason: "Sec-WebSocket-Protocol: want " + protocol,
+		}
 	}
-	m := &s.members[i]
-	if (s.rank-m.First+s.gatewayCount)%s.gatewayCount >= m.Spread {
-		return nil, &websocket.HandshakeError{Status: 403, Reason: fmt.Sprintf("gateway %d is none of this member's, which are %d from %d on",
-			s.rank, m.Spread, m.First)}
+	member := &s.members[i]
+	if (s.rank-member.First+s.gatewayCount)%s.gatewayCount >= member.Spread {
+		return nil, &websocket.HandshakeError{
+			Status: http.StatusForbidden,
+			Reason: fmt.Sprintf("gateway %d is none of this member's, which are %d from %d on",
+				s.rank, member.Spread, member.First),
+		}
 	}
-	return m, nil
+	return member, nil
 }
 
-// Keep finds sessions whose client vanished without closing, until the context ends. Their calls are called
-// off as those of any client that leaves.
+// PingIdle ends sessions whose client vanished without closing, until the context ends. Their requests end as those
+// of any client that disconnects.
 func (s *Server) PingIdle(ctx context.Context) {
-	wsconn.PingIdle(ctx, s.limits.PingAfter, func() (out []*wsconn.Conn) {
-		s.mu.Lock()
-		defer s.mu.Unlock()
-		for _, c := range s.conns {
-			if c != nil {
-				out = append(out, c.ws)
-			}
+	onEnd := func() { s.countRejection(reasonUnresponsive) }
+	wsconn.PingIdle(ctx, s.limits.PingAfter, s.openConns, onEnd)
+}
+
+func (s *Server) openConns() (open []*wsconn.Conn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, c := range s.conns {
+		if c != nil {
+			open = append(open, c.ws)
 		}
-		return out
-	}, func() { s.countRejection("silent") })
+	}
+	return open
 }
 
-// Drain takes no new session and no new call, and closes each session behind its last answer.
+// Drain takes no new session and no new call, and closes each session after its last response.
 func (s *Server) Drain() {
 	s.draining.Store(true)
 	s.mu.Lock()
@@ -232,19 +303,13 @@
 		s.ln.Close()
 	}
 	for _, c := range s.conns {
-		if c == nil {
-			continue
-		}
-		c.mu.Lock()
-		idle := len(c.calls)+len(c.notifications) == 0
-		c.mu.Unlock()
-		if idle {
-			c.ws.Close(websocket.CodeGoingAway, "this gateway stops")
+		if c != nil && c.isIdle() {
+			c.ws.Close(websocket.CodeGoingAway, closeReason)
 		}
 	}
 }
 
-// Close cuts all connections and waits for their goroutines.
+// Close ends all connections at once and waits for their goroutines.
 func (s *Server) Close() {
 	s.draining.Store(true)
 	s.mu.Lock()
--- /dev/null
+++ b/internal/frontend/websocket/server_test.go
@@ -0,0 +1,32 @@
+package websocket
+
+import (
+	"log/slog"
+	"net"
+	"testing"
+	"time"
+
+	"winghatch/internal/config"
+)
+
+// A signal came while the process started, and Serve began after Drain or Close. It has to return and accept nothing.
+func TestServeAfterClose(t *testing.T) {
+	for _, stop := range []func(*Server){(*Server).Close, (*Server).Drain} {
+		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		s := New(&config.Fleet{}, 0, "", nil, nil, slog.New(slog.DiscardHandler))
+		stop(s)
+		done := make(chan struct{})
+		go func() {
+			s.Serve(ln)
+			close(done)
+		}()
+		select {
+		case <-done:
+		case <-time.After(10 * time.Second):
+			t.Fatal("it serves")
+		}
+	}
+}
--- a/internal/frontend/websocket/session.go
+++ b/internal/frontend/websocket/session.go
@@ -3,10 +3,6 @@
 import (
 	"bytes"
 	"encoding/json"
-	"errors"
-	"fmt"
-	"math"
-	"strconv"
 	"sync"
 	"time"
 
@@ -18,20 +14,21 @@
 	"winghatch/internal/wsconn"
 )
 
-// session is one client's connection.
+// session is one client's connection. A goroutine reads its calls; the loop writes the responses, which wait in the
+// connection's queue.
 type session struct {
 	server *Server
 	ws     *wsconn.Conn
 	member *config.Member
-	skew   clockSkew // the reader's
+	skew   clockSkew // the reader's own
 
 	mu            sync.Mutex
-	calls         map[jsonrpc.ID]string // calls without a final answer: the gateway's id of each
-	notifications map[string]bool       // open notifications
+	calls         map[jsonrpc.ID]string // open calls: the request's ID by the client's
+	notifications map[string]bool       // open notifications, by the request's ID
 	closed        bool
 }
 
-// run reads until the connection ends; then no answer is owed any more.
+// readLoop reads until the connection ends; then the client's open requests end without a response.
 func (c *session) readLoop() {
 	for {
 		data, err := c.ws.Read()
@@ -42,51 +39,67 @@
 	}
 	c.mu.Lock()
 	c.closed = true
-	open, quiet := c.calls, c.notifications
+	calls, notifications := c.calls, c.notifications
 	c.calls, c.notifications = nil, nil
 	c.mu.Unlock()
-	for _, id := range open {
+	for _, id := range calls {
 		c.server.core.Disconnected(id)
 	}
-	for id := range quiet {
+	for id := range notifications {
 		c.server.core.Disconnected(id)
 	}
 }
 
-// batch gathers the answers to a batch; the last one sends them all.
+// isIdle reports whether nothing is open.
+func (c *session) isIdle() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.openCount() == 0
+}
+
+// openCount is how many calls and notifications are open; c.mu is held.
+func (c *session) openCount() int { return len(c.calls) + len(c.notifications) }
+
+// answerFunc sends the answer to one item of a message; nil, as to a notification, stands for none.
+type answerFunc func(answer []byte)
+
+// send is the answerFunc of a message that is no batch. A write that fails ends the reader.
+func (c *session) send(answer []byte) {
+	if answer != nil {
+		c.ws.Send(answer)
+	}
+}
+
+// batchAnswer gathers the answers to the items of a batch; the last one sends them all.
 type batchAnswer struct {
 	mu        sync.Mutex
-	remaining int
-	parts     [][]byte
-	send      func([]byte)
+	remaining int // items without an answer
+	answers   [][]byte
+	send      answerFunc
 }
 
-func (b *batchAnswer) add(part []byte) {
+func (b *batchAnswer) add(answer []byte) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if part != nil {
-		b.parts = append(b.parts, part)
-	}
-	if b.remaining--; b.remaining == 0 && len(b.parts) > 0 {
-		b.send(append(append([]byte{'['}, bytes.Join(b.parts, []byte{','})...), ']'))
+	if answer != nil {
+		b.answers = append(b.answers, answer)
 	}
-}
-
-// send writes an answer; nil, as to a notification, is none. A failed one ends the reader.
-func (c *session) send(data []byte) {
-	if data != nil {
-		c.ws.Send(data)
+	b.remaining--
+	if b.remaining > 0 || len(b.answers) == 0 {
+		return
 	}
+	batch := append([]byte{'['}, bytes.Join(b.answers, []byte{','})...)
+	b.send(append(batch, ']'))
 }
 
 func (c *session) handleMessage(data []byte) {
-	items, many, bad := jsonrpc.Parse(data, c.server.limits.MaxBatch)
-	if bad != nil {
-		c.send(jsonrpc.AppendError(nil, jsonrpc.NullID, bad))
+	items, isBatch, malformed := jsonrpc.Parse(data, c.server.limits.MaxBatch)
+	if malformed != nil {
+		c.send(jsonrpc.AppendError(nil, jsonrpc.NullID, malformed))
 		return
 	}
 	answer := c.send
-	if many {
+	if isBatch {
 		b := &batchAnswer{remaining: len(items), send: c.send}
 		answer = b.add
 	}
@@ -96,246 +109,145 @@
 	}
 }
 
-// params is what a client says of a call.
-type callParams struct {
-	Units       *float64
-	DeadlineMs  *float64 // the time left, ms
-	AtMs        *float64 // by the client's own clock, of any origin, ms
-	Key         string
-	IsRetry     bool
-	Mutates     bool
-	Reserved    bool
-	TraceParent string
-	Work        json.RawMessage
-}
-
-func (p *callParams) parse(raw json.RawMessage) error {
-	if len(raw) > 0 && raw[0] != '{' {
-		return errors.New("params: an array, want an object")
-	}
-	return jsonrpc.ForEachMember(raw, func(name string, v json.RawMessage) error {
-		var to any
-		switch name {
-		case "units":
-			return parseNumber(&p.Units, name, v)
-		case "deadline_ms":
-			return parseNumber(&p.DeadlineMs, name, v)
-		case "at_ms":
-			return parseNumber(&p.AtMs, name, v)
-		case "work":
-			p.Work = append(p.Work[:0:0], v...) // v is only good until the next message
-			return nil
-		case "key":
-			if isPlainString(v) {
-				p.Key = string(v[1 : len(v)-1])
-				return nil
-			}
-			to = &p.Key
-		case "again":
-			to = &p.IsRetry
-		case "write":
-			to = &p.Mutates
-		case "reserved":
-			to = &p.Reserved
-		case "traceparent":
-			to = &p.TraceParent
-		default:
-			return fmt.Errorf("params.%.40s: unknown field", name)
-		}
-		if err := json.Unmarshal(v, to); err != nil {
-			return fmt.Errorf("params.%s: %.40s: %w", name, v, err)
-		}
-		return nil
-	})
-}
-
-// plain reports whether a JSON value is a string that means itself, so that nothing has to be unescaped.
-func isPlainString(v json.RawMessage) bool { return v[0] == '"' && !bytes.ContainsRune(v, '\\') }
-
-func parseNumber(to **float64, name string, v json.RawMessage) error {
-	x, err := strconv.ParseFloat(string(v), 64)
-	if err != nil || v[0] == 'n' {
-		if string(v) == "null" {
-			return nil
-		}
-		return fmt.Errorf("params.%s: %.40s, want a number", name, v)
-	}
-	*to = &x
-	return nil
-}
-
-const maxKeyLen = 128
-
-func (p *callParams) validate(k *decide.Class, most float64) error {
-	least := func(field string, v *float64, least float64) error {
-		if v != nil && (!(*v >= least) || math.IsInf(*v, 0)) {
-			return fmt.Errorf("params.%s: %v, want a number of %v or more", field, *v, least)
-		}
-		return nil
-	}
-	if err := least("units", p.Units, 0); err != nil {
-		return err
-	}
-	if err := least("deadline_ms", p.DeadlineMs, 0); err != nil {
-		return err
-	}
-	switch {
-	case p.Units != nil && most > 0 && *p.Units > most:
-		return fmt.Errorf("params.units: %v, want %v at most", *p.Units, most)
-	case k.Idempotency == decide.IdempotentByKey && p.Key == "":
-		return fmt.Errorf("params.key: missing, %s is keyed", k.Name)
-	case len(p.Key) > maxKeyLen:
-		return fmt.Errorf("params.key: %d bytes, want %d at most", len(p.Key), maxKeyLen)
-	}
-	return nil
-}
-
-func (c *session) handleItem(now time.Duration, it *jsonrpc.Message, answer func([]byte)) {
-	if it.Invalid {
-		answer(jsonrpc.AppendError(nil, it.ID, it.Err))
+// handleItem starts the call of one item, or answers why it can't.
+func (c *session) handleItem(now time.Duration, item *jsonrpc.Message, answer answerFunc) {
+	if item.Invalid {
+		answer(jsonrpc.AppendError(nil, item.ID, item.Err))
 		return
 	}
-	if it.Method == "" { // an answer: the gateway asks its clients nothing
+	if item.Method == "" { // a response: the gateway makes no calls to clients
 		answer(nil)
 		return
 	}
-	fail := func(e *jsonrpc.Error) {
-		if it.IsNotification() {
+	fail := func(code int, text string) {
+		if item.IsNotification() {
 			answer(nil)
 			return
 		}
-		answer(jsonrpc.AppendError(nil, it.ID, e))
+		answer(jsonrpc.AppendError(nil, item.ID, &jsonrpc.Error{Code: code, Message: text}))
 	}
-	k := c.server.classes[it.Method]
-	if k == nil {
-		fail(&jsonrpc.Error{Code: jsonrpc.CodeMethodNotFound, Message: "method not found: " + it.Method})
+	class := c.server.classes[item.Method]
+	if class == nil {
+		fail(jsonrpc.CodeMethodNotFound, "method not found: "+item.Method)
 		return
 	}
-	var p callParams
-	if err := p.parse(it.Params); err != nil {
-		fail(&jsonrpc.Error{Code: jsonrpc.CodeInvalidParams, Message: err.Error()})
+	var params callParams
+	if err := params.parse(item.Params); err != nil {
+		fail(jsonrpc.CodeInvalidParams, err.Error())
 		return
 	}
-	if err := p.validate(k, c.server.maxUnits); err != nil {
-		fail(&jsonrpc.Error{Code: jsonrpc.CodeInvalidParams, Message: err.Error()})
+	if err := params.validate(class, c.server.maxUnits); err != nil {
+		fail(jsonrpc.CodeInvalidParams, err.Error())
 		return
 	}
-	c.startCall(now, it, k, &p, answer)
+	c.startCall(c.newRequest(now, class, &params), item, answer)
 }
 
-func (c *session) startCall(now time.Duration, it *jsonrpc.Message, k *decide.Class, p *callParams, answer func([]byte)) {
-	id, quiet := it.ID, it.IsNotification()
-	call := &frontend.Request{ID: c.server.nextID(), Class: k.Name, Plan: c.member.Plan, Customer: c.member.Name, IdempotencyKey: p.Key,
-		Units: 1, FirstGateway: c.member.First, GatewayCount: c.member.Spread, IsRetry: p.IsRetry, Mutates: p.Mutates, Reserved: p.Reserved, TraceParent: p.TraceParent,
-		Payload: p.Work}
+// newRequest makes a request of a call. Its time began when the client made it, as far as that is known.
+func (c *session) newRequest(now time.Duration, class *decide.Class, p *callParams) *frontend.Request {
+	request := &frontend.Request{
+		ID:             c.server.nextID(),
+		Class:          class.Name,
+		Plan:           c.member.Plan,
+		Customer:       c.member.Name,
+		IdempotencyKey: p.Key,
+		Units:          1,
+		FirstGateway:   c.member.First,
+		GatewayCount:   c.member.Spread,
+		IsRetry:        p.IsRetry,
+		Mutates:        p.Mutates,
+		Reserved:       p.Reserved,
+		TraceParent:    p.TraceParent,
+		Payload:        p.Work,
+	}
 	if p.Units != nil {
-		call.Units = *p.Units
+		request.Units = *p.Units
 	}
-	left := k.Deadline
+	remaining := class.Deadline
 	if p.DeadlineMs != nil {
-		left = min(left, time.Duration(min(*p.DeadlineMs, 1e12)*float64(time.Millisecond)))
-	}
-	call.Deadline = now - c.skew.age(now, p.AtMs) + left
-	call.Done = func(f frontend.Response) {
-		c.mu.Lock()
-		if quiet {
-			delete(c.notifications, call.ID)
-		} else {
-			delete(c.calls, id)
-		}
-		closed, last := c.closed, len(c.calls)+len(c.notifications) == 0
-		c.mu.Unlock()
-		if closed {
-			return
-		}
-		if quiet {
-			answer(nil)
-		} else {
-			answer(appendFinal(nil, id, f))
-		}
-		if last && c.server.draining.Load() {
-			c.ws.Close(websocket.CodeGoingAway, "this gateway stops")
-		}
+		remaining = min(remaining, time.Duration(min(*p.DeadlineMs, maxDeadlineMs)*float64(time.Millisecond)))
 	}
+	request.Deadline = now - c.skew.age(now, p.AtMs) + remaining
+	return request
+}
+
+// startCall submits a request, or rejects it. A rejected one was not submitted, so a retry is safe.
+func (c *session) startCall(request *frontend.Request, item *jsonrpc.Message, answer answerFunc) {
+	id, isNotification := item.ID, item.IsNotification()
+	request.Done = func(r frontend.Response) { c.finishCall(request.ID, id, isNotification, r, answer) }
 	c.mu.Lock()
-	why := ""
-	switch {
-	case c.closed:
-		why = "closed"
-	case !quiet && c.calls[id] != "":
-		// An answer with this id belongs to the call that is open; the error names the id beside it.
+	if !isNotification && c.calls[id] != "" {
 		c.mu.Unlock()
+		// An answer with this ID belongs to the open call, so the error has none and names it beside.
 		data, _ := json.Marshal(map[string]json.RawMessage{"id": json.RawMessage(id)})
-		answer(jsonrpc.AppendError(nil, jsonrpc.NullID, &jsonrpc.Error{Code: jsonrpc.CodeInvalidRequest,
-			Message: "a call with this id is open", Data: data}))
+		answer(jsonrpc.AppendError(nil, jsonrpc.NullID, &jsonrpc.Error{
+			Code:    jsonrpc.CodeInvalidRequest,
+			Message: "a call with this id is open",
+			Data:    data,
+		}))
 		return
-	case c.server.draining.Load():
-		why = "draining"
-	case len(c.calls)+len(c.notifications) >= c.server.limits.MaxInFlightPerSession:
-		why = "session_cap"
-	case !c.server.core.Reserve():
-		why = "open_cap"
-	case quiet:
-		if c.notifications == nil {
-			c.notifications = map[string]bool{}
-		}
-		c.notifications[call.ID] = true
-	default:
-		if c.calls == nil {
-			c.calls = map[jsonrpc.ID]string{}
-		}
-		c.calls[id] = call.ID
 	}
+	reason := c.register(request.ID, id, isNotification)
 	c.mu.Unlock()
-	if why == "" {
-		c.server.core.Submit(call)
+	if reason == "" {
+		c.server.core.Submit(request)
 		return
 	}
-	// Nothing of the call has gone anywhere, so it is harmless to repeat.
-	c.server.countRejection(why)
-	if quiet {
+	c.server.countRejection(reason)
+	if isNotification {
 		answer(nil)
 		return
 	}
-	answer(appendFinal(nil, id, frontend.Response{Kind: frontend.Rejected, Reason: why, RetryAfter: c.server.retryAfter}))
+	rejected := frontend.Response{Kind: frontend.Rejected, Reason: reason, RetryAfter: c.server.retryAfter}
+	answer(appendResponse(nil, id, rejected))
 }
 
-// appendFinal writes a final answer as JSON-RPC.
-func appendFinal(dst []byte, id jsonrpc.ID, f frontend.Response) []byte {
-	switch f.Kind {
-	case frontend.Served:
-		r := strconv.AppendFloat([]byte(`{"units":`), f.Units, 'g', -1, 64)
-		if len(f.Body) > 0 {
-			r = append(append(r, `,"body":`...), f.Body...)
-		}
-		return jsonrpc.AppendResult(dst, id, append(r, '}'))
-	case frontend.Rejected:
-		data := []byte(`{"reason":"` + f.Reason + `"`)
-		if f.RetryAfter > 0 {
-			data = strconv.AppendInt(append(data, `,"retry_after_ms":`...), f.RetryAfter.Milliseconds(), 10)
+// register makes a request open, or returns the reason why it is rejected; c.mu is held.
+func (c *session) register(requestID string, id jsonrpc.ID, isNotification bool) (reason string) {
+	switch {
+	case c.closed:
+		return reasonClosed
+	case c.server.draining.Load():
+		return reasonDraining
+	case c.openCount() >= c.server.limits.MaxInFlightPerSession:
+		return reasonInFlightLimit
+	case !c.server.core.Reserve():
+		return reasonOpenRequestLimit
+	}
+	if isNotification {
+		if c.notifications == nil {
+			c.notifications = map[string]bool{}
 		}
-		return jsonrpc.AppendError(dst, id, &jsonrpc.Error{Code: jsonrpc.CodeRejected, Message: "refused",
-			Data: append(data, '}')})
+		c.notifications[requestID] = true
+		return ""
 	}
-	return jsonrpc.AppendError(dst, id, &jsonrpc.Error{Code: jsonrpc.CodeFailed, Message: "failed"})
-}
-
-// skew tells how long a call was under way or lay unread, from the client's own clock of any origin: the
-// quickest call of the session is taken to have been under way for no time. A gateway that stood still finds
-// by it how old each call is. A client's clock that steps back begins anew.
-type clockSkew struct {
-	known               bool
-	leastOffset, lastAt float64 // ms
+	if c.calls == nil {
+		c.calls = map[jsonrpc.ID]string{}
+	}
+	c.calls[id] = requestID
+	return ""
 }
 
-func (s *clockSkew) age(now time.Duration, at *float64) time.Duration {
-	if at == nil || math.IsNaN(*at) || math.IsInf(*at, 0) {
-		return 0
+// finishCall answers a call; the loop calls it. While the gateway drains, the last answer closes the session.
+func (c *session) finishCall(requestID string, id jsonrpc.ID, isNotification bool, r frontend.Response,
+	answer answerFunc) {
+	c.mu.Lock()
+	if isNotification {
+		delete(c.notifications, requestID)
+	} else {
+		delete(c.calls, id)
+	}
+	closed, last := c.closed, c.openCount() == 0
+	c.mu.Unlock()
+	if closed {
+		return
+	}
+	if isNotification {
+		answer(nil)
+	} else {
+		answer(appendResponse(nil, id, r))
 	}
-	d := float64(now)/float64(time.Millisecond) - *at
-	if !s.known || *at < s.lastAt || d < s.leastOffset {
-		s.known, s.leastOffset = true, d
+	if last && c.server.draining.Load() {
+		c.ws.Close(websocket.CodeGoingAway, closeReason)
 	}
-	s.lastAt = *at
-	return time.Duration(min(d-s.leastOffset, 60_000) * float64(time.Millisecond))
 }
