--- a/internal/upstream/http/conn.go
+++ b/internal/upstream/http/conn.go
@@ -223,8 +223,8 @@
 }
 
 // discard takes a connection out of the pool and shuts it down; Pool.mu is held. The reader wakes up and closes the
-// descriptor: a Close here would wait for the reader's step under way, which may itself wait for p.mu, and the pool
-// would never get on.
+// descriptor: a Close here would wait for the reader's step under way, which may itself wait for Pool.mu, and the
+// pool would never get on.
 func (c *conn) discard() {
 	if c.discarded {
 		return
--- a/internal/upstream/http/idle.go
+++ b/internal/upstream/http/idle.go
@@ -44,7 +44,7 @@
 
 // isUsable reports whether nothing arrived on an idle connection: not its end, by which the next attempt would be
 // lost, nor bytes, which would be taken for the response to it. The look at the socket is conclusive, as reads hold
-// p.mu: what was read already shows in readWhileIdle, what was not is still in the socket. Pool.mu is held.
+// Pool.mu: what was read already shows in readWhileIdle, what was not is still in the socket. Pool.mu is held.
 func (c *conn) isUsable() bool {
 	if c.readWhileIdle {
 		return false
--- a/internal/upstream/http/pool.go
+++ b/internal/upstream/http/pool.go
@@ -54,8 +54,8 @@
 	LoadReportName func(name string) string
 }
 
-// Server is one incarnation of a server at an address. Connections belong to all three, so that a new server at an
-// old address gets no connection of the former one.
+// Server is one incarnation of a server at an address. Connections belong to ID, address and incarnation together, so
+// that a new server at an old address gets no connection of the former one.
 type Server struct {
 	ID          string
 	Addr        string // host:port
@@ -75,8 +75,8 @@
 
 // Pool holds the connections to all servers. Make one with New. It is safe for concurrent use.
 //
-// Lock order: mu is held over no system call that waits. A connection's step of reading takes mu inside the runtime's
-// lock of its descriptor, so net.TCPConn.Close, which waits for that step, must never be called with mu held.
+// Lock order: no system call under mu waits. A connection's readStep takes mu inside the runtime's lock of its
+// descriptor, so net.TCPConn.Close, which waits for that step, must never be called with mu held.
 type Pool struct {
 	Counters
 	opts      Options
@@ -169,7 +169,7 @@
 	return ended
 }
 
-// removeServer forgets a server and returns the attempts that end by it; attempts already written go on. p.mu is
+// removeServer forgets a server and returns the attempts that end by it; attempts already written go on. Pool.mu is
 // held.
 func (p *Pool) removeServer(s *server) (ended []*upstream.Call) {
 	s.State = decide.Removed
