--- a/internal/frontend/http/conn.go
+++ b/internal/frontend/http/conn.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// setPhase changes the phase; s.mu is held.
+// setPhase changes the phase; Server.mu is held.
 func (c *conn) setPhase(p phase) {
 	c.phase = p
 	limit, now := c.server.limit, c.server.clock()
--- a/internal/upstream/http/attempt.go
+++ b/internal/upstream/http/attempt.go
@@ -49,7 +49,7 @@
 }
 
 // Abandon ends an attempt without a result and returns what is known of it. Its connection is closed at once, as a
-// response that comes later could be taken for the next attempt's; one that is still being dialed is kept.
+// response that arrives later could be taken for the next attempt's; one that is still being dialed is kept.
 func (p *Pool) Abandon(call *upstream.Call) upstream.AbandonResult {
 	p.mu.Lock()
 	defer p.mu.Unlock()
