--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,6 +1,8 @@
 package config
 
 import (
+	"bytes"
+	"os"
 	"reflect"
 	"strings"
 	"testing"
@@ -152,3 +154,19 @@
 		}
 	})
 }
+
+// TestFormatWritesWhatWasRead reads a document that has every block, with values that are no defaults, in the form that
+// Format gives it. It is written again byte for byte, also the settings that nothing reads.
+func TestFormatWritesWhatWasRead(t *testing.T) {
+	want, err := os.ReadFile("testdata/every-block.kdl")
+	if err != nil {
+		t.Fatal(err)
+	}
+	f, err := Parse("every-block.kdl", want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got := Format(f); !bytes.Equal(got, want) {
+		t.Errorf("written again:\n%s\nwant:\n%s", got, want)
+	}
+}
