--- a/decide/config.go
+++ b/decide/config.go
@@ -65,7 +65,6 @@
 	Hedging        bool          // two attempts of a request may be in flight at once
 	Cancel         bool          // attempts in flight may be cancelled
 	Gossip         bool          // gateways may exchange datagrams
-	HealthChecks   bool          // servers may be asked for their load
 	RetryAfter     bool          // rejections carry a Retry-After
 	MaxRetryAfter  time.Duration // longest Retry-After
 	ConnectTimeout time.Duration // 0: the caller's own
@@ -79,17 +78,10 @@
 	SlowStartDuration time.Duration // time after which it has all of it
 	OverloadMultiple  float64       // a server fails if it gets this multiple of its capacity ...
 	OverloadWindow    time.Duration // ... for this long
-	ListMaxAge        time.Duration // with Subscribe: how long an endpoint list counts as current
 }
 
-// Prices are costs in the value of a response, each for one unit of what it names.
-type Prices struct {
-	CrossZone, Waste, HealthCheck, Gossip, LateFailure, Counter float64
-}
-
-// Config is what a gateway knows when it starts. Some settings are for the caller, or kept for
-// recordings, and no decision reads them: Counter, CounterTimeout, Prices, ReportsOnProbe, Subscribe, the
-// HealthChecks and ConnectTimeout of Limits, the AnswerSlack, DrainGrace and ListMaxAge of Safety, the
+// Config is what a gateway knows when it starts. Some settings are for the caller, and no decision reads
+// them: MaxUnits, the ConnectTimeout of Limits, the AnswerSlack and DrainGrace of Safety, the
 // OverQuotaValue and OverQuotaCost of a Plan.
 type Config struct {
 	Rank, Gateways    int // number of this gateway, from 0, and how many there are
@@ -100,13 +92,8 @@
 	MaxUnits          float64       // of a request
 	UsageReportPeriod time.Duration // period of the reports in AttemptEnded.ReportedUsage; 0: none
 	GossipCapacity    float64       // datagrams a second that a gateway can receive
-	Counter           bool          // there is a shared counter
-	CounterTimeout    time.Duration
 	Limits            Limits
 	Safety            Safety
-	Prices            Prices
-	ReportsOnProbe    bool // load reports come with health checks only
-	Subscribe         bool // updates of the endpoint list come only after a subscription
 }
 
 // SettingError says which setting a gateway can't work with.
--- a/internal/config/blocks.go
+++ b/internal/config/blocks.go
@@ -56,8 +56,8 @@
 			d.members = append(d.members, memberBlock{"member " + name, n.Pos, d.member(name, n)})
 		},
 		"limits":   func(at string, n *kdl.Node) { d.limits(at, n, &c.Limits) },
-		"safety":   func(at string, n *kdl.Node) { d.safety(at, n, &c.Safety) },
-		"prices":   func(at string, n *kdl.Node) { d.prices(at, n, &c.Prices) },
+		"safety":   func(at string, n *kdl.Node) { d.safety(at, n, f) },
+		"prices":   func(at string, n *kdl.Node) { d.prices(at, n, &f.Prices) },
 		"measures": func(at string, n *kdl.Node) { d.metrics(at, n, &f.Metrics) },
 		"traces":   func(at string, n *kdl.Node) { d.tracing(at, n, &f.Tracing) },
 		"export":   func(at string, n *kdl.Node) { d.usageExport(at, n, &f.UsageExport) },
@@ -188,7 +188,8 @@
 	}, nil)
 }
 
-func (d *decoder) safety(at string, n *kdl.Node, s *decide.Safety) {
+func (d *decoder) safety(at string, n *kdl.Node, f *Fleet) {
+	s := &f.Decide.Safety
 	d.Plain(at, n)
 	d.Block(at, n, decode.Fields{
 		"answer-slack":  decode.Duration(&s.AnswerSlack, 0),
@@ -197,11 +198,11 @@
 		"cold-for":      decode.Duration(&s.SlowStartDuration, 0),
 		"fall-multiple": decode.Number(&s.OverloadMultiple, 0, maxInteger),
 		"fall-window":   decode.Duration(&s.OverloadWindow, 0),
-		"ask-within":    decode.Duration(&s.ListMaxAge, 0),
+		"ask-within":    decode.Duration(&f.EndpointListMaxAge, 0),
 	}, nil)
 }
 
-func (d *decoder) prices(at string, n *kdl.Node, p *decide.Prices) {
+func (d *decoder) prices(at string, n *kdl.Node, p *Prices) {
 	d.Plain(at, n)
 	d.Block(at, n, decode.Fields{
 		"cross-zone": decode.Number(&p.CrossZone, 0, maxInteger),
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -34,6 +34,15 @@
 	Metrics     Metrics
 	Tracing     Tracing
 	Log         Log
+
+	// Settings that a document may have and that nothing reads: they are checked and written back.
+	EndpointListMaxAge time.Duration
+	Prices             Prices
+}
+
+// Prices are costs in the value of a response, each for one unit of what it names.
+type Prices struct {
+	CrossZone, Waste, HealthCheck, Gossip, LateFailure, Counter float64
 }
 
 // Metrics say whether metrics are collected, and where they are sent.
--- a/internal/config/format.go
+++ b/internal/config/format.go
@@ -24,8 +24,8 @@
 		w.plan(p)
 	}
 	w.limits(c.Limits)
-	w.safety(c.Safety)
-	w.prices(c.Prices)
+	w.safety(f)
+	w.prices(f.Prices)
 	w.resourceLimits(f.Caps)
 	if f.Tracing.URL != "" {
 		w.tracing(f.Tracing)
@@ -147,7 +147,8 @@
 	w.close()
 }
 
-func (w *writer) safety(s decide.Safety) {
+func (w *writer) safety(f *Fleet) {
+	s := f.Decide.Safety
 	w.open("safety")
 	w.duration("answer-slack", s.AnswerSlack)
 	w.duration("drain-grace", s.DrainGrace)
@@ -155,11 +156,11 @@
 	w.duration("cold-for", s.SlowStartDuration)
 	w.number("fall-multiple", s.OverloadMultiple)
 	w.duration("fall-window", s.OverloadWindow)
-	w.duration("ask-within", s.ListMaxAge)
+	w.duration("ask-within", f.EndpointListMaxAge)
 	w.close()
 }
 
-func (w *writer) prices(p decide.Prices) {
+func (w *writer) prices(p Prices) {
 	w.open("prices")
 	w.number("cross-zone", p.CrossZone)
 	w.number("waste", p.Waste)
--- a/internal/platform/settings/document.go
+++ b/internal/platform/settings/document.go
@@ -11,14 +11,11 @@
 type document struct {
 	Rank, Instances int
 	Zone            string
-	MembershipMode  string
 	Classes         []class
 	TiersOfService  []tier
 	Extra           extra
 	Limits          limits
 	Safety          safety
-	Prices          prices
-	Telemetry       struct{ How string }
 }
 
 type class struct {
@@ -37,24 +34,20 @@
 }
 
 type extra struct {
-	HasCounter, CostAfter              bool
-	CounterPrice, PeerIntake, UnitsTop float64
-	CountWaitNs, MeterNs               int64
+	CostAfter            bool
+	PeerIntake, UnitsTop float64
+	MeterNs              int64
 }
 
 type limits struct {
-	SendCap, OpenCap                                    int
-	ParallelTries, MayCancel, Peers, Probes, RetryAfter bool
-	MaxRetryAfterNs, ConnectTimeoutNs, ConnIdleNs       int64
+	SendCap, OpenCap                              int
+	ParallelTries, MayCancel, Peers, RetryAfter   bool
+	MaxRetryAfterNs, ConnectTimeoutNs, ConnIdleNs int64
 }
 
 type safety struct {
-	AnswerSlackNs, DrainGraceNs, ColdNs, FallNs, AskWithinNs int64
-	ColdFrom, FallMultiple                                   float64
-}
-
-type prices struct {
-	CrossZone, Waste, Probe, Peer, LateFail float64
+	AnswerSlackNs, DrainGraceNs, ColdNs, FallNs int64
+	ColdFrom, FallMultiple                      float64
 }
 
 // The values of a class's Effect and Group. A class without a Group has the smallest.
@@ -82,20 +75,8 @@
 		MaxUnits:          d.Extra.UnitsTop,
 		UsageReportPeriod: time.Duration(d.Extra.MeterNs),
 		GossipCapacity:    d.Extra.PeerIntake,
-		Counter:           d.Extra.HasCounter,
-		CounterTimeout:    time.Duration(d.Extra.CountWaitNs),
 		Limits:            d.Limits.convert(),
 		Safety:            d.Safety.convert(),
-		Prices: decide.Prices{
-			CrossZone:   d.Prices.CrossZone,
-			Waste:       d.Prices.Waste,
-			HealthCheck: d.Prices.Probe,
-			Gossip:      d.Prices.Peer,
-			LateFailure: d.Prices.LateFail,
-			Counter:     d.Extra.CounterPrice,
-		},
-		ReportsOnProbe: d.Telemetry.How == "probe",
-		Subscribe:      d.MembershipMode == "subscribe",
 	}
 }
 
@@ -105,7 +86,6 @@
 		Hedging:        l.ParallelTries,
 		Cancel:         l.MayCancel,
 		Gossip:         l.Peers,
-		HealthChecks:   l.Probes,
 		RetryAfter:     l.RetryAfter,
 		MaxRetryAfter:  time.Duration(l.MaxRetryAfterNs),
 		ConnectTimeout: time.Duration(l.ConnectTimeoutNs),
@@ -120,7 +100,6 @@
 		SlowStartDuration: time.Duration(s.ColdNs),
 		OverloadMultiple:  s.FallMultiple,
 		OverloadWindow:    time.Duration(s.FallNs),
-		ListMaxAge:        time.Duration(s.AskWithinNs),
 	}
 }
 
--- a/internal/platform/settings/settings_test.go
+++ b/internal/platform/settings/settings_test.go
@@ -10,7 +10,8 @@
 	"winghatch/decide"
 )
 
-// object has each key with a value of its own, so that none can take the place of another, and one unknown key.
+// object has each key that is read with a value of its own, so that none can take the place of another, and keys that
+// are not read: MembershipMode, HasCounter, CounterPrice, CountWaitNs, Probes, AskWithinNs, Prices, Telemetry, Unknown.
 const object = `{"Rank":1,"Instances":3,"Zone":"a","MembershipMode":"subscribe","Unknown":{"x":1},
 "Classes":[{"Name":"get","Effect":"keyed","Group":"zone","AimNs":1,"GiveUpNs":2,"WindowNs":3,"AimStretch":4,
  "Importance":5,"LateWorth":6,"Stream":true}],
@@ -57,15 +58,12 @@
 		SettledOnResponse: true,
 		GossipCapacity:    17,
 		MaxUnits:          18,
-		Counter:           true,
-		CounterTimeout:    19,
 		UsageReportPeriod: 20,
 		Limits: decide.Limits{
 			MaxAttempts:    21,
 			Hedging:        true,
 			Cancel:         true,
 			Gossip:         true,
-			HealthChecks:   true,
 			RetryAfter:     true,
 			MaxRetryAfter:  23,
 			ConnectTimeout: 24,
@@ -75,20 +73,9 @@
 			DrainGrace:        27,
 			SlowStartDuration: 28,
 			OverloadWindow:    29,
-			ListMaxAge:        30,
 			SlowStartCapacity: 31,
 			OverloadMultiple:  32,
 		},
-		Prices: decide.Prices{
-			Counter:     16,
-			CrossZone:   33,
-			Waste:       34,
-			HealthCheck: 35,
-			Gossip:      36,
-			LateFailure: 37,
-		},
-		ReportsOnProbe: true,
-		Subscribe:      true,
 	}
 	cfg, connections, err := Parse([]byte(object))
 	if err != nil {
--- a/internal/recording/stored_test.go
+++ b/internal/recording/stored_test.go
@@ -7,12 +7,13 @@
 	"fmt"
 	"io"
 	"os"
+	"reflect"
 	"strings"
 	"testing"
 )
 
 // Recordings of gateways in the field have to stay readable. The files in testdata were written before the types of
-// package decide got their present names.
+// package decide got their present names; what the format has no more was moved from kinds.tape to removed.tape.
 
 // TestStoredKeys reads a recording that has every kind of event and action with all fields set, and writes it again:
 // the bytes are the same. A field that lost its stored key would be read as zero, or be written under another key.
@@ -65,33 +66,43 @@
 	}
 }
 
-// TestUnknownKinds reads intact lines with kinds of events and actions that the format once named. No core ever wrote
-// them, so such a line is reported as damage like that of any unknown kind, and not read as something else.
-func TestUnknownKinds(t *testing.T) {
-	known, err := os.ReadFile("testdata/kinds.tape")
+// TestRemoved reads what the format once had and no core ever used. The settings in the header of removed.tape are
+// those of kinds.tape and some that no core read: those are ignored, so that earlier recordings stay readable. Its
+// other lines are intact and have kinds of events and actions that no core ever wrote: each is reported as damage like
+// any unknown kind, and not read as something else.
+func TestRemoved(t *testing.T) {
+	raw, err := os.ReadFile("testdata/removed.tape")
 	if err != nil {
 		t.Fatal(err)
 	}
-	header, _, _ := strings.Cut(string(known), "\n")
-	unknown, err := os.ReadFile("testdata/unknown-kinds.tape")
+	lines := strings.SplitAfter(strings.TrimSuffix(string(raw), "\n"), "\n")
+	header, lines := lines[0], lines[1:]
+	known, err := os.Open("testdata/kinds.tape")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer known.Close()
+	want, err := NewReader(known)
 	if err != nil {
 		t.Fatal(err)
 	}
-	lines := strings.Split(strings.TrimSpace(string(unknown)), "\n")
 	kinds := []string{"CloseIdle", "Count", "Counted", "FetchList", "Log", "Probe", "ProbeEnded", "Subscribe"}
 	if len(lines) != len(kinds) {
-		t.Fatalf("%d lines, want %d", len(lines), len(kinds))
+		t.Fatalf("%d lines behind the header, want %d", len(lines), len(kinds))
 	}
 	for i, kind := range kinds {
-		in, err := NewReader(strings.NewReader(header + "\n" + lines[i] + "\n"))
+		in, err := NewReader(strings.NewReader(header + strings.TrimSuffix(lines[i], "\n") + "\n"))
 		if err != nil {
 			t.Fatal(err)
 		}
+		if !reflect.DeepEqual(in.Header, want.Header) {
+			t.Fatalf("got header %+v, want %+v", in.Header, want.Header)
+		}
 		_, err = in.Next()
 		var truncated *TruncatedError
-		want := fmt.Sprintf("kind %q is not known", kind)
-		if !errors.As(err, &truncated) || truncated.Line != 2 || truncated.Reason != want {
-			t.Errorf("%s: got error %v, want a TruncatedError of line 2: %s", kind, err, want)
+		wantReason := fmt.Sprintf("kind %q is not known", kind)
+		if !errors.As(err, &truncated) || truncated.Line != 2 || truncated.Reason != wantReason {
+			t.Errorf("%s: got error %v, want a TruncatedError of line 2: %s", kind, err, wantReason)
 		}
 	}
 }
--- /dev/null
+++ b/internal/recording/testdata/removed.tape
@@ -0,0 +1,9 @@
+f52c290575a9d02c {"Version":1,"Seed":7,"Config":{"Rank":1,"Gateways":2,"Zone":"sd","Classes":[{"Name":"se","Effect":5,"Group":6,"Window":7,"Aim":8,"AimStretch":9.5,"Deadline":10,"Worth":11.5,"LateWorth":12.5,"Stream":true}],"Plans":[{"Name":"sn","Rate":14.5,"Burst":15.5,"CeilingRate":16.5,"CeilingBurst":17.5,"CeilingSlack":18.5,"MaxOpen":19,"Price":20.5,"OverWorth":21.5,"OverCost":22.5}],"SettledLater":true,"MaxUnits":23.5,"MeterPeriod":24,"PeerIntake":25.5,"Counter":true,"CounterTimeout":26,"Limits":{"MaxAttempts":27,"Parallel":true,"Cancel":true,"Peers":true,"Probes":true,"RetryAfter":true,"MaxRetryAfter":28,"ConnectTimeout":29},"Safety":{"AnswerSlack":30,"DrainGrace":31,"ColdFrom":32.5,"ColdFor":33,"FallMultiple":34.5,"FallWindow":35,"AskWithin":36},"Prices":{"CrossZone":37.5,"Waste":38.5,"Probe":39.5,"Peer":40.5,"LateFail":41.5,"Counter":42.5},"ReportsOnProbe":true,"Subscribe":true}}
+3535c090a1301d6d {"t":5000000,"e":{"k":"TimerFired","v":{"Token":4}},"a":[{"k":"CloseIdle","v":{"Server":"sh"}}]}
+f08d57227394ea21 {"t":6000000,"e":{"k":"TimerFired","v":{"Token":5}},"a":[{"k":"Count","v":{"Name":60,"Add":61.5,"TTL":62}}]}
+db3a6c20998b26b7 {"t":7000000,"e":{"k":"Counted","v":{"Name":63,"Outcome":64,"Total":65.5,"Took":66}}}
+d15537c872a903e8 {"t":9000000,"e":{"k":"TimerFired","v":{"Token":8}},"a":[{"k":"FetchList","v":{}}]}
+6d7e9409c700ee45 {"t":11000000,"e":{"k":"TimerFired","v":{"Token":10}},"a":[{"k":"Log","v":{"Text":"sz"}}]}
+6cdf40fc9e2a9f06 {"t":13000000,"e":{"k":"TimerFired","v":{"Token":12}},"a":[{"k":"Probe","v":{"Server":"sc"}}]}
+e541a4476aa20d60 {"t":14000000,"e":{"k":"ProbeEnded","v":{"Server":"sd","Outcome":82,"Took":83,"Report":{"load":85.5}}}}
+b859892f8215ee6a {"t":19000000,"e":{"k":"TimerFired","v":{"Token":18}},"a":[{"k":"Subscribe","v":{"On":true}}]}
--- a/internal/recording/wire.go
+++ b/internal/recording/wire.go
@@ -43,7 +43,6 @@
 	Hedging        bool          `json:"Parallel"`
 	Cancel         bool          `json:"Cancel"`
 	Gossip         bool          `json:"Peers"`
-	HealthChecks   bool          `json:"Probes"`
 	RetryAfter     bool          `json:"RetryAfter"`
 	MaxRetryAfter  time.Duration `json:"MaxRetryAfter"`
 	ConnectTimeout time.Duration `json:"ConnectTimeout"`
@@ -56,18 +55,10 @@
 	SlowStartDuration time.Duration `json:"ColdFor"`
 	OverloadMultiple  float64       `json:"FallMultiple"`
 	OverloadWindow    time.Duration `json:"FallWindow"`
-	ListMaxAge        time.Duration `json:"AskWithin"`
-}
-
-type storedPrices struct {
-	CrossZone   float64 `json:"CrossZone"`
-	Waste       float64 `json:"Waste"`
-	HealthCheck float64 `json:"Probe"`
-	Gossip      float64 `json:"Peer"`
-	LateFailure float64 `json:"LateFail"`
-	Counter     float64 `json:"Counter"`
 }
 
+// storedConfig has the keys that a core reads or checks. Headers of earlier versions have some more, which are
+// ignored: Counter, CounterTimeout, Prices, ReportsOnProbe, Subscribe, Limits.Probes, Safety.AskWithin.
 type storedConfig struct {
 	Rank              int           `json:"Rank"`
 	Gateways          int           `json:"Gateways"`
@@ -78,13 +69,8 @@
 	MaxUnits          float64       `json:"MaxUnits"`
 	UsageReportPeriod time.Duration `json:"MeterPeriod"`
 	GossipCapacity    float64       `json:"PeerIntake"`
-	Counter           bool          `json:"Counter"`
-	CounterTimeout    time.Duration `json:"CounterTimeout"`
 	Limits            storedLimits  `json:"Limits"`
 	Safety            storedSafety  `json:"Safety"`
-	Prices            storedPrices  `json:"Prices"`
-	ReportsOnProbe    bool          `json:"ReportsOnProbe"`
-	Subscribe         bool          `json:"Subscribe"`
 }
 
 type storedServer struct {
@@ -196,13 +182,8 @@
 		MaxUnits:          c.MaxUnits,
 		UsageReportPeriod: c.UsageReportPeriod,
 		GossipCapacity:    c.GossipCapacity,
-		Counter:           c.Counter,
-		CounterTimeout:    c.CounterTimeout,
 		Limits:            storedLimits(c.Limits),
 		Safety:            storedSafety(c.Safety),
-		Prices:            storedPrices(c.Prices),
-		ReportsOnProbe:    c.ReportsOnProbe,
-		Subscribe:         c.Subscribe,
 	}
 }
 
@@ -217,13 +198,8 @@
 		MaxUnits:          c.MaxUnits,
 		UsageReportPeriod: c.UsageReportPeriod,
 		GossipCapacity:    c.GossipCapacity,
-		Counter:           c.Counter,
-		CounterTimeout:    c.CounterTimeout,
 		Limits:            decide.Limits(c.Limits),
 		Safety:            decide.Safety(c.Safety),
-		Prices:            decide.Prices(c.Prices),
-		ReportsOnProbe:    c.ReportsOnProbe,
-		Subscribe:         c.Subscribe,
 	}
 }
 
