--- a/internal/invariant/use_test.go
+++ b/internal/invariant/usage_test.go
@@ -9,7 +9,7 @@
 	"winghatch/internal/usage/outbox"
 )
 
-// TestJudgeUse accuses no export that is whole, and finds each planted breach.
+// TestJudgeUse finds no violation in a complete export, and each one that is planted.
 func TestJudgeUse(t *testing.T) {
 	var recs []Record
 	var evs []UsageEvent
