--- a/internal/frontend/http/conn.go
+++ b/internal/frontend/http/conn.go
@@ -13,6 +13,7 @@
 	"winghatch/internal/frontend"
 	"winghatch/internal/frontend/connlimit"
 	"winghatch/internal/http1"
+	"winghatch/internal/socket"
 )
 
 const (
@@ -54,19 +55,15 @@
 
 	pendingWrites sync.WaitGroup // responses that wait for room in the socket's buffer
 
-	// These belong to the reader: when the bytes arrived that Read returned last, when the socket was last read, and
-	// the arguments and results of the read under way; see Read.
-	arrivedAt time.Duration
-	readAt    time.Duration
-	readBuf   []byte
-	readN     int
-	readErr   error
-	readFunc  func(fd uintptr) bool
+	// These belong to the reader: when the bytes arrived that Read returned last, and when the socket was last read.
+	arrivedAt    time.Duration
+	readAt       time.Duration
+	socketReader *socket.Reader
 }
 
 func newConn(s *Server, id connlimit.ID, nc *net.TCPConn, raw syscall.RawConn) *conn {
 	c := &conn{server: s, id: id, nc: nc, raw: raw, pipeline: pipeline{resume: make(chan struct{}, 1)}}
-	c.readFunc = c.readStep
+	c.socketReader = socket.NewReader(raw, &s.mu, c.noteRead)
 	limits := http1.Limits{MaxHeadBytes: maxHeadBytes, MaxBodyBytes: maxBodyBytes, ReserveBody: c.reserveBody}
 	c.reader = http1.NewReader(bufio.NewReaderSize(c, readBufferBytes), limits)
 	return c
--- a/internal/frontend/http/pipeline.go
+++ b/internal/frontend/http/pipeline.go
@@ -114,7 +114,7 @@
 	s, p := c.server, &c.pipeline
 	p.watching = true
 	s.mu.Unlock()
-	n, err := c.readSocket(buf)
+	n, err := c.socketReader.Read(buf)
 	s.mu.Lock()
 	p.watching = false
 	if err != nil {
--- a/internal/frontend/http/read.go
+++ b/internal/frontend/http/read.go
@@ -2,8 +2,6 @@
 
 import (
 	"io"
-	"syscall"
-	"time"
 
 	"winghatch/internal/socket"
 )
@@ -23,51 +21,23 @@
 	if overflowed {
 		return 0, io.EOF
 	}
-	n, err := c.readSocket(b)
+	n, err := c.socketReader.Read(b)
 	c.arrivedAt = c.readAt
 	return n, err
 }
 
-// readSocket reads from the socket. Transient errors are retried. Each read holds the server's lock, so that bytes
-// are either still in the socket, where Peek sees them, or the connection is known to be reading a request.
-func (c *conn) readSocket(b []byte) (int, error) {
-	c.readBuf = b
-	for {
-		if err := c.raw.Read(c.readFunc); err != nil {
-			return 0, err
-		}
-		if c.readErr != nil && socket.IsTransient(c.readErr) {
-			time.Sleep(socket.RetryPause)
-			continue
-		}
-		if c.readN == 0 && c.readErr == nil {
-			return 0, io.EOF
-		}
-		return c.readN, c.readErr
-	}
-}
-
-// readStep makes one read that does not wait; false has the runtime call it again once the socket is readable.
-func (c *conn) readStep(fd uintptr) bool {
-	c.server.mu.Lock()
-	defer c.server.mu.Unlock()
-	c.readN, c.readErr = socket.ReadNow(fd, c.readBuf)
-	if c.readErr == syscall.EAGAIN {
-		return false
-	}
-	if c.readErr != nil && socket.IsTransient(c.readErr) {
-		return true
-	}
-	if c.readN == 0 {
+// noteRead is called by socketReader after each read of n bytes; Server.mu is held. Bytes are so either still in the
+// socket, where Peek sees them, or the connection is known to be reading a request.
+func (c *conn) noteRead(n int) {
+	if n == 0 {
 		c.clientGone = true
-		return true
+		return
 	}
 	if c.phase == idle || c.phase == reading && !c.requestBegun {
 		c.setPhase(reading)
 	}
 	c.requestBegun = true
 	c.readAt = c.server.clock()
-	return true
 }
 
 // hasUnread reports whether the socket holds unread bytes; Server.mu is held.
--- a/internal/upstream/http/conn.go
+++ b/internal/upstream/http/conn.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"container/list"
 	"errors"
-	"io"
 	"net"
 	"syscall"
 	"time"
@@ -41,12 +40,6 @@
 	// These belong to the reader.
 	responseBegun bool  // a byte of the current response was read
 	bodyBytes     int64 // the part of Pool.bodyBytes that this connection holds
-
-	// The arguments and results of the read under way; see Read.
-	readBuf  []byte
-	readN    int
-	readErr  error
-	readFunc func(fd uintptr) bool
 }
 
 // makeRoom reports whether another connection may be opened; at the limit it closes the one that has been idle
@@ -66,7 +59,6 @@
 // newConn registers a connection that is to be dialed for an attempt; Pool.mu is held. Its run must follow.
 func (p *Pool) newConn(s *server, call *upstream.Call) *conn {
 	c := &conn{pool: p, server: s, call: call}
-	c.readFunc = c.readStep
 	p.conns[c] = struct{}{}
 	p.Conns.Add(1)
 	p.Dials.Add(1)
@@ -110,7 +102,8 @@
 		return false
 	}
 	limits := http1.Limits{MaxHeadBytes: maxHeadBytes, MaxBodyBytes: p.opts.MaxBodyBytes, ReserveBody: c.reserveBody}
-	c.reader = http1.NewReader(bufio.NewReaderSize(c, readBufferBytes), limits)
+	socketReader := socket.NewReader(c.raw, &p.mu, c.noteRead)
+	c.reader = http1.NewReader(bufio.NewReaderSize(socketReader, readBufferBytes), limits)
 	var cancelled *upstream.Call
 	switch call := c.call; {
 	case call == nil: // it was given up meanwhile
@@ -256,36 +249,10 @@
 	return true
 }
 
-// Read reads from the socket, for the http1.Reader. Transient errors are retried. Each read holds the pool's lock, so
-// that Send never takes a connection of which a byte was read that readStep has not noted yet.
-func (c *conn) Read(b []byte) (int, error) {
-	c.readBuf = b
-	for {
-		if err := c.raw.Read(c.readFunc); err != nil {
-			return 0, err
-		}
-		if c.readErr != nil && socket.IsTransient(c.readErr) {
-			time.Sleep(socket.RetryPause)
-			continue
-		}
-		if c.readN == 0 && c.readErr == nil {
-			return 0, io.EOF
-		}
-		return c.readN, c.readErr
-	}
-}
-
-// readStep makes one read that does not wait; false has the runtime call it again once the socket is readable.
-func (c *conn) readStep(fd uintptr) bool {
-	c.pool.mu.Lock()
-	defer c.pool.mu.Unlock()
-	c.readN, c.readErr = socket.ReadNow(fd, c.readBuf)
-	if c.readErr == syscall.EAGAIN {
-		return false
-	}
-	failed := c.readErr != nil && socket.IsTransient(c.readErr)
-	if c.call == nil && !failed {
+// noteRead is called by the socket's reader after each read of n bytes, or of the end; Pool.mu is held. So Send never
+// takes a connection of which a byte was read that is not noted yet.
+func (c *conn) noteRead(int) {
+	if c.call == nil {
 		c.readWhileIdle = true
 	}
-	return true
 }
