--- a/internal/testbed/backend/job.go
+++ b/internal/testbed/backend/job.go
@@ -193,27 +193,22 @@
 
 // recordReceived records the arrival of a call with the time at which its gateway gives up.
 func (s *Server) recordReceived(j *job) {
-	now := s.options.Log.Now()
-	s.options.Log.Add(invariant.Record{
-		At:       now,
-		Kind:     invariant.Received,
-		Server:   s.addr,
-		Zone:     s.options.Zone,
-		Cell:     s.options.Cell,
-		Request:  j.params.Request,
-		Attempt:  j.params.Attempt,
-		CallID:   j.params.Work.Try,
-		Member:   j.params.Member,
-		Class:    j.class,
-		Key:      j.params.Key,
-		Units:    j.params.Units,
-		Work:     j.work,
-		Deadline: now + time.Duration(j.params.TimeoutMs*float64(time.Millisecond)),
-	})
+	r := s.newRecord(invariant.Received, j)
+	r.At = s.options.Log.Now()
+	r.Units = j.params.Units
+	r.Deadline = r.At + time.Duration(j.params.TimeoutMs*float64(time.Millisecond))
+	s.options.Log.Add(r)
 }
 
+// record records a later step of a call, with the units that the server reports.
 func (s *Server) record(kind invariant.Kind, j *job) {
-	s.options.Log.Add(invariant.Record{
+	r := s.newRecord(kind, j)
+	r.Units = j.reportedUnits
+	s.options.Log.Add(r)
+}
+
+func (s *Server) newRecord(kind invariant.Kind, j *job) invariant.Record {
+	return invariant.Record{
 		Kind:    kind,
 		Server:  s.addr,
 		Zone:    s.options.Zone,
@@ -224,7 +219,6 @@
 		Member:  j.params.Member,
 		Class:   j.class,
 		Key:     j.params.Key,
-		Units:   j.reportedUnits,
 		Work:    j.work,
-	})
+	}
 }
--- a/internal/testbed/metricsreceiver/write.go
+++ b/internal/testbed/metricsreceiver/write.go
@@ -11,6 +11,7 @@
 	"github.com/golang/snappy"
 
 	"winghatch/internal/remotewrite"
+	"winghatch/internal/testbed/httpfault"
 )
 
 // maxBodyBytes bounds a batch, compressed.
@@ -23,7 +24,7 @@
 	r.mu.Unlock()
 	time.Sleep(fault.Delay)
 	if fault.RespondEarly {
-		respondEarly(w)
+		httpfault.RespondEarly(w)
 		return
 	}
 	raw, err := io.ReadAll(io.LimitReader(req.Body, maxBodyBytes))
@@ -31,10 +32,7 @@
 		return
 	}
 	if fault.Status != 0 {
-		if fault.RetryAfter != "" {
-			w.Header().Set("Retry-After", fault.RetryAfter)
-		}
-		http.Error(w, "trouble", fault.Status)
+		httpfault.RespondStatus(w, fault.Status, fault.RetryAfter)
 		return
 	}
 	v2 := strings.Contains(req.Header.Get("Content-Type"), "io.prometheus.write.v2")
@@ -71,16 +69,6 @@
 
 const versionHeader = "X-Prometheus-Remote-Write-Version"
 
-// respondEarly answers before the request's body is read.
-func respondEarly(w http.ResponseWriter) {
-	nc, _, err := w.(http.Hijacker).Hijack()
-	if err != nil {
-		return
-	}
-	defer nc.Close()
-	io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
-}
-
 func checkHeader(req *http.Request, v2 bool, fault Fault) error {
 	if fault.OnlyV1 && v2 {
 		return errors.New("want prometheus.WriteRequest")
--- a/internal/testbed/usagereceiver/receiver.go
+++ b/internal/testbed/usagereceiver/receiver.go
@@ -12,6 +12,8 @@
 	"strings"
 	"sync"
 	"time"
+
+	"winghatch/internal/testbed/httpfault"
 )
 
 const (
@@ -116,7 +118,7 @@
 	r.mu.Unlock()
 	time.Sleep(fault.Delay)
 	if fault.RespondEarly && hit {
-		respondEarly(w)
+		httpfault.RespondEarly(w)
 		return
 	}
 	body, err := io.ReadAll(io.LimitReader(req.Body, maxBodyBytes))
@@ -124,10 +126,7 @@
 		return
 	}
 	if fault.Status != 0 && hit {
-		if fault.RetryAfter != "" {
-			w.Header().Set("Retry-After", fault.RetryAfter)
-		}
-		http.Error(w, "trouble", fault.Status)
+		httpfault.RespondStatus(w, fault.Status, fault.RetryAfter)
 		return
 	}
 	if fault.Reject != "" && strings.Contains(string(body), fault.Reject) {
@@ -144,16 +143,6 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// respondEarly answers before the request's body is read.
-func respondEarly(w http.ResponseWriter) {
-	nc, _, err := w.(http.Hijacker).Hijack()
-	if err != nil {
-		return
-	}
-	defer nc.Close()
-	io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
-}
-
 // add checks a batch and keeps it.
 func (r *Receiver) add(req *http.Request, body []byte) error {
 	events, err := parseBatch(req, body)
