--- a/cmd/winghatch/commands_test.go
+++ b/cmd/winghatch/commands_test.go
@@ -1,79 +1,13 @@
 package main
 
 import (
-	"fmt"
-	"os"
-	"sort"
-	"strings"
 	"testing"
 
-	"github.com/alecthomas/kong"
+	"winghatch/internal/testbed/commandline"
 )
 
-// TestCommandsStay holds the command line of earlier versions: each of their sub-commands is still found, by its name or
-// by an alias, and takes the same flags and arguments with the same defaults. testdata/commands.txt has one line a
-// sub-command, as describe writes it.
+// Scripts and units of operators call the sub-commands of earlier versions. Each is still found, by its name or by an
+// alias, with the same flags, arguments and defaults.
 func TestCommandsStay(t *testing.T) {
-	raw, err := os.ReadFile("testdata/commands.txt")
-	if err != nil {
-		t.Fatal(err)
-	}
-	parser, err := kong.New(&command{}, kong.Name("winghatch"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	for _, line := range strings.Split(strings.TrimSpace(string(raw)), "\n") {
-		path, want, _ := strings.Cut(line, ":")
-		want = strings.TrimSpace(want)
-		node := findCommand(parser.Model.Node, strings.Fields(path))
-		if node == nil {
-			t.Errorf("%s: no such sub-command", path)
-			continue
-		}
-		if got := describe(node); got != want {
-			t.Errorf("%s:\n got %s\nwant %s", path, got, want)
-		}
-	}
-}
-
-// findCommand follows names or aliases of sub-commands.
-func findCommand(node *kong.Node, path []string) *kong.Node {
-	if len(path) == 0 {
-		return node
-	}
-	for _, child := range node.Children {
-		for _, name := range append([]string{child.Name}, child.Aliases...) {
-			if name == path[0] {
-				return findCommand(child, path[1:])
-			}
-		}
-	}
-	return nil
-}
-
-// describe writes the arguments and flags of a sub-command with their defaults.
-func describe(node *kong.Node) string {
-	var parts []string
-	for _, arg := range node.Positional {
-		parts = append(parts, arg.Summary())
-	}
-	var flags []string
-	for _, f := range node.Flags {
-		if f.Name == "help" {
-			continue
-		}
-		text := fmt.Sprintf("--%s=%q", f.Name, f.Default)
-		if f.Required {
-			text += "!"
-		}
-		if f.Enum != "" {
-			text += "{" + f.Enum + "}"
-		}
-		for _, env := range f.Envs {
-			text += "$" + env
-		}
-		flags = append(flags, text)
-	}
-	sort.Strings(flags)
-	return strings.Join(append(parts, flags...), " ")
+	commandline.CheckStored(t, "winghatch", &command{}, "testdata/commands.txt")
 }
--- a/internal/architecture/architecture_test.go
+++ b/internal/architecture/architecture_test.go
@@ -42,7 +42,8 @@
 	{"frontends", []string{"internal/frontend", "internal/frontend/http", "internal/frontend/websocket"}},
 	{"runtime", []string{"internal/gateway", "internal/platform"}},
 	{"test bed", []string{
-		"internal/invariant", "internal/testbed/await", "internal/testbed/ports", "internal/testbed/tracereceiver",
+		"internal/invariant", "internal/testbed/await", "internal/testbed/ports", "internal/testbed/commandline",
+		"internal/testbed/storeddata", "internal/testbed/tcpserver", "internal/testbed/httpfault", "internal/testbed/tracereceiver",
 		"internal/testbed/usagereceiver", "internal/testbed/metricsreceiver", "internal/testbed/discovery", "internal/testbed/backend",
 		"internal/testbed/client", "internal/scenario",
 	}},
--- a/internal/discovery/http/helper_test.go
+++ b/internal/discovery/http/helper_test.go
@@ -10,37 +10,24 @@
 	"strings"
 	"testing"
 	"time"
+
+	"winghatch/internal/testbed/tcpserver"
 )
 
 // startAgent runs a discovery that answers each call by the next step of its script (see playScript), and is silent
 // after the last. It sends the path of each call to paths.
 func startAgent(t *testing.T, paths chan<- string, script ...string) string {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { ln.Close() })
 	steps := make(chan string, len(script))
 	for _, step := range script {
 		steps <- step
 	}
-	go func() {
-		for {
-			nc, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go playScript(nc, steps, paths)
-		}
-	}()
-	return ln.Addr().String()
+	return tcpserver.Start(t, func(nc net.Conn) { playScript(nc, steps, paths) })
 }
 
 // playScript answers the calls on a connection by the next steps. A step is a list; a list with a kind of transfer
 // before it, as in "chunked LIST"; or a failure: "silence", "reset" or "hang up".
 func playScript(nc net.Conn, steps <-chan string, paths chan<- string) {
-	defer nc.Close()
 	r := bufio.NewReader(nc)
 	for {
 		q, err := http.ReadRequest(r)
--- a/internal/discovery/http/watch_test.go
+++ b/internal/discovery/http/watch_test.go
@@ -13,6 +13,7 @@
 
 	"winghatch/decide"
 	"winghatch/internal/testbed/ports"
+	"winghatch/internal/testbed/tcpserver"
 )
 
 // Paths that a watch asks for: the full list, the changes since a version, and what was missed since one.
@@ -143,30 +144,16 @@
 // Discovery takes longer for each answer than the watch waits before the next call. Its answers must be taken all the
 // same, and it must not be asked by ever more calls at once.
 func TestASlowDiscoveryIsHeard(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { ln.Close() })
 	var calls, most atomic.Int64
-	go func() {
-		for {
-			nc, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				defer nc.Close()
-				for n := calls.Add(1); n > most.Load(); {
-					most.Store(n)
-				}
-				defer calls.Add(-1)
-				answerLate(nc, 400*time.Millisecond)
-			}()
+	addr := tcpserver.Start(t, func(nc net.Conn) {
+		for n := calls.Add(1); n > most.Load(); {
+			most.Store(n)
 		}
-	}()
+		defer calls.Add(-1)
+		answerLate(nc, 400*time.Millisecond)
+	})
 	w := newWatched()
-	w.run(t, ln.Addr().String(), Options{
+	w.run(t, addr, Options{
 		LongPoll:      20 * time.Millisecond,
 		ResponseGrace: 20 * time.Millisecond,
 		HedgeDelay:    20 * time.Millisecond,
--- a/internal/quotaplan/stored_test.go
+++ b/internal/quotaplan/stored_test.go
@@ -1,11 +1,8 @@
 package quotaplan
 
 import (
-	"bufio"
 	"fmt"
 	"math/rand"
-	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
@@ -14,6 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"winghatch/decide"
+	"winghatch/internal/testbed/storeddata"
 )
 
 // describe writes an action in a form that does not depend on the names in the code.
@@ -62,26 +60,6 @@
 	}
 }
 
-func readLines(t *testing.T, name string) (lines []string) {
-	t.Helper()
-	f, err := os.Open(filepath.Join("testdata", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer f.Close()
-	scanner := bufio.NewScanner(f)
-	scanner.Buffer(nil, 1<<20)
-	for scanner.Scan() {
-		if line := scanner.Text(); !strings.HasPrefix(line, "#") {
-			lines = append(lines, line)
-		}
-	}
-	if err := scanner.Err(); err != nil {
-		t.Fatal(err)
-	}
-	return lines
-}
-
 // storedReplica is the replica that testdata/messages.txt was exchanged with.
 func storedReplica() *Replica {
 	r := New(settings(0, 3))
@@ -95,7 +73,7 @@
 // gateway would drop changes that were acknowledged, and the hash of a change, which names it between gateways, would
 // differ within a fleet of two versions. The stored bytes are read, compared field by field and written again.
 func TestStoredChanges(t *testing.T) {
-	lines := readLines(t, "changes.txt")
+	lines := storeddata.ReadLines(t, "testdata/changes.txt")
 	want := storedChanges()
 	if len(lines) != len(want) {
 		t.Fatalf("%d stored changes, want %d", len(lines), len(want))
@@ -124,7 +102,7 @@
 func TestStoredMessages(t *testing.T) {
 	b := storedReplica()
 	at := Instant{Mono: time.Second, Wall: 2_000_000_000}
-	lines := readLines(t, "messages.txt")
+	lines := storeddata.ReadLines(t, "testdata/messages.txt")
 	for i := 0; i < len(lines); {
 		var from int
 		var data []byte
@@ -210,7 +188,7 @@
 // A change of any decision (order, arithmetic, a draw of a random number) shows as another transcript of the random
 // histories: the stored ones are of the version whose data is beside them.
 func TestStoredTranscripts(t *testing.T) {
-	for _, line := range readLines(t, "transcripts.txt") {
+	for _, line := range storeddata.ReadLines(t, "testdata/transcripts.txt") {
 		var seed int64
 		var actions int
 		var hash uint64
--- a/internal/reservation/stored_test.go
+++ b/internal/reservation/stored_test.go
@@ -1,11 +1,8 @@
 package reservation
 
 import (
-	"bufio"
 	"fmt"
 	"math/rand"
-	"os"
-	"path/filepath"
 	"slices"
 	"strings"
 	"testing"
@@ -14,6 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"winghatch/internal/quotaplan"
+	"winghatch/internal/testbed/storeddata"
 )
 
 // describe writes an action in a form that does not depend on the names in the code.
@@ -35,26 +33,6 @@
 	return fmt.Sprintf("%T", a)
 }
 
-func readLines(t *testing.T, name string) (lines []string) {
-	t.Helper()
-	f, err := os.Open(filepath.Join("testdata", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer f.Close()
-	scanner := bufio.NewScanner(f)
-	scanner.Buffer(nil, 1<<20)
-	for scanner.Scan() {
-		if line := scanner.Text(); !strings.HasPrefix(line, "#") {
-			lines = append(lines, line)
-		}
-	}
-	if err := scanner.Err(); err != nil {
-		t.Fatal(err)
-	}
-	return lines
-}
-
 // parseEvent is the event of a line of testdata/messages.txt, by the word that it begins with.
 func parseEvent(t *testing.T, line string) Event {
 	t.Helper()
@@ -103,7 +81,7 @@
 // holds, has sent and has received. A state that is misread makes tokens a second time or loses them. Each stored one
 // is read, written again to the same bytes and has the units free that are noted with it.
 func TestStoredStates(t *testing.T) {
-	for i, line := range readLines(t, "states.txt") {
+	for i, line := range storeddata.ReadLines(t, "testdata/states.txt") {
 		var id uint64
 		var free float64
 		var raw []byte
@@ -130,7 +108,7 @@
 // and what it did at each event: the same bytes must be sent and persisted.
 func TestStoredMessages(t *testing.T) {
 	l := New(Settings{Rank: 0, Gateways: 3, MaxRequestUnits: 8, Epoch: 5, Seed: 1})
-	lines := readLines(t, "messages.txt")
+	lines := storeddata.ReadLines(t, "testdata/messages.txt")
 	now := quotaplan.Instant{}
 	for i := 0; i < len(lines); {
 		scanLine(t, lines[i], "at %d %d", &now.Mono, &now.Wall)
@@ -220,7 +198,7 @@
 // A change of any decision (order, arithmetic, a draw of a random number) shows as another transcript of the random
 // histories: the stored ones are of the version whose data is beside them.
 func TestStoredTranscripts(t *testing.T) {
-	for _, line := range readLines(t, "transcripts.txt") {
+	for _, line := range storeddata.ReadLines(t, "testdata/transcripts.txt") {
 		var seed int64
 		var actions int
 		var hash uint64
--- /dev/null
+++ b/internal/testbed/tcpserver/tcpserver.go
@@ -0,0 +1,34 @@
+// Package tcpserver runs servers of a few lines, for tests of what a peer may do to a connection.
+package tcpserver
+
+import (
+	"net"
+	"testing"
+)
+
+// Start runs a server on a loopback port until the test ends, and returns its address. serve has each connection in a
+// goroutine of its own, at whose end the connection is closed. The test does not wait for these goroutines.
+func Start(t testing.TB, serve func(nc net.Conn)) string {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { ln.Close() })
+	go Serve(ln, serve)
+	return ln.Addr().String()
+}
+
+// Serve calls serve as Start does, until the listener is closed.
+func Serve(ln net.Listener, serve func(nc net.Conn)) {
+	for {
+		nc, err := ln.Accept()
+		if err != nil {
+			return
+		}
+		go func() {
+			defer nc.Close()
+			serve(nc)
+		}()
+	}
+}
--- a/internal/upstream/http/server_test.go
+++ b/internal/upstream/http/server_test.go
@@ -10,30 +10,14 @@
 	"testing"
 	"time"
 
+	"winghatch/internal/testbed/tcpserver"
 	"winghatch/internal/upstream"
 )
 
 // startServer runs a server until the test ends and returns its address; serve has each connection to itself.
 func startServer(t *testing.T, serve func(nc net.Conn, r *bufio.Reader)) string {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { ln.Close() })
-	go func() {
-		for {
-			nc, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				defer nc.Close()
-				serve(nc, bufio.NewReader(nc))
-			}()
-		}
-	}()
-	return ln.Addr().String()
+	return tcpserver.Start(t, func(nc net.Conn) { serve(nc, bufio.NewReader(nc)) })
 }
 
 // readRequest reads one request with its body and returns its X-Txn.
--- a/internal/upstream/websocket/pool_test.go
+++ b/internal/upstream/websocket/pool_test.go
@@ -13,6 +13,7 @@
 	"winghatch/decide"
 	"winghatch/internal/invariant"
 	"winghatch/internal/testbed/backend"
+	"winghatch/internal/testbed/tcpserver"
 	"winghatch/internal/upstream"
 	"winghatch/internal/websocket"
 	"winghatch/internal/wsconn"
@@ -47,30 +48,15 @@
 // startServer accepts connections and calls f for each after its handshake.
 func startServer(t *testing.T, f func(net.Conn, *bufio.Reader)) string {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { ln.Close() })
-	go func() {
-		for {
-			nc, err := ln.Accept()
-			if err != nil {
-				return
-			}
-			go func() {
-				defer nc.Close()
-				br := bufio.NewReader(nc)
-				u, err := websocket.ReadUpgrade(br)
-				if err != nil {
-					return
-				}
-				nc.Write(u.Accept(Protocol))
-				f(nc, br)
-			}()
+	return tcpserver.Start(t, func(nc net.Conn) {
+		br := bufio.NewReader(nc)
+		u, err := websocket.ReadUpgrade(br)
+		if err != nil {
+			return
 		}
-	}()
-	return ln.Addr().String()
+		nc.Write(u.Accept(Protocol))
+		f(nc, br)
+	})
 }
 
 // responseFrame is a frame with the response to the call with an id.
