--- a/internal/aggregate/stored_test.go
+++ b/internal/aggregate/stored_test.go
@@ -1,14 +1,14 @@
 package aggregate
 
 import (
-	"bufio"
 	"fmt"
 	"math/rand"
-	"os"
 	"testing"
 	"time"
 
 	"github.com/cespare/xxhash/v2"
+
+	"winghatch/internal/testbed/storeddata"
 )
 
 // transcript plays a random history of a small fleet and returns how many messages its gateways sent and a hash of
@@ -49,24 +49,5 @@
 // During a roll-out gateways of two versions report to each other. A change of the messages, of when they are sent or
 // of what is added up shows as another transcript of the random histories: the stored ones are of an earlier version.
 func TestStoredTranscripts(t *testing.T) {
-	f, err := os.Open("testdata/transcripts.txt")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer f.Close()
-	lines := 0
-	for scanner := bufio.NewScanner(f); scanner.Scan(); lines++ {
-		var seed int64
-		var messages int
-		var hash uint64
-		if _, err := fmt.Sscanf(scanner.Text(), "%d %d %x", &seed, &messages, &hash); err != nil {
-			t.Fatal(err)
-		}
-		if n, h := transcript(seed); n != messages || h != hash {
-			t.Errorf("seed %d: %d messages of hash %x, stored are %d of %x", seed, n, h, messages, hash)
-		}
-	}
-	if lines == 0 {
-		t.Error("no transcript is stored")
-	}
+	storeddata.CheckTranscripts(t, "testdata/transcripts.txt", transcript)
 }
--- a/internal/architecture/architecture_test.go
+++ b/internal/architecture/architecture_test.go
@@ -43,7 +43,7 @@
 	{"runtime", []string{"internal/gateway", "internal/platform"}},
 	{"test bed", []string{
 		"internal/invariant", "internal/testbed/await", "internal/testbed/ports", "internal/testbed/commandline",
-		"internal/testbed/storeddata", "internal/testbed/tcpserver", "internal/testbed/httpfault", "internal/testbed/tracereceiver",
+		"internal/testbed/storeddata", "internal/testbed/tcpserver", "internal/testbed/httpreceiver", "internal/testbed/tracereceiver",
 		"internal/testbed/usagereceiver", "internal/testbed/metricsreceiver", "internal/testbed/discovery", "internal/testbed/backend",
 		"internal/testbed/client", "internal/scenario",
 	}},
--- a/internal/frontend/http/helper_test.go
+++ b/internal/frontend/http/helper_test.go
@@ -13,6 +13,7 @@
 
 	"winghatch/decide"
 	"winghatch/internal/frontend"
+	"winghatch/internal/testbed/tcpserver"
 )
 
 // fakeCore is a core without decisions: the test answers what is submitted.
@@ -145,21 +146,7 @@
 // dialUnread returns a connection whose reader does not run, so that what arrives stays unread, and the client's end.
 func dialUnread(t *testing.T, s *Server) (*conn, net.Conn) {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	nc, err := net.Dial("tcp", ln.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { nc.Close() })
-	in, err := ln.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { in.Close() })
+	nc, in := tcpserver.Connect(t)
 	raw, err := in.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/reservation/stored_test.go
+++ b/internal/reservation/stored_test.go
@@ -198,13 +198,5 @@
 // A change of any decision (order, arithmetic, a draw of a random number) shows as another transcript of the random
 // histories: the stored ones are of the version whose data is beside them.
 func TestStoredTranscripts(t *testing.T) {
-	for _, line := range storeddata.ReadLines(t, "testdata/transcripts.txt") {
-		var seed int64
-		var actions int
-		var hash uint64
-		scanLine(t, line, "%d %d %x", &seed, &actions, &hash)
-		if n, h := transcript(seed); n != actions || h != hash {
-			t.Errorf("seed %d: %d actions of hash %x, stored are %d of %x", seed, n, h, actions, hash)
-		}
-	}
+	storeddata.CheckTranscripts(t, "testdata/transcripts.txt", transcript)
 }
--- a/internal/testbed/httpfault/httpfault.go
+++ b/internal/testbed/httpreceiver/faults.go
@@ -1,5 +1,4 @@
-// Package httpfault has the faults of HTTP receivers that several emulated receivers share.
-package httpfault
+package httpreceiver
 
 import (
 	"io"
--- a/internal/testbed/metricsreceiver/receiver.go
+++ b/internal/testbed/metricsreceiver/receiver.go
@@ -4,14 +4,12 @@
 
 import (
 	"fmt"
-	"net"
 	"net/http"
 	"sync"
 	"time"
-)
 
-// headerTimeout bounds how long a client may take to send a request's header.
-const headerTimeout = 5 * time.Second
+	"winghatch/internal/testbed/httpreceiver"
+)
 
 // Fault is what is wrong with the receiver; the zero value is nothing.
 type Fault struct {
@@ -29,8 +27,7 @@
 // Receiver is a running receiver. Batches, Bytes, Samples and OutOfOrder are to be read after Stop, or while nothing is
 // written.
 type Receiver struct {
-	server *http.Server
-	addr   string
+	server *httpreceiver.Server
 
 	mu             sync.Mutex
 	series         map[string][]Point           // by name{label="value",...}
@@ -45,12 +42,7 @@
 
 // Start listens at an address. Stop ends the goroutine that it starts.
 func Start(addr string) (*Receiver, error) {
-	ln, err := net.Listen("tcp", addr)
-	if err != nil {
-		return nil, err
-	}
 	r := &Receiver{
-		addr:    ln.Addr().String(),
 		series:  map[string][]Point{},
 		labels:  map[string]map[string]string{},
 		Batches: map[string]int{},
@@ -58,16 +50,19 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /api/v1/write", r.handleWrite)
 	mux.HandleFunc("GET /series", r.handleSeries)
-	r.server = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
-	go r.server.Serve(ln)
+	server, err := httpreceiver.Start(addr, mux)
+	if err != nil {
+		return nil, err
+	}
+	r.server = server
 	return r, nil
 }
 
 // URL returns the address of writes.
-func (r *Receiver) URL() string { return "http://" + r.addr + "/api/v1/write" }
+func (r *Receiver) URL() string { return "http://" + r.Addr() + "/api/v1/write" }
 
 // Addr returns the listen address.
-func (r *Receiver) Addr() string { return r.addr }
+func (r *Receiver) Addr() string { return r.server.Addr() }
 
 // SetFault changes what is wrong with the receiver, from the next request on.
 func (r *Receiver) SetFault(change func(*Fault)) {
@@ -77,7 +72,7 @@
 }
 
 // Stop closes all connections.
-func (r *Receiver) Stop() { r.server.Close() }
+func (r *Receiver) Stop() { r.server.Stop() }
 
 // handleSeries lists all series with their last sample.
 func (r *Receiver) handleSeries(w http.ResponseWriter, _ *http.Request) {
--- a/internal/testbed/metricsreceiver/write.go
+++ b/internal/testbed/metricsreceiver/write.go
@@ -11,7 +11,7 @@
 	"github.com/golang/snappy"
 
 	"winghatch/internal/remotewrite"
-	"winghatch/internal/testbed/httpfault"
+	"winghatch/internal/testbed/httpreceiver"
 )
 
 // maxBodyBytes bounds a batch, compressed.
@@ -24,7 +24,7 @@
 	r.mu.Unlock()
 	time.Sleep(fault.Delay)
 	if fault.RespondEarly {
-		httpfault.RespondEarly(w)
+		httpreceiver.RespondEarly(w)
 		return
 	}
 	raw, err := io.ReadAll(io.LimitReader(req.Body, maxBodyBytes))
@@ -32,7 +32,7 @@
 		return
 	}
 	if fault.Status != 0 {
-		httpfault.RespondStatus(w, fault.Status, fault.RetryAfter)
+		httpreceiver.RespondStatus(w, fault.Status, fault.RetryAfter)
 		return
 	}
 	v2 := strings.Contains(req.Header.Get("Content-Type"), "io.prometheus.write.v2")
--- a/internal/testbed/tcpserver/tcpserver.go
+++ b/internal/testbed/tcpserver/tcpserver.go
@@ -1,4 +1,4 @@
-// Package tcpserver runs servers of a few lines, for tests of what a peer may do to a connection.
+// Package tcpserver runs servers of a few lines and makes connections, for tests of what a peer may do to a connection.
 package tcpserver
 
 import (
@@ -32,3 +32,24 @@
 		}()
 	}
 }
+
+// Connect returns both ends of a connection. They are closed when the test ends.
+func Connect(t testing.TB) (client, server net.Conn) {
+	t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	client, err = net.Dial("tcp", ln.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { client.Close() })
+	server, err = ln.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { server.Close() })
+	return client, server
+}
--- a/internal/testbed/tracereceiver/receiver.go
+++ b/internal/testbed/tracereceiver/receiver.go
@@ -6,7 +6,6 @@
 	"compress/gzip"
 	"encoding/hex"
 	"io"
-	"net"
 	"net/http"
 	"sync"
 	"time"
@@ -14,13 +13,12 @@
 	collector "go.opentelemetry.io/proto/otlp/collector/trace/v1"
 	tracepb "go.opentelemetry.io/proto/otlp/trace/v1"
 	"google.golang.org/protobuf/proto"
-)
 
-const (
-	headerTimeout = 5 * time.Second // in which a client has to send a request's header
-	maxBodyBytes  = 64 << 20
+	"winghatch/internal/testbed/httpreceiver"
 )
 
+const maxBodyBytes = 64 << 20
+
 // Span is a span that was received. Its ids are hexadecimal.
 type Span struct {
 	TraceID, ID, ParentID string
@@ -32,8 +30,7 @@
 
 // Receiver is a running receiver.
 type Receiver struct {
-	server *http.Server
-	addr   string
+	server *httpreceiver.Server
 
 	mu     sync.Mutex
 	spans  []Span
@@ -42,23 +39,22 @@
 
 // Start listens at an address. Stop ends the goroutine that it starts.
 func Start(addr string) (*Receiver, error) {
-	ln, err := net.Listen("tcp", addr)
+	r := &Receiver{}
+	mux := http.NewServeMux()
+	mux.HandleFunc("POST /v1/traces", r.handleTraces)
+	server, err := httpreceiver.Start(addr, mux)
 	if err != nil {
 		return nil, err
 	}
-	r := &Receiver{addr: ln.Addr().String()}
-	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/traces", r.handleTraces)
-	r.server = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
-	go r.server.Serve(ln)
+	r.server = server
 	return r, nil
 }
 
 // URL returns the address of the traces.
-func (r *Receiver) URL() string { return "http://" + r.addr + "/v1/traces" }
+func (r *Receiver) URL() string { return "http://" + r.server.Addr() + "/v1/traces" }
 
 // Stop closes all connections.
-func (r *Receiver) Stop() { r.server.Close() }
+func (r *Receiver) Stop() { r.server.Stop() }
 
 // Spans returns all spans that were received.
 func (r *Receiver) Spans() []Span {
--- a/internal/testbed/usagereceiver/receiver.go
+++ b/internal/testbed/usagereceiver/receiver.go
@@ -7,19 +7,15 @@
 	"encoding/json"
 	"io"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"strings"
 	"sync"
 	"time"
 
-	"winghatch/internal/testbed/httpfault"
+	"winghatch/internal/testbed/httpreceiver"
 )
 
-const (
-	headerTimeout = 5 * time.Second // in which a client has to send a request's header
-	maxBodyBytes  = 64 << 20
-)
+const maxBodyBytes = 64 << 20
 
 // Event is a CloudEvent with the attributes that the receiver looks at.
 type Event struct {
@@ -45,8 +41,7 @@
 // Receiver is a running receiver. Duplicates is to be read after Stop.
 type Receiver struct {
 	store  *store
-	server *http.Server
-	addr   string
+	server *httpreceiver.Server
 
 	mu         sync.Mutex // guards store too
 	Duplicates int        // events that came again
@@ -60,30 +55,28 @@
 	if err != nil {
 		return nil, err
 	}
-	ln, err := net.Listen("tcp", addr)
-	if err != nil {
-		s.file.Close()
-		return nil, err
-	}
 	r := &Receiver{
 		store:      s,
-		addr:       ln.Addr().String(),
 		Duplicates: duplicates,
 		rng:        rand.New(rand.NewPCG(1, uint64(time.Now().UnixNano()))),
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /use", r.handleBatch)
 	mux.HandleFunc("GET /events", r.handleEvents)
-	r.server = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
-	go r.server.Serve(ln)
+	server, err := httpreceiver.Start(addr, mux)
+	if err != nil {
+		s.file.Close()
+		return nil, err
+	}
+	r.server = server
 	return r, nil
 }
 
 // Addr returns the listen address.
-func (r *Receiver) Addr() string { return r.addr }
+func (r *Receiver) Addr() string { return r.server.Addr() }
 
 // URL returns the address of batches.
-func (r *Receiver) URL() string { return "http://" + r.addr + "/use" }
+func (r *Receiver) URL() string { return "http://" + r.Addr() + "/use" }
 
 // SetFault changes what is wrong with the receiver, from the next request on.
 func (r *Receiver) SetFault(change func(*Fault)) {
@@ -101,7 +94,7 @@
 
 // Stop closes all connections, as a kill would.
 func (r *Receiver) Stop() {
-	r.server.Close()
+	r.server.Stop()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.store.file.Close()
@@ -118,7 +111,7 @@
 	r.mu.Unlock()
 	time.Sleep(fault.Delay)
 	if fault.RespondEarly && hit {
-		httpfault.RespondEarly(w)
+		httpreceiver.RespondEarly(w)
 		return
 	}
 	body, err := io.ReadAll(io.LimitReader(req.Body, maxBodyBytes))
@@ -126,7 +119,7 @@
 		return
 	}
 	if fault.Status != 0 && hit {
-		httpfault.RespondStatus(w, fault.Status, fault.RetryAfter)
+		httpreceiver.RespondStatus(w, fault.Status, fault.RetryAfter)
 		return
 	}
 	if fault.Reject != "" && strings.Contains(string(body), fault.Reject) {
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -27,6 +27,22 @@
 	return l, rec, got
 }
 
+// readRest reads a cursor to the end of what is durable.
+func readRest(t testing.TB, c *Cursor) (records []Record) {
+	t.Helper()
+	for {
+		r, ok, err := c.Next()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if !ok {
+			return records
+		}
+		r.Payload = slices.Clone(r.Payload)
+		records = append(records, r)
+	}
+}
+
 // appendRecords appends "record N" for each number and waits until all are durable.
 func appendRecords(t testing.TB, l *Log, from, to int) {
 	t.Helper()
@@ -136,18 +152,7 @@
 		if rec.TornBytes+rec.SkippedBytes < int64(size) {
 			t.Fatalf("bit at %d: %+v does not report it", at, rec)
 		}
-		c, n := l.NewCursor(1), 0
-		for {
-			_, ok, err := c.Next()
-			if err != nil {
-				t.Fatal(err)
-			}
-			if !ok {
-				break
-			}
-			n++
-		}
-		if n != 4 {
+		if n := len(readRest(t, l.NewCursor(1))); n != 4 {
 			t.Fatalf("bit at %d: the cursor reads %d", at, n)
 		}
 	}
--- a/internal/wal/stored_test.go
+++ b/internal/wal/stored_test.go
@@ -129,14 +129,7 @@
 	clear(got)
 	c := l.NewCursor(1)
 	defer c.Close()
-	for {
-		r, ok, err := c.Next()
-		if err != nil {
-			t.Fatal(err)
-		}
-		if !ok {
-			break
-		}
+	for _, r := range readRest(t, c) {
 		got[r.Number] = string(r.Payload)
 	}
 	wantRecords(t, got, 4, 14)
--- a/internal/wsconn/conn_test.go
+++ b/internal/wsconn/conn_test.go
@@ -11,26 +11,14 @@
 	"testing"
 	"time"
 
+	"winghatch/internal/testbed/tcpserver"
 	"winghatch/internal/websocket"
 )
 
 // ends returns both ends of a connection over a socket.
 func ends(t *testing.T, o Options) (client, server *Conn) {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	a, err := net.Dial("tcp", ln.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	b, err := ln.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { a.Close(); b.Close() })
+	a, b := tcpserver.Connect(t)
 	return New(a, bufio.NewReader(a), websocket.Client, o), New(b, bufio.NewReader(b), websocket.Server, o)
 }
 
