--- a/internal/upstream/http/attempt_test.go
+++ b/internal/upstream/http/attempt_test.go
@@ -33,7 +33,10 @@
 		for i := range 20000 {
 			c, _ := newAttempt("a", fmt.Sprint(i))
 			over := make(chan struct{})
-			c.Done = func(upstream.Result) { ended.Add(1); close(over) }
+			c.Done = func(upstream.Result) {
+				ended.Add(1)
+				close(over)
+			}
 			p.Send(c)
 			if i%2 == 0 {
 				for range i % 97 {
