--- a/internal/upstream/http/conn.go
+++ b/internal/upstream/http/conn.go
@@ -30,7 +30,7 @@
 	nc            *net.TCPConn
 	raw           syscall.RawConn
 	call          *upstream.Call // the attempt it carries or was dialed for; nil: none
-	idleElem      *list.Element    // in Pool.idleConns; nil unless idle
+	idleElem      *list.Element  // in Pool.idleConns; nil unless idle
 	idleSince     time.Time
 	respondedAt   time.Time     // when its last response was complete; zero: none yet
 	idleBefore    time.Duration // how long it was idle before the current attempt; 0 for a new connection
