--- a/internal/config/decode/decode.go
+++ b/internal/config/decode/decode.go
@@ -81,7 +81,6 @@
 // Setting is a field as the document has it: a property, or a node of one value.
 type Setting struct {
 	d     *Decoder
-	Pos   kdl.Pos
 	Field string
 	Value kdl.Value
 }
@@ -90,7 +89,7 @@
 func (s Setting) Reject(want string) { s.d.Fail(s.Value.Pos, s.Field, "%s, want %s", s.Value, want) }
 
 // NewSetting makes a setting of a value that is neither a property nor a node of its own.
-func NewSetting(d *Decoder, field string, v kdl.Value) Setting { return Setting{d, v.Pos, field, v} }
+func NewSetting(d *Decoder, field string, v kdl.Value) Setting { return Setting{d, field, v} }
 
 // Fields are the settings that a block may have: by name, what reads one.
 type Fields map[string]func(Setting)
@@ -113,7 +112,7 @@
 			d.unknown(p, at, name, f, b)
 			return
 		}
-		set(Setting{d, p, field, v})
+		set(Setting{d, field, v})
 	}
 	for _, p := range n.Props {
 		take(p.Pos, p.Name, p.Value)
--- a/internal/jsonrpc/message.go
+++ b/internal/jsonrpc/message.go
@@ -13,7 +13,6 @@
 	CodeInvalidRequest = -32600
 	CodeMethodNotFound = -32601
 	CodeInvalidParams  = -32602
-	CodeInternal       = -32603
 	CodeServerError    = -32000 // of a server: the work failed, and may have had its effect
 	CodeRejected       = -32001 // of a gateway: the request may be repeated without harm
 	CodeFailed         = -32002 // of a gateway: the request may or may not have had its effect
--- a/internal/recording/reader.go
+++ b/internal/recording/reader.go
@@ -46,7 +46,7 @@
 	if err := json.Unmarshal(raw, &h); err != nil || h.Version != formatVersion {
 		return nil, fmt.Errorf("recording: line 1: version %d, want %d", h.Version, formatVersion)
 	}
-	r.Header = Header{h.Version, h.Seed, h.Config.load()}
+	r.Header = Header{h.Seed, h.Config.load()}
 	return r, nil
 }
 
--- a/internal/recording/recording.go
+++ b/internal/recording/recording.go
@@ -22,11 +22,10 @@
 // bufferBytes is the size of the buffers between the codec and the caller's writer or reader.
 const bufferBytes = 64 << 10
 
-// Header is the first line of a recording: all that a fresh core needs.
+// Header is all that a fresh core needs. The first line of a recording holds it.
 type Header struct {
-	Version int
-	Seed    int64
-	Config  decide.Config
+	Seed   int64
+	Config decide.Config
 }
 
 // Record is one event that the core handled.
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -94,7 +94,7 @@
 	<-l.done
 	l.snapshotWG.Wait()
 	l.lock.Close()
-	return l.Err()
+	return l.err()
 }
 
 // Append adds a record and returns its number, without waiting for the disk: Options.OnDurable tells when the record is
@@ -130,9 +130,6 @@
 	}
 }
 
-// Dir is the directory of the log.
-func (l *Log) Dir() string { return l.dir }
-
 // NextNumber is the number that the next record gets.
 func (l *Log) NextNumber() uint64 {
 	l.mu.Lock()
@@ -154,8 +151,8 @@
 	return l.totalBytes
 }
 
-// Err is why the log does not work, or nil.
-func (l *Log) Err() error {
+// err is why the log does not work, or nil.
+func (l *Log) err() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.failure
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -175,7 +175,7 @@
 			if err := <-fails; err == nil {
 				t.Fatal("no failure is reported")
 			}
-			if l.LastDurable() > 4 || l.Err() == nil {
+			if l.LastDurable() > 4 || l.err() == nil {
 				t.Fatalf("record %d counts as durable", l.LastDurable())
 			}
 			d.mu.Lock()
@@ -186,7 +186,7 @@
 			}
 			appendRecords(t, l, 7, 8)
 			l.Close()
-			_, rec, got := openLog(t, l.Dir(), Options{FS: d.crash(0)})
+			_, rec, got := openLog(t, l.dir, Options{FS: d.crash(0)})
 			var want []string
 			for i := 1; i <= 8; i++ {
 				want = append(want, fmt.Sprintf("record %d", i))
@@ -232,7 +232,7 @@
 		d.failSync = true
 		d.mu.Unlock()
 		l.Append([]byte("record 1"))
-		for until := time.Now().Add(10 * time.Second); l.Err() == nil && time.Now().Before(until); {
+		for until := time.Now().Add(10 * time.Second); l.err() == nil && time.Now().Before(until); {
 			time.Sleep(time.Millisecond)
 		}
 		acknowledged := l.LastDurable()
--- a/internal/wal/writer.go
+++ b/internal/wal/writer.go
@@ -27,7 +27,7 @@
 	defer alarm.Stop()
 	for {
 		wait := time.Hour
-		if l.Err() != nil {
+		if l.err() != nil {
 			wait = l.options.RetryInterval
 		} else if w.needsSync {
 			wait = l.options.SyncInterval
@@ -49,7 +49,7 @@
 			l.groupCommit(timer)
 		}
 		if closed {
-			if w.file != nil && l.Err() == nil {
+			if w.file != nil && l.err() == nil {
 				l.flush(true)
 				w.file.Close()
 			}
--- a/internal/websocket/closeframe.go
+++ b/internal/websocket/closeframe.go
@@ -11,9 +11,7 @@
 	CodeNoStatus    = 1005 // never sent
 	CodeAbnormal    = 1006 // never sent
 	CodeInvalidData = 1007
-	CodePolicy      = 1008
 	CodeTooBig      = 1009
-	CodeInternal    = 1011
 )
 
 // maxControlPayload is the longest payload of a control frame (RFC 6455 section 5.5).
