--- a/internal/aggregate/aggregator.go
+++ b/internal/aggregate/aggregator.go
@@ -141,9 +141,9 @@
 	return int((first + 1 + (hash>>20)%(gateways-1)) % gateways)
 }
 
-// ReportInterval is the mean time between reports: so long that the reports of all gateways to one stay within its
+// reportInterval is the mean time between reports: so long that the reports of all gateways to one stay within its
 // part of the capacity.
-func (a *Aggregator) ReportInterval() time.Duration {
+func (a *Aggregator) reportInterval() time.Duration {
 	if a.settings.GossipCapacity <= 0 {
 		return minReportInterval
 	}
@@ -156,7 +156,7 @@
 	a.now = max(a.now, now)
 	if !a.started {
 		a.started, a.startedAt = true, a.now
-		a.reportAt = a.now + time.Duration(a.random.Float64()*float64(a.ReportInterval()))
+		a.reportAt = a.now + time.Duration(a.random.Float64()*float64(a.reportInterval()))
 	}
 }
 
@@ -194,7 +194,7 @@
 		return nil
 	}
 	jitter := jitterLow + jitterSpan*a.random.Float64()
-	a.reportAt = a.now + time.Duration(jitter*float64(a.ReportInterval()))
+	a.reportAt = a.now + time.Duration(jitter*float64(a.reportInterval()))
 	byOwner := map[int][]*localTotals{}
 	for _, local := range a.localInOrder {
 		for _, rank := range a.owners(local.hash) {
--- a/internal/aggregate/aggregator_test.go
+++ b/internal/aggregate/aggregator_test.go
@@ -224,7 +224,7 @@
 				continue
 			}
 			w := newWorld(n, members, 1)
-			secs := 2 * w.aggregators[0].ReportInterval().Seconds()
+			secs := 2 * w.aggregators[0].reportInterval().Seconds()
 			for range 20 {
 				for i := range n { // each is used by 40 members over the time
 					w.add(i, w.keys[w.rng.Intn(2)], Totals{Served: 1, Units: 1})
@@ -237,7 +237,7 @@
 				t.Errorf("%d gateways, %d members: each is sent %.1f messages a second, the capacity is 40", n, members, per)
 			}
 			t.Logf("%d gateways, %d members: a report each %v, to each gateway %.2f messages and %.0f bytes a second",
-				n, members, w.aggregators[0].ReportInterval(), per, float64(w.bytes)/secs/float64(n))
+				n, members, w.aggregators[0].reportInterval(), per, float64(w.bytes)/secs/float64(n))
 		}
 	}
 }
@@ -271,7 +271,7 @@
 				if report >= 4 {
 					sender.Add(now, names[1], Totals{Served: 1})
 				}
-				now += 2 * sender.ReportInterval()
+				now += 2 * sender.reportInterval()
 				for _, s := range sender.Tick(now) {
 					if s.To == owner {
 						x.Receive(now, from, s.Data)
--- a/internal/config/kdl/kdl.go
+++ b/internal/config/kdl/kdl.go
@@ -79,16 +79,16 @@
 	return strconv.Quote(v.Text)
 }
 
-// MaxDepth is how deep nodes may be nested.
-const MaxDepth = 64
+// maxDepth is how deep nodes may be nested.
+const maxDepth = 64
 
 // Parse reads a document; file is only named in errors. The error is an *Error.
 func Parse(file string, src []byte) ([]*Node, error) {
 	if at, c := forbidden(src); at >= 0 {
 		return nil, &Error{file, positionOf(src, at), fmt.Sprintf("character %U is not allowed", c)}
 	}
-	if d := depth(src); d > MaxDepth {
-		return nil, &Error{file, Pos{1, 1}, fmt.Sprintf("nodes lie %d deep, %d at most", d, MaxDepth)}
+	if d := depth(src); d > maxDepth {
+		return nil, &Error{file, Pos{1, 1}, fmt.Sprintf("nodes lie %d deep, %d at most", d, maxDepth)}
 	}
 	doc, err := parser.ParseBytes(file, src)
 	if err != nil {
--- a/internal/discovery/websocket/cache.go
+++ b/internal/discovery/websocket/cache.go
@@ -7,8 +7,8 @@
 	"path/filepath"
 )
 
-// SaveList replaces a cache file in one step: a crash leaves the old list or the new one, never a part.
-func SaveList(file string, u Update) error {
+// saveList replaces a cache file in one step: a crash leaves the old list or the new one, never a part.
+func saveList(file string, u Update) error {
 	raw, err := json.Marshal(u)
 	if err != nil {
 		return err
@@ -39,7 +39,7 @@
 	return f.Name(), err
 }
 
-// LoadList reads a file that SaveList wrote and checks it. The error is os.ErrNotExist if there is none.
+// LoadList reads a file that saveList wrote and checks it. The error is os.ErrNotExist if there is none.
 func LoadList(file string) (Update, error) {
 	var u Update
 	raw, err := os.ReadFile(file)
--- a/internal/discovery/websocket/cache_test.go
+++ b/internal/discovery/websocket/cache_test.go
@@ -10,7 +10,7 @@
 func TestKept(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "list.json")
 	u := Update{Version: 7, Endpoints: []Endpoint{endpoint("h:1", "serving", 3)}}
-	if err := SaveList(file, u); err != nil {
+	if err := saveList(file, u); err != nil {
 		t.Fatal(err)
 	}
 	if back, err := LoadList(file); err != nil || back.Version != 7 || back.Endpoints[0] != u.Endpoints[0] {
@@ -21,7 +21,7 @@
 	if _, err := LoadList(file); err == nil {
 		t.Error("a truncated file was loaded")
 	}
-	if err := SaveList(filepath.Join(file, "no", "folder"), u); err == nil {
+	if err := saveList(filepath.Join(file, "no", "folder"), u); err == nil {
 		t.Error("a list was saved into a file")
 	}
 }
--- a/internal/discovery/websocket/stored_test.go
+++ b/internal/discovery/websocket/stored_test.go
@@ -23,7 +23,7 @@
 		t.Errorf("version %d with %d endpoints, %d of them started: want 4, 6, 1", u.Version, len(u.Endpoints), started)
 	}
 	file := filepath.Join(t.TempDir(), "list.json")
-	if err := SaveList(file, u); err != nil {
+	if err := saveList(file, u); err != nil {
 		t.Fatal(err)
 	}
 	got, err := os.ReadFile(file)
--- a/internal/discovery/websocket/tracker.go
+++ b/internal/discovery/websocket/tracker.go
@@ -7,17 +7,17 @@
 	"winghatch/decide"
 )
 
-// ErrVersionGap reports that versions between the last update and a change are missing: the complete list has to be
+// errVersionGap reports that versions between the last update and a change are missing: the complete list has to be
 // fetched.
-var ErrVersionGap = errors.New("discovery: versions are missing, the complete list is needed")
+var errVersionGap = errors.New("discovery: versions are missing, the complete list is needed")
 
-// ErrStaleVersion reports an update whose version is not newer than that of the last one.
-var ErrStaleVersion = errors.New("discovery: version is not newer")
+// errStaleVersion reports an update whose version is not newer than that of the last one.
+var errStaleVersion = errors.New("discovery: version is not newer")
 
-// Tracker turns updates of the endpoint list into events of the core. It enforces the order of versions, and it gives
+// tracker turns updates of the endpoint list into events of the core. It enforces the order of versions, and it gives
 // each start of a server one time on the gateway's clock: the service repeats the start with every full list, and
 // each repetition must not look like a restart. It is not safe for concurrent use.
-type Tracker struct {
+type tracker struct {
 	version   uint64
 	known     bool // an update was applied
 	starts    map[string]startTime
@@ -30,15 +30,15 @@
 	at         time.Duration
 }
 
-// NewTracker returns a tracker that has no list.
-func NewTracker() *Tracker {
-	return &Tracker{starts: map[string]startTime{}, endpoints: map[string]Endpoint{}}
+// newTracker returns a tracker that has no list.
+func newTracker() *tracker {
+	return &tracker{starts: map[string]startTime{}, endpoints: map[string]Endpoint{}}
 }
 
-// Apply checks an update and returns the event for the core. full marks a complete list. first marks the first
+// apply checks an update and returns the event for the core. full marks a complete list. first marks the first
 // complete list of a connection, which is applied whatever its version is: the service may have restarted with its
-// versions from the beginning. The error is ErrVersionGap, ErrStaleVersion or that of Check; then nothing changes.
-func (t *Tracker) Apply(now time.Duration, full, first bool, u *Update) (decide.EndpointUpdate, error) {
+// versions from the beginning. The error is errVersionGap, errStaleVersion or that of Check; then nothing changes.
+func (t *tracker) apply(now time.Duration, full, first bool, u *Update) (decide.EndpointUpdate, error) {
 	event := decide.EndpointUpdate{Kind: decide.DeltaUpdate, Version: u.Version}
 	if err := u.Check(); err != nil {
 		return event, err
@@ -48,9 +48,9 @@
 		event.Kind = decide.FullUpdate
 		t.endpoints = map[string]Endpoint{}
 	case full || t.known && u.Version <= t.version:
-		return event, ErrStaleVersion
+		return event, errStaleVersion
 	case !t.known || u.Version != t.version+1:
-		return event, ErrVersionGap
+		return event, errVersionGap
 	}
 	t.known, t.version = true, u.Version
 	for _, e := range u.Endpoints {
@@ -67,7 +67,7 @@
 
 // toServer converts an endpoint. Its start is placed on the gateway's clock by its age on the service's clock. The age
 // is never negative: a service whose clock stepped back would otherwise report starts in the future.
-func (t *Tracker) toServer(now time.Duration, serviceNowMs int64, e Endpoint) decide.Server {
+func (t *tracker) toServer(now time.Duration, serviceNowMs int64, e Endpoint) decide.Server {
 	s := decide.Server{
 		ID:     e.Address,
 		Zone:   e.Zone,
@@ -90,7 +90,7 @@
 }
 
 // pruneStarts drops the starts of servers that are not listed, so that memory is bounded by the list.
-func (t *Tracker) pruneStarts() {
+func (t *tracker) pruneStarts() {
 	for address := range t.starts {
 		if _, ok := t.endpoints[address]; !ok {
 			delete(t.starts, address)
@@ -98,8 +98,8 @@
 	}
 }
 
-// Snapshot returns the complete list as of the last update, in no particular order.
-func (t *Tracker) Snapshot(nowMs int64) Update {
+// snapshot returns the complete list as of the last update, in no particular order.
+func (t *tracker) snapshot(nowMs int64) Update {
 	u := Update{Version: t.version, NowMs: nowMs}
 	for _, e := range t.endpoints {
 		u.Endpoints = append(u.Endpoints, e)
--- a/internal/discovery/websocket/tracker_test.go
+++ b/internal/discovery/websocket/tracker_test.go
@@ -16,7 +16,7 @@
 // TestBook applies updates in and out of order: a change needs the version before it, and only the first full list of a
 // connection may go back.
 func TestBook(t *testing.T) {
-	tracker := NewTracker()
+	tracker := newTracker()
 	a, c := endpoint("10.0.0.1:1", "serving", 0), endpoint("10.0.0.2:1", "serving", 5000)
 	steps := []struct {
 		name        string
@@ -26,20 +26,20 @@
 		err         error
 		kind        decide.UpdateKind
 	}{
-		{"a change before any list", false, false, 3, []Endpoint{a}, ErrVersionGap, 0},
+		{"a change before any list", false, false, 3, []Endpoint{a}, errVersionGap, 0},
 		{"the full list", true, true, 3, []Endpoint{a, c}, nil, decide.FullUpdate},
 		{"a change", false, false, 4, []Endpoint{endpoint("10.0.0.1:1", "draining", 0)}, nil, decide.DeltaUpdate},
-		{"the same again", false, false, 4, []Endpoint{a}, ErrStaleVersion, 0},
-		{"an older one", false, false, 2, []Endpoint{a}, ErrStaleVersion, 0},
-		{"a gap", false, false, 6, []Endpoint{a}, ErrVersionGap, 0},
-		{"an older full list", true, false, 3, nil, ErrStaleVersion, 0},
+		{"the same again", false, false, 4, []Endpoint{a}, errStaleVersion, 0},
+		{"an older one", false, false, 2, []Endpoint{a}, errStaleVersion, 0},
+		{"a gap", false, false, 6, []Endpoint{a}, errVersionGap, 0},
+		{"an older full list", true, false, 3, nil, errStaleVersion, 0},
 		{"a newer full list", true, false, 9, []Endpoint{c}, nil, decide.FullUpdate},
 		{"a service that restarted", true, true, 1, []Endpoint{c}, nil, decide.FullUpdate},
 		{"a change of it", false, false, 2, []Endpoint{a}, nil, decide.DeltaUpdate},
 	}
 	for _, s := range steps {
 		u := &Update{Version: s.version, NowMs: 8000, Endpoints: s.endpoints}
-		event, err := tracker.Apply(time.Hour, s.full, s.first, u)
+		event, err := tracker.apply(time.Hour, s.full, s.first, u)
 		if !errors.Is(err, s.err) || err == nil && event.Kind != s.kind {
 			t.Errorf("%s: %v, %v", s.name, event, err)
 		}
@@ -49,11 +49,11 @@
 // TestStarts repeats one start of a server while the service's clock runs on. It stays one start: a start that moved
 // would put a warm server into slow start again.
 func TestStarts(t *testing.T) {
-	tracker := NewTracker()
+	tracker := newTracker()
 	apply := func(now time.Duration, serviceNow, started int64, version uint64) time.Duration {
 		t.Helper()
 		endpoints := []Endpoint{endpoint("h:1", "serving", started)}
-		event, err := tracker.Apply(now, true, false, &Update{Version: version, NowMs: serviceNow, Endpoints: endpoints})
+		event, err := tracker.apply(now, true, false, &Update{Version: version, NowMs: serviceNow, Endpoints: endpoints})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -82,8 +82,8 @@
 		"nodes[0].state: \"up\"": {Endpoints: []Endpoint{endpoint("h:1", "up", 0)}},
 		"comes twice":            {Endpoints: []Endpoint{endpoint("h:1", "serving", 0), endpoint("h:1", "gone", 0)}},
 	} {
-		tracker := NewTracker()
-		if _, err := tracker.Apply(0, true, true, &u); err == nil || !strings.Contains(err.Error(), want) {
+		tracker := newTracker()
+		if _, err := tracker.apply(0, true, true, &u); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %q", err, want)
 		}
 		if tracker.known {
@@ -94,11 +94,11 @@
 
 // TestForget lists many servers that come and go: the tracker holds no more than the list.
 func TestForget(t *testing.T) {
-	tracker := NewTracker()
+	tracker := newTracker()
 	for v := range uint64(100) {
 		address := "h:" + string(rune('a'+v%26))
 		u := Update{Version: v, NowMs: 8000, Endpoints: []Endpoint{endpoint(address, "serving", int64(v+1))}}
-		if _, err := tracker.Apply(time.Hour, true, true, &u); err != nil {
+		if _, err := tracker.apply(time.Hour, true, true, &u); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/discovery/websocket/watch.go
+++ b/internal/discovery/websocket/watch.go
@@ -41,7 +41,7 @@
 // as a decide.StaleUpdate. A connection that fails is a decide.FailedUpdate. OnUpdate is called from this goroutine
 // only.
 func Watch(ctx context.Context, o Options) {
-	w := &watcher{options: o, tracker: NewTracker()}
+	w := &watcher{options: o, tracker: newTracker()}
 	w.loadCache()
 	backoff := minBackoff
 	for ctx.Err() == nil {
@@ -58,7 +58,7 @@
 
 type watcher struct {
 	options Options
-	tracker *Tracker
+	tracker *tracker
 	listed  bool // the current connection has delivered a complete list
 }
 
@@ -77,7 +77,7 @@
 	}
 	// The service's clock is not known yet; this machine's stands in for it.
 	u.NowMs = time.Now().UnixMilli()
-	event, _ := w.tracker.Apply(w.options.Clock(), true, true, &u) // LoadList has checked it
+	event, _ := w.tracker.apply(w.options.Clock(), true, true, &u) // LoadList has checked it
 	event.Kind = decide.StaleUpdate
 	w.options.OnUpdate(event)
 	w.options.Log("Started with the cached endpoint list", "version", u.Version, "endpoints", len(u.Endpoints))
@@ -130,10 +130,10 @@
 		return
 	}
 	full := m.Method == MethodFull
-	event, err := w.tracker.Apply(w.options.Clock(), full, full && !w.listed, &u)
+	event, err := w.tracker.apply(w.options.Clock(), full, full && !w.listed, &u)
 	if err != nil {
 		w.options.Log("Endpoint update rejected", "err", err)
-		if errors.Is(err, ErrVersionGap) {
+		if errors.Is(err, errVersionGap) {
 			conn.Send(jsonrpc.AppendCall(nil, "", MethodFetch, nil))
 		}
 		return
@@ -143,7 +143,7 @@
 	if w.options.CacheFile == "" {
 		return
 	}
-	if err := SaveList(w.options.CacheFile, w.tracker.Snapshot(u.NowMs)); err != nil {
+	if err := saveList(w.options.CacheFile, w.tracker.snapshot(u.NowMs)); err != nil {
 		w.options.Log("Caching the endpoint list failed", "err", err)
 	}
 }
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -54,8 +54,8 @@
 	return value, n
 }
 
-// HasToken reports whether a field of comma-separated tokens holds one, without case (RFC 9110, section 5.6.1).
-func (h *Head) HasToken(name, token string) bool {
+// hasToken reports whether a field of comma-separated tokens holds one, without case (RFC 9110, section 5.6.1).
+func (h *Head) hasToken(name, token string) bool {
 	for _, f := range h.Fields {
 		if !strings.EqualFold(f.Name, name) {
 			continue
@@ -159,7 +159,7 @@
 	h.Fields = make([]Field, 0, n-1)
 	for i := 1; i < n; i++ {
 		name, value, ok := strings.Cut(text[ends[i-1]:ends[i]], ":")
-		if !ok || !IsToken(name) {
+		if !ok || !isToken(name) {
 			return firstLine, h, malformed(http.StatusBadRequest, "field %d has no name that can be read", i)
 		}
 		h.Fields = append(h.Fields, Field{name, strings.Trim(value, " \t")})
@@ -167,8 +167,8 @@
 	return [3]string{first, second, third}, h, nil
 }
 
-// IsToken reports whether s is a token (RFC 9110, section 5.6.2).
-func IsToken(s string) bool { return s != "" && !strings.ContainsFunc(s, isNoTokenChar) }
+// isToken reports whether s is a token (RFC 9110, section 5.6.2).
+func isToken(s string) bool { return s != "" && !strings.ContainsFunc(s, isNoTokenChar) }
 
 // isNoTokenChar reports whether c is not a tchar (RFC 9110, section 5.6.2).
 func isNoTokenChar(c rune) bool {
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -38,7 +38,7 @@
 	if q.BodyLength < 0 && q.Version == "HTTP/1.0" {
 		return nil, malformed(http.StatusBadRequest, "a transfer coding in HTTP/1.0")
 	}
-	q.Close = q.HasToken("Connection", "close") || q.Version == "HTTP/1.0"
+	q.Close = q.hasToken("Connection", "close") || q.Version == "HTTP/1.0"
 	if expectation, n := q.Get("Expect"); n > 0 {
 		if !strings.EqualFold(expectation, "100-continue") {
 			return nil, malformed(http.StatusExpectationFailed, "expectation %.20q", expectation)
@@ -52,7 +52,7 @@
 	switch {
 	case q.Version != "HTTP/1.1" && q.Version != "HTTP/1.0":
 		return malformed(http.StatusHTTPVersionNotSupported, "version %.20q, want HTTP/1.1", q.Version)
-	case !IsToken(q.Method):
+	case !isToken(q.Method):
 		return malformed(http.StatusBadRequest, "method %.20q is no token", q.Method)
 	case !strings.HasPrefix(q.Target, "/") || strings.ContainsFunc(q.Target, isNoTargetChar):
 		return malformed(http.StatusBadRequest, "target %.20q, want a path", q.Target)
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -68,7 +68,7 @@
 		if p.Status < 200 {
 			continue
 		}
-		p.Close = head.HasToken("Connection", "close") || version == "HTTP/1.0"
+		p.Close = head.hasToken("Connection", "close") || version == "HTTP/1.0"
 		length, err := p.responseBodyLength(maxBody)
 		return p, length, err
 	}
--- a/internal/httppost/post.go
+++ b/internal/httppost/post.go
@@ -91,7 +91,7 @@
 	r := Result{
 		Status:     res.StatusCode,
 		Header:     res.Header,
-		RetryAfter: ParseRetryAfter(res.Header.Get("Retry-After"), time.Now()),
+		RetryAfter: parseRetryAfter(res.Header.Get("Retry-After"), time.Now()),
 		BodySent:   sent,
 	}
 	if res.StatusCode >= 300 {
@@ -102,9 +102,9 @@
 	return r
 }
 
-// ParseRetryAfter reads the header of that name (RFC 9110 section 10.2.3), in seconds or as a date; 0: it is neither,
+// parseRetryAfter reads the header of that name (RFC 9110 section 10.2.3), in seconds or as a date; 0: it is neither,
 // or the date is past.
-func ParseRetryAfter(s string, now time.Time) time.Duration {
+func parseRetryAfter(s string, now time.Time) time.Duration {
 	if n, err := strconv.Atoi(s); err == nil && n >= 0 {
 		return time.Duration(min(n, maxRetryAfterSeconds)) * time.Second
 	}
--- a/internal/httppost/post_test.go
+++ b/internal/httppost/post_test.go
@@ -26,7 +26,7 @@
 		{"Thu, 03 Dec 2026 07:00:30 GMT", 30 * time.Second},
 		{"Thu, 03 Dec 2026 06:59:30 GMT", 0},
 	} {
-		if got := ParseRetryAfter(c.header, now); got != c.want {
+		if got := parseRetryAfter(c.header, now); got != c.want {
 			t.Errorf("%q: %v, want %v", c.header, got, c.want)
 		}
 	}
--- a/internal/jsonrpc/member.go
+++ b/internal/jsonrpc/member.go
@@ -19,7 +19,7 @@
 	}
 	for at = skipSpace(raw, at+1); at < len(raw) && raw[at] == '"'; {
 		nameEnd := valueEnd(raw, at)
-		name, _ := DecodeString(raw[at:nameEnd])
+		name, _ := decodeString(raw[at:nameEnd])
 		colon := skipSpace(raw, nameEnd)
 		start := skipSpace(raw, colon+1)
 		end := valueEnd(raw, start)
@@ -77,8 +77,8 @@
 	return len(raw)
 }
 
-// DecodeString decodes a JSON string. It returns false for a value of another type.
-func DecodeString(raw json.RawMessage) (string, bool) {
+// decodeString decodes a JSON string. It returns false for a value of another type.
+func decodeString(raw json.RawMessage) (string, bool) {
 	if len(raw) < 2 || raw[0] != '"' {
 		return "", false
 	}
--- a/internal/jsonrpc/parse.go
+++ b/internal/jsonrpc/parse.go
@@ -70,13 +70,13 @@
 	if !ok {
 		return invalidMessage(NullID, "id is neither a string, a number nor null")
 	}
-	if version, ok := DecodeString(e.version); !ok || version != "2.0" {
+	if version, ok := decodeString(e.version); !ok || version != "2.0" {
 		return invalidMessage(id, `member "jsonrpc" is not "2.0"`)
 	}
 	if e.method == nil {
 		return parseResponse(id, e)
 	}
-	method, ok := DecodeString(e.method)
+	method, ok := decodeString(e.method)
 	if !ok || method == "" {
 		return invalidMessage(id, "method is not a string with something in it")
 	}
@@ -125,7 +125,7 @@
 		if bytes.IndexByte(raw, '\\') < 0 && utf8.Valid(raw) {
 			return ID(raw), true
 		}
-		s, ok := DecodeString(raw)
+		s, ok := decodeString(raw)
 		if !ok {
 			return "", false
 		}
--- a/internal/metrics/collector.go
+++ b/internal/metrics/collector.go
@@ -222,7 +222,7 @@
 		return member
 	}
 	if len(c.namedMembers) >= c.maxMembers {
-		return OtherMember
+		return otherMember
 	}
 	c.namedMembers[member] = true
 	return member
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -29,8 +29,8 @@
 const AfterOpen = "open"
 
 const (
-	// OtherMember is the value of the member label that stands for all members beyond the cap.
-	OtherMember = "_other"
+	// otherMember is the value of the member label that stands for all members beyond the cap.
+	otherMember = "_other"
 	// otherName stands for a class or plan that is not in the settings.
 	otherName = "other"
 )
@@ -39,7 +39,7 @@
 type Options struct {
 	Classes    []string
 	Plans      []string
-	MaxMembers int // with series of their own; the others share OtherMember
+	MaxMembers int // with series of their own; the others share one, named "_other"
 }
 
 // Set is the metrics of a gateway. Its methods are for the goroutine that owns it; the registry is for any.
@@ -260,7 +260,7 @@
 			s.overflowMembers[name] = true
 			s.membersLeftOut.Set(float64(len(s.overflowMembers)))
 		}
-		name = OtherMember
+		name = otherMember
 		if m, ok := s.members[name]; ok {
 			return m
 		}
--- a/internal/remotewrite/queue/queue.go
+++ b/internal/remotewrite/queue/queue.go
@@ -139,7 +139,7 @@
 func (q *Queue) HandleResponse(r Response) (v Verdict, wait time.Duration) {
 	n := q.inFlight
 	q.inFlight = 0
-	v = Classify(r)
+	v = classify(r)
 	switch v {
 	case Accepted:
 		q.removeFront(n)
--- a/internal/remotewrite/queue/queue_test.go
+++ b/internal/remotewrite/queue/queue_test.go
@@ -114,7 +114,7 @@
 		{Response{Status: 200, BodySent: true, VersionTwo: true, WrittenCounted: true}, Accepted},
 		{Response{Status: 415, VersionTwo: true}, Downgrade},
 	} {
-		if got := Classify(c.r); got != c.want {
+		if got := classify(c.r); got != c.want {
 			t.Errorf("%+v: %v, want %v", c.r, got, c.want)
 		}
 	}
--- a/internal/remotewrite/queue/response.go
+++ b/internal/remotewrite/queue/response.go
@@ -29,10 +29,10 @@
 	Downgrade                // the receiver speaks remote write 1.0 only: the batch is sent again in that
 )
 
-// Classify reads a response by the rules of remote write 1.0 and 2.0 ("Retries & Backoff", "Required Written Response
+// classify reads a response by the rules of remote write 1.0 and 2.0 ("Retries & Backoff", "Required Written Response
 // Headers"): 5xx and 429 are retried, other 4xx are not; a 415 to 2.0, or a 2xx that does not say what was written,
 // means that the receiver speaks 1.0 only. An answer that came before the batch was sent acknowledges nothing.
-func Classify(r Response) Verdict {
+func classify(r Response) Verdict {
 	switch {
 	case r.Status >= 200 && r.Status < 300:
 		switch {
--- a/internal/remotewrite/series.go
+++ b/internal/remotewrite/series.go
@@ -38,8 +38,8 @@
 // staleBits is Prometheus' bit pattern of a stale marker.
 const staleBits = 0x7ff0000000000002
 
-// StaleNaN is the value of a stale marker, which ends a series.
-var StaleNaN = math.Float64frombits(staleBits)
+// staleNaN is the value of a stale marker, which ends a series.
+var staleNaN = math.Float64frombits(staleBits)
 
 // IsStale reports whether a value is a stale marker.
 func IsStale(v float64) bool { return math.Float64bits(v) == staleBits }
--- a/internal/remotewrite/writer.go
+++ b/internal/remotewrite/writer.go
@@ -137,7 +137,7 @@
 	w.lastTimestamp = at
 	var stale []*Sample
 	for _, s := range w.converter.knownSeries {
-		stale = append(stale, &Sample{Series: s, Timestamp: at, Value: StaleNaN})
+		stale = append(stale, &Sample{Series: s, Timestamp: at, Value: staleNaN})
 	}
 	w.enqueue(stale)
 }
--- a/internal/upstream/websocket/conn.go
+++ b/internal/upstream/websocket/conn.go
@@ -51,7 +51,7 @@
 func (c *conn) dial() (*wsconn.Conn, error) {
 	ctx, cancel := context.WithTimeout(c.pool.ctx, c.pool.options.ConnectTimeout)
 	defer cancel()
-	request := &websocket.Request{Host: c.server.addr, Path: c.pool.options.Path, Protocol: Protocol}
+	request := &websocket.Request{Host: c.server.addr, Path: c.pool.options.Path, Protocol: protocol}
 	return wsconn.Dial(ctx, c.server.addr, request, c.pool.options.Conn)
 }
 
--- a/internal/upstream/websocket/pool.go
+++ b/internal/upstream/websocket/pool.go
@@ -21,8 +21,8 @@
 	"winghatch/internal/wsconn"
 )
 
-// Protocol is the WebSocket subprotocol between gateways, servers and the discovery service.
-const Protocol = "jsonrpc"
+// protocol is the WebSocket subprotocol between gateways, servers and the discovery service.
+const protocol = "jsonrpc"
 
 // Options bound a pool.
 type Options struct {
--- a/internal/upstream/websocket/pool_test.go
+++ b/internal/upstream/websocket/pool_test.go
@@ -65,7 +65,7 @@
 				if err != nil {
 					return
 				}
-				nc.Write(u.Accept(Protocol))
+				nc.Write(u.Accept(protocol))
 				f(nc, br)
 			}()
 		}
@@ -310,7 +310,7 @@
 	defer ln.Close()
 	go wsconn.Serve(ln, func(nc net.Conn) {
 		<-handshake
-		if l, err := wsconn.Accept(nc, Protocol, 5*time.Second, nil, wsconn.Options{}); err == nil {
+		if l, err := wsconn.Accept(nc, protocol, 5*time.Second, nil, wsconn.Options{}); err == nil {
 			l.Read()
 		}
 	})
--- a/internal/usage/outbox/cloudevents.go
+++ b/internal/usage/outbox/cloudevents.go
@@ -53,8 +53,8 @@
 	Units    float64 `json:"units"`
 }
 
-// EventSource names an incarnation of a gateway, as a URI reference.
-func EventSource(fleet string, gateway int, incarnation uint64) string {
+// eventSource names an incarnation of a gateway, as a URI reference.
+func eventSource(fleet string, gateway int, incarnation uint64) string {
 	return fmt.Sprintf("/winghatch/%s/gateway/%d/life/%d", url.PathEscape(fleet), gateway, incarnation)
 }
 
@@ -95,7 +95,7 @@
 		c.ID, c.Type = strconv.FormatUint(g.Sequence, 10), TypeGap
 		c.Data = GapData{Attempts: g.Attempts, Units: g.Units}
 	}
-	c.Source = EventSource(fleet, gateway, incarnation)
+	c.Source = eventSource(fleet, gateway, incarnation)
 	c.Time = time.Unix(0, wallTime).UTC().Format(time.RFC3339Nano)
 	raw, err := json.Marshal(c)
 	if err != nil {
--- a/internal/usage/outbox/delivery_test.go
+++ b/internal/usage/outbox/delivery_test.go
@@ -143,7 +143,7 @@
 	if waits[0] != 7*time.Second || waits[1] != maxRetryAfter {
 		t.Errorf("waited %v, want what was asked, up to %v", waits, maxRetryAfter)
 	}
-	if !strings.HasPrefix(EventSource("f/x", 1, 2), "/winghatch/f%2Fx/") {
-		t.Error(EventSource("f/x", 1, 2))
+	if !strings.HasPrefix(eventSource("f/x", 1, 2), "/winghatch/f%2Fx/") {
+		t.Error(eventSource("f/x", 1, 2))
 	}
 }
--- a/internal/usage/sender/sender.go
+++ b/internal/usage/sender/sender.go
@@ -15,8 +15,8 @@
 	"winghatch/internal/wal"
 )
 
-// BatchType is the media type of a batch.
-const BatchType = "application/cloudevents-batch+json; charset=UTF-8"
+// batchType is the media type of a batch.
+const batchType = "application/cloudevents-batch+json; charset=UTF-8"
 
 // maxRecordsPerFetch bounds how many records one fetch looks at. Most are intents, which have no event.
 const maxRecordsPerFetch = 20000
@@ -148,7 +148,7 @@
 		batch = append(batch, event.JSON...)
 	}
 	batch = append(batch, ']')
-	header := http.Header{"Content-Type": {BatchType}}
+	header := http.Header{"Content-Type": {batchType}}
 	result := httppost.Post(ctx, &s.client, s.options.URL, header, batch)
 	return outbox.PostResult{
 		Status:     result.Status,
--- a/internal/websocket/frame.go
+++ b/internal/websocket/frame.go
@@ -110,9 +110,9 @@
 	return nil
 }
 
-// Mask applies a mask to data in place (RFC 6455 section 5.3), beginning with the byte of the key at offset. It returns
-// the offset for the data that follows.
-func Mask(data []byte, key [4]byte, offset int) int {
+// applyMask applies a mask to data in place (RFC 6455 section 5.3), beginning with the byte of the key at offset. It
+// returns the offset for the data that follows.
+func applyMask(data []byte, key [4]byte, offset int) int {
 	rotated := [4]byte{key[offset&3], key[(offset+1)&3], key[(offset+2)&3], key[(offset+3)&3]}
 	wide := uint64(binary.LittleEndian.Uint32(rotated[:]))
 	wide |= wide << 32
@@ -151,7 +151,7 @@
 	start := len(dst)
 	dst = append(dst, payload...)
 	if mask != nil {
-		Mask(dst[start:], *mask, 0)
+		applyMask(dst[start:], *mask, 0)
 	}
 	return dst
 }
--- a/internal/websocket/handshake.go
+++ b/internal/websocket/handshake.go
@@ -69,7 +69,7 @@
 	if u.Host == "" {
 		return handshakeErrorf(400, "Host is missing")
 	}
-	if !u.Header.Has("connection", "upgrade") || !u.Header.Has("upgrade", "websocket") {
+	if !u.Header.has("connection", "upgrade") || !u.Header.has("upgrade", "websocket") {
 		e := handshakeErrorf(426, "this address speaks WebSocket")
 		e.ExtraHeader = "Upgrade: websocket\r\n"
 		return e
--- a/internal/websocket/header.go
+++ b/internal/websocket/header.go
@@ -18,8 +18,8 @@
 // (RFC 9110 section 5.3).
 type Header map[string]string
 
-// Has reports whether a comma-separated field contains a token, without regard to case.
-func (h Header) Has(name, token string) bool {
+// has reports whether a comma-separated field contains a token, without regard to case.
+func (h Header) has(name, token string) bool {
 	for _, v := range strings.Split(h[name], ",") {
 		if strings.EqualFold(strings.TrimSpace(v), token) {
 			return true
--- a/internal/websocket/reader.go
+++ b/internal/websocket/reader.go
@@ -88,7 +88,7 @@
 		return Message{}, err
 	}
 	if h.masked {
-		Mask(data, h.mask, 0)
+		applyMask(data, h.mask, 0)
 	}
 	if h.opcode == Close {
 		if err := validateClose(data); err != nil {
@@ -156,7 +156,7 @@
 			return err
 		}
 		if h.masked {
-			maskOffset = Mask(part, h.mask, maskOffset)
+			maskOffset = applyMask(part, h.mask, maskOffset)
 		}
 		if r.opcode == Text && !r.validator.feed(part) {
 			return protocolErrorf(CodeInvalidData, "text that is not UTF-8")
--- a/internal/websocket/request.go
+++ b/internal/websocket/request.go
@@ -63,7 +63,7 @@
 // validateResponse checks the header of a response with status 101.
 func (r *Request) validateResponse(header Header) error {
 	switch {
-	case !header.Has("upgrade", "websocket") || !header.Has("connection", "upgrade"):
+	case !header.has("upgrade", "websocket") || !header.has("connection", "upgrade"):
 		return errors.New("websocket: response 101 does not upgrade to websocket")
 	case header["sec-websocket-accept"] != acceptKey(r.key):
 		return fmt.Errorf("websocket: Sec-WebSocket-Accept is %q, want %q",
--- a/internal/wsconn/conn.go
+++ b/internal/wsconn/conn.go
@@ -86,8 +86,8 @@
 	silentTurns int         // turns of PingIdle without one; its alone
 }
 
-// New guards a connection whose handshake is done. in holds what was read of it beyond the handshake.
-func New(nc net.Conn, in *bufio.Reader, role websocket.Role, o Options) *Conn {
+// newConn guards a connection whose handshake is done. in holds what was read of it beyond the handshake.
+func newConn(nc net.Conn, in *bufio.Reader, role websocket.Role, o Options) *Conn {
 	o = o.withDefaults()
 	c := &Conn{nc: nc, reader: websocket.NewReader(in, role, o.MaxMessage), role: role, options: o}
 	if o.MaxFrame > 0 {
@@ -110,8 +110,8 @@
 	return c.enqueue(outgoing{websocket.Text, data, beforeWrite})
 }
 
-// Ping queues a ping.
-func (c *Conn) Ping() error { return c.enqueue(outgoing{opcode: websocket.Ping}) }
+// ping queues a ping.
+func (c *Conn) ping() error { return c.enqueue(outgoing{opcode: websocket.Ping}) }
 
 // Close queues a close frame behind the messages that wait. Read goes on until the peer answers it. A peer that does
 // not read is disconnected after WriteTimeout, one that does not answer after CloseTimeout.
--- a/internal/wsconn/conn_test.go
+++ b/internal/wsconn/conn_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { a.Close(); b.Close() })
-	return New(a, bufio.NewReader(a), websocket.Client, o), New(b, bufio.NewReader(b), websocket.Server, o)
+	return newConn(a, bufio.NewReader(a), websocket.Client, o), newConn(b, bufio.NewReader(b), websocket.Server, o)
 }
 
 // TestOrder sends many messages with pings between them: they arrive in order, and the connection ends with a complete
@@ -43,7 +43,7 @@
 		for i := range n {
 			c.Send([]byte{byte('a' + i%26)})
 			if i%1000 == 0 {
-				c.Ping()
+				c.ping()
 			}
 		}
 		c.Close(websocket.CodeNormal, "done")
--- a/internal/wsconn/keepalive.go
+++ b/internal/wsconn/keepalive.go
@@ -45,6 +45,6 @@
 	if c.silentTurns > maxUnansweredPings {
 		return false
 	}
-	c.Ping()
+	c.ping()
 	return true
 }
--- a/internal/wsconn/open.go
+++ b/internal/wsconn/open.go
@@ -36,7 +36,7 @@
 		nc.Close()
 		return nil, err
 	}
-	return New(nc, in, websocket.Client, o), nil
+	return newConn(nc, in, websocket.Client, o), nil
 }
 
 // Accept does the server's handshake within the timeout. check, if not nil, may reject the client with a
@@ -58,7 +58,7 @@
 		return nil, err
 	}
 	nc.SetDeadline(time.Time{})
-	return New(nc, in, websocket.Server, o), nil
+	return newConn(nc, in, websocket.Server, o), nil
 }
 
 // Serve calls handle for each connection in a goroutine of its own until the listener is closed. It does not wait for
