--- a/internal/aggregate/aggregator.go
+++ b/internal/aggregate/aggregator.go
@@ -53,7 +53,6 @@
 // localTotals are what this gateway counted of a key.
 type localTotals struct {
 	Totals
-	key     Key
 	hash    uint64
 	repeats int // reports that must have it
 }
@@ -168,7 +167,7 @@
 		if _, ok := a.keys[k.hash()]; !ok {
 			return
 		}
-		local = &localTotals{key: k, hash: k.hash()}
+		local = &localTotals{hash: k.hash()}
 		a.local[k] = local
 		a.localInOrder = append(a.localInOrder, local)
 	}
--- a/internal/testbed/backend/server.go
+++ b/internal/testbed/backend/server.go
@@ -158,9 +158,8 @@
 
 // clientConn is a gateway's connection. The server's mutex guards jobs.
 type clientConn struct {
-	server *Server
-	ws     *wsconn.Conn
-	jobs   map[string]*job // without a response, by JSON-RPC id
+	ws   *wsconn.Conn
+	jobs map[string]*job // without a response, by JSON-RPC id
 }
 
 // serveConn serves one gateway's connection until it ends.
@@ -170,7 +169,7 @@
 	if err != nil {
 		return
 	}
-	c := &clientConn{server: s, ws: ws, jobs: map[string]*job{}}
+	c := &clientConn{ws: ws, jobs: map[string]*job{}}
 	if !s.register(nc, c) {
 		return
 	}
