--- a/internal/frontend/http/request.go
+++ b/internal/frontend/http/request.go
@@ -13,14 +13,14 @@
 	"winghatch/internal/http1"
 )
 
-// Longest values of fields, in bytes.
+// Bounds of fields, which are checked before the core keeps anything of a request.
 const (
-	maxTxnBytes      = 64
+	maxTxnBytes      = 64  // lengths are in bytes
 	maxNameBytes     = 128 // of a class, a plan or an idempotency key
 	maxQuotaBytes    = 256
 	maxNumberBytes   = 12
-	customerIDBytes  = 16 // hex digits
-	customerIDsBelow = 1 << 33
+	customerIDBytes  = 16      // hex digits
+	customerIDsBelow = 1 << 33 // the customer's number
 )
 
 // Rules is what the settings say of requests: which classes and plans there are, and the bounds of X-Quota.
@@ -57,7 +57,7 @@
 	return requestError(http.StatusBadRequest, format, args...)
 }
 
-// parsedRequest is what goes on to servers of a valid request.
+// parsedRequest is the part of a valid request that is forwarded to servers.
 type parsedRequest struct {
 	txn, method, target, idempotencyKey, contentType string
 	body                                             []byte
@@ -252,7 +252,7 @@
 	return units, int(spread), int(first), nil
 }
 
-// encode returns the bytes of an attempt: what the client sent goes on unchanged, with the time that is left.
+// encode returns the bytes of an attempt: what the client sent is forwarded unchanged, with the time that is left.
 func (p *parsedRequest) encode(left time.Duration) []byte {
 	const fieldBytes = 192 // about what the names and the fixed fields take
 	b := make([]byte, 0, fieldBytes+len(p.target)+len(p.txn)+len(p.idempotencyKey)+len(p.body))
