--- a/internal/platform/settings/document.go
+++ b/internal/platform/settings/document.go
@@ -8,6 +8,9 @@
 
 // document is the settings object. Its fields have the keys of the platform; times are nanoseconds. Keys that are
 // not named here are ignored.
+//
+// Some keys are named though no decision depends on them: a value of the wrong type in one of the platform's keys stops
+// the start all the same, as it shows a configuration that was made for something else.
 type document struct {
 	Rank, Instances int
 	Zone            string
@@ -16,6 +19,11 @@
 	Extra           extra
 	Limits          limits
 	Safety          safety
+
+	// Not read.
+	MembershipMode string
+	Prices         struct{ CrossZone, Waste, Probe, Peer, LateFail float64 }
+	Telemetry      struct{ How string }
 }
 
 type class struct {
@@ -37,17 +45,26 @@
 	CostAfter            bool
 	PeerIntake, UnitsTop float64
 	MeterNs              int64
+
+	// Not read.
+	HasCounter   bool
+	CounterPrice float64
+	CountWaitNs  int64
 }
 
 type limits struct {
 	SendCap, OpenCap                              int
 	ParallelTries, MayCancel, Peers, RetryAfter   bool
 	MaxRetryAfterNs, ConnectTimeoutNs, ConnIdleNs int64
+
+	Probes bool // not read
 }
 
 type safety struct {
 	AnswerSlackNs, DrainGraceNs, ColdNs, FallNs int64
 	ColdFrom, FallMultiple                      float64
+
+	AskWithinNs int64 // not read
 }
 
 // The values of a class's Effect and Group. A class without a Group has the smallest.
--- a/internal/platform/settings/settings_test.go
+++ b/internal/platform/settings/settings_test.go
@@ -95,6 +95,13 @@
 	for _, c := range []struct{ old, replacement, want string }{
 		{`"Zone":"a"`, `"Zone":1`, `field "Zone": can't take a number`},
 		{`"SendCap":21`, `"SendCap":"x"`, `field "Limits.SendCap": can't take a string`},
+		// Keys that no decision reads are checked for their type, too.
+		{`"Probes":true`, `"Probes":1`, `field "Limits.Probes": can't take a number`},
+		{`"AskWithinNs":`, `"AskWithinNs":"x","_":`, `field "Safety.AskWithinNs": can't take a string`},
+		{`"Prices":`, `"Prices":{"Waste":"x"},"_":`, `field "Prices.Waste": can't take a string`},
+		{`"HasCounter":true`, `"HasCounter":"x"`, `field "Extra.HasCounter": can't take a string`},
+		{`"MembershipMode":`, `"MembershipMode":1,"_":`, `field "MembershipMode": can't take a number`},
+		{`"Telemetry":`, `"Telemetry":{"How":1},"_":`, `field "Telemetry.How": can't take a number`},
 		{`"ConnIdleNs":25`, `"ConnIdleNs":-1`, "Limits.ConnIdleNs is -1"},
 		{`"ConnectTimeoutNs":24`, `"ConnectTimeoutNs":-1`, "Limits.ConnectTimeoutNs is -1"},
 		{`"GiveUpNs":2`, `"GiveUpNs":0`, "Classes[0].GiveUpNs is 0"},
