--- a/internal/upstream/http/idle_test.go
+++ b/internal/upstream/http/idle_test.go
@@ -68,7 +68,7 @@
 // its round is played again.
 func TestASecondAnswerOnItsWayReachesNoOtherRequest(t *testing.T) {
 	const late, flight = 8 * time.Millisecond, 6 * time.Millisecond
-	const someMilliseconds = 25 * time.Millisecond // a second response that is later than this may reach another request
+	const toleratedDelay = 25 * time.Millisecond // a second response that is later than this may reach another request
 	var mu sync.Mutex
 	delays := map[string]time.Duration{} // from the first response to the second, by txn
 	addr := startServer(t, func(nc net.Conn, r *bufio.Reader) {
@@ -111,7 +111,7 @@
 		mu.Lock()
 		delay := delays[string(r.Body)]
 		mu.Unlock()
-		if r.Outcome != decide.OutcomeOK || delay < someMilliseconds {
+		if r.Outcome != decide.OutcomeOK || delay < toleratedDelay {
 			t.Fatalf("attempt %s ended as %d with %q, whose second response was written %v behind its first, want its own response",
 				txn, r.Outcome, r.Body, delay)
 		}
