--- a/internal/aggregate/aggregator.go
+++ b/internal/aggregate/aggregator.go
@@ -53,7 +53,6 @@
 // localTotals are what this gateway counted of a key.
 type localTotals struct {
 	Totals
-	key     Key
 	hash    uint64
 	repeats int // reports that must have it
 }
@@ -141,9 +140,9 @@
 	return int((first + 1 + (hash>>20)%(gateways-1)) % gateways)
 }
 
-// ReportInterval is the mean time between reports: so long that the reports of all gateways to one stay within its
+// reportInterval is the mean time between reports: so long that the reports of all gateways to one stay within its
 // part of the capacity.
-func (a *Aggregator) ReportInterval() time.Duration {
+func (a *Aggregator) reportInterval() time.Duration {
 	if a.settings.GossipCapacity <= 0 {
 		return minReportInterval
 	}
@@ -156,7 +155,7 @@
 	a.now = max(a.now, now)
 	if !a.started {
 		a.started, a.startedAt = true, a.now
-		a.reportAt = a.now + time.Duration(a.random.Float64()*float64(a.ReportInterval()))
+		a.reportAt = a.now + time.Duration(a.random.Float64()*float64(a.reportInterval()))
 	}
 }
 
@@ -168,7 +167,7 @@
 		if _, ok := a.keys[k.hash()]; !ok {
 			return
 		}
-		local = &localTotals{key: k, hash: k.hash()}
+		local = &localTotals{hash: k.hash()}
 		a.local[k] = local
 		a.localInOrder = append(a.localInOrder, local)
 	}
@@ -194,7 +193,7 @@
 		return nil
 	}
 	jitter := jitterLow + jitterSpan*a.random.Float64()
-	a.reportAt = a.now + time.Duration(jitter*float64(a.ReportInterval()))
+	a.reportAt = a.now + time.Duration(jitter*float64(a.reportInterval()))
 	byOwner := map[int][]*localTotals{}
 	for _, local := range a.localInOrder {
 		for _, rank := range a.owners(local.hash) {
