--- a/internal/testbed/usagereceiver/receiver.go
+++ b/internal/testbed/usagereceiver/receiver.go
@@ -7,18 +7,16 @@
 	"encoding/json"
 	"io"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"strings"
 	"sync"
 	"time"
-)
 
-const (
-	headerTimeout = 5 * time.Second // in which a client has to send a request's header
-	maxBodyBytes  = 64 << 20
+	"winghatch/internal/testbed/httpreceiver"
 )
 
+const maxBodyBytes = 64 << 20
+
 // Event is a CloudEvent with the attributes that the receiver looks at.
 type Event struct {
 	Version string          `json:"specversion"`
@@ -43,8 +41,7 @@
 // Receiver is a running receiver. Duplicates is to be read after Stop.
 type Receiver struct {
 	store  *store
-	server *http.Server
-	addr   string
+	server *httpreceiver.Server
 
 	mu         sync.Mutex // guards store too
 	Duplicates int        // events that came again
@@ -58,30 +55,28 @@
 	if err != nil {
 		return nil, err
 	}
-	ln, err := net.Listen("tcp", addr)
-	if err != nil {
-		s.file.Close()
-		return nil, err
-	}
 	r := &Receiver{
 		store:      s,
-		addr:       ln.Addr().String(),
 		Duplicates: duplicates,
 		rng:        rand.New(rand.NewPCG(1, uint64(time.Now().UnixNano()))),
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /use", r.handleBatch)
 	mux.HandleFunc("GET /events", r.handleEvents)
-	r.server = &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout}
-	go r.server.Serve(ln)
+	server, err := httpreceiver.Start(addr, mux)
+	if err != nil {
+		s.file.Close()
+		return nil, err
+	}
+	r.server = server
 	return r, nil
 }
 
 // Addr returns the listen address.
-func (r *Receiver) Addr() string { return r.addr }
+func (r *Receiver) Addr() string { return r.server.Addr() }
 
 // URL returns the address of batches.
-func (r *Receiver) URL() string { return "http://" + r.addr + "/use" }
+func (r *Receiver) URL() string { return "http://" + r.Addr() + "/use" }
 
 // SetFault changes what is wrong with the receiver, from the next request on.
 func (r *Receiver) SetFault(change func(*Fault)) {
@@ -99,7 +94,7 @@
 
 // Stop closes all connections, as a kill would.
 func (r *Receiver) Stop() {
-	r.server.Close()
+	r.server.Stop()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.store.file.Close()
@@ -116,7 +111,7 @@
 	r.mu.Unlock()
 	time.Sleep(fault.Delay)
 	if fault.RespondEarly && hit {
-		respondEarly(w)
+		httpreceiver.RespondEarly(w)
 		return
 	}
 	body, err := io.ReadAll(io.LimitReader(req.Body, maxBodyBytes))
@@ -124,10 +119,7 @@
 		return
 	}
 	if fault.Status != 0 && hit {
-		if fault.RetryAfter != "" {
-			w.Header().Set("Retry-After", fault.RetryAfter)
-		}
-		http.Error(w, "trouble", fault.Status)
+		httpreceiver.RespondStatus(w, fault.Status, fault.RetryAfter)
 		return
 	}
 	if fault.Reject != "" && strings.Contains(string(body), fault.Reject) {
@@ -144,16 +136,6 @@
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// respondEarly answers before the request's body is read.
-func respondEarly(w http.ResponseWriter) {
-	nc, _, err := w.(http.Hijacker).Hijack()
-	if err != nil {
-		return
-	}
-	defer nc.Close()
-	io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
-}
-
 // add checks a batch and keeps it.
 func (r *Receiver) add(req *http.Request, body []byte) error {
 	events, err := parseBatch(req, body)
