--- a/internal/scenario/script.go
+++ b/internal/scenario/script.go
@@ -60,47 +60,6 @@
 	Pos      kdl.Pos
 }
 
-// Kinds are the troubles that can be played, with what Count and Size are to them.
-var FaultKinds = map[string]string{
-	"ageing":         "count nodes grow slower, up to size times",
-	"balancer_crash": "count gateways are killed and come back after the time",
-	"balancer_roll":  "every gateway in turn is stopped by SIGTERM and started anew",
-	"balancer_stall": "count gateways stand still (SIGSTOP)",
-	"burst":          "size times the usual orders",
-	"class_fail":     "count nodes leave a class unanswered",
-	"cold_start":     "count more nodes are started cold",
-	"drain":          "count nodes drain, go, and come back cold after the time",
-	"fast_errors":    "count nodes fail a share of size of their calls quickly",
-	"heavy_tail":     "one of 50 calls of a class costs size times the usual",
-	"hot_caller":     "count members use only one of their gateways",
-	"hot_key":        "one member orders size times its usual",
-	"list_bad":       "the list tells of a bad address, of a node twice and of an old version",
-	"list_late":      "the list tells of changes only after the time",
-	"list_silent":    "the list says nothing, its connections stay",
-	"list_stale":     "the list's process is gone and comes back after the time",
-	"lost_peers":     "a share of size of the peers' messages is lost",
-	"reconnect":      "all sessions leave and come again at one stroke",
-	"report_gap":     "count nodes tell nothing of their load",
-	"shared_slow":    "all nodes are size times slower",
-	"slow":           "count nodes are size times slower",
-	"tenant_burst":   "count members order size times their usual",
-	"vanish":         "count nodes go silent and come back cold after the time",
-	"kill_storm":     "gateways are killed at random moments, count times over the time, and start again at once",
-	"plan_change":    "count members go to the fleet's next plan, and back after the time",
-	"reserve":        "size units are set aside for each of count members, half of whose orders use them for the time",
-
-	"accounting_cut":    "the accounting keeps half of the batches and cuts the connection without an answer",
-	"accounting_down":   "the accounting is gone",
-	"accounting_early":  "the accounting answers half of the batches 200 before it has read them, and keeps nothing",
-	"accounting_kill":   "the accounting is killed count times over the time, and starts again",
-	"accounting_slow":   "the accounting takes size seconds for a batch",
-	"accounting_status": "the accounting answers half of the batches with the status size, and Retry-After",
-
-	"metrics_down": "the receiver of measures answers 503",
-
-	"cut": "the connections of count nodes are broken",
-}
-
 // Parse reads a day's file; file is only named in errors.
 func Parse(file string, src []byte) (*Script, error) {
 	nodes, err := decode.Parse(file, src)
