--- a/internal/scenario/builtin.go
+++ b/internal/scenario/builtin.go
@@ -10,24 +10,31 @@
 //go:embed files/*.kdl
 var builtin embed.FS
 
-// Open reads a day's file, or a built-in day by its name.
+const (
+	builtinDir = "files/"
+	scriptExt  = ".kdl"
+)
+
+// Open reads a script from a file, or a built-in one by its name.
 func Open(name string) (*Script, error) {
 	src, err := os.ReadFile(name)
-	if err != nil {
-		var berr error
-		if src, berr = builtin.ReadFile("files/" + name + ".kdl"); berr != nil {
-			return nil, fmt.Errorf("day: %w; the built-in days are %s", err, strings.Join(BuiltinNames(), ", "))
-		}
-		name = "files/" + name + ".kdl"
+	if err == nil {
+		return Parse(name, src)
 	}
-	return Parse(name, src)
+	src, builtinErr := readBuiltin(name)
+	if builtinErr != nil {
+		return nil, fmt.Errorf("scenario: %w; the built-in scenarios are %s", err, strings.Join(BuiltinNames(), ", "))
+	}
+	return Parse(builtinDir+name+scriptExt, src)
 }
 
-// Names are the built-in days.
-func BuiltinNames() (out []string) {
-	es, _ := builtin.ReadDir("files") // embedded, it can't fail
-	for _, e := range es {
-		out = append(out, strings.TrimSuffix(e.Name(), ".kdl"))
+// BuiltinNames returns the names of the built-in scenarios, sorted.
+func BuiltinNames() (names []string) {
+	entries, _ := builtin.ReadDir(strings.TrimSuffix(builtinDir, "/")) // an embedded folder: it cannot fail
+	for _, e := range entries {
+		names = append(names, strings.TrimSuffix(e.Name(), scriptExt))
 	}
-	return out
+	return names
 }
+
+func readBuiltin(name string) ([]byte, error) { return builtin.ReadFile(builtinDir + name + scriptExt) }
--- a/internal/scenario/day_test.go
+++ b/internal/scenario/day_test.go
@@ -403,7 +403,7 @@
 			played[x.Kind] = true
 		}
 	}
-	for kind := range FaultKinds {
+	for kind := range faultKinds {
 		if !played[kind] {
 			t.Errorf("no built-in day plays %s", kind)
 		}
@@ -414,7 +414,7 @@
 	for in, want := range map[string]string{
 		``:                                 `want one node named "day"`,
 		`day x {}`:                         "want a fleet, nodes and a load",
-		`day x { like nothing }`:           `"nothing", want another of the built-in days`,
+		`day x { like nothing }`:           `"nothing", want another of the built-in scenarios`,
 		`day x { like drain; length "x" }`: "want a duration",
 		`day x { like drain; trouble rain at="1s" }`:                     "want one of",
 		`day x { like drain; trouble slow }`:                             "trouble slow.at: missing",
--- a/internal/scenario/discoveryfaults.go
+++ b/internal/scenario/discoveryfaults.go
@@ -7,34 +7,69 @@
 	"winghatch/internal/testbed/discovery"
 )
 
-// listGone takes the list's process away for a while; the new one begins its versions anew.
-func (p *runner) restartDiscovery(t Fault) {
-	es := p.discovery.Endpoints()
-	p.discovery.Stop()
-	p.sleep(t.Duration)
-	l, err := discovery.Start(p.discoveryAddr, p.script.DiscoveryDelay, p.log)
+// Faults of the discovery server, which publishes the endpoint list.
+
+// currentDiscovery returns the discovery server, which the fault list_stale replaces.
+func (r *runner) currentDiscovery() *discovery.Server {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.discovery
+}
+
+func (r *runner) silenceDiscovery(f Fault) {
+	r.currentDiscovery().SetSilent(true)
+	r.sleep(f.Duration)
+	r.currentDiscovery().SetSilent(false)
+}
+
+func (r *runner) delayDiscovery(f Fault) {
+	r.currentDiscovery().SetDelay(f.Duration)
+	r.sleep(f.Duration)
+	r.currentDiscovery().SetDelay(r.script.DiscoveryDelay)
+}
+
+// restartDiscovery stops the discovery server for the time. The new one has the same endpoints and counts its versions
+// from the beginning.
+func (r *runner) restartDiscovery(f Fault) {
+	old := r.currentDiscovery()
+	endpoints := old.Endpoints()
+	old.Stop()
+	r.sleep(f.Duration)
+	server, err := discovery.Start(r.discoveryAddr, r.script.DiscoveryDelay, r.log)
 	if err != nil {
-		p.fail(err)
+		r.fail(err)
 		return
 	}
-	l.Replace(es)
-	p.mu.Lock()
-	p.discovery = l
-	p.mu.Unlock()
+	server.Replace(endpoints)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.discovery = server
 }
 
-// listBad sends what a broken list may send; none of it may change what gateways hold.
-func (p *runner) sendInvalidUpdates() {
-	v, now := p.discovery.Version(), time.Now().UnixMilli()
-	es := p.discovery.Endpoints()
-	if len(es) == 0 {
+// sendInvalidUpdates sends updates that a gateway must reject: none of them may change its endpoint list.
+func (r *runner) sendInvalidUpdates(Fault) {
+	server := r.currentDiscovery()
+	version := server.Version()
+	now := time.Now().UnixMilli()
+	endpoints := server.Endpoints()
+	if len(endpoints) == 0 {
 		return
 	}
-	gone := es[0]
-	gone.State = "gone"
-	p.discovery.SendRaw(discoveryws.MethodChange, discoveryws.Update{Version: v + 1, NowMs: now, Endpoints: []discoveryws.Endpoint{{Address: "no address", State: "serving"}}})
-	p.discovery.SendRaw(discoveryws.MethodChange, discoveryws.Update{Version: v + 1, NowMs: now, Endpoints: []discoveryws.Endpoint{es[0], gone}})
-	p.discovery.SendRaw(discoveryws.MethodChange, discoveryws.Update{Version: v, NowMs: now, Endpoints: []discoveryws.Endpoint{gone}})
-	p.discovery.SendRaw(discoveryws.MethodChange, discoveryws.Update{Version: v + 5, NowMs: now, Endpoints: []discoveryws.Endpoint{gone}})
-	p.discovery.SendRaw(discoveryws.MethodFull, discoveryws.Update{Version: v - 1, NowMs: now, Endpoints: es[:1]})
+	first := endpoints[0]
+	gone := first
+	gone.State = endpointGone
+	noAddress := discoveryws.Endpoint{Address: "no address", State: endpointServing}
+	for _, u := range []struct {
+		method    string
+		version   uint64
+		endpoints []discoveryws.Endpoint
+	}{
+		{discoveryws.MethodChange, version + 1, []discoveryws.Endpoint{noAddress}},   // an invalid address
+		{discoveryws.MethodChange, version + 1, []discoveryws.Endpoint{first, gone}}, // an endpoint twice
+		{discoveryws.MethodChange, version, []discoveryws.Endpoint{gone}},            // a version that was sent before
+		{discoveryws.MethodChange, version + 5, []discoveryws.Endpoint{gone}},        // versions left out
+		{discoveryws.MethodFull, version - 1, endpoints[:1]},                         // a version that goes back
+	} {
+		server.SendRaw(u.method, discoveryws.Update{Version: u.version, NowMs: now, Endpoints: u.endpoints})
+	}
 }
--- a/internal/scenario/gatewayfaults.go
+++ b/internal/scenario/gatewayfaults.go
@@ -5,22 +5,69 @@
 	"time"
 )
 
-// killStorm kills gateways at random moments, count times in all, and starts each again at once.
-func (p *runner) killStorm(t Fault) {
-	p.mu.Lock()
-	p.gatewayKilled = true
-	p.mu.Unlock()
-	for range t.Count {
-		p.sleep(time.Duration((0.5 + p.draw()) * float64(t.Duration) / float64(t.Count)))
-		if p.ctx.Err() != nil {
+// Faults of gateways and of the gossip between them.
+
+func (r *runner) crashGateways(f Fault) {
+	gateways := r.pickGateways(f.Count)
+	r.noteGatewayKilled()
+	for _, g := range gateways {
+		r.kill(g)
+	}
+	r.sleep(f.Duration)
+	r.startGateways(gateways...)
+}
+
+func (r *runner) suspendGateways(f Fault) {
+	gateways := r.pickGateways(f.Count)
+	for _, g := range gateways {
+		r.signal(g, syscall.SIGSTOP)
+	}
+	r.sleep(f.Duration)
+	for _, g := range gateways {
+		r.signal(g, syscall.SIGCONT)
+	}
+}
+
+func (r *runner) rollGateways(f Fault) {
+	for _, g := range r.gateways {
+		r.terminate(g)
+		r.startGateways(g)
+		r.sleep(f.Duration / time.Duration(len(r.gateways)))
+	}
+}
+
+// killAtRandom kills a random gateway f.Count times and starts it again at once. Before each kill it waits between
+// half and one and a half of an even part of the time.
+func (r *runner) killAtRandom(f Fault) {
+	r.noteGatewayKilled()
+	for range f.Count {
+		r.sleep(time.Duration((0.5 + r.draw()) * float64(f.Duration) / float64(f.Count)))
+		if r.ctx.Err() != nil {
 			return
 		}
-		g := p.pickGateways(1)[0]
-		p.signal(g, syscall.SIGKILL, "kill")
-		<-g.ended
-		p.mu.Lock()
-		p.kills++
-		p.mu.Unlock()
-		p.startGateways([]*gatewayProcess{g})
+		g := r.pickGateways(1)[0]
+		r.kill(g)
+		r.mu.Lock()
+		r.kills++
+		r.mu.Unlock()
+		r.startGateways(g)
+	}
+}
+
+// noteGatewayKilled notes that usage may be exported as an estimate in this run: a killed gateway does not learn what
+// its attempts cost.
+func (r *runner) noteGatewayKilled() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.gatewayKilled = true
+}
+
+func (r *runner) loseGossip(f Fault) {
+	for _, relay := range r.relays {
+		relay.setLoss(f.Size)
+	}
+	r.sleep(f.Duration)
+	for _, relay := range r.relays {
+		relay.setLoss(0)
 	}
 }
--- /dev/null
+++ b/internal/scenario/planfaults.go
@@ -0,0 +1,111 @@
+package scenario
+
+import (
+	"fmt"
+	"time"
+
+	"winghatch/internal/gateway"
+	"winghatch/internal/invariant"
+	"winghatch/internal/quotaplan"
+	"winghatch/internal/testbed/client"
+)
+
+// Changes of members' plans and reservations under load.
+
+const (
+	// reservationLead is how far ahead a reservation begins: gateways must have it before members use it.
+	reservationLead = 500 * time.Millisecond
+
+	submitAttempts   = 20                    // for a change, each at a random gateway
+	submitRetryDelay = 50 * time.Millisecond // between two attempts
+)
+
+// changePlans moves members to the fleet's next plan, and back after the time.
+func (r *runner) changePlans(f Fault) {
+	members := r.pickMembers(f.Count)
+	for _, m := range members {
+		r.moveMember(m, r.nextPlan(r.planOf(m)))
+	}
+	r.sleep(f.Duration)
+	for _, m := range members {
+		r.moveMember(m, r.planOf(m))
+	}
+}
+
+func (r *runner) moveMember(member, plan string) {
+	r.log.Add(invariant.Record{Kind: invariant.PlanChanged, Member: member, State: plan})
+	change := quotaplan.Change{Number: r.nextChange(), Kind: quotaplan.Move, Member: member, Plan: plan}
+	if err := r.submit(change); err != nil {
+		r.fail(err)
+	}
+}
+
+// planOf returns the name of the plan that the fleet's settings give a member.
+func (r *runner) planOf(member string) string {
+	plan := ""
+	for _, m := range r.fleet.Members {
+		if m.Name == member {
+			plan = m.Plan
+		}
+	}
+	return plan
+}
+
+// nextPlan returns the name of the plan after this one in the fleet's settings; after the last comes the first.
+func (r *runner) nextPlan(plan string) string {
+	plans := r.fleet.Decide.Plans
+	for i := range plans {
+		if plans[i].Name == plan {
+			return plans[(i+1)%len(plans)].Name
+		}
+	}
+	return plan
+}
+
+// reserveUnits reserves f.Size units for each of some members. For the time, half of their requests use them.
+func (r *runner) reserveUnits(f Fault) {
+	members := r.pickMembers(f.Count)
+	from := time.Now().Add(reservationLead)
+	reserved := map[string]bool{}
+	for _, m := range members {
+		err := r.submit(quotaplan.Change{
+			Number: r.nextChange(),
+			Kind:   quotaplan.Reserve,
+			Member: m,
+			Units:  f.Size,
+			From:   from.UnixNano(),
+			To:     from.Add(f.Duration).UnixNano(),
+		})
+		if err != nil {
+			r.fail(err)
+			return
+		}
+		r.mu.Lock()
+		r.reservations = append(r.reservations, ReservationUse{Member: m, Units: f.Size})
+		r.mu.Unlock()
+		reserved[m] = true
+	}
+	r.sleep(reservationLead)
+	set := func(x *client.Fault) { x.UseReservation = reserved }
+	r.faultOnClients(f, set, func(x *client.Fault) { x.UseReservation = nil })
+}
+
+// submit sends a change to a random gateway, and to another if that does not take it.
+func (r *runner) submit(c quotaplan.Change) error {
+	var err error
+	for range submitAttempts {
+		g := r.pickGateways(1)[0]
+		if _, err = gateway.SubmitChange(r.fleet.Gateways[g.rank].StateAddress, r.fleet.Secret, c); err == nil {
+			return nil
+		}
+		r.sleep(submitRetryDelay)
+	}
+	return fmt.Errorf("scenario: %s: %w", &c, err)
+}
+
+func (r *runner) nextChange() uint64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.lastChange++
+	return r.lastChange
+}
--- a/internal/scenario/serverfaults.go
+++ b/internal/scenario/serverfaults.go
@@ -1,43 +1,134 @@
 package scenario
 
 import (
+	"math"
 	"time"
 
-	discoveryws "winghatch/internal/discovery/websocket"
+	"winghatch/internal/testbed/backend"
 )
 
-// drain tells that nodes drain, lets them finish, takes them away and brings them back cold.
-func (p *runner) drain(t Fault) {
-	ss := p.takeServers(t.Count)
-	var es []discoveryws.Endpoint
-	for _, s := range ss {
-		es = append(es, endpointOf(s.options, "draining", time.Time{}))
+// Faults of servers.
+
+const (
+	allServers = math.MaxInt32 // as a fault's count
+
+	ageingSteps = 20   // in which ageing servers grow slower
+	tailShare   = 0.02 // of calls in the fault heavy_tail
+
+	// drainedPause is how long, beyond the discovery server's delay, drained servers stay away before they start again.
+	drainedPause = 200 * time.Millisecond
+)
+
+// faultOnServers sets a fault of f.Count servers and clears it after the time.
+func (r *runner) faultOnServers(f Fault, set, clearFault func(*backend.Fault)) {
+	slots := r.takeServers(f.Count)
+	setServerFault(slots, set)
+	r.sleep(f.Duration)
+	setServerFault(slots, clearFault)
+	r.releaseServers(slots)
+}
+
+func setServerFault(slots []*serverSlot, change func(*backend.Fault)) {
+	for _, s := range slots {
+		s.server.SetFault(change)
 	}
-	p.discovery.Update(es...)
-	p.sleep(t.Duration)
-	es = nil
-	for _, s := range ss {
-		es = append(es, endpointOf(s.options, "gone", time.Time{}))
+}
+
+func clearSlowdown(x *backend.Fault) { x.Slowdown = 0 }
+
+func (r *runner) ageServers(f Fault) {
+	slots := r.takeServers(f.Count)
+	for step := range ageingSteps {
+		slowdown := 1 + (f.Size-1)*float64(step+1)/ageingSteps
+		setServerFault(slots, func(x *backend.Fault) { x.Slowdown = slowdown })
+		r.sleep(f.Duration / ageingSteps)
+	}
+	setServerFault(slots, clearSlowdown)
+	r.releaseServers(slots)
+}
+
+func (r *runner) slowServers(f Fault) {
+	r.faultOnServers(f, func(x *backend.Fault) { x.Slowdown = f.Size }, clearSlowdown)
+}
+
+func (r *runner) slowAllServers(f Fault) {
+	f.Count = allServers
+	r.slowServers(f)
+}
+
+func (r *runner) lengthenTail(f Fault) {
+	f.Count = allServers
+	set := func(x *backend.Fault) {
+		x.TailFactor = map[string]float64{f.Class: f.Size}
+		x.TailShare = tailShare
+	}
+	r.faultOnServers(f, set, func(x *backend.Fault) {
+		x.TailFactor = nil
+		x.TailShare = 0
+	})
+}
+
+func (r *runner) failCalls(f Fault) {
+	set := func(x *backend.Fault) { x.ErrorShare = f.Size }
+	r.faultOnServers(f, set, func(x *backend.Fault) { x.ErrorShare = 0 })
+}
+
+func (r *runner) leaveClassUnanswered(f Fault) {
+	set := func(x *backend.Fault) { x.UnansweredClasses = map[string]bool{f.Class: true} }
+	r.faultOnServers(f, set, func(x *backend.Fault) { x.UnansweredClasses = nil })
+}
+
+func (r *runner) omitLoadReports(f Fault) {
+	set := func(x *backend.Fault) { x.OmitLoadReport = true }
+	r.faultOnServers(f, set, func(x *backend.Fault) { x.OmitLoadReport = false })
+}
+
+func (r *runner) closeConnections(f Fault) {
+	slots := r.takeServers(f.Count)
+	for _, s := range slots {
+		s.server.CloseConnections()
+	}
+	r.releaseServers(slots)
+}
+
+// drainServers publishes that servers drain, leaves them the time to finish, stops them and starts them again.
+func (r *runner) drainServers(f Fault) {
+	slots := r.takeServers(f.Count)
+	r.currentDiscovery().Update(endpointsIn(endpointDraining, slots)...)
+	r.sleep(f.Duration)
+	for _, s := range slots {
+		s.server.Stop()
+	}
+	r.currentDiscovery().Update(endpointsIn(endpointGone, slots)...)
+	r.sleep(r.script.DiscoveryDelay + drainedPause)
+	r.restartServers(slots)
+}
+
+// silenceServers lets servers hang and then crash, which the endpoint list never mentions, and starts them again.
+func (r *runner) silenceServers(f Fault) {
+	slots := r.takeServers(f.Count)
+	setServerFault(slots, func(x *backend.Fault) { x.Unresponsive = true })
+	r.sleep(f.Duration)
+	for _, s := range slots {
 		s.server.Stop()
 	}
-	p.discovery.Update(es...)
-	p.sleep(p.script.DiscoveryDelay + 200*time.Millisecond)
-	p.restartServers(ss)
+	r.restartServers(slots)
 }
 
-func (p *runner) coldStart(t Fault) {
-	var ss []*serverSlot
-	for range t.Count {
-		s, err := p.newServerSlot(p.script.Servers[0])
+// addServers starts more servers of the script's first group.
+func (r *runner) addServers(f Fault) {
+	var slots []*serverSlot
+	for range f.Count {
+		s, err := r.newServerSlot(r.script.Servers[0])
 		if err != nil {
-			p.fail(err)
+			r.fail(err)
 			return
 		}
-		s.inUse = true
-		ss = append(ss, s)
+		s.taken = true
+		slots = append(slots, s)
 	}
-	p.mu.Lock()
-	p.servers = append(p.servers, ss...)
-	p.mu.Unlock()
-	p.restartServers(ss)
+	r.mu.Lock()
+	r.servers = append(r.servers, slots...)
+	r.mu.Unlock()
+	r.restartServers(slots)
 }
--- a/internal/scenario/servers.go
+++ b/internal/scenario/servers.go
@@ -9,89 +9,143 @@
 	"winghatch/internal/testbed/backend"
 )
 
-// slot is a node's place: what runs there comes and goes.
+// States of an endpoint in the discovery protocol.
+const (
+	endpointServing  = "serving"
+	endpointDraining = "draining"
+	endpointGone     = "gone"
+)
+
+// serverSlot is a server's address and options; the server there is replaced when a fault restarts it. setUp and
+// tearDown use all slots, in between only the fault that took a slot uses its server.
 type serverSlot struct {
 	options backend.Options
 	server  *backend.Server
-	inUse   bool // with a trouble that takes it away
+	taken   bool // by a fault; runner.mu guards it
 }
 
-// newSlot makes a place for a node, with the memory of keys that its group shares.
-func (p *runner) newServerSlot(n ServerGroup) (*serverSlot, error) {
-	addr, err := p.ports.Addr()
+// endpoint returns the entry of the endpoint list for the slot. started is the zero time for a server without slow
+// start.
+func (s *serverSlot) endpoint(state string, started time.Time) discoveryws.Endpoint {
+	e := discoveryws.Endpoint{
+		Address: s.options.Address,
+		Zone:    s.options.Zone,
+		Cell:    s.options.Cell,
+		State:   state,
+	}
+	if !started.IsZero() {
+		e.StartedMs = started.UnixMilli()
+	}
+	return e
+}
+
+// endpointsIn returns the entries of the endpoint list for slots without a server in slow start.
+func endpointsIn(state string, slots []*serverSlot) (endpoints []discoveryws.Endpoint) {
+	for _, s := range slots {
+		endpoints = append(endpoints, s.endpoint(state, time.Time{}))
+	}
+	return endpoints
+}
+
+// newServerSlot returns a slot with an address of its own. No server is started.
+func (r *runner) newServerSlot(group ServerGroup) (*serverSlot, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	addr, err := r.ports.Addr()
 	if err != nil {
 		return nil, err
 	}
-	o := backend.Options{Address: addr, Zone: n.Zone, Cell: n.Cell, Cores: n.Cores, Speed: n.Speed, Queue: n.Queue,
-		Classes: map[string]backend.Class{}, Seed: p.rng.Uint64(), Log: p.log, Meter: p.usageMeter}
-	group := "all"
-	for _, k := range p.fleet.Decide.Classes {
-		o.Classes[k.Name] = backend.Class{MeanWork: n.Work[k.Name], Deduplicates: k.Idempotency == decide.IdempotentByKey, DedupWindow: k.DedupWindow}
-		switch {
-		case k.Idempotency != decide.IdempotentByKey:
-		case k.DedupScope == decide.DedupInZone:
-			group = "zone " + n.Zone
-		case k.DedupScope == decide.DedupInCell:
-			group = fmt.Sprint("cell ", n.Cell)
+	return &serverSlot{options: backend.Options{
+		Address: addr,
+		Zone:    group.Zone,
+		Cell:    group.Cell,
+		Cores:   group.Cores,
+		Speed:   group.Speed,
+		Queue:   group.Queue,
+		Classes: r.serverClasses(group),
+		Seed:    r.rng.Uint64(),
+		Log:     r.log,
+		Dedup:   r.dedupStore(group),
+		Meter:   r.usageMeter,
+	}}, nil
+}
+
+func (r *runner) serverClasses(group ServerGroup) map[string]backend.Class {
+	classes := map[string]backend.Class{}
+	for _, class := range r.fleet.Decide.Classes {
+		classes[class.Name] = backend.Class{
+			MeanWork:     group.Work[class.Name],
+			Deduplicates: class.Idempotency == decide.IdempotentByKey,
+			DedupWindow:  class.DedupWindow,
 		}
 	}
-	if p.dedupStores[group] == nil {
-		p.dedupStores[group] = backend.NewDedupStore()
-	}
-	o.Dedup = p.dedupStores[group]
-	return &serverSlot{options: o}, nil
+	return classes
 }
 
-// cold makes options of a cold start.
-func (p *runner) withSlowStart(o backend.Options) backend.Options {
-	s := p.fleet.Decide.Safety
-	o.InitialCapacity, o.SlowStartDuration, o.OverloadMultiple, o.OverloadWindow = s.SlowStartCapacity, s.SlowStartDuration, s.OverloadMultiple, s.OverloadWindow
-	return o
+// dedupStore returns the store of idempotency keys of a server. All servers share one, or those of a zone or a cell if
+// a class says so. The caller holds the lock.
+func (r *runner) dedupStore(group ServerGroup) *backend.DedupStore {
+	name := "all"
+	for _, class := range r.fleet.Decide.Classes {
+		if class.Idempotency != decide.IdempotentByKey {
+			continue
+		}
+		switch class.DedupScope {
+		case decide.DedupInZone:
+			name = "zone " + group.Zone
+		case decide.DedupInCell:
+			name = fmt.Sprint("cell ", group.Cell)
+		}
+	}
+	if r.dedupStores[name] == nil {
+		r.dedupStores[name] = backend.NewDedupStore()
+	}
+	return r.dedupStores[name]
 }
 
-// some takes count nodes that no other trouble has taken away.
-func (p *runner) takeServers(n int) (out []*serverSlot) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, i := range p.rng.Perm(len(p.servers)) {
-		if s := p.servers[i]; !s.inUse && len(out) < n {
-			s.inUse = true
-			out = append(out, s)
+// takeServers takes count random servers that no other fault has; fewer if there are no more.
+func (r *runner) takeServers(count int) (taken []*serverSlot) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, i := range r.rng.Perm(len(r.servers)) {
+		if s := r.servers[i]; !s.taken && len(taken) < count {
+			s.taken = true
+			taken = append(taken, s)
 		}
 	}
-	return out
+	return taken
 }
 
-func (p *runner) releaseServers(ss []*serverSlot) {
-	p.mu.Lock()
-	for _, s := range ss {
-		s.inUse = false
+func (r *runner) releaseServers(slots []*serverSlot) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, s := range slots {
+		s.taken = false
 	}
-	p.mu.Unlock()
 }
 
-// comeBack starts nodes anew, cold, at their addresses.
-func (p *runner) restartServers(ss []*serverSlot) {
-	var es []discoveryws.Endpoint
-	for _, s := range ss {
-		n, err := backend.Start(p.withSlowStart(s.options))
+// restartServers starts servers in slow start at the addresses of the slots, publishes them and releases the slots.
+func (r *runner) restartServers(slots []*serverSlot) {
+	var endpoints []discoveryws.Endpoint
+	for _, s := range slots {
+		server, err := backend.Start(r.withSlowStart(s.options))
 		if err != nil {
-			p.fail(err)
+			r.fail(err)
 			return
 		}
-		p.mu.Lock()
-		s.server = n
-		p.mu.Unlock()
-		es = append(es, endpointOf(s.options, "serving", time.Now()))
+		s.server = server
+		endpoints = append(endpoints, s.endpoint(endpointServing, time.Now()))
 	}
-	p.discovery.Update(es...)
-	p.releaseServers(ss)
+	r.currentDiscovery().Update(endpoints...)
+	r.releaseServers(slots)
 }
 
-func endpointOf(o backend.Options, state string, started time.Time) discoveryws.Endpoint {
-	e := discoveryws.Endpoint{Address: o.Address, Zone: o.Zone, Cell: o.Cell, State: state}
-	if !started.IsZero() {
-		e.StartedMs = started.UnixMilli()
-	}
-	return e
+// withSlowStart returns the options of a server that begins with the slow start of the fleet's settings.
+func (r *runner) withSlowStart(o backend.Options) backend.Options {
+	safety := r.fleet.Decide.Safety
+	o.InitialCapacity = safety.SlowStartCapacity
+	o.SlowStartDuration = safety.SlowStartDuration
+	o.OverloadMultiple = safety.OverloadMultiple
+	o.OverloadWindow = safety.OverloadWindow
+	return o
 }
--- a/internal/scenario/setup.go
+++ b/internal/scenario/setup.go
@@ -13,121 +13,178 @@
 	"winghatch/internal/testbed/discovery"
 )
 
-func (p *runner) setUp() error {
-	f := *p.script.Fleet
-	p.fleet = &f
-	f.Secret = credentials.NewSecret()
-	f.Gateways = append([]config.Gateway(nil), f.Gateways...)
-	f.Members = append([]config.Member(nil), f.Members...)
-	var err error
-	if p.discoveryAddr, err = p.ports.Addr(); err != nil {
+// discoveryPollInterval is how often setUp looks whether the discovery server has published the first endpoints.
+const discoveryPollInterval = time.Millisecond
+
+// setUp starts discovery, receivers, servers and gateways and makes the client. After an error tearDown stops what was
+// started.
+func (r *runner) setUp() error {
+	r.copyFleet()
+	if err := r.startDiscovery(); err != nil {
 		return err
 	}
-	if p.discovery, err = discovery.Start(p.discoveryAddr, p.script.DiscoveryDelay, p.log); err != nil {
+	if err := r.startReceivers(); err != nil {
 		return err
 	}
-	f.EndpointList = p.discoveryAddr
-	f.EndpointListPattern = filepath.Join(p.options.Dir, "list-%d.json")
-	if err := p.startReceivers(); err != nil {
+	addrs, err := r.assignGatewayAddresses()
+	if err != nil {
 		return err
 	}
-	var addrs []string
-	for i := range f.Gateways {
-		g := &f.Gateways[i]
-		if g.Listen, err = p.ports.Addr(); err != nil {
-			return err
-		}
-		if g.StateAddress, err = p.ports.Addr(); err != nil {
-			return err
-		}
-		if f.Decide.Limits.Gossip {
-			if g.GossipBind, err = p.ports.Addr(); err != nil {
-				return err
-			}
-			r, err := newRelay(g.GossipBind, uint64(p.options.Seed)+uint64(i))
-			if err != nil {
-				return err
-			}
-			p.relays = append(p.relays, r)
-			g.GossipAddress = r.addr()
-		}
-		addrs = append(addrs, g.Listen)
+	members := r.assignMemberKeys()
+	if err := r.writeConfig(); err != nil {
+		return err
 	}
-	var members []client.Member
-	for i := range f.Members {
-		m := &f.Members[i]
-		key := credentials.NewMemberKey()
-		m.Keys = []credentials.Digest{f.Secret.MemberKeyHasher().Sum([]byte(key))}
-		members = append(members, client.Member{Name: m.Name, Key: key, FirstGateway: m.First, GatewayCount: m.Spread})
+	if err := r.startServers(); err != nil {
+		return err
 	}
-	p.configFile = filepath.Join(p.options.Dir, "fleet.kdl")
-	if err := os.WriteFile(p.configFile, config.Format(&f), 0o600); err != nil {
+	if err := r.startFleet(); err != nil {
 		return err
 	}
-	if _, err := config.Load(p.configFile); err != nil {
+	r.client = client.New(client.Options{
+		Gateways:   addrs,
+		Members:    members,
+		Classes:    r.clientClasses(),
+		Rate:       r.script.Load.Rate,
+		Retries:    r.script.Load.Retries,
+		RetryDelay: r.script.Load.RetryDelay,
+		Seed:       uint64(r.options.Seed),
+		Log:        r.log,
+	})
+	return nil
+}
+
+// copyFleet copies the script's fleet as far as a run changes it, so that a script can be run again.
+func (r *runner) copyFleet() {
+	f := *r.script.Fleet
+	f.Secret = credentials.NewSecret()
+	f.Gateways = append([]config.Gateway(nil), f.Gateways...)
+	f.Members = append([]config.Member(nil), f.Members...)
+	r.fleet = &f
+}
+
+func (r *runner) startDiscovery() (err error) {
+	if r.discoveryAddr, err = r.ports.Addr(); err != nil {
 		return err
 	}
-	if err := p.startServers(); err != nil {
+	if r.discovery, err = discovery.Start(r.discoveryAddr, r.script.DiscoveryDelay, r.log); err != nil {
 		return err
 	}
-	for rank := range f.Gateways {
-		g := &gatewayProcess{rank: rank}
-		p.gateways = append(p.gateways, g)
-		if err := p.startGateway(g); err != nil {
-			return err
+	r.fleet.EndpointList = r.discoveryAddr
+	r.fleet.EndpointListPattern = filepath.Join(r.options.Dir, "list-%d.json")
+	return nil
+}
+
+// assignGatewayAddresses gives each gateway its addresses and returns those for clients, by rank. Gossip goes through
+// a relay that can lose datagrams.
+func (r *runner) assignGatewayAddresses() (addrs []string, err error) {
+	for i := range r.fleet.Gateways {
+		g := &r.fleet.Gateways[i]
+		if g.Listen, err = r.ports.Addr(); err != nil {
+			return nil, err
 		}
-	}
-	for _, g := range p.gateways {
-		if err := p.awaitGateway(g); err != nil {
-			return err
+		if g.StateAddress, err = r.ports.Addr(); err != nil {
+			return nil, err
+		}
+		addrs = append(addrs, g.Listen)
+		if !r.fleet.Decide.Limits.Gossip {
+			continue
 		}
+		if g.GossipBind, err = r.ports.Addr(); err != nil {
+			return nil, err
+		}
+		relay, err := newLossyRelay(g.GossipBind, uint64(r.options.Seed)+uint64(i))
+		if err != nil {
+			return nil, err
+		}
+		r.relays = append(r.relays, relay)
+		g.GossipAddress = relay.addr()
 	}
-	p.client = client.New(client.Options{Gateways: addrs, Members: members, Classes: p.classes(), Rate: p.script.Load.Rate,
-		Retries: p.script.Load.Retries, RetryDelay: p.script.Load.RetryDelay, Seed: uint64(p.options.Seed), Log: p.log})
-	return nil
+	return addrs, nil
 }
 
-func (p *runner) classes() (out []client.Class) {
-	for _, c := range p.script.Load.Classes {
-		for _, k := range p.fleet.Decide.Classes {
-			if k.Name == c.Class {
-				out = append(out, client.Class{Name: k.Name, Share: c.Share, Idempotency: k.Idempotency, DedupScope: k.DedupScope, DedupWindow: k.DedupWindow,
-					LatencyObjective: k.LatencyObjective, Deadline: k.Deadline, MaxUnits: c.MaxUnits})
-			}
-		}
+// assignMemberKeys makes a key for each member; the fleet's settings hold its digest, the client the key itself.
+func (r *runner) assignMemberKeys() (members []client.Member) {
+	for i := range r.fleet.Members {
+		m := &r.fleet.Members[i]
+		key := credentials.NewMemberKey()
+		m.Keys = []credentials.Digest{r.fleet.Secret.MemberKeyHasher().Sum([]byte(key))}
+		members = append(members, client.Member{
+			Name:         m.Name,
+			Key:          key,
+			FirstGateway: m.First,
+			GatewayCount: m.Spread,
+		})
 	}
-	return out
+	return members
 }
 
-func (p *runner) startServers() error {
-	if d := p.fleet.Decide.UsageReportPeriod; d > 0 {
-		rates := map[string]float64{}
-		for _, m := range p.fleet.Members {
-			for _, plan := range p.fleet.Decide.Plans {
-				if plan.Name == m.Plan {
-					rates[m.Name] = plan.Rate
-				}
-			}
-		}
-		p.usageMeter = backend.NewUsageMeter(d, rates)
+// writeConfig writes the fleet's settings and reads them as a gateway will.
+func (r *runner) writeConfig() error {
+	r.configFile = filepath.Join(r.options.Dir, fleetFile)
+	if err := os.WriteFile(r.configFile, config.Format(r.fleet), 0o600); err != nil {
+		return err
 	}
-	var all []discoveryws.Endpoint
-	for _, n := range p.script.Servers {
-		for range n.Count {
-			sl, err := p.newServerSlot(n)
+	_, err := config.Load(r.configFile)
+	return err
+}
+
+// startServers starts the servers of all groups and waits until the discovery server has published them.
+func (r *runner) startServers() error {
+	if period := r.fleet.Decide.UsageReportPeriod; period > 0 {
+		r.usageMeter = backend.NewUsageMeter(period, r.memberRates())
+	}
+	var endpoints []discoveryws.Endpoint
+	for _, group := range r.script.Servers {
+		for range group.Count {
+			slot, err := r.newServerSlot(group)
 			if err != nil {
 				return err
 			}
-			if sl.server, err = backend.Start(sl.options); err != nil {
+			if slot.server, err = backend.Start(slot.options); err != nil {
 				return err
 			}
-			p.servers = append(p.servers, sl)
-			all = append(all, endpointOf(sl.options, "serving", time.Time{}))
+			r.servers = append(r.servers, slot)
+			endpoints = append(endpoints, slot.endpoint(endpointServing, time.Time{}))
 		}
 	}
-	p.discovery.Update(all...)
-	for p.discovery.Version() == 0 {
-		time.Sleep(time.Millisecond)
+	r.discovery.Update(endpoints...)
+	for r.discovery.Version() == 0 {
+		time.Sleep(discoveryPollInterval)
 	}
 	return nil
 }
+
+// memberRates returns the rate of each member's plan in units a second.
+func (r *runner) memberRates() map[string]float64 {
+	rates := map[string]float64{}
+	for _, m := range r.fleet.Members {
+		for _, plan := range r.fleet.Decide.Plans {
+			if plan.Name == m.Plan {
+				rates[m.Name] = plan.Rate
+			}
+		}
+	}
+	return rates
+}
+
+// clientClasses returns the classes of the client load with what the fleet's settings say of them.
+func (r *runner) clientClasses() (classes []client.Class) {
+	for _, load := range r.script.Load.Classes {
+		for _, class := range r.fleet.Decide.Classes {
+			if class.Name != load.Class {
+				continue
+			}
+			classes = append(classes, client.Class{
+				Name:             class.Name,
+				Share:            load.Share,
+				Idempotency:      class.Idempotency,
+				DedupScope:       class.DedupScope,
+				DedupWindow:      class.DedupWindow,
+				LatencyObjective: class.LatencyObjective,
+				Deadline:         class.Deadline,
+				MaxUnits:         load.MaxUnits,
+			})
+		}
+	}
+	return classes
+}
--- a/internal/scenario/usage.go
+++ b/internal/scenario/usage.go
@@ -18,131 +18,167 @@
 	"winghatch/internal/usage/outbox"
 )
 
-// What days do about plans, reservations and the accounting.
+const (
+	// drainTimeout bounds the delivery of what the gateways' outboxes hold after the run.
+	drainTimeout = time.Minute
 
-// ledger is the accounting's place: it is stopped and started at one address, over one file.
+	// overrunRequests says by how much more than the reserved units a member may use: by this many requests of the
+	// largest size. A request's cost is known only when it ends, so those in progress when the reservation is used up
+	// can exceed it.
+	overrunRequests = 8
+)
+
+// usageReceiverSlot is the address and the file of the usage receiver. Faults stop it and start another there, which
+// has the events of those before it. It is safe for concurrent use.
 type usageReceiverSlot struct {
+	addr string // host:port
+	file string
+
 	mu         sync.Mutex
-	addr       string
-	file       string
-	receiver   *usagereceiver.Receiver
-	duplicates int // repeats, of receivers that ended
+	receiver   *usagereceiver.Receiver // nil while it is stopped
+	duplicates int                     // events that receivers now stopped had received before
 }
 
-func (l *usageReceiverSlot) start() (err error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.receiver, err = usagereceiver.Start(l.addr, l.file)
+func (s *usageReceiverSlot) start() (err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.receiver, err = usagereceiver.Start(s.addr, s.file)
 	return err
 }
 
-func (l *usageReceiverSlot) stop() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.receiver != nil {
-		l.receiver.Stop()
-		l.duplicates += l.receiver.Duplicates
-		l.receiver = nil
+func (s *usageReceiverSlot) stop() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.receiver == nil {
+		return
 	}
+	s.receiver.Stop()
+	s.duplicates += s.receiver.Duplicates
+	s.receiver = nil
 }
 
-func (l *usageReceiverSlot) setFault(f func(*usagereceiver.Fault)) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.receiver != nil {
-		l.receiver.SetFault(f)
+func (s *usageReceiverSlot) setFault(change func(*usagereceiver.Fault)) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.receiver != nil {
+		s.receiver.SetFault(change)
 	}
 }
 
-// openBooks starts the accounting, if the fleet has one.
-func (p *runner) startReceivers() error {
-	f := p.fleet
-	f.StateDirPattern = filepath.Join(p.options.Dir, "kept-%d")
-	if f.Metrics.Enabled {
-		at, err := p.ports.Addr()
+// startReceivers starts the receivers of what the fleet exports: metrics, usage, both or none.
+func (r *runner) startReceivers() error {
+	r.fleet.StateDirPattern = filepath.Join(r.options.Dir, "kept-%d")
+	if r.fleet.Metrics.Enabled {
+		addr, err := r.ports.Addr()
 		if err != nil {
 			return err
 		}
-		if p.metrics, err = metricsreceiver.Start(at); err != nil {
+		if r.metrics, err = metricsreceiver.Start(addr); err != nil {
 			return err
 		}
-		f.Metrics.URL = p.metrics.URL()
+		r.fleet.Metrics.URL = r.metrics.URL()
 	}
-	if f.UsageExport.URL == "" {
+	if r.fleet.UsageExport.URL == "" {
 		return nil
 	}
-	at, err := p.ports.Addr()
+	addr, err := r.ports.Addr()
 	if err != nil {
 		return err
 	}
-	p.usageReceiver = &usageReceiverSlot{addr: at, file: filepath.Join(p.options.Dir, "accounting.jsonl")}
-	if err := p.usageReceiver.start(); err != nil {
+	r.usageReceiver = &usageReceiverSlot{addr: addr, file: filepath.Join(r.options.Dir, usageFile)}
+	if err := r.usageReceiver.start(); err != nil {
 		return err
 	}
-	f.UsageExport.URL = p.usageReceiver.receiver.URL()
+	r.fleet.UsageExport.URL = r.usageReceiver.receiver.URL()
 	return nil
 }
 
-// closeMetrics keeps the series that the day's receiver has.
-func (p *runner) saveMetrics() error {
-	if p.metrics == nil {
+// stopReceivers stops the receivers that still run.
+func (r *runner) stopReceivers() {
+	if r.usageReceiver != nil {
+		r.usageReceiver.stop()
+	}
+	if r.metrics != nil {
+		r.metrics.Stop()
+	}
+}
+
+// saveSeries writes the series that the metrics receiver kept to seriesFile.
+func (r *runner) saveSeries() error {
+	if r.metrics == nil {
 		return nil
 	}
-	defer p.metrics.Stop()
-	f, err := os.Create(filepath.Join(p.options.Dir, "series.jsonl"))
+	f, err := os.Create(filepath.Join(r.options.Dir, seriesFile))
 	if err != nil {
 		return err
 	}
-	return errors.Join(p.metrics.WriteSeries(f, "winghatch_"), f.Close())
+	return errors.Join(r.metrics.WriteSeries(f, "winghatch_"), f.Close())
 }
 
-// closeBooks exports what the logs of the gateways still owe, and has it judged.
-func (p *runner) checkUsage(recs []invariant.Record, res *Result) error {
-	if p.usageReceiver == nil {
+// checkUsage delivers what the outboxes of the gateways still hold, checks the events of the usage receiver against the
+// records and adds the findings to the result.
+func (r *runner) checkUsage(records []invariant.Record, res *Result) error {
+	if r.usageReceiver == nil {
 		return nil
 	}
-	p.usageReceiver.setFault(func(t *usagereceiver.Fault) { *t = usagereceiver.Fault{} })
-	ctx, stop := context.WithTimeout(p.ctx, time.Minute)
-	defer stop()
-	orphans := uint64(0)
-	for rank := range p.fleet.Gateways {
-		r, err := gateway.DrainOutbox(ctx, p.fleet, rank, slog.New(slog.NewTextHandler(p.drainLog(), nil)))
-		if err != nil {
-			return fmt.Errorf("day: gateway %d's export: %w", rank, err)
-		}
-		orphans += r.Outbox.Orphans
+	r.usageReceiver.setFault(clearUsageFault)
+	if err := r.drainOutboxes(); err != nil {
+		return err
 	}
-	evs := p.usageReceiver.receiver.Events()
-	p.usageReceiver.stop()
-	u := invariant.CheckUsage(recs, toUsageEvents(evs), func(request string) bool { return p.gatewayKilled })
-	res.Usage, res.DuplicateEvents, res.Kills = &u, p.usageReceiver.duplicates, p.kills
-	res.Reservations = p.reservations
+	events := r.usageReceiver.receiver.Events()
+	r.usageReceiver.stop()
+	mayEstimate := func(string) bool { return r.gatewayKilled }
+	usage := invariant.CheckUsage(records, toUsageEvents(events), mayEstimate)
+	res.Usage = &usage
+	res.DuplicateEvents = r.usageReceiver.duplicates
+	res.Kills = r.kills
+	res.Reservations = r.reservations
 	for i := range res.Reservations {
-		r := &res.Reservations[i]
-		for _, e := range evs {
-			var d outbox.UsageData
-			if e.Type == outbox.TypeUsage && json.Unmarshal(e.Data, &d) == nil && d.Reserved && d.Member == r.Member {
-				r.Used += d.Units
-			}
-		}
-		// A call may turn out larger than was told, so what is out at the end may pass the whole by that much.
-		if most := r.Units + p.fleet.Decide.MaxUnits*8; r.Used > most {
-			u.Violations = append(u.Violations, fmt.Sprintf("reserved: %s used %v of %v, the bound is %v", r.Member, r.Used, r.Units, most))
+		reservation := &res.Reservations[i]
+		reservation.Used += reservedUnits(events, reservation.Member)
+		if bound := reservation.Units + r.fleet.Decide.MaxUnits*overrunRequests; reservation.Used > bound {
+			usage.Violations = append(usage.Violations, fmt.Sprintf("reserved: %s used %v of %v, the bound is %v",
+				reservation.Member, reservation.Used, reservation.Units, bound))
 		}
 	}
 	return nil
 }
 
-func (p *runner) drainLog() *os.File {
-	f, err := os.OpenFile(filepath.Join(p.options.Dir, "drain.log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+// drainOutboxes delivers what the outboxes of the gateways, all stopped, still hold.
+func (r *runner) drainOutboxes() error {
+	ctx, stop := context.WithTimeout(r.ctx, drainTimeout)
+	defer stop()
+	logFile, err := os.OpenFile(filepath.Join(r.options.Dir, drainLogFile), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return os.Stderr
+		return err
+	}
+	defer logFile.Close()
+	log := slog.New(slog.NewTextHandler(logFile, nil))
+	for rank := range r.fleet.Gateways {
+		if _, err := gateway.DrainOutbox(ctx, r.fleet, rank, log); err != nil {
+			return fmt.Errorf("scenario: deliver the usage events of gateway %d: %w", rank, err)
+		}
+	}
+	return nil
+}
+
+// reservedUnits returns how many reserved units a member used by the events.
+func reservedUnits(events []usagereceiver.Event, member string) float64 {
+	units := 0.0
+	for _, e := range events {
+		var data outbox.UsageData
+		if e.Type != outbox.TypeUsage || json.Unmarshal(e.Data, &data) != nil {
+			continue
+		}
+		if data.Reserved && data.Member == member {
+			units += data.Units
+		}
 	}
-	return f
+	return units
 }
 
-func toUsageEvents(evs []usagereceiver.Event) (out []invariant.UsageEvent) {
-	for _, e := range evs {
+func toUsageEvents(events []usagereceiver.Event) (out []invariant.UsageEvent) {
+	for _, e := range events {
 		out = append(out, invariant.UsageEvent{Source: e.Source, ID: e.ID, Type: e.Type, Data: e.Data})
 	}
 	return out
--- a/internal/scenario/verify.go
+++ b/internal/scenario/verify.go
@@ -10,20 +10,21 @@
 	"winghatch/internal/invariant"
 )
 
-// Audit judges again what a day left in a folder.
+// Verify checks the records that a run left in a folder against the invariants again. Records that were cut off are
+// checked up to the last whole one.
 func Verify(dir string) (*invariant.Verdict, error) {
-	f, err := config.Load(filepath.Join(dir, "fleet.kdl"))
+	fleet, err := config.Load(filepath.Join(dir, fleetFile))
 	if err != nil {
 		return nil, err
 	}
-	in, err := os.Open(filepath.Join(dir, "traffic.jsonl"))
+	in, err := os.Open(filepath.Join(dir, trafficFile))
 	if err != nil {
 		return nil, err
 	}
 	defer in.Close()
-	recs, err := invariant.ReadRecords(in)
+	records, err := invariant.ReadRecords(in)
 	if err != nil && !errors.Is(err, io.ErrUnexpectedEOF) {
 		return nil, err
 	}
-	return invariant.Check(f, recs), nil
+	return invariant.Check(fleet, records), nil
 }
