--- /dev/null
+++ b/internal/scenario/script_test.go
@@ -0,0 +1,47 @@
+package scenario
+
+import (
+	"strings"
+	"testing"
+)
+
+// TestBuiltIn reads every built-in scenario, and wants one for each kind of fault.
+func TestBuiltIn(t *testing.T) {
+	played := map[string]bool{}
+	for _, name := range BuiltinNames() {
+		s, err := Open(name)
+		if err != nil {
+			t.Error(err)
+			continue
+		}
+		for _, f := range s.Faults {
+			played[f.Kind] = true
+		}
+	}
+	for kind := range faultKinds {
+		if !played[kind] {
+			t.Errorf("no built-in scenario plays %s", kind)
+		}
+	}
+}
+
+// TestBadScripts wants an error that names the file, the line and what is wrong.
+func TestBadScripts(t *testing.T) {
+	for in, want := range map[string]string{
+		``:                                 `want one node named "day"`,
+		`day x {}`:                         "want a fleet, nodes and a load",
+		`day x { like nothing }`:           `"nothing", want another of the built-in scenarios`,
+		`day x { like drain; length "x" }`: "want a duration",
+		`day x { like drain; trouble rain at="1s" }`:                     "want one of",
+		`day x { like drain; trouble slow }`:                             "trouble slow.at: missing",
+		`day x { like drain; trouble slow at="1s" count=0 }`:             "want a whole number",
+		`day x { like drain; trouble class_fail at="1s" }`:               "class: missing",
+		`day x { like drain; trouble class_fail at="1s" class=nothing }`: "want a class of the fleet",
+		`day x { like drain; load rate="1/s" }`:                          "of its own",
+	} {
+		_, err := Parse("f", []byte(in))
+		if err == nil || !strings.Contains(err.Error(), want) || !strings.HasPrefix(err.Error(), "f:1:") {
+			t.Errorf("%s: %v, want %q", in, err, want)
+		}
+	}
+}
