--- /dev/null
+++ b/internal/scenario/discoveryfaults.go
@@ -0,0 +1,75 @@
+package scenario
+
+import (
+	"time"
+
+	discoveryws "winghatch/internal/discovery/websocket"
+	"winghatch/internal/testbed/discovery"
+)
+
+// Faults of the discovery server, which publishes the endpoint list.
+
+// currentDiscovery returns the discovery server, which the fault list_stale replaces.
+func (r *runner) currentDiscovery() *discovery.Server {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.discovery
+}
+
+func (r *runner) silenceDiscovery(f Fault) {
+	r.currentDiscovery().SetSilent(true)
+	r.sleep(f.Duration)
+	r.currentDiscovery().SetSilent(false)
+}
+
+func (r *runner) delayDiscovery(f Fault) {
+	r.currentDiscovery().SetDelay(f.Duration)
+	r.sleep(f.Duration)
+	r.currentDiscovery().SetDelay(r.script.DiscoveryDelay)
+}
+
+// restartDiscovery stops the discovery server for the time. The new one has the same endpoints and counts its versions
+// from the beginning.
+func (r *runner) restartDiscovery(f Fault) {
+	old := r.currentDiscovery()
+	endpoints := old.Endpoints()
+	old.Stop()
+	r.sleep(f.Duration)
+	server, err := discovery.Start(r.discoveryAddr, r.script.DiscoveryDelay, r.log)
+	if err != nil {
+		r.fail(err)
+		return
+	}
+	server.Replace(endpoints)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.discovery = server
+}
+
+// sendInvalidUpdates sends updates that a gateway must reject: none of them may change its endpoint list.
+func (r *runner) sendInvalidUpdates(Fault) {
+	server := r.currentDiscovery()
+	version := server.Version()
+	now := time.Now().UnixMilli()
+	endpoints := server.Endpoints()
+	if len(endpoints) == 0 {
+		return
+	}
+	first := endpoints[0]
+	gone := first
+	gone.State = endpointGone
+	noAddress := discoveryws.Endpoint{Address: "no address", State: endpointServing}
+	for _, u := range []struct {
+		method    string
+		version   uint64
+		endpoints []discoveryws.Endpoint
+	}{
+		{discoveryws.MethodChange, version + 1, []discoveryws.Endpoint{noAddress}},   // an invalid address
+		{discoveryws.MethodChange, version + 1, []discoveryws.Endpoint{first, gone}}, // an endpoint twice
+		{discoveryws.MethodChange, version, []discoveryws.Endpoint{gone}},            // a version that was sent before
+		{discoveryws.MethodChange, version + 5, []discoveryws.Endpoint{gone}},        // versions left out
+		{discoveryws.MethodFull, version - 1, endpoints[:1]},                         // a version that goes back
+	} {
+		server.SendRaw(u.method, discoveryws.Update{Version: u.version, NowMs: now, Endpoints: u.endpoints})
+	}
+}
