--- /dev/null
+++ b/cmd/standin/discovery.go
@@ -0,0 +1,69 @@
+package main
+
+import (
+	"fmt"
+	"strings"
+	"time"
+
+	discoveryws "winghatch/internal/discovery/websocket"
+	"winghatch/internal/testbed/discovery"
+)
+
+type discoveryCmd struct {
+	Listen  string        `required:"" help:"host:port on loopback."`
+	Delay   time.Duration `name:"lag" help:"Delay after which changes are sent."`
+	Servers []string      `arg:"" name:"nodes" optional:"" help:"Servers at the start, host:port or host:port@ZONE."`
+}
+
+// Run runs the service until the program is interrupted.
+func (c *discoveryCmd) Run() error {
+	service, err := discovery.Start(c.Listen, c.Delay, nil)
+	if err != nil {
+		return err
+	}
+	defer service.Stop()
+	var endpoints []discoveryws.Endpoint
+	for _, server := range c.Servers {
+		endpoints = append(endpoints, parseEndpoint(server, "serving"))
+	}
+	u := discoveryws.Update{Endpoints: endpoints}
+	if err := u.Check(); err != nil {
+		return err
+	}
+	service.Replace(endpoints)
+	fmt.Println("discovery service listens on", service.Addr())
+	go readChanges(service) // until the end of the input, or of the program
+	waitForInterrupt()
+	return nil
+}
+
+// parseEndpoint reads host:port or host:port@ZONE.
+func parseEndpoint(s, state string) discoveryws.Endpoint {
+	addr, zone, _ := strings.Cut(s, "@")
+	return discoveryws.Endpoint{Address: addr, Zone: zone, State: state}
+}
+
+// readChanges applies lines of the form "SERVER STATE" on standard input. A server that is set to serving counts as
+// just started.
+func readChanges(service *discovery.Server) {
+	for {
+		var server, state string
+		if _, err := fmt.Scanln(&server, &state); err != nil {
+			endOfInput := server == "" && state == "" && err.Error() != "unexpected newline"
+			if endOfInput {
+				return
+			}
+			continue
+		}
+		endpoint := parseEndpoint(server, state)
+		if state == "serving" {
+			endpoint.StartedMs = time.Now().UnixMilli()
+		}
+		u := discoveryws.Update{Endpoints: []discoveryws.Endpoint{endpoint}}
+		if err := u.Check(); err != nil {
+			fmt.Println(err)
+			continue
+		}
+		service.Update(endpoint)
+	}
+}
