--- /dev/null
+++ b/decide/quota_test.go
@@ -0,0 +1,136 @@
+package decide
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+func TestLeakyBucket(t *testing.T) {
+	h := newHarness(t, nil)
+	admitted := 0
+	for i := 0; i < 20; i++ {
+		if h.serve("get", "small", "x", 1) {
+			admitted++
+		}
+	}
+	// A third of the high-water mark of 12, of which half counts as used after a start. A request needs room for
+	// a third of its units.
+	if admitted < 1 || admitted > 3 {
+		t.Errorf("admitted %d at once after a start, want 1 to 3", admitted)
+	}
+	h.now += 10 * time.Second
+	later := 0
+	for i := 0; i < 20; i++ {
+		if h.serve("get", "small", "x", 1) {
+			later++
+		}
+	}
+	if later <= admitted || later > 5 {
+		t.Errorf("admitted %d at once after a pause, want %d to 5", later, admitted+1)
+	}
+}
+
+func TestSettlement(t *testing.T) {
+	h := newHarness(t, nil)
+	id, s := h.mustSend("get", "wide")
+	c := h.g.customers.byKey[hashKey("c")]
+	before := c.bucket.level
+	h.handle(AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: ms, RequestDone: true,
+		ActualUnits: 6})
+	if got := c.bucket.level - before; got != 5 {
+		t.Errorf("settling 1 unit to 6 moved the level by %v, want 5", got)
+	}
+	id, s = h.mustSend("get", "wide")
+	before = c.bucket.level
+	h.endAttempt(id, 0, s.Server, OutcomeNotDispatched)
+	if got := before - c.bucket.level; got != 1 {
+		t.Errorf("an attempt that was not dispatched gave back %v, want 1", got)
+	}
+	id, _ = h.mustSend("pay", "wide")
+	before = c.bucket.level
+	h.endAttempt(id, 0, "s1", OutcomeError)
+	if c.bucket.level != before {
+		t.Errorf("a failed attempt moved the level from %v to %v, want it kept", before, c.bucket.level)
+	}
+}
+
+func TestInFlightLimit(t *testing.T) {
+	h := newHarness(t, nil)
+	h.mustSend("get", "open")
+	if _, acts := h.request("get", "open", "c", 1); len(actionsOf[Reject](acts)) != 1 {
+		t.Errorf("a second attempt in flight with a third of 3: got %#v, want Reject", acts)
+	}
+	h.endAttempt("q1", 0, "s1", OutcomeOK)
+	h.mustSend("get", "open")
+}
+
+// TestInFlightLimitIsRoundedDown: of a limit of four, three gateways may not have two in flight each, yet one each.
+func TestInFlightLimitIsRoundedDown(t *testing.T) {
+	h := newHarness(t, func(c *Config) { c.Plans[3].MaxInFlight = 4 })
+	h.mustSend("get", "open")
+	if _, acts := h.request("get", "open", "c", 1); len(actionsOf[Reject](acts)) != 1 {
+		t.Errorf("a second attempt in flight with a third of 4: got %#v, want Reject", acts)
+	}
+	h = newHarness(t, func(c *Config) { c.Plans[3].MaxInFlight = 2 })
+	h.mustSend("get", "open") // a third of 2 is less than one, but one may always be in flight
+}
+
+func TestCeiling(t *testing.T) {
+	h := newHarness(t, nil)
+	if _, acts := h.request("get", "hard", "x", 8); len(actionsOf[Send](acts)) != 0 {
+		t.Fatal("forwarded under a ceiling at the start, when all of its tokens must count as used")
+	}
+	sent, start := 0.0, h.now
+	for ; h.now < start+20*time.Second; h.now += 50 * ms {
+		id, acts := h.request("get", "hard", "x", 4)
+		if s := actionsOf[Send](acts); len(s) == 1 {
+			sent += 4
+			h.endAttempt(id, 0, s[0].Server, OutcomeOK)
+		}
+		if most := 10*(h.now-start).Seconds() + 2; sent > most+1e-6 {
+			t.Fatalf("forwarded %v units by %v, want a third of the ceiling at most: %v", sent, h.now-start, most)
+		}
+	}
+	if sent < 100 {
+		t.Errorf("forwarded %v units in 20 s, want over 100", sent)
+	}
+}
+
+// TestReserved: requests whose units are reserved pass a full bucket uncharged, and are shed after others.
+func TestReserved(t *testing.T) {
+	h := newHarness(t, singleGateway)
+	h.fillQuota("x")
+	c := h.customerOf("x")
+	level, tokens := c.bucket.level, c.bucket.ceilingTokens
+	acts := h.handle(Request{ID: "r", Class: "get", Plan: "small", Customer: "x", Units: 5,
+		Deadline:     h.now + time.Second,
+		GatewayCount: 1, Reserved: true})
+	s := actionsOf[Send](acts)
+	if len(s) != 1 {
+		t.Fatalf("%v", acts)
+	}
+	h.handle(AttemptEnded{ID: "r", Server: s[0].Server, Outcome: OutcomeOK, Duration: ms, RequestDone: true,
+		ActualUnits: 9})
+	if c.bucket.level != level || c.bucket.ceilingTokens != tokens || c.inFlight != 0 {
+		t.Errorf("level %v, ceiling tokens %v, %d in flight; want %v, %v, 0", c.bucket.level, c.bucket.ceilingTokens,
+			c.inFlight, level, tokens)
+	}
+	first := func(reserved bool) (n int) {
+		h := newHarness(t, singleGateway)
+		for ; n < 5000; n++ {
+			acts := h.handle(Request{ID: fmt.Sprint(n), Class: "get", Plan: "wide", Customer: "y", Units: 0.1,
+				Deadline: h.now + 2*time.Second, GatewayCount: 1, Reserved: reserved})
+			if f := actionsOf[Reject](acts); len(f) > 0 {
+				if f[0].Reason != ReasonLoadShed {
+					t.Errorf("rejected as %s", f[0].Reason)
+				}
+				return n
+			}
+		}
+		return n
+	}
+	if with, without := first(true), first(false); with <= without {
+		t.Errorf("shed after %d reserved and %d other requests, want more of the reserved", with, without)
+	}
+}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,6 +1,8 @@
 package config
 
 import (
+	"bytes"
+	"os"
 	"reflect"
 	"strings"
 	"testing"
@@ -37,13 +39,15 @@
 `
 }
 
+// TestGood reads a document, and the one that Format writes of it.
 func TestGood(t *testing.T) {
 	f, err := Parse("f", []byte(good()))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.Decide.Plans[0].Rate != 1.5 || f.Decide.Classes[1].DedupScope != decide.DedupInZone || f.Caps.MaxMessageBytes != 64<<10 ||
-		f.Members[0].First != 1 || f.Decide.Classes[1].DedupWindow != 1500*time.Millisecond {
+	if f.Decide.Plans[0].Rate != 1.5 || f.Decide.Classes[1].DedupScope != decide.DedupInZone ||
+		f.Decide.Classes[1].DedupWindow != 1500*time.Millisecond ||
+		f.Caps.MaxMessageBytes != 64<<10 || f.Members[0].First != 1 {
 		t.Errorf("%+v", f)
 	}
 	back, err := Parse("f", Format(f))
@@ -52,7 +56,7 @@
 	}
 }
 
-// TestBad changes one thing of a good document and wants an error with place, field and value.
+// TestBad changes one thing of a good document and expects an error with place, field and value.
 func TestBad(t *testing.T) {
 	for _, c := range [][3]string{
 		{`intake "40/s"`, `intake "-1/s"`, `f:4:12: intake: "-1/s", want a rate`},
@@ -78,7 +82,7 @@
 		{`ceiling-rate "20/s"`, `ceiling-rate "5/s"`, `want the rate of 10 or more`},
 		{`max-open 9`, `max-open 1.5`, `want a whole number`},
 		{`cold-from 0.2`, `cold-from 2`, `want a number from 0 to 1`},
-		{`fall-window "1s"`, ``, `Safety.FallWindow`},
+		{`fall-window "1s"`, ``, `safety.fall-window is 0s, want more than 0`},
 		{`attempts=3`, `attempts=0`, `want a whole number from 1 to 100`},
 		{`message="64KiB"`, `message="64KB"`, `want a size`},
 		{`listen="127.0.0.1:7001"`, `listen="127.0.0.1"`, `want an address`},
@@ -104,16 +108,17 @@
 	}
 }
 
-// TestAllErrors wants all errors at once, in the order of the text.
+// TestAllErrors expects all errors at once, in the order of the text.
 func TestAllErrors(t *testing.T) {
 	in := strings.NewReplacer(`"40/s"`, `"x"`, `worth 2`, `worth x`, `open=100`, `open=0`).Replace(good())
 	_, err := Parse("f", []byte(in))
-	if errs, ok := err.(decode.Errors); !ok || len(errs) != 3 || errs[0].Pos.Line != 4 || errs[1].Pos.Line != 7 || errs[2].Pos.Line != 12 {
+	errs, ok := err.(decode.Errors)
+	if !ok || len(errs) != 3 || errs[0].Pos.Line != 4 || errs[1].Pos.Line != 7 || errs[2].Pos.Line != 12 {
 		t.Errorf("%v", err)
 	}
 }
 
-// TestAnyFleet writes drawn fleets and reads them back.
+// TestAnyFleet writes random fleets and reads them back.
 func TestAnyFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := defaults()
@@ -127,10 +132,20 @@
 		f.Decide.Gateways = n
 		num := rapid.Float64Range(0, 1e6)
 		aim := time.Duration(rapid.Int64Range(1e6, 1e12).Draw(t, "aim"))
-		f.Decide.Classes = []decide.Class{{Name: name.Draw(t, "class"), Idempotency: decide.Idempotent, DedupScope: decide.DedupInFleet, LatencyObjective: aim,
-			Deadline: 2 * aim, PriorityWeight: num.Draw(t, "worth")}}
-		f.Decide.Plans = []decide.Plan{{Name: name.Draw(t, "plan"), Rate: 1 + num.Draw(t, "rate"), Burst: 1 + num.Draw(t, "burst"),
-			PriorityWeight: num.Draw(t, "price")}}
+		f.Decide.Classes = []decide.Class{{
+			Name:             name.Draw(t, "class"),
+			Idempotency:      decide.Idempotent,
+			DedupScope:       decide.DedupInFleet,
+			LatencyObjective: aim,
+			Deadline:         2 * aim,
+			PriorityWeight:   num.Draw(t, "worth"),
+		}}
+		f.Decide.Plans = []decide.Plan{{
+			Name:           name.Draw(t, "plan"),
+			Rate:           1 + num.Draw(t, "rate"),
+			Burst:          1 + num.Draw(t, "burst"),
+			PriorityWeight: num.Draw(t, "price"),
+		}}
 		f.Members = []Member{{Name: name.Draw(t, "member"), Plan: f.Decide.Plans[0].Name, Spread: n,
 			Keys: []credentials.Digest{f.Secret.MemberKeyHasher().Sum(nil)}}}
 		back, err := Parse("f", Format(f))
@@ -139,3 +154,19 @@
 		}
 	})
 }
+
+// TestFormatWritesWhatWasRead reads a document that has every block, with values that are no defaults, in the form that
+// Format gives it. It is written again byte for byte, also the settings that nothing reads.
+func TestFormatWritesWhatWasRead(t *testing.T) {
+	want, err := os.ReadFile("testdata/every-block.kdl")
+	if err != nil {
+		t.Fatal(err)
+	}
+	f, err := Parse("every-block.kdl", want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got := Format(f); !bytes.Equal(got, want) {
+		t.Errorf("written again:\n%s\nwant:\n%s", got, want)
+	}
+}
--- /dev/null
+++ b/internal/platform/settings/document.go
@@ -0,0 +1,152 @@
+package settings
+
+import (
+	"time"
+
+	"winghatch/decide"
+)
+
+// document is the settings object. Its fields have the keys of the platform; times are nanoseconds. Keys that are
+// not named here are ignored.
+//
+// Some keys are named though no decision depends on them: a value of the wrong type in one of the platform's keys stops
+// the start all the same, as it shows a configuration that was made for something else.
+type document struct {
+	Rank, Instances int
+	Zone            string
+	Classes         []class
+	TiersOfService  []tier
+	Extra           extra
+	Limits          limits
+	Safety          safety
+
+	// Not read.
+	MembershipMode string
+	Prices         struct{ CrossZone, Waste, Probe, Peer, LateFail float64 }
+	Telemetry      struct{ How string }
+}
+
+type class struct {
+	Name, Effect, Group               string
+	AimNs, GiveUpNs, WindowNs         int64
+	AimStretch, Importance, LateWorth float64
+	Stream                            bool
+}
+
+type tier struct {
+	Name                                     string
+	Refill, MostAtOnce                       float64
+	NeverOverRate, NeverOverDepth, HardSlack float64
+	Parallel                                 int
+	Pays, BeyondEarns, ExcessCost            float64
+}
+
+type extra struct {
+	CostAfter            bool
+	PeerIntake, UnitsTop float64
+	MeterNs              int64
+
+	// Not read.
+	HasCounter   bool
+	CounterPrice float64
+	CountWaitNs  int64
+}
+
+type limits struct {
+	SendCap, OpenCap                              int
+	ParallelTries, MayCancel, Peers, RetryAfter   bool
+	MaxRetryAfterNs, ConnectTimeoutNs, ConnIdleNs int64
+
+	Probes bool // not read
+}
+
+type safety struct {
+	AnswerSlackNs, DrainGraceNs, ColdNs, FallNs int64
+	ColdFrom, FallMultiple                      float64
+
+	AskWithinNs int64 // not read
+}
+
+// The values of a class's Effect and Group. A class without a Group has the smallest.
+var (
+	effects = map[string]decide.Idempotency{
+		"safe":   decide.Idempotent,
+		"keyed":  decide.IdempotentByKey,
+		"unsafe": decide.NotIdempotent,
+	}
+	groups = map[string]decide.DedupScope{
+		"all":  decide.DedupInFleet,
+		"zone": decide.DedupInZone,
+		"cell": decide.DedupInCell,
+		"":     decide.DedupInCell,
+	}
+)
+
+// config converts all but the classes and the plans.
+func (d *document) config() decide.Config {
+	return decide.Config{
+		Rank:              d.Rank,
+		Gateways:          d.Instances,
+		Zone:              d.Zone,
+		SettledOnResponse: d.Extra.CostAfter,
+		MaxUnits:          d.Extra.UnitsTop,
+		UsageReportPeriod: time.Duration(d.Extra.MeterNs),
+		GossipCapacity:    d.Extra.PeerIntake,
+		Limits:            d.Limits.convert(),
+		Safety:            d.Safety.convert(),
+	}
+}
+
+func (l *limits) convert() decide.Limits {
+	return decide.Limits{
+		MaxAttempts:    l.SendCap,
+		Hedging:        l.ParallelTries,
+		Cancel:         l.MayCancel,
+		Gossip:         l.Peers,
+		RetryAfter:     l.RetryAfter,
+		MaxRetryAfter:  time.Duration(l.MaxRetryAfterNs),
+		ConnectTimeout: time.Duration(l.ConnectTimeoutNs),
+	}
+}
+
+func (s *safety) convert() decide.Safety {
+	return decide.Safety{
+		AnswerSlack:       time.Duration(s.AnswerSlackNs),
+		DrainGrace:        time.Duration(s.DrainGraceNs),
+		SlowStartCapacity: s.ColdFrom,
+		SlowStartDuration: time.Duration(s.ColdNs),
+		OverloadMultiple:  s.FallMultiple,
+		OverloadWindow:    time.Duration(s.FallNs),
+	}
+}
+
+// convert needs the converted Effect and Group, since their values may be unknown.
+func (k *class) convert(effect decide.Idempotency, group decide.DedupScope) decide.Class {
+	return decide.Class{
+		Name:             k.Name,
+		Idempotency:      effect,
+		DedupScope:       group,
+		DedupWindow:      time.Duration(k.WindowNs),
+		LatencyObjective: time.Duration(k.AimNs),
+		ObjectiveStretch: k.AimStretch,
+		Deadline:         time.Duration(k.GiveUpNs),
+		PriorityWeight:   k.Importance,
+		LateWeight:       k.LateWorth,
+		Streaming:        k.Stream,
+	}
+}
+
+func (t *tier) convert() decide.Plan {
+	return decide.Plan{
+		Name:           t.Name,
+		Rate:           t.Refill,
+		Burst:          t.MostAtOnce,
+		CeilingRate:    t.NeverOverRate,
+		CeilingBurst:   t.NeverOverDepth,
+		CeilingSlack:   t.HardSlack,
+		MaxInFlight:    t.Parallel,
+		PriorityWeight: t.Pays,
+		OverQuotaValue: t.BeyondEarns,
+		OverQuotaCost:  t.ExcessCost,
+	}
+}
--- /dev/null
+++ b/internal/reservation/transfer.go
@@ -0,0 +1,182 @@
+package reservation
+
+import "time"
+
+// How transfers are answered and repeated.
+const (
+	retainPeriod          = time.Second            // of its own demand a gateway keeps when it is asked
+	minRetransmitInterval = 250 * time.Millisecond // a transfer is repeated until it is acknowledged ...
+	maxRetransmitInterval = 4 * time.Second        // ... at doubling intervals up to this
+)
+
+// receive handles a message; a malformed one is dropped.
+func (l *Ledger) receive(e MessageReceived) {
+	if e.From < 0 || e.From >= l.settings.Gateways || e.From == l.settings.Rank {
+		return
+	}
+	switch m := decodeMessage(e.Data).(type) {
+	case offerMessage:
+		h := l.holdings[m.reservation]
+		if h != nil && h.announced && !h.ended && !l.draining && m.tokens > 0 && l.takeTransferRequest() {
+			l.sendTransferRequest(h, e.From, m.tokens, 0)
+		}
+	case requestMessage:
+		if h := l.holdings[m.reservation]; h != nil {
+			l.handleTransferRequest(h, e.From, m)
+		}
+	case transferMessage:
+		if h := l.holdings[m.reservation]; h != nil && m.receiverEpoch == h.epoch {
+			l.noteRichest(h, e.From, m)
+			l.handleTransfer(h, e.From, m)
+		}
+	case acknowledgementMessage:
+		if h := l.holdings[m.reservation]; h != nil && m.senderEpoch == h.epoch {
+			if t := h.sent[holder{e.From, m.epoch}]; t != nil {
+				t.acknowledged = max(t.acknowledged, min(t.total, m.total))
+			}
+		}
+	}
+}
+
+// handleTransferRequest gives a peer what this gateway can spare. An answer without anything says that there is
+// nothing.
+func (l *Ledger) handleTransferRequest(h *holding, from int, m requestMessage) {
+	if !l.draining && h.announced && !h.ended {
+		l.refillRoom(h)
+	}
+	tokens := l.spareTokens(h, m.tokens)
+	room := l.spareRoom(h, m.room)
+	to := holder{from, m.epoch}
+	if tokens <= 0 {
+		l.sendWhenPersisted(l.lastState, from, l.transferTo(h, to, m.number, room))
+		return
+	}
+	h.free -= tokens
+	h.given += tokens
+	t := h.sent[to]
+	if t == nil {
+		t = &transfer{}
+		h.sent[to] = t
+	}
+	t.total += tokens
+	t.sentAt, t.retryInterval = l.now.Mono, minRetransmitInterval
+	if p := &h.peers[from]; l.draining {
+		p.reported, p.repliedAt = p.reported+tokens, l.now.Mono
+	}
+	l.sendWhenPersisted(l.persist(h), from, l.transferTo(h, to, m.number, room))
+}
+
+// spareTokens is how many of the tokens that a peer wants this gateway can give: all but what its own requests need
+// next. Drawn tokens that are not used here soon are put back first: small rests at many gateways would be unusable.
+func (l *Ledger) spareTokens(h *holding, wanted float64) float64 {
+	if h.ended || !(wanted > 0) {
+		return 0
+	}
+	own := min((h.free+h.drawn)/2, h.demand.valueAt(l.now.Mono)*retainPeriod.Seconds())
+	if idle := h.drawn - own; h.free < wanted && idle > 0 {
+		h.free += idle
+		h.drawn -= idle
+	}
+	return max(0, min(wanted, h.free-max(0, own-h.drawn)))
+}
+
+// spareRoom takes from this gateway's room what it can give of the room that a peer wants: what its own requests do
+// not wait for. It gives nothing rather than less than a request needs, which would expire unused.
+func (l *Ledger) spareRoom(h *holding, wanted float64) float64 {
+	if h.ended || !h.announced || !h.Ceiling || !(wanted > 0) {
+		return 0
+	}
+	room := min(wanted, max(0, h.ceilingRoom-h.queuedUnits()))
+	if room < min(wanted, l.settings.MaxRequestUnits)-negligible {
+		return 0
+	}
+	h.ceilingRoom -= room
+	return room
+}
+
+// transferTo encodes the message with the total that was sent to a holder.
+func (l *Ledger) transferTo(h *holding, to holder, request uint64, room float64) []byte {
+	m := transferMessage{reservation: h.ID, request: request, epoch: h.epoch, receiverEpoch: to.epoch, room: room,
+		left: max(0, h.free)}
+	if t := h.sent[to]; t != nil {
+		m.total = t.total
+	}
+	rank, tokens := l.richest(h, to.rank)
+	m.richest, m.richestTokens = uint64(rank+1), tokens
+	return m.encode()
+}
+
+// richest is the gateway that reported most tokens lately, but for one; -1: unknown. Transfers name it: after a rolling
+// restart, when few gateways hold all tokens, the others would otherwise ask one by one.
+func (l *Ledger) richest(h *holding, but int) (rank int, tokens float64) {
+	rank = -1
+	for i := range h.peers {
+		p := &h.peers[i]
+		if i != but && i != l.settings.Rank && p.reported > tokens && p.unresponsiveUntil <= l.now.Mono &&
+			l.now.Mono-p.repliedAt < reportLifetime {
+			rank, tokens = i, p.reported
+		}
+	}
+	return rank, tokens
+}
+
+// noteRichest notes the gateway that a transfer names as having most tokens.
+func (l *Ledger) noteRichest(h *holding, from int, m transferMessage) {
+	rank := int(m.richest) - 1
+	if m.richest == 0 || m.richest > uint64(l.settings.Gateways) || rank == l.settings.Rank || rank == from {
+		return
+	}
+	if p := &h.peers[rank]; l.now.Mono-p.repliedAt > reportTrusted && m.richestTokens > p.reported {
+		p.reported, p.emptyAt, p.emptyBackoff = m.richestTokens, 0, 0
+	}
+}
+
+// handleTransfer adds the tokens and room of a transfer. Only what a total has grown by counts, so messages that come
+// twice, late or not at all do no harm.
+func (l *Ledger) handleTransfer(h *holding, from int, m transferMessage) {
+	sender := holder{from, m.epoch}
+	p := &h.peers[from]
+	p.repliedAt, p.unanswered, p.unresponsiveUntil, p.reported = l.now.Mono, 0, 0, m.left
+	if m.request != 0 && h.outstanding[m.request] == from {
+		delete(h.outstanding, m.request)
+		p.requestedAt = 0
+		if m.room > 0 && !h.ended {
+			h.roomGrants = append(h.roomGrants, roomGrant{m.room, l.now.Mono + roomGrantLifetime})
+		}
+	}
+	added := m.total - h.received[sender]
+	switch {
+	case m.left > negligible || added > negligible:
+		p.emptyAt, p.emptyBackoff = 0, 0
+	case !l.reportedEmpty(h, from):
+		p.emptyAt, p.emptyBackoff = l.now.Mono, min(maxEmptyBackoff, max(minEmptyBackoff, 2*p.emptyBackoff))
+	}
+	if m.total == 0 {
+		return
+	}
+	acknowledgement := acknowledgementMessage{h.ID, m.epoch, h.epoch, max(m.total, h.received[sender])}.encode()
+	if added <= 0 {
+		l.sendWhenPersisted(l.lastState, from, acknowledgement)
+		return
+	}
+	h.received[sender] = m.total
+	if !h.ended {
+		h.free += added
+	}
+	l.sendWhenPersisted(l.persist(h), from, acknowledgement)
+}
+
+// retransmit repeats the totals that were not acknowledged in time.
+func (l *Ledger) retransmit(h *holding) {
+	for _, to := range sortedHolders(h.sent) {
+		t := h.sent[to]
+		if t.total <= t.acknowledged {
+			continue
+		}
+		if l.now.Mono-t.sentAt >= t.retryInterval {
+			t.sentAt, t.retryInterval = l.now.Mono, min(maxRetransmitInterval, 2*t.retryInterval)
+			l.sendWhenPersisted(l.lastState, to.rank, l.transferTo(h, to, 0, 0))
+		}
+		h.wakeAt = min(h.wakeAt, t.sentAt+t.retryInterval)
+	}
+}
