--- a/cmd/winghatch/commands_test.go
+++ b/cmd/winghatch/commands_test.go
@@ -10,8 +10,8 @@
 	"github.com/alecthomas/kong"
 )
 
-// TestCommandsStay holds the command line of earlier versions: each of their sub-commands is still found, by its name or
-// by an alias, and takes the same flags and arguments with the same defaults. testdata/commands.txt has one line a
+// TestCommandsStay holds the command line of earlier versions: each of their sub-commands is still found, by its name
+// or by an alias, and takes the same flags and arguments with the same defaults. testdata/commands.txt has one line a
 // sub-command, as describe writes it.
 func TestCommandsStay(t *testing.T) {
 	raw, err := os.ReadFile("testdata/commands.txt")
--- a/cmd/winghatch/plan.go
+++ b/cmd/winghatch/plan.go
@@ -1,13 +1,9 @@
 package main
 
 import (
-	"context"
 	"fmt"
 	"os"
-	"os/signal"
-	"path/filepath"
 	"strconv"
-	"syscall"
 	"text/tabwriter"
 	"time"
 
@@ -175,28 +171,6 @@
 	return c.submit(quotaplan.Change{Number: c.Number, Kind: quotaplan.Shorten, Target: c.Target, Units: c.Units})
 }
 
-type reserveCmd struct {
-	gatewayTarget
-	Member  string   `arg:""`
-	Units   float64  `required:"" help:"Units set aside for the member's marked calls."`
-	From    flagTime `required:"" help:"Begin of the window, as 2026-12-07T08:00:00Z or +90m."`
-	To      flagTime `required:"" help:"End of the window."`
-	UseRate float64  `name:"rate" help:"Units a second at which they may be used; under a ceiling a quarter of it, or twice the mean, if none is given."`
-	Number  uint64   `help:"The reservation's number."`
-}
-
-func (c *reserveCmd) Run() error {
-	from, err := c.From.unix("from")
-	if err != nil {
-		return err
-	}
-	to, err := c.To.unix("to")
-	if err != nil {
-		return err
-	}
-	return c.submit(quotaplan.Change{Number: c.Number, Kind: quotaplan.Reserve, Member: c.Member, Units: c.Units, From: from, To: to, Rate: c.UseRate})
-}
-
 type planShowCmd struct {
 	gatewayTarget
 	Member string `arg:"" optional:""`
@@ -261,42 +235,6 @@
 	return nil
 }
 
-type exportCmd struct {
-	Drain exportDrainCmd `cmd:"" help:"Tell the receiver all that the log of a gateway owes; tries that its last life left open go at their guesses."`
-}
-
-type exportDrainCmd struct {
-	Config string        `required:"" help:"The fleet's settings."`
-	Rank   int           `required:"" help:"The gateway that does not run."`
-	Dir    string        `arg:"" optional:"" help:"What it kept, if that lies elsewhere than the settings say: the directory that holds 'use'."`
-	To     string        `help:"URL of the receiver, if it is another than the settings'."`
-	Within time.Duration `default:"10m" help:"Give up after this; what is told by then stays told."`
-}
-
-func (c *exportDrainCmd) Run() error {
-	f, err := config.Load(c.Config)
-	if err != nil {
-		return err
-	}
-	if c.Dir != "" {
-		if _, err := os.Stat(filepath.Join(c.Dir, "use")); err != nil {
-			return fmt.Errorf("%s: no export's log here: %w", c.Dir, err)
-		}
-		f.StateDirPattern = c.Dir
-	}
-	if c.To != "" {
-		f.UsageExport.URL = c.To
-	}
-	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	defer stop()
-	ctx, cancel := context.WithTimeout(ctx, c.Within)
-	defer cancel()
-	res, err := gateway.DrainOutbox(ctx, f, c.Rank, logger(f, ""))
-	fmt.Printf("events told %d in %d batches, %d times again; set aside %d; at a guess, left by an ended life %d; records lost %d, torn bytes %d\n",
-		res.Delivery.Sent, res.Delivery.Batches, res.Delivery.Retries, res.Delivery.DeadLetters, res.Outbox.Orphans, res.LostRecords, res.TornBytes)
-	return err
-}
-
 func withReason(status, why string) string {
 	if why == "" {
 		return status
