--- a/cmd/standin/commands_test.go
+++ b/cmd/standin/commands_test.go
@@ -9,5 +9,5 @@
 // Scripts and units of operators call the sub-commands of earlier versions. Each is still found, by its name or by an
 // alias, with the same flags, arguments and defaults.
 func TestCommandsStay(t *testing.T) {
-	commandline.CheckStored(t, "standin", &command{}, "testdata/commands.txt")
+	commandline.CheckStored(t, &command{}, "testdata/commands.txt", parserOptions()...)
 }
--- a/internal/testbed/commandline/commandline.go
+++ b/internal/testbed/commandline/commandline.go
@@ -13,14 +13,14 @@
 
 // CheckStored holds the command line of earlier versions: each of their sub-commands is still found, by its name or by
 // an alias, and takes the same flags and arguments with the same defaults. file has one line a sub-command, as describe
-// writes it after its path and a colon. grammar is what kong parses for the program of a name.
-func CheckStored(t *testing.T, program string, grammar any, file string) {
+// writes it after its path and a colon. grammar and options are what the program gives to kong.
+func CheckStored(t *testing.T, grammar any, file string, options ...kong.Option) {
 	t.Helper()
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	parser, err := kong.New(grammar, kong.Name(program))
+	parser, err := kong.New(grammar, options...)
 	if err != nil {
 		t.Fatal(err)
 	}
