--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -50,13 +50,13 @@
 	span     trace.SpanID
 
 	usageID        outbox.ID // 0: its use is not exported
-	awaitingIntent bool      // not handed to upstream yet, as its intent is not durable
-	denied         bool      // it never will be; its result is in the queue
+	awaitingIntent bool      // not given to upstream yet, as its intent is not durable
+	denied         bool      // its intent can't be written, so it is never sent; its result is in the queue
 
 	// Of its time-out; see timers.
 	timeoutAt     time.Duration
 	timerSequence uint64
-	heapIndex     int
+	heapIndex     int // place in attemptTimerHeap, from 1; 0: not in it
 }
 
 // dispatch starts an attempt. One that can't be dispatched any more ends through the queue, behind the actions under
--- a/internal/gateway/changesfile.go
+++ b/internal/gateway/changesfile.go
@@ -16,13 +16,13 @@
 // changesPollInterval is how often the file of plan changes is read.
 const changesPollInterval = 500 * time.Millisecond
 
-// Bounds of figures in the file. Whole numbers up to maxWhole are exact in float64, which JSON readers use.
+// Bounds of numbers in the file. Integers up to maxNumber are exact in float64, which JSON readers use.
 const (
-	maxWhole       = 1 << 53
-	maxReservation = 1e12 // units
-	maxBurst       = 1e9  // units
-	maxOpenLimit   = 1<<31 - 1
-	maxPrice       = 1e9
+	maxNumber      = 1 << 53   // of a plan change
+	maxReservation = 1e12      // units
+	maxBurst       = 1e9       // units
+	maxOpenLimit   = 1<<31 - 1 // attempts in flight
+	maxPrice       = 1e9       // priority weight, without unit
 )
 
 // ReadChanges reads a file of plan changes: KDL nodes named "change" with the fields of one each, times in RFC 3339. It
@@ -60,9 +60,9 @@
 	}
 	number, target := 0, 0
 	d.Block("change", n, decode.Fields{
-		"number":        decode.Int(&number, 1, maxWhole),
+		"number":        decode.Int(&number, 1, maxNumber),
 		"kind":          decode.Choice(&c.Kind, kinds),
-		"target":        decode.Int(&target, 1, maxWhole),
+		"target":        decode.Int(&target, 1, maxNumber),
 		"member":        decode.String(&c.Member),
 		"plan":          decode.String(&c.Plan),
 		"from":          timeSetting(&c.From),
@@ -96,8 +96,8 @@
 }
 
 // watchChanges submits the plan changes of a file whenever its content differs from before, until ctx ends. A file
-// that can't be read as a whole, as one that is being written, changes nothing; in one that can, each change counts
-// by itself.
+// with a mistake in it, as one that is being written, changes nothing; of a valid one each change is accepted or
+// rejected independently of the others.
 func (g *Gateway) watchChanges(ctx context.Context, file string) {
 	var last string // content, or the error that was logged
 	for {
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// Submit hands in a plan change and waits until it is durable here. The error of a change that is rejected is a
+// Submit submits a plan change and waits until it is durable here. The error of a change that is rejected is a
 // *quotaplan.Error; with any other error the change may still be accepted later.
 func (g *Gateway) Submit(c quotaplan.Change) (quotaplan.Change, error) {
 	replies := make(chan quotaplan.Reply, 1)
--- a/internal/gateway/controlclient.go
+++ b/internal/gateway/controlclient.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"encoding/json"
 	"errors"
+	"fmt"
 	"io"
 	"net/http"
 	"net/url"
@@ -22,7 +23,7 @@
 func SubmitChange(addr string, secret credentials.Secret, c quotaplan.Change) (quotaplan.Change, error) {
 	body, err := json.Marshal(newChangeJSON(&c))
 	if err != nil {
-		return c, err
+		return c, fmt.Errorf("change %d: encode: %w", c.Number, err)
 	}
 	req, err := http.NewRequest(http.MethodPost, "http://"+addr+"/changes", bytes.NewReader(body))
 	if err != nil {
@@ -48,7 +49,7 @@
 	return h, err
 }
 
-// do sends a request and decodes the answer into out.
+// do sends a request and decodes the response into out. The error of a response that is not 200 has its text alone.
 func do(req *http.Request, out any) error {
 	client := http.Client{Timeout: controlTimeout}
 	res, err := client.Do(req)
@@ -58,10 +59,13 @@
 	defer res.Body.Close()
 	raw, err := io.ReadAll(res.Body)
 	if err != nil {
-		return err
+		return fmt.Errorf("read the response of %s: %w", req.URL, err)
 	}
 	if res.StatusCode != http.StatusOK {
 		return errors.New(strings.TrimSpace(string(raw)))
 	}
-	return json.Unmarshal(raw, out)
+	if err := json.Unmarshal(raw, out); err != nil {
+		return fmt.Errorf("decode the response of %s: %w", req.URL, err)
+	}
+	return nil
 }
--- a/internal/gateway/drainoutbox.go
+++ b/internal/gateway/drainoutbox.go
@@ -54,11 +54,11 @@
 	}
 	box, l, recovery, err := OpenOutbox(o, nil, nil, onFailure)
 	if err != nil {
-		return DrainResult{}, err
+		return DrainResult{}, fmt.Errorf("gateway %d: open the outbox log: %w", rank, err)
 	}
 	defer l.Close()
 	if err := l.Sync(drainSyncTimeout); err != nil {
-		return DrainResult{}, err
+		return DrainResult{}, fmt.Errorf("gateway %d: sync the outbox log: %w", rank, err)
 	}
 	options := senderOptions(o, l, box)
 	options.MaxDeadLetterBytes = maxDeadLetters
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -19,9 +19,10 @@
 const (
 	// handOverTimeout is how long a draining gateway offers its reserved units to others.
 	handOverTimeout = 500 * time.Millisecond
-	// sessionCloseTimeout is how long it waits for the last answers to leave and the sessions to close.
+	// sessionCloseTimeout is how long it waits for the last answers to be written and the sessions to close.
 	sessionCloseTimeout = time.Second
-	drainPollInterval   = 2 * time.Millisecond
+	// drainPollInterval is how often it looks whether open requests and sessions have ended.
+	drainPollInterval = 2 * time.Millisecond
 )
 
 // clockOrigin is what the clock shows at the start of the process. It is not 0, so that the start of a server some time
@@ -92,7 +93,7 @@
 		case <-time.After(handOverTimeout):
 		}
 	}
-	// The last samples leave while the state that they are read from is there.
+	// The last samples are gathered from the loop's state, so this has to precede Stop.
 	if g.remoteWriter != nil {
 		g.stopRemoteWriter()
 		<-g.remoteWriterDone
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// UpdateEndpoints hands an endpoint list or a watch event to the core and returns once it was taken: discovery that
-// sends without pause waits for the loop and can't fill its queue.
+// UpdateEndpoints gives an endpoint list or a watch event to the core and returns once the core has handled it:
+// discovery that sends without pause waits for the loop and can't fill its queue.
 func (l *Loop) UpdateEndpoints(ev decide.EndpointUpdate) { l.Do(func() { l.handleEvent(ev) }) }
 
 // Stop ends Run after the turn under way and waits for that. Requests in flight stay without an answer. It is called by
@@ -152,10 +152,13 @@
 	<-l.stopped
 }
 
+// maxSleep bounds how long the loop sleeps when nothing is due.
+const maxSleep = time.Hour
+
 // Run is the loop. It returns after Stop.
 func (l *Loop) Run() {
 	defer close(l.stopped)
-	alarm := time.NewTimer(time.Hour)
+	alarm := time.NewTimer(maxSleep)
 	defer alarm.Stop()
 	for {
 		l.turn()
@@ -197,15 +200,19 @@
 	}
 }
 
+// minTickInterval is the least time between two turns for the periodic work of plans and totals: work that is always
+// due, as after a step of the wall clock, must not keep the loop from sleeping.
+const minTickInterval = time.Millisecond
+
 // sleepTime does the periodic work of plans and totals that is due and returns how long the loop may sleep.
 func (l *Loop) sleepTime() time.Duration {
-	wait := time.Hour
+	wait := maxSleep
 	if l.plans != nil {
 		wait = l.plans.tick()
 	}
 	if l.totals != nil {
 		l.sendTotals()
-		wait = min(wait, max(time.Millisecond, l.totals.NextTick()-l.now))
+		wait = min(wait, max(minTickInterval, l.totals.NextTick()-l.now))
 	}
 	if at, ok := l.timers.next(); ok {
 		wait = max(0, min(wait, at-l.clock()))
@@ -216,7 +223,7 @@
 	return wait
 }
 
-// fireTimer hands the core its own timer, or ends an attempt that has timed out.
+// fireTimer gives the core its own timer, or ends an attempt that has timed out.
 func (l *Loop) fireTimer(token uint64, a *attempt) {
 	if a == nil {
 		l.handleEvent(decide.TimerFired{Token: token})
--- a/internal/gateway/params.go
+++ b/internal/gateway/params.go
@@ -10,7 +10,8 @@
 // attemptParams encodes what a server gets with an attempt where the front end has no encoding of its own: the
 // params of a JSON-RPC request.
 func (r *openRequest) attemptParams(number int, timeLeft time.Duration) []byte {
-	b := make([]byte, 0, 160+len(r.Payload))
+	const fieldBytes = 160 // about what all but the payload takes
+	b := make([]byte, 0, fieldBytes+len(r.Payload))
 	b = append(b, `{"request":`...)
 	b = strconv.AppendQuote(b, r.ID)
 	b = append(b, `,"attempt":`...)
@@ -44,6 +45,6 @@
 		dst = append(dst, s...)
 		return append(dst, '"')
 	}
-	raw, _ := json.Marshal(s) // a string always can be
+	raw, _ := json.Marshal(s) // a string can always be encoded
 	return append(dst, raw...)
 }
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -16,7 +16,13 @@
 	channelTotals       = 0x03 // package aggregate
 )
 
-// ReceiveGossip hands a message of another gateway to the loop.
+// The directions of grant messages in the metrics.
+const (
+	directionIn  = "in"
+	directionOut = "out"
+)
+
+// ReceiveGossip posts a message of another gateway to the loop.
 func (l *Loop) ReceiveGossip(from int, text string) { l.queue.post(gossipMessage{from, text}) }
 
 // sendToPeer sends a message that is not the core's.
@@ -32,12 +38,12 @@
 		return
 	}
 	if l.metrics != nil {
-		l.metrics.GrantMessage(action.Text, "out")
+		l.metrics.GrantMessage(action.Text, directionOut)
 	}
 	l.peers.Send(action.To, action.Text)
 }
 
-// receiveFromPeer hands a message to whom it is for.
+// receiveFromPeer gives a message to the part of the loop whose channel it has.
 func (l *Loop) receiveFromPeer(from int, text string) {
 	channel := byte(0)
 	if len(text) > 0 {
@@ -54,7 +60,7 @@
 		}
 	default:
 		if l.metrics != nil {
-			l.metrics.GrantMessage(text, "in")
+			l.metrics.GrantMessage(text, directionIn)
 		}
 		l.handleEvent(decide.GossipReceived{From: from, Text: text})
 	}
--- a/internal/gateway/planlog.go
+++ b/internal/gateway/planlog.go
@@ -24,6 +24,9 @@
 	planSegmentBytes = 4 << 20
 )
 
+// planLogDir is the log's directory in that of the gateway's state. A log under another name would not be found.
+const planLogDir = "book"
+
 // pendingRecord is a record that is not durable yet, and what waits for it: either a change or a state.
 type pendingRecord struct {
 	record           uint64
@@ -139,8 +142,8 @@
 		if pending.changeNumber != 0 {
 			p.loop.queue.post(changeNotPersisted{pending.changeNumber, err.Error()})
 		}
-		// A state of a reservation that is not persisted must have no effect, nor may any later one: their numbers
-		// stand for all before them. Until the next restart fewer reserved units can be used, never more.
+		// A state of a reservation that is not persisted must have no effect, nor may any later one: that a number is
+		// persisted means that all before it are. Until the next restart fewer reserved units can be used, never more.
 		if pending.reservationState != 0 && p.firstUnpersisted == 0 {
 			p.firstUnpersisted = pending.reservationState
 		}
--- a/internal/gateway/queue.go
+++ b/internal/gateway/queue.go
@@ -77,14 +77,14 @@
 	}
 }
 
-// queue hands inputs of other goroutines to the loop, in order. Posting never blocks, so no socket waits for another
-// one. It has no bound of its own; its sources have: requests the cap on open ones, results the attempts in flight,
-// gossip its rate limit, endpoint updates that they wait until they are taken.
+// queue passes inputs of other goroutines to the loop, in order. Posting never blocks, so no socket waits for another
+// one. It has no bound of its own, its sources have: requests are bounded by the cap on open ones, results by the
+// attempts in flight, gossip by its rate limit; discovery waits until an update is handled.
 type queue struct {
 	mu    sync.Mutex
 	items []loopInput
 	spare []loopInput   // the slice that the last take returned
-	wake  chan struct{} // has an element after the first item was posted to an empty queue
+	wake  chan struct{} // has an element after an item was posted to the empty queue
 }
 
 func newQueue() *queue { return &queue{wake: make(chan struct{}, 1)} }
--- a/internal/gateway/quotaplans.go
+++ b/internal/gateway/quotaplans.go
@@ -30,7 +30,7 @@
 	reservationsTickAt quotaplan.Instant
 	replies            map[uint64]func(quotaplan.Reply) // by token
 	lastToken          uint64
-	handedOver         chan struct{} // of a gateway that drains; nil: it does not, or has handed everything over
+	handedOver         chan struct{} // of a gateway that drains; nil: it does not, or others have all its units
 
 	log              *wal.Log // nil: nothing is persisted
 	pending          []pendingRecord
@@ -116,17 +116,17 @@
 	if isDue(p.reservationsTickAt) {
 		p.handleReservationEvent(reservation.Tick{})
 	}
-	wait := time.Hour
+	wait := maxSleep
 	for _, at := range []quotaplan.Instant{p.replicaTickAt, p.reservationsTickAt} {
 		wait = min(wait, at.Mono-now.Mono)
-		if at.Wall < now.Wall+int64(time.Hour) { // further off the difference may overflow
+		if at.Wall < now.Wall+int64(maxSleep) { // the difference to a later one may overflow
 			wait = min(wait, time.Duration(at.Wall-now.Wall))
 		}
 	}
-	return max(wait, time.Millisecond)
+	return max(wait, minTickInterval)
 }
 
-// submit hands in a plan change. reply is called in the loop, once the change is durable or rejected.
+// submit submits a plan change. reply is called in the loop, once the change is durable or rejected.
 func (p *quotaPlans) submit(c quotaplan.Change, reply func(quotaplan.Reply)) {
 	p.lastToken++
 	p.replies[p.lastToken] = reply
@@ -180,6 +180,9 @@
 	}
 }
 
+// roundingError is less than any amount of reserved units that is worth waiting for, in units.
+const roundingError = 1e-9
+
 func (p *quotaPlans) handleReservationEvent(ev reservation.Event) {
 	for _, action := range p.reservations.Handle(p.now(), ev) {
 		switch action := action.(type) {
@@ -206,7 +209,7 @@
 			p.reservationsTickAt = action.At
 		}
 	}
-	if p.handedOver != nil && p.reservations.Unsettled() < 1e-9 { // units, but for rounding
+	if p.handedOver != nil && p.reservations.Unsettled() < roundingError {
 		close(p.handedOver)
 		p.handedOver = nil
 	}
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -47,7 +47,7 @@
 	return true
 }
 
-// Submit hands a request, which Reserve has counted, to the loop.
+// Submit posts a request, which Reserve has counted, to the loop.
 func (l *Loop) Submit(r *frontend.Request) { l.queue.post(requestReceived{r}) }
 
 // Disconnected reports to the loop that the client of a request left.
@@ -97,7 +97,7 @@
 	})
 }
 
-// admit hands a request to the core; a reserved one only once its units are drawn.
+// admit gives a request to the core; a reserved one only once its units are drawn.
 func (l *Loop) admit(r *openRequest) {
 	r.awaitingReservation = false
 	l.handleEvent(decide.Request{
--- a/internal/gateway/start.go
+++ b/internal/gateway/start.go
@@ -21,7 +21,13 @@
 	"winghatch/internal/wsconn"
 )
 
-const upstreamReadBuffer = 16 << 10 // bytes
+// Of connections to servers. Their bounds are multiples of those of clients' connections: a response may be larger
+// than the largest request, and one connection carries the calls of many sessions.
+const (
+	upstreamReadBuffer    = 16 << 10 // bytes
+	upstreamMessageFactor = 2
+	upstreamQueueFactor   = 8
+)
 
 // Start binds the sockets that the settings name, recovers what was persisted and runs a gateway. After an error
 // nothing of it is left behind. The error names the gateway's rank and the setting.
@@ -46,7 +52,7 @@
 	var recorder *recording.Writer
 	if o.Recording != nil {
 		if recorder, err = recording.NewWriter(o.Recording, cfg, o.Seed); err != nil {
-			return nil, err
+			return nil, fmt.Errorf("gateway %d: recording: %w", o.Rank, err)
 		}
 	}
 	g.upstream = newUpstream(cfg, &f.Caps)
@@ -63,7 +69,7 @@
 	}
 	if o.Core == nil {
 		if o.Core, err = decide.New(cfg, o.Seed); err != nil {
-			return nil, err
+			return nil, fmt.Errorf("gateway %d: %w", o.Rank, err)
 		}
 	}
 	var peers Peers
@@ -86,8 +92,8 @@
 		IdleTimeout:    caps.EndpointIdleTimeout,
 		PingInterval:   caps.PingAfter,
 		Conn: wsconn.Options{
-			MaxMessage:   int64(caps.MaxMessageBytes) * 2,
-			MaxQueue:     8 * caps.MaxQueuedBytes,
+			MaxMessage:   upstreamMessageFactor * int64(caps.MaxMessageBytes),
+			MaxQueue:     upstreamQueueFactor * caps.MaxQueuedBytes,
 			WriteTimeout: caps.WriteTimeout,
 			ReadBuffer:   upstreamReadBuffer,
 		},
@@ -113,7 +119,7 @@
 	}
 }
 
-// listen opens the sockets, of which an error leaves some open.
+// listen opens the sockets. After an error some may be open, which the caller closes.
 func (g *Gateway) listen(cfg decide.Config, s *sockets) (err error) {
 	me := g.fleet.Gateways[g.rank]
 	if s.requests, err = net.Listen("tcp", me.Listen); err != nil {
@@ -124,7 +130,7 @@
 			return fmt.Errorf("gateway %d: peer: %w", g.rank, err)
 		}
 		if err := g.openGossip(cfg, s.gossip); err != nil {
-			return err
+			return fmt.Errorf("gateway %d: peer: %w", g.rank, err)
 		}
 	}
 	if me.StateAddress != "" {
@@ -157,10 +163,10 @@
 	plans := newPlanOptions(f, g.rank, incarnation, o.Seed)
 	plans.Log, plans.WallClock, plans.FS = g.log, unixNanos, o.FS
 	if f.StateDirPattern != "" {
-		plans.Dir = filepath.Join(f.StateDir(g.rank), "book")
+		plans.Dir = filepath.Join(f.StateDir(g.rank), planLogDir)
 	}
 	if l.plans, err = openPlans(l, plans); err != nil {
-		return fmt.Errorf("gateway %d: kept: %w", g.rank, err)
+		return fmt.Errorf("gateway %d: kept: plan log: %w", g.rank, err)
 	}
 	if f.UsageExport.URL != "" {
 		usage := OutboxOptions{
@@ -174,7 +180,7 @@
 			Log:         g.log,
 		}
 		if l.usage, err = openUsageOutbox(l, usage); err != nil {
-			return fmt.Errorf("gateway %d: kept: %w", g.rank, err)
+			return fmt.Errorf("gateway %d: kept: outbox log: %w", g.rank, err)
 		}
 	}
 	if f.Tracing.URL != "" {
@@ -194,7 +200,8 @@
 	return nil
 }
 
-// run starts the goroutines of a gateway. Stop ends them: each either by the context or by closing what it serves.
+// run starts the goroutines of a gateway, the loop first and the front end last: no request comes before the core has
+// its plans and all else runs. Stop ends them, each either by the context or by closing what it serves.
 func (g *Gateway) run(s *sockets) {
 	ctx, stop := context.WithCancel(context.Background())
 	g.stop = stop
@@ -246,7 +253,7 @@
 	})
 }
 
-// watchEndpoints hands the endpoint list and its changes to the loop until ctx ends.
+// watchEndpoints gives the endpoint list and its changes to the loop until ctx ends.
 func (g *Gateway) watchEndpoints(ctx context.Context) {
 	discoveryws.Watch(ctx, discoveryws.Options{
 		Address:   g.fleet.EndpointList,
--- a/internal/gateway/statejson.go
+++ b/internal/gateway/statejson.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// ReservationState is a reservation as a gateway has it. Units are those of the member's quota; a token stands for a
-// unit that may be used at this gateway.
+// ReservationState is a reservation as a gateway has it. Units are those of the member's quota; a token is a unit that
+// may be used at this gateway.
 type ReservationState struct {
 	ID           uint64  `json:"ID"`
 	Number       uint64  `json:"Number"` // of the plan change that made it
--- a/internal/gateway/tracing.go
+++ b/internal/gateway/tracing.go
@@ -52,7 +52,7 @@
 // wallTime converts a time of the loop's clock.
 func (t *requestTracer) wallTime(at time.Duration) time.Time { return t.wallBase.Add(at) }
 
-// close sends the spans that wait. It is called after the loop has ended.
+// close sends the spans that wait, for flushTimeout at most; the rest is lost. It is called after the loop has ended.
 func (t *requestTracer) close() {
 	ctx, stop := context.WithTimeout(context.Background(), flushTimeout)
 	defer stop()
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -24,7 +24,7 @@
 	settlementReservePerAttempt = 1 << 10
 )
 
-// usageOutbox carries out what the outbox of usage asks for: no byte of an attempt leaves before its intent is
+// usageOutbox carries out what the outbox of usage asks for: no byte of an attempt is sent before its intent is
 // durable, and its settlement follows its end. The loop owns it. The goroutine of run and those of the log report to
 // the loop through its queue what they did.
 type usageOutbox struct {
@@ -100,7 +100,7 @@
 	case outbox.Deny:
 		if a := u.attempts[action.ID]; a != nil && a.awaitingIntent {
 			a.awaitingIntent, a.denied = false, true
-			// Nothing of it left.
+			// No byte of it was sent.
 			u.loop.queue.post(attemptResult{a, upstream.Result{Outcome: decide.OutcomeConnectFailed}})
 		}
 	}
--- a/internal/gateway/usagelog.go
+++ b/internal/gateway/usagelog.go
@@ -12,8 +12,20 @@
 )
 
 const (
+	// outboxSegments is how many segments a full log has, within the bounds on a segment.
+	outboxSegments        = 16
 	minOutboxSegmentBytes = 256 << 10
 	maxOutboxSegmentBytes = 16 << 20
+
+	// deadLetterDivisor is the inverse of the part of the log's bound that the file of dead letters may take.
+	deadLetterDivisor = 8
+)
+
+// Names in the directory of a gateway's state. A log under another name would not be found, and operators' scripts
+// know the file.
+const (
+	outboxLogDir   = "use"
+	deadLetterFile = "use-set-aside.jsonl"
 )
 
 // OutboxOptions configure the outbox of a gateway.
@@ -38,7 +50,7 @@
 		Mode:         o.Export.Durability,
 		SyncInterval: o.Export.SyncInterval,
 		MaxBytes:     maxBytes,
-		SegmentBytes: min(maxOutboxSegmentBytes, max(minOutboxSegmentBytes, maxBytes/16)),
+		SegmentBytes: min(maxOutboxSegmentBytes, max(minOutboxSegmentBytes, maxBytes/outboxSegments)),
 		FS:           o.FS,
 		RetainFrom:   retainFrom,
 		OnDurable:    onDurable,
@@ -51,7 +63,7 @@
 		return box.RestoreSnapshot(recovery.Snapshot)
 	}
 	restoreRecord := func(r wal.Record) error { return box.Restore(r.Number, r.Payload) }
-	log, recovery, err := wal.Open(filepath.Join(o.Dir, "use"), options, restoreSnapshot, restoreRecord)
+	log, recovery, err := wal.Open(filepath.Join(o.Dir, outboxLogDir), options, restoreSnapshot, restoreRecord)
 	if err != nil {
 		return nil, nil, nil, err
 	}
@@ -63,7 +75,7 @@
 	return box, log, recovery, nil
 }
 
-// runOutboxActions appends records of an outbox to its log and hands the outbox the result of each before the next
+// runOutboxActions appends records of an outbox to its log and gives the outbox the result of each before the next
 // action is looked at. execute carries out all other actions.
 func runOutboxActions(box *outbox.Outbox, log *wal.Log, logger *slog.Logger, actions []outbox.Action,
 	execute func(outbox.Action)) {
@@ -107,7 +119,7 @@
 }
 
 // DeadLetterFile is the file of events that the usage receiver does not accept, in a gateway's state directory.
-func DeadLetterFile(dir string) string { return filepath.Join(dir, "use-set-aside.jsonl") }
+func DeadLetterFile(dir string) string { return filepath.Join(dir, deadLetterFile) }
 
 // maxDeadLetterBytes bounds that file: a receiver that accepts nothing must not have everything put there.
-func maxDeadLetterBytes(e config.UsageExport) int64 { return int64(e.MaxLogBytes) / 8 }
+func maxDeadLetterBytes(e config.UsageExport) int64 { return int64(e.MaxLogBytes) / deadLetterDivisor }
