--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -200,8 +200,8 @@
 	}
 }
 
-// minTickInterval is the least time between two turns for the periodic work of plans and totals: work that is always
-// due, as after a step of the wall clock, must not keep the loop from sleeping.
+// minTickInterval is the least time between two turns for the periodic work of plans and totals: work that calls itself
+// due each time must not keep the loop from sleeping.
 const minTickInterval = time.Millisecond
 
 // sleepTime does the periodic work of plans and totals that is due and returns how long the loop may sleep.
