--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -1,5 +1,6 @@
 // Package frontend has what the frontends share: a client's message becomes a Request, and each Request gets one
-// final Response. Packages below it speak a protocol each. A frontend knows no quotas and selects no server.
+// final Response. Each of its sub-packages http and websocket implements one protocol, connlimit the limit on
+// connections. A frontend knows no quotas and selects no server.
 package frontend
 
 import (
@@ -35,13 +36,13 @@
 	Class          string
 	Plan           string
 	Customer       string
-	IdempotencyKey string // by which servers recognise a repeat; empty: none
-	Units          float64
-	Deadline       time.Duration // on the gateway's clock
-	FirstGateway   int           // the number of the first gateway that serves the customer
-	GatewayCount   int           // how many serve it, from FirstGateway on
-	IsRetry        bool          // the client sent it before
-	Mutates        bool
+	IdempotencyKey string          // by which servers recognise a repeat; empty: none
+	Units          float64         // of the customer's quota; an estimate where responses report the actual ones
+	Deadline       time.Duration   // on the gateway's clock
+	FirstGateway   int             // the number of the first gateway that serves the customer
+	GatewayCount   int             // how many serve it, from FirstGateway on
+	IsRetry        bool            // the client sent it before
+	Mutates        bool            // the client or its class says that it has an effect; no decision uses it
 	Reserved       bool            // it uses units that were reserved for its customer
 	TraceParent    string          // W3C Trace Context; empty: none was given
 	Payload        json.RawMessage // what servers get, where they speak JSON-RPC
@@ -60,8 +61,8 @@
 type Core interface {
 	// Reserve counts a request in, or reports false at the limit on open requests. After true, Submit must follow.
 	Reserve() bool
-	// Submit hands over a request. Its Done is called later, by the loop.
+	// Submit passes a request on. Its Done is called later, by the loop.
 	Submit(*Request)
-	// Disconnected says that the client of an open request has disconnected. The request gets no response.
+	// Disconnected reports that the client of an open request has disconnected. The request gets no response.
 	Disconnected(id string)
 }
--- a/internal/frontend/websocket/clockskew.go
+++ b/internal/frontend/websocket/clockskew.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// maxAgeMs bounds the age of a call.
+// maxAgeMs bounds the age of a call, whatever times a client gives, so that it stays within a time.Duration.
 const maxAgeMs = 60_000
 
 // clockSkew estimates how old a call is when it is read, by the client's own clock of any origin: a gateway that was
@@ -17,7 +17,7 @@
 	lastAt      float64 // ms; by the client's clock
 }
 
-// age is the age at now of a call made at atMs by the client's clock; 0 if the client tells no time.
+// age is the age at now of a call made at atMs by the client's clock; 0 if the client gives no time.
 func (s *clockSkew) age(now time.Duration, atMs *float64) time.Duration {
 	if atMs == nil || math.IsNaN(*atMs) || math.IsInf(*atMs, 0) {
 		return 0
--- a/internal/frontend/websocket/params.go
+++ b/internal/frontend/websocket/params.go
@@ -13,8 +13,9 @@
 )
 
 const (
-	maxKeyBytes   = 128
-	maxDeadlineMs = 1e12 // a longer time counts as this; the class's deadline is shorter anyhow
+	maxKeyBytes = 128 // of an idempotency key
+	// maxDeadlineMs keeps a deadline in nanoseconds within an int64; the class's deadline is shorter in any case.
+	maxDeadlineMs = 1e12
 )
 
 // callParams is what a client says of a call. A nil number was not given.
@@ -30,7 +31,7 @@
 	Work        json.RawMessage
 }
 
-// parse reads the params object. Errors name the field and are told to the client.
+// parse reads the params object. Errors name the field and are sent to the client.
 func (p *callParams) parse(raw json.RawMessage) error {
 	if len(raw) > 0 && raw[0] != '{' {
 		return errors.New("params: an array, want an object")
@@ -93,7 +94,7 @@
 	return fmt.Errorf("params.%s: %.40s, want a number", name, value)
 }
 
-// validate checks the params of a call of a class. Errors name the field and are told to the client.
+// validate checks the params of a call of a class. Errors name the field and are sent to the client.
 func (p *callParams) validate(class *decide.Class, maxUnits float64) error {
 	if err := checkNotNegative("units", p.Units); err != nil {
 		return err
@@ -117,5 +118,5 @@
 	if x == nil || *x >= 0 && !math.IsInf(*x, 0) {
 		return nil
 	}
-	return fmt.Errorf("params.%s: %v, want a number of %v or more", field, *x, 0.0)
+	return fmt.Errorf("params.%s: %v, want a number of 0 or more", field, *x)
 }
--- a/internal/frontend/websocket/response.go
+++ b/internal/frontend/websocket/response.go
@@ -18,7 +18,7 @@
 		}
 		return jsonrpc.AppendResult(dst, id, append(result, '}'))
 	case frontend.Rejected:
-		data := []byte(`{"reason":"` + r.Reason + `"`)
+		data := []byte(`{"reason":"` + r.Reason + `"`) // reasons are constants without characters to escape
 		if r.RetryAfter > 0 {
 			data = append(data, `,"retry_after_ms":`...)
 			data = strconv.AppendInt(data, r.RetryAfter.Milliseconds(), 10)
--- a/internal/frontend/websocket/server.go
+++ b/internal/frontend/websocket/server.go
@@ -36,7 +36,7 @@
 	minAcceptPause = time.Millisecond // after an accept that failed; doubles up to the maximum
 	maxAcceptPause = time.Second
 
-	fullWriteTimeout = time.Second // of the response to a connection beyond the limit
+	limitWriteTimeout = time.Second // of the response to a connection beyond the limit
 	// A client whose handshake was rejected may still send: to close over unread bytes would reset the connection,
 	// and the reset may overtake the response. So that much is read for so long.
 	rejectLingerTimeout = 100 * time.Millisecond
@@ -64,7 +64,7 @@
 	limits             config.ResourceLimits
 	rank, gatewayCount int
 	maxUnits           float64       // of one request; 0: any number
-	retryAfter         time.Duration // told with rejections of the frontend; 0: none
+	retryAfter         time.Duration // sent with rejections of the frontend; 0: none
 	classes            map[string]*decide.Class
 	members            []config.Member
 	keys               *credentials.MemberIndex // of members, by their place
@@ -78,7 +78,7 @@
 	conns      map[net.Conn]*session // nil during the handshake
 	rejections map[string]int64      // by reason
 
-	wg sync.WaitGroup // connections
+	wg sync.WaitGroup // a goroutine each connection, from admit to removeSession
 }
 
 // New returns a server for one gateway of a fleet. idPrefix begins the ids of its requests and must differ between
@@ -179,11 +179,13 @@
 	return true
 }
 
+// rejectConn answers a connection beyond the limit, or of a gateway that drains. Serve calls it and accepts no other
+// connection meanwhile, so the write is bounded.
 func (s *Server) rejectConn(nc net.Conn) {
 	s.countRejection(reasonSessionLimit)
-	nc.SetWriteDeadline(time.Now().Add(fullWriteTimeout))
-	full := websocket.HandshakeError{Status: http.StatusServiceUnavailable, Reason: "no more sessions"}
-	nc.Write(full.Response())
+	nc.SetWriteDeadline(time.Now().Add(limitWriteTimeout))
+	rejection := websocket.HandshakeError{Status: http.StatusServiceUnavailable, Reason: "no more sessions"}
+	nc.Write(rejection.Response())
 	nc.Close()
 }
 
--- a/internal/frontend/websocket/session.go
+++ b/internal/frontend/websocket/session.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// isIdle reports whether nothing is open.
+// isIdle reports whether no call or notification is open.
 func (c *session) isIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,7 +60,7 @@
 // openCount is how many calls and notifications are open; c.mu is held.
 func (c *session) openCount() int { return len(c.calls) + len(c.notifications) }
 
-// answerFunc sends the answer to one item of a message; nil, as to a notification, stands for none.
+// answerFunc sends the answer to one item of a message; nil means that it has none, as a notification.
 type answerFunc func(answer []byte)
 
 // send is the answerFunc of a message that is no batch. A write that fails ends the reader.
