--- a/internal/discovery/http/call.go
+++ b/internal/discovery/http/call.go
@@ -56,7 +56,7 @@
 }
 
 func dial(ctx context.Context, addr string) (*conn, error) {
-	nc, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", addr)
+	nc, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", addr) // no probes: callTimeout bounds each call
 	if err != nil {
 		return nil, err
 	}
--- a/internal/discovery/http/decode.go
+++ b/internal/discovery/http/decode.go
@@ -90,7 +90,7 @@
 	switch token, err := d.json.Token(); {
 	case err != nil:
 		return err
-	case token == nil: // null stands for none
+	case token == nil: // null means no targets
 		return nil
 	case token != json.Delim('['):
 		return fmt.Errorf("discovery: targets begin with %v, want a list", token)
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// entryLimitReader fails once more than maxEntryBytes arrived without the end of a JSON object: a list that never
-// ends must not fill the memory.
+// entryLimitReader fails once more than maxEntryBytes arrived without the end of a JSON object: an entry that never
+// ends must not fill the memory. A list without end is bounded by maxTargets and callTimeout.
 type entryLimitReader struct {
 	r        io.Reader
 	sinceEnd int // bytes
--- a/internal/discovery/http/decode_test.go
+++ b/internal/discovery/http/decode_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// An answer that is no list must not be believed, in part or whole, and what was missed is asked for again.
+// An answer that is no list must change nothing, and what was missed is asked for again.
 func TestListsThatCantBeBelieved(t *testing.T) {
 	for _, bad := range []string{
 		"{",
@@ -32,7 +32,7 @@
 // One entry of a list was malformed, and the whole list was refused: no change of any server was known any more. Such
 // an entry gets no new attempts and must not hide the others.
 func TestEntriesThatCantBeUsed(t *testing.T) {
-	for _, c := range []struct{ bad, state string }{ // the state of a; "" stands for an entry that is left out
+	for _, c := range []struct{ bad, state string }{ // the state of a; "": the entry is left out
 		{targetJSON("a", "asleep"), "draining"},
 		{targetJSON("", "ready"), ""},
 		{targetJSON(strings.Repeat("a", maxUIDBytes+1), "ready"), ""},
--- a/internal/discovery/http/follower.go
+++ b/internal/discovery/http/follower.go
@@ -17,12 +17,12 @@
 	warnInterval = 5 * time.Second // between two warnings of an outage
 )
 
-// follower is the state of a watch, owned by the goroutine of Watch.Run. Each call runs in a goroutine of its own and
-// ends with a result.
+// follower is the state of a watch, owned by the goroutine of Watch.Run. Each call runs in a goroutine of its own,
+// which ends with a result, at callTimeout or by its cancel; close waits for all of them.
 //
 // A slow discovery is not a silent one: a call that takes long stays open while others are made beside it, and the
-// first complete response ends the others. After a failure the list is resumed from its last version; only if that
-// fails as well the full list is asked for, as its size is most of what following costs.
+// first complete response ends the others. After a failure the changes since the last version are asked for; only if
+// that fails as well the full list is, as its size is most of what following costs.
 type follower struct {
 	opts Options
 	ctx  context.Context
@@ -136,7 +136,7 @@
 	if err := f.validate(r); err != nil {
 		f.warn(err)
 		r.closeConn()
-		if len(f.inFlight) == 0 { // calls without a pause would not help a crowded discovery
+		if len(f.inFlight) == 0 { // calls without a pause would not help a discovery that is overloaded
 			f.nextCall.Reset(f.backoff)
 			f.backoff = min(2*f.backoff, max(maxRetryBackoff, f.opts.RetryBackoff))
 		}
--- a/internal/discovery/http/list.go
+++ b/internal/discovery/http/list.go
@@ -23,7 +23,7 @@
 // List is the endpoint list, or a change of it.
 type List struct {
 	Rev     uint64   `json:"rev"` // grows with each change; begins anew when discovery is restarted
-	Full    bool     `json:"all"` // the whole list: servers that it does not name are removed
+	Full    bool     `json:"all"` // the complete list: servers that it does not name are removed
 	Targets []Target `json:"targets"`
 }
 
@@ -32,7 +32,7 @@
 	// times over.
 	maxTargets  = 16 << 10
 	maxUIDBytes = 1 << 10
-	// bootUnknown stands for a boot_ms that cannot be read: the server started at some time that is not long ago.
+	// bootUnknown replaces a boot_ms that cannot be read: the server started at some time that is not long ago.
 	bootUnknown = 1
 )
 
--- a/internal/discovery/http/starttimes.go
+++ b/internal/discovery/http/starttimes.go
@@ -43,8 +43,8 @@
 	return &StartTimes{slowStart: slowStart, wallClock: wallClock, servers: map[string]serverStart{}}
 }
 
-// Update turns a list into the core's event. now is on the gateway's clock, silence the time since discovery was last
-// heard before this list. A StaleUpdate is the list of the configuration.
+// Update turns a list into the core's event. now is on the gateway's clock, silence the time since discovery last
+// answered before this list. A StaleUpdate is the list of the configuration.
 func (s *StartTimes) Update(l *List, kind decide.UpdateKind, now, silence time.Duration) decide.EndpointUpdate {
 	first := !s.following
 	s.following = kind != decide.StaleUpdate
@@ -101,7 +101,7 @@
 	}
 }
 
-// startedAt is when a server started; 0 stands for long ago. One that was not known is no older than earliest.
+// startedAt is when a server started; 0 means long ago. One that was not known is no older than earliest.
 func (s *StartTimes) startedAt(t *Target, first bool, now, earliest time.Duration) time.Duration {
 	known, isKnown := s.servers[t.UID]
 	start := serverStart{bootMS: t.BootMS, namedIn: s.updates}
--- a/internal/discovery/http/watch_test.go
+++ b/internal/discovery/http/watch_test.go
@@ -195,8 +195,8 @@
 	fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s", len(text), text)
 }
 
-// Discovery was down and came back at its address with a drain. It must be heard, also where a reload led to another
-// address and back.
+// Discovery was down and came back at its address with a drain. The gateway must learn of it, also where a reload led
+// to another address and back.
 func TestAnOutageAndAReloadThereAndBack(t *testing.T) {
 	var port ports.Reservation
 	addr, err := port.Addr()
--- a/internal/discovery/websocket/cache.go
+++ b/internal/discovery/websocket/cache.go
@@ -23,7 +23,7 @@
 	return err
 }
 
-// writeTemporary writes and syncs a new file in a folder. The name is empty if none was created.
+// writeTemporary writes and syncs a new file in a directory. The name is empty if none was created.
 func writeTemporary(dir string, data []byte) (name string, err error) {
 	f, err := os.CreateTemp(dir, ".list-*")
 	if err != nil {
@@ -49,5 +49,8 @@
 	if err := json.Unmarshal(raw, &u); err != nil {
 		return u, fmt.Errorf("discovery: %s: %w", file, err)
 	}
-	return u, u.Check()
+	if err := u.Check(); err != nil {
+		return u, fmt.Errorf("%s: %w", file, err)
+	}
+	return u, nil
 }
--- a/internal/discovery/websocket/endpoint.go
+++ b/internal/discovery/websocket/endpoint.go
@@ -32,10 +32,17 @@
 	MethodFetch  = "list.fetch"  // notification of the gateway: asks for the complete list
 )
 
+// Values of Endpoint.State.
+const (
+	stateServing  = "serving"
+	stateDraining = "draining"
+	stateGone     = "gone"
+)
+
 var serverStates = map[string]decide.ServerState{
-	"serving":  decide.Serving,
-	"draining": decide.Draining,
-	"gone":     decide.Removed,
+	stateServing:  decide.Serving,
+	stateDraining: decide.Draining,
+	stateGone:     decide.Removed,
 }
 
 // Check returns why an update is unusable: an address that is not host:port, an unknown state, or an address that
--- a/internal/discovery/websocket/tracker.go
+++ b/internal/discovery/websocket/tracker.go
@@ -55,7 +55,7 @@
 	t.known, t.version = true, u.Version
 	for _, e := range u.Endpoints {
 		event.Servers = append(event.Servers, t.toServer(now, u.NowMs, e))
-		if e.State == "gone" {
+		if e.State == stateGone {
 			delete(t.endpoints, e.Address)
 		} else {
 			t.endpoints[e.Address] = e
--- a/internal/discovery/websocket/watch.go
+++ b/internal/discovery/websocket/watch.go
@@ -23,8 +23,11 @@
 	dialTimeout     = time.Second
 	minBackoff      = 20 * time.Millisecond // between connections
 	maxBackoff      = time.Second
-	maxMessageBytes = 8 << 20 // of the service
+	maxMessageBytes = 8 << 20 // of the service; a complete list is one message
 	maxBatch        = 64      // notifications in one message
+
+	protocol   = "jsonrpc"        // WebSocket subprotocol
+	rankHeader = "X-Gateway-Rank" // of the handshake
 )
 
 // Options of a watch. All but CacheFile are required.
@@ -38,8 +41,8 @@
 }
 
 // Watch watches the endpoint list until the context ends, and reconnects with a backoff. It starts with the cached list
-// as a decide.StaleUpdate. A connection that fails is a decide.FailedUpdate. OnUpdate is called from this goroutine
-// only.
+// as a decide.StaleUpdate. A connection that can't be opened is a decide.FailedUpdate. OnUpdate is called from this
+// goroutine only.
 func Watch(ctx context.Context, o Options) {
 	w := &watcher{options: o, tracker: newTracker()}
 	w.loadCache()
@@ -75,7 +78,7 @@
 		w.options.Log("Cached endpoint list is unusable", "err", err)
 		return
 	}
-	// The service's clock is not known yet; this machine's stands in for it.
+	// The service's clock is not known yet; the best estimate is this machine's.
 	u.NowMs = time.Now().UnixMilli()
 	event, _ := w.tracker.apply(w.options.Clock(), true, true, &u) // LoadList has checked it
 	event.Kind = decide.StaleUpdate
@@ -113,8 +116,8 @@
 func (w *watcher) dial(ctx context.Context) (*wsconn.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	request := &websocket.Request{Host: w.options.Address, Path: "/", Protocol: "jsonrpc",
-		Header: map[string]string{"X-Gateway-Rank": strconv.Itoa(w.options.Rank)}}
+	request := &websocket.Request{Host: w.options.Address, Path: "/", Protocol: protocol,
+		Header: map[string]string{rankHeader: strconv.Itoa(w.options.Rank)}}
 	return wsconn.Dial(ctx, w.options.Address, request, wsconn.Options{MaxMessage: maxMessageBytes})
 }
 
