--- a/internal/upstream/websocket/conn.go
+++ b/internal/upstream/websocket/conn.go
@@ -12,7 +12,7 @@
 	"winghatch/internal/wsconn"
 )
 
-// maxBatch is the largest number of responses in one message of a server.
+// maxBatch is the largest number of responses in one message of a server. A message with more ends the connection.
 const maxBatch = 4096
 
 // conn is a connection and the calls on it. It accepts calls while it is being opened. The pool's mutex guards all
@@ -24,8 +24,8 @@
 	calls     map[uint64]*upstream.Call
 	pending   []*upstream.Call // calls that wait for the connection to open
 	nextID    uint64
-	removed   bool // no longer among the server's connections
-	idleTimer *time.Timer
+	removed   bool        // no longer among the server's connections
+	idleTimer *time.Timer // runs while the connection is open and has no calls; else nil
 }
 
 // run opens the connection, sends what waits for it, reads responses until it breaks and ends the calls that are left.
--- a/internal/upstream/websocket/message.go
+++ b/internal/upstream/websocket/message.go
@@ -10,8 +10,8 @@
 	"winghatch/internal/upstream"
 )
 
-// cancelMessage tells the server that nobody waits for a call any more. The server may drop the call while it is
-// queued; a response that comes all the same is counted as late.
+// cancelMessage is the notification to a server that nobody waits for a call any more. The server may drop the call
+// while it is queued; a response that comes all the same is counted as late.
 func cancelMessage(id uint64) []byte {
 	params := `{"id":` + strconv.FormatUint(id, 10) + `}`
 	return jsonrpc.AppendCall(nil, "", "cancel", []byte(params))
--- a/internal/upstream/websocket/pool.go
+++ b/internal/upstream/websocket/pool.go
@@ -51,10 +51,13 @@
 	conns []*conn
 }
 
+// defaultPath is the path of the upgrade request.
+const defaultPath = "/"
+
 // New returns an empty pool. Close ends the goroutines that it starts.
 func New(o Options) *Pool {
 	if o.Path == "" {
-		o.Path = "/"
+		o.Path = defaultPath
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &Pool{options: o, servers: map[string]*server{}, ctx: ctx, cancel: cancel}
@@ -121,7 +124,7 @@
 	return best
 }
 
-// Abandon ends a call without a result; see upstream.Call. The server is told if the call was sent.
+// Abandon ends a call without a result; see upstream.Call. If the call was sent, its server gets a cancel message.
 func (p *Pool) Abandon(call *upstream.Call) upstream.AbandonResult {
 	result := call.Abandon()
 	if result == upstream.AlreadyEnded {
