--- a/internal/wsconn/conn.go
+++ b/internal/wsconn/conn.go
@@ -1,9 +1,10 @@
-// Package wsconn guards one WebSocket connection: one goroutine reads it, messages to be written wait in a bounded
-// queue, and a peer that does not read them in time is disconnected. Both ends of every WebSocket connection of the
-// programs use it.
+// Package wsconn is a WebSocket connection with bounds: one goroutine reads it, messages to be written wait in a
+// bounded queue, and a peer that does not read them in time is disconnected. Both ends of every WebSocket connection of
+// the programs use it.
 //
-// Pings and close frames are answered by Read. A connection at rest has no goroutine of its own: the writer starts when
-// the queue gets its first message and ends when the queue is empty.
+// Pings and close frames are answered by Read, which the owner of the connection calls. An idle connection has no
+// goroutine of its own: the writer starts when the queue gets its first message and ends when the queue is empty or the
+// connection is closed. Nothing waits for it.
 package wsconn
 
 import (
@@ -30,21 +31,30 @@
 	ReadBuffer   int           // bytes; default 1 KiB
 }
 
+// The defaults of Options.
+const (
+	defaultMaxMessage   = 256 << 10
+	defaultMaxQueue     = 1 << 20
+	defaultWriteTimeout = 5 * time.Second
+	defaultCloseTimeout = time.Second
+	defaultReadBuffer   = 1 << 10
+)
+
 func (o Options) withDefaults() Options {
 	if o.MaxMessage <= 0 {
-		o.MaxMessage = 256 << 10
+		o.MaxMessage = defaultMaxMessage
 	}
 	if o.MaxQueue <= 0 {
-		o.MaxQueue = 1 << 20
+		o.MaxQueue = defaultMaxQueue
 	}
 	if o.WriteTimeout <= 0 {
-		o.WriteTimeout = 5 * time.Second
+		o.WriteTimeout = defaultWriteTimeout
 	}
 	if o.CloseTimeout <= 0 {
-		o.CloseTimeout = time.Second
+		o.CloseTimeout = defaultCloseTimeout
 	}
 	if o.ReadBuffer <= 0 {
-		o.ReadBuffer = 1 << 10
+		o.ReadBuffer = defaultReadBuffer
 	}
 	return o
 }
@@ -65,7 +75,7 @@
 	return fmt.Sprintf("wsconn: peer closed with %d %q", e.Code, e.Reason)
 }
 
-// Conn is a guarded connection. Read is for one goroutine; all other methods are safe for concurrent use.
+// Conn is a connection. Read is for one goroutine; all other methods are safe for concurrent use.
 type Conn struct {
 	nc      net.Conn
 	reader  *websocket.Reader
@@ -86,7 +96,7 @@
 	silentTurns int         // turns of PingIdle without one; its alone
 }
 
-// newConn guards a connection whose handshake is done. in holds what was read of it beyond the handshake.
+// newConn returns a connection whose handshake is done. in holds what was read of it beyond the handshake.
 func newConn(nc net.Conn, in *bufio.Reader, role websocket.Role, o Options) *Conn {
 	o = o.withDefaults()
 	c := &Conn{nc: nc, reader: websocket.NewReader(in, role, o.MaxMessage), role: role, options: o}
--- a/internal/wsconn/writer.go
+++ b/internal/wsconn/writer.go
@@ -26,8 +26,12 @@
 // queueSize is what a message counts in the queue, in bytes.
 func (m outgoing) queueSize() int { return len(m.data) + queueOverhead }
 
+// newWriteBuffer is the capacity of a new write buffer, in bytes.
+const newWriteBuffer = 4 << 10
+
+// writeBuffers are those of the writers that run, so that an idle connection has none.
 var writeBuffers = sync.Pool{New: func() any {
-	b := make([]byte, 0, 4<<10)
+	b := make([]byte, 0, newWriteBuffer)
 	return &b
 }}
 
@@ -92,7 +96,7 @@
 }
 
 // writeBatch writes messages in one write and reports whether it succeeded. buf is kept for the next batch unless it
-// has become large.
+// has grown beyond two batches, as by a large message: the pool would hold its memory.
 func (c *Conn) writeBatch(buf *[]byte, batch []outgoing) bool {
 	out := (*buf)[:0]
 	closeFrame := false
