--- a/internal/gossip/replay.go
+++ b/internal/gossip/replay.go
@@ -20,7 +20,7 @@
 	replayWindowSize = 64
 )
 
-// sender tells new datagrams of one sender from repeated ones and from those of an earlier incarnation.
+// sender distinguishes new datagrams of one sender from repeated ones and from those of an earlier incarnation.
 type sender struct {
 	incarnations []replayWindow // in the order in which they were last received
 	lastReceived time.Time
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -8,6 +8,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"net"
 	"sync"
 	"sync/atomic"
@@ -17,7 +18,7 @@
 )
 
 const (
-	// readRetryDelay is the delay after a read that failed; it keeps a lasting error from busying a core.
+	// readRetryDelay is the delay after a read that failed; it keeps a lasting error from taking all of a core.
 	readRetryDelay = time.Millisecond
 
 	// readBufferBytes is more than any valid datagram, so that a longer one is seen as such.
@@ -87,10 +88,10 @@
 	}
 	sum := t.hash.Sum([]byte(o.Fleet))
 	copy(t.fleet[:], sum[:])
-	for _, peer := range o.Peers {
+	for rank, peer := range o.Peers {
 		addr, err := net.ResolveUDPAddr("udp", peer)
 		if err != nil {
-			return nil, err
+			return nil, fmt.Errorf("address %q of gateway %d: %w", peer, rank, err)
 		}
 		t.peerAddrs = append(t.peerAddrs, addr)
 	}
