--- a/internal/gossip/plain/plain.go
+++ b/internal/gossip/plain/plain.go
@@ -82,7 +82,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // any other error is transient, such as that of an earlier Send to an unreachable peer
+		if err != nil { // any other error is transient, as ENOBUFS
 			time.Sleep(readRetryPause)
 			continue
 		}
