--- a/internal/httppost/post.go
+++ b/internal/httppost/post.go
@@ -1,5 +1,5 @@
 // Package httppost posts data that must not count as received before the receiver has read it: it sends
-// "Expect: 100-continue", and reports whether the whole body was sent before the answer came.
+// "Expect: 100-continue", and reports whether all of the body was sent before the answer came.
 package httppost
 
 import (
@@ -14,8 +14,8 @@
 )
 
 const (
-	// expectContinueTimeout is how long a receiver may take to say that it reads. Then the body is sent all the same:
-	// some receivers do not know of it.
+	// expectContinueTimeout is how long a receiver may take for its 100 Continue. Then the body is sent all the same:
+	// some receivers do not know the expectation.
 	expectContinueTimeout = time.Second
 	// idleConnTimeout is how long an unused connection is kept.
 	idleConnTimeout = 30 * time.Second
@@ -46,7 +46,7 @@
 	Status     int // HTTP status; 0: there was no answer
 	Header     http.Header
 	RetryAfter time.Duration // 0: not given
-	BodySent   bool          // the whole body was sent before the answer came
+	BodySent   bool          // all of the body was sent before the answer came
 	Reason     string        // why it is no success; empty if it is one
 }
 
@@ -67,9 +67,9 @@
 
 // Post sends a body with headers, to which it adds Expect.
 //
-// Without Expect a receiver that answers before it has read would be believed: a small body fits into the sockets'
-// buffers, and nothing tells one that was read from one that was not. With it (RFC 9110 section 10.1.1) the body is
-// only sent once the receiver begins to read.
+// Without Expect the answer of a receiver that has not read the body would count: a small body fits into the sockets'
+// buffers, where one that was read can't be distinguished from one that was not. With it (RFC 9110 section 10.1.1) the
+// body is only sent once the receiver begins to read, or after expectContinueTimeout.
 func Post(ctx context.Context, c *http.Client, url string, header http.Header, content []byte) Result {
 	body := &trackedBody{}
 	body.Reset(content)
--- a/internal/remotewrite/queue/queue.go
+++ b/internal/remotewrite/queue/queue.go
@@ -2,7 +2,7 @@
 // dropped: bounded queues that drop the oldest first, batches, backoff with jitter, and halving to find the item that a
 // batch is rejected for.
 //
-// A Queue is driven by its owner, who sends what Next returns and hands the answer to HandleResponse. The package does
+// A Queue is driven by its owner, who sends what Next returns and gives the answer to HandleResponse. The package does
 // no I/O, reads no clock and starts no goroutine; a Queue is not safe for concurrent use.
 package queue
 
@@ -52,10 +52,10 @@
 	bytes    int    // of items
 	inFlight int    // the first so many are in a batch that is being sent
 
-	// A rejected batch is halved until it is one item, which is given up.
+	// A rejected batch is halved until it is one item, which is dropped.
 	batchSize int // as set, or less after a 413
 	splitSize int // size of the next batch; 0: batchSize
-	suspects  int // the first so many are of a rejected batch and not judged yet
+	suspects  int // the first so many are of a rejected batch, and not known yet as good or bad
 
 	backoff    time.Duration
 	backingOff bool // nothing is sent until Resume
@@ -156,7 +156,7 @@
 	case Retry:
 		return v, q.backOff(r.RetryAfter)
 	}
-	// The rest of a rejected batch is sent whole: most have one bad item at most.
+	// The rest of a rejected batch is sent as one batch: most have one bad item at most.
 	q.splitSize = q.suspects
 	return v, 0
 }
--- a/internal/remotewrite/shard.go
+++ b/internal/remotewrite/shard.go
@@ -29,7 +29,7 @@
 	writer *Writer
 	mu     sync.Mutex
 	queue  *queue.Queue
-	wake   chan struct{} // the queue has something, or the writer is closing
+	wake   chan struct{} // has an element after samples were queued, or once the writer is closing
 }
 
 // notify makes the shard look at its queue.
@@ -40,7 +40,8 @@
 	}
 }
 
-// run sends until the context ends, or until the queue is empty once the writer is closing.
+// run sends until the context ends, or until the queue is empty once the writer is closing. Writer.Run starts it and
+// waits for it.
 func (s *shard) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		batch := s.nextBatch()
@@ -81,7 +82,7 @@
 	switch v {
 	case queue.Downgrade:
 		if !s.writer.versionOne.Swap(true) {
-			log.Warn("Receiver speaks remote write 1.0 only", "reason", reason)
+			log.Warn("Receiver accepts remote write 1.0 only", "reason", reason)
 		}
 	case queue.Rejected:
 		log.Warn("Receiver rejected samples", "reason", reason, "count", samples)
@@ -100,7 +101,7 @@
 	s.queue.Resume()
 }
 
-// send sends one batch in the version that the receiver speaks. The second result says why it was not accepted.
+// send sends one batch in the version that the receiver accepts. The second result says why it was not accepted.
 func (w *Writer) send(ctx context.Context, batch []*Sample) (queue.Response, string) {
 	versionOne := w.versionOne.Load()
 	encode, contentType, version := encodeV2, contentTypeV2, versionV2
--- a/internal/remotewrite/writer.go
+++ b/internal/remotewrite/writer.go
@@ -30,7 +30,7 @@
 	MaxBytes       int           // of memory that they take; 0: no bound
 	BatchSize      int           // samples
 	MaxAge         time.Duration // older samples are dropped; 0: none
-	VersionOne     bool          // speak remote write 1.0 from the start
+	VersionOne     bool          // send remote write 1.0 from the start
 	ExternalLabels []Label       // added to each series
 	Gatherer       prometheus.Gatherer
 	Now            func() time.Time // wall clock; nil: time.Now
@@ -44,7 +44,7 @@
 	converter     converter // used by the goroutine in Run
 	shards        []*shard
 	client        http.Client
-	versionOne    atomic.Bool // the receiver speaks 1.0 only
+	versionOne    atomic.Bool // the receiver accepts 1.0 only
 	closing       atomic.Bool // nothing more is gathered
 	startedAt     time.Time
 	lastTimestamp int64 // Unix milliseconds, of the last gathering
@@ -120,8 +120,9 @@
 	w.client.CloseIdleConnections()
 }
 
-// gather puts a sample of each series into its shard, and at last a stale marker. Timestamps never go back, or the
-// receiver would reject the samples: while the wall clock is behind the last one, each gathering adds a millisecond.
+// gather puts a sample of each series into its shard, and if it is the last gathering a stale marker behind it.
+// Timestamps never go back, or the receiver would reject the samples: while the wall clock is behind the last one, each
+// gathering adds a millisecond.
 func (w *Writer) gather(last bool) {
 	families, err := w.options.Gatherer.Gather()
 	if err != nil {
