--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -29,9 +29,9 @@
 const AfterOpen = "open"
 
 const (
-	// otherMember is the value of the member label that stands for all members beyond the cap.
+	// otherMember is the value of the member label that all members beyond the cap share.
 	otherMember = "_other"
-	// otherName stands for a class or plan that is not in the settings.
+	// otherName is the value of the label for a class or plan that is not in the settings.
 	otherName = "other"
 )
 
@@ -148,15 +148,23 @@
 	return v
 }
 
-// histogramOpts are those of a native histogram. The bound on its buckets keeps a series at a few hundred bytes,
-// however long the tail of the distribution is.
+const (
+	// histogramBucketFactor is the ratio of the bounds of a bucket: a quantile is known within a tenth.
+	histogramBucketFactor = 1.1
+	// maxHistogramBuckets keeps a series at a few hundred bytes, however long the tail of the distribution is.
+	maxHistogramBuckets = 160
+	// histogramResetInterval is the least time between two resets of a histogram that has more buckets than that.
+	histogramResetInterval = time.Hour
+)
+
+// histogramOpts are those of a native histogram.
 func histogramOpts(name, help string) prometheus.HistogramOpts {
 	return prometheus.HistogramOpts{
 		Name:                            namePrefix + name,
 		Help:                            help,
-		NativeHistogramBucketFactor:     1.1,
-		NativeHistogramMaxBucketNumber:  160,
-		NativeHistogramMinResetDuration: time.Hour,
+		NativeHistogramBucketFactor:     histogramBucketFactor,
+		NativeHistogramMaxBucketNumber:  maxHistogramBuckets,
+		NativeHistogramMinResetDuration: histogramResetInterval,
 	}
 }
 
