--- a/internal/tracing/context.go
+++ b/internal/tracing/context.go
@@ -25,7 +25,7 @@
 		return c
 	}
 	binary.BigEndian.PutUint64(c.Trace[:8], random.Uint64())
-	binary.BigEndian.PutUint64(c.Trace[8:], random.Uint64()|1)
+	binary.BigEndian.PutUint64(c.Trace[8:], random.Uint64()|1) // an id of zeros would be invalid
 	return c
 }
 
--- a/internal/tracing/exporter.go
+++ b/internal/tracing/exporter.go
@@ -135,12 +135,16 @@
 	span.End(trace.WithTimestamp(r.End))
 }
 
+// waitSpanName is the name of the span of the wait for a quota owner. Searches and dashboards know it, so it never
+// changes.
+const waitSpanName = "wait at home"
+
 // exportWait makes the span of the wait for a quota owner. Its id is made from the request's, as none was drawn for it.
 func (e *Exporter) exportWait(ctx context.Context, r *Request) {
-	const idMask = 0x5bd1e995
+	const idMask = 0x5bd1e995 // any that is not 0
 	var id trace.SpanID
 	binary.BigEndian.PutUint64(id[:], binary.BigEndian.Uint64(r.Span[:])^idMask)
-	_, span := e.tracer.Start(withIDs(ctx, r.Trace, id), "wait at home", trace.WithTimestamp(r.Start))
+	_, span := e.tracer.Start(withIDs(ctx, r.Trace, id), waitSpanName, trace.WithTimestamp(r.Start))
 	span.End(trace.WithTimestamp(r.FirstAttempt))
 }
 
@@ -162,8 +166,7 @@
 	span.End(trace.WithTimestamp(a.End))
 }
 
-// contextIDs gives spans the ids that withIDs put into the context: they were passed on to servers before the span is
-// made.
+// contextIDs gives spans the ids that withIDs put into the context: servers got them before the spans are made.
 type contextIDs struct{}
 
 type (
