--- a/internal/aggregate/aggregator.go
+++ b/internal/aggregate/aggregator.go
@@ -1,8 +1,8 @@
 // Package aggregate sums what all gateways of a fleet counted, for each customer and each class of requests.
 //
 // Each key has two owners among the gateways, which all gateways compute alike from its hash. Every gateway reports its
-// totals since its start to both owners, and each owner adds what they grew by. There is no election and no hand-over:
-// the second owner sums all along. Reports carry totals, so one that is lost, late or comes twice does no harm.
+// totals since its start to both owners, and each owner adds what they grew by. There is no election and no hand-over,
+// as both owners sum at all times. Reports carry totals, so one that is lost, late or comes twice does no harm.
 //
 // An Aggregator is a state machine that the caller drives with the monotonic time: it calls Add for what was counted,
 // Receive for messages, and Tick at NextTick, whose messages it sends. The package does no I/O, reads no clock and
@@ -130,6 +130,9 @@
 	return ranks
 }
 
+// secondOwnerShift is by how many bits a hash is shifted for the second owner. All gateways must have the same.
+const secondOwnerShift = 20
+
 // owner is the rank of the nth owner of a key, from 0.
 func (a *Aggregator) owner(hash uint64, n int) int {
 	gateways := uint64(a.settings.Gateways)
@@ -137,7 +140,8 @@
 	if n == 0 || gateways < 2 {
 		return int(first)
 	}
-	return int((first + 1 + (hash>>20)%(gateways-1)) % gateways)
+	// Other bits than those of first, so that the keys of one first owner have different second ones.
+	return int((first + 1 + (hash>>secondOwnerShift)%(gateways-1)) % gateways)
 }
 
 // reportInterval is the mean time between reports: so long that the reports of all gateways to one stay within its
@@ -257,9 +261,9 @@
 	})
 }
 
-// mergeReport adds what a gateway's totals grew by. The first report of an incarnation counts whole if the incarnation
-// is complete here. Otherwise its past was summed by the former process of this owner, or not at all, and only what
-// comes from now on counts.
+// mergeReport adds what a gateway's totals grew by. The first report of an incarnation counts in full if the
+// incarnation is complete here. Otherwise its past was summed by the former process of this owner, or not at all, and
+// only what comes from now on counts.
 func (o *ownedTotals) mergeReport(from int, inc incarnation, t Totals) {
 	last := o.reported[from]
 	switch {
--- a/internal/aggregate/messages.go
+++ b/internal/aggregate/messages.go
@@ -13,10 +13,10 @@
 // its report of 4, then entries: hash of the key of 8, served, rejected and failed as varints, units of 8 bytes of
 // IEEE 754.
 const (
-	headerBytes     = 20
+	headerBytes     = 8 + 8 + 4
 	hashBytes       = 8
-	maxEntryBytes   = 50
-	maxMessageBytes = 1000
+	maxEntryBytes   = 50   // of 46: the hash, three varints of up to 10 and the units
+	maxMessageBytes = 1000 // below the bound of package gossip on a datagram's text
 )
 
 type reportHeader struct {
