--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -34,7 +34,7 @@
 	PeerListen string   // host:port for gossip; empty without peers
 	Peers      []string // addresses of all gateways, this one's included, by rank
 
-	LastKnown        discoveryhttp.List // the endpoint list of the former process, maybe long out of date
+	LastKnown        discoveryhttp.List // the endpoint list when the file was written, maybe long out of date
 	Decide           decide.Config
 	ConnectionLimits settings.ConnectionLimits
 }
@@ -127,16 +127,16 @@
 func (c *Config) checkLimits() error {
 	switch {
 	case c.Cores < 0:
-		return fmt.Errorf("field \"limits.cores\" is %v, want more than 0", c.Cores)
+		return fmt.Errorf("field \"limits.cores\" is %v, want 0 or more", c.Cores)
 	case c.MemoryMB < 0:
-		return fmt.Errorf("field \"limits.memory_mb\" is %d, want more than 0", c.MemoryMB)
+		return fmt.Errorf("field \"limits.memory_mb\" is %d, want 0 or more", c.MemoryMB)
 	case c.Sockets != 0 && c.Sockets < minSockets:
 		return fmt.Errorf("field \"limits.sockets\" is %d, want %d or more", c.Sockets, minSockets)
 	}
 	return nil
 }
 
-// parseSeed parses hex digits; empty stands for 0.
+// parseSeed parses hex digits; an empty text is 0.
 func parseSeed(text string) (int64, error) {
 	if text == "" {
 		return 0, nil
@@ -148,7 +148,7 @@
 	return int64(seed), nil
 }
 
-// hasGossip reports whether there are other gateways that this one can hear.
+// hasGossip reports whether there are other gateways with which this one exchanges gossip.
 func (c *Config) hasGossip() bool { return c.Decide.Limits.Gossip && c.Decide.Gateways > 1 }
 
 func (c *Config) checkPeers() error {
--- a/internal/platform/drain.go
+++ b/internal/platform/drain.go
@@ -14,7 +14,7 @@
 	acceptGrace       = 700 * time.Millisecond // after SIGTERM connections are accepted: clients still find the gateway
 	answerMargin      = 250 * time.Millisecond // before the kill all is answered; the process may be suspended meanwhile
 	exitMargin        = 50 * time.Millisecond  // before the kill the process exits
-	drainPollInterval = 5 * time.Millisecond
+	drainPollInterval = 5 * time.Millisecond   // between two looks whether requests and connections have ended
 )
 
 // killAt is the earliest time at which a process that got SIGTERM may be killed.
@@ -26,8 +26,8 @@
 	return terminated.Add(min(longest, maxKillDeadline) + killGrace)
 }
 
-// Drain is the graceful shutdown after a SIGTERM at the time given: it accepts for a while, answers all that it has
-// taken before the process may be killed, and stops.
+// Drain is the graceful shutdown after a SIGTERM at the time given: it accepts for a while, answers all requests that
+// it has read before the process may be killed, and stops.
 func (g *Gateway) Drain(terminated time.Time) {
 	kill := g.killAt(terminated)
 	g.frontend.Drain()
--- a/internal/platform/gateway.go
+++ b/internal/platform/gateway.go
@@ -20,15 +20,16 @@
 )
 
 const (
-	// defaultIdleTimeout is the servers' idle timeout where the settings do not tell it.
+	// defaultIdleTimeout is the servers' idle timeout where the settings have none.
 	defaultIdleTimeout = 30 * time.Second
 	// idleTimeoutShare of the servers' idle timeout is the pool's: where both sides close at once, an attempt that is
 	// being written would be lost.
-	idleTimeoutShare   = 0.75
+	idleTimeoutShare = 0.75
+	// defaultDialTimeout is the time for a connection to a server where the settings have none.
 	defaultDialTimeout = time.Second
 	// readyWithoutList is for how long a gateway waits for discovery before it serves by the last known list.
 	readyWithoutList = 2 * time.Second
-	// unlimitedRequests is the limit on open requests where the settings do not tell one.
+	// unlimitedRequests is the limit on open requests where the settings have none.
 	unlimitedRequests = 1 << 20
 )
 
@@ -48,7 +49,7 @@
 	listReceived atomic.Bool   // discovery has answered
 	acceptDone   chan struct{} // closed once the frontend accepts no more
 
-	// The goroutines that spawn starts; Stop ends them, by stop or by closing what they serve, and waits.
+	// wg has the goroutines that spawn starts; Stop ends them, by stop or by closing what they serve, and waits.
 	wg   sync.WaitGroup
 	stop context.CancelFunc
 }
@@ -59,7 +60,7 @@
 	clock := gateway.NewClock()
 	core, err := decide.New(c.Decide, c.Seed)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if g.ln, err = listen(c.Listen, log); err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
@@ -86,7 +87,7 @@
 	return g, nil
 }
 
-// run starts the goroutines, the loop first: it has to take the list before the first request.
+// run starts the goroutines, the loop first: it has to have the last known list before the first request.
 func (g *Gateway) run(list *endpointList) {
 	ctx, stop := context.WithCancel(context.Background())
 	g.stop = stop
--- a/internal/platform/listen.go
+++ b/internal/platform/listen.go
@@ -31,7 +31,7 @@
 
 // listen binds the address for clients.
 func listen(addr string, log *slog.Logger) (*net.TCPListener, error) {
-	config := net.ListenConfig{KeepAlive: -1}
+	config := net.ListenConfig{KeepAlive: -1} // no probes: package connlimit times silent clients out
 	ln, err := retryBind(log, func() (net.Listener, error) {
 		return config.Listen(context.Background(), "tcp", addr)
 	})
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	reloadPollInterval = 100 * time.Millisecond // between two looks at the file
+	reloadPollInterval = 100 * time.Millisecond // between two checks of the file
 	reloadWindow       = 4 * time.Second        // for so long after a signal a change of the file is followed
 )
 
@@ -54,7 +54,7 @@
 	}
 	c, err := Load(r.file)
 	r.failed = err != nil
-	// No descriptor was free, or the file is being replaced: nothing was read, so the next look has to read it.
+	// No descriptor was free, or the file is being replaced: nothing was read, so the next check has to find a change.
 	if unread := new(fs.PathError); errors.As(err, &unread) {
 		r.size = -1
 	}
--- a/internal/platform/signals.go
+++ b/internal/platform/signals.go
@@ -8,7 +8,7 @@
 )
 
 // Signals are the platform's. Each kind has a channel of its own, so that a series of one cannot crowd out the other;
-// a signal that waits stands for any number of its kind.
+// signals of one kind that come while one waits are one.
 type Signals struct{ stop, reload chan os.Signal }
 
 // Notify receives the process's signals from now on. It has to come first in the process, or a signal may end it
