--- a/internal/config/blocks.go
+++ b/internal/config/blocks.go
@@ -17,8 +17,9 @@
 )
 
 const (
-	maxInteger = math.MaxInt32
-	// minLogBytes is the smallest bound on the usage export's log: four segments.
+	maxInteger = math.MaxInt32 // bounds numbers that have no bound of their own
+	// minLogBytes is the smallest bound on the usage export's log. It is a multiple of the log's smallest segment and of
+	// the reserve for settlements in package gateway.
 	minLogBytes = 4 << 20
 )
 
@@ -221,7 +222,7 @@
 		modes[m.String()] = m
 	}
 	d.Block(at, n, decode.Fields{
-		"to":         address(&e.URL),
+		"to":         httpURL(&e.URL),
 		"durability": decode.Choice(&e.Durability, modes),
 		"every":      decode.Duration(&e.SyncInterval, time.Millisecond),
 		"disk": func(s decode.Setting) {
@@ -239,7 +240,7 @@
 	d.Plain(at, n)
 	m.Enabled = true
 	d.Block(at, n, decode.Fields{
-		"to":       address(&m.URL),
+		"to":       httpURL(&m.URL),
 		"every":    decode.Duration(&m.Interval, 10*time.Millisecond),
 		"timeout":  decode.Duration(&m.Timeout, time.Millisecond),
 		"max-age":  decode.Duration(&m.MaxAge, time.Second),
@@ -255,7 +256,7 @@
 func (d *decoder) tracing(at string, n *kdl.Node, t *Tracing) {
 	d.Plain(at, n)
 	d.Block(at, n, decode.Fields{
-		"to":      address(&t.URL),
+		"to":      httpURL(&t.URL),
 		"share":   decode.Number(&t.SampleFraction, 0, 1),
 		"rate":    decode.Rate(&t.MaxPerSecond),
 		"queue":   decode.Int(&t.MaxSpans, 1, 1<<20),
@@ -282,8 +283,8 @@
 	}, nil)
 }
 
-// address reads a URL.
-func address(to *string) func(decode.Setting) {
+// httpURL reads a URL of http or https.
+func httpURL(to *string) func(decode.Setting) {
 	return func(s decode.Setting) {
 		u, err := url.Parse(s.Value.Text)
 		if s.Value.Kind != kdl.String || err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
--- a/internal/config/decode/values.go
+++ b/internal/config/decode/values.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// perSecond is what once in a unit of time is a second.
+// perSecond is how often a second something happens that happens once in a unit of time.
 var perSecond = map[string]float64{"ms": 1000, "s": 1, "min": 1. / 60, "h": 1. / 3600}
 
 // Rate reads a rate such as "12/s" or "90/min", as one a second.
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -13,7 +13,7 @@
 	"winghatch/internal/wal"
 )
 
-// rankPlaceholder stands for a gateway's rank in the patterns of files and directories.
+// rankPlaceholder is replaced by a gateway's rank in the patterns of files and directories.
 const rankPlaceholder = "%d"
 
 // Fleet is all settings that the gateways of a fleet share.
@@ -25,8 +25,8 @@
 	Members  []Member
 
 	EndpointList        string  // address of the endpoint list, host:port; empty: none
-	EndpointListPattern string  // file that caches the last list, %d stands for the rank; empty: none
-	StateDirPattern     string  // directory of what must outlive a process, %d stands for the rank; empty: none
+	EndpointListPattern string  // file that caches the last list, with %d for the rank; empty: none
+	StateDirPattern     string  // directory of what must outlive a process, with %d for the rank; empty: none
 	CapacityPerSecond   float64 // units that the fleet can serve, for reservations; 0: not stated
 
 	Caps        ResourceLimits
@@ -57,7 +57,7 @@
 	BatchSize  int           // samples
 	Shards     int
 	MaxMembers int  // that have series of their own
-	VersionOne bool // speak remote write 1.0
+	VersionOne bool // send remote write 1.0
 }
 
 // Tracing says which requests are traced, and where traces are sent.
--- a/internal/config/format.go
+++ b/internal/config/format.go
@@ -248,7 +248,7 @@
 	w.close()
 }
 
-// nameOf is the name that stands for a value in documents.
+// nameOf is the name of a value in documents.
 func nameOf[T comparable](names map[string]T, value T) string {
 	for name, v := range names {
 		if v == value {
@@ -258,7 +258,8 @@
 	return ""
 }
 
-// quote writes a string as KDL has it, with only those characters escaped that must be.
+// quote writes a string as KDL has it. Only those characters are escaped that must be: quotes, backslashes, and control
+// and format characters, which a document may not have or no editor shows.
 func quote(s string) string {
 	var b strings.Builder
 	b.WriteByte('"')
--- a/internal/config/kdl/number.go
+++ b/internal/config/kdl/number.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// number reads a number; ok is false for a word that does not begin as one (specification section 3.14).
+// number reads a number; ok is false for a text that does not begin as one (specification section 3.14).
 func number(word string) (v float64, ok bool, err error) {
 	body := strings.TrimLeft(word, "+-")
 	signs := len(word) - len(body)
--- a/internal/config/kdl/text.go
+++ b/internal/config/kdl/text.go
@@ -97,7 +97,7 @@
 	return b.String()
 }
 
-// Escapes of one character, and what they stand for.
+// Escapes of one character, and what they mean.
 const (
 	escapes   = `nrt\"bfs`
 	unescaped = "\n\r\t\\\"\b\f "
