--- a/internal/websocket/frame.go
+++ b/internal/websocket/frame.go
@@ -7,6 +7,21 @@
 	"encoding/binary"
 	"errors"
 	"io"
+	"math"
+)
+
+// The first two bytes of a frame, and its values of the length that are followed by the length itself (RFC 6455
+// section 5.2).
+const (
+	finBit       = 0x80
+	reservedBits = 0x70
+	opcodeBits   = 0x0f
+
+	maskBit    = 0x80
+	lengthBits = 0x7f
+
+	length16 = 126 // the length is in the next 2 bytes
+	length64 = 127 // the length is in the next 8 bytes
 )
 
 // Opcode is a frame's opcode (RFC 6455 section 5.2).
@@ -59,12 +74,12 @@
 	if err != nil {
 		return h, err
 	}
-	h.fin = first&0x80 != 0
-	h.opcode = Opcode(first & 0x0f)
-	h.masked = second&0x80 != 0
-	h.length = int64(second & 0x7f)
+	h.fin = first&finBit != 0
+	h.opcode = Opcode(first & opcodeBits)
+	h.masked = second&maskBit != 0
+	h.length = int64(second & lengthBits)
 	switch {
-	case first&0x70 != 0:
+	case first&reservedBits != 0:
 		return h, protocolErrorf(CodeProtocol, "reserved bits %03b set, no extension was agreed", first>>4&7)
 	case h.opcode > Binary && h.opcode < Close, h.opcode > Pong:
 		return h, protocolErrorf(CodeProtocol, "opcode %#x is not known", byte(h.opcode))
@@ -88,14 +103,14 @@
 func (r *Reader) readExtendedLength(h *frameHeader) error {
 	var b [8]byte
 	switch h.length {
-	case 126:
+	case length16:
 		if err := r.readFull(b[:2]); err != nil {
 			return err
 		}
-		if h.length = int64(binary.BigEndian.Uint16(b[:2])); h.length < 126 {
+		if h.length = int64(binary.BigEndian.Uint16(b[:2])); h.length < length16 {
 			return protocolErrorf(CodeProtocol, "length %d is not in its shortest form", h.length)
 		}
-	case 127:
+	case length64:
 		if err := r.readFull(b[:]); err != nil {
 			return err
 		}
@@ -103,7 +118,7 @@
 		if v>>63 != 0 {
 			return protocolErrorf(CodeProtocol, "length with the highest bit set")
 		}
-		if h.length = int64(v); v <= 0xffff {
+		if h.length = int64(v); v <= math.MaxUint16 {
 			return protocolErrorf(CodeProtocol, "length %d is not in its shortest form", v)
 		}
 	}
@@ -130,19 +145,19 @@
 func AppendFrame(dst []byte, fin bool, opcode Opcode, payload []byte, mask *[4]byte) []byte {
 	first := byte(opcode)
 	if fin {
-		first |= 0x80
+		first |= finBit
 	}
-	var maskBit byte
+	var masked byte
 	if mask != nil {
-		maskBit = 0x80
+		masked = maskBit
 	}
 	switch n := len(payload); {
-	case n < 126:
-		dst = append(dst, first, maskBit|byte(n))
-	case n <= 0xffff:
-		dst = append(dst, first, maskBit|126, byte(n>>8), byte(n))
+	case n < length16:
+		dst = append(dst, first, masked|byte(n))
+	case n <= math.MaxUint16:
+		dst = append(dst, first, masked|length16, byte(n>>8), byte(n))
 	default:
-		dst = append(dst, first, maskBit|127)
+		dst = append(dst, first, masked|length64)
 		dst = binary.BigEndian.AppendUint64(dst, uint64(n))
 	}
 	if mask != nil {
--- a/internal/websocket/handshake.go
+++ b/internal/websocket/handshake.go
@@ -19,7 +19,8 @@
 	key    string
 }
 
-// HandshakeError is a handshake that was rejected, by this side or by the server. Response is the answer of a server.
+// HandshakeError is a handshake that was rejected, by this side or by the server. Its method Response makes the
+// response of a server.
 type HandshakeError struct {
 	Status      int
 	Reason      string
--- a/internal/websocket/header.go
+++ b/internal/websocket/header.go
@@ -101,10 +101,13 @@
 
 func isControlCharacter(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f }
 
+// maxQuoted is how many bytes of a peer's text are part of an error message.
+const maxQuoted = 40
+
 // truncate shortens a peer's text for an error message.
 func truncate(s string) string {
-	if len(s) > 40 {
-		return s[:40] + "..."
+	if len(s) > maxQuoted {
+		return s[:maxQuoted] + "..."
 	}
 	return s
 }
--- a/internal/websocket/reader.go
+++ b/internal/websocket/reader.go
@@ -37,12 +37,12 @@
 }
 
 // NewReader returns a reader for the side of a connection that has the role. A message of more than maxMessage bytes is
-// refused with CodeTooBig, before the payload of the frame that exceeds the limit is read.
+// rejected with CodeTooBig, before the payload of the frame that exceeds the limit is read.
 func NewReader(in *bufio.Reader, role Role, maxMessage int64) *Reader {
 	return &Reader{in: in, role: role, maxMessage: maxMessage, maxFrame: maxMessage}
 }
 
-// LimitFrames refuses a frame of more than maxFrame bytes of payload with CodeTooBig (RFC 6455 section 10.4 recommends
+// LimitFrames rejects a frame of more than maxFrame bytes of payload with CodeTooBig (RFC 6455 section 10.4 recommends
 // limits on frames and on messages).
 func (r *Reader) LimitFrames(maxFrame int64) { r.maxFrame = min(maxFrame, r.maxMessage) }
 
