--- a/internal/credentials/hash.go
+++ b/internal/credentials/hash.go
@@ -55,7 +55,7 @@
 	return d
 }
 
-// Equal compares two hashes in constant time, so that the time tells nothing of them.
+// Equal compares two hashes in constant time, so that the time reveals nothing of them.
 func Equal(a, b []byte) bool { return subtle.ConstantTimeCompare(a, b) == 1 }
 
 // Digest is a keyed hash. Of a member's key it is all that the settings hold.
--- a/internal/credentials/memberkey.go
+++ b/internal/credentials/memberkey.go
@@ -20,7 +20,7 @@
 // MemberIndex finds members by the keys that they present. It is safe for concurrent use once all digests are added.
 type MemberIndex struct {
 	hasher Hasher
-	// byPrefix has the digests by their first bytes. The time of a look-up tells which prefixes there are, which is of
+	// byPrefix has the digests by their first bytes. The time of a look-up reveals which prefixes there are, which is of
 	// no use without the secret: nobody can make a key for a prefix.
 	byPrefix map[digestPart][]indexEntry
 }
@@ -43,7 +43,7 @@
 	x.byPrefix[prefix] = append(x.byPrefix[prefix], indexEntry{d, member})
 }
 
-// Find returns the member of a key. Digests of the same prefix are compared whole, in constant time.
+// Find returns the member of a key. Digests of the same prefix are compared in all bytes, in constant time.
 func (x *MemberIndex) Find(key string) (member int, ok bool) {
 	d := x.hasher.Sum([]byte(key))
 	for _, e := range x.byPrefix[digestPart(d[:len(digestPart{})])] {
--- a/internal/encoding/encoding.go
+++ b/internal/encoding/encoding.go
@@ -1,7 +1,7 @@
 // Package encoding writes and reads the fields of stored records and of messages between gateways.
 //
-// Integers are varints of Go's encoding/binary, or 8 bytes; strings have their length before them as a varint; figures
-// are 8 bytes of IEEE 754. What has a fixed size is little-endian.
+// Integers are varints of Go's encoding/binary, or 8 bytes; strings have their length before them as a varint; numbers
+// with a fraction are 8 bytes of IEEE 754. What has a fixed size is little-endian.
 package encoding
 
 import (
@@ -15,7 +15,7 @@
 	return append(b, s...)
 }
 
-// AppendFloat64 appends a figure.
+// AppendFloat64 appends a number with a fraction.
 func AppendFloat64(b []byte, v float64) []byte {
 	return binary.LittleEndian.AppendUint64(b, math.Float64bits(v))
 }
@@ -51,7 +51,7 @@
 	return v
 }
 
-// Float64 reads a figure. NaN and the infinities are malformed.
+// Float64 reads a number with a fraction. NaN and the infinities are malformed.
 func (r *Reader) Float64() float64 {
 	v := math.Float64frombits(r.Uint64())
 	if math.IsNaN(v) || math.IsInf(v, 0) {
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -12,7 +12,7 @@
 const (
 	chunkedLength   = -1
 	untilClose      = -2      // it ends with its connection
-	unlimitedLength = 1 << 40 // the limit of a body that is streamed
+	unlimitedLength = 1 << 40 // the limit of a body that is streamed; digits beyond it can't overflow an int
 )
 
 // bodyStepBytes is how far a body grows at once: a length that is only announced must cost no memory.
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -18,7 +18,7 @@
 	"strings"
 )
 
-// maxFields bounds the fields of a head.
+// maxFields bounds the fields of a head; with its first line they are 64 lines.
 const maxFields = 63
 
 // Limits bound a message.
@@ -127,8 +127,8 @@
 	return from, len(r.buf), nil
 }
 
-// readHead reads a first line, as its first two words and the rest, and the fields. io.EOF means that the connection
-// ended before the first byte.
+// readHead reads a first line, as what precedes its first two spaces and the rest, and the fields. io.EOF means that
+// the connection ended before the first byte.
 func (r *Reader) readHead() (firstLine [3]string, h Head, err error) {
 	r.buf = r.buf[:0]
 	var ends [1 + maxFields]int // of the lines in r.buf
--- a/internal/jsonrpc/parse.go
+++ b/internal/jsonrpc/parse.go
@@ -7,7 +7,7 @@
 	"unicode/utf8"
 )
 
-// Parse reads a message or a batch of at most maxBatch messages; batch tells which. The error is set if nothing of the
+// Parse reads a message or a batch of at most maxBatch messages; batch says which. The error is set if nothing of the
 // input can be used: the response is then this error with NullID (specification section 6). Params and results of a
 // single message are parts of data.
 func Parse(data []byte, maxBatch int) (messages []Message, batch bool, err *Error) {
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,5 +1,5 @@
-// Package socket has what the frontend and the upstream pool ask of a socket beyond package net: reads and writes
-// that never wait, looks at what has arrived, and retries of system calls that fail for a moment.
+// Package socket has what the frontend and the upstream pool need of a socket beyond package net: reads and writes
+// that never wait, looks at what has arrived, and retries of system calls that failed with a transient error.
 package socket
 
 import (
@@ -21,14 +21,14 @@
 	}
 )
 
-// RetryPause is the pause before a system call that failed for a moment is retried.
+// RetryPause is the pause before a system call that failed with a transient error is retried.
 const RetryPause = time.Millisecond
 
-// transientErrors pass by themselves: nothing was there yet, a signal came, or the kernel was out of memory.
+// transientErrors say nothing of the connection: nothing was there yet, a signal came, or the kernel was out of memory.
 var transientErrors = []syscall.Errno{syscall.EAGAIN, syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM}
 
-// IsTransient reports whether the error of a system call passes by itself: the call may be retried a moment later,
-// and the connection is as good as before.
+// IsTransient reports whether the error of a system call is transient: the call may be retried a moment later, and the
+// connection is as good as before.
 func IsTransient(err error) bool {
 	for _, errno := range transientErrors {
 		if errors.Is(err, errno) {
@@ -38,9 +38,9 @@
 	return false
 }
 
-// WriteNow hands bytes to the socket's buffer without waiting for room and returns how many it took. If not all, err
-// is syscall.EAGAIN, another error for which IsTransient holds, or the connection's. The loop writes so: one that
-// waited for a peer would hold up all others.
+// WriteNow writes bytes into the socket's buffer without waiting for room and returns how many it took. If not all, err
+// is syscall.EAGAIN, another error for which IsTransient holds, or the connection's. The gateway's loop writes by it:
+// waiting for one peer would delay all others.
 func WriteNow(raw syscall.RawConn, b []byte) (n int, err error) {
 	closed := raw.Write(func(fd uintptr) bool {
 		for {
