--- a/bench/child.go
+++ b/bench/child.go
@@ -20,14 +20,18 @@
 	"winghatch/internal/gateway"
 )
 
-// runMeasuredProcess is the main function of a measured process: it prints its address, then answers "usage" and "quit" on its input.
+// gcPercent is that of `winghatch gateway`, for the relay too.
+const gcPercent = 400
+
+// runMeasuredProcess is the main function of a measured process: it prints its address, then answers each line "usage"
+// on its input, and ends at any other line.
 func runMeasuredProcess(name, file, prof string) {
 	f, err := config.Load(file)
 	if err != nil {
 		fatal(err)
 	}
 	if os.Getenv("GOGC") == "" {
-		debug.SetGCPercent(400) // as `winghatch gateway` does; the relay too
+		debug.SetGCPercent(gcPercent)
 	}
 	addr, err := startMeasured(name, file, f)
 	if err != nil {
@@ -104,7 +108,7 @@
 	}
 }
 
-// readRuntime reads what the runtime tells of this process.
+// readRuntime reads what the runtime reports of this process.
 func (u *processUsage) readRuntime() {
 	u.SchedulingDelay = runtimeP99("/sched/latencies:seconds")
 	u.GCPause = runtimeP99("/sched/pauses/total/gc:seconds")
--- a/bench/fleet.go
+++ b/bench/fleet.go
@@ -18,18 +18,22 @@
 const (
 	clientKey   = "bench-key"
 	echoServers = 4
+	// maxQueueBytes is the queue of a connection of the bench's own, so large that none is closed for being slow.
+	maxQueueBytes = 64 << 20
 	// serverFile lists the servers' addresses beside the settings, for the relay.
 	serverFile = "nodes"
 )
 
-// startEchoServer starts a server that answers at once, so that what is measured is the path and not the work, and returns its address.
+// startEchoServer starts a server that answers at once, so that what is measured is the path and not the work, and
+// returns its address. Its goroutines end with the process.
 func startEchoServer() (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
 	go wsconn.Serve(ln, func(nc net.Conn) {
-		l, err := wsconn.Accept(nc, "jsonrpc", 5*time.Second, nil, wsconn.Options{MaxQueue: 64 << 20, ReadBuffer: 16 << 10})
+		options := wsconn.Options{MaxQueue: maxQueueBytes, ReadBuffer: 16 << 10}
+		l, err := wsconn.Accept(nc, "jsonrpc", 5*time.Second, nil, options)
 		if err != nil {
 			return
 		}
@@ -49,7 +53,8 @@
 	return ln.Addr().String(), nil
 }
 
-// writeSettings writes the settings of a fleet in which no quota and no cap is reached. The function returned stops its discovery.
+// writeSettings writes the settings of a fleet in which no quota and no cap is reached. The function returned stops its
+// discovery.
 func writeSettings(dir string, servers []string) (string, func(), error) {
 	l, err := discovery.Start("127.0.0.1:0", 0, nil)
 	if err != nil {
--- a/bench/load.go
+++ b/bench/load.go
@@ -16,22 +16,29 @@
 	"winghatch/internal/wsconn"
 )
 
-const maxDials = 100
+const (
+	maxDials    = 100 // handshakes at once
+	dialTimeout = 20 * time.Second
+
+	maxLatency       = int64(time.Minute) // that the histogram can hold, in nanoseconds
+	histogramDigits  = 3                  // significant ones of a latency
+	lateResponseTime = 200 * time.Millisecond
+)
 
 // clientPool is a set of sessions that keep calls open. Latency, served and failed count while recording is set.
 type clientPool struct {
 	conns []*wsconn.Conn
 
-	latency   *hdrhistogram.Histogram
-	mu        sync.Mutex
-	served    atomic.Int64
-	failed    atomic.Int64
+	mu        sync.Mutex              // guards latency
+	latency   *hdrhistogram.Histogram // nanoseconds
+	served    atomic.Int64            // responses, those with an error included
+	failed    atomic.Int64            // responses with an error
 	recording atomic.Bool
 }
 
 // dialAll opens n sessions, at most maxDials at once.
 func dialAll(addr string, n int) (*clientPool, error) {
-	c := &clientPool{latency: hdrhistogram.New(1, 60_000_000_000, 3)}
+	c := &clientPool{latency: hdrhistogram.New(1, maxLatency, histogramDigits)}
 	c.conns = make([]*wsconn.Conn, n)
 	errs := make(chan error, n)
 	gate := make(chan struct{}, maxDials)
@@ -39,11 +46,11 @@
 		gate <- struct{}{}
 		go func() {
 			defer func() { <-gate }()
-			ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
+			ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 			defer cancel()
 			var err error
 			c.conns[i], err = wsconn.Dial(ctx, addr, &websocket.Request{Host: addr, Path: "/", Protocol: "jsonrpc",
-				Header: map[string]string{"Authorization": "Bearer " + clientKey}}, wsconn.Options{MaxQueue: 64 << 20})
+				Header: map[string]string{"Authorization": "Bearer " + clientKey}}, wsconn.Options{MaxQueue: maxQueueBytes})
 			errs <- err
 		}()
 	}
@@ -61,16 +68,20 @@
 	}
 }
 
-// send sends a call whose id is the moment from which its latency counts.
+// callParams are those of every call.
+var callParams = []byte(`{"units":1,"work":{"copies":3,"title":"A reader for the second year"}}`)
+
+// send sends a call whose id has the time from which its latency counts.
 func (c *clientPool) send(l *wsconn.Conn, no int, at time.Time) {
 	id := jsonrpc.ID(`"` + strconv.Itoa(no) + "." + strconv.FormatInt(at.UnixNano(), 10) + `"`)
-	l.Send(jsonrpc.AppendCall(nil, id, "look", []byte(`{"units":1,"work":{"copies":3,"title":"A reader for the second year"}}`)))
+	l.Send(jsonrpc.AppendCall(nil, id, "look", callParams))
 }
 
-// readResponses records responses; next, if not nil, sends the call that replaces an answered one.
+// readResponses records responses until the session is closed; next, if not nil, sends the call that replaces an
+// answered one.
 func (c *clientPool) readResponses(i int, next func(l *wsconn.Conn, no int)) {
 	l := c.conns[i]
-	for no := 1 << 20; ; no++ {
+	for no := 1 << 20; ; no++ { // beyond the numbers of runClosedLoop's own calls
 		data, err := l.Read()
 		if err != nil {
 			return
@@ -130,6 +141,6 @@
 		}
 		c.send(c.conns[no%len(c.conns)], no, due)
 	}
-	time.Sleep(200 * time.Millisecond)
+	time.Sleep(lateResponseTime) // for the responses to the last calls
 	c.recording.Store(false)
 }
--- a/bench/main.go
+++ b/bench/main.go
@@ -17,9 +17,10 @@
 )
 
 var (
-	quick          = flag.Bool("quick", false, "shorter runs")
-	load           = flag.Float64("load", 0.5, "part of the gateway's most at which added time is measured")
-	only           = flag.String("only", "", "throughput, idle, growth, export, measures, recovery or outage; else the first five")
+	quick = flag.Bool("quick", false, "shorter runs")
+	load  = flag.Float64("load", 0.5, "fraction of the gateway's highest rate at which added time is measured")
+	only  = flag.String("only", "",
+		"throughput, idle, growth, export, measures, recovery or outage; else the first five")
 	outageDuration = flag.Duration("for", 20*time.Second, "how long the receiver is down in the outage")
 	outageRate     = flag.Float64("rate", 5000, "calls a second in the outage")
 	maxAttempts    = flag.Int("tries", 1_000_000, "most tries in the recovery table")
@@ -64,7 +65,8 @@
 	if err := os.WriteFile(filepath.Join(dir, serverFile), []byte(strings.Join(servers, "\n")), 0o600); err != nil {
 		return err
 	}
-	fmt.Printf("%d cores, %s; clients and servers share them with what is measured\n\n", runtime.NumCPU(), runtime.Version())
+	fmt.Printf("%d cores, %s; clients and servers share them with what is measured\n\n",
+		runtime.NumCPU(), runtime.Version())
 	tables := []table{
 		{"throughput", true, func() error { return measureThroughput(dir, file, servers[0], warm, span) }},
 		{"idle", true, func() error { return measureIdleSessions(file) }},
--- a/bench/modes.go
+++ b/bench/modes.go
@@ -39,7 +39,7 @@
 	if err := modes.measure(warm, span); err != nil {
 		return err
 	}
-	fmt.Printf("fsync of %d bytes on this disk: %v\n\n", 4096, syncTime(dir))
+	fmt.Printf("fsync of %d bytes on this disk: %v\n\n", syncBytes, syncTime(dir))
 	return nil
 }
 
@@ -54,7 +54,8 @@
 	if err != nil {
 		return err
 	}
-	f.Metrics.Enabled, f.Metrics.URL, f.Metrics.Interval, f.Metrics.VersionOne = true, "http://"+s.addr+"/api/v1/write", time.Second, true
+	m := &f.Metrics
+	m.Enabled, m.URL, m.Interval, m.VersionOne = true, "http://"+s.addr+"/api/v1/write", time.Second, true
 	files["on"] = filepath.Join(dir, "measures.kdl")
 	if err := os.WriteFile(files["on"], config.Format(f), 0o600); err != nil {
 		return err
@@ -72,7 +73,8 @@
 	modeRounds   = 3
 )
 
-// comparison measures a gateway under the settings of several modes, in turn. The first mode is what the others are compared with.
+// comparison measures a gateway under the settings of several modes, in turn. The first mode is what the others are
+// compared with.
 type comparison struct {
 	what   string
 	modes  []string
@@ -102,7 +104,7 @@
 	return nil
 }
 
-// measure prints the calls a second of each mode and, at half of the slowest's, the latency of each.
+// measure prints the calls a second of each mode and the latency of each at half the rate of the slowest.
 func (m *comparison) measure(warm, span time.Duration) error {
 	rates, err := m.rates(warm, span/modeRounds)
 	if err != nil {
@@ -154,7 +156,10 @@
 	return rates, nil
 }
 
-// syncTime returns how long the disk takes to write and sync 4 KiB, or 0 where it can't.
+// syncBytes is how much syncTime writes at once.
+const syncBytes = 4 << 10
+
+// syncTime returns how long the disk takes to write and sync syncBytes, or 0 where it can't.
 func syncTime(dir string) time.Duration {
 	f, err := os.Create(filepath.Join(dir, "sync"))
 	if err != nil {
@@ -164,7 +169,7 @@
 	began := time.Now()
 	const n = 50
 	for range n {
-		f.Write(make([]byte, 4096))
+		f.Write(make([]byte, syncBytes))
 		f.Sync()
 	}
 	return (time.Since(began) / n).Round(time.Microsecond)
--- a/bench/outage.go
+++ b/bench/outage.go
@@ -69,7 +69,8 @@
 	if err := o.print(); err != nil {
 		return err
 	}
-	fmt.Printf("\nthe log shrank to a quarter within %v of the receiver's return\n\n", time.Since(returned).Round(time.Second))
+	fmt.Printf("\nthe log shrank to a quarter within %v of the receiver's return\n\n",
+		time.Since(returned).Round(time.Second))
 	return nil
 }
 
@@ -105,7 +106,7 @@
 	return nil
 }
 
-// directorySize returns the bytes of all files below a folder; a file that vanishes meanwhile does not count.
+// directorySize returns the bytes of all files below a directory; a file that vanishes meanwhile does not count.
 func directorySize(dir string) (n int64) {
 	filepath.Walk(dir, func(_ string, i os.FileInfo, err error) error {
 		if err == nil && !i.IsDir() {
--- a/bench/process.go
+++ b/bench/process.go
@@ -58,7 +58,7 @@
 	return p, nil
 }
 
-// processUsage is what a measured process tells of itself.
+// processUsage is what a measured process reports of itself.
 type processUsage struct {
 	CPU             time.Duration
 	Heap            uint64        // bytes in use after a collection, with stacks
@@ -89,7 +89,8 @@
 	}
 }
 
-// paths are the ways from clients to servers that are compared: none, the gateway, the gateway with a core that decides nothing, a relay.
+// paths are the ways from clients to servers that are compared: none, the gateway, the gateway with a core that decides
+// nothing, a relay.
 var paths = []string{"direct", "gateway", "plain", "relay"}
 
 // startPath starts the path of that name with a CPU profile.
--- a/bench/recovery.go
+++ b/bench/recovery.go
@@ -15,7 +15,8 @@
 
 // measureRecovery measures how long a gateway takes to find what it owes, by how much that is.
 func measureRecovery(dir string, most int) error {
-	fmt.Println("recovery of the export's log, by the tries that the receiver does not have\n\n| tries | bytes | without snapshots | with snapshots |\n| --- | --- | --- | --- |")
+	fmt.Println("recovery of the export's log, by the tries that the receiver does not have\n\n" +
+		"| tries | bytes | without snapshots | with snapshots |\n| --- | --- | --- | --- |")
 	for n := 10_000; n <= most; n *= 10 {
 		row := fmt.Sprintf("| %d |", n)
 		for _, snaps := range []bool{false, true} {
@@ -28,8 +29,13 @@
 				row += fmt.Sprintf(" %d |", size)
 			}
 			began := time.Now()
-			_, l, rec, err := gateway.OpenOutbox(gateway.OutboxOptions{Export: config.UsageExport{}, Dir: kept, Incarnation: 1 << 62,
-				WallClock: func() int64 { return 1 }, Log: slog.New(slog.DiscardHandler)}, nil, nil, nil)
+			_, l, rec, err := gateway.OpenOutbox(gateway.OutboxOptions{
+				Export:      config.UsageExport{},
+				Dir:         kept,
+				Incarnation: 1 << 62, // later than that of the log
+				WallClock:   func() int64 { return 1 },
+				Log:         slog.New(slog.DiscardHandler),
+			}, nil, nil, nil)
 			if err != nil {
 				return err
 			}
@@ -43,7 +49,11 @@
 	return nil
 }
 
-// fillOutboxLog fills a log with settled tries of which the receiver has none.
+// attemptsPerSnapshot is how many attempts, of two records each, precede a snapshot, as in a gateway.
+const attemptsPerSnapshot = 25000
+
+// fillOutboxLog fills a log with settled attempts of which the receiver has none. dir is where gateway.OpenOutbox has
+// the log.
 func fillOutboxLog(dir string, n int, snaps bool) (int64, error) {
 	l, _, err := wal.Open(dir, wal.Options{Mode: wal.SyncNever, RetainFrom: func() uint64 { return 1 }}, nil, nil)
 	if err != nil {
@@ -72,15 +82,23 @@
 	if err := do(d.Start(1)); err != nil {
 		return 0, err
 	}
-	t := outbox.Attempt{Request: "0-18ed2c564500847d-5i", Member: "editorial", Plan: "imprenta", Class: "order-submit", Server: "127.0.0.1:12345", Units: 1}
+	t := outbox.Attempt{
+		Request: "0-18ed2c564500847d-5i",
+		Member:  "editorial",
+		Plan:    "imprenta",
+		Class:   "order-submit",
+		Server:  "127.0.0.1:12345",
+		Units:   1,
+	}
 	for i := 1; i <= n; i++ {
 		if err := do(d.Handle(outbox.RecordIntent{ID: outbox.ID(i), HasRoom: true, Attempt: t})); err != nil {
 			return 0, err
 		}
-		if err := do(d.Handle(outbox.Settle{ID: outbox.ID(i), Outcome: outbox.OutcomeAnswered, UsedUnits: 2, WallTime: 1})); err != nil {
+		settle := outbox.Settle{ID: outbox.ID(i), Outcome: outbox.OutcomeAnswered, UsedUnits: 2, WallTime: 1}
+		if err := do(d.Handle(settle)); err != nil {
 			return 0, err
 		}
-		if snaps && i%25000 == 0 {
+		if snaps && i%attemptsPerSnapshot == 0 {
 			if err := l.Sync(time.Minute); err != nil {
 				return 0, err
 			}
--- a/bench/relay.go
+++ b/bench/relay.go
@@ -12,8 +12,8 @@
 	"winghatch/internal/jsonrpc"
 )
 
-// relay forwards calls as a program on coder/websocket would: the same JSON-RPC, ids mapped, two connections to each server, no quota
-// and round robin.
+// relay forwards calls as a program on coder/websocket would: the same JSON-RPC, ids mapped, two connections to each
+// server, no quota and round robin. Its goroutines end with the process.
 type relay struct {
 	servers []string
 	mu      sync.Mutex
@@ -21,6 +21,11 @@
 	next    atomic.Uint64
 }
 
+const (
+	connsPerServer = 2    // as in the gateway's settings
+	queueMessages  = 4096 // that wait to be written to a connection
+)
+
 type relayConn struct {
 	ws      *websocket.Conn
 	out     chan []byte
@@ -46,13 +51,14 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.conns == nil {
-		for range 2 {
+		options := &websocket.DialOptions{Subprotocols: []string{"jsonrpc"}}
+		for range connsPerServer {
 			for _, n := range r.servers {
-				c, _, err := websocket.Dial(context.Background(), "ws://"+n+"/", &websocket.DialOptions{Subprotocols: []string{"jsonrpc"}})
+				c, _, err := websocket.Dial(context.Background(), "ws://"+n+"/", options)
 				if err != nil {
 					return nil, err
 				}
-				k := &relayConn{ws: c, out: make(chan []byte, 4096), pending: map[uint64]relayCall{}}
+				k := &relayConn{ws: c, out: make(chan []byte, queueMessages), pending: map[uint64]relayCall{}}
 				go writeLoop(c, k.out)
 				go k.readLoop()
 				r.conns = append(r.conns, k)
@@ -88,7 +94,7 @@
 		return
 	}
 	defer c.CloseNow()
-	out := make(chan []byte, 4096)
+	out := make(chan []byte, queueMessages)
 	go writeLoop(c, out)
 	for {
 		_, data, err := c.Read(context.Background())
--- a/bench/sessions.go
+++ b/bench/sessions.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// measureIdleSessions prints the memory that an idle session takes, from a process's usage before and after many.
 func measureIdleSessions(file string) error {
 	const sessions = 10000
 	fmt.Printf("heap and stacks for each of %d idle sessions\n\n| path | bytes |\n| --- | --- |\n", sessions)
@@ -39,9 +40,14 @@
 	return nil
 }
 
-// measureGrowth measures the relay beside the gateway: what both lose as sessions grow is the sockets', not the decisions'.
+// growthOpen is how many calls are open at once over all sessions while sessions grow.
+const growthOpen = 512
+
+// measureGrowth measures the relay beside the gateway: what both lose as sessions grow is the sockets', not the
+// decisions'.
 func measureGrowth(file string, warm, span time.Duration) error {
-	fmt.Printf("calls a second as sessions grow, 512 calls open\n\n| sessions | gateway | to the first | relay | to the first |\n| --- | --- | --- | --- | --- |\n")
+	fmt.Printf("calls a second as sessions grow, %d calls open\n\n"+
+		"| sessions | gateway | to the first | relay | to the first |\n| --- | --- | --- | --- | --- |\n", growthOpen)
 	first := map[string]float64{}
 	for _, n := range []int{10, 100, 1000, 10000} {
 		row := fmt.Sprintf("| %d |", n)
@@ -54,7 +60,7 @@
 			if err != nil {
 				return err
 			}
-			rate := c.runClosedLoop(512, warm, span/2)
+			rate := c.runClosedLoop(growthOpen, warm, span/2)
 			c.close()
 			p.stop()
 			if first[name] == 0 {
--- a/bench/throughput.go
+++ b/bench/throughput.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The load of the throughput table. Each path is measured in several rounds, in turn, so that what else the machine does meanwhile
-// hits all of them alike.
+// The load of the throughput table. Each path is measured in several rounds, in turn, so that what else the machine
+// does meanwhile affects all of them alike.
 const (
 	throughputSessions = 64
 	throughputOpen     = 512 // calls open at once over all sessions
@@ -27,7 +27,8 @@
 	gcPauses         []int64
 }
 
-// measureThroughput prints the calls a second of each path, and the latency that each adds at a part of the gateway's most.
+// measureThroughput prints the calls a second of each path, and the latency that each adds at a fraction of the
+// gateway's highest rate.
 func measureThroughput(dir, file, server string, warm, span time.Duration) error {
 	results := map[string]*throughputResult{}
 	for _, name := range paths {
@@ -110,13 +111,15 @@
 }
 
 func printThroughput(results map[string]*throughputResult, rate float64) {
-	fmt.Printf("calls a second, %d sessions, %d calls open; added time at %.0f calls a second, %.2f of the gateway's most\n\n",
+	fmt.Printf("calls a second, %d sessions, %d calls open; "+
+		"added time at %.0f calls a second, %.2f of the gateway's most\n\n",
 		throughputSessions, throughputOpen, rate, *load)
 	fmt.Println("| path | calls/s | to relay | CPU a call | p50 | p99 | p99.9 | added p50 | p99 | p99.9 |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, name := range paths {
 		r := results[name]
-		fmt.Printf("| %s | %.0f | %.2f | %v |", name, r.rate, r.rate/results["relay"].rate, r.cpuPerCall.Round(100*time.Nanosecond))
+		fmt.Printf("| %s | %.0f | %.2f | %v |",
+			name, r.rate, r.rate/results["relay"].rate, r.cpuPerCall.Round(100*time.Nanosecond))
 		added := ""
 		for _, q := range latencyQuantiles {
 			latency, direct := median(r.quantiles[q]), median(results["direct"].quantiles[q])
