--- a/cmd/winghatch/main_test.go
+++ b/cmd/winghatch/main_test.go
@@ -35,16 +35,23 @@
 	return b.String(), cmd.ProcessState.ExitCode()
 }
 
-// TestCheckAndGatewayAgree feeds the same documents to both: what one refuses the other refuses with the same
-// text, and what the checker accepts the gateway has no more to say of.
+// TestCheckAndGatewayAgree gives check and gateway the same settings. Whatever check rejects, the gateway rejects
+// with the same text, so that a checked file starts.
 func TestCheckAndGatewayAgree(t *testing.T) {
 	good, err := os.ReadFile("../../examples/small.kdl")
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	for i, c := range [][2]string{{"", ""}, {`rate "40/s"`, `rate "-40/s"`}, {"plan=taller", "plan=tall"}, {"attempts 4", "attempts 0"},
-		{`"1500ms" {`, `"1500ms" { x`}, {"fleet small {", "fleet {"}, {`aim "1s"; deadline "4s"`, `aim "9s"; deadline "4s"`}} {
+	for i, c := range [][2]string{
+		{"", ""},
+		{`rate "40/s"`, `rate "-40/s"`},
+		{"plan=taller", "plan=tall"},
+		{"attempts 4", "attempts 0"},
+		{`"1500ms" {`, `"1500ms" { x`},
+		{"fleet small {", "fleet {"},
+		{`aim "1s"; deadline "4s"`, `aim "9s"; deadline "4s"`},
+	} {
 		file := filepath.Join(dir, string(rune('a'+i))+".kdl")
 		os.WriteFile(file, []byte(strings.Replace(string(good), c[0], c[1], 1)), 0o600)
 		said, code := run(t, "check", file)
@@ -59,11 +66,13 @@
 			t.Errorf("%q: check %d %s, gateway %d %s", c[1], code, said, gwCode, gw)
 		}
 	}
-	if out, code := run(t, "gateway", "--config", "../../examples/small.kdl", "--rank", "7"); code != 1 || !strings.Contains(out, "rank: 7, want 0 to 0") {
+	out, code := run(t, "gateway", "--config", "../../examples/small.kdl", "--rank", "7")
+	if code != 1 || !strings.Contains(out, "rank: 7, want 0 to 0") {
 		t.Errorf("%d %s", code, out)
 	}
 }
 
+// TestExamples loads all example settings.
 func TestExamples(t *testing.T) {
 	files, _ := filepath.Glob("../../examples/*.kdl")
 	if len(files) < 2 {
@@ -76,7 +85,8 @@
 	}
 }
 
-// TestExitCodes plays a short day, judges it again, replays its tapes, and spoils them.
+// TestExitCodes runs a short scenario, verifies it again and replays its recordings; then it damages them. Sub-commands
+// are called by their earlier names, which stay as aliases.
 func TestExitCodes(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "day.kdl")
@@ -98,7 +108,7 @@
 	if out, code := run(t, "replay", tape); code != 0 || !strings.Contains(out, "cut inside a record") {
 		t.Errorf("%d %s", code, out)
 	}
-	// A tape of another seed is another core's.
+	// With another seed the core decides otherwise.
 	lines := strings.SplitAfterN(string(raw), "\n", 2)
 	other, _ := os.ReadFile(filepath.Join(rec, "gateway-1.1.tape"))
 	os.WriteFile(tape, []byte(strings.SplitAfterN(string(other), "\n", 2)[0]+lines[1]), 0o600)
@@ -115,7 +125,7 @@
 		t.Errorf("%d %s", code, out)
 	}
 	if _, code := run(t, "day", "no such day"); code != 2 {
-		t.Errorf("a day that is not there: %d", code)
+		t.Errorf("a scenario that does not exist: %d", code)
 	}
 	if _, code := run(t, "audit", dir); code != 2 {
 		t.Errorf("a folder without records: %d", code)
--- a/cmd/winghatch/plan.go
+++ b/cmd/winghatch/plan.go
@@ -13,13 +13,14 @@
 	"winghatch/internal/quotaplan"
 )
 
-// asked is whom an operator asks: a gateway by its state address, with the fleet's secret.
+// gatewayTarget is the gateway that a sub-command talks to, at its state address with the fleet's secret.
 type gatewayTarget struct {
 	Config string `required:"" help:"The fleet's settings, for its secret and addresses."`
 	Rank   int    `help:"The gateway that is asked." default:"0"`
 	At     string `help:"Its state address, if it is another than the settings'."`
 }
 
+// fleet returns the settings and the address.
 func (a *gatewayTarget) fleet() (*config.Fleet, string, error) {
 	f, err := config.Load(a.Config)
 	if err != nil {
@@ -37,7 +38,7 @@
 	return f, f.Gateways[a.Rank].StateAddress, nil
 }
 
-// submit hands a change in. Its number is the time in microseconds where none is given.
+// submit submits a change. Without a number of its own it gets the Unix time in microseconds.
 func (a *gatewayTarget) submit(c quotaplan.Change) error {
 	f, at, err := a.fleet()
 	if err != nil {
@@ -54,10 +55,11 @@
 	return nil
 }
 
-// moment is a time that a flag gives.
+// flagTime is a time on the command line: RFC 3339, or "+" and a duration from now on.
 type flagTime string
 
-func (m flagTime) unix(field string) (int64, error) {
+// unixNano returns the time in nanoseconds, 0 if it is not given. flag is named in the error.
+func (m flagTime) unixNano(flag string) (int64, error) {
 	if m == "" {
 		return 0, nil
 	}
@@ -66,7 +68,7 @@
 	}
 	at, err := time.Parse(time.RFC3339Nano, string(m))
 	if err != nil {
-		return 0, fmt.Errorf("%s: %q, want a time such as 2026-12-07T08:00:00Z, or +90m from now", field, string(m))
+		return 0, fmt.Errorf("%s: %q, want a time such as 2026-12-07T08:00:00Z, or +90m from now", flag, string(m))
 	}
 	return at.UnixNano(), nil
 }
@@ -88,8 +90,9 @@
 	Number uint64   `help:"The change's number, used once in the life of the fleet; else the time in microseconds."`
 }
 
+// Run submits the change. Where the new plan gives less, it prints what may pass beyond it until all gateways know.
 func (c *planSetCmd) Run() error {
-	from, err := c.From.unix("from")
+	from, err := c.From.unixNano("from")
 	if err != nil {
 		return err
 	}
@@ -97,27 +100,30 @@
 	if err != nil {
 		return err
 	}
-	if err := c.submit(quotaplan.Change{Number: c.Number, Kind: quotaplan.Move, Member: c.Member, Plan: c.Plan, From: from}); err != nil {
+	change := quotaplan.Change{Number: c.Number, Kind: quotaplan.Move, Member: c.Member, Plan: c.Plan, From: from}
+	if err := c.submit(change); err != nil {
 		return err
 	}
-	old, next := planOf(f, c.Member), find(f, c.Plan)
-	const spread = time.Second
-	if n := quotaplan.Overspend(old, next, spread); n > 0 && from == 0 {
-		fmt.Printf("until all gateways have heard it, up to %.6g units beyond the new plan may pass if that takes %v (from %s)\n", n, spread, old.Name)
+	oldPlan, newPlan := planOf(f, c.Member), findPlan(f, c.Plan)
+	const propagation = time.Second // until all gateways know of a change, usually
+	if n := quotaplan.Overspend(oldPlan, newPlan, propagation); n > 0 && from == 0 {
+		fmt.Printf("until all gateways know of it, up to %.6g units beyond the new plan may pass if that takes %v "+
+			"(from %s)\n", n, propagation, oldPlan.Name)
 	}
 	return nil
 }
 
+// planOf returns the plan of a member by the settings; no plan if there is no such member.
 func planOf(f *config.Fleet, member string) decide.Plan {
 	for _, m := range f.Members {
 		if m.Name == member {
-			return find(f, m.Plan)
+			return findPlan(f, m.Plan)
 		}
 	}
 	return decide.Plan{}
 }
 
-func find(f *config.Fleet, plan string) decide.Plan {
+func findPlan(f *config.Fleet, plan string) decide.Plan {
 	for _, p := range f.Decide.Plans {
 		if p.Name == plan {
 			return p
@@ -133,21 +139,31 @@
 	Burst        float64  `required:"" help:"Units at once."`
 	CeilingRate  float64  `help:"Hard ceiling, units a second."`
 	CeilingBurst float64  `help:"Hard ceiling, units at once."`
-	CeilingSlack float64  `help:"What the ceiling may be passed by."`
-	MaxOpen      int      `help:"Attempts out at once; 0: no such quota."`
-	Price        float64  `default:"1" help:"Worth of its work beside that of others."`
+	CeilingSlack float64  `help:"Units by which the ceiling may be exceeded."`
+	MaxInFlight  int      `name:"max-open" help:"Attempts in flight; 0: no such quota."`
+	Weight       float64  `name:"price" default:"1" help:"Priority weight of its requests."`
 	From         flagTime `help:"From when on; else at once."`
 	Number       uint64   `help:"The change's number."`
 }
 
+// Run submits new terms of a plan.
 func (c *planTermsCmd) Run() error {
-	from, err := c.From.unix("from")
+	from, err := c.From.unixNano("from")
 	if err != nil {
 		return err
 	}
-	return c.submit(quotaplan.Change{Number: c.Number, Kind: quotaplan.Terms, Plan: c.Plan, From: from, Terms: decide.Plan{Name: c.Plan,
-		Rate: c.Rate, Burst: c.Burst, CeilingRate: c.CeilingRate, CeilingBurst: c.CeilingBurst, CeilingSlack: c.CeilingSlack,
-		MaxInFlight: c.MaxOpen, PriorityWeight: c.Price}})
+	terms := decide.Plan{
+		Name:           c.Plan,
+		Rate:           c.Rate,
+		Burst:          c.Burst,
+		CeilingRate:    c.CeilingRate,
+		CeilingBurst:   c.CeilingBurst,
+		CeilingSlack:   c.CeilingSlack,
+		MaxInFlight:    c.MaxInFlight,
+		PriorityWeight: c.Weight,
+	}
+	change := quotaplan.Change{Number: c.Number, Kind: quotaplan.Terms, Plan: c.Plan, From: from, Terms: terms}
+	return c.submit(change)
 }
 
 type planCancelCmd struct {
@@ -156,6 +172,7 @@
 	Number uint64 `help:"This change's own number."`
 }
 
+// Run submits the cancellation of a change or a reservation.
 func (c *planCancelCmd) Run() error {
 	return c.submit(quotaplan.Change{Number: c.Number, Kind: quotaplan.Cancel, Target: c.Target})
 }
@@ -163,10 +180,11 @@
 type planShortenCmd struct {
 	gatewayTarget
 	Target uint64  `arg:"" help:"Number of the reservation."`
-	Units  float64 `required:"" help:"What it is of from now on."`
+	Units  float64 `required:"" help:"New size."`
 	Number uint64  `help:"This change's own number."`
 }
 
+// Run submits a smaller size of a reservation.
 func (c *planShortenCmd) Run() error {
 	return c.submit(quotaplan.Change{Number: c.Number, Kind: quotaplan.Shorten, Target: c.Target, Units: c.Units})
 }
@@ -176,7 +194,7 @@
 	Member string `arg:"" optional:""`
 }
 
-// history asks a gateway its book.
+// history asks a gateway for its plan changes.
 func (a *gatewayTarget) history(member string) (f *config.Fleet, at string, h gateway.History, err error) {
 	if f, at, err = a.fleet(); err == nil {
 		h, err = gateway.FetchHistory(at, member)
@@ -184,6 +202,7 @@
 	return f, at, h, err
 }
 
+// Run prints the plans of all members, or of one.
 func (c *planShowCmd) Run() error {
 	f, at, h, err := c.history(c.Member)
 	if err != nil {
@@ -198,12 +217,14 @@
 		if !ok {
 			continue
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, p.Name, formatNumber(p.Rate), formatNumber(p.Burst), formatNumber(p.CeilingRate),
-			formatNumber(p.CeilingBurst), formatNumber(float64(p.MaxInFlight)))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, p.Name,
+			formatNumber(p.Rate), formatNumber(p.Burst), formatNumber(p.CeilingRate), formatNumber(p.CeilingBurst),
+			formatNumber(float64(p.MaxInFlight)))
 	}
 	return nil
 }
 
+// formatNumber writes a limit; "-" stands for none.
 func formatNumber(v float64) string {
 	if v == 0 {
 		return "-"
@@ -216,6 +237,7 @@
 	Member string `arg:"" optional:""`
 }
 
+// Run prints all changes, or those of one member.
 func (c *planHistoryCmd) Run() error {
 	_, _, h, err := c.history(c.Member)
 	if err != nil {
@@ -229,15 +251,15 @@
 		if e.Target > 0 {
 			target = fmt.Sprint(e.Target)
 		}
-		fmt.Fprintf(w, "%d\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", e.Number, e.AcceptedAt, e.Gateway, e.Kind, e.Member, e.Plan, e.From, e.To,
-			formatNumber(e.Units), target, withReason(e.Status, e.Reason))
+		fmt.Fprintf(w, "%d\t%s\t%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", e.Number, e.AcceptedAt, e.Gateway, e.Kind,
+			e.Member, e.Plan, e.From, e.To, formatNumber(e.Units), target, withReason(e.Status, e.Reason))
 	}
 	return nil
 }
 
-func withReason(status, why string) string {
-	if why == "" {
+func withReason(status, reason string) string {
+	if reason == "" {
 		return status
 	}
-	return status + ": " + why
+	return status + ": " + reason
 }
--- a/cmd/winghatch/replay.go
+++ b/cmd/winghatch/replay.go
@@ -10,35 +10,36 @@
 )
 
 type replayCmd struct {
-	Tape string `arg:"" help:"A tape that a gateway recorded."`
+	Recording string `arg:"" name:"tape" help:"A recording of a gateway (*.tape)."`
 }
 
+// Run replays the recording. The exit code is 1 if the core does anything else than was recorded.
 func (c *replayCmd) Run() error {
-	in, err := os.Open(c.Tape)
+	in, err := os.Open(c.Recording)
 	if err != nil {
 		return err
 	}
 	defer in.Close()
-	n, err := recording.Replay(in)
-	var diff *recording.MismatchError
-	if errors.As(err, &diff) {
+	result, err := recording.Replay(in)
+	var mismatch *recording.MismatchError
+	if errors.As(err, &mismatch) {
 		fmt.Println(err)
 		return exitCode(1)
 	}
 	if err != nil {
-		return fmt.Errorf("%s: %w", c.Tape, err)
+		return fmt.Errorf("%s: %w", c.Recording, err)
 	}
-	fmt.Printf("%d events, %d actions, all the same\n", n.Events, n.Actions)
+	fmt.Printf("%d events, %d actions, all the same\n", result.Events, result.Actions)
 	var kinds []string
-	for k := range n.ByKind {
-		kinds = append(kinds, k)
+	for kind := range result.ByKind {
+		kinds = append(kinds, kind)
 	}
 	sort.Strings(kinds)
-	for _, k := range kinds {
-		fmt.Printf("  %-14s %d\n", k, n.ByKind[k])
+	for _, kind := range kinds {
+		fmt.Printf("  %-14s %d\n", kind, result.ByKind[kind])
 	}
-	if n.Truncated != nil {
-		fmt.Println(n.Truncated)
+	if result.Truncated != nil {
+		fmt.Println(result.Truncated)
 	}
 	return nil
 }
--- a/cmd/winghatch/reserve.go
+++ b/cmd/winghatch/reserve.go
@@ -5,21 +5,30 @@
 type reserveCmd struct {
 	gatewayTarget
 	Member  string   `arg:""`
-	Units   float64  `required:"" help:"Units set aside for the member's marked calls."`
+	Units   float64  `required:"" help:"Units reserved for the member's marked requests."`
 	From    flagTime `required:"" help:"Begin of the window, as 2026-12-07T08:00:00Z or +90m."`
 	To      flagTime `required:"" help:"End of the window."`
-	UseRate float64  `name:"rate" help:"Units a second at which they may be used; under a ceiling a quarter of it, or twice the mean, if none is given."`
+	UseRate float64  `name:"rate" help:"Units a second at most; else ceiling/4, or twice the mean."`
 	Number  uint64   `help:"The reservation's number."`
 }
 
+// Run submits the reservation.
 func (c *reserveCmd) Run() error {
-	from, err := c.From.unix("from")
+	from, err := c.From.unixNano("from")
 	if err != nil {
 		return err
 	}
-	to, err := c.To.unix("to")
+	to, err := c.To.unixNano("to")
 	if err != nil {
 		return err
 	}
-	return c.submit(quotaplan.Change{Number: c.Number, Kind: quotaplan.Reserve, Member: c.Member, Units: c.Units, From: from, To: to, Rate: c.UseRate})
+	return c.submit(quotaplan.Change{
+		Number: c.Number,
+		Kind:   quotaplan.Reserve,
+		Member: c.Member,
+		Units:  c.Units,
+		From:   from,
+		To:     to,
+		Rate:   c.UseRate,
+	})
 }
--- a/cmd/winghatch/scenario.go
+++ b/cmd/winghatch/scenario.go
@@ -51,7 +51,8 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	fmt.Println("| scenario | requests | in time | rejected | failed | lost | unreachable | attempts | p50 | p99 | rules kept |")
+	fmt.Println("| scenario | requests | in time | rejected | failed | lost | unreachable | attempts | p50 | p99 | " +
+		"rules kept |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	code := 0
 	for _, name := range c.Names {
