--- a/alerts/verify/verify_test.go
+++ b/alerts/verify/verify_test.go
@@ -3,7 +3,7 @@
 //
 //	cd alerts/verify && go test ./...
 //
-// testdata holds what `winghatch day alert-... --record DIR` left as series.jsonl, packed. Days are short: their time is
+// testdata holds what `winghatch scenario alert-... --record DIR` left as series.jsonl, packed. Scenarios are short: their time is
 // stretched thirtyfold, as if measures came each 15 s and the day lasted half an hour.
 package verify
 
