--- a/internal/scenario/day_test.go
+++ b/internal/scenario/scenario_test.go
@@ -407,6 +407,12 @@
 		if !played[kind] {
 			t.Errorf("no built-in day plays %s", kind)
 		}
+		if injectors[kind] == nil {
+			t.Errorf("%s can't be injected", kind)
+		}
+	}
+	if len(injectors) != len(FaultKinds) {
+		t.Errorf("%d injectors for %d kinds of faults", len(injectors), len(FaultKinds))
 	}
 }
 
