--- a/internal/scenario/builtin.go
+++ b/internal/scenario/builtin.go
@@ -10,9 +10,12 @@
 //go:embed files/*.kdl
 var builtin embed.FS
 
-func readBuiltin(name string) ([]byte, error) { return builtin.ReadFile("files/" + name + ".kdl") }
+const (
+	builtinDir = "files/"
+	scriptExt  = ".kdl"
+)
 
-// Open reads a script from a file, or a built-in scenario by its name.
+// Open reads a script from a file, or a built-in one by its name.
 func Open(name string) (*Script, error) {
 	src, err := os.ReadFile(name)
 	if err == nil {
@@ -22,14 +25,16 @@
 	if builtinErr != nil {
 		return nil, fmt.Errorf("scenario: %w; the built-in scenarios are %s", err, strings.Join(BuiltinNames(), ", "))
 	}
-	return Parse("files/"+name+".kdl", src)
+	return Parse(builtinDir+name+scriptExt, src)
 }
 
 // BuiltinNames returns the names of the built-in scenarios, sorted.
-func BuiltinNames() (out []string) {
-	entries, _ := builtin.ReadDir("files") // embedded, it can't fail
+func BuiltinNames() (names []string) {
+	entries, _ := builtin.ReadDir(strings.TrimSuffix(builtinDir, "/")) // an embedded folder: it cannot fail
 	for _, e := range entries {
-		out = append(out, strings.TrimSuffix(e.Name(), ".kdl"))
+		names = append(names, strings.TrimSuffix(e.Name(), scriptExt))
 	}
-	return out
+	return names
 }
+
+func readBuiltin(name string) ([]byte, error) { return builtin.ReadFile(builtinDir + name + scriptExt) }
--- a/internal/scenario/plans.go
+++ b/internal/scenario/planfaults.go
@@ -10,49 +10,29 @@
 	"winghatch/internal/testbed/client"
 )
 
-const (
-	submitTries      = 20
-	submitRetryDelay = 50 * time.Millisecond
+// Changes of members' plans and reservations under load.
 
-	// reservationLead is the time between a reservation and the begin of its window.
+const (
+	// reservationLead is how far ahead a reservation begins: gateways must have it before members use it.
 	reservationLead = 500 * time.Millisecond
-)
-
-// submit submits a plan change to random gateways until one accepts it.
-func (r *runner) submit(c quotaplan.Change) error {
-	var err error
-	for range submitTries {
-		g := r.pickGateways(1)[0]
-		addr := r.fleet.Gateways[g.rank].StateAddress
-		if _, err = gateway.SubmitChange(addr, r.fleet.Secret, c); err == nil {
-			return nil
-		}
-		r.sleep(submitRetryDelay)
-	}
-	return fmt.Errorf("scenario: %s: %w", &c, err)
-}
 
-// nextChange returns the number of the next plan change.
-func (r *runner) nextChange() uint64 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.lastChange++
-	return r.lastChange
-}
+	submitAttempts   = 20                    // for a change, each at a random gateway
+	submitRetryDelay = 50 * time.Millisecond // between two attempts
+)
 
-// changePlans puts members on the fleet's next plan, and back after f.Duration.
+// changePlans moves members to the fleet's next plan, and back after the time.
 func (r *runner) changePlans(f Fault) {
 	members := r.pickMembers(f.Count)
-	for _, name := range members {
-		r.movePlan(name, r.nextPlan(r.planOf(name)))
+	for _, m := range members {
+		r.moveMember(m, r.nextPlan(r.planOf(m)))
 	}
 	r.sleep(f.Duration)
-	for _, name := range members {
-		r.movePlan(name, r.planOf(name))
+	for _, m := range members {
+		r.moveMember(m, r.planOf(m))
 	}
 }
 
-func (r *runner) movePlan(member, plan string) {
+func (r *runner) moveMember(member, plan string) {
 	r.log.Add(invariant.Record{Kind: invariant.PlanChanged, Member: member, State: plan})
 	change := quotaplan.Change{Number: r.nextChange(), Kind: quotaplan.Move, Member: member, Plan: plan}
 	if err := r.submit(change); err != nil {
@@ -60,17 +40,18 @@
 	}
 }
 
-// planOf returns the plan of a member by the settings.
+// planOf returns the name of the plan that the fleet's settings give a member.
 func (r *runner) planOf(member string) string {
+	plan := ""
 	for _, m := range r.fleet.Members {
 		if m.Name == member {
-			return m.Plan
+			plan = m.Plan
 		}
 	}
-	return ""
+	return plan
 }
 
-// nextPlan returns the plan behind another one in the settings, the first one behind the last.
+// nextPlan returns the name of the plan after this one in the fleet's settings; after the last comes the first.
 func (r *runner) nextPlan(plan string) string {
 	plans := r.fleet.Decide.Plans
 	for i := range plans {
@@ -81,16 +62,16 @@
 	return plan
 }
 
-// reserve reserves f.Size units for members, of whose requests half use them for f.Duration.
-func (r *runner) reserve(f Fault) {
-	names := r.pickMembers(f.Count)
+// reserveUnits reserves f.Size units for each of some members. For the time, half of their requests use them.
+func (r *runner) reserveUnits(f Fault) {
+	members := r.pickMembers(f.Count)
 	from := time.Now().Add(reservationLead)
-	members := map[string]bool{}
-	for _, name := range names {
+	reserved := map[string]bool{}
+	for _, m := range members {
 		err := r.submit(quotaplan.Change{
 			Number: r.nextChange(),
 			Kind:   quotaplan.Reserve,
-			Member: name,
+			Member: m,
 			Units:  f.Size,
 			From:   from.UnixNano(),
 			To:     from.Add(f.Duration).UnixNano(),
@@ -100,11 +81,31 @@
 			return
 		}
 		r.mu.Lock()
-		r.reservations = append(r.reservations, ReservationUse{Member: name, Units: f.Size})
+		r.reservations = append(r.reservations, ReservationUse{Member: m, Units: f.Size})
 		r.mu.Unlock()
-		members[name] = true
+		reserved[m] = true
 	}
 	r.sleep(reservationLead)
-	r.onClients(f, func(x *client.Fault) { x.UseReservation = members },
-		func(x *client.Fault) { x.UseReservation = nil })
+	set := func(x *client.Fault) { x.UseReservation = reserved }
+	r.faultOnClients(f, set, func(x *client.Fault) { x.UseReservation = nil })
+}
+
+// submit sends a change to a random gateway, and to another if that does not take it.
+func (r *runner) submit(c quotaplan.Change) error {
+	var err error
+	for range submitAttempts {
+		g := r.pickGateways(1)[0]
+		if _, err = gateway.SubmitChange(r.fleet.Gateways[g.rank].StateAddress, r.fleet.Secret, c); err == nil {
+			return nil
+		}
+		r.sleep(submitRetryDelay)
+	}
+	return fmt.Errorf("scenario: %s: %w", &c, err)
+}
+
+func (r *runner) nextChange() uint64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.lastChange++
+	return r.lastChange
 }
--- /dev/null
+++ b/internal/scenario/servers.go
@@ -0,0 +1,151 @@
+package scenario
+
+import (
+	"fmt"
+	"time"
+
+	"winghatch/decide"
+	discoveryws "winghatch/internal/discovery/websocket"
+	"winghatch/internal/testbed/backend"
+)
+
+// States of an endpoint in the discovery protocol.
+const (
+	endpointServing  = "serving"
+	endpointDraining = "draining"
+	endpointGone     = "gone"
+)
+
+// serverSlot is a server's address and options; the server there is replaced when a fault restarts it. setUp and
+// tearDown use all slots, in between only the fault that took a slot uses its server.
+type serverSlot struct {
+	options backend.Options
+	server  *backend.Server
+	taken   bool // by a fault; runner.mu guards it
+}
+
+// endpoint returns the entry of the endpoint list for the slot. started is the zero time for a server without slow
+// start.
+func (s *serverSlot) endpoint(state string, started time.Time) discoveryws.Endpoint {
+	e := discoveryws.Endpoint{
+		Address: s.options.Address,
+		Zone:    s.options.Zone,
+		Cell:    s.options.Cell,
+		State:   state,
+	}
+	if !started.IsZero() {
+		e.StartedMs = started.UnixMilli()
+	}
+	return e
+}
+
+// endpointsIn returns the entries of the endpoint list for slots without a server in slow start.
+func endpointsIn(state string, slots []*serverSlot) (endpoints []discoveryws.Endpoint) {
+	for _, s := range slots {
+		endpoints = append(endpoints, s.endpoint(state, time.Time{}))
+	}
+	return endpoints
+}
+
+// newServerSlot returns a slot with an address of its own. No server is started.
+func (r *runner) newServerSlot(group ServerGroup) (*serverSlot, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	addr, err := r.ports.Addr()
+	if err != nil {
+		return nil, err
+	}
+	return &serverSlot{options: backend.Options{
+		Address: addr,
+		Zone:    group.Zone,
+		Cell:    group.Cell,
+		Cores:   group.Cores,
+		Speed:   group.Speed,
+		Queue:   group.Queue,
+		Classes: r.serverClasses(group),
+		Seed:    r.rng.Uint64(),
+		Log:     r.log,
+		Dedup:   r.dedupStore(group),
+		Meter:   r.usageMeter,
+	}}, nil
+}
+
+func (r *runner) serverClasses(group ServerGroup) map[string]backend.Class {
+	classes := map[string]backend.Class{}
+	for _, class := range r.fleet.Decide.Classes {
+		classes[class.Name] = backend.Class{
+			MeanWork:     group.Work[class.Name],
+			Deduplicates: class.Idempotency == decide.IdempotentByKey,
+			DedupWindow:  class.DedupWindow,
+		}
+	}
+	return classes
+}
+
+// dedupStore returns the store of idempotency keys of a server. All servers share one, or those of a zone or a cell if
+// a class says so. The caller holds the lock.
+func (r *runner) dedupStore(group ServerGroup) *backend.DedupStore {
+	name := "all"
+	for _, class := range r.fleet.Decide.Classes {
+		if class.Idempotency != decide.IdempotentByKey {
+			continue
+		}
+		switch class.DedupScope {
+		case decide.DedupInZone:
+			name = "zone " + group.Zone
+		case decide.DedupInCell:
+			name = fmt.Sprint("cell ", group.Cell)
+		}
+	}
+	if r.dedupStores[name] == nil {
+		r.dedupStores[name] = backend.NewDedupStore()
+	}
+	return r.dedupStores[name]
+}
+
+// takeServers takes count random servers that no other fault has; fewer if there are no more.
+func (r *runner) takeServers(count int) (taken []*serverSlot) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, i := range r.rng.Perm(len(r.servers)) {
+		if s := r.servers[i]; !s.taken && len(taken) < count {
+			s.taken = true
+			taken = append(taken, s)
+		}
+	}
+	return taken
+}
+
+func (r *runner) releaseServers(slots []*serverSlot) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, s := range slots {
+		s.taken = false
+	}
+}
+
+// restartServers starts servers in slow start at the addresses of the slots, publishes them and releases the slots.
+func (r *runner) restartServers(slots []*serverSlot) {
+	var endpoints []discoveryws.Endpoint
+	for _, s := range slots {
+		server, err := backend.Start(r.withSlowStart(s.options))
+		if err != nil {
+			r.fail(err)
+			return
+		}
+		s.server = server
+		endpoints = append(endpoints, s.endpoint(endpointServing, time.Now()))
+	}
+	r.currentDiscovery().Update(endpoints...)
+	r.releaseServers(slots)
+}
+
+// withSlowStart returns the options of a server that begins with the slow start of the fleet's settings.
+func (r *runner) withSlowStart(o backend.Options) backend.Options {
+	safety := r.fleet.Decide.Safety
+	o.InitialCapacity = safety.SlowStartCapacity
+	o.SlowStartDuration = safety.SlowStartDuration
+	o.OverloadMultiple = safety.OverloadMultiple
+	o.OverloadWindow = safety.OverloadWindow
+	return o
+}
--- a/internal/scenario/setup.go
+++ b/internal/scenario/setup.go
@@ -1,12 +1,10 @@
 package scenario
 
 import (
-	"fmt"
 	"os"
 	"path/filepath"
 	"time"
 
-	"winghatch/decide"
 	"winghatch/internal/config"
 	"winghatch/internal/credentials"
 	discoveryws "winghatch/internal/discovery/websocket"
@@ -15,31 +13,25 @@
 	"winghatch/internal/testbed/discovery"
 )
 
-// serverSlot is the place of a server: its address stays while servers come and go there.
-type serverSlot struct {
-	options backend.Options
-	server  *backend.Server
-	inUse   bool // by a fault that takes the server away
-}
+// discoveryPollInterval is how often setUp looks whether the discovery server has published the first endpoints.
+const discoveryPollInterval = time.Millisecond
 
-// setUp starts everything, the gateways last, and makes the client.
+// setUp starts discovery, receivers, servers and gateways and makes the client. After an error tearDown stops what was
+// started.
 func (r *runner) setUp() error {
-	fleet := *r.script.Fleet
-	fleet.Secret = credentials.NewSecret()
-	fleet.Gateways = append([]config.Gateway(nil), fleet.Gateways...)
-	fleet.Members = append([]config.Member(nil), fleet.Members...)
-	r.fleet = &fleet
+	r.copyFleet()
 	if err := r.startDiscovery(); err != nil {
 		return err
 	}
 	if err := r.startReceivers(); err != nil {
 		return err
 	}
-	if err := r.assignAddresses(); err != nil {
+	addrs, err := r.assignGatewayAddresses()
+	if err != nil {
 		return err
 	}
-	members := r.assignKeys()
-	if err := r.writeSettings(); err != nil {
+	members := r.assignMemberKeys()
+	if err := r.writeConfig(); err != nil {
 		return err
 	}
 	if err := r.startServers(); err != nil {
@@ -48,10 +40,28 @@
 	if err := r.startFleet(); err != nil {
 		return err
 	}
-	r.client = client.New(r.clientOptions(members))
+	r.client = client.New(client.Options{
+		Gateways:   addrs,
+		Members:    members,
+		Classes:    r.clientClasses(),
+		Rate:       r.script.Load.Rate,
+		Retries:    r.script.Load.Retries,
+		RetryDelay: r.script.Load.RetryDelay,
+		Seed:       uint64(r.options.Seed),
+		Log:        r.log,
+	})
 	return nil
 }
 
+// copyFleet copies the script's fleet as far as a run changes it, so that a script can be run again.
+func (r *runner) copyFleet() {
+	f := *r.script.Fleet
+	f.Secret = credentials.NewSecret()
+	f.Gateways = append([]config.Gateway(nil), f.Gateways...)
+	f.Members = append([]config.Member(nil), f.Members...)
+	r.fleet = &f
+}
+
 func (r *runner) startDiscovery() (err error) {
 	if r.discoveryAddr, err = r.ports.Addr(); err != nil {
 		return err
@@ -64,46 +74,53 @@
 	return nil
 }
 
-// assignAddresses gives each gateway its addresses. Gossip goes through a relay, so that a fault can lose it.
-func (r *runner) assignAddresses() (err error) {
+// assignGatewayAddresses gives each gateway its addresses and returns those for clients, by rank. Gossip goes through
+// a relay that can lose datagrams.
+func (r *runner) assignGatewayAddresses() (addrs []string, err error) {
 	for i := range r.fleet.Gateways {
 		g := &r.fleet.Gateways[i]
 		if g.Listen, err = r.ports.Addr(); err != nil {
-			return err
+			return nil, err
 		}
 		if g.StateAddress, err = r.ports.Addr(); err != nil {
-			return err
+			return nil, err
 		}
+		addrs = append(addrs, g.Listen)
 		if !r.fleet.Decide.Limits.Gossip {
 			continue
 		}
 		if g.GossipBind, err = r.ports.Addr(); err != nil {
-			return err
+			return nil, err
 		}
-		relay, err := newRelay(g.GossipBind, uint64(r.options.Seed)+uint64(i))
+		relay, err := newLossyRelay(g.GossipBind, uint64(r.options.Seed)+uint64(i))
 		if err != nil {
-			return err
+			return nil, err
 		}
 		r.relays = append(r.relays, relay)
 		g.GossipAddress = relay.addr()
 	}
-	return nil
+	return addrs, nil
 }
 
-// assignKeys gives each member a key.
-func (r *runner) assignKeys() (members []client.Member) {
+// assignMemberKeys makes a key for each member; the fleet's settings hold its digest, the client the key itself.
+func (r *runner) assignMemberKeys() (members []client.Member) {
 	for i := range r.fleet.Members {
 		m := &r.fleet.Members[i]
 		key := credentials.NewMemberKey()
 		m.Keys = []credentials.Digest{r.fleet.Secret.MemberKeyHasher().Sum([]byte(key))}
-		members = append(members, client.Member{Name: m.Name, Key: key, FirstGateway: m.First, GatewayCount: m.Spread})
+		members = append(members, client.Member{
+			Name:         m.Name,
+			Key:          key,
+			FirstGateway: m.First,
+			GatewayCount: m.Spread,
+		})
 	}
 	return members
 }
 
-// writeSettings writes the settings file of the gateways, and loads it as they do.
-func (r *runner) writeSettings() error {
-	r.configFile = filepath.Join(r.options.Dir, settingsFile)
+// writeConfig writes the fleet's settings and reads them as a gateway will.
+func (r *runner) writeConfig() error {
+	r.configFile = filepath.Join(r.options.Dir, fleetFile)
 	if err := os.WriteFile(r.configFile, config.Format(r.fleet), 0o600); err != nil {
 		return err
 	}
@@ -111,44 +128,7 @@
 	return err
 }
 
-func (r *runner) clientOptions(members []client.Member) client.Options {
-	o := client.Options{
-		Members:    members,
-		Classes:    r.classes(),
-		Rate:       r.script.Load.Rate,
-		Retries:    r.script.Load.Retries,
-		RetryDelay: r.script.Load.RetryDelay,
-		Seed:       uint64(r.options.Seed),
-		Log:        r.log,
-	}
-	for _, g := range r.fleet.Gateways {
-		o.Gateways = append(o.Gateways, g.Listen)
-	}
-	return o
-}
-
-func (r *runner) classes() (out []client.Class) {
-	for _, load := range r.script.Load.Classes {
-		for _, k := range r.fleet.Decide.Classes {
-			if k.Name != load.Class {
-				continue
-			}
-			out = append(out, client.Class{
-				Name:             k.Name,
-				Share:            load.Share,
-				Idempotency:      k.Idempotency,
-				DedupScope:       k.DedupScope,
-				DedupWindow:      k.DedupWindow,
-				LatencyObjective: k.LatencyObjective,
-				Deadline:         k.Deadline,
-				MaxUnits:         load.MaxUnits,
-			})
-		}
-	}
-	return out
-}
-
-// startServers starts the script's servers and waits until the discovery service lists them.
+// startServers starts the servers of all groups and waits until the discovery server has published them.
 func (r *runner) startServers() error {
 	if period := r.fleet.Decide.UsageReportPeriod; period > 0 {
 		r.usageMeter = backend.NewUsageMeter(period, r.memberRates())
@@ -164,17 +144,17 @@
 				return err
 			}
 			r.servers = append(r.servers, slot)
-			endpoints = append(endpoints, endpointOf(slot.options, "serving", time.Time{}))
+			endpoints = append(endpoints, slot.endpoint(endpointServing, time.Time{}))
 		}
 	}
 	r.discovery.Update(endpoints...)
 	for r.discovery.Version() == 0 {
-		time.Sleep(time.Millisecond)
+		time.Sleep(discoveryPollInterval)
 	}
 	return nil
 }
 
-// memberRates returns the quota of each member in units a second.
+// memberRates returns the rate of each member's plan in units a second.
 func (r *runner) memberRates() map[string]float64 {
 	rates := map[string]float64{}
 	for _, m := range r.fleet.Members {
@@ -187,76 +167,24 @@
 	return rates
 }
 
-// endpointOf describes a server to the discovery service. A zero start means that it started long ago.
-func endpointOf(o backend.Options, state string, started time.Time) discoveryws.Endpoint {
-	e := discoveryws.Endpoint{Address: o.Address, Zone: o.Zone, Cell: o.Cell, State: state}
-	if !started.IsZero() {
-		e.StartedMs = started.UnixMilli()
-	}
-	return e
-}
-
-// newServerSlot returns a slot with a new address.
-func (r *runner) newServerSlot(g ServerGroup) (*serverSlot, error) {
-	addr, err := r.ports.Addr()
-	if err != nil {
-		return nil, err
-	}
-	o := backend.Options{
-		Address: addr,
-		Zone:    g.Zone,
-		Cell:    g.Cell,
-		Cores:   g.Cores,
-		Speed:   g.Speed,
-		Queue:   g.Queue,
-		Classes: map[string]backend.Class{},
-		Seed:    r.drawSeed(),
-		Log:     r.log,
-		Meter:   r.usageMeter,
-		Dedup:   r.dedupStore(g),
-	}
-	for _, k := range r.fleet.Decide.Classes {
-		o.Classes[k.Name] = backend.Class{
-			MeanWork:     g.Work[k.Name],
-			Deduplicates: k.Idempotency == decide.IdempotentByKey,
-			DedupWindow:  k.DedupWindow,
-		}
-	}
-	return &serverSlot{options: o}, nil
-}
-
-func (r *runner) drawSeed() uint64 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.rng.Uint64()
-}
-
-// dedupStore returns the store that all servers of a deduplication scope share.
-func (r *runner) dedupStore(g ServerGroup) *backend.DedupStore {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	scope := "all"
-	for _, k := range r.fleet.Decide.Classes {
-		switch {
-		case k.Idempotency != decide.IdempotentByKey:
-		case k.DedupScope == decide.DedupInZone:
-			scope = "zone " + g.Zone
-		case k.DedupScope == decide.DedupInCell:
-			scope = fmt.Sprint("cell ", g.Cell)
+// clientClasses returns the classes of the client load with what the fleet's settings say of them.
+func (r *runner) clientClasses() (classes []client.Class) {
+	for _, load := range r.script.Load.Classes {
+		for _, class := range r.fleet.Decide.Classes {
+			if class.Name != load.Class {
+				continue
+			}
+			classes = append(classes, client.Class{
+				Name:             class.Name,
+				Share:            load.Share,
+				Idempotency:      class.Idempotency,
+				DedupScope:       class.DedupScope,
+				DedupWindow:      class.DedupWindow,
+				LatencyObjective: class.LatencyObjective,
+				Deadline:         class.Deadline,
+				MaxUnits:         load.MaxUnits,
+			})
 		}
 	}
-	if r.dedupStores[scope] == nil {
-		r.dedupStores[scope] = backend.NewDedupStore()
-	}
-	return r.dedupStores[scope]
-}
-
-// withSlowStart adds the fleet's slow start to the options of a server.
-func (r *runner) withSlowStart(o backend.Options) backend.Options {
-	safety := r.fleet.Decide.Safety
-	o.InitialCapacity = safety.SlowStartCapacity
-	o.SlowStartDuration = safety.SlowStartDuration
-	o.OverloadMultiple = safety.OverloadMultiple
-	o.OverloadWindow = safety.OverloadWindow
-	return o
+	return classes
 }
--- a/internal/scenario/verify.go
+++ b/internal/scenario/verify.go
@@ -10,18 +10,10 @@
 	"winghatch/internal/invariant"
 )
 
-// Files of a run in Options.Dir. Their names and contents are read by later versions.
-const (
-	settingsFile = "fleet.kdl"
-	trafficFile  = "traffic.jsonl"
-	usageFile    = "accounting.jsonl"
-	metricsFile  = "series.jsonl"
-)
-
-// Verify checks the invariants again on a run that was recorded in a folder. Records of a run that was cut off are
-// checked as far as they go.
+// Verify checks the records that a run left in a folder against the invariants again. Records that were cut off are
+// checked up to the last whole one.
 func Verify(dir string) (*invariant.Verdict, error) {
-	fleet, err := config.Load(filepath.Join(dir, settingsFile))
+	fleet, err := config.Load(filepath.Join(dir, fleetFile))
 	if err != nil {
 		return nil, err
 	}
