--- a/bench/throughput.go
+++ b/bench/throughput.go
@@ -53,17 +53,27 @@
 	return nil
 }
 
-// measureRate adds one round of a closed loop to a path's result.
-func measureRate(r *throughputResult, name, dir, file, server string, warm, span time.Duration) error {
+// connectPath starts a path and opens the sessions to it.
+func connectPath(name, dir, file, server string) (*process, *clientPool, error) {
 	p, err := startPath(name, dir, file, server)
 	if err != nil {
-		return err
+		return nil, nil, err
 	}
-	defer p.stop()
 	c, err := dialAll(p.addr, throughputSessions)
+	if err != nil {
+		p.stop()
+		return nil, nil, err
+	}
+	return p, c, nil
+}
+
+// measureRate adds one round of a closed loop to a path's result.
+func measureRate(r *throughputResult, name, dir, file, server string, warm, span time.Duration) error {
+	p, c, err := connectPath(name, dir, file, server)
 	if err != nil {
 		return err
 	}
+	defer p.stop()
 	defer c.close()
 	before, err := p.usage()
 	if err != nil {
@@ -87,15 +97,11 @@
 
 // measureLatency adds one round of an open loop to a path's result.
 func measureLatency(r *throughputResult, name, dir, file, server string, rate float64, warm, span time.Duration) error {
-	p, err := startPath(name, dir, file, server)
+	p, c, err := connectPath(name, dir, file, server)
 	if err != nil {
 		return err
 	}
 	defer p.stop()
-	c, err := dialAll(p.addr, throughputSessions)
-	if err != nil {
-		return err
-	}
 	defer c.close()
 	c.runOpenLoop(rate, warm, span)
 	u, err := p.usage()
