--- a/deploy/sites/lay.go
+++ b/deploy/sites/main.go
@@ -1,6 +1,6 @@
-// Command sites lays variants of the customers' site files beside this file: other names, effects, shares, limits,
-// deadlines and costs, so that nothing in the program can lean on those of one deployment. The originals are not part of
-// the repository; what it lays is not either.
+// Command sites writes variants of the customers' site files into this folder: other names, effects, shares, limits,
+// deadlines and costs, so that nothing in the program can depend on those of one deployment. Neither the originals nor the
+// variants are part of the repository.
 //
 //	go run ./deploy/sites ../given
 package main
@@ -13,17 +13,17 @@
 	"strings"
 )
 
-// change puts a value in the place of another. At names the table, and of several the one with that name or number:
+// change replaces a value. table names the table, and of several of one kind that with a name or number:
 // "net", "class order-lookup", "fam.plan 0", or "" for the top.
-type change struct{ at, key, value string }
+type change struct{ table, key, value string }
 
 // variant is a site made from another.
 type variant struct {
-	name    string
-	from    string   // site file, below the folder of the papers
-	beside  []string // files that lie beside a site, below the same
-	changes []change
-	more    []change // entries that the original may lack: they are put behind the table's first line
+	name      string
+	original  string   // site file, below the folder given
+	siblings  []string // files that a site needs in its own folder, below the folder given
+	changes   []change
+	additions []change // entries that the original may lack: they are added behind the first line of their table
 }
 
 var variants = []variant{
@@ -70,10 +70,10 @@
 		}, nil},
 }
 
-// site is a site file as lines with the table that each stands in.
+// site is a site file as lines, with the table of each.
 type site struct {
-	lines []string
-	at    []string // table and number among those of its name
+	lines   []string
+	tableOf []string // by line: name of the table and its number among those of its name
 }
 
 func parse(text string) *site {
@@ -87,68 +87,69 @@
 				count[head]++
 			}
 		}
-		s.at = append(s.at, table)
+		s.tableOf = append(s.tableOf, table)
 	}
 	return s
 }
 
-// table finds a table by its place: one of several by its name or number.
-func (s *site) table(at string) (string, bool) {
-	if slices.Contains(s.at, at) {
+// findTable finds a table by its name, one of several also by the value of its entry "name".
+func (s *site) findTable(at string) (string, bool) {
+	if slices.Contains(s.tableOf, at) {
 		return at, true
 	}
 	head, name, _ := strings.Cut(at, " ")
 	for i, l := range s.lines {
-		if strings.HasPrefix(s.at[i], head+" ") && strings.ReplaceAll(l, " ", "") == `name="`+name+`"` {
-			return s.at[i], true
+		if strings.HasPrefix(s.tableOf[i], head+" ") && strings.ReplaceAll(l, " ", "") == `name="`+name+`"` {
+			return s.tableOf[i], true
 		}
 	}
 	return "", false
 }
 
+// set replaces the value of an entry that exists.
 func (s *site) set(c change) error {
-	table, ok := s.table(c.at)
+	table, ok := s.findTable(c.table)
 	if !ok {
-		return fmt.Errorf("there is no table %q", c.at)
+		return fmt.Errorf("there is no table %q", c.table)
 	}
 	for i, l := range s.lines {
-		if key, _, ok := strings.Cut(l, "="); ok && s.at[i] == table && strings.TrimSpace(key) == c.key {
+		if key, _, ok := strings.Cut(l, "="); ok && s.tableOf[i] == table && strings.TrimSpace(key) == c.key {
 			s.lines[i] = c.key + " = " + c.value
 			return nil
 		}
 	}
-	return fmt.Errorf("table %q has no entry %q", c.at, c.key)
+	return fmt.Errorf("table %q has no entry %q", c.table, c.key)
 }
 
-// put sets an entry, or adds it.
-func (s *site) put(c change) error {
-	table, ok := s.table(c.at)
+// setOrAdd sets an entry, or adds it.
+func (s *site) setOrAdd(c change) error {
+	table, ok := s.findTable(c.table)
 	if !ok {
-		return fmt.Errorf("there is no table %q", c.at)
+		return fmt.Errorf("there is no table %q", c.table)
 	}
 	if s.set(c) != nil {
-		i := slices.Index(s.at, table) + 1
+		i := slices.Index(s.tableOf, table) + 1
 		s.lines = slices.Insert(s.lines, i, c.key+" = "+c.value)
-		s.at = slices.Insert(s.at, i, table)
+		s.tableOf = slices.Insert(s.tableOf, i, table)
 	}
 	return nil
 }
 
-// lay writes a variant into a folder of its own.
-func (v *variant) lay(given, to string) error {
-	text, err := os.ReadFile(filepath.Join(given, v.from))
+// write writes a variant into a folder of its own below to.
+func (v *variant) write(given, to string) error {
+	text, err := os.ReadFile(filepath.Join(given, v.original))
 	if err != nil {
 		return err
 	}
 	s := parse(string(text))
 	for _, c := range v.changes {
 		if err := s.set(c); err != nil {
-			return fmt.Errorf("%s: %w", v.from, err)
+			return fmt.Errorf("%s: %w", v.original, err)
 		}
 	}
-	for _, c := range v.more {
-		if err := s.put(c); err != nil {
-			return fmt.Errorf("%s: %w", v.from, err)
+	for _, c := range v.additions {
+		if err := s.setOrAdd(c); err != nil {
+			return fmt.Errorf("%s: %w", v.original, err)
 		}
 	}
 	dir := filepath.Join(to, v.name)
@@ -156,7 +157,7 @@
 		return err
 	}
 	files := map[string][]byte{v.name + ".toml": []byte(strings.Join(s.lines, "\n"))}
-	for _, f := range v.beside {
+	for _, f := range v.siblings {
 		if files[filepath.Base(f)], err = os.ReadFile(filepath.Join(given, f)); err != nil {
 			return err
 		}
@@ -175,7 +176,7 @@
 		os.Exit(2)
 	}
 	for _, v := range variants {
-		if err := v.lay(os.Args[1], filepath.Join("deploy", "sites")); err != nil {
+		if err := v.write(os.Args[1], filepath.Join("deploy", "sites")); err != nil {
 			fmt.Fprintf(os.Stderr, "sites: %s: %v\n", v.name, err)
 			os.Exit(1)
 		}
--- a/deploy/sites/lay_test.go
+++ b/deploy/sites/main_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-const small = `name = "a"
+const smallSite = `name = "a"
 
 [allow]
 peers = true
@@ -26,17 +26,17 @@
 
 func TestVariantsAreLaid(t *testing.T) {
 	given, to := t.TempDir(), t.TempDir()
-	if err := os.WriteFile(filepath.Join(given, "site.toml"), []byte(small), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(given, "site.toml"), []byte(smallSite), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	v := variant{"b", "site.toml", []string{"site.toml"}, []change{{"", "name", `"b"`}, {"class two", "effect", `"unsafe"`},
 		{"class two", "name", `"zwei"`}, {"fam.plan 0", "rate", "2"}}, []change{{"class zwei", "window_ms", "5"}, {"allow", "peers", "false"}}}
-	if err := v.lay(given, to); err != nil {
+	if err := v.write(given, to); err != nil {
 		t.Fatal(err)
 	}
 	got, err := os.ReadFile(filepath.Join(to, "b", "b.toml"))
 	want := strings.NewReplacer(`name = "a"`, `name = "b"`, "[[class]]\nname = \"two\"\neffect = \"keyed\"", "[[class]]\nwindow_ms = 5\nname = \"zwei\"\neffect = \"unsafe\"",
-		"rate = 1", "rate = 2", "peers = true", "peers = false").Replace(small)
+		"rate = 1", "rate = 2", "peers = true", "peers = false").Replace(smallSite)
 	if err != nil || string(got) != want {
 		t.Errorf("%v\n%s\nwant\n%s", err, got, want)
 	}
@@ -44,13 +44,13 @@
 		v    variant
 		want string
 	}{
-		{variant{name: "b", from: "none.toml"}, "none.toml"},
-		{variant{name: "b", from: "site.toml", changes: []change{{"class three", "name", "x"}}}, `no table "class three"`},
-		{variant{name: "b", from: "site.toml", changes: []change{{"class two", "worth", "x"}}}, `"class two" has no entry "worth"`},
-		{variant{name: "b", from: "site.toml", more: []change{{"fam.plan 1", "rate", "x"}}}, `no table "fam.plan 1"`},
-		{variant{name: "b", from: "site.toml", beside: []string{"real.json"}}, "real.json"},
+		{variant{name: "b", original: "none.toml"}, "none.toml"},
+		{variant{name: "b", original: "site.toml", changes: []change{{"class three", "name", "x"}}}, `no table "class three"`},
+		{variant{name: "b", original: "site.toml", changes: []change{{"class two", "worth", "x"}}}, `"class two" has no entry "worth"`},
+		{variant{name: "b", original: "site.toml", additions: []change{{"fam.plan 1", "rate", "x"}}}, `no table "fam.plan 1"`},
+		{variant{name: "b", original: "site.toml", siblings: []string{"real.json"}}, "real.json"},
 	} {
-		if err := c.v.lay(given, t.TempDir()); err == nil || !strings.Contains(err.Error(), c.want) {
+		if err := c.v.write(given, t.TempDir()); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("error %v, want one that names %s", err, c.want)
 		}
 	}
--- a/internal/architecture/architecture_test.go
+++ b/internal/architecture/architecture_test.go
@@ -16,7 +16,8 @@
 
 const module = "winghatch/"
 
-// A layer is a group of packages. A package may import those of the layers before its own, and those that stand before it in its own.
+// A layer is a group of packages. A package may import those of the layers before its own, and those that stand before
+// it in its own.
 type layer struct {
 	name     string
 	packages []string // without the module's path, lowest first
@@ -50,8 +51,11 @@
 	{"programs", []string{"internal/architecture", "cmd/standin", "cmd/wirehost", "cmd/winghatch", "deploy/sites"}},
 }
 
-// Decisions do no I/O, read no clock of their own and start no goroutine. These packages of the standard library have no use there.
-var forbiddenInDecisions = []string{"context", "io", "io/fs", "log", "log/slog", "net", "net/http", "os", "os/signal", "sync", "sync/atomic", "syscall"}
+// forbiddenInDecisions are packages of the standard library that have no use in a decision: it does no I/O, reads no clock
+// of its own and starts no goroutine.
+var forbiddenInDecisions = []string{
+	"context", "io", "io/fs", "log", "log/slog", "net", "net/http", "os", "os/signal", "sync", "sync/atomic", "syscall",
+}
 
 // listed is one package as `go list` tells it.
 type listed struct {
@@ -86,7 +90,8 @@
 				continue
 			}
 			if below, known := position[other]; known && below >= at {
-				found = append(found, fmt.Sprintf("%s (%s) imports %s (%s), which is not below it", name, layerOf[name], other, layerOf[other]))
+				found = append(found, fmt.Sprintf("%s (%s) imports %s (%s), which is not below it",
+					name, layerOf[name], other, layerOf[other]))
 			}
 		}
 	}
@@ -115,8 +120,8 @@
 	}
 }
 
-// readSources reads the files of a package: the go command repeats a cached result while the files that a test itself has read are
-// the same, and knows nothing of what `go list` reads.
+// readSources reads the files of a package: the go command repeats a cached result while the files that a test itself
+// has read are the same, and knows nothing of what `go list` reads.
 func readSources(t *testing.T, dir string) {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
