--- a/cmd/winghatch/serve.go
+++ b/cmd/winghatch/serve.go
@@ -9,12 +9,13 @@
 )
 
 type serveCmd struct {
-	Config string `env:"LB_CONFIG" required:"" help:"What the platform tells this gateway, JSON."`
+	Config string `env:"LB_CONFIG" required:"" help:"The platform's configuration of this gateway, JSON."`
 	Debug  bool   `help:"Log each request and attempt."`
 }
 
+// Run runs the gateway until a signal ends it.
 func (c *serveCmd) Run() error {
-	// First, so that no signal finds the process without an answer to it.
+	// Signals are handled before anything else: one that comes during the start would end the process without a drain.
 	signals := platform.Notify()
 	level := slog.LevelInfo
 	if c.Debug {
--- a/internal/invariant/check_test.go
+++ b/internal/invariant/check_test.go
@@ -32,7 +32,8 @@
 
 func clientCalls(at time.Duration, try, class string) Record {
 	return Record{
-		At: at, Kind: Call, Session: "m/0", CallID: try, Class: class, Member: "m", Units: 1, Deadline: at + 2*second, Key: "k" + try,
+		At: at, Kind: Call, Session: "m/0", CallID: try, Class: class, Member: "m", Units: 1,
+		Deadline: at + 2*second, Key: "k" + try,
 	}
 }
 
@@ -72,8 +73,14 @@
 			clientCalls(second, "t1", "look"),
 			{At: second + 1, Kind: SessionClosed, Session: "m/0", Code: 1006},
 		}},
-		"the client left first": {0, []Record{clientCalls(second, "t1", "look"), {At: 2 * second, Kind: ClientLeft, Session: "m/0"}}},
-		"the client left later": {1, []Record{clientCalls(second, "t1", "look"), {At: 9 * second, Kind: ClientLeft, Session: "m/0"}}},
+		"the client left first": {0, []Record{
+			clientCalls(second, "t1", "look"),
+			{At: 2 * second, Kind: ClientLeft, Session: "m/0"},
+		}},
+		"the client left later": {1, []Record{
+			clientCalls(second, "t1", "look"),
+			{At: 9 * second, Kind: ClientLeft, Session: "m/0"},
+		}},
 		"crossed the close frame": {0, []Record{
 			clientCalls(second, "t1", "look"),
 			{At: second + 1, Kind: SessionClosed, Session: "m/0", Code: 1001},
@@ -162,7 +169,8 @@
 	}
 	// over: 30 units at once under a ceiling of 20 at once and 10 a second.
 	var flood, slow, over []Record
-	flood = append(flood, Record{At: second, Kind: SlowStarted, Server: "a1", Capacity: 2, InitialCapacity: 0.2, Duration: 10 * second})
+	flood = append(flood, Record{At: second, Kind: SlowStarted, Server: "a1", Capacity: 2, InitialCapacity: 0.2,
+		Duration: 10 * second})
 	slow = append(slow, flood[0])
 	for i := range 30 {
 		id := strings.Repeat("i", i+1)
--- a/internal/invariant/drains.go
+++ b/internal/invariant/drains.go
@@ -44,8 +44,8 @@
 func (c *checker) checkDrainedAttempt(r Record, gateway int, notifiedAt time.Duration) {
 	late := r.At - notifiedAt - c.fleet.Decide.Safety.DrainGrace
 	if late > TransitAllowance+c.stalledFor(gateway, notifiedAt, r.At) {
-		c.violation(ruleDrains, r.At, "gateway %d sent %s (%s) to %s, %v after it was notified that the server drains or is gone",
-			gateway, r.Request, r.Class, r.Server, r.At-notifiedAt)
+		c.violation(ruleDrains, r.At, "gateway %d sent %s (%s) to %s, %v after it was notified that the server drains "+
+			"or is gone", gateway, r.Request, r.Class, r.Server, r.At-notifiedAt)
 	}
 }
 
--- a/internal/invariant/usage.go
+++ b/internal/invariant/usage.go
@@ -134,9 +134,11 @@
 func (u *usageChecker) checkAttempt(data outbox.UsageData, observed *observedAttempt) {
 	switch {
 	case data.Outcome == outbox.OutcomeGatewayEnded.String() && !u.killed(data.Request):
-		u.result.violation("orphan", "attempt %d of %s is exported as left by an ended incarnation", data.Attempt, data.Request)
+		u.result.violation("orphan", "attempt %d of %s is exported as left by an ended incarnation",
+			data.Attempt, data.Request)
 	case data.Outcome == outbox.OutcomeError.String() && observed != nil && observed.rejected:
-		u.result.violation("unseen", "attempt %d of %s was rejected without effect and is exported", data.Attempt, data.Request)
+		u.result.violation("unseen", "attempt %d of %s was rejected without effect and is exported",
+			data.Attempt, data.Request)
 	case data.Estimated:
 		u.checkEstimate(data, observed)
 	case observed == nil || !observed.answered:
--- a/internal/invariant/usage_test.go
+++ b/internal/invariant/usage_test.go
@@ -47,15 +47,22 @@
 		do   func([]UsageEvent) []UsageEvent
 		kind string
 	}{
-		"a lost event":             {func(in []UsageEvent) []UsageEvent { return in[:8] }, "missing"},
-		"one in the middle":        {func(in []UsageEvent) []UsageEvent { return append(in[:2], in[3:]...) }, "number"},
-		"a try twice":              {func(in []UsageEvent) []UsageEvent { e := in[0]; e.ID = "10"; return append(in, e) }, "twice"},
-		"another size":             {use(0, func(u *outbox.UsageData) { u.Units = 2 }), "size"},
-		"another guess":            {use(3, func(u *outbox.UsageData) { u.Units = 2 }), "size"},
-		"a size from nowhere":      {use(3, func(u *outbox.UsageData) { u.Estimated = false }), "size"},
-		"an orphan without a kill": {use(3, func(u *outbox.UsageData) { u.Outcome = outbox.OutcomeGatewayEnded.String() }), "orphan"},
+		"a lost event":      {func(in []UsageEvent) []UsageEvent { return in[:8] }, "missing"},
+		"one in the middle": {func(in []UsageEvent) []UsageEvent { return append(in[:2], in[3:]...) }, "number"},
+		"a try twice": {func(in []UsageEvent) []UsageEvent {
+			e := in[0]
+			e.ID = "10"
+			return append(in, e)
+		}, "twice"},
+		"another size":        {use(0, func(u *outbox.UsageData) { u.Units = 2 }), "size"},
+		"another guess":       {use(3, func(u *outbox.UsageData) { u.Units = 2 }), "size"},
+		"a size from nowhere": {use(3, func(u *outbox.UsageData) { u.Estimated = false }), "size"},
+		"an orphan without a kill": {use(3, func(u *outbox.UsageData) {
+			u.Outcome = outbox.OutcomeGatewayEnded.String()
+		}), "orphan"},
 		"one that never ran": {func(in []UsageEvent) []UsageEvent {
-			raw, _ := json.Marshal(outbox.UsageData{Request: "r3", Units: 1, Estimated: true, Outcome: outbox.OutcomeError.String()})
+			raw, _ := json.Marshal(outbox.UsageData{Request: "r3", Units: 1, Estimated: true,
+				Outcome: outbox.OutcomeError.String()})
 			return append(in, UsageEvent{"/g", "10", outbox.TypeUsage, raw})
 		}, "unseen"},
 	} {
--- a/internal/upstream/websocket/pool_test.go
+++ b/internal/upstream/websocket/pool_test.go
@@ -142,7 +142,7 @@
 		arrived := got[fmt.Sprintf(`"n":%06d`, i)]
 		mu.Unlock()
 		if arrived && r.Outcome != decide.OutcomeReset {
-			t.Fatalf("call %d arrived and is told as outcome %d", i, r.Outcome)
+			t.Fatalf("call %d arrived and has outcome %d", i, r.Outcome)
 		}
 	}
 	if count[decide.OutcomeReset] == 0 || count[decide.OutcomeConnectFailed] == 0 || len(count) != 2 {
