--- a/internal/scenario/usage.go
+++ b/internal/scenario/usage.go
@@ -53,7 +53,7 @@
 		return
 	}
 	s.receiver.Stop()
-	s.duplicates += s.receiver.Duplicates
+	s.duplicates += s.receiver.Duplicates()
 	s.receiver = nil
 }
 
--- a/internal/testbed/usagereceiver/receiver.go
+++ b/internal/testbed/usagereceiver/receiver.go
@@ -38,13 +38,13 @@
 	Delay          time.Duration // before each answer
 }
 
-// Receiver is a running receiver. Duplicates is to be read after Stop.
+// Receiver is a running receiver. It is safe for concurrent use.
 type Receiver struct {
 	store  *store
 	server *httpreceiver.Server
 
 	mu         sync.Mutex // guards store too
-	Duplicates int        // events that came again
+	duplicates int        // see Duplicates
 	fault      Fault
 	rng        *rand.Rand
 }
@@ -57,7 +57,7 @@
 	}
 	r := &Receiver{
 		store:      s,
-		Duplicates: duplicates,
+		duplicates: duplicates,
 		rng:        rand.New(rand.NewPCG(1, uint64(time.Now().UnixNano()))),
 	}
 	mux := http.NewServeMux()
@@ -92,6 +92,13 @@
 	return append([]Event{}, r.store.events...)
 }
 
+// Duplicates returns how many events were received again. Requests that Stop interrupts may still add some.
+func (r *Receiver) Duplicates() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.duplicates
+}
+
 // Stop closes all connections, as a kill would.
 func (r *Receiver) Stop() {
 	r.server.Stop()
@@ -145,6 +152,6 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	duplicates, err := r.store.add(events)
-	r.Duplicates += duplicates
+	r.duplicates += duplicates
 	return err
 }
--- a/internal/usage/sender/sender_test.go
+++ b/internal/usage/sender/sender_test.go
@@ -136,7 +136,7 @@
 			}
 			r.receiver.SetFault(func(f *usagereceiver.Fault) { *f = usagereceiver.Fault{} })
 			r.hasAll(35)
-			if name == "keeps and cuts" && r.receiver.Duplicates == 0 {
+			if name == "keeps and cuts" && r.receiver.Duplicates() == 0 {
 				t.Error("nothing came twice")
 			}
 		})
