--- a/bench/recovery.go
+++ b/bench/recovery.go
@@ -60,7 +60,7 @@
 		return 0, err
 	}
 	defer l.Close()
-	d := outbox.New(outbox.Settings{Incarnation: 1})
+	d := outbox.New(outbox.Settings{MinIncarnation: 1})
 	do := func(acts []outbox.Action) error {
 		for _, a := range acts {
 			a, ok := a.(outbox.Append)
@@ -91,10 +91,10 @@
 		Units:   1,
 	}
 	for i := 1; i <= n; i++ {
-		if err := do(d.Handle(outbox.RecordIntent{ID: outbox.ID(i), HasRoom: true, Attempt: t})); err != nil {
+		if err := do(d.Handle(outbox.RecordIntent{ID: outbox.AttemptID(i), LogHasSpace: true, Attempt: t})); err != nil {
 			return 0, err
 		}
-		settle := outbox.Settle{ID: outbox.ID(i), Outcome: outbox.OutcomeAnswered, UsedUnits: 2, WallTime: 1}
+		settle := outbox.Settle{ID: outbox.AttemptID(i), Outcome: outbox.OutcomeAnswered, UsedUnits: 2, WallTime: 1}
 		if err := do(d.Handle(settle)); err != nil {
 			return 0, err
 		}
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -49,9 +49,9 @@
 	outcome  string        // of outcomeNames, once it has ended
 	span     trace.SpanID
 
-	usageID        outbox.ID // 0: its use is not exported
-	awaitingIntent bool      // not given to upstream yet, as its intent is not durable
-	denied         bool      // its intent can't be written, so it is never sent; its result is in the queue
+	usageID        outbox.AttemptID // 0: its use is not exported
+	awaitingIntent bool             // not given to upstream yet, as its intent is not durable
+	denied         bool             // its intent can't be written, so it is never sent; its result is in the queue
 
 	// Of its time-out; see timers.
 	timeoutAt     time.Duration
--- a/internal/gateway/planlog.go
+++ b/internal/gateway/planlog.go
@@ -55,8 +55,8 @@
 	if err != nil {
 		return err
 	}
-	p.log, p.lastRecord, p.snapshotAt = log, recovery.Last, recovery.SnapshotRecord
-	recovery.Report(o.Log, "plans", o.Dir)
+	p.log, p.lastRecord, p.snapshotAt = log, recovery.LastRecord, recovery.SnapshotRecord
+	recovery.LogDamage(o.Log, "plans", o.Dir)
 	return nil
 }
 
--- a/internal/gateway/storeddata_test.go
+++ b/internal/gateway/storeddata_test.go
@@ -52,7 +52,7 @@
 		t.Fatal(err)
 	}
 	defer log.Close()
-	if box.Incarnation() != 2000 || box.LastAcknowledged() != 4 || box.Counts.Orphans != 2 || recovery.Last != 13 ||
+	if box.Incarnation() != 2000 || box.LastAcknowledged() != 4 || box.Counts.Orphans != 2 || recovery.LastRecord != 13 ||
 		recovery.SnapshotRecord != 9 || len(recovery.Gaps) > 0 || recovery.TornBytes > 0 {
 		t.Errorf("%+v %+v acknowledged %d incarnation %d", recovery, box.Counts, box.LastAcknowledged(),
 			box.Incarnation())
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -36,8 +36,8 @@
 	logger    *slog.Logger
 	maxBytes  int64 // of the log
 
-	attempts map[outbox.ID]*attempt // not settled
-	lastID   outbox.ID
+	attempts map[outbox.AttemptID]*attempt // not settled
+	lastID   outbox.AttemptID
 
 	retainFrom       atomic.Uint64 // first record that is still needed; read by the log
 	snapshotAt       uint64        // last record at the last snapshot
@@ -57,7 +57,7 @@
 		wallClock: o.WallClock,
 		logger:    o.Log,
 		maxBytes:  int64(o.Export.MaxLogBytes),
-		attempts:  map[outbox.ID]*attempt{},
+		attempts:  map[outbox.AttemptID]*attempt{},
 	}
 	onDurable := func(record uint64) { l.queue.post(outboxRecordsDurable{record}) }
 	onFailure := func(err error) { l.queue.post(outboxLogStatus{err}) }
@@ -84,7 +84,7 @@
 }
 
 // rejecting reports whether requests are rejected at once, as the intents of their attempts could not be written.
-func (u *usageOutbox) rejecting() bool { return u.outbox.Rejecting(u.hasRoom()) }
+func (u *usageOutbox) rejecting() bool { return u.outbox.RejectsRequests(u.hasRoom()) }
 
 func (u *usageOutbox) handle(ev outbox.Event) {
 	runOutboxActions(u.outbox, u.log, u.logger, u.outbox.Handle(ev), u.execute)
@@ -113,8 +113,8 @@
 	u.attempts[a.usageID] = a
 	r := a.request
 	u.handle(outbox.RecordIntent{
-		ID:      a.usageID,
-		HasRoom: u.hasRoom(),
+		ID:          a.usageID,
+		LogHasSpace: u.hasRoom(),
 		Attempt: outbox.Attempt{
 			Request:  r.ID,
 			Number:   a.number,
--- a/internal/gateway/usagelog.go
+++ b/internal/gateway/usagelog.go
@@ -44,7 +44,7 @@
 // log's options of these names; they may be nil.
 func OpenOutbox(o OutboxOptions, retainFrom func() uint64, onDurable func(uint64), onFailure func(error)) (
 	*outbox.Outbox, *wal.Log, *wal.Recovery, error) {
-	box := outbox.New(outbox.Settings{Policy: o.Export.OnUnwritable, Incarnation: o.Incarnation})
+	box := outbox.New(outbox.Settings{Policy: o.Export.OnUnwritable, MinIncarnation: o.Incarnation})
 	maxBytes := int64(o.Export.MaxLogBytes)
 	options := wal.Options{
 		Mode:         o.Export.Durability,
@@ -67,7 +67,7 @@
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	recovery.Report(o.Log, "usage", o.Dir)
+	recovery.LogDamage(o.Log, "usage", o.Dir)
 	runOutboxActions(box, log, o.Log, box.Start(o.WallClock()), func(outbox.Action) {})
 	if n := box.Counts.Orphans; n > 0 {
 		o.Log.Warn("Attempts of a former incarnation are exported at their estimates", "attempts", n)
--- a/internal/usage/outbox/events.go
+++ b/internal/usage/outbox/events.go
@@ -1,12 +1,12 @@
 package outbox
 
-// ID names an attempt within an incarnation of a gateway.
-type ID uint64
+// AttemptID names an attempt within an incarnation of a gateway.
+type AttemptID uint64
 
 // IDs that no attempt of this incarnation has. The caller numbers attempts from below, so they never meet.
 const (
-	firstOrphanID = ID(1) << 62 // from here on, of attempts of former incarnations
-	gapID         = ID(1) << 63 // of the gap
+	firstOrphanID = AttemptID(1) << 62 // from here on, of attempts of former incarnations
+	gapID         = AttemptID(1) << 63 // of the gap
 )
 
 // Event is something that happened to an outbox's attempts, its log or its receiver.
@@ -15,13 +15,13 @@
 type (
 	// RecordIntent asks whether an attempt may be sent. It is answered by Append, Release or Deny.
 	RecordIntent struct {
-		ID      ID
-		Attempt Attempt
-		HasRoom bool // the log has room for more than the settlements that are owed
+		ID          AttemptID
+		Attempt     Attempt
+		LogHasSpace bool // the log has room for more than the settlements that are owed
 	}
 	// Appended is the answer to Append. It comes before any other event, unless the Append has ID 0.
 	Appended struct {
-		ID      ID
+		ID      AttemptID
 		Record  uint64 // number of the record
 		Failure string // why there is none; empty: there is
 	}
@@ -31,7 +31,7 @@
 	LogStatus struct{ Failure string } // empty: it works
 	// Settle ends an attempt.
 	Settle struct {
-		ID        ID
+		ID        AttemptID
 		Outcome   Outcome
 		UsedUnits float64 // as answered, else as estimated
 		WallTime  int64   // nanoseconds of Unix time
@@ -53,13 +53,13 @@
 type (
 	// Append asks for a record in the log. It is answered by Appended, unless ID is 0.
 	Append struct {
-		ID      ID
+		ID      AttemptID
 		Payload []byte
 	}
 	// Release lets an attempt be sent.
-	Release struct{ ID ID }
+	Release struct{ ID AttemptID }
 	// Deny forbids an attempt: nothing of it may leave.
-	Deny struct{ ID ID }
+	Deny struct{ ID AttemptID }
 )
 
 func (Append) action()  {}
--- a/internal/usage/outbox/model_test.go
+++ b/internal/usage/outbox/model_test.go
@@ -41,9 +41,9 @@
 	snapshotAt  int
 	broken      bool
 	full        bool
-	lastID      ID
-	names       map[ID]string
-	inFlight    map[ID]bool         // at the servers
+	lastID      AttemptID
+	names       map[AttemptID]string
+	inFlight    map[AttemptID]bool  // at the servers
 	sent        map[string]coverage // attempts of which bytes left, by name
 	denied      map[string]bool
 	atServer    map[string]float64
@@ -59,8 +59,8 @@
 		fault:    f,
 		random:   rand.New(rand.NewSource(seed)),
 		policy:   p,
-		names:    map[ID]string{},
-		inFlight: map[ID]bool{},
+		names:    map[AttemptID]string{},
+		inFlight: map[AttemptID]bool{},
 		sent:     map[string]coverage{},
 		denied:   map[string]bool{},
 		atServer: map[string]float64{},
@@ -142,11 +142,11 @@
 	name := fmt.Sprint("t", o.attempts)
 	o.names[o.lastID] = name
 	attempt := Attempt{Request: name, Member: "m", Units: 1}
-	o.do(o.outbox.Handle(RecordIntent{ID: o.lastID, HasRoom: !o.full, Attempt: attempt}))
+	o.do(o.outbox.Handle(RecordIntent{ID: o.lastID, LogHasSpace: !o.full, Attempt: attempt}))
 }
 
 // answered ends an attempt in flight with its answer.
-func (o *simulation) answered(id ID) {
+func (o *simulation) answered(id AttemptID) {
 	delete(o.inFlight, id)
 	o.atServer[o.names[id]] = 4
 	o.do(o.outbox.Handle(Settle{ID: id, Outcome: OutcomeAnswered, UsedUnits: 4}))
@@ -206,7 +206,7 @@
 	}
 	o.log = o.log[:max(keep, o.snapshotAt)]
 	o.synced, o.durable = len(o.log), len(o.log)
-	o.inFlight, o.names = map[ID]bool{}, map[ID]string{}
+	o.inFlight, o.names = map[AttemptID]bool{}, map[AttemptID]string{}
 	o.start()
 }
 
--- a/internal/usage/outbox/outbox.go
+++ b/internal/usage/outbox/outbox.go
@@ -38,8 +38,8 @@
 
 // Settings are what an outbox starts from.
 type Settings struct {
-	Policy      Policy
-	Incarnation uint64 // at least; an outbox takes one that is greater than all in its log
+	Policy         Policy
+	MinIncarnation uint64 // an outbox takes one that is not smaller, and greater than all in its log
 }
 
 // Outbox holds what the attempts of a gateway owe.
@@ -51,9 +51,9 @@
 	sequence    uint64 // of the last event of this incarnation
 	logFailure  string // why the log can't be written; empty: it can
 
-	attempts        map[ID]*attemptEntry
-	awaitingDurable []ID // intents that are appended and were not durable yet, in order
-	unlogged        []ID // settlements that the log did not take
+	attempts        map[AttemptID]*attemptEntry
+	awaitingDurable []AttemptID // intents that are appended and were not durable yet, in order
+	unlogged        []AttemptID // settlements that the log did not take
 
 	acknowledged       uint64 // the receiver has all records up to this one
 	acknowledgedLogged uint64 // the same, as recorded in the log
@@ -91,7 +91,7 @@
 
 // New returns an outbox. It is given what its log holds, by RestoreSnapshot and Restore, and then started.
 func New(s Settings) *Outbox {
-	return &Outbox{settings: s, attempts: map[ID]*attemptEntry{}, orphans: map[uint64]Attempt{}}
+	return &Outbox{settings: s, attempts: map[AttemptID]*attemptEntry{}, orphans: map[uint64]Attempt{}}
 }
 
 // Restore takes a record of the log. It is called for all records behind the snapshot, in order.
@@ -120,7 +120,7 @@
 // would come again otherwise; and with settlements of what former incarnations left open, at the estimates. These have
 // keys of the new incarnation, since the keys that the former one would have given are not known.
 func (o *Outbox) Start(wallTime int64) []Action {
-	o.incarnation, o.lastSettledAt = max(o.settings.Incarnation, o.lastIncarnation+1), wallTime
+	o.incarnation, o.lastSettledAt = max(o.settings.MinIncarnation, o.lastIncarnation+1), wallTime
 	o.acknowledgedLogged = o.acknowledged
 	records := make([]uint64, 0, len(o.orphans))
 	for record := range o.orphans {
@@ -129,7 +129,7 @@
 	slices.Sort(records)
 	for i, record := range records {
 		a := o.orphans[record]
-		id := firstOrphanID + ID(i)
+		id := firstOrphanID + AttemptID(i)
 		o.attempts[id] = &attemptEntry{
 			attempt:  a,
 			record:   record,
@@ -161,9 +161,9 @@
 // Unsettled returns how many attempts have no settlement in the log, ended or not.
 func (o *Outbox) Unsettled() int { return len(o.attempts) }
 
-// Rejecting reports whether requests had better be rejected at once, as all their attempts would be denied.
-func (o *Outbox) Rejecting(hasRoom bool) bool {
-	return (o.logFailure != "" || !hasRoom) && o.settings.Policy == PolicyReject
+// RejectsRequests reports whether requests had better be rejected at once, as all their attempts would be denied.
+func (o *Outbox) RejectsRequests(logHasSpace bool) bool {
+	return (o.logFailure != "" || !logHasSpace) && o.settings.Policy == PolicyReject
 }
 
 // Handle takes an event and returns what is to be done, in order.
@@ -188,7 +188,7 @@
 func (o *Outbox) recordIntent(ev RecordIntent) []Action {
 	entry := &attemptEntry{attempt: ev.Attempt}
 	o.attempts[ev.ID] = entry
-	if o.logFailure != "" || !ev.HasRoom || len(o.unlogged) >= maxUnloggedSettlements {
+	if o.logFailure != "" || !ev.LogHasSpace || len(o.unlogged) >= maxUnloggedSettlements {
 		return o.decideUncovered(ev.ID, entry)
 	}
 	o.Counts.Intents++
@@ -197,7 +197,7 @@
 }
 
 // decideUncovered decides by the policy on an attempt whose intent is not durable and can't be made so.
-func (o *Outbox) decideUncovered(id ID, entry *attemptEntry) []Action {
+func (o *Outbox) decideUncovered(id AttemptID, entry *attemptEntry) []Action {
 	if o.settings.Policy == PolicyServe {
 		entry.released = true
 		return []Action{Release{id}}
@@ -298,7 +298,7 @@
 
 // appendSettlement gives a settlement the next sequence number, unless nothing is owed for it. The number is taken
 // back if the log does not take the record; as an Append is answered before any other event, no number is left out.
-func (o *Outbox) appendSettlement(id ID, entry *attemptEntry) Action {
+func (o *Outbox) appendSettlement(id AttemptID, entry *attemptEntry) Action {
 	if entry.settlement.Outcome != OutcomeNeverRan {
 		o.sequence++
 		entry.settlement.Sequence = o.sequence
@@ -306,7 +306,7 @@
 	return Append{id, entry.settlement.append(nil)}
 }
 
-func (o *Outbox) settlementAppended(id ID, entry *attemptEntry, failed bool) []Action {
+func (o *Outbox) settlementAppended(id AttemptID, entry *attemptEntry, failed bool) []Action {
 	if failed {
 		if entry.settlement.Outcome != OutcomeNeverRan {
 			o.sequence--
--- a/internal/usage/outbox/outbox_test.go
+++ b/internal/usage/outbox/outbox_test.go
@@ -12,7 +12,7 @@
 		o.attempt()
 		o.settleOne(OutcomeAnswered)
 	}
-	if o.outbox.Rejecting(true) || o.outbox.Counts.UncoveredAttempts != 3 {
+	if o.outbox.RejectsRequests(true) || o.outbox.Counts.UncoveredAttempts != 3 {
 		t.Errorf("%+v", o.outbox.Counts)
 	}
 	o.broken = false
@@ -25,7 +25,7 @@
 	o = newSimulation(1, PolicyReject, noFault)
 	o.do(o.outbox.Handle(LogStatus{"no space"}))
 	o.attempt()
-	if !o.outbox.Rejecting(true) || !o.denied["t1"] || !New(Settings{}).Rejecting(false) {
+	if !o.outbox.RejectsRequests(true) || !o.denied["t1"] || !New(Settings{}).RejectsRequests(false) {
 		t.Error("an attempt is sent that the log can't cover")
 	}
 }
@@ -33,8 +33,8 @@
 // TestLife starts an incarnation whose number, by a clock that was set back, is below those in the log. It takes a
 // greater one: the keys of events would come again otherwise, and the receiver would drop what it has not.
 func TestLife(t *testing.T) {
-	o := New(Settings{Incarnation: 5})
-	for i, a := range New(Settings{Incarnation: 9}).Start(1) {
+	o := New(Settings{MinIncarnation: 5})
+	for i, a := range New(Settings{MinIncarnation: 9}).Start(1) {
 		if err := o.Restore(uint64(i+1), a.(Append).Payload); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/usage/sender/sender_test.go
+++ b/internal/usage/sender/sender_test.go
@@ -23,7 +23,7 @@
 // fillLog appends what an outbox records of n attempts that were answered, in one incarnation.
 func fillLog(t testing.TB, l *wal.Log, n int) {
 	t.Helper()
-	o := outbox.New(outbox.Settings{Incarnation: 5})
+	o := outbox.New(outbox.Settings{MinIncarnation: 5})
 	do := func(actions []outbox.Action) {
 		for _, action := range actions {
 			record, ok := action.(outbox.Append)
@@ -41,9 +41,9 @@
 	}
 	do(o.Start(1))
 	for i := 1; i <= n; i++ {
-		id := outbox.ID(i)
+		id := outbox.AttemptID(i)
 		attempt := outbox.Attempt{Request: fmt.Sprint("r-", i, "-"), Member: "m", Units: 1}
-		do(o.Handle(outbox.RecordIntent{ID: id, HasRoom: true, Attempt: attempt}))
+		do(o.Handle(outbox.RecordIntent{ID: id, LogHasSpace: true, Attempt: attempt}))
 		do(o.Handle(outbox.Settle{ID: id, Outcome: outbox.OutcomeAnswered, UsedUnits: 2}))
 	}
 	if err := l.Sync(10 * time.Second); err != nil {
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -70,8 +70,8 @@
 		lock.Close()
 		return nil, nil, fmt.Errorf("%s: %w", dir, err)
 	}
-	l.nextNumber, l.lastPending, l.lastDurable = rec.Last+1, rec.Last, rec.Last
-	l.writer.firstUnsynced = rec.Last + 1
+	l.nextNumber, l.lastPending, l.lastDurable = rec.LastRecord+1, rec.LastRecord, rec.LastRecord
+	l.writer.firstUnsynced = rec.LastRecord + 1
 	if err := l.startSegment(); err != nil {
 		l.setFailure(err)
 	}
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -61,7 +61,7 @@
 	for _, m := range []SyncMode{SyncAlways, SyncInterval, SyncNever} {
 		dir := t.TempDir()
 		l, rec, _ := openLog(t, dir, Options{Mode: m, SegmentBytes: 300})
-		if rec.Last != 0 {
+		if rec.LastRecord != 0 {
 			t.Errorf("%+v", rec)
 		}
 		appendRecords(t, l, 1, 50)
@@ -70,7 +70,7 @@
 		}
 		l.Close()
 		l, rec, got := openLog(t, dir, Options{Mode: m})
-		if rec.Last != 50 || len(got) != 50 || got[49] != "record 50" || rec.Gaps != nil || rec.TornBytes != 0 {
+		if rec.LastRecord != 50 || len(got) != 50 || got[49] != "record 50" || rec.Gaps != nil || rec.TornBytes != 0 {
 			t.Errorf("%v: %+v %d", m, rec, len(got))
 		}
 		appendRecords(t, l, 51, 60)
@@ -113,7 +113,7 @@
 			}
 			os.WriteFile(filepath.Join(dir, segmentName(1)), b, 0o600)
 			l, rec, got := openLog(t, dir, Options{})
-			if len(got) != 2 || rec.Last != 2 || rec.Gaps != nil || rec.TornBytes != int64(len(b)-(len(content)-last)) {
+			if len(got) != 2 || rec.LastRecord != 2 || rec.Gaps != nil || rec.TornBytes != int64(len(b)-(len(content)-last)) {
 				t.Fatalf("cut at %d, zeroed %t: %+v %v", cut, zero, rec, got)
 			}
 			appendRecords(t, l, 30, 30)
@@ -248,7 +248,7 @@
 		d.mu.Lock()
 		d.operationsLeft = -1 // the next process
 		d.mu.Unlock()
-		if _, rec, _ := openLog(t, dir, Options{FS: d}); rec.Last < acknowledged || acknowledged == 0 {
+		if _, rec, _ := openLog(t, dir, Options{FS: d}); rec.LastRecord < acknowledged || acknowledged == 0 {
 			t.Errorf("killed at step %d: %+v, record %d was acknowledged", step, rec, acknowledged)
 		}
 	}
@@ -295,7 +295,7 @@
 		t.Error("the first segment is kept")
 	}
 	l, rec, got := openLog(t, dir, Options{})
-	if string(rec.Snapshot) != "twenty" || rec.SnapshotRecord != 20 || len(got) != 5 || rec.Last != 25 {
+	if string(rec.Snapshot) != "twenty" || rec.SnapshotRecord != 20 || len(got) != 5 || rec.LastRecord != 25 {
 		t.Fatalf("%+v %v", rec, got)
 	}
 	l.Close()
@@ -312,7 +312,7 @@
 		l.Close()
 	}
 	os.WriteFile(filepath.Join(dir, snapshotName(30)+".new"), []byte("cut"), 0o600) // a crash in the middle of one
-	if _, rec, _ := openLog(t, dir, Options{}); rec.Last != 25 {
+	if _, rec, _ := openLog(t, dir, Options{}); rec.LastRecord != 25 {
 		t.Errorf("%+v", rec)
 	}
 }
@@ -341,11 +341,11 @@
 		if err != nil {
 			t.Fatalf("%v", err)
 		}
-		if len(rec.Gaps) > 0 || n != int(rec.Last) || rec.Last < uint64(next-1) {
+		if len(rec.Gaps) > 0 || n != int(rec.LastRecord) || rec.LastRecord < uint64(next-1) {
 			l.Close()
 			return true
 		}
-		next = int(rec.Last) + 1
+		next = int(rec.LastRecord) + 1
 		for range rapid.IntRange(0, 30).Draw(rt, "appends") {
 			l.Append([]byte(fmt.Sprint(next)))
 			next++
--- a/internal/wal/recovery.go
+++ b/internal/wal/recovery.go
@@ -22,8 +22,8 @@
 type Recovery struct {
 	Snapshot         []byte // payload; nil: there is none
 	SnapshotRecord   uint64 // last record that the snapshot covers
-	First            uint64 // first record read behind the snapshot; 0: none
-	Last             uint64 // last record of the log, or of the snapshot
+	FirstRecord      uint64 // first record read behind the snapshot; 0: none
+	LastRecord       uint64 // last record of the log, or of the snapshot
 	Records          int    // read
 	Gaps             []Gap
 	TornBytes        int64    // at the end, that are no record
@@ -31,8 +31,8 @@
 	DamagedSnapshots []string // passed over, with the reason
 }
 
-// Report logs what was damaged, if anything was; name says which log it is.
-func (r *Recovery) Report(log *slog.Logger, name, dir string) {
+// LogDamage logs what was damaged, if anything was; name says which log it is.
+func (r *Recovery) LogDamage(log *slog.Logger, name, dir string) {
 	for _, g := range r.Gaps {
 		log.Error("Log has a gap", "log", name, "dir", dir, "gap", g.String())
 	}
@@ -84,7 +84,7 @@
 			rec.DamagedSnapshots = append(rec.DamagedSnapshots, fmt.Sprintf("%s: %v", snapshotName(number), err))
 			continue
 		}
-		rec.Snapshot, rec.SnapshotRecord, rec.Last = payload, number, number
+		rec.Snapshot, rec.SnapshotRecord, rec.LastRecord = payload, number, number
 		break
 	}
 	for _, s := range snapshots {
@@ -103,17 +103,17 @@
 	defer f.Close()
 	rec.SkippedBytes += rec.TornBytes // a segment follows, so it was not the end
 	torn, skipped, err := scanSegment(f, func(r Record, from, _ int64) error {
-		if r.Number <= rec.Last {
+		if r.Number <= rec.LastRecord {
 			return nil // covered, or a repetition
 		}
 		// Without a snapshot the first record of all may have any number: older segments were removed.
-		if r.Number > rec.Last+1 && (rec.Last > 0 || rec.Records > 0) {
-			rec.Gaps = append(rec.Gaps, Gap{rec.Last + 1, r.Number - 1, s.name, from})
+		if r.Number > rec.LastRecord+1 && (rec.LastRecord > 0 || rec.Records > 0) {
+			rec.Gaps = append(rec.Gaps, Gap{rec.LastRecord + 1, r.Number - 1, s.name, from})
 		}
-		if rec.First == 0 {
-			rec.First = r.Number
+		if rec.FirstRecord == 0 {
+			rec.FirstRecord = r.Number
 		}
-		rec.Last = r.Number
+		rec.LastRecord = r.Number
 		rec.Records++
 		if take == nil {
 			return nil
--- a/internal/wal/stored_test.go
+++ b/internal/wal/stored_test.go
@@ -115,7 +115,7 @@
 func TestStoredLog(t *testing.T) {
 	l, rec, got := recoverStored(t, storedLog(t, nil))
 	if string(rec.Snapshot) != "state at 9" || rec.SnapshotRecord != 9 ||
-		rec.First != 10 || rec.Last != 13 || rec.Records != 4 ||
+		rec.FirstRecord != 10 || rec.LastRecord != 13 || rec.Records != 4 ||
 		rec.Gaps != nil || rec.TornBytes != 0 || rec.SkippedBytes != 0 || rec.DamagedSnapshots != nil {
 		t.Errorf("recovered %+v", rec)
 	}
@@ -159,7 +159,7 @@
 			}
 			return b
 		}))
-		if len(rec.Gaps) != 1 || rec.Gaps[0].From != 11 || rec.Gaps[0].To != 11 || rec.TornBytes != 4 || rec.Last != 13 {
+		if len(rec.Gaps) != 1 || rec.Gaps[0].From != 11 || rec.Gaps[0].To != 11 || rec.TornBytes != 4 || rec.LastRecord != 13 {
 			t.Errorf("recovered %+v", rec)
 		}
 		wantRecords(t, got, 10, 13, 11)
