--- a/cmd/winghatch/main_test.go
+++ b/cmd/winghatch/main_test.go
@@ -105,7 +105,7 @@
 	}
 	raw, _ := os.ReadFile(tape)
 	os.WriteFile(tape, raw[:len(raw)-3], 0o600)
-	if out, code := run(t, "replay", tape); code != 0 || !strings.Contains(out, "cut inside a record") {
+	if out, code := run(t, "replay", tape); code != 0 || !strings.Contains(out, "truncated inside a record") {
 		t.Errorf("%d %s", code, out)
 	}
 	// With another seed the core decides otherwise.
--- a/internal/recording/reader.go
+++ b/internal/recording/reader.go
@@ -13,15 +13,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// TruncatedError reports that a recording ends inside a line, or that a line is damaged. Everything before Line was
-// read; nothing from Line on is, as a replay without a lost event would differ.
+// TruncatedError reports that a recording ends in the middle of a line or contains a damaged line. All lines
+// before Line were read. Line and everything after it are ignored, because a replay that skips an event would
+// differ from the recording.
 type TruncatedError struct {
-	Line   int // from 1, the header
+	Line   int // line number; the header is line 1
 	Reason string
 }
 
 func (e *TruncatedError) Error() string {
-	return fmt.Sprintf("recording: line %d: %s; read up to there", e.Line, e.Reason)
+	return fmt.Sprintf("recording: line %d: %s; this line and all later ones are ignored", e.Line, e.Reason)
 }
 
 // Reader reads a recording line by line. It is not safe for concurrent use.
@@ -29,29 +30,30 @@
 	Header
 
 	in   *bufio.Reader
-	line int // the line last read, from 1
+	line int // number of the line read last; 0 before the header is read
 }
 
-// NewReader reads the header. It fails on an empty input, a damaged header and a version other than its own.
+// NewReader returns a reader for the recording in in, after reading its header. It returns an error if the
+// input is empty, the header is damaged, or the format version is not the one that this package writes.
 func NewReader(in io.Reader) (*Reader, error) {
 	r := &Reader{in: bufio.NewReaderSize(in, bufferBytes)}
 	raw, err := r.readLine()
 	if errors.Is(err, io.EOF) {
-		return nil, errors.New("recording: empty")
+		return nil, errors.New("recording: input is empty, want a header line")
 	}
 	if err != nil {
 		return nil, err
 	}
 	var h storedHeader
 	if err := json.Unmarshal(raw, &h); err != nil || h.Version != formatVersion {
-		return nil, fmt.Errorf("recording: line 1: version %d, want %d", h.Version, formatVersion)
+		return nil, fmt.Errorf("recording: line 1: format version %d, want %d", h.Version, formatVersion)
 	}
 	r.Header = Header{h.Seed, h.Config.load()}
 	return r, nil
 }
 
-// Next returns the next record. It returns io.EOF behind the last one, and a *TruncatedError where the recording
-// is truncated or damaged.
+// Next returns the next record. It returns io.EOF after the last record and a *TruncatedError if the next
+// line is truncated or damaged.
 func (r *Reader) Next() (Record, error) {
 	raw, err := r.readLine()
 	if err != nil {
@@ -75,7 +77,7 @@
 	return record, nil
 }
 
-// readLine returns the JSON document of the next line once its checksum is verified.
+// readLine reads the next line, verifies its checksum and returns its JSON document.
 func (r *Reader) readLine() ([]byte, error) {
 	raw, err := r.in.ReadBytes('\n')
 	if len(raw) == 0 && errors.Is(err, io.EOF) {
@@ -83,28 +85,28 @@
 	}
 	r.line++
 	if errors.Is(err, io.EOF) {
-		return nil, r.truncated("cut inside a record")
+		return nil, r.truncated("truncated inside a record")
 	}
 	if err != nil {
 		return nil, err
 	}
-	sum, document, found := bytes.Cut(raw[:len(raw)-1], []byte{' '})
-	want, err := strconv.ParseUint(string(sum), 16, 64)
-	if !found || err != nil || len(sum) != 16 || want != xxhash.Sum64(document) {
-		return nil, r.truncated("checksum is wrong")
+	checksum, document, found := bytes.Cut(raw[:len(raw)-1], []byte{' '})
+	want, err := strconv.ParseUint(string(checksum), 16, 64)
+	if !found || err != nil || len(checksum) != 16 || want != xxhash.Sum64(document) {
+		return nil, r.truncated("checksum is missing or does not match")
 	}
 	return document, nil
 }
 
-// truncated is the error for the line last read.
+// truncated returns a *TruncatedError for the line read last.
 func (r *Reader) truncated(reason string) *TruncatedError { return &TruncatedError{r.line, reason} }
 
-// loadValue reads a stored value with the loader of its kind.
+// loadValue decodes a stored event or action with the loader of its kind. An unknown kind is an error.
 func loadValue[T any](v storedValue, loaders map[string]loader[T]) (T, error) {
 	load, ok := loaders[v.Kind]
 	if !ok {
-		var none T
-		return none, fmt.Errorf("kind %q is not known", v.Kind)
+		var zero T
+		return zero, fmt.Errorf("kind %q is not known", v.Kind)
 	}
 	return load(v.Value)
 }
--- a/internal/recording/recording.go
+++ b/internal/recording/recording.go
@@ -1,12 +1,14 @@
-// Package recording stores what a gateway's decision core was given and what it returned, and replays a stored
-// recording into a fresh core. Equal actions prove that the replaying program decides as the recorded one did.
+// Package recording stores the events that a gateway's decision core handled together with the actions that
+// it returned, and replays a stored recording into a new core. If the new core returns the same actions, the
+// replaying program makes the same decisions as the recorded one.
 //
-// A recording is lines of text. Each line is the XXH64 checksum of a JSON document in 16 hexadecimal digits, a
-// space and the document. The first line holds the core's settings and random seed; every other line holds the
-// time of one event in nanoseconds on the gateway's monotonic clock, the event and the actions that it caused.
-// A kill may truncate a recording anywhere: it is readable up to its last intact line.
+// A recording consists of lines of text. Each line contains the XXH64 checksum of a JSON document as 16
+// hexadecimal digits, a space, and the document. The first line is the header with the core's settings and
+// random seed. Every other line contains one event, its time in nanoseconds on the gateway's monotonic clock,
+// and the resulting actions. If the gateway is killed, its recording may end at any byte; it can be read up
+// to the last intact line.
 //
-// The package does no file handling; callers pass an io.Writer or an io.Reader.
+// The package does not open files; callers pass an io.Writer or an io.Reader.
 package recording
 
 import (
@@ -16,39 +18,42 @@
 	"winghatch/decide"
 )
 
-// formatVersion is the version in the header. A reader refuses any other.
+// formatVersion is the format version in the header. A reader rejects every other version.
 const formatVersion = 1
 
-// bufferBytes is the size of the buffers between the codec and the caller's writer or reader.
+// bufferBytes is the size in bytes of the buffer between the codec and the caller's writer or reader.
 const bufferBytes = 64 << 10
 
-// Header is all that a fresh core needs. The first line of a recording holds it.
+// Header contains everything that is needed to create the recorded core again. It is the first line of a
+// recording.
 type Header struct {
 	Seed   int64
 	Config decide.Config
 }
 
-// Record is one event that the core handled.
+// Record is one event that the core handled, with the actions that it returned.
 type Record struct {
-	At      time.Duration // on the gateway's monotonic clock
+	At      time.Duration // time of the event on the gateway's monotonic clock
 	Event   decide.Event
 	Actions []decide.Action // in the order in which the core returned them
 }
 
+// storedHeader is the JSON document of the first line. Its keys are the names of its fields.
 type storedHeader struct {
 	Version int
 	Seed    int64
 	Config  storedConfig
 }
 
+// storedRecord is the JSON document of every other line.
 type storedRecord struct {
-	At      int64         `json:"t"` // nanoseconds
+	At      int64         `json:"t"` // nanoseconds on the gateway's monotonic clock
 	Event   storedValue   `json:"e"`
 	Actions []storedValue `json:"a,omitempty"`
 }
 
-// storedValue is an event or an action with the name of its type.
+// storedValue is the stored form of an event or an action.
 type storedValue struct {
-	Kind  string          `json:"k"`
+	Kind  string          `json:"k"` // stored name of the type
 	Value json.RawMessage `json:"v"`
 }
--- a/internal/recording/recording_test.go
+++ b/internal/recording/recording_test.go
@@ -10,6 +10,7 @@
 	"winghatch/decide"
 )
 
+// testConfig returns settings with one class and one plan.
 func testConfig() decide.Config {
 	return decide.Config{
 		Gateways: 1,
@@ -19,11 +20,11 @@
 	}
 }
 
-// record sends 20 requests through a core and returns the recording.
-func record(t *testing.T) []byte {
+// recordRequests sends 20 requests through a core and returns the recording.
+func recordRequests(t *testing.T) []byte {
 	t.Helper()
-	var b bytes.Buffer
-	w, err := NewWriter(&b, testConfig(), 5)
+	var buffer bytes.Buffer
+	w, err := NewWriter(&buffer, testConfig(), 5)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,51 +48,58 @@
 		request := decide.Request{ID: id, Class: "c", Plan: "p", Customer: "m", Units: 1.25,
 			Deadline: at + time.Second, GatewayCount: 1}
 		for _, action := range handle(at, request) {
-			if s, ok := action.(decide.Send); ok {
-				handle(at+serviceTime, decide.AttemptEnded{ID: id, Server: s.Server, Outcome: decide.OutcomeOK,
-					Duration: serviceTime, RequestDone: true, LoadReport: decide.LoadReport{"queue": 0.1}})
+			if send, ok := action.(decide.Send); ok {
+				handle(at+serviceTime, decide.AttemptEnded{ID: id, Server: send.Server,
+					Outcome: decide.OutcomeOK, Duration: serviceTime, RequestDone: true,
+					LoadReport: decide.LoadReport{"queue": 0.1}})
 			}
 		}
 	}
 	w.Flush()
-	return b.Bytes()
+	return buffer.Bytes()
 }
 
+// TestReplay replays a recording of 20 requests. Its 41 events are one endpoint update, and a request and the
+// end of its attempt for each; every one must cause the recorded actions.
 func TestReplay(t *testing.T) {
-	data := record(t)
-	n, err := Replay(bytes.NewReader(data))
-	if err != nil || n.Truncated != nil || n.ByKind["Send"] != 20 || n.Events != 41 {
-		t.Fatalf("%+v, %v", n, err)
+	data := recordRequests(t)
+	result, err := Replay(bytes.NewReader(data))
+	if err != nil || result.Truncated != nil || result.ByKind["Send"] != 20 || result.Events != 41 {
+		t.Fatalf("got result %+v, error %v; want 41 events, 20 of kind Send, not truncated", result, err)
 	}
 }
 
-// TestCut truncates a recording at every byte of its last records, as a kill of the gateway would. It is replayed up
-// to the last intact line, and the result reports the truncation unless it falls on the end of a line.
-func TestCut(t *testing.T) {
-	data := record(t)
+// TestTruncatedRecording truncates a recording at every byte of its last records, as happens when the gateway
+// is killed. All lines up to the last intact one must be replayed, and the result must report the truncation
+// unless it falls on the end of a line.
+func TestTruncatedRecording(t *testing.T) {
+	data := recordRequests(t)
 	for at := len(data) - 700; at < len(data); at++ {
-		n, err := Replay(bytes.NewReader(data[:at]))
+		result, err := Replay(bytes.NewReader(data[:at]))
 		atLineEnd := data[at-1] == '\n'
-		if err != nil || (n.Truncated == nil) != atLineEnd || n.Events != bytes.Count(data[:at], []byte("\n"))-1 {
-			t.Fatalf("cut at %d: %+v, %v", at, n, err)
+		if err != nil || (result.Truncated == nil) != atLineEnd ||
+			result.Events != bytes.Count(data[:at], []byte("\n"))-1 {
+			t.Fatalf("truncated at byte %d: result %+v, error %v", at, result, err)
 		}
 	}
 }
 
-// TestDamage flips one bit in the middle of a recording. Nothing after it is replayed, and the result says so.
-func TestDamage(t *testing.T) {
-	data := record(t)
+// TestDamagedLine flips one bit in the middle of a recording, as a faulty disk would. Nothing from the
+// damaged line on may be replayed, and the result must report the damage.
+func TestDamagedLine(t *testing.T) {
+	data := recordRequests(t)
 	data[len(data)/2] ^= 4
-	n, err := Replay(bytes.NewReader(data))
-	if err != nil || n.Truncated == nil || n.Events == 0 || n.Events >= 41 {
-		t.Errorf("%+v, %v", n, err)
+	result, err := Replay(bytes.NewReader(data))
+	if err != nil || result.Truncated == nil || result.Events == 0 || result.Events >= 41 {
+		t.Errorf("got result %+v, error %v; want 1 to 40 events and the damage reported", result, err)
 	}
 }
 
-// TestDifference replays a recording whose core did something else at its first record.
-func TestDifference(t *testing.T) {
-	var b bytes.Buffer
-	w, err := NewWriter(&b, testConfig(), 5)
+// TestReplayMismatch replays a recording whose first record contains an action that a core does not return:
+// the request is of an unknown class. Replay must report the first record as a mismatch.
+func TestReplayMismatch(t *testing.T) {
+	var buffer bytes.Buffer
+	w, err := NewWriter(&buffer, testConfig(), 5)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -101,16 +109,17 @@
 	}
 	w.Flush()
 	var mismatch *MismatchError
-	if _, err := Replay(&b); !errors.As(err, &mismatch) || mismatch.Record != 1 {
-		t.Errorf("%v", err)
+	if _, err := Replay(&buffer); !errors.As(err, &mismatch) || mismatch.Record != 1 {
+		t.Errorf("got error %v, want a mismatch at record 1", err)
 	}
 }
 
-// TestNoTape replays inputs that are no recording; each is an error.
-func TestNoTape(t *testing.T) {
+// TestReplayRejectsOtherFormats replays inputs that are not recordings: an empty one, one without a checksum
+// and one whose checksum does not match. Each must be an error, not an empty result.
+func TestReplayRejectsOtherFormats(t *testing.T) {
 	for _, in := range []string{"", "x\n", "0000000000000000 {}\n"} {
 		if _, err := Replay(strings.NewReader(in)); err == nil {
-			t.Errorf("%q was replayed", in)
+			t.Errorf("%q was replayed without an error", in)
 		}
 	}
 }
--- a/internal/recording/replay.go
+++ b/internal/recording/replay.go
@@ -10,29 +10,31 @@
 	"winghatch/decide"
 )
 
-// ReplayResult counts what was replayed.
+// ReplayResult counts the events and actions that were replayed.
 type ReplayResult struct {
 	Events, Actions int
-	ByKind          map[string]int  // events and actions by the stored name of their type
-	Truncated       *TruncatedError // where the recording is truncated or damaged; nil: it is complete
+	ByKind          map[string]int  // number of events and actions per stored type name
+	Truncated       *TruncatedError // position of truncation or damage; nil if the recording is complete
 }
 
-// MismatchError reports the first record at which the fresh core returned other actions than were recorded.
+// MismatchError reports the first record for which the new core returned actions other than the recorded
+// ones.
 type MismatchError struct {
-	Record int // from 1, the first behind the header
-	At     time.Duration
+	Record int           // record number; the first one after the header is 1
+	At     time.Duration // time of the event on the recorded gateway's monotonic clock
 	Event  decide.Event
-	Want   []decide.Action // recorded
-	Got    []decide.Action // returned by the fresh core
+	Want   []decide.Action // actions in the recording
+	Got    []decide.Action // actions returned by the new core
 }
 
 func (e *MismatchError) Error() string {
-	return fmt.Sprintf("recording: record %d at %v: %T%+v: the recording has %+v, this core does %+v",
+	return fmt.Sprintf("recording: record %d at %v: event %T%+v: the recording has %+v, this core does %+v",
 		e.Record, e.At, e.Event, e.Event, e.Want, e.Got)
 }
 
-// Replay replays a recording into a fresh core and stops at the first difference, with a *MismatchError. A
-// truncated recording is no error: it is replayed as far as it is intact, and the result says so.
+// Replay replays a recording into a new core. It stops at the first record whose actions differ and returns a
+// *MismatchError. A truncated or damaged recording is not an error: its intact part is replayed and
+// ReplayResult.Truncated tells where it ends.
 func Replay(in io.Reader) (ReplayResult, error) {
 	result := ReplayResult{ByKind: map[string]int{}}
 	reader, err := NewReader(in)
@@ -60,7 +62,7 @@
 	}
 }
 
-// equalActions compares element by element; no actions are equal whether the slice is nil or empty.
+// equalActions compares two lists of actions element by element. A nil slice equals an empty one.
 func equalActions(a, b []decide.Action) bool {
 	if len(a) == 0 && len(b) == 0 {
 		return true
@@ -68,6 +70,7 @@
 	return reflect.DeepEqual(a, b)
 }
 
+// count adds an event and its actions to the result.
 func (r *ReplayResult) count(event decide.Event, actions []decide.Action) {
 	r.Actions += len(actions)
 	r.countKind(event)
@@ -76,6 +79,7 @@
 	}
 }
 
+// countKind adds one event or action to the count of its kind.
 func (r *ReplayResult) countKind(v any) {
 	kind, _ := storedKind(v)
 	r.ByKind[kind]++
--- a/internal/recording/stored_test.go
+++ b/internal/recording/stored_test.go
@@ -12,35 +12,37 @@
 	"testing"
 )
 
-// Recordings of gateways in the field have to stay readable. The files in testdata were written before the types of
-// package decide got their present names; what the format has no more was moved from kinds.tape to removed.tape.
+// Recordings of deployed gateways must stay readable. The files in testdata were written before the types of
+// package decide got their present names. Everything that has since been removed from the format was moved
+// from kinds.tape to removed.tape.
 
-// TestStoredKeys reads a recording that has every kind of event and action with all fields set, and writes it again:
-// the bytes are the same. A field that lost its stored key would be read as zero, or be written under another key.
+// TestStoredKeys reads a recording that contains every kind of event and action with all fields set and
+// writes it again. The bytes must be the same: a field without its stored key would be read as zero or
+// written under another key.
 func TestStoredKeys(t *testing.T) {
 	want, err := os.ReadFile("testdata/kinds.tape")
 	if err != nil {
 		t.Fatal(err)
 	}
-	in, err := NewReader(bytes.NewReader(want))
+	reader, err := NewReader(bytes.NewReader(want))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var got bytes.Buffer
-	out, err := NewWriter(&got, in.Config, in.Seed)
+	writer, err := NewWriter(&got, reader.Config, reader.Seed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	kinds := ReplayResult{ByKind: map[string]int{}}
 	for {
-		record, err := in.Next()
+		record, err := reader.Next()
 		if errors.Is(err, io.EOF) {
 			break
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := out.Write(record.At, record.Event, record.Actions); err != nil {
+		if err := writer.Write(record.At, record.Event, record.Actions); err != nil {
 			t.Fatal(err)
 		}
 		kinds.countKind(record.Event)
@@ -48,57 +50,58 @@
 			kinds.countKind(action)
 		}
 	}
-	if err := out.Flush(); err != nil {
+	if err := writer.Flush(); err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got.Bytes(), want) {
-		t.Errorf("written again:\n%s\nwant:\n%s", got.Bytes(), want)
+		t.Errorf("rewritten recording:\n%s\nwant:\n%s", got.Bytes(), want)
 	}
 	for kind := range eventLoaders {
 		if kinds.ByKind[kind] == 0 {
-			t.Errorf("no event %s in the recording", kind)
+			t.Errorf("the recording contains no event of kind %s", kind)
 		}
 	}
 	for kind := range actionLoaders {
 		if kinds.ByKind[kind] == 0 {
-			t.Errorf("no action %s in the recording", kind)
+			t.Errorf("the recording contains no action of kind %s", kind)
 		}
 	}
 }
 
-// TestRemoved reads what the format once had and no core ever used. The settings in the header of removed.tape are
-// those of kinds.tape and some that no core read: those are ignored, so that earlier recordings stay readable. Its
-// other lines are intact and have kinds of events and actions that no core ever wrote: each is reported as damage like
-// any unknown kind, and not read as something else.
-func TestRemoved(t *testing.T) {
+// TestRemovedKinds reads settings, events and actions that were once part of the format but never used by a
+// core. The header of removed.tape contains the settings of kinds.tape and some that no core read. These must
+// be ignored, so that earlier recordings stay readable. The other lines are intact, but contain kinds of
+// events and actions that no core ever wrote. Each must be reported as damage, as any unknown kind is, and
+// not be read as another kind.
+func TestRemovedKinds(t *testing.T) {
 	raw, err := os.ReadFile("testdata/removed.tape")
 	if err != nil {
 		t.Fatal(err)
 	}
 	lines := strings.SplitAfter(strings.TrimSuffix(string(raw), "\n"), "\n")
 	header, lines := lines[0], lines[1:]
-	known, err := os.Open("testdata/kinds.tape")
+	current, err := os.Open("testdata/kinds.tape")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer known.Close()
-	want, err := NewReader(known)
+	defer current.Close()
+	want, err := NewReader(current)
 	if err != nil {
 		t.Fatal(err)
 	}
 	kinds := []string{"CloseIdle", "Count", "Counted", "FetchList", "Log", "Probe", "ProbeEnded", "Subscribe"}
 	if len(lines) != len(kinds) {
-		t.Fatalf("%d lines behind the header, want %d", len(lines), len(kinds))
+		t.Fatalf("%d lines after the header, want %d", len(lines), len(kinds))
 	}
 	for i, kind := range kinds {
-		in, err := NewReader(strings.NewReader(header + strings.TrimSuffix(lines[i], "\n") + "\n"))
+		reader, err := NewReader(strings.NewReader(header + strings.TrimSuffix(lines[i], "\n") + "\n"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !reflect.DeepEqual(in.Header, want.Header) {
-			t.Fatalf("got header %+v, want %+v", in.Header, want.Header)
+		if !reflect.DeepEqual(reader.Header, want.Header) {
+			t.Fatalf("got header %+v, want %+v", reader.Header, want.Header)
 		}
-		_, err = in.Next()
+		_, err = reader.Next()
 		var truncated *TruncatedError
 		wantReason := fmt.Sprintf("kind %q is not known", kind)
 		if !errors.As(err, &truncated) || truncated.Line != 2 || truncated.Reason != wantReason {
@@ -107,8 +110,8 @@
 	}
 }
 
-// TestStoredRecordings replays recordings of fault scenarios: with quota owners, with changes of plans, and of a
-// gateway that was killed. The core returns the recorded actions.
+// TestStoredRecordings replays recordings from fault scenarios: with quota owners, with plan changes, and
+// with a gateway that was killed. The core must return the recorded actions.
 func TestStoredRecordings(t *testing.T) {
 	for name, want := range map[string]struct{ events, actions int }{
 		"quota-owner": {208, 190},
@@ -121,16 +124,17 @@
 				t.Fatal(err)
 			}
 			defer file.Close()
-			in, err := gzip.NewReader(file)
+			uncompressed, err := gzip.NewReader(file)
 			if err != nil {
 				t.Fatal(err)
 			}
-			got, err := Replay(in)
+			got, err := Replay(uncompressed)
 			if err != nil || got.Truncated != nil {
-				t.Fatalf("%+v, %v", got, err)
+				t.Fatalf("got result %+v, error %v; want a complete recording", got, err)
 			}
 			if got.Events != want.events || got.Actions != want.actions {
-				t.Errorf("%d events and %d actions, want %d and %d", got.Events, got.Actions, want.events, want.actions)
+				t.Errorf("%d events and %d actions, want %d and %d", got.Events, got.Actions, want.events,
+					want.actions)
 			}
 		})
 	}
--- a/internal/recording/wire.go
+++ b/internal/recording/wire.go
@@ -7,10 +7,10 @@
 	"winghatch/decide"
 )
 
-// The stored form of the settings, events and actions of package decide. A stored key never changes, so that
-// recordings of earlier versions stay readable; a field that is renamed in decide keeps its key here. Each type
-// has the fields of its counterpart in decide, in the same order: the conversion between the two does not compile
-// when a field is added there and forgotten here.
+// The types in this file are the stored forms of the settings, events and actions of package decide. A stored
+// key never changes, so that recordings of earlier versions stay readable: a field that is renamed in decide
+// keeps its key here. Most types have the same fields in the same order as their counterparts in decide and
+// are converted directly, so that a field that is added there and forgotten here is a compile-time error.
 
 type storedClass struct {
 	Name             string             `json:"Name"`
@@ -57,8 +57,9 @@
 	OverloadWindow    time.Duration `json:"FallWindow"`
 }
 
-// storedConfig has the keys that a core reads or checks. Headers of earlier versions have some more, which are
-// ignored: Counter, CounterTimeout, Prices, ReportsOnProbe, Subscribe, Limits.Probes, Safety.AskWithin.
+// storedConfig is the stored form of decide.Config, with the keys that a core reads or validates. Headers of
+// earlier versions contain more keys, which are ignored: Counter, CounterTimeout, Prices, ReportsOnProbe,
+// Subscribe, Limits.Probes and Safety.AskWithin.
 type storedConfig struct {
 	Rank              int           `json:"Rank"`
 	Gateways          int           `json:"Gateways"`
@@ -159,7 +160,7 @@
 	}
 )
 
-// convert converts each element; a nil slice stays nil.
+// convert applies convertOne to each element of from. A nil slice stays nil.
 func convert[From, To any](from []From, convertOne func(From) To) []To {
 	if from == nil {
 		return nil
@@ -171,6 +172,7 @@
 	return to
 }
 
+// storeConfig returns the stored form of the settings.
 func storeConfig(c decide.Config) storedConfig {
 	return storedConfig{
 		Rank:              c.Rank,
@@ -187,6 +189,7 @@
 	}
 }
 
+// load returns the settings of a stored form.
 func (c storedConfig) load() decide.Config {
 	return decide.Config{
 		Rank:              c.Rank,
@@ -203,8 +206,8 @@
 	}
 }
 
-// storedKind returns the stored name of an event or an action and its stored form; an empty name for any other
-// value.
+// storedKind returns the stored type name of an event or an action and its stored form. For any other value
+// the name is empty.
 func storedKind(value any) (kind string, stored any) {
 	switch v := value.(type) {
 	case decide.EndpointUpdate:
@@ -240,10 +243,10 @@
 	return "", nil
 }
 
-// loader decodes the stored form of one kind.
+// loader decodes the JSON document of one kind of event or action.
 type loader[T any] func(raw json.RawMessage) (T, error)
 
-// load returns the loader of a kind whose stored form converts to an event or an action.
+// load returns a loader that decodes a Stored value and converts it to an event or an action.
 func load[Stored, T any](convert func(Stored) T) loader[T] {
 	return func(raw json.RawMessage) (T, error) {
 		var s Stored
@@ -252,6 +255,7 @@
 	}
 }
 
+// eventLoaders holds the loader of each kind of event, by its stored type name.
 var eventLoaders = map[string]loader[decide.Event]{
 	"FleetUpdate": load(func(s storedEndpointUpdate) decide.Event {
 		servers := convert(s.Servers, func(v storedServer) decide.Server { return decide.Server(v) })
@@ -259,15 +263,19 @@
 	}),
 	"Request": load(func(s storedRequest) decide.Event { return decide.Request(s) }),
 	"Terms": load(func(s storedPlanChange) decide.Event {
-		return decide.PlanChange{Customer: s.Customer, Plan: decide.Plan(s.Plan), ReturnedUnits: s.ReturnedUnits}
+		return decide.PlanChange{Customer: s.Customer, Plan: decide.Plan(s.Plan),
+			ReturnedUnits: s.ReturnedUnits}
 	}),
 	"AnswerStarted": load(func(s storedResponseStarted) decide.Event { return decide.ResponseStarted(s) }),
 	"AttemptEnded":  load(func(s storedAttemptEnded) decide.Event { return decide.AttemptEnded(s) }),
-	"ClientGone":    load(func(s storedClientDisconnected) decide.Event { return decide.ClientDisconnected(s) }),
-	"TimerFired":    load(func(s storedTimerFired) decide.Event { return decide.TimerFired(s) }),
-	"PeerMessage":   load(func(s storedGossipReceived) decide.Event { return decide.GossipReceived(s) }),
+	"ClientGone": load(func(s storedClientDisconnected) decide.Event {
+		return decide.ClientDisconnected(s)
+	}),
+	"TimerFired":  load(func(s storedTimerFired) decide.Event { return decide.TimerFired(s) }),
+	"PeerMessage": load(func(s storedGossipReceived) decide.Event { return decide.GossipReceived(s) }),
 }
 
+// actionLoaders holds the loader of each kind of action, by its stored type name.
 var actionLoaders = map[string]loader[decide.Action]{
 	"Send":     load(func(s storedSend) decide.Action { return decide.Send(s) }),
 	"Cancel":   load(func(s storedCancel) decide.Action { return decide.Cancel(s) }),
--- a/internal/recording/writer.go
+++ b/internal/recording/writer.go
@@ -12,16 +12,19 @@
 	"winghatch/decide"
 )
 
-// Writer writes a recording. It is not safe for concurrent use.
+// Writer writes a recording through a buffer. It is not safe for concurrent use.
 type Writer struct{ out *bufio.Writer }
 
-// NewWriter writes the header of a recording: the settings and the seed that the recorded core was made with.
+// NewWriter returns a writer to out, after writing the header with the settings and the seed of the recorded
+// core. The header may stay buffered until Flush.
 func NewWriter(out io.Writer, cfg decide.Config, seed int64) (*Writer, error) {
 	w := &Writer{bufio.NewWriterSize(out, bufferBytes)}
 	return w, w.writeLine(storedHeader{formatVersion, seed, storeConfig(cfg)})
 }
 
-// Write adds one event and the actions that it caused. Lines are buffered until Flush.
+// Write adds one event, which the core handled at the time at, and the actions that the core returned. Lines
+// may stay buffered until Flush. Write returns an error if an event or an action has no stored form, or if
+// the underlying writer failed.
 func (w *Writer) Write(at time.Duration, event decide.Event, actions []decide.Action) error {
 	record := storedRecord{At: int64(at)}
 	var err error
@@ -38,11 +41,12 @@
 	return w.writeLine(record)
 }
 
-// Flush passes all buffered lines to the underlying writer.
+// Flush writes all buffered lines to the underlying writer.
 func (w *Writer) Flush() error { return w.out.Flush() }
 
-// writeLine writes a document behind its checksum. Errors of the underlying writer are kept by bufio and
-// returned by the last write.
+// writeLine writes the checksum of a document and the document itself as one line. bufio.Writer keeps the
+// first error of the underlying writer, so the error of the last write covers all three
+// writes.
 func (w *Writer) writeLine(document any) error {
 	raw, err := json.Marshal(document)
 	if err != nil {
@@ -53,6 +57,7 @@
 	return w.out.WriteByte('\n')
 }
 
+// storeValue encodes an event or an action together with its kind.
 func storeValue(v any) (storedValue, error) {
 	kind, stored := storedKind(v)
 	if kind == "" {
