--- a/internal/wal/cursor.go
+++ b/internal/wal/cursor.go
@@ -7,20 +7,22 @@
 
 // Cursor reads durable records in order while the log is written. It is not safe for concurrent use.
 type Cursor struct {
-	// OnGap is called with records that are missing, unless it is nil.
+	// OnGap, unless nil, is called by Next for each gap of missing records.
 	OnGap func(Gap)
 
 	log     *Log
-	next    uint64 // number of the next record
-	file    io.Closer
-	segment segment // of the file
+	next    uint64    // number of the next record to return
+	file    io.Closer // nil if no segment is open
+	segment segment   // the segment that file reads
 	reader  *segmentReader
 }
 
-// NewCursor returns a cursor before the record of that number. Close closes its file.
+// NewCursor returns a cursor whose next record is the one with the number from; 0 means record 1. The caller
+// must close the cursor to release its file.
 func (l *Log) NewCursor(from uint64) *Cursor { return &Cursor{log: l, next: max(from, 1)} }
 
-// Next returns the next durable record; ok is false where there is none yet. The payload is valid until the next call.
+// Next returns the next durable record. If there is none yet, ok is false. The payload is valid until the
+// next call. An error means that a segment could not be opened or read.
 func (c *Cursor) Next() (r Record, ok bool, err error) {
 	last := c.log.LastDurable()
 	for c.next <= last {
@@ -29,7 +31,7 @@
 				return Record{}, false, err
 			}
 		}
-		// The next record is durable, so what is none on the way to it is damage, not a write under way.
+		// The next record is durable, so invalid bytes before it are damage and not a write in progress.
 		r, _, ok, err := c.reader.read()
 		switch {
 		case err != nil:
@@ -52,7 +54,7 @@
 	return Record{}, false, nil
 }
 
-// open opens the segment that should hold the next record; false: there are no segments.
+// open opens the segment that should contain the next record. It returns false if the log has no segments.
 func (c *Cursor) open() (bool, error) {
 	c.log.mu.Lock()
 	var found *segment
@@ -68,6 +70,7 @@
 	return true, c.openSegment(*found)
 }
 
+// openSegment closes the open segment and opens another one, reusing the read buffer.
 func (c *Cursor) openSegment(s segment) error {
 	f, err := c.log.options.FS.Open(filepath.Join(c.log.dir, s.name))
 	if err != nil {
@@ -82,8 +85,9 @@
 	return c.reader.start()
 }
 
-// advance goes on at the end of a segment; false: there is nothing more yet. The current segment grows, and only ends
-// where another one was begun.
+// advance continues at the end of the open segment: it reads more of this segment, or opens the next one. It
+// returns false if there is no more data yet. The newest segment may still grow; a segment is complete only
+// once a newer one exists.
 func (c *Cursor) advance() bool {
 	c.log.mu.Lock()
 	var next *segment
@@ -94,16 +98,17 @@
 		}
 	}
 	c.log.mu.Unlock()
-	n, err := c.reader.fill()
-	if next == nil || err != nil || n > 0 {
+	bytesRead, err := c.reader.fill()
+	if next == nil || err != nil || bytesRead > 0 {
 		c.reader.atEnd = false
-		return err == nil && n > 0
+		return err == nil && bytesRead > 0
 	}
-	// Filled once more after the new segment was seen, the one before it is read to its end.
+	// A read after the newer segment was found returned no data, so the open segment has been read
+	// completely.
 	return c.openSegment(*next) == nil
 }
 
-// Close closes the file. Next opens it again.
+// Close closes the open segment, if any. Next opens it again.
 func (c *Cursor) Close() {
 	if c.file != nil {
 		c.file.Close()
--- a/internal/wal/faultdisk_test.go
+++ b/internal/wal/faultdisk_test.go
@@ -11,28 +11,31 @@
 	"time"
 )
 
-// faultDisk is a file system in memory that loses what was not synced in a crash, and fails as set.
+// faultDisk is an in-memory FS for fault injection. A simulated crash loses data that was not synced, and
+// operations fail as configured.
 type faultDisk struct {
 	mu             sync.Mutex
 	files          map[string]*content
-	durableNames   map[string]*content // that a crash leaves
-	spaceLeft      int                 // bytes; -1: no bound
-	operationsLeft int                 // until the process is killed; -1: it is not
-	failSync       bool
-	ignoreSync     bool // planted fault: a sync does nothing and reports success
+	durableNames   map[string]*content // files whose names survive a crash
+	spaceLeft      int                 // free space in bytes; -1 means unlimited
+	operationsLeft int                 // operations before the process is killed; -1 means unlimited
+	failSync       bool                // Sync fails
+	ignoreSync     bool                // injected fault: Sync reports success but does nothing
 }
 
+// content is the content of a file.
 type content struct {
 	data   []byte
-	synced int
+	synced int // length of the synced prefix of data
 }
 
 func newFaultDisk() *faultDisk {
-	return &faultDisk{files: map[string]*content{}, durableNames: map[string]*content{}, spaceLeft: -1, operationsLeft: -1}
+	return &faultDisk{files: map[string]*content{}, durableNames: map[string]*content{}, spaceLeft: -1,
+		operationsLeft: -1}
 }
 
-// ended counts an operation and reports whether the process was killed before it; mu is held.
-func (d *faultDisk) ended() bool {
+// killed counts an operation and reports whether the process was killed before it. The caller holds mu.
+func (d *faultDisk) killed() bool {
 	if d.operationsLeft > 0 {
 		d.operationsLeft--
 		return false
@@ -40,9 +43,10 @@
 	return d.operationsLeft == 0
 }
 
+// openFile is a File of a faultDisk.
 type openFile struct {
-	d *faultDisk
-	c *content
+	disk    *faultDisk
+	content *content
 }
 
 func (d *faultDisk) Create(name string) (File, error) {
@@ -51,7 +55,7 @@
 	if d.files[name] != nil {
 		return nil, os.ErrExist
 	}
-	if d.spaceLeft == 0 || d.ended() {
+	if d.spaceLeft == 0 || d.killed() {
 		return nil, syscall.ENOSPC
 	}
 	c := &content{}
@@ -59,38 +63,39 @@
 	return &openFile{d, c}, nil
 }
 
-func (h *openFile) Write(b []byte) (int, error) {
-	h.d.mu.Lock()
-	defer h.d.mu.Unlock()
-	if h.d.ended() {
+func (f *openFile) Write(b []byte) (int, error) {
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	if f.disk.killed() {
 		return 0, syscall.EIO
 	}
 	n := len(b)
 	var err error
-	if h.d.spaceLeft >= 0 && n > h.d.spaceLeft {
-		n, err = h.d.spaceLeft, syscall.ENOSPC // a short write
+	if f.disk.spaceLeft >= 0 && n > f.disk.spaceLeft {
+		n, err = f.disk.spaceLeft, syscall.ENOSPC // a short write
 	}
-	if h.d.spaceLeft >= 0 {
-		h.d.spaceLeft -= n
+	if f.disk.spaceLeft >= 0 {
+		f.disk.spaceLeft -= n
 	}
-	h.c.data = append(h.c.data, b[:n]...)
+	f.content.data = append(f.content.data, b[:n]...)
 	return n, err
 }
 
-func (h *openFile) Sync() error {
-	h.d.mu.Lock()
-	defer h.d.mu.Unlock()
-	if h.d.failSync || h.d.ended() {
+func (f *openFile) Sync() error {
+	f.disk.mu.Lock()
+	defer f.disk.mu.Unlock()
+	if f.disk.failSync || f.disk.killed() {
 		return syscall.EIO
 	}
-	if !h.d.ignoreSync {
-		h.c.synced = len(h.c.data)
+	if !f.disk.ignoreSync {
+		f.content.synced = len(f.content.data)
 	}
 	return nil
 }
 
-func (h *openFile) Close() error { return nil }
+func (f *openFile) Close() error { return nil }
 
+// reader is a file open for reading.
 type reader struct{ *bytes.Reader }
 
 func (reader) Close() error { return nil }
@@ -108,7 +113,7 @@
 func (d *faultDisk) Rename(from, to string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.ended() {
+	if d.killed() {
 		return syscall.EIO
 	}
 	d.files[to] = d.files[from]
@@ -122,7 +127,7 @@
 	if d.files[name] == nil {
 		return os.ErrNotExist
 	}
-	if d.ended() {
+	if d.killed() {
 		return syscall.EIO
 	}
 	delete(d.files, name)
@@ -132,16 +137,17 @@
 func (d *faultDisk) SyncDir(string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.ended() {
+	if d.killed() {
 		return syscall.EIO
 	}
 	clear(d.durableNames)
-	for k, v := range d.files {
-		d.durableNames[k] = v
+	for name, c := range d.files {
+		d.durableNames[name] = c
 	}
 	return nil
 }
 
+// dirEntry is the os.DirEntry and the os.FileInfo of a file.
 type dirEntry struct {
 	name string
 	size int64
@@ -156,25 +162,25 @@
 func (e dirEntry) ModTime() time.Time         { return time.Time{} }
 func (e dirEntry) Sys() any                   { return nil }
 
-func (d *faultDisk) List(string) (out []os.DirEntry, err error) {
+func (d *faultDisk) List(string) (entries []os.DirEntry, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for k, v := range d.files {
-		out = append(out, dirEntry{filepath.Base(k), int64(len(v.data))})
+	for name, c := range d.files {
+		entries = append(entries, dirEntry{filepath.Base(name), int64(len(c.data))})
 	}
-	return out, nil
+	return entries, nil
 }
 
-// crash is what a crash of the machine leaves: the synced bytes of synced names, and up to tail bytes more of each
-// file.
+// crash returns the file system as a crash of the machine leaves it: of each file whose name was synced, the
+// synced bytes and up to tail more bytes.
 func (d *faultDisk) crash(tail int) *faultDisk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	out := newFaultDisk()
-	for k, c := range d.durableNames {
+	after := newFaultDisk()
+	for name, c := range d.durableNames {
 		n := min(len(c.data), c.synced+tail)
-		v := &content{slices.Clone(c.data[:n]), n}
-		out.files[k], out.durableNames[k] = v, v
+		kept := &content{slices.Clone(c.data[:n]), n}
+		after.files[name], after.durableNames[name] = kept, kept
 	}
-	return out
+	return after
 }
--- a/internal/wal/filesystem.go
+++ b/internal/wal/filesystem.go
@@ -5,9 +5,9 @@
 	"os"
 )
 
-// FS is what the log needs of a file system. Tests put one in its place that fails.
+// FS provides the file operations that a log needs. Tests substitute an implementation that injects failures.
 type FS interface {
-	Create(name string) (File, error) // for writing; the file must not exist
+	Create(name string) (File, error) // opens a new file for writing; fails if the file exists
 	Open(name string) (io.ReadSeekCloser, error)
 	Rename(from, to string) error
 	Remove(name string) error
@@ -15,17 +15,17 @@
 	List(dir string) ([]os.DirEntry, error)
 }
 
-// File is a file being written.
+// File is a file that is open for writing.
 type File interface {
 	Write([]byte) (int, error)
 	Sync() error
 	Close() error
 }
 
-// Disk is the real file system.
+// Disk is the FS of the operating system.
 type Disk struct{}
 
-// Create opens a new file for writing.
+// Create creates a file and opens it for writing. It fails if the file exists.
 func (Disk) Create(name string) (File, error) {
 	return os.OpenFile(name, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 }
@@ -39,7 +39,7 @@
 // Remove removes a file.
 func (Disk) Remove(name string) error { return os.Remove(name) }
 
-// List lists a directory.
+// List returns the entries of a directory, sorted by name.
 func (Disk) List(dir string) ([]os.DirEntry, error) { return os.ReadDir(dir) }
 
 // SyncDir makes the names in a directory durable.
@@ -52,11 +52,11 @@
 	return d.Sync()
 }
 
-// createFile writes a file under another name, syncs it and then gives it its name, so that after a crash the file has
-// all of its content or does not exist. It stays open.
+// createFile writes content to a temporary file, syncs it and renames it to path, so that a crash never
+// leaves an incomplete file at path. It returns the open file.
 func createFile(fs FS, dir, path string, content []byte) (File, error) {
 	temporary := path + ".new"
-	fs.Remove(temporary) // left by a crash
+	fs.Remove(temporary) // may be left over from a crash
 	f, err := fs.Create(temporary)
 	if err != nil {
 		return nil, err
@@ -79,6 +79,7 @@
 	return f, nil
 }
 
+// writeAll writes b and returns io.ErrShortWrite if only a part of it was written.
 func writeAll(f File, b []byte) error {
 	n, err := f.Write(b)
 	if err == nil && n < len(b) {
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// ErrFull says that Options.MaxBytes is reached.
-var ErrFull = errors.New("wal: the bound on its disk is reached")
+// ErrFull is returned by Append when the record would exceed Options.MaxBytes.
+var ErrFull = errors.New("wal: log has reached its size limit")
 
-// ErrBusy says that Options.MaxPendingBytes wait for the disk.
-var ErrBusy = errors.New("wal: too much waits for the disk")
+// ErrBusy is returned by Append when the records waiting to be written would exceed Options.MaxPendingBytes.
+var ErrBusy = errors.New("wal: too many bytes are waiting to be written")
 
-// ErrClosed says that the log was closed.
-var ErrClosed = errors.New("wal: closed")
+// ErrClosed is returned by methods of a closed log.
+var ErrClosed = errors.New("wal: log is closed")
 
-// ErrLocked says that another process has the log open.
-var ErrLocked = errors.New("wal: another process has this log")
+// ErrLocked is wrapped by the error of Open when another process has the log open.
+var ErrLocked = errors.New("log is locked by another process")
 
 // Log is an open log. All methods are safe for concurrent use.
 type Log struct {
@@ -27,32 +27,34 @@
 	options Options
 	lock    *os.File
 
-	mu          sync.Mutex // guards the fields from here to changed
-	nextNumber  uint64     // of the next record
-	pending     []byte     // records that the writer has not taken yet
-	lastPending uint64     // number of the last record appended
-	segments    []segment  // the last one is being written, unless the log fails
-	snapshots   []snapshotFile
-	totalBytes  int64  // of all files
-	lastDurable uint64 // all records up to it are durable
-	failure     error  // while the log does not work
+	mu          sync.Mutex     // guards the fields from here to changed
+	nextNumber  uint64         // number of the next record to be appended
+	pending     []byte         // encoded records that the writer has not picked up yet
+	lastPending uint64         // number of the last record appended
+	segments    []segment      // in order of record numbers; the last one is written unless failure is set
+	snapshots   []snapshotFile // in order of record numbers
+	totalBytes  int64          // size of all segments and snapshots
+	lastDurable uint64         // number of the last record up to which all records are durable
+	failure     error          // why the log cannot be written; nil if it can
 	closed      bool
 	changed     chan struct{} // closed and replaced when lastDurable or failure changes
 
-	wake   chan struct{} // tells the writer that there is work
-	done   chan struct{} // closed when the writer has ended
-	writer writer        // used by the writer goroutine only, once Open has returned
+	wake   chan struct{} // signals the writer goroutine that there is work
+	done   chan struct{} // closed when the writer goroutine has ended
+	writer writer        // after Open has returned, used only by the writer goroutine
 
-	snapshotMu      sync.Mutex // one snapshot at a time
-	snapshotRunning atomic.Bool
-	snapshotWG      sync.WaitGroup // goroutines of SnapshotAsync
+	snapshotMu      sync.Mutex     // serializes Snapshot
+	snapshotRunning atomic.Bool    // set while a SnapshotAsync is running
+	snapshotWG      sync.WaitGroup // counts the goroutines of SnapshotAsync
 }
 
-// Open recovers a log and goes on behind it in a new segment. It calls begin, unless that is nil, with the snapshot and
-// then take, unless that is nil, with each record behind it. Payloads are valid during the call only. A disk that can't
-// be written is no error: the log tries again, as after any failure. Errors wrap ErrLocked where another process has
-// the log, and what begin and take return.
-func Open(dir string, o Options, begin func(*Recovery) error, take func(Record) error) (*Log, *Recovery, error) {
+// Open recovers the log in the directory dir, creating it if necessary, and starts a new segment after its
+// last record. It calls restoreSnapshot, unless nil, with the recovered snapshot, and then restoreRecord,
+// unless nil, with each record after that snapshot. Payloads are valid only during the call. A disk that
+// cannot be written is not an error: the log retries, as after any write failure. Errors wrap ErrLocked if
+// another process has the log open, and any error that restoreSnapshot or restoreRecord returns.
+func Open(dir string, o Options, restoreSnapshot func(*Recovery) error, restoreRecord func(Record) error) (
+	*Log, *Recovery, error) {
 	lock, err := lockDir(dir)
 	if err != nil {
 		return nil, nil, err
@@ -65,22 +67,24 @@
 		wake:    make(chan struct{}, 1),
 		done:    make(chan struct{}),
 	}
-	rec, err := l.recover(begin, take)
+	recovery, err := l.recover(restoreSnapshot, restoreRecord)
 	if err != nil {
 		lock.Close()
-		return nil, nil, fmt.Errorf("%s: %w", dir, err)
+		return nil, nil, fmt.Errorf("wal: recover %s: %w", dir, err)
 	}
-	l.nextNumber, l.lastPending, l.lastDurable = rec.LastRecord+1, rec.LastRecord, rec.LastRecord
-	l.writer.firstUnsynced = rec.LastRecord + 1
+	l.nextNumber, l.lastPending, l.lastDurable =
+		recovery.LastRecord+1, recovery.LastRecord, recovery.LastRecord
+	l.writer.firstUnsynced = recovery.LastRecord + 1
 	if err := l.startSegment(); err != nil {
 		l.setFailure(err)
 	}
 	go l.run()
-	return l, rec, nil
+	return l, recovery, nil
 }
 
-// Close writes what waits, ends the writer and waits for a snapshot under way. It returns why the log does not work, if
-// it does not. Further calls wait for the writer only.
+// Close writes all pending records, stops the writer goroutine and waits for a running SnapshotAsync. If the
+// log cannot be written, Close returns the reason. Further calls only wait for the writer goroutine and
+// return nil.
 func (l *Log) Close() error {
 	l.mu.Lock()
 	if l.closed {
@@ -97,11 +101,12 @@
 	return l.err()
 }
 
-// Append adds a record and returns its number, without waiting for the disk: Options.OnDurable tells when the record is
-// durable. The payload is copied. Errors are ErrFull, ErrBusy, ErrClosed, or that the payload is longer than MaxRecord.
+// Append adds a record and returns its number without waiting for the disk; Options.OnDurable reports when
+// the record is durable. The payload is copied. It returns ErrFull, ErrBusy or ErrClosed, or an error if the
+// payload is longer than MaxRecord.
 func (l *Log) Append(payload []byte) (uint64, error) {
 	if len(payload) > MaxRecord {
-		return 0, fmt.Errorf("wal: record of %d bytes, want %d at most", len(payload), MaxRecord)
+		return 0, fmt.Errorf("wal: record of %d bytes exceeds the limit of %d bytes", len(payload), MaxRecord)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -123,6 +128,7 @@
 	return number, nil
 }
 
+// wakeWriter signals the writer goroutine that there is work. It never blocks.
 func (l *Log) wakeWriter() {
 	select {
 	case l.wake <- struct{}{}:
@@ -130,42 +136,43 @@
 	}
 }
 
-// NextNumber is the number that the next record gets.
+// NextNumber returns the number that the next appended record gets.
 func (l *Log) NextNumber() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.nextNumber
 }
 
-// LastDurable is the last record up to which all are durable.
+// LastDurable returns the number of the last record up to which all records are durable; 0 if there is none.
 func (l *Log) LastDurable() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lastDurable
 }
 
-// Size is how many bytes the files take.
+// Size returns the total size of the segments and snapshots in bytes.
 func (l *Log) Size() int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.totalBytes
 }
 
-// err is why the log does not work, or nil.
+// err returns why the log cannot be written, or nil if it can.
 func (l *Log) err() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.failure
 }
 
-// Sync waits until all that was appended is durable, as the mode has it. It fails if the log does, if it was closed
-// before, or after a timeout.
+// Sync waits until all records appended before the call are durable as defined by the mode. It returns an
+// error if the log cannot be written, if it was closed before the records became durable, or after the
+// timeout.
 func (l *Log) Sync(timeout time.Duration) error { return l.waitDurable(l.NextNumber()-1, timeout) }
 
-// waitDurable waits until a record is durable.
+// waitDurable waits until a record is durable; its errors are those of Sync.
 func (l *Log) waitDurable(number uint64, timeout time.Duration) error {
-	alarm := time.NewTimer(timeout)
-	defer alarm.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	for {
 		l.mu.Lock()
 		durable, failure, changed := l.lastDurable, l.failure, l.changed
@@ -182,13 +189,13 @@
 			if l.LastDurable() < number {
 				return ErrClosed
 			}
-		case <-alarm.C:
-			return fmt.Errorf("wal: record %d is not durable within %v", number, timeout)
+		case <-timer.C:
+			return fmt.Errorf("wal: record %d did not become durable within %v", number, timeout)
 		}
 	}
 }
 
-// notifyWaiters wakes the goroutines in waitDurable; mu is held.
+// notifyWaiters wakes the goroutines in waitDurable. The caller holds mu.
 func (l *Log) notifyWaiters() {
 	close(l.changed)
 	l.changed = make(chan struct{})
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -8,18 +8,19 @@
 
 const (
 	recordHeaderBytes   = 20
-	recordChecksumStart = 12 // length and number are before it
+	recordChecksumStart = 12 // offset of the checksum, which follows the length and the number
 
-	// MaxRecord is the longest payload of a record, in bytes.
+	// MaxRecord is the maximum length of a record's payload in bytes.
 	MaxRecord = 1 << 20
 )
 
 // Record is one entry of the log.
 type Record struct {
-	Number  uint64
+	Number  uint64 // position in the log, starting at 1
 	Payload []byte
 }
 
+// appendRecord appends an encoded record to dst.
 func appendRecord(dst []byte, number uint64, payload []byte) []byte {
 	start := len(dst)
 	dst = binary.LittleEndian.AppendUint32(dst, uint32(len(payload)))
@@ -28,7 +29,8 @@
 	return append(dst, payload...)
 }
 
-// parseRecord reads a record at the front of b. more is set where b is too short to tell whether there is one.
+// parseRecord decodes the record at the start of b and returns its encoded size in bytes. ok tells whether
+// there is a valid record; more tells that b is too short to decide this.
 func parseRecord(b []byte) (r Record, size int, more, ok bool) {
 	if len(b) < recordHeaderBytes {
 		return r, 0, true, false
@@ -51,10 +53,10 @@
 	return r, size, false, true
 }
 
-// checksum is the XXH64 of a header and a payload.
+// checksum returns the XXH64 checksum of a header followed by a payload.
 func checksum(header, payload []byte) uint64 {
-	d := xxhash.New()
-	d.Write(header)
-	d.Write(payload)
-	return d.Sum64()
+	digest := xxhash.New()
+	digest.Write(header)
+	digest.Write(payload)
+	return digest.Sum64()
 }
--- a/internal/wal/segment.go
+++ b/internal/wal/segment.go
@@ -16,47 +16,54 @@
 const (
 	segmentMagic         = "WHL1"
 	segmentHeaderBytes   = 24
-	segmentChecksumStart = 16
+	segmentChecksumStart = 16 // offset of the checksum in the header
 
-	nameDigits   = 20
+	nameDigits   = 20 // digits of the record number in a file name
 	segmentExt   = "log"
 	snapshotExt  = "snap"
-	readAtOnce   = 128 << 10 // bytes
-	zeroMagicPad = "\x00\x00\x00\x00"
+	readBytes    = 128 << 10 // bytes requested from a file in one read
+	magicPadding = "\x00\x00\x00\x00"
 )
 
+// segment describes a segment file.
 type segment struct {
-	name        string
-	firstRecord uint64
-	size        int64 // bytes
+	name        string // file name
+	firstRecord uint64 // number of its first record
+	size        int64  // size in bytes
 }
 
+// snapshotFile describes a snapshot file.
 type snapshotFile struct {
-	record uint64 // last one that it covers
-	size   int64  // bytes
+	record uint64 // number of the last record that it covers
+	size   int64  // size in bytes
 }
 
+// segmentName returns the file name of the segment that starts with a record.
 func segmentName(number uint64) string {
 	return fmt.Sprintf("%0*d.%s", nameDigits, number, segmentExt)
 }
 
+// snapshotName returns the file name of the snapshot that covers all records up to a number.
 func snapshotName(number uint64) string {
 	return fmt.Sprintf("%0*d.%s", nameDigits, number, snapshotExt)
 }
 
+// appendSegmentHeader appends an encoded segment header to dst.
 func appendSegmentHeader(dst []byte, firstRecord uint64) []byte {
 	start := len(dst)
-	dst = append(dst, segmentMagic+zeroMagicPad...)
+	dst = append(dst, segmentMagic+magicPadding...)
 	dst = binary.LittleEndian.AppendUint64(dst, firstRecord)
 	return binary.LittleEndian.AppendUint64(dst, xxhash.Sum64(dst[start:]))
 }
 
+// validSegmentHeader reports whether b starts with an undamaged segment header.
 func validSegmentHeader(b []byte) bool {
 	return len(b) >= segmentHeaderBytes && string(b[:len(segmentMagic)]) == segmentMagic &&
 		xxhash.Sum64(b[:segmentChecksumStart]) == binary.LittleEndian.Uint64(b[segmentChecksumStart:])
 }
 
-// listFiles lists the segments and snapshots of a directory by their numbers.
+// listFiles returns the segments and snapshots of a directory, each sorted by record number. It ignores other
+// files.
 func listFiles(fs FS, dir string) (segments []segment, snapshots []snapshotFile, err error) {
 	entries, err := fs.List(dir)
 	if err != nil {
@@ -83,19 +90,20 @@
 	return segments, snapshots, nil
 }
 
-// segmentReader reads the records of a segment and skips what is none.
+// segmentReader reads the records of a segment and skips bytes that do not form a valid record.
 type segmentReader struct {
 	file     io.Reader
 	buffer   []byte
-	next     int   // in buffer, of what is read next
-	base     int64 // of buffer in the file
-	atEnd    bool  // the file has no more than buffer
-	lastSize int   // of the last record, in bytes
-	torn     int64 // bytes since the last record that are none
-	skipped  int64 // bytes before the last record that are none
+	next     int   // offset in buffer of the next byte to parse
+	base     int64 // offset in the file of the start of buffer
+	atEnd    bool  // the last read returned no data
+	lastSize int   // encoded size in bytes of the record returned last
+	torn     int64 // invalid bytes after the record returned last
+	skipped  int64 // invalid bytes before the record returned last
 }
 
-// start reads the front of the segment. A damaged header is skipped as other damage is.
+// start reads the beginning of the segment and steps over its header. A damaged header is skipped by read
+// like other damage.
 func (r *segmentReader) start() error {
 	if _, err := r.fill(); err != nil {
 		return err
@@ -106,8 +114,8 @@
 	return nil
 }
 
-// read returns the next record and its offset in the file; ok is false at the end. The payload is valid until the next
-// call.
+// read returns the next record and its offset in the file in bytes. At the end of the file, ok is false. The
+// payload is valid until the next call.
 func (r *segmentReader) read() (rec Record, at int64, ok bool, err error) {
 	for {
 		rec, size, more, ok := parseRecord(r.buffer[r.next:])
@@ -120,13 +128,14 @@
 			r.torn = 0
 			return rec, at, true, nil
 		case more && !r.atEnd:
-			n, err := r.fill()
+			bytesRead, err := r.fill()
 			if err != nil {
 				return Record{}, 0, false, err
 			}
-			r.atEnd = n == 0
+			r.atEnd = bytesRead == 0
 		case r.next < len(r.buffer):
-			// A damaged length can't be stepped over: the next record may begin at any byte.
+			// The length may be damaged, so it cannot be used to find the next record, which may start at any
+			// byte.
 			r.torn++
 			r.next++
 		default:
@@ -135,18 +144,19 @@
 	}
 }
 
-// unread puts the last record back, to be read again.
+// unread makes the next read return the last record again.
 func (r *segmentReader) unread() { r.next -= r.lastSize }
 
-// fill reads on in the file and returns how many bytes came.
+// fill drops the parsed bytes from the buffer, reads more of the file into it and returns the number of bytes
+// read.
 func (r *segmentReader) fill() (int, error) {
 	r.buffer = append(r.buffer[:0], r.buffer[r.next:]...)
 	r.base += int64(r.next)
 	r.next = 0
-	if cap(r.buffer)-len(r.buffer) < readAtOnce {
-		r.buffer = slices.Grow(r.buffer, max(readAtOnce, len(r.buffer)))
+	if cap(r.buffer)-len(r.buffer) < readBytes {
+		r.buffer = slices.Grow(r.buffer, max(readBytes, len(r.buffer)))
 	}
-	n, err := io.ReadFull(r.file, r.buffer[len(r.buffer):len(r.buffer)+readAtOnce])
+	n, err := io.ReadFull(r.file, r.buffer[len(r.buffer):len(r.buffer)+readBytes])
 	r.buffer = r.buffer[:len(r.buffer)+n]
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
 		err = nil
@@ -154,9 +164,9 @@
 	return n, err
 }
 
-// scanSegment calls take for each record of a segment, in the order of the file, with the offsets of its begin and its
-// end. It returns how many bytes at the end are no record, and how many before that.
-func scanSegment(f io.Reader, take func(r Record, from, to int64) error) (torn, skipped int64, err error) {
+// scanSegment calls visit for each record of a segment in file order, with the offsets of its start and its
+// end. It returns the number of invalid bytes after the last record (torn) and before it (skipped).
+func scanSegment(f io.Reader, visit func(r Record, from, to int64) error) (torn, skipped int64, err error) {
 	reader := &segmentReader{file: f}
 	if err := reader.start(); err != nil {
 		return 0, 0, err
@@ -166,7 +176,7 @@
 		if err != nil || !ok {
 			return reader.torn, reader.skipped, err
 		}
-		if err := take(r, at, at+int64(reader.lastSize)); err != nil {
+		if err := visit(r, at, at+int64(reader.lastSize)); err != nil {
 			return 0, reader.skipped, err
 		}
 	}
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -12,24 +12,27 @@
 const (
 	snapshotMagic         = "WHS1"
 	snapshotHeaderBytes   = 32
-	snapshotChecksumStart = 24
+	snapshotChecksumStart = 24 // offset of the checksum in the header
 
-	// snapshotTimeout is how long a snapshot waits for the records that it covers: on a disk that fails it must not hold
-	// up the next one, or Close, for good.
+	// snapshotTimeout limits how long a snapshot waits for the records that it covers to become durable.
+	// Without it, a failing disk would block the next snapshot or Close forever.
 	snapshotTimeout = 10 * time.Second
-	// snapshotsKept is how many snapshots are kept: the newest may turn out damaged.
+	// snapshotsKept is the number of snapshots kept on disk. It is more than one because the newest may be
+	// damaged.
 	snapshotsKept = 2
 )
 
+// encodeSnapshot returns the content of a snapshot file.
 func encodeSnapshot(number uint64, payload []byte) []byte {
-	b := []byte(snapshotMagic + zeroMagicPad)
+	b := []byte(snapshotMagic + magicPadding)
 	b = binary.LittleEndian.AppendUint64(b, number)
 	b = binary.LittleEndian.AppendUint64(b, uint64(len(payload)))
 	b = binary.LittleEndian.AppendUint64(b, checksum(b, payload))
 	return append(b, payload...)
 }
 
-// readSnapshot reads the payload of a snapshot; any damage is an error.
+// readSnapshot returns the payload of the snapshot that covers all records up to number. Any damage is an
+// error.
 func readSnapshot(fs FS, dir string, number uint64) ([]byte, error) {
 	f, err := fs.Open(filepath.Join(dir, snapshotName(number)))
 	if err != nil {
@@ -43,18 +46,19 @@
 	if len(b) < snapshotHeaderBytes || string(b[:len(snapshotMagic)]) != snapshotMagic ||
 		binary.LittleEndian.Uint64(b[8:]) != number ||
 		binary.LittleEndian.Uint64(b[16:]) != uint64(len(b)-snapshotHeaderBytes) {
-		return nil, errors.New("header is damaged, or the file is cut short")
+		return nil, errors.New("header is damaged or file is truncated")
 	}
 	payload := b[snapshotHeaderBytes:]
 	if checksum(b[:snapshotChecksumStart], payload) != binary.LittleEndian.Uint64(b[snapshotChecksumStart:]) {
-		return nil, errors.New("checksum is wrong")
+		return nil, errors.New("checksum does not match")
 	}
 	return payload, nil
 }
 
-// Snapshot stores the owner's state as of a record, so that a recovery begins there, and removes segments that neither
-// it, nor the snapshot before it, nor Options.RetainFrom needs. It waits until the record is durable: a crash would
-// otherwise leave a state that is ahead of its log, and the records that are appended then would count as covered.
+// Snapshot stores the owner's state as of a record, so that recovery starts from there. It then removes the
+// segments that are needed neither by this snapshot, nor by the previous one, nor by Options.RetainFrom. It
+// first waits until the record is durable. Otherwise a crash could leave a state that is ahead of its log,
+// and records appended after the crash would be treated as covered by the snapshot.
 func (l *Log) Snapshot(number uint64, state []byte) error {
 	l.snapshotMu.Lock()
 	defer l.snapshotMu.Unlock()
@@ -70,20 +74,20 @@
 		return fmt.Errorf("wal: snapshot of record %d: %w", number, err)
 	}
 	l.mu.Lock()
-	before := uint64(0)
+	previous := uint64(0)
 	if n := len(l.snapshots); n > 0 {
-		before = l.snapshots[n-1].record
+		previous = l.snapshots[n-1].record
 	}
-	if before != number {
+	if previous != number {
 		l.snapshots = append(l.snapshots, snapshotFile{number, int64(len(content))})
 		l.totalBytes += int64(len(content))
 	}
 	l.mu.Unlock()
-	return l.removeCovered(before)
+	return l.removeCovered(previous)
 }
 
-// SnapshotAsync does what Snapshot does in a goroutine of its own and then calls done with the result; false: a
-// snapshot is under way, and nothing was done. Close waits for it.
+// SnapshotAsync runs Snapshot in a new goroutine and calls done with the result. If another SnapshotAsync is
+// still running, it does nothing and returns false. Close waits for the goroutine to end.
 func (l *Log) SnapshotAsync(number uint64, state []byte, done func(error)) bool {
 	if !l.snapshotRunning.CompareAndSwap(false, true) {
 		return false
@@ -98,38 +102,39 @@
 	return true
 }
 
-// removeCovered removes the segments of which the snapshot of that number covers all records, and old snapshots. It
-// returns the first error; what could not be removed still counts in the size of the log.
+// removeCovered removes the segments whose records are all covered by the snapshot with the given number, and
+// snapshots that are no longer kept. It returns the first error of removing a segment. A segment that could
+// not be removed still counts towards the size of the log.
 func (l *Log) removeCovered(number uint64) error {
 	segments, snapshots := l.takeCovered(number)
-	var first error
-	removed := int64(0)
+	var firstErr error
+	removedBytes := int64(0)
 	for _, s := range segments {
-		if err := l.options.FS.Remove(filepath.Join(l.dir, s.name)); err != nil && first == nil {
-			first = err
+		if err := l.options.FS.Remove(filepath.Join(l.dir, s.name)); err != nil && firstErr == nil {
+			firstErr = err
 			continue
 		}
-		removed += s.size
+		removedBytes += s.size
 	}
 	for _, s := range snapshots {
 		l.options.FS.Remove(filepath.Join(l.dir, snapshotName(s.record)))
-		removed += s.size
+		removedBytes += s.size
 	}
 	l.mu.Lock()
-	l.totalBytes -= removed
+	l.totalBytes -= removedBytes
 	l.mu.Unlock()
-	return first
+	return firstErr
 }
 
-// takeCovered takes what removeCovered removes off the lists of files.
+// takeCovered removes from the lists of files those that removeCovered has to delete, and returns them.
 func (l *Log) takeCovered(number uint64) (segments []segment, snapshots []snapshotFile) {
-	needed := number + 1
+	firstNeeded := number + 1
 	if l.options.RetainFrom != nil {
-		needed = min(needed, l.options.RetainFrom())
+		firstNeeded = min(firstNeeded, l.options.RetainFrom())
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for len(l.segments) > 1 && l.segments[1].firstRecord <= needed {
+	for len(l.segments) > 1 && l.segments[1].firstRecord <= firstNeeded {
 		segments = append(segments, l.segments[0])
 		l.segments = l.segments[1:]
 	}
--- a/internal/wal/stored_test.go
+++ b/internal/wal/stored_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// storedPayload is the payload of a record of testdata/log.
+// storedPayload returns the payload of a record in testdata/log.
 func storedPayload(number uint64) []byte {
 	switch number {
 	case 3:
@@ -21,8 +21,9 @@
 	return []byte(fmt.Sprintf("record %d", number))
 }
 
-// writeStored writes the log of testdata/log: segments of 100 bytes, one record in each write, two snapshots.
-func writeStored(t *testing.T, dir string) {
+// writeStoredLog writes the log of testdata/log: segments of 100 bytes, a separate write for each record, two
+// snapshots.
+func writeStoredLog(t *testing.T, dir string) {
 	t.Helper()
 	l, _, err := Open(dir, Options{SegmentBytes: 100}, nil, nil)
 	if err != nil {
@@ -46,7 +47,7 @@
 	}
 }
 
-// readDir reads the files of a log but its lock.
+// readDir returns the contents of all files of a log except its lock file.
 func readDir(t *testing.T, dir string) map[string][]byte {
 	t.Helper()
 	files := map[string][]byte{}
@@ -65,8 +66,8 @@
 	return files
 }
 
-// storedLog copies testdata/log, with each file changed unless change is nil.
-func storedLog(t *testing.T, change func(name string, b []byte) []byte) (dir string) {
+// copyStoredLog copies testdata/log to a new directory. Unless nil, change modifies the content of each file.
+func copyStoredLog(t *testing.T, change func(name string, b []byte) []byte) (dir string) {
 	t.Helper()
 	dir = t.TempDir()
 	for name, b := range readDir(t, filepath.Join("testdata", "log")) {
@@ -80,10 +81,12 @@
 	return dir
 }
 
-func recoverStored(t *testing.T, dir string) (*Log, *Recovery, map[uint64]string) {
+// openStoredLog opens a log, which is closed at the end of the test, and returns the recovered payloads by
+// record number.
+func openStoredLog(t *testing.T, dir string) (*Log, *Recovery, map[uint64]string) {
 	t.Helper()
 	got := map[uint64]string{}
-	l, rec, err := Open(dir, Options{}, nil, func(r Record) error {
+	l, recovery, err := Open(dir, Options{}, nil, func(r Record) error {
 		got[r.Number] = string(r.Payload)
 		return nil
 	})
@@ -91,10 +94,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	return l, rec, got
+	return l, recovery, got
 }
 
-// wantRecords compares records with those of testdata/log in a range, but for missing ones.
+// wantRecords checks that the payloads are those of testdata/log from the first to the last record, except
+// for the missing ones.
 func wantRecords(t *testing.T, got map[uint64]string, from, to uint64, missing ...uint64) {
 	t.Helper()
 	want := map[uint64]string{}
@@ -105,19 +109,20 @@
 		delete(want, number)
 	}
 	if !maps.Equal(got, want) {
-		t.Errorf("records %v, want %v", got, want)
+		t.Errorf("got records %v, want %v", got, want)
 	}
 }
 
-// A gateway that is updated opens the log that an earlier version wrote. If the form of segments or snapshots changed,
-// what is owed in it would be taken for damage and skipped. TestStoredLog reads a stored log, by recovery and by a
-// cursor, and what is appended behind it.
+// TestStoredLog opens a log from testdata, as an updated gateway opens the log that an earlier version wrote.
+// If the format of segments or snapshots had changed, the records in it would be treated as damage and
+// skipped. The stored records must be returned by recovery and by a cursor, followed by a newly appended one.
 func TestStoredLog(t *testing.T) {
-	l, rec, got := recoverStored(t, storedLog(t, nil))
-	if string(rec.Snapshot) != "state at 9" || rec.SnapshotRecord != 9 ||
-		rec.FirstRecord != 10 || rec.LastRecord != 13 || rec.Records != 4 ||
-		rec.Gaps != nil || rec.TornBytes != 0 || rec.SkippedBytes != 0 || rec.DamagedSnapshots != nil {
-		t.Errorf("recovered %+v", rec)
+	l, recovery, got := openStoredLog(t, copyStoredLog(t, nil))
+	if string(recovery.Snapshot) != "state at 9" || recovery.SnapshotRecord != 9 ||
+		recovery.FirstRecord != 10 || recovery.LastRecord != 13 || recovery.Records != 4 ||
+		recovery.Gaps != nil || recovery.TornBytes != 0 || recovery.SkippedBytes != 0 ||
+		recovery.DamagedSnapshots != nil {
+		t.Errorf("recovered %+v", recovery)
 	}
 	wantRecords(t, got, 10, 13)
 	if number, err := l.Append(storedPayload(14)); number != 14 || err != nil {
@@ -135,54 +140,57 @@
 	wantRecords(t, got, 4, 14)
 }
 
-// TestStoredLogDamaged damages the stored log: its newest snapshot, then a record and its end.
-func TestStoredLogDamaged(t *testing.T) {
+// TestStoredLogDamage damages the stored log, first its newest snapshot, then a record and its end. Recovery
+// must fall back to the previous snapshot, or report the gap and the torn tail, and return all other records.
+func TestStoredLogDamage(t *testing.T) {
 	t.Run("newest snapshot", func(t *testing.T) {
-		_, rec, got := recoverStored(t, storedLog(t, func(name string, b []byte) []byte {
+		_, recovery, got := openStoredLog(t, copyStoredLog(t, func(name string, b []byte) []byte {
 			if name == snapshotName(9) {
 				b[len(b)-1] ^= 1
 			}
 			return b
 		}))
-		if string(rec.Snapshot) != "state at 5" || rec.SnapshotRecord != 5 || len(rec.DamagedSnapshots) != 1 {
-			t.Errorf("recovered %+v", rec)
+		if string(recovery.Snapshot) != "state at 5" || recovery.SnapshotRecord != 5 ||
+			len(recovery.DamagedSnapshots) != 1 {
+			t.Errorf("recovered %+v", recovery)
 		}
 		wantRecords(t, got, 6, 13)
 	})
 	t.Run("gap and torn tail", func(t *testing.T) {
-		_, rec, got := recoverStored(t, storedLog(t, func(name string, b []byte) []byte {
+		_, recovery, got := openStoredLog(t, copyStoredLog(t, func(name string, b []byte) []byte {
 			if at := bytes.Index(b, []byte("record 11")); at >= 0 {
 				b[at] ^= 1
 			}
-			if name == segmentName(13) { // the last one
+			if name == segmentName(13) { // the last segment
 				b = append(b, "torn"...)
 			}
 			return b
 		}))
-		if len(rec.Gaps) != 1 || rec.Gaps[0].From != 11 || rec.Gaps[0].To != 11 || rec.TornBytes != 4 || rec.LastRecord != 13 {
-			t.Errorf("recovered %+v", rec)
+		if len(recovery.Gaps) != 1 || recovery.Gaps[0].From != 11 || recovery.Gaps[0].To != 11 ||
+			recovery.TornBytes != 4 || recovery.LastRecord != 13 {
+			t.Errorf("recovered %+v", recovery)
 		}
 		wantRecords(t, got, 10, 13, 11)
 	})
 }
 
-// TestStoredLogWrittenAgain writes the records of the stored log and expects the same files, byte for byte: a version
-// before this one must read what this one writes.
-func TestStoredLogWrittenAgain(t *testing.T) {
+// TestStoredLogFormatIsUnchanged writes the records of the stored log again. The files must be the same byte
+// for byte, so that earlier versions can read the logs that this version writes.
+func TestStoredLogFormatIsUnchanged(t *testing.T) {
 	stored := readDir(t, filepath.Join("testdata", "log"))
 	if len(stored) == 0 {
 		t.Fatal("testdata/log is empty")
 	}
 	dir := t.TempDir()
-	writeStored(t, dir)
-	again := readDir(t, dir)
+	writeStoredLog(t, dir)
+	written := readDir(t, dir)
 	for name, b := range stored {
-		if !bytes.Equal(again[name], b) {
-			t.Errorf("%s is written as %x, stored is %x", name, again[name], b)
+		if !bytes.Equal(written[name], b) {
+			t.Errorf("%s: wrote %x, want %x as in testdata", name, written[name], b)
 		}
-		delete(again, name)
+		delete(written, name)
 	}
-	for name := range again {
-		t.Errorf("%s is written, and not stored", name)
+	for name := range written {
+		t.Errorf("wrote %s, which is not in testdata", name)
 	}
 }
--- a/internal/wal/writer.go
+++ b/internal/wal/writer.go
@@ -5,29 +5,31 @@
 	"time"
 )
 
-// idleWait is how long the writer waits while it has nothing to do. Append and Close wake it, so any long time will do.
+// idleWait is how long the writer goroutine waits when it has no work. Append and Close wake it, so the value
+// only has to be long.
 const idleWait = time.Hour
 
 // writer is the state of the writer goroutine.
 type writer struct {
-	file    File // nil: none, after a failure
-	current segment
-	spare   []byte // swapped with Log.pending
+	file    File    // the segment being written; nil after a failure
+	current segment // describes file
+	spare   []byte  // buffer that is swapped with Log.pending
 
-	// unsynced is the records that were written since the last sync. They are written again, to a new segment, if a
-	// write or sync fails: after a failed sync the system may have dropped what it had.
+	// unsynced contains the encoded records that were written since the last sync. If a write or a sync
+	// fails, they are written again to a new segment, because after a failed sync the operating system may
+	// have dropped its data.
 	unsynced      []byte
-	firstUnsynced uint64
-	lastWritten   uint64
-	needsSync     bool // something was written since the last sync
+	firstUnsynced uint64 // number of the first record in unsynced, or of the next one if it is empty
+	lastWritten   uint64 // number of the last record written
+	needsSync     bool   // data was written since the last sync
 }
 
-// run is the writer goroutine, from Open to Close.
+// run is the writer goroutine, which runs from Open to Close.
 func (l *Log) run() {
 	defer close(l.done)
 	w := &l.writer
-	alarm := time.NewTimer(idleWait)
-	defer alarm.Stop()
+	timer := time.NewTimer(idleWait)
+	defer timer.Stop()
 	for {
 		wait := idleWait
 		if l.err() != nil {
@@ -35,21 +37,21 @@
 		} else if w.needsSync {
 			wait = l.options.SyncInterval
 		}
-		alarm.Reset(wait)
-		timer := false
+		timer.Reset(wait)
+		timerFired := false
 		select {
 		case <-l.wake:
-		case <-alarm.C:
-			timer = true
+		case <-timer.C:
+			timerFired = true
 		}
 		l.mu.Lock()
 		closed, failed := l.closed, l.failure != nil
 		l.mu.Unlock()
 		switch {
-		case failed && (timer || closed):
+		case failed && (timerFired || closed):
 			l.resume()
 		case !failed:
-			l.groupCommit(timer)
+			l.groupCommit(timerFired)
 		}
 		if closed {
 			if w.file != nil && l.err() == nil {
@@ -61,9 +63,10 @@
 	}
 }
 
-// groupCommit writes all records that wait in one write, syncs if the mode or a bound demands it, and begins a new
-// segment where this one is full. timer says that the sync interval is over.
-func (l *Log) groupCommit(timer bool) {
+// groupCommit writes all pending records with a single write and syncs if the mode or a size limit requires
+// it. It starts a new segment if the current one is full. intervalElapsed tells that the sync interval has
+// elapsed.
+func (l *Log) groupCommit(intervalElapsed bool) {
 	w := &l.writer
 	l.mu.Lock()
 	records, last := l.pending, l.lastPending
@@ -85,7 +88,7 @@
 	case SyncAlways:
 		sync = true
 	case SyncInterval:
-		sync = sync || timer
+		sync = sync || intervalElapsed
 	}
 	if !l.flush(sync) {
 		return
@@ -97,7 +100,8 @@
 	}
 }
 
-// flush syncs, if sync is set, and reports to OnDurable what became durable; false: the sync failed.
+// flush syncs the current segment if sync is set and marks the written records as durable as far as the mode
+// allows. It returns false if the sync failed.
 func (l *Log) flush(sync bool) bool {
 	w := &l.writer
 	if sync && w.needsSync {
@@ -107,7 +111,8 @@
 		}
 		w.needsSync = false
 	}
-	// In the mode that never syncs, records are not promised to outlive the machine: memory bounds what is held.
+	// In the mode SyncNever, records are not guaranteed to survive a crash of the machine, so unsynced
+	// records are dropped from memory when they take too much of it.
 	if !w.needsSync || l.options.Mode == SyncNever && len(w.unsynced) > l.options.MaxPendingBytes/2 {
 		w.unsynced, w.firstUnsynced = w.unsynced[:0], w.lastWritten+1
 	}
@@ -117,6 +122,8 @@
 	return true
 }
 
+// markDurable records that all records up to a number are durable and calls Options.OnDurable if the number
+// has advanced.
 func (l *Log) markDurable(number uint64) {
 	l.mu.Lock()
 	advanced := number > l.lastDurable
@@ -130,6 +137,7 @@
 	}
 }
 
+// write appends encoded records to the current segment.
 func (l *Log) write(b []byte) error {
 	w := &l.writer
 	if err := writeAll(w.file, b); err != nil {
@@ -143,9 +151,10 @@
 	return nil
 }
 
-// startSegment closes the current segment and begins one with the records that are not synced: after a failure, all
-// that are not durable. It gets its name only once it is complete. A segment of the same name may be there, with
-// records that the system has and a sync did not reach; a kill in between must leave the one or the other.
+// startSegment closes the current segment and starts a new one that begins with the unsynced records. After a
+// failure, these include all written records that are not durable. The new segment gets its name only after
+// it is complete, because a segment of the same name may exist with records that were written but not synced.
+// If the process is killed in between, either the old or the new segment must be left.
 func (l *Log) startSegment() error {
 	w := &l.writer
 	if w.file != nil {
@@ -177,8 +186,8 @@
 	return nil
 }
 
-// setFailure gives up the current file. Nothing that is not durable yet counts as durable until resume has written it
-// to a new segment.
+// setFailure abandons the current segment and records the failure. Records that are not durable yet do not
+// become durable until resume has written them to a new segment.
 func (l *Log) setFailure(err error) {
 	w := &l.writer
 	if w.file != nil {
@@ -187,16 +196,16 @@
 	}
 	w.needsSync = false
 	l.mu.Lock()
-	first := l.failure == nil
+	firstFailure := l.failure == nil
 	l.failure = err
 	l.notifyWaiters()
 	l.mu.Unlock()
-	if first {
+	if firstFailure {
 		l.options.OnFailure(err)
 	}
 }
 
-// resume tries to go on after a failure, in a new segment.
+// resume tries to continue in a new segment after a failure.
 func (l *Log) resume() {
 	if err := l.startSegment(); err != nil {
 		l.setFailure(err)
