--- a/internal/recording/replay.go
+++ b/internal/recording/replay.go
@@ -28,7 +28,7 @@
 }
 
 func (e *MismatchError) Error() string {
-	return fmt.Sprintf("recording: record %d at %v: event %T%+v: the recording has %+v, this core does %+v",
+	return fmt.Sprintf("recording: record %d at %v: event %T%+v: recorded actions %+v, replayed actions %+v",
 		e.Record, e.At, e.Event, e.Event, e.Want, e.Got)
 }
 
