--- a/internal/usage/outbox/cloudevents.go
+++ b/internal/usage/outbox/cloudevents.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// UsageEvent is what the receiver gets for a record.
+// UsageEvent is a CloudEvent for the usage receiver.
 type UsageEvent struct {
-	Record uint64 // its number
+	Record uint64 // number of the log record that the event is made from
 	JSON   []byte
 }
 
-// Types of events.
+// Values of the type attribute of usage events.
 const (
-	TypeUsage = "winghatch.use.v1"
-	TypeGap   = "winghatch.uncovered.v1"
+	TypeUsage = "winghatch.use.v1"       // usage of one attempt; the data is UsageData
+	TypeGap   = "winghatch.uncovered.v1" // usage of attempts without an intent; the data is GapData
 )
 
-// cloudEvent is an event in the JSON format of CloudEvents 1.0 (section 3). Source and ID together are its key: a
-// receiver drops one that it has.
+// cloudEvent is an event in the JSON format of CloudEvents 1.0 (section 3). Source and ID together identify
+// the event, so that the receiver can drop duplicates.
 type cloudEvent struct {
 	Version     string `json:"specversion"`
 	ID          string `json:"id"`
@@ -33,7 +33,7 @@
 	Data        any    `json:"data"`
 }
 
-// UsageData is the data of an event of type TypeUsage.
+// UsageData is the data of an event of type TypeUsage: the usage of one attempt.
 type UsageData struct {
 	Request   string  `json:"request"`
 	Attempt   int     `json:"attempt"`
@@ -42,42 +42,44 @@
 	Class     string  `json:"class"`
 	Server    string  `json:"node"`
 	Units     float64 `json:"units"`
-	Estimated bool    `json:"guess,omitempty"` // no answer reported the units
+	Estimated bool    `json:"guess,omitempty"` // Units is an estimate, because no response reported the units
 	Outcome   string  `json:"outcome"`
-	Reserved  bool    `json:"reserved,omitempty"`
+	Reserved  bool    `json:"reserved,omitempty"` // the attempt used reserved units
 }
 
-// GapData is the data of an event of type TypeGap.
+// GapData is the data of an event of type TypeGap: the total of attempts that were sent without an intent.
 type GapData struct {
 	Attempts uint64  `json:"tries"`
 	Units    float64 `json:"units"`
 }
 
-// eventSource names an incarnation of a gateway, as a URI reference.
+// eventSource returns the source attribute of events: a URI reference that identifies an incarnation of a
+// gateway.
 func eventSource(fleet string, gateway int, incarnation uint64) string {
 	return fmt.Sprintf("/winghatch/%s/gateway/%d/life/%d", url.PathEscape(fleet), gateway, incarnation)
 }
 
-// EncodeEvent returns the event of a record; false if it has none.
+// EncodeEvent returns the event for the log record with the given number. It returns false if the record has
+// no event, and an error if the record is malformed.
 func EncodeEvent(fleet string, gateway int, number uint64, payload []byte) (UsageEvent, bool, error) {
-	if len(payload) == 0 || payload[0] != recordSettlement && payload[0] != recordGap {
+	if len(payload) == 0 || payload[0] != kindSettlement && payload[0] != kindGap {
 		return UsageEvent{}, false, nil
 	}
 	record, err := parseRecord(payload)
 	if err != nil {
 		return UsageEvent{}, false, err
 	}
-	c := cloudEvent{Version: "1.0", ContentType: "application/json"}
+	event := cloudEvent{Version: "1.0", ContentType: "application/json"}
 	var incarnation uint64
 	var wallTime int64
-	if record.kind == recordSettlement {
+	if record.kind == kindSettlement {
 		s := &record.settlement
 		if s.Sequence == 0 {
 			return UsageEvent{}, false, nil
 		}
 		incarnation, wallTime = s.Incarnation, s.WallTime
-		c.ID, c.Type, c.Subject = strconv.FormatUint(s.Sequence, 10), TypeUsage, s.Member
-		c.Data = UsageData{
+		event.ID, event.Type, event.Subject = strconv.FormatUint(s.Sequence, 10), TypeUsage, s.Member
+		event.Data = UsageData{
 			Request:   s.Request,
 			Attempt:   s.Number,
 			Member:    s.Member,
@@ -92,12 +94,12 @@
 	} else {
 		g := &record.gap
 		incarnation, wallTime = g.Incarnation, g.WallTime
-		c.ID, c.Type = strconv.FormatUint(g.Sequence, 10), TypeGap
-		c.Data = GapData{Attempts: g.Attempts, Units: g.Units}
+		event.ID, event.Type = strconv.FormatUint(g.Sequence, 10), TypeGap
+		event.Data = GapData{Attempts: g.Attempts, Units: g.Units}
 	}
-	c.Source = eventSource(fleet, gateway, incarnation)
-	c.Time = time.Unix(0, wallTime).UTC().Format(time.RFC3339Nano)
-	raw, err := json.Marshal(c)
+	event.Source = eventSource(fleet, gateway, incarnation)
+	event.Time = time.Unix(0, wallTime).UTC().Format(time.RFC3339Nano)
+	raw, err := json.Marshal(event)
 	if err != nil {
 		return UsageEvent{}, false, err
 	}
--- a/internal/usage/outbox/delivery.go
+++ b/internal/usage/outbox/delivery.go
@@ -5,51 +5,53 @@
 	"time"
 )
 
-// HTTP statuses by which the receiver says that it will never accept a batch as it is. Any other failure, a wrong
-// credential or address too, is retried without end, as no usage may be lost. Decisions do not import net/http.
+// HTTP status codes that mean that the receiver will never accept a batch as it is. Every other failure is
+// retried indefinitely, even a wrong credential or address, because no usage may be lost. The constants are
+// defined here so that this package does not depend on net/http.
 const (
 	statusBadRequest     = 400
 	statusEntityTooLarge = 413
 	statusUnprocessable  = 422
 )
 
-// Delays between attempts to deliver.
+// Delays between delivery attempts.
 const (
 	minBackoff       = 100 * time.Millisecond
 	maxBackoff       = 30 * time.Second
-	maxRetryAfter    = 5 * time.Minute // of what a receiver asks for
-	idlePollInterval = time.Second     // while there is nothing to send
+	maxRetryAfter    = 5 * time.Minute // upper limit for the Retry-After header of the receiver
+	idlePollInterval = time.Second     // delay while there is nothing to send
 )
 
-// idleAckRecords is how many records without events bring an acknowledgement. It is itself such a record: one for each
-// would bring the next without end.
+// idleAckRecords is the number of records without events after which they are acknowledged. The
+// acknowledgement is itself such a record, so acknowledging each of them would produce acknowledgements
+// endlessly.
 const idleAckRecords = 10000
 
-// DeliveryEvent is the start, or the answer to the last action.
+// DeliveryEvent is an input of a Delivery: Start, or the result of the last action.
 type DeliveryEvent interface{ deliveryEvent() }
 
 type (
-	// Start is the first event.
+	// Start is the first event of a delivery.
 	Start struct{}
-	// Fetched is the answer to Fetch.
+	// Fetched is the result of Fetch.
 	Fetched struct {
-		Events     []UsageEvent // in order
-		LastRecord uint64       // that was looked at
-		Failure    string       // why reading the log failed; empty: it did not
+		Events     []UsageEvent // in the order of the log
+		LastRecord uint64       // number of the last record read, with or without an event
+		Failure    string       // why the log could not be read; empty on success
 	}
-	// PostResult is the answer to Post. A success counts only if BodySent: an answer that came before
-	// the whole batch was sent says nothing of the rest.
+	// PostResult is the result of Post. A success status counts only if BodySent is set: a response that
+	// arrives before the whole batch was sent does not confirm the rest of it.
 	PostResult struct {
-		Status     int           // of HTTP; 0: no answer
-		RetryAfter time.Duration // 0: none was given
-		BodySent   bool          // the receiver took the whole body before it answered
-		Reason     string        // of what is no success
+		Status     int           // HTTP status code; 0 if there was no response
+		RetryAfter time.Duration // delay that the receiver asked for; 0 if none
+		BodySent   bool          // the receiver read the whole body before it responded
+		Reason     string        // description of the failure; empty on success
 	}
-	// DeadLetterStored is the answer to StoreDeadLetter.
-	DeadLetterStored struct{ Failure string } // empty: it is stored
-	// WaitEnded is the answer to Wait.
+	// DeadLetterStored is the result of StoreDeadLetter. Failure is empty if the event was stored.
+	DeadLetterStored struct{ Failure string }
+	// WaitEnded is the result of Wait.
 	WaitEnded struct{}
-	// RecordsAvailable is the answer to an idle Wait that ended early, as records have become durable.
+	// RecordsAvailable is the result of an idle Wait that ended early because records have become durable.
 	RecordsAvailable struct{}
 )
 
@@ -60,25 +62,27 @@
 func (WaitEnded) deliveryEvent()        {}
 func (RecordsAvailable) deliveryEvent() {}
 
-// DeliveryAction is something that a delivery asks its owner to do.
+// DeliveryAction is an operation that a Delivery requests from its owner.
 type DeliveryAction interface{ deliveryAction() }
 
 type (
-	// Fetch asks for the events of durable records behind one.
+	// Fetch asks for up to MaxEvents events of durable records after the record with the number After.
 	Fetch struct {
 		After     uint64
 		MaxEvents int
 	}
-	// Post sends events in one batch.
+	// Post asks to send events to the receiver in one batch.
 	Post struct{ Events []UsageEvent }
-	// StoreDeadLetter keeps an event that the receiver does not accept, so that it does not hold up the others.
+	// StoreDeadLetter asks to store an event that the receiver rejects, so that it does not block the events
+	// after it.
 	StoreDeadLetter struct {
 		Event  UsageEvent
 		Reason string
 	}
-	// Acknowledge reports that the receiver has all up to a record, or they are dead letters. It has no answer.
+	// Acknowledge reports that every event up to a record was delivered or stored as a dead letter. It has no
+	// result.
 	Acknowledge struct{ Record uint64 }
-	// Wait asks to wait; an idle one ends as soon as records have become durable.
+	// Wait asks to wait. An idle wait ends early when records become durable.
 	Wait struct {
 		Duration time.Duration
 		Idle     bool
@@ -91,60 +95,63 @@
 func (Acknowledge) deliveryAction()     {}
 func (Wait) deliveryAction()            {}
 
-// DeliverySettings are what a delivery starts from.
+// DeliverySettings configures a Delivery.
 type DeliverySettings struct {
-	After     uint64 // the receiver has all records up to this one
-	BatchSize int    // events
-	Seed      int64  // of the jitter
+	After     uint64 // number of the last record that the receiver has acknowledged; 0 if none
+	BatchSize int    // maximum number of events in a batch; values below 1 mean 1
+	Seed      int64  // seed of the backoff jitter
 }
 
-// Delivery decides what goes to the receiver next. One action at a time is under way.
+// Delivery decides what is sent to the receiver next. Apart from Acknowledge, it requests one action at a
+// time.
 type Delivery struct {
 	Counts DeliveryCounts
 
 	settings       DeliverySettings
 	random         *rand.Rand
-	doneTo         uint64       // all up to this record is delivered, a dead letter, or without an event
-	acknowledgedTo uint64       // the last Acknowledge
-	events         []UsageEvent // fetched and not delivered
-	fetchedTo      uint64       // the last record that was looked at for them
-	batchSize      int          // so many of them are in the batch under way
-	backoff        time.Duration
+	processedTo    uint64        // every record up to this one is delivered, a dead letter, or has no event
+	acknowledgedTo uint64        // record of the last Acknowledge
+	events         []UsageEvent  // fetched but not yet delivered
+	fetchedTo      uint64        // last record read by the last Fetch
+	batchSize      int           // number of leading events in the current batch
+	backoff        time.Duration // current retry delay without jitter; 0 after a success
 }
 
-// DeliveryCounts are for operators. Their JSON keys never change.
+// DeliveryCounts are statistics for operators. Their JSON keys never change.
 type DeliveryCounts struct {
-	Sent        uint64        `json:"Sent"` // events
-	Batches     uint64        `json:"Batches"`
-	Retries     uint64        `json:"Again"`
-	DeadLetters uint64        `json:"SetAside"`
-	LastStatus  int           `json:"LastStatus"`
-	LastReason  string        `json:"LastWhy"` // of the last failure; empty after a success
-	Backoff     time.Duration `json:"Backoff"`
+	Sent        uint64        `json:"Sent"`       // events delivered
+	Batches     uint64        `json:"Batches"`    // batches sent, including retries
+	Retries     uint64        `json:"Again"`      // batches to be sent again after a failure
+	DeadLetters uint64        `json:"SetAside"`   // events stored as dead letters
+	LastStatus  int           `json:"LastStatus"` // HTTP status of the last response; 0 if there was none
+	LastReason  string        `json:"LastWhy"`    // description of the last failure; empty after a success
+	Backoff     time.Duration `json:"Backoff"`    // current retry delay; 0 after a success
 }
 
-// NewDelivery returns a delivery whose first event is Start.
+// NewDelivery returns a delivery. Its owner starts it by handling Start.
 func NewDelivery(s DeliverySettings) *Delivery {
 	s.BatchSize = max(1, s.BatchSize)
 	return &Delivery{
 		settings:       s,
 		random:         rand.New(rand.NewSource(s.Seed)),
-		doneTo:         s.After,
+		processedTo:    s.After,
 		acknowledgedTo: s.After,
 	}
 }
 
-// Handle takes an event and returns the one action that has an answer, after an Acknowledge where one is due.
-func (d *Delivery) Handle(ev DeliveryEvent) []DeliveryAction {
-	switch ev := ev.(type) {
+// Handle processes an event and returns the actions to be carried out in order: an Acknowledge if one is due,
+// and one other action, whose result is the next event.
+func (d *Delivery) Handle(event DeliveryEvent) []DeliveryAction {
+	switch event := event.(type) {
 	case Fetched:
-		return d.eventsFetched(ev)
+		return d.eventsFetched(event)
 	case PostResult:
-		return d.handleResponse(ev)
+		return d.handleResponse(event)
 	case DeadLetterStored:
-		if ev.Failure != "" {
-			d.Counts.LastReason = ev.Failure
-			return []DeliveryAction{d.backOff(0)} // then it is posted and rejected again, until it can be stored
+		if event.Failure != "" {
+			d.Counts.LastReason = event.Failure
+			// After the wait the event is sent and rejected again, until it can be stored.
+			return []DeliveryAction{d.backOff(0)}
 		}
 		d.Counts.DeadLetters++
 		return d.delivered(1)
@@ -155,72 +162,79 @@
 	return []DeliveryAction{d.fetch()}
 }
 
-func (d *Delivery) fetch() DeliveryAction { return Fetch{d.doneTo, d.settings.BatchSize} }
+// fetch asks for the next events.
+func (d *Delivery) fetch() DeliveryAction { return Fetch{d.processedTo, d.settings.BatchSize} }
 
+// post asks to send the current batch.
 func (d *Delivery) post() DeliveryAction {
 	d.Counts.Batches++
 	return Post{d.events[:d.batchSize]}
 }
 
-func (d *Delivery) eventsFetched(ev Fetched) []DeliveryAction {
-	if ev.Failure != "" {
-		d.Counts.LastReason = ev.Failure
+// eventsFetched sends fetched events, or waits if there are none.
+func (d *Delivery) eventsFetched(event Fetched) []DeliveryAction {
+	if event.Failure != "" {
+		d.Counts.LastReason = event.Failure
 		return []DeliveryAction{d.backOff(0)}
 	}
-	d.events, d.fetchedTo = ev.Events, ev.LastRecord
-	d.batchSize = len(ev.Events)
-	if len(ev.Events) > 0 {
+	d.events, d.fetchedTo = event.Events, event.LastRecord
+	d.batchSize = len(event.Events)
+	if len(event.Events) > 0 {
 		return []DeliveryAction{d.post()}
 	}
 	wait := Wait{Duration: idlePollInterval, Idle: true}
-	d.doneTo = max(d.doneTo, ev.LastRecord)
-	if d.doneTo-d.acknowledgedTo < idleAckRecords {
+	d.processedTo = max(d.processedTo, event.LastRecord)
+	if d.processedTo-d.acknowledgedTo < idleAckRecords {
 		return []DeliveryAction{wait}
 	}
-	d.acknowledgedTo = d.doneTo
-	return []DeliveryAction{Acknowledge{d.doneTo}, wait}
+	d.acknowledgedTo = d.processedTo
+	return []DeliveryAction{Acknowledge{d.processedTo}, wait}
 }
 
-func (d *Delivery) handleResponse(ev PostResult) []DeliveryAction {
-	d.Counts.LastStatus, d.Counts.LastReason = ev.Status, ev.Reason
+// handleResponse continues after a batch according to the response of the receiver.
+func (d *Delivery) handleResponse(event PostResult) []DeliveryAction {
+	d.Counts.LastStatus, d.Counts.LastReason = event.Status, event.Reason
 	switch {
-	case ev.Status >= 200 && ev.Status < 300 && ev.BodySent:
+	case event.Status >= 200 && event.Status < 300 && event.BodySent:
 		d.Counts.Sent += uint64(d.batchSize)
 		return d.delivered(d.batchSize)
-	case ev.Status == statusBadRequest ||
-		ev.Status == statusEntityTooLarge ||
-		ev.Status == statusUnprocessable:
-		// The receiver will never accept this batch. Halving it finds the event that is the cause.
+	case event.Status == statusBadRequest ||
+		event.Status == statusEntityTooLarge ||
+		event.Status == statusUnprocessable:
+		// The receiver will never accept this batch. Halving it repeatedly isolates the event that causes
+		// this.
 		if d.batchSize > 1 {
 			d.batchSize /= 2
 			return []DeliveryAction{d.post()}
 		}
-		return []DeliveryAction{StoreDeadLetter{d.events[0], ev.Reason}}
+		return []DeliveryAction{StoreDeadLetter{d.events[0], event.Reason}}
 	}
 	d.Counts.Retries++
-	return []DeliveryAction{d.backOff(ev.RetryAfter)}
+	return []DeliveryAction{d.backOff(event.RetryAfter)}
 }
 
-// delivered drops the first n events and goes on.
+// delivered acknowledges and removes the first n events and continues with the next ones.
 func (d *Delivery) delivered(n int) []DeliveryAction {
 	last := d.events[n-1].Record
 	d.events = d.events[n:]
 	if len(d.events) == 0 {
 		last = d.fetchedTo
 	}
-	d.doneTo, d.acknowledgedTo = last, last
+	d.processedTo, d.acknowledgedTo = last, last
 	d.backoff, d.Counts.Backoff = 0, 0
 	acknowledge := Acknowledge{last}
 	if len(d.events) == 0 {
 		return []DeliveryAction{acknowledge, d.fetch()}
 	}
-	// Most batches have one bad event at most, so after a half that was accepted the rest is sent in one batch.
+	// Most batches contain at most one rejected event, so after a half was accepted the rest is sent as one
+	// batch.
 	d.batchSize = len(d.events)
 	return []DeliveryAction{acknowledge, d.post()}
 }
 
-// backOff doubles the delay up to its bound. The jitter keeps the gateways that lost one receiver together from
-// returning together.
+// backOff doubles the retry delay up to maxBackoff and asks to wait for it with jitter, or for retryAfter if
+// that is longer. The jitter keeps gateways that lost the same receiver at the same time from retrying at the
+// same time.
 func (d *Delivery) backOff(retryAfter time.Duration) DeliveryAction {
 	d.backoff = min(maxBackoff, max(minBackoff, 2*d.backoff))
 	delay := d.backoff/2 + time.Duration(d.random.Int63n(int64(d.backoff/2)))
--- a/internal/usage/outbox/delivery_test.go
+++ b/internal/usage/outbox/delivery_test.go
@@ -7,106 +7,109 @@
 	"time"
 )
 
-// drive runs a delivery over a log until it is idle; respond answers each batch. An empty element of the log is a
-// record without an event.
-func drive(t *testing.T, d *Delivery, log []string, respond func(batch []UsageEvent) PostResult) (
+// runDelivery runs a delivery over a log until it is idle. Elements of the log are events; an empty element
+// is a record without an event. respond returns the response of the receiver to a batch.
+func runDelivery(t *testing.T, d *Delivery, log []string, respond func(batch []UsageEvent) PostResult) (
 	acks []uint64, waits []time.Duration, deadLetters []string) {
 	t.Helper()
-	var ev DeliveryEvent = Start{}
+	var event DeliveryEvent = Start{}
 	for range 10000 {
-		for _, a := range d.Handle(ev) {
-			switch a := a.(type) {
+		for _, action := range d.Handle(event) {
+			switch action := action.(type) {
 			case Acknowledge:
-				acks = append(acks, a.Record)
+				acks = append(acks, action.Record)
 			case Fetch:
-				f := Fetched{LastRecord: a.After}
-				for i := int(a.After); i < len(log) && len(f.Events) < a.MaxEvents; i++ {
-					f.LastRecord = uint64(i + 1)
+				fetched := Fetched{LastRecord: action.After}
+				for i := int(action.After); i < len(log) && len(fetched.Events) < action.MaxEvents; i++ {
+					fetched.LastRecord = uint64(i + 1)
 					if log[i] != "" {
-						f.Events = append(f.Events, UsageEvent{uint64(i + 1), []byte(log[i])})
+						fetched.Events = append(fetched.Events, UsageEvent{uint64(i + 1), []byte(log[i])})
 					}
 				}
-				ev = f
+				event = fetched
 			case Post:
-				ev = respond(a.Events)
+				event = respond(action.Events)
 			case StoreDeadLetter:
-				deadLetters = append(deadLetters, string(a.Event.JSON))
-				ev = DeadLetterStored{}
+				deadLetters = append(deadLetters, string(action.Event.JSON))
+				event = DeadLetterStored{}
 			case Wait:
-				waits = append(waits, a.Duration)
-				if a.Idle {
+				waits = append(waits, action.Duration)
+				if action.Idle {
 					return
 				}
-				ev = WaitEnded{}
+				event = WaitEnded{}
 			}
 		}
 	}
-	t.Fatal("the delivery is never idle")
+	t.Fatal("delivery did not become idle within 10000 events")
 	return
 }
 
-// TestOneBadEvent has the receiver reject every batch that holds one certain event: that event becomes a dead letter,
-// all others are accepted once each.
-func TestOneBadEvent(t *testing.T) {
+// TestRejectedEventBecomesDeadLetter lets the receiver reject every batch that contains one specific event,
+// which must not block the events after it. That event must become a dead letter, and all others must be
+// accepted exactly once.
+func TestRejectedEventBecomesDeadLetter(t *testing.T) {
 	for size := 1; size <= 40; size++ {
-		for bad := range size {
+		for rejected := range size {
 			var log []string
 			for i := range size {
-				log = append(log, fmt.Sprint("e", i), "") // a record without an event behind each
+				log = append(log, fmt.Sprint("e", i), "") // each event is followed by a record without one
 			}
-			have := map[string]int{}
+			accepted := map[string]int{}
 			d := NewDelivery(DeliverySettings{BatchSize: 16})
-			acks, _, deadLetters := drive(t, d, log, func(b []UsageEvent) PostResult {
-				for _, e := range b {
-					if string(e.JSON) == fmt.Sprint("e", bad) {
+			acks, _, deadLetters := runDelivery(t, d, log, func(batch []UsageEvent) PostResult {
+				for _, e := range batch {
+					if string(e.JSON) == fmt.Sprint("e", rejected) {
 						return PostResult{Status: 400, BodySent: true}
 					}
 				}
-				for _, e := range b {
-					have[string(e.JSON)]++
+				for _, e := range batch {
+					accepted[string(e.JSON)]++
 				}
 				return PostResult{Status: 202, BodySent: true}
 			})
-			if len(deadLetters) != 1 || deadLetters[0] != fmt.Sprint("e", bad) || len(have) != size-1 ||
-				acks[len(acks)-1] < uint64(2*size-1) {
-				t.Fatalf("%d events, bad %d: %v dead letters, %d sent, acks %v", size, bad, deadLetters,
-					len(have), acks)
+			if len(deadLetters) != 1 || deadLetters[0] != fmt.Sprint("e", rejected) ||
+				len(accepted) != size-1 || acks[len(acks)-1] < uint64(2*size-1) {
+				t.Fatalf("%d events, event %d rejected: dead letters %v, %d accepted, acknowledged %v",
+					size, rejected, deadLetters, len(accepted), acks)
 			}
-			for e, n := range have {
+			for e, n := range accepted {
 				if n != 1 {
-					t.Fatalf("%d events, bad %d: %s sent %d times", size, bad, e, n)
+					t.Fatalf("%d events, event %d rejected: %s accepted %d times", size, rejected, e, n)
 				}
 			}
 			for i := 1; i < len(acks); i++ {
 				if acks[i] < acks[i-1] {
-					t.Fatalf("acks %v", acks)
+					t.Fatalf("acknowledged records %v are not in ascending order", acks)
 				}
 			}
 		}
 	}
 }
 
-// TestQuietAck fetches records without events only. They are acknowledged in large numbers: an acknowledgement is
-// such a record itself, and one for each would bring the next without end.
-func TestQuietAck(t *testing.T) {
-	s := NewDelivery(DeliverySettings{BatchSize: 10})
+// TestIdleAcknowledgementsAreBatched fetches only records without events. An acknowledgement is itself such a
+// record, so acknowledging each of them would produce acknowledgements endlessly. They must be acknowledged
+// in large numbers.
+func TestIdleAcknowledgementsAreBatched(t *testing.T) {
+	d := NewDelivery(DeliverySettings{BatchSize: 10})
 	acks := 0
 	for to := uint64(1); to <= 3*idleAckRecords; to++ {
-		for _, a := range s.Handle(Fetched{LastRecord: to}) {
-			if _, ok := a.(Acknowledge); ok {
+		for _, action := range d.Handle(Fetched{LastRecord: to}) {
+			if _, ok := action.(Acknowledge); ok {
 				acks++
 			}
 		}
 	}
 	if acks != 3 {
-		t.Errorf("%d acknowledgements of %d records that are no events, want 3", acks, 3*idleAckRecords)
+		t.Errorf("%d acknowledgements of %d records without events, want 3", acks, 3*idleAckRecords)
 	}
 }
 
-// TestBackoff has the receiver fail in ways that are no fault of an event: the batch is sent again with growing
-// delays, or after the time that the receiver asks for, up to a bound.
-func TestBackoff(t *testing.T) {
-	for _, p := range []PostResult{
+// TestDeliveryBackoff lets the receiver fail for reasons other than the content of the batch. The batch must
+// be sent again with increasing delays, or after the time that the receiver asks for, up to maxRetryAfter. No
+// event may become a dead letter. It also checks that the event source is escaped as a URI.
+func TestDeliveryBackoff(t *testing.T) {
+	for _, failure := range []PostResult{
 		{Status: 500, BodySent: true},
 		{Status: 503, BodySent: true},
 		{Status: 0, Reason: "refused"},
@@ -117,31 +120,32 @@
 	} {
 		n := 0
 		d := NewDelivery(DeliverySettings{BatchSize: 5, Seed: 3})
-		acks, waits, deadLetters := drive(t, d, []string{"a", "b"}, func([]UsageEvent) PostResult {
+		acks, waits, deadLetters := runDelivery(t, d, []string{"a", "b"}, func([]UsageEvent) PostResult {
 			if n++; n < 12 {
-				return p
+				return failure
 			}
 			return PostResult{Status: 200, BodySent: true}
 		})
 		if n != 12 || len(acks) != 1 || acks[0] != 2 || len(deadLetters) > 0 {
-			t.Errorf("%+v: %d posts, acks %v, dead letters %v", p, n, acks, deadLetters)
+			t.Errorf("%+v: %d posts, acknowledged records %v, dead letters %v", failure, n, acks, deadLetters)
 		}
 		if waits[0] < minBackoff/2 || waits[10] < maxBackoff/2 || waits[10] > maxBackoff {
-			t.Errorf("%+v: waited %v", p, waits)
+			t.Errorf("%+v: waited %v", failure, waits)
 		}
 	}
 	n := 0
-	_, waits, _ := drive(t, NewDelivery(DeliverySettings{BatchSize: 5}), []string{"a"}, func([]UsageEvent) PostResult {
-		if n++; n == 1 {
-			return PostResult{Status: 429, RetryAfter: 7 * time.Second, BodySent: true}
-		}
-		if n == 2 {
-			return PostResult{Status: 429, RetryAfter: 7 * time.Hour, BodySent: true}
-		}
-		return PostResult{Status: 200, BodySent: true}
-	})
+	_, waits, _ := runDelivery(t, NewDelivery(DeliverySettings{BatchSize: 5}), []string{"a"},
+		func([]UsageEvent) PostResult {
+			if n++; n == 1 {
+				return PostResult{Status: 429, RetryAfter: 7 * time.Second, BodySent: true}
+			}
+			if n == 2 {
+				return PostResult{Status: 429, RetryAfter: 7 * time.Hour, BodySent: true}
+			}
+			return PostResult{Status: 200, BodySent: true}
+		})
 	if waits[0] != 7*time.Second || waits[1] != maxRetryAfter {
-		t.Errorf("waited %v, want what was asked, up to %v", waits, maxRetryAfter)
+		t.Errorf("waited %v, want the requested time up to %v", waits, maxRetryAfter)
 	}
 	if !strings.HasPrefix(eventSource("f/x", 1, 2), "/winghatch/f%2Fx/") {
 		t.Error(eventSource("f/x", 1, 2))
--- a/internal/usage/outbox/events.go
+++ b/internal/usage/outbox/events.go
@@ -1,42 +1,43 @@
 package outbox
 
-// AttemptID names an attempt within an incarnation of a gateway.
+// AttemptID identifies an attempt within an incarnation of a gateway. No attempt has the ID 0.
 type AttemptID uint64
 
-// IDs that no attempt of this incarnation has. The caller numbers attempts from below, so they never meet.
+// IDs that are not used for attempts of this incarnation. The caller numbers its attempts upwards from a low
+// number, so the ranges do not overlap.
 const (
-	firstOrphanID = AttemptID(1) << 62 // from here on, of attempts of former incarnations
-	gapID         = AttemptID(1) << 63 // of the gap
+	firstOrphanID = AttemptID(1) << 62 // first ID of the attempts of earlier incarnations
+	gapID         = AttemptID(1) << 63 // ID of the gap record
 )
 
-// Event is something that happened to an outbox's attempts, its log or its receiver.
+// Event is an input of an Outbox: something that happened to an attempt, the log or the receiver.
 type Event interface{ event() }
 
 type (
-	// RecordIntent asks whether an attempt may be sent. It is answered by Append, Release or Deny.
+	// RecordIntent asks for permission to send an attempt. The outbox responds with Append, Release or Deny.
 	RecordIntent struct {
 		ID          AttemptID
 		Attempt     Attempt
-		LogHasSpace bool // the log has room for more than the settlements that are owed
+		LogHasSpace bool // the log has space for more than the settlements still to be written
 	}
-	// Appended is the answer to Append. It comes before any other event, unless the Append has ID 0.
+	// Appended is the result of an Append whose ID is not 0. It must be handled before any other event.
 	Appended struct {
 		ID      AttemptID
-		Record  uint64 // number of the record
-		Failure string // why there is none; empty: there is
+		Record  uint64 // number of the appended record
+		Failure string // why the record was not appended; empty on success
 	}
-	// Durable reports that all records up to a number are durable.
+	// Durable reports that all records up to Record are durable.
 	Durable struct{ Record uint64 }
-	// LogStatus reports that writing the log fails, or works again.
-	LogStatus struct{ Failure string } // empty: it works
-	// Settle ends an attempt.
+	// LogStatus reports why the log cannot be written, or with an empty Failure that it works again.
+	LogStatus struct{ Failure string }
+	// Settle reports the end of an attempt.
 	Settle struct {
 		ID        AttemptID
 		Outcome   Outcome
-		UsedUnits float64 // as answered, else as estimated
+		UsedUnits float64 // units reported by the response, or the estimate
 		WallTime  int64   // nanoseconds of Unix time
 	}
-	// Acknowledged reports that the receiver has all records up to a number.
+	// Acknowledged reports that the receiver has all records up to Record.
 	Acknowledged struct{ Record uint64 }
 )
 
@@ -47,18 +48,18 @@
 func (Settle) event()       {}
 func (Acknowledged) event() {}
 
-// Action is something that an outbox asks its owner to do.
+// Action is an operation that an Outbox requests from its owner.
 type Action interface{ action() }
 
 type (
-	// Append asks for a record in the log. It is answered by Appended, unless ID is 0.
+	// Append asks to append a record to the log. Its result is Appended, unless ID is 0.
 	Append struct {
 		ID      AttemptID
 		Payload []byte
 	}
-	// Release lets an attempt be sent.
+	// Release allows an attempt to be sent.
 	Release struct{ ID AttemptID }
-	// Deny forbids an attempt: nothing of it may leave.
+	// Deny forbids sending an attempt: no byte of it may leave the gateway.
 	Deny struct{ ID AttemptID }
 )
 
--- a/internal/usage/outbox/model_test.go
+++ b/internal/usage/outbox/model_test.go
@@ -9,56 +9,57 @@
 	"pgregory.net/rapid"
 )
 
-// plantedFault is a fault of the outbox or its log that the model must find.
-type plantedFault int
+// injectedFault is a fault of the outbox or its log that the model must detect.
+type injectedFault int
 
 const (
-	noFault           plantedFault = iota
-	lostSync                       // a crash loses what was reported durable
-	reusedIncarnation              // a new incarnation takes the number of the one before, so keys come again
-	lostIntent                     // an attempt leaves without its intent
+	noFault           injectedFault = iota
+	lostSync                        // a crash loses records that were reported as durable
+	reusedIncarnation               // an incarnation reuses the number of the previous one, so keys repeat
+	lostIntent                      // an attempt is sent without its intent in the log
 )
 
-// coverage is whether the intent of an attempt was in the log when it left.
+// coverage tells whether the intent of an attempt was in the log when the attempt was sent.
 type coverage int
 
 const (
-	covered    coverage = iota + 1
-	uncovered           // it was not
-	notDurable          // it was, but not durable, so that a crash may lose it
+	covered    coverage = iota + 1 // the intent was durable
+	uncovered                      // the intent was not in the log
+	notDurable                     // the intent was in the log, but a crash may lose it
 )
 
-// simulation is an outbox with a log, servers and a receiver, that crashes.
+// simulation is a model of an outbox with its log, servers and receiver, including crashes.
 type simulation struct {
-	fault       plantedFault
+	fault       injectedFault
 	random      *rand.Rand
 	policy      Policy
 	outbox      *Outbox
-	log         [][]byte // records; the number of the first is 1
-	durable     int
-	synced      int // a crash leaves so many
-	snapshot    []byte
-	snapshotAt  int
-	broken      bool
-	full        bool
+	log         [][]byte // records; the first one has number 1
+	durable     int      // number of records reported as durable
+	synced      int      // number of records that survive a crash of the machine
+	snapshot    []byte   // nil if there is none
+	snapshotAt  int      // number of records that snapshot covers
+	broken      bool     // the log cannot be written
+	full        bool     // the log has no space
 	lastID      AttemptID
-	names       map[AttemptID]string
-	inFlight    map[AttemptID]bool  // at the servers
-	sent        map[string]coverage // attempts of which bytes left, by name
-	denied      map[string]bool
-	atServer    map[string]float64
-	received    map[string]string // receiver: key -> name
-	byName      map[string]UsageData
-	duplicates  []string
-	reportedGap uint64
-	attempts    int
+	names       map[AttemptID]string // names of the attempts of this incarnation
+	inFlight    map[AttemptID]bool   // attempts that the servers are processing
+	sent        map[string]coverage  // attempts that were sent, by name
+	denied      map[string]bool      // attempts that were denied, by name
+	atServer    map[string]float64   // units that the servers reported, by attempt name
+	received    map[string]string    // attempt names of the events that the receiver has, by event key
+	byName      map[string]UsageData // events that the receiver has, by attempt name
+	duplicates  []string             // names of attempts that were exported with two keys
+	reportedGap uint64               // number of attempts in the gaps that the receiver has
+	attempts    int                  // number of attempts so far
 }
 
-func newSimulation(seed int64, p Policy, f plantedFault) *simulation {
-	o := &simulation{
-		fault:    f,
+// newSimulation returns a simulation whose first incarnation is started.
+func newSimulation(seed int64, policy Policy, fault injectedFault) *simulation {
+	s := &simulation{
+		fault:    fault,
 		random:   rand.New(rand.NewSource(seed)),
-		policy:   p,
+		policy:   policy,
 		names:    map[AttemptID]string{},
 		inFlight: map[AttemptID]bool{},
 		sent:     map[string]coverage{},
@@ -67,304 +68,318 @@
 		received: map[string]string{},
 		byName:   map[string]UsageData{},
 	}
-	o.start()
-	return o
+	s.start()
+	return s
 }
 
-func (o *simulation) start() {
-	o.outbox = New(Settings{Policy: o.policy})
-	if o.snapshot != nil {
-		if err := o.outbox.RestoreSnapshot(o.snapshot); err != nil {
+// start recovers the outbox from the snapshot and the log, and starts an incarnation.
+func (s *simulation) start() {
+	s.outbox = New(Settings{Policy: s.policy})
+	if s.snapshot != nil {
+		if err := s.outbox.RestoreSnapshot(s.snapshot); err != nil {
 			panic(err)
 		}
 	}
-	for i := o.snapshotAt; i < len(o.log); i++ {
-		if err := o.outbox.Restore(uint64(i+1), o.log[i]); err != nil {
+	for i := s.snapshotAt; i < len(s.log); i++ {
+		if err := s.outbox.Restore(uint64(i+1), s.log[i]); err != nil {
 			panic(err)
 		}
 	}
-	if o.fault == reusedIncarnation {
-		o.outbox.lastIncarnation = 6
+	if s.fault == reusedIncarnation {
+		s.outbox.lastIncarnation = 6
 	}
-	o.broken, o.full = false, false
-	o.do(o.outbox.Start(7))
-	o.sync()
+	s.broken, s.full = false, false
+	s.do(s.outbox.Start(7))
+	s.sync()
 }
 
-func (o *simulation) do(acts []Action) {
-	for _, a := range acts {
-		switch a := a.(type) {
+// do carries out actions of the outbox.
+func (s *simulation) do(actions []Action) {
+	for _, action := range actions {
+		switch action := action.(type) {
 		case Append:
-			ev := Appended{ID: a.ID}
-			if o.full || o.broken {
-				ev.Failure = "no room"
+			event := Appended{ID: action.ID}
+			if s.full || s.broken {
+				event.Failure = "no space"
 			} else {
-				o.log = append(o.log, a.Payload)
-				ev.Record = uint64(len(o.log))
+				s.log = append(s.log, action.Payload)
+				event.Record = uint64(len(s.log))
 			}
-			if a.ID != 0 {
-				o.do(o.outbox.Handle(ev))
+			if action.ID != 0 {
+				s.do(s.outbox.Handle(event))
 			}
-			if o.fault == lostIntent && len(a.Payload) > 0 && a.Payload[0] == recordIntent && ev.Failure == "" {
-				o.log[len(o.log)-1] = []byte{recordIncarnation, 1}
+			if s.fault == lostIntent && len(action.Payload) > 0 && action.Payload[0] == kindIntent &&
+				event.Failure == "" {
+				s.log[len(s.log)-1] = []byte{kindIncarnation, 1}
 			}
 		case Release:
-			o.inFlight[a.ID] = true
-			o.sent[o.names[a.ID]] = covered
+			s.inFlight[action.ID] = true
+			s.sent[s.names[action.ID]] = covered
 			switch {
-			case !o.outbox.attempts[a.ID].covered:
-				o.sent[o.names[a.ID]] = uncovered
-			case o.broken:
-				o.sent[o.names[a.ID]] = notDurable
+			case !s.outbox.attempts[action.ID].covered:
+				s.sent[s.names[action.ID]] = uncovered
+			case s.broken:
+				s.sent[s.names[action.ID]] = notDurable
 			}
 		case Deny:
-			o.denied[o.names[a.ID]] = true
-			o.do(o.outbox.Handle(Settle{ID: a.ID, Outcome: OutcomeNeverRan}))
+			s.denied[s.names[action.ID]] = true
+			s.do(s.outbox.Handle(Settle{ID: action.ID, Outcome: OutcomeNeverRan}))
 		}
 	}
 }
 
-// sync makes all durable.
-func (o *simulation) sync() {
-	if o.broken {
+// sync makes all records durable, unless the log cannot be written.
+func (s *simulation) sync() {
+	if s.broken {
 		return
 	}
-	o.durable = len(o.log)
-	if o.fault != lostSync {
-		o.synced = o.durable
+	s.durable = len(s.log)
+	if s.fault != lostSync {
+		s.synced = s.durable
 	}
-	o.do(o.outbox.Handle(Durable{uint64(o.durable)}))
+	s.do(s.outbox.Handle(Durable{uint64(s.durable)}))
 }
 
-func (o *simulation) attempt() {
-	o.lastID++
-	o.attempts++
-	name := fmt.Sprint("t", o.attempts)
-	o.names[o.lastID] = name
+// attempt starts a new attempt.
+func (s *simulation) attempt() {
+	s.lastID++
+	s.attempts++
+	name := fmt.Sprint("t", s.attempts)
+	s.names[s.lastID] = name
 	attempt := Attempt{Request: name, Member: "m", Units: 1}
-	o.do(o.outbox.Handle(RecordIntent{ID: o.lastID, LogHasSpace: !o.full, Attempt: attempt}))
+	s.do(s.outbox.Handle(RecordIntent{ID: s.lastID, LogHasSpace: !s.full, Attempt: attempt}))
 }
 
-// answered ends an attempt in flight with its answer.
-func (o *simulation) answered(id AttemptID) {
-	delete(o.inFlight, id)
-	o.atServer[o.names[id]] = 4
-	o.do(o.outbox.Handle(Settle{ID: id, Outcome: OutcomeAnswered, UsedUnits: 4}))
+// answer ends an attempt in flight with a response.
+func (s *simulation) answer(id AttemptID) {
+	delete(s.inFlight, id)
+	s.atServer[s.names[id]] = 4
+	s.do(s.outbox.Handle(Settle{ID: id, Outcome: OutcomeAnswered, UsedUnits: 4}))
 }
 
-// unsettled finds attempts that are not settled though the log works and has room, before a crash makes orphans of
-// them; and sequence numbers that were left out.
-func (o *simulation) unsettled() string {
-	if n := o.outbox.Unsettled(); n > 0 {
+// unsettled returns a description of attempts that are not settled although the log works and has space, or
+// of sequence numbers that were left out; empty if there are none. It is called before a crash turns
+// unsettled attempts into orphans.
+func (s *simulation) unsettled() string {
+	if n := s.outbox.Unsettled(); n > 0 {
 		return fmt.Sprintf("%d attempts are not settled", n)
 	}
 	next := map[string]int{}
-	for _, r := range o.log {
-		rec, err := parseRecord(r)
+	for _, payload := range s.log {
+		record, err := parseRecord(payload)
 		if err != nil {
 			return err.Error()
 		}
-		incarnation, sequence := rec.settlement.Incarnation, rec.settlement.Sequence
-		if rec.kind == recordGap {
-			incarnation, sequence = rec.gap.Incarnation, rec.gap.Sequence
+		incarnation, sequence := record.settlement.Incarnation, record.settlement.Sequence
+		if record.kind == kindGap {
+			incarnation, sequence = record.gap.Incarnation, record.gap.Sequence
 		}
 		if sequence == 0 {
 			continue
 		}
-		k := fmt.Sprint(incarnation)
-		if next[k]++; int(sequence) != next[k] {
-			return fmt.Sprintf("incarnation %s: number %d stands where %d is due", k, sequence, next[k])
+		key := fmt.Sprint(incarnation)
+		if next[key]++; int(sequence) != next[key] {
+			return fmt.Sprintf("incarnation %s: sequence number %d, want %d", key, sequence, next[key])
 		}
 	}
 	return ""
 }
 
-func (o *simulation) settleOne(outcome Outcome) {
-	for id := range o.inFlight {
-		delete(o.inFlight, id)
+// settleOne ends one attempt in flight, if there is any.
+func (s *simulation) settleOne(outcome Outcome) {
+	for id := range s.inFlight {
+		delete(s.inFlight, id)
 		used := 1.0
 		if outcome == OutcomeAnswered {
-			used = float64(2 + o.random.Intn(5))
-			o.atServer[o.names[id]] = used
+			used = float64(2 + s.random.Intn(5))
+			s.atServer[s.names[id]] = used
 		}
 		if outcome == OutcomeNeverRan {
-			delete(o.sent, o.names[id]) // it provably never left
+			delete(s.sent, s.names[id]) // it did not run, so it must not be exported
 		}
-		o.do(o.outbox.Handle(Settle{ID: id, Outcome: outcome, UsedUnits: used}))
+		s.do(s.outbox.Handle(Settle{ID: id, Outcome: outcome, UsedUnits: used}))
 		return
 	}
 }
 
-// crash ends an incarnation. If the machine goes down, what was not synced is lost; a kill may leave any part of it.
-func (o *simulation) crash() {
-	keep := o.synced
-	if o.fault != lostSync && o.random.Intn(2) == 0 {
-		keep += o.random.Intn(len(o.log) - o.synced + 1)
+// crash ends an incarnation and starts the next one. A crash of the machine loses all records that were not
+// synced. A kill of the process may keep any number of them.
+func (s *simulation) crash() {
+	keep := s.synced
+	if s.fault != lostSync && s.random.Intn(2) == 0 {
+		keep += s.random.Intn(len(s.log) - s.synced + 1)
 	}
-	if o.fault == lostSync {
-		keep = o.synced
+	if s.fault == lostSync {
+		keep = s.synced
 	}
-	o.log = o.log[:max(keep, o.snapshotAt)]
-	o.synced, o.durable = len(o.log), len(o.log)
-	o.inFlight, o.names = map[AttemptID]bool{}, map[AttemptID]string{}
-	o.start()
+	s.log = s.log[:max(keep, s.snapshotAt)]
+	s.synced, s.durable = len(s.log), len(s.log)
+	s.inFlight, s.names = map[AttemptID]bool{}, map[AttemptID]string{}
+	s.start()
 }
 
-func (o *simulation) takeSnapshot() {
-	if o.fault == noFault && !o.broken {
-		o.sync()
-		o.snapshot, o.snapshotAt = o.outbox.Snapshot(), len(o.log)
+// takeSnapshot stores a snapshot of the outbox, unless a fault is injected or the log cannot be written.
+func (s *simulation) takeSnapshot() {
+	if s.fault == noFault && !s.broken {
+		s.sync()
+		s.snapshot, s.snapshotAt = s.outbox.Snapshot(), len(s.log)
 	}
 }
 
-// deliver sends the events of what is durable, at times those that the receiver has too.
-func (o *simulation) deliver() {
-	from := int(o.outbox.LastAcknowledged())
-	if o.random.Intn(3) == 0 {
+// deliver sends the events of all durable records that are not acknowledged. Sometimes it also sends events
+// that the receiver already has.
+func (s *simulation) deliver() {
+	from := int(s.outbox.LastAcknowledged())
+	if s.random.Intn(3) == 0 {
 		from = 0 // an acknowledgement was lost
 	}
-	for i := from; i < o.durable; i++ {
-		ev, ok, err := EncodeEvent("f", 3, uint64(i+1), o.log[i])
+	for i := from; i < s.durable; i++ {
+		event, hasEvent, err := EncodeEvent("f", 3, uint64(i+1), s.log[i])
 		if err != nil {
 			panic(err)
 		}
-		if !ok {
+		if !hasEvent {
 			continue
 		}
-		var c struct {
+		var decoded struct {
 			ID, Source, Type string
 			Data             json.RawMessage
 		}
-		if err := json.Unmarshal(ev.JSON, &c); err != nil {
+		if err := json.Unmarshal(event.JSON, &decoded); err != nil {
 			panic(err)
 		}
-		key := c.Source + " " + c.ID
-		if c.Type == TypeGap {
-			var g GapData
-			json.Unmarshal(c.Data, &g)
-			if o.received[key] == "" {
-				o.reportedGap += g.Attempts
+		key := decoded.Source + " " + decoded.ID
+		if decoded.Type == TypeGap {
+			var gap GapData
+			json.Unmarshal(decoded.Data, &gap)
+			if s.received[key] == "" {
+				s.reportedGap += gap.Attempts
 			}
-			o.received[key] = "gap"
+			s.received[key] = "gap"
 			continue
 		}
-		var u UsageData
-		json.Unmarshal(c.Data, &u)
-		if o.received[key] != "" {
-			continue // as a receiver drops it
+		var usage UsageData
+		json.Unmarshal(decoded.Data, &usage)
+		if s.received[key] != "" {
+			continue // the receiver drops duplicates
 		}
-		o.received[key] = u.Request
-		if _, ok := o.byName[u.Request]; ok {
-			o.duplicates = append(o.duplicates, u.Request)
+		s.received[key] = usage.Request
+		if _, ok := s.byName[usage.Request]; ok {
+			s.duplicates = append(s.duplicates, usage.Request)
 		}
-		o.byName[u.Request] = u
+		s.byName[usage.Request] = usage
 	}
-	if o.durable > 0 {
-		o.do(o.outbox.Handle(Acknowledged{uint64(o.durable)}))
+	if s.durable > 0 {
+		s.do(s.outbox.Handle(Acknowledged{uint64(s.durable)}))
 	}
 }
 
-func (o *simulation) verdict() string {
-	if len(o.duplicates) > 0 {
-		return fmt.Sprintf("%v exported twice", o.duplicates)
+// verdict compares the events at the receiver with the attempts that were sent. It returns a description of
+// the first difference, or an empty string.
+func (s *simulation) verdict() string {
+	if len(s.duplicates) > 0 {
+		return fmt.Sprintf("%v exported twice", s.duplicates)
 	}
-	for name, coverage := range o.sent {
-		u, ok := o.byName[name]
+	for name, coverage := range s.sent {
+		usage, exported := s.byName[name]
 		switch {
-		case coverage == covered && !ok:
-			return name + " left and is not exported"
-		case coverage == uncovered && ok:
-			return name + " was sent uncovered and is exported"
-		case ok && !u.Estimated && u.Units != o.atServer[name]:
-			return fmt.Sprintf("%s is exported at %v, the server answered %v", name, u.Units, o.atServer[name])
+		case coverage == covered && !exported:
+			return name + " was sent but not exported"
+		case coverage == uncovered && exported:
+			return name + " was sent without an intent but exported"
+		case exported && !usage.Estimated && usage.Units != s.atServer[name]:
+			return fmt.Sprintf("%s was exported with %v units, the server reported %v", name, usage.Units,
+				s.atServer[name])
 		}
 	}
-	for name, u := range o.byName {
-		if o.sent[name] == 0 && u.Outcome != OutcomeGatewayEnded.String() {
-			return name + " never left and is exported"
+	for name, usage := range s.byName {
+		if s.sent[name] == 0 && usage.Outcome != OutcomeGatewayEnded.String() {
+			return name + " was not sent but exported"
 		}
-		if o.denied[name] && o.sent[name] == 0 && u.Outcome != OutcomeGatewayEnded.String() {
-			return name + " was denied and is exported"
+		if s.denied[name] && s.sent[name] == 0 && usage.Outcome != OutcomeGatewayEnded.String() {
+			return name + " was denied but exported"
 		}
 	}
 	return ""
 }
 
-// TestExactlyOnce checks the outbox against a model: with crashes at any point, with a log that fails and one that is
-// full, the receiver gets each attempt that left once, at the units that its server answered, and no other. The model
-// is itself checked with faults that it must find.
-func TestExactlyOnce(t *testing.T) {
+// TestExactlyOnceExport checks the outbox against a model with crashes at any point, a log that cannot be
+// written and a full log. The receiver must get each attempt that was sent exactly once, with the units that
+// its server reported, and no other attempt. The model itself is verified with injected faults that it must
+// detect.
+func TestExactlyOnceExport(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		if s := play(rt, noFault); s != "" {
-			rt.Fatal(s)
+		if problem := runSimulation(rt, noFault); problem != "" {
+			rt.Fatal(problem)
 		}
 	})
-	for f, name := range map[plantedFault]string{
+	for fault, name := range map[injectedFault]string{
 		lostSync:          "a lost sync",
-		reusedIncarnation: "keys that come again",
-		lostIntent:        "a forgotten intent",
+		reusedIncarnation: "repeated event keys",
+		lostIntent:        "a lost intent",
 	} {
 		found := 0
 		rapid.Check(t, func(rt *rapid.T) {
-			if play(rt, f) != "" {
+			if runSimulation(rt, fault) != "" {
 				found++
 			}
 		})
 		if found == 0 {
-			t.Errorf("the model does not find %s", name)
+			t.Errorf("the model did not detect %s", name)
 		}
 	}
 }
 
-// play runs a simulation with random steps to its end. It returns what is wrong, or nothing.
-func play(rt *rapid.T, f plantedFault) string {
+// runSimulation runs a simulation with random steps to its end. It returns a description of what went wrong,
+// or an empty string.
+func runSimulation(rt *rapid.T, fault injectedFault) string {
 	seed := rapid.Int64().Draw(rt, "seed")
 	policy := rapid.SampledFrom([]Policy{PolicyReject, PolicyServe}).Draw(rt, "policy")
-	o := newSimulation(seed, policy, f)
+	s := newSimulation(seed, policy, fault)
 	for range rapid.IntRange(1, 60).Draw(rt, "steps") {
-		switch rapid.IntRange(0, 13).Draw(rt, "what") {
+		switch rapid.IntRange(0, 13).Draw(rt, "step") {
 		case 0, 1, 2:
-			o.attempt()
+			s.attempt()
 		case 3, 4:
-			o.sync()
+			s.sync()
 		case 5, 6:
-			o.settleOne(OutcomeAnswered)
+			s.settleOne(OutcomeAnswered)
 		case 7:
-			o.settleOne(OutcomeUnanswered)
+			s.settleOne(OutcomeUnanswered)
 		case 8:
-			o.settleOne(OutcomeNeverRan)
+			s.settleOne(OutcomeNeverRan)
 		case 9:
-			o.deliver()
+			s.deliver()
 		case 10:
-			o.crash()
+			s.crash()
 		case 11:
-			o.takeSnapshot()
+			s.takeSnapshot()
 		case 12:
-			if !o.broken && f == noFault {
-				o.broken = true
-				o.do(o.outbox.Handle(LogStatus{"no space"}))
-			} else if o.broken {
-				o.broken = false
-				o.do(o.outbox.Handle(LogStatus{""}))
+			if !s.broken && fault == noFault {
+				s.broken = true
+				s.do(s.outbox.Handle(LogStatus{"no space"}))
+			} else if s.broken {
+				s.broken = false
+				s.do(s.outbox.Handle(LogStatus{""}))
 			}
 		case 13:
-			o.full = !o.full && f == noFault
+			s.full = !s.full && fault == noFault
 		}
 	}
-	if o.full = false; o.broken { // of a log that was only full no status tells that it works again
-		o.broken = false
-		o.do(o.outbox.Handle(LogStatus{""}))
+	if s.full = false; s.broken { // there is no LogStatus for a log that was only full
+		s.broken = false
+		s.do(s.outbox.Handle(LogStatus{""}))
 	}
-	o.sync()
-	for id := range o.inFlight {
-		o.answered(id)
+	s.sync()
+	for id := range s.inFlight {
+		s.answer(id)
 	}
-	o.sync()
-	o.deliver()
-	if s := o.unsettled(); f == noFault && s != "" {
-		return s
+	s.sync()
+	s.deliver()
+	if problem := s.unsettled(); fault == noFault && problem != "" {
+		return problem
 	}
-	o.crash()
-	o.deliver()
-	return o.verdict()
+	s.crash()
+	s.deliver()
+	return s.verdict()
 }
--- a/internal/usage/outbox/outbox.go
+++ b/internal/usage/outbox/outbox.go
@@ -1,14 +1,16 @@
-// Package outbox decides what a gateway owes to the usage receiver: an event for each attempt that may have run,
-// exactly once by its key, at the units that the answer reports or at the estimate.
+// Package outbox implements a transactional outbox for usage events. It determines which events a gateway has
+// to send to the usage receiver: one for each attempt that may have run, with the units that the response
+// reported or else the estimate. Each event has a unique key, so that the receiver can count it exactly once.
 //
-// An Outbox knows the attempts of a gateway from their intent, which is durable before a byte of them leaves, to
-// their settlement. A crash leaves intents without settlement; the next incarnation settles them at their estimates.
-// A Delivery decides which settlements go to the receiver, when they are sent again and when they may be forgotten.
-// Delivery is at least once: an event that comes twice has the same source and id.
+// An Outbox tracks each attempt from its intent to its settlement. The intent is durable before the first
+// byte of the attempt leaves the gateway. A crash may leave intents without a settlement; the next
+// incarnation of the gateway settles them at their estimates. A Delivery decides which settlements are sent
+// to the receiver, when they are retried and when they are acknowledged. Delivery is at least once; a
+// duplicate event has the same source and id as the original.
 //
-// Both are state machines that are given events and return actions, to be carried out in order. They do no I/O, read no
-// clock, start no goroutine and are not safe for concurrent use. Their records are in a log of package wal, which the
-// owner writes.
+// Both types are state machines: they process events and return actions, which their owner must carry out in
+// order. They perform no I/O, read no clock, start no goroutines and are not safe for concurrent use. Their
+// records are stored in a log of package wal that is written by the owner.
 package outbox
 
 import (
@@ -22,103 +24,106 @@
 	"winghatch/internal/encoding"
 )
 
-// maxUnloggedSettlements bounds the memory for settlements that wait for a log that does not take them. At that many no
-// further intent is written, so no more come than those of the attempts in flight.
+// maxUnloggedSettlements limits the memory used by settlements that could not be written to the log yet. When
+// it is reached no further intent is written, so the number can only grow by the attempts that are in flight.
 const maxUnloggedSettlements = 20000
 
-// Policy says what happens to requests while the log can't be written.
+// Policy defines what happens to attempts while the log cannot be written.
 type Policy int
 
 const (
-	// PolicyReject sends no attempt whose intent is not durable.
+	// PolicyReject denies attempts whose intent is not durable.
 	PolicyReject Policy = iota
-	// PolicyServe sends it; what it uses is added up and reported to the receiver as a gap.
+	// PolicyServe allows such attempts. Their usage is added up and reported to the receiver as a gap.
 	PolicyServe
 )
 
-// Settings are what an outbox starts from.
+// Settings configures an Outbox.
 type Settings struct {
 	Policy         Policy
-	MinIncarnation uint64 // an outbox takes one that is not smaller, and greater than all in its log
+	MinIncarnation uint64 // lower bound; the outbox also chooses a number greater than all in its log
 }
 
-// Outbox holds what the attempts of a gateway owe.
+// Outbox tracks the attempts of a gateway whose usage has to be reported.
 type Outbox struct {
 	Counts Counts
 
 	settings    Settings
-	incarnation uint64
-	sequence    uint64 // of the last event of this incarnation
-	logFailure  string // why the log can't be written; empty: it can
+	incarnation uint64 // number of this incarnation; 0 before Start
+	sequence    uint64 // sequence number of the last event of this incarnation
+	logFailure  string // why the log cannot be written; empty if it can
 
-	attempts        map[AttemptID]*attemptEntry
-	awaitingDurable []AttemptID // intents that are appended and were not durable yet, in order
-	unlogged        []AttemptID // settlements that the log did not take
+	attempts        map[AttemptID]*attemptEntry // attempts whose settlement is not in the log
+	awaitingDurable []AttemptID                 // attempts whose intent is appended but not durable, in order
+	unlogged        []AttemptID                 // attempts whose settlement could not be appended yet
 
 	acknowledged       uint64 // the receiver has all records up to this one
-	acknowledgedLogged uint64 // the same, as recorded in the log
+	acknowledgedLogged uint64 // value of acknowledged in the last record of it in the log
 
-	// Use that was not covered by an intent and is not reported yet.
-	gapAttempts   uint64
-	gapUnits      float64
-	pendingGap    *Gap  // its record is being appended
-	lastSettledAt int64 // nanoseconds of Unix time
+	// Usage of attempts without an intent that is not reported yet.
+	unreportedAttempts uint64
+	unreportedUnits    float64
+	pendingGap         *Gap  // gap record that is being appended; nil if there is none
+	lastSettledAt      int64 // time of the last Settle in nanoseconds of Unix time
 
-	// Of the log, before Start.
-	orphans         map[uint64]Attempt // intents without settlement, by record
-	lastIncarnation uint64
+	// State restored from the log before Start.
+	orphans         map[uint64]Attempt // intents without a settlement, by record number
+	lastIncarnation uint64             // greatest incarnation number found; 0 if there is none
 }
 
-// attemptEntry is an attempt whose settlement is not in the log.
+// attemptEntry is the state of an attempt whose settlement is not in the log.
 type attemptEntry struct {
 	attempt    Attempt
-	record     uint64 // of the intent; 0: not appended
-	covered    bool   // the intent is in the log
-	released   bool
-	settlement *Settlement // nil: it has not ended
+	record     uint64      // record number of the intent; 0 if it is not appended
+	covered    bool        // the intent is in the log
+	released   bool        // the attempt may be sent
+	settlement *Settlement // nil while the attempt has not ended
 }
 
-// Counts are for operators. Their JSON keys never change.
+// Counts are statistics for operators. Their JSON keys never change.
 type Counts struct {
-	Intents           uint64  `json:"Intents"`
-	Settled           uint64  `json:"Settled"`
-	Skipped           uint64  `json:"Skipped"` // settled attempts that never ran
-	Orphans           uint64  `json:"Orphans"` // settled at their estimates, as their incarnation ended before
-	Denied            uint64  `json:"Denied"`
-	UncoveredAttempts uint64  `json:"Uncovered"` // sent though the log could not be written
-	UncoveredUnits    float64 `json:"UncoveredUnits"`
+	Intents           uint64  `json:"Intents"`        // intents passed to the log
+	Settled           uint64  `json:"Settled"`        // settled attempts that may have run
+	Skipped           uint64  `json:"Skipped"`        // settled attempts that never ran
+	Orphans           uint64  `json:"Orphans"`        // attempts left by earlier incarnations, now settled
+	Denied            uint64  `json:"Denied"`         // attempts denied because the log could not be written
+	UncoveredAttempts uint64  `json:"Uncovered"`      // attempts sent without an intent in the log
+	UncoveredUnits    float64 `json:"UncoveredUnits"` // units used by these attempts
 }
 
-// New returns an outbox. It is given what its log holds, by RestoreSnapshot and Restore, and then started.
+// New returns an outbox. The owner restores its state from the log with RestoreSnapshot and Restore, and then
+// calls Start.
 func New(s Settings) *Outbox {
 	return &Outbox{settings: s, attempts: map[AttemptID]*attemptEntry{}, orphans: map[uint64]Attempt{}}
 }
 
-// Restore takes a record of the log. It is called for all records behind the snapshot, in order.
+// Restore applies a record of the log. It must be called in order for all records after the snapshot. It
+// returns an error if the record is malformed.
 func (o *Outbox) Restore(number uint64, payload []byte) error {
-	r, err := parseRecord(payload)
+	record, err := parseRecord(payload)
 	if err != nil {
 		return fmt.Errorf("record %d: %w", number, err)
 	}
-	switch r.kind {
-	case recordIntent:
-		o.orphans[number] = r.attempt
-	case recordSettlement:
-		delete(o.orphans, r.settlement.Intent)
-		o.lastIncarnation = max(o.lastIncarnation, r.settlement.Incarnation)
-	case recordIncarnation:
-		o.lastIncarnation = max(o.lastIncarnation, r.number)
-	case recordAcknowledged:
-		o.acknowledged = max(o.acknowledged, r.number)
-	case recordGap:
-		o.lastIncarnation = max(o.lastIncarnation, r.gap.Incarnation)
+	switch record.kind {
+	case kindIntent:
+		o.orphans[number] = record.attempt
+	case kindSettlement:
+		delete(o.orphans, record.settlement.Intent)
+		o.lastIncarnation = max(o.lastIncarnation, record.settlement.Incarnation)
+	case kindIncarnation:
+		o.lastIncarnation = max(o.lastIncarnation, record.number)
+	case kindAcknowledged:
+		o.acknowledged = max(o.acknowledged, record.number)
+	case kindGap:
+		o.lastIncarnation = max(o.lastIncarnation, record.gap.Incarnation)
 	}
 	return nil
 }
 
-// Start begins an incarnation: with a number greater than all in the log, also if the wall clock was set back, as keys
-// would come again otherwise; and with settlements of what former incarnations left open, at the estimates. These have
-// keys of the new incarnation, since the keys that the former one would have given are not known.
+// Start starts a new incarnation at wallTime, in nanoseconds of Unix time. The incarnation gets a number
+// greater than all in the log, even if the wall clock was set back, because event keys would repeat
+// otherwise. Attempts that earlier incarnations did not settle are settled at their estimates. Their events
+// get keys of the new incarnation, because the keys that the earlier one would have assigned are not known.
 func (o *Outbox) Start(wallTime int64) []Action {
 	o.incarnation, o.lastSettledAt = max(o.settings.MinIncarnation, o.lastIncarnation+1), wallTime
 	o.acknowledgedLogged = o.acknowledged
@@ -128,19 +133,19 @@
 	}
 	slices.Sort(records)
 	for i, record := range records {
-		a := o.orphans[record]
+		attempt := o.orphans[record]
 		id := firstOrphanID + AttemptID(i)
 		o.attempts[id] = &attemptEntry{
-			attempt:  a,
+			attempt:  attempt,
 			record:   record,
 			covered:  true,
 			released: true,
 			settlement: &Settlement{
-				Attempt:     a,
+				Attempt:     attempt,
 				Intent:      record,
 				Incarnation: o.incarnation,
 				Outcome:     OutcomeGatewayEnded,
-				UsedUnits:   a.Units,
+				UsedUnits:   attempt.Units,
 				WallTime:    wallTime,
 			},
 		}
@@ -148,55 +153,60 @@
 		o.Counts.Orphans++
 	}
 	clear(o.orphans)
-	started := Append{Payload: binary.AppendUvarint([]byte{recordIncarnation}, o.incarnation)}
+	started := Append{Payload: binary.AppendUvarint([]byte{kindIncarnation}, o.incarnation)}
 	return append([]Action{started}, o.retryUnlogged()...)
 }
 
-// Incarnation returns the number of this incarnation. It is called after Start.
+// Incarnation returns the number of this incarnation, or 0 before Start.
 func (o *Outbox) Incarnation() uint64 { return o.incarnation }
 
-// LastAcknowledged returns the last record up to which the receiver is known to have everything.
+// LastAcknowledged returns the number of the last record up to which the receiver has acknowledged
+// everything; 0 if none.
 func (o *Outbox) LastAcknowledged() uint64 { return o.acknowledged }
 
-// Unsettled returns how many attempts have no settlement in the log, ended or not.
+// Unsettled returns the number of attempts without a settlement in the log, whether they have ended or not.
 func (o *Outbox) Unsettled() int { return len(o.attempts) }
 
-// RejectsRequests reports whether requests had better be rejected at once, as all their attempts would be denied.
+// RejectsRequests reports whether requests should be rejected immediately, because all their attempts would
+// be denied. logHasSpace tells whether the log has space for another intent.
 func (o *Outbox) RejectsRequests(logHasSpace bool) bool {
 	return (o.logFailure != "" || !logHasSpace) && o.settings.Policy == PolicyReject
 }
 
-// Handle takes an event and returns what is to be done, in order.
-func (o *Outbox) Handle(ev Event) []Action {
-	switch ev := ev.(type) {
+// Handle processes an event and returns the actions to be carried out, in order.
+func (o *Outbox) Handle(event Event) []Action {
+	switch event := event.(type) {
 	case RecordIntent:
-		return o.recordIntent(ev)
+		return o.recordIntent(event)
 	case Appended:
-		return o.recordAppended(ev)
+		return o.recordAppended(event)
 	case Durable:
-		return o.recordsDurable(ev.Record)
+		return o.recordsDurable(event.Record)
 	case LogStatus:
-		return o.logStatusChanged(ev.Failure)
+		return o.logStatusChanged(event.Failure)
 	case Settle:
-		return o.settleAttempt(ev)
+		return o.settleAttempt(event)
 	case Acknowledged:
-		return o.recordsAcknowledged(ev.Record)
+		return o.recordsAcknowledged(event.Record)
 	}
 	return nil
 }
 
-func (o *Outbox) recordIntent(ev RecordIntent) []Action {
-	entry := &attemptEntry{attempt: ev.Attempt}
-	o.attempts[ev.ID] = entry
-	if o.logFailure != "" || !ev.LogHasSpace || len(o.unlogged) >= maxUnloggedSettlements {
-		return o.decideUncovered(ev.ID, entry)
+// recordIntent appends the intent of an attempt, preceded by a gap record if one is due, or applies the
+// policy if the log cannot be written.
+func (o *Outbox) recordIntent(event RecordIntent) []Action {
+	entry := &attemptEntry{attempt: event.Attempt}
+	o.attempts[event.ID] = entry
+	if o.logFailure != "" || !event.LogHasSpace || len(o.unlogged) >= maxUnloggedSettlements {
+		return o.decideUncovered(event.ID, entry)
 	}
 	o.Counts.Intents++
-	intent := Append{ev.ID, entry.attempt.append([]byte{recordIntent})}
+	intent := Append{event.ID, entry.attempt.append([]byte{kindIntent})}
 	return append(o.reportGap(), intent)
 }
 
-// decideUncovered decides by the policy on an attempt whose intent is not durable and can't be made so.
+// decideUncovered applies the policy to an attempt whose intent is not durable and cannot be made durable
+// now.
 func (o *Outbox) decideUncovered(id AttemptID, entry *attemptEntry) []Action {
 	if o.settings.Policy == PolicyServe {
 		entry.released = true
@@ -206,26 +216,27 @@
 	return []Action{Deny{id}}
 }
 
-func (o *Outbox) recordAppended(ev Appended) []Action {
-	if ev.ID == gapID && o.pendingGap != nil {
-		o.gapAppended(ev.Failure != "")
+// recordAppended processes the result of appending an intent, a settlement or a gap.
+func (o *Outbox) recordAppended(event Appended) []Action {
+	if event.ID == gapID && o.pendingGap != nil {
+		o.gapAppended(event.Failure != "")
 		return nil
 	}
-	entry := o.attempts[ev.ID]
+	entry := o.attempts[event.ID]
 	switch {
 	case entry == nil:
 		return nil
 	case entry.settlement != nil:
-		return o.settlementAppended(ev.ID, entry, ev.Failure != "")
-	case ev.Failure != "":
-		return o.decideUncovered(ev.ID, entry)
+		return o.settlementAppended(event.ID, entry, event.Failure != "")
+	case event.Failure != "":
+		return o.decideUncovered(event.ID, entry)
 	}
-	entry.record, entry.covered = ev.Record, true
-	o.awaitingDurable = append(o.awaitingDurable, ev.ID)
+	entry.record, entry.covered = event.Record, true
+	o.awaitingDurable = append(o.awaitingDurable, event.ID)
 	return nil
 }
 
-// recordsDurable releases the attempts whose intents are durable now.
+// recordsDurable releases the attempts whose intents have become durable with a record.
 func (o *Outbox) recordsDurable(record uint64) (actions []Action) {
 	for len(o.awaitingDurable) > 0 {
 		id := o.awaitingDurable[0]
@@ -242,9 +253,9 @@
 	return append(actions, o.retryUnlogged()...)
 }
 
-// logStatusChanged notes that the log fails or works again. Attempts whose intents are not durable yet have not been
-// sent, so the policy decides on them. One that is sent then is still covered: its intent may become durable later,
-// and its settlement is written in any case.
+// logStatusChanged processes a failure or the recovery of the log. On a failure, attempts whose intents are
+// not durable have not been sent yet, so the policy applies to them. An attempt that is sent because of it
+// still counts as covered: its intent may become durable later, and its settlement is written in any case.
 func (o *Outbox) logStatusChanged(failure string) (actions []Action) {
 	o.logFailure = failure
 	if failure == "" {
@@ -259,45 +270,48 @@
 	return actions
 }
 
-func (o *Outbox) settleAttempt(ev Settle) []Action {
-	entry := o.attempts[ev.ID]
+// settleAttempt creates the settlement of an attempt and appends it if the log works. An attempt without an
+// intent in the log gets no settlement; its usage is added to the next gap.
+func (o *Outbox) settleAttempt(event Settle) []Action {
+	entry := o.attempts[event.ID]
 	if entry == nil || entry.settlement != nil {
 		return nil
 	}
-	o.lastSettledAt = ev.WallTime
+	o.lastSettledAt = event.WallTime
 	if !entry.covered {
-		delete(o.attempts, ev.ID)
-		if ev.Outcome != OutcomeNeverRan && entry.released {
-			o.addUncovered(ev.UsedUnits)
+		delete(o.attempts, event.ID)
+		if event.Outcome != OutcomeNeverRan && entry.released {
+			o.addUncovered(event.UsedUnits)
 		}
 		return nil
 	}
-	used := ev.UsedUnits
-	if !(used >= 0) || math.IsInf(used, 0) { // nor NaN, which an answer may lead to
+	used := event.UsedUnits
+	if !(used >= 0) || math.IsInf(used, 0) { // negative, NaN or infinite, from an invalid response
 		used = entry.attempt.Units
 	}
 	entry.settlement = &Settlement{
 		Attempt:     entry.attempt,
 		Intent:      entry.record,
 		Incarnation: o.incarnation,
-		Outcome:     ev.Outcome,
+		Outcome:     event.Outcome,
 		UsedUnits:   used,
-		WallTime:    ev.WallTime,
+		WallTime:    event.WallTime,
 	}
-	if ev.Outcome == OutcomeNeverRan {
+	if event.Outcome == OutcomeNeverRan {
 		o.Counts.Skipped++
 	} else {
 		o.Counts.Settled++
 	}
 	if o.logFailure != "" {
-		o.unlogged = append(o.unlogged, ev.ID)
+		o.unlogged = append(o.unlogged, event.ID)
 		return nil
 	}
-	return []Action{o.appendSettlement(ev.ID, entry)}
+	return []Action{o.appendSettlement(event.ID, entry)}
 }
 
-// appendSettlement gives a settlement the next sequence number, unless nothing is owed for it. The number is taken
-// back if the log does not take the record; as an Append is answered before any other event, no number is left out.
+// appendSettlement appends a settlement and assigns it the next sequence number, unless the attempt never ran
+// and has no event. If the append fails, the number is taken back. Because the result of an Append is handled
+// before any other event, no number is left out.
 func (o *Outbox) appendSettlement(id AttemptID, entry *attemptEntry) Action {
 	if entry.settlement.Outcome != OutcomeNeverRan {
 		o.sequence++
@@ -306,6 +320,8 @@
 	return Append{id, entry.settlement.append(nil)}
 }
 
+// settlementAppended forgets an attempt whose settlement is in the log, or keeps it for a retry if the append
+// failed.
 func (o *Outbox) settlementAppended(id AttemptID, entry *attemptEntry, failed bool) []Action {
 	if failed {
 		if entry.settlement.Outcome != OutcomeNeverRan {
@@ -318,7 +334,8 @@
 	return o.retryUnlogged()
 }
 
-// retryUnlogged appends the first of the settlements that the log did not take; once it has, the next one follows.
+// retryUnlogged appends the first settlement that could not be appended before. When that succeeds, the next
+// one follows.
 func (o *Outbox) retryUnlogged() []Action {
 	if o.logFailure != "" || len(o.unlogged) == 0 {
 		return nil
@@ -328,52 +345,56 @@
 	return []Action{o.appendSettlement(id, o.attempts[id])}
 }
 
+// addUncovered adds the usage of an attempt without an intent to the next gap.
 func (o *Outbox) addUncovered(units float64) {
-	o.gapAttempts++
-	o.gapUnits += units
+	o.unreportedAttempts++
+	o.unreportedUnits += units
 	o.Counts.UncoveredAttempts++
 	o.Counts.UncoveredUnits += units
 }
 
-// reportGap appends a record of the use that was not covered, if there is any. It is called when the log has room.
+// reportGap appends a gap record if there is unreported usage of attempts without an intent. It is called
+// only when the log has space.
 func (o *Outbox) reportGap() []Action {
-	if o.gapAttempts == 0 || o.pendingGap != nil {
+	if o.unreportedAttempts == 0 || o.pendingGap != nil {
 		return nil
 	}
 	o.sequence++
 	o.pendingGap = &Gap{
 		Incarnation: o.incarnation,
 		Sequence:    o.sequence,
-		Attempts:    o.gapAttempts,
-		Units:       o.gapUnits,
+		Attempts:    o.unreportedAttempts,
+		Units:       o.unreportedUnits,
 		WallTime:    o.lastSettledAt,
 	}
-	o.gapAttempts, o.gapUnits = 0, 0
+	o.unreportedAttempts, o.unreportedUnits = 0, 0
 	return []Action{Append{gapID, o.pendingGap.append(nil)}}
 }
 
+// gapAppended completes the pending gap, or adds its usage back for the next one if the append failed.
 func (o *Outbox) gapAppended(failed bool) {
 	if failed {
-		o.gapAttempts += o.pendingGap.Attempts
-		o.gapUnits += o.pendingGap.Units
+		o.unreportedAttempts += o.pendingGap.Attempts
+		o.unreportedUnits += o.pendingGap.Units
 		o.sequence--
 	}
 	o.pendingGap = nil
 }
 
-// recordsAcknowledged notes what the receiver has. The record of it need not be durable: without it some events are
-// sent again. One record may stand for many acknowledgements.
+// recordsAcknowledged stores how far the receiver has acknowledged the log. The record that it appends does
+// not have to become durable: if it is lost, some events are sent again. One record may cover many
+// acknowledgements.
 func (o *Outbox) recordsAcknowledged(record uint64) []Action {
 	o.acknowledged = max(o.acknowledged, record)
 	if o.acknowledged <= o.acknowledgedLogged || o.logFailure != "" {
 		return nil
 	}
 	o.acknowledgedLogged = o.acknowledged
-	return []Action{Append{Payload: binary.AppendUvarint([]byte{recordAcknowledged}, o.acknowledged)}}
+	return []Action{Append{Payload: binary.AppendUvarint([]byte{kindAcknowledged}, o.acknowledged)}}
 }
 
-// Snapshot encodes the state as of all records that were appended: the incarnation, the last record acknowledged, and
-// the intents without settlement, each with the number of its record.
+// Snapshot encodes the state as of the last appended record: the incarnation, the last acknowledged record,
+// and the intents without a settlement, each with its record number.
 func (o *Outbox) Snapshot() []byte {
 	var open []*attemptEntry
 	for _, entry := range o.attempts {
@@ -392,7 +413,8 @@
 	return b
 }
 
-// RestoreSnapshot takes what Snapshot encoded. It is called before Restore.
+// RestoreSnapshot restores the state that Snapshot encoded. It must be called before Restore. It returns an
+// error if the snapshot is malformed.
 func (o *Outbox) RestoreSnapshot(snapshot []byte) error {
 	r := &encoding.Reader{Rest: snapshot}
 	o.lastIncarnation = r.Uvarint(unbounded)
@@ -402,9 +424,9 @@
 		o.orphans[record] = readAttempt(r)
 	}
 	if r.Malformed {
-		return errSnapshotTruncated
+		return errMalformedSnapshot
 	}
 	return nil
 }
 
-var errSnapshotTruncated = errors.New("outbox: truncated snapshot")
+var errMalformedSnapshot = errors.New("outbox: snapshot is truncated or malformed")
--- a/internal/usage/outbox/outbox_test.go
+++ b/internal/usage/outbox/outbox_test.go
@@ -2,40 +2,41 @@
 
 import "testing"
 
-// TestGapIsTold serves while the log fails: once it works again the receiver gets how much was not covered. With the
-// other policy the attempt is denied.
-func TestGapIsTold(t *testing.T) {
-	o := newSimulation(1, PolicyServe, noFault)
-	o.broken = true
-	o.do(o.outbox.Handle(LogStatus{"no space"}))
+// TestUncoveredUsageIsReported sends attempts while the log cannot be written. With PolicyServe, their total
+// must be reported to the receiver once the log works again. With PolicyReject, attempts must be denied.
+func TestUncoveredUsageIsReported(t *testing.T) {
+	s := newSimulation(1, PolicyServe, noFault)
+	s.broken = true
+	s.do(s.outbox.Handle(LogStatus{"no space"}))
 	for range 3 {
-		o.attempt()
-		o.settleOne(OutcomeAnswered)
+		s.attempt()
+		s.settleOne(OutcomeAnswered)
 	}
-	if o.outbox.RejectsRequests(true) || o.outbox.Counts.UncoveredAttempts != 3 {
-		t.Errorf("%+v", o.outbox.Counts)
+	if s.outbox.RejectsRequests(true) || s.outbox.Counts.UncoveredAttempts != 3 {
+		t.Errorf("%+v", s.outbox.Counts)
 	}
-	o.broken = false
-	o.do(o.outbox.Handle(LogStatus{""}))
-	o.sync()
-	o.deliver()
-	if o.reportedGap != 3 {
-		t.Errorf("%d attempts reported as not covered, want 3", o.reportedGap)
+	s.broken = false
+	s.do(s.outbox.Handle(LogStatus{""}))
+	s.sync()
+	s.deliver()
+	if s.reportedGap != 3 {
+		t.Errorf("%d attempts reported as sent without an intent, want 3", s.reportedGap)
 	}
-	o = newSimulation(1, PolicyReject, noFault)
-	o.do(o.outbox.Handle(LogStatus{"no space"}))
-	o.attempt()
-	if !o.outbox.RejectsRequests(true) || !o.denied["t1"] || !New(Settings{}).RejectsRequests(false) {
-		t.Error("an attempt is sent that the log can't cover")
+	s = newSimulation(1, PolicyReject, noFault)
+	s.do(s.outbox.Handle(LogStatus{"no space"}))
+	s.attempt()
+	if !s.outbox.RejectsRequests(true) || !s.denied["t1"] || !New(Settings{}).RejectsRequests(false) {
+		t.Error("an attempt was not denied while the log could not be written or had no space")
 	}
 }
 
-// TestLife starts an incarnation whose number, by a clock that was set back, is below those in the log. It takes a
-// greater one: the keys of events would come again otherwise, and the receiver would drop what it has not.
-func TestLife(t *testing.T) {
+// TestIncarnationExceedsLoggedOnes starts an incarnation whose minimum number is below that in the log,
+// because the clock was set back. It must choose a greater number. Otherwise event keys would repeat, and the
+// receiver would drop new events as duplicates.
+func TestIncarnationExceedsLoggedOnes(t *testing.T) {
 	o := New(Settings{MinIncarnation: 5})
-	for i, a := range New(Settings{MinIncarnation: 9}).Start(1) {
-		if err := o.Restore(uint64(i+1), a.(Append).Payload); err != nil {
+	for i, action := range New(Settings{MinIncarnation: 9}).Start(1) {
+		if err := o.Restore(uint64(i+1), action.(Append).Payload); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/usage/outbox/records.go
+++ b/internal/usage/outbox/records.go
@@ -9,30 +9,32 @@
 	"winghatch/internal/encoding"
 )
 
-// Attempt is an attempt as it is recorded and exported.
+// Attempt describes an attempt in log records and usage events.
 type Attempt struct {
 	Request  string
-	Number   int // from 0
+	Number   int // number of the attempt within its request, starting at 0
 	Member   string
 	Plan     string
 	Class    string
 	Server   string
-	Units    float64 // the estimate
-	Reserved bool    // of reserved units
+	Units    float64 // estimated units
+	Reserved bool    // the attempt uses reserved units
 }
 
-// Outcome is how an attempt ended. Its values are stored.
+// Outcome is the way in which an attempt ended. Its numeric values are stored in the log and must not change.
 type Outcome byte
 
-// The outcomes. Only an answered attempt is exported at the units that its answer reports, all others at the estimate.
+// Outcomes of attempts. Only an answered attempt is exported with the units that its response reported. The
+// others are exported with the estimate, except for attempts that never ran, which are not exported.
 const (
 	OutcomeAnswered     Outcome = 1
-	OutcomeError        Outcome = 2 // answered with an error, which reports no units
-	OutcomeUnanswered   Outcome = 3 // timed out, cancelled, or its connection broke
-	OutcomeGatewayEnded Outcome = 4 // the gateway's incarnation ended first
-	OutcomeNeverRan     Outcome = 5 // nothing is exported
+	OutcomeError        Outcome = 2 // the response was an error, which does not report units
+	OutcomeUnanswered   Outcome = 3 // the attempt timed out, was cancelled, or lost its connection
+	OutcomeGatewayEnded Outcome = 4 // the incarnation of the gateway ended before the attempt
+	OutcomeNeverRan     Outcome = 5 // the attempt was not executed; it is not exported
 )
 
+// outcomeNames holds the names of outcomes in usage events.
 var outcomeNames = map[Outcome]string{
 	OutcomeAnswered:     "answered",
 	OutcomeError:        "error",
@@ -41,22 +43,22 @@
 	OutcomeNeverRan:     "never_ran",
 }
 
-// String returns the outcome as the receiver reads it.
+// String returns the name of the outcome in usage events.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Settlement is the end of an attempt. Incarnation and Sequence are its key at the receiver.
+// Settlement records the end of an attempt. Incarnation and Sequence form the key of its event.
 type Settlement struct {
 	Attempt
-	Intent      uint64 // number of the intent's record
+	Intent      uint64 // record number of the intent
 	Incarnation uint64
-	Sequence    uint64 // 0: nothing is exported, as it never ran
+	Sequence    uint64 // 0 if the attempt never ran and is not exported
 	Outcome     Outcome
 	UsedUnits   float64
 	WallTime    int64 // nanoseconds of Unix time
 }
 
-// Gap adds up attempts that were sent without an intent, as the log could not be written. Incarnation and Sequence
-// are its key at the receiver.
+// Gap is the total of attempts that were sent without an intent because the log could not be written.
+// Incarnation and Sequence form the key of its event.
 type Gap struct {
 	Incarnation uint64
 	Sequence    uint64
@@ -65,25 +67,27 @@
 	WallTime    int64 // nanoseconds of Unix time
 }
 
-// Records of the log: a byte for the kind, then integers as varints, strings with their length before them, and
-// floats as 8 bytes of IEEE 754, little-endian.
+// Kinds of log records. A record consists of a byte for its kind, followed by its fields. Integers are
+// varints, strings are preceded by their length, and floats are 8 bytes of IEEE 754 in little-endian order.
 //
-//	'I'  intent: request, attempt, member, plan, class, server, units, flags (1 reserved)
-//	'S'  settlement: number of the intent's record, incarnation, sequence, outcome, used, wall time, and the fields
-//	     of the intent
-//	'L'  an incarnation starts: its number
-//	'A'  the receiver has all up to this record, or it is among the dead letters: number
+//	'I'  intent: request, attempt number, member, plan, class, server, units, flags (1 means reserved)
+//	'S'  settlement: record number of the intent, incarnation, sequence, outcome, used units, wall time, and
+//	     the fields of the intent
+//	'L'  start of an incarnation: its number
+//	'A'  acknowledgement: number of the record up to which all events are delivered or dead letters
 //	'G'  gap: incarnation, sequence, attempts, units, wall time
 const (
-	recordIntent       = 'I'
-	recordSettlement   = 'S'
-	recordIncarnation  = 'L'
-	recordAcknowledged = 'A'
-	recordGap          = 'G'
+	kindIntent       = 'I'
+	kindSettlement   = 'S'
+	kindIncarnation  = 'L'
+	kindAcknowledged = 'A'
+	kindGap          = 'G'
 )
 
+// flagReserved is the bit of Attempt.Reserved in the flags of an intent.
 const flagReserved = 1
 
+// append appends the encoded fields of an intent to b, without the byte for its kind.
 func (a *Attempt) append(b []byte) []byte {
 	b = encoding.AppendString(b, a.Request)
 	b = binary.AppendUvarint(b, uint64(a.Number))
@@ -99,8 +103,9 @@
 	return append(b, flags)
 }
 
+// append appends the encoded record to b.
 func (s *Settlement) append(b []byte) []byte {
-	b = append(b, recordSettlement)
+	b = append(b, kindSettlement)
 	b = binary.AppendUvarint(b, s.Intent)
 	b = binary.AppendUvarint(b, s.Incarnation)
 	b = binary.AppendUvarint(b, s.Sequence)
@@ -110,8 +115,9 @@
 	return s.Attempt.append(b)
 }
 
+// append appends the encoded record to b.
 func (g *Gap) append(b []byte) []byte {
-	b = append(b, recordGap)
+	b = append(b, kindGap)
 	b = binary.AppendUvarint(b, g.Incarnation)
 	b = binary.AppendUvarint(b, g.Sequence)
 	b = binary.AppendUvarint(b, g.Attempts)
@@ -119,41 +125,43 @@
 	return binary.AppendVarint(b, g.WallTime)
 }
 
-// logRecord is a record of the log; kind determines which of the fields are set.
+// logRecord is a decoded log record. kind determines which of the other fields is set.
 type logRecord struct {
 	kind       byte
-	attempt    Attempt    // of an intent
-	settlement Settlement // of a settlement
-	gap        Gap        // of a gap
-	number     uint64     // of an incarnation, or of the record acknowledged
+	attempt    Attempt    // set for an intent
+	settlement Settlement // set for a settlement
+	gap        Gap        // set for a gap
+	number     uint64     // number of the incarnation or of the acknowledged record
 }
 
-// unbounded lets a reader take any number.
+// unbounded is the limit for integers and string lengths that may have any value.
 const unbounded = math.MaxUint64
 
-var errTruncated = errors.New("outbox: truncated record")
+var errMalformedRecord = errors.New("outbox: record is truncated or malformed")
 
+// parseRecord decodes a log record. It returns an error if the record is malformed or of an unknown kind.
 func parseRecord(payload []byte) (record logRecord, err error) {
 	r := &encoding.Reader{Rest: payload}
 	record.kind = r.Byte()
 	switch record.kind {
-	case recordIntent:
+	case kindIntent:
 		record.attempt = readAttempt(r)
-	case recordSettlement:
+	case kindSettlement:
 		record.settlement = readSettlement(r)
-	case recordIncarnation, recordAcknowledged:
+	case kindIncarnation, kindAcknowledged:
 		record.number = r.Uvarint(unbounded)
-	case recordGap:
+	case kindGap:
 		record.gap = readGap(r)
 	default:
-		return record, fmt.Errorf("outbox: record of kind %q, want I, S, L, A or G", record.kind)
+		return record, fmt.Errorf("outbox: unknown record kind %q, want I, S, L, A or G", record.kind)
 	}
 	if r.Malformed {
-		return record, errTruncated
+		return record, errMalformedRecord
 	}
 	return record, nil
 }
 
+// readAttempt reads the fields of an intent.
 func readAttempt(r *encoding.Reader) (a Attempt) {
 	a.Request = r.String(unbounded)
 	a.Number = int(r.Uvarint(math.MaxInt32))
@@ -166,6 +174,7 @@
 	return a
 }
 
+// readSettlement reads the fields of a settlement.
 func readSettlement(r *encoding.Reader) (s Settlement) {
 	s.Intent = r.Uvarint(unbounded)
 	s.Incarnation = r.Uvarint(unbounded)
@@ -177,6 +186,7 @@
 	return s
 }
 
+// readGap reads the fields of a gap.
 func readGap(r *encoding.Reader) (g Gap) {
 	g.Incarnation = r.Uvarint(unbounded)
 	g.Sequence = r.Uvarint(unbounded)
