--- a/internal/usage/sender/sender.go
+++ b/internal/usage/sender/sender.go
@@ -1,6 +1,6 @@
-// Package sender is the delivery worker of an outbox of usage: it sends events of the outbox log to the usage
-// receiver, as CloudEvents 1.0 in JSON batches over HTTP (section 3.3 of the HTTP protocol binding). What is sent,
-// sent again, put among the dead letters or acknowledged is decided by outbox.Delivery.
+// Package sender is the delivery worker of the usage outbox. It sends the events of the outbox log to the
+// usage receiver as CloudEvents 1.0 in JSON batches over HTTP (section 3.3 of the HTTP protocol binding). An
+// outbox.Delivery decides which events are sent, retried, stored as dead letters or acknowledged.
 package sender
 
 import (
@@ -15,47 +15,49 @@
 	"winghatch/internal/wal"
 )
 
-// batchType is the media type of a batch.
+// batchType is the Content-Type of a batch.
 const batchType = "application/cloudevents-batch+json; charset=UTF-8"
 
-// maxRecordsPerFetch bounds how many records one fetch reads, so that Run sees the end of its context in between. Most
-// are intents, which have no event.
+// maxRecordsPerFetch limits the number of records that one fetch reads, so that Run notices the end of its
+// context in between. Many records, such as intents, have no event, so MaxEvents alone would not limit it.
 const maxRecordsPerFetch = 20000
 
-// Options configure a sender.
+// Options configures a Sender.
 type Options struct {
-	Log       *wal.Log
-	URL       string // of the receiver
-	Fleet     string
-	Gateway   int           // rank
-	After     uint64        // the receiver has all records up to this one
-	BatchSize int           // events
-	Timeout   time.Duration // of a request
-	Seed      int64         // of the jitter of retries
-
-	DeadLetterFile string // of events that the receiver does not accept
-	// MaxDeadLetterBytes bounds that file. At the bound nothing more is sent until an operator moves the file away.
+	Log       *wal.Log      // outbox log to read from
+	URL       string        // URL of the usage receiver
+	Fleet     string        // fleet name in the source of events
+	Gateway   int           // rank of the gateway in the source of events
+	After     uint64        // number of the last record that the receiver has acknowledged; 0 if none
+	BatchSize int           // maximum number of events in a batch
+	Timeout   time.Duration // limit on the duration of a request
+	Seed      int64         // seed of the retry jitter
+
+	DeadLetterFile string // path of the file for events that the receiver rejects
+	// MaxDeadLetterBytes limits the size of DeadLetterFile. When the limit is reached, no further event is
+	// sent until an operator moves the file away.
 	MaxDeadLetterBytes int64
 
-	OnAcknowledged func(record uint64)               // called by the goroutine of Run
-	LogError       func(message string, args ...any) // as slog.Logger.Error
-	StopWhenIdle   bool                              // Run returns once the receiver has all that is durable
+	OnAcknowledged func(record uint64)               // called by Run; events up to record are delivered
+	LogError       func(message string, args ...any) // logs an error like slog.Logger.Error
+	StopWhenIdle   bool                              // Run returns once all durable events are delivered
 }
 
-// Sender sends the events of one log. All methods may be called by any goroutine, Run by one. It starts no goroutine.
+// Sender sends the events of one outbox log. Run may be called only once; the other methods are safe for
+// concurrent use. A Sender starts no goroutines.
 type Sender struct {
-	LostRecords atomic.Uint64 // records that the log has lost
+	LostRecords atomic.Uint64 // number of records missing from the log
 
 	options Options
 	client  http.Client
-	cursor  *wal.Cursor   // of Run
-	wake    chan struct{} // has an element after NotifyRecords
+	cursor  *wal.Cursor   // used by Run only
+	wake    chan struct{} // has capacity 1; NotifyRecords sends to it
 
 	mu     sync.Mutex
 	counts outbox.DeliveryCounts
 }
 
-// New returns a sender that Run starts.
+// New returns a sender. Call Run to start sending.
 func New(o Options) *Sender {
 	return &Sender{
 		options: o,
@@ -64,7 +66,7 @@
 	}
 }
 
-// NotifyRecords reports that records have become durable. It never blocks.
+// NotifyRecords tells the sender that records have become durable. It never blocks.
 func (s *Sender) NotifyRecords() {
 	select {
 	case s.wake <- struct{}{}:
@@ -72,24 +74,25 @@
 	}
 }
 
-// Counts returns the counts as of the last action.
+// Counts returns the delivery statistics as of the last event handled.
 func (s *Sender) Counts() outbox.DeliveryCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// Run sends until ctx ends, or with StopWhenIdle until the receiver has everything.
+// Run sends events until ctx is done or, with Options.StopWhenIdle, until all durable events are delivered.
 func (s *Sender) Run(ctx context.Context) {
 	o := &s.options
 	s.cursor = o.Log.NewCursor(o.After + 1)
 	s.cursor.OnGap = func(gap wal.Gap) {
 		s.LostRecords.Add(gap.To - gap.From + 1)
-		o.LogError("The outbox log has a gap, its records are not exported", "gap", gap.String())
+		o.LogError("Outbox log has missing records, not exported", "gap", gap.String())
 	}
 	defer s.cursor.Close()
 	defer s.client.CloseIdleConnections()
-	delivery := outbox.NewDelivery(outbox.DeliverySettings{After: o.After, BatchSize: o.BatchSize, Seed: o.Seed})
+	delivery := outbox.NewDelivery(
+		outbox.DeliverySettings{After: o.After, BatchSize: o.BatchSize, Seed: o.Seed})
 	var next outbox.DeliveryEvent = outbox.Start{}
 	for ctx.Err() == nil {
 		actions := delivery.Handle(next)
@@ -116,11 +119,12 @@
 	}
 }
 
-// fetch reads durable records. One that is invalid is logged and skipped, so that the others are still sent.
+// fetch reads durable records and encodes their events. An invalid record is logged and skipped, so that the
+// others are still sent.
 func (s *Sender) fetch(action outbox.Fetch) outbox.DeliveryEvent {
 	fetched := outbox.Fetched{LastRecord: action.After}
 	for n := 0; n < maxRecordsPerFetch && len(fetched.Events) < action.MaxEvents; n++ {
-		r, ok, err := s.cursor.Next()
+		record, ok, err := s.cursor.Next()
 		if err != nil {
 			fetched.Failure = err.Error()
 			return fetched
@@ -128,17 +132,20 @@
 		if !ok {
 			break
 		}
-		event, hasEvent, err := outbox.EncodeEvent(s.options.Fleet, s.options.Gateway, r.Number, r.Payload)
+		event, hasEvent, err := outbox.EncodeEvent(s.options.Fleet, s.options.Gateway, record.Number,
+			record.Payload)
 		if err != nil {
-			s.options.LogError("Invalid record in the outbox log, not exported", "record", r.Number, "err", err)
+			s.options.LogError("Outbox log has an invalid record, not exported", "record",
+				record.Number, "err", err)
 		} else if hasEvent {
 			fetched.Events = append(fetched.Events, event)
 		}
-		fetched.LastRecord = r.Number
+		fetched.LastRecord = record.Number
 	}
 	return fetched
 }
 
+// post sends a batch and returns the response of the receiver.
 func (s *Sender) post(ctx context.Context, events []outbox.UsageEvent) outbox.DeliveryEvent {
 	batch := []byte{'['}
 	for i, event := range events {
@@ -158,6 +165,8 @@
 	}
 }
 
+// wait waits for the requested time, until ctx is done or, if the wait is idle, until NotifyRecords is
+// called.
 func (s *Sender) wait(ctx context.Context, action outbox.Wait) outbox.DeliveryEvent {
 	timer := time.NewTimer(action.Duration)
 	defer timer.Stop()
--- a/internal/usage/sender/sender_test.go
+++ b/internal/usage/sender/sender_test.go
@@ -20,22 +20,23 @@
 
 var eventually = await.Until
 
-// fillLog appends what an outbox records of n attempts that were answered, in one incarnation.
+// fillLog appends the records of an outbox for n answered attempts of one incarnation, and waits until they
+// are durable.
 func fillLog(t testing.TB, l *wal.Log, n int) {
 	t.Helper()
 	o := outbox.New(outbox.Settings{MinIncarnation: 5})
 	do := func(actions []outbox.Action) {
 		for _, action := range actions {
-			record, ok := action.(outbox.Append)
+			appendAction, ok := action.(outbox.Append)
 			if !ok {
 				continue
 			}
-			number, err := l.Append(record.Payload)
+			number, err := l.Append(appendAction.Payload)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if record.ID != 0 {
-				o.Handle(outbox.Appended{ID: record.ID, Record: number})
+			if appendAction.ID != 0 {
+				o.Handle(outbox.Appended{ID: appendAction.ID, Record: number})
 			}
 		}
 	}
@@ -51,34 +52,36 @@
 	}
 }
 
-// rig is a log and a receiver.
-type rig struct {
+// fixture is a filled log with a receiver.
+type fixture struct {
 	t            *testing.T
 	dir          string
 	log          *wal.Log
 	receiver     *usagereceiver.Receiver
-	acknowledged chan uint64
+	acknowledged chan uint64 // arguments of OnAcknowledged
 }
 
-func newRig(t *testing.T, n int) *rig {
-	r := &rig{t: t, dir: t.TempDir(), acknowledged: make(chan uint64, 10000)}
+// newFixture returns a log with the events of n attempts, and a receiver.
+func newFixture(t *testing.T, n int) *fixture {
+	f := &fixture{t: t, dir: t.TempDir(), acknowledged: make(chan uint64, 10000)}
 	var err error
-	if r.log, _, err = wal.Open(filepath.Join(r.dir, "use"), wal.Options{}, nil, nil); err != nil {
+	if f.log, _, err = wal.Open(filepath.Join(f.dir, "use"), wal.Options{}, nil, nil); err != nil {
 		t.Fatal(err)
 	}
-	if r.receiver, err = usagereceiver.Start("127.0.0.1:0", filepath.Join(r.dir, "events")); err != nil {
+	if f.receiver, err = usagereceiver.Start("127.0.0.1:0", filepath.Join(f.dir, "events")); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { r.log.Close(); r.receiver.Stop() })
-	fillLog(t, r.log, n)
-	return r
+	t.Cleanup(func() { f.log.Close(); f.receiver.Stop() })
+	fillLog(t, f.log, n)
+	return f
 }
 
-func (r *rig) run(o sender.Options) *sender.Sender {
-	o.Log, o.URL, o.Fleet, o.Gateway = r.log, r.receiver.URL(), "f", 1
-	o.DeadLetterFile = filepath.Join(r.dir, "aside")
-	o.OnAcknowledged = func(rec uint64) { r.acknowledged <- rec }
-	o.LogError = func(text string, args ...any) { r.t.Log(append([]any{text}, args...)...) }
+// run starts a sender, which is stopped at the end of the test. Zero options are replaced by defaults.
+func (f *fixture) run(o sender.Options) *sender.Sender {
+	o.Log, o.URL, o.Fleet, o.Gateway = f.log, f.receiver.URL(), "f", 1
+	o.DeadLetterFile = filepath.Join(f.dir, "aside")
+	o.OnAcknowledged = func(record uint64) { f.acknowledged <- record }
+	o.LogError = func(message string, args ...any) { f.t.Log(append([]any{message}, args...)...) }
 	if o.MaxDeadLetterBytes == 0 {
 		o.MaxDeadLetterBytes = 1 << 20
 	}
@@ -88,128 +91,133 @@
 	if o.Timeout == 0 {
 		o.Timeout = 2 * time.Second
 	}
-	c := sender.New(o)
+	s := sender.New(o)
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { c.Run(ctx); close(done) }()
-	r.t.Cleanup(func() { stop(); <-done })
-	return c
+	go func() { s.Run(ctx); close(done) }()
+	f.t.Cleanup(func() { stop(); <-done })
+	return s
 }
 
-// hasAll checks that the receiver has the events of all n attempts once, in order.
-func (r *rig) hasAll(n int) {
-	r.t.Helper()
-	eventually(r.t, "all is there", func() bool { return len(r.receiver.Events()) >= n })
-	for i, e := range r.receiver.Events() {
+// checkEvents waits for the events of all n attempts and checks that the receiver has each once, in order.
+func (f *fixture) checkEvents(n int) {
+	f.t.Helper()
+	eventually(f.t, "all events have arrived", func() bool { return len(f.receiver.Events()) >= n })
+	for i, e := range f.receiver.Events() {
 		if e.ID != fmt.Sprint(i+1) && n > 0 {
-			r.t.Fatalf("event %d has the number %s", i+1, e.ID)
+			f.t.Fatalf("event %d has ID %s", i+1, e.ID)
 		}
 	}
-	if got := len(r.receiver.Events()); got != n {
-		r.t.Errorf("%d events, want %d", got, n)
+	if got := len(f.receiver.Events()); got != n {
+		f.t.Errorf("%d events, want %d", got, n)
 	}
 }
 
-// TestReceiversFaults has the receiver fail in one way for a while, and then work. Nothing is acknowledged before,
-// and in the end all events are there once, in order.
-func TestReceiversFaults(t *testing.T) {
+// TestRetryAfterReceiverFailure lets the receiver fail in different ways for a while. No event may be
+// acknowledged during the failure. After it, all events must arrive exactly once, in order.
+func TestRetryAfterReceiverFailure(t *testing.T) {
 	for name, fault := range map[string]usagereceiver.Fault{
-		"500":                     {Status: 500},
-		"429 with Retry-After":    {Status: 429, RetryAfter: "0"},
-		"a redirect":              {Status: 302},
-		"404":                     {Status: 404},
-		"keeps and cuts":          {DropConnection: true},
-		"answers before it reads": {RespondEarly: true},
-		"slow":                    {Delay: 300 * time.Millisecond},
+		"500":                  {Status: 500},
+		"429 with Retry-After": {Status: 429, RetryAfter: "0"},
+		"redirect":             {Status: 302},
+		"404":                  {Status: 404},
+		"drops connection":     {DropConnection: true},
+		"responds early":       {RespondEarly: true},
+		"slow":                 {Delay: 300 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := newRig(t, 35)
-			r.receiver.SetFault(func(f *usagereceiver.Fault) { *f = fault })
-			c := r.run(sender.Options{Timeout: 200 * time.Millisecond})
-			eventually(t, "it is sent again", func() bool { return c.Counts().Retries >= 2 })
-			if len(r.acknowledged) > 0 {
-				t.Error("acknowledged without an answer")
+			f := newFixture(t, 35)
+			f.receiver.SetFault(func(current *usagereceiver.Fault) { *current = fault })
+			s := f.run(sender.Options{Timeout: 200 * time.Millisecond})
+			eventually(t, "the batch was sent again", func() bool { return s.Counts().Retries >= 2 })
+			if len(f.acknowledged) > 0 {
+				t.Error("events were acknowledged during the failure")
 			}
-			if strings.HasPrefix(name, "answers before") && len(r.receiver.Events()) > 0 {
-				t.Error("events are there")
+			if strings.HasPrefix(name, "responds early") && len(f.receiver.Events()) > 0 {
+				t.Error("the receiver has events of a batch that it did not read")
 			}
-			r.receiver.SetFault(func(f *usagereceiver.Fault) { *f = usagereceiver.Fault{} })
-			r.hasAll(35)
-			if name == "keeps and cuts" && r.receiver.Duplicates() == 0 {
-				t.Error("nothing came twice")
+			f.receiver.SetFault(func(current *usagereceiver.Fault) { *current = usagereceiver.Fault{} })
+			f.checkEvents(35)
+			if name == "drops connection" && f.receiver.Duplicates() == 0 {
+				t.Error("the receiver got no duplicate of an event that it had stored")
 			}
 		})
 	}
 }
 
-// TestSetAside has the receiver reject one event. It is in the file of dead letters, alone, and holds up no other.
-func TestSetAside(t *testing.T) {
-	r := newRig(t, 35)
-	r.receiver.SetFault(func(f *usagereceiver.Fault) { f.Reject = "r-17-" })
-	c := r.run(sender.Options{})
-	eventually(t, "all others are there", func() bool { return len(r.receiver.Events()) == 34 })
-	eventually(t, "it is counted", func() bool { return c.Counts().DeadLetters == 1 })
-	raw, err := os.ReadFile(filepath.Join(r.dir, "aside"))
+// TestRejectedEventIsStoredAsDeadLetter lets the receiver reject one event. That event alone must be in the
+// dead-letter file, and all others must be delivered.
+func TestRejectedEventIsStoredAsDeadLetter(t *testing.T) {
+	f := newFixture(t, 35)
+	f.receiver.SetFault(func(current *usagereceiver.Fault) { current.Reject = "r-17-" })
+	s := f.run(sender.Options{})
+	eventually(t, "all other events have arrived", func() bool { return len(f.receiver.Events()) == 34 })
+	eventually(t, "the dead letter was counted", func() bool { return s.Counts().DeadLetters == 1 })
+	raw, err := os.ReadFile(filepath.Join(f.dir, "aside"))
 	if err != nil || bytes.Count(raw, []byte("\n")) != 1 || !strings.Contains(string(raw), `"id":"17"`) {
-		t.Errorf("%s %v", raw, err)
+		t.Errorf("dead-letter file contains %q, error %v; want event 17 only", raw, err)
 	}
 }
 
-// TestSetAsideBound has the receiver reject everything. The file of dead letters takes events up to its bound; after
-// it was moved away and the receiver accepts events again, it gets all others.
-func TestSetAsideBound(t *testing.T) {
-	r := newRig(t, 35)
-	r.receiver.SetFault(func(f *usagereceiver.Fault) { f.Reject = "r-" })
-	c := r.run(sender.Options{MaxDeadLetterBytes: 1000})
-	eventually(t, "the bound is reported", func() bool {
-		return strings.Contains(c.Counts().LastReason, "1000 at most")
+// TestDeadLetterFileLimit lets the receiver reject all events. The dead-letter file must not grow beyond its
+// limit. After the file was moved away and the receiver accepts events again, all remaining events must be
+// delivered.
+func TestDeadLetterFileLimit(t *testing.T) {
+	f := newFixture(t, 35)
+	f.receiver.SetFault(func(current *usagereceiver.Fault) { current.Reject = "r-" })
+	s := f.run(sender.Options{MaxDeadLetterBytes: 1000})
+	eventually(t, "the limit was reported", func() bool {
+		return strings.Contains(s.Counts().LastReason, "limit is 1000")
 	})
-	if n := c.Counts().DeadLetters; n == 0 || n > 3 {
-		t.Errorf("%d dead letters in 1000 bytes", n)
+	if n := s.Counts().DeadLetters; n == 0 || n > 3 {
+		t.Errorf("%d dead letters in a file of at most 1000 bytes, want 1 to 3", n)
 	}
-	os.Rename(filepath.Join(r.dir, "aside"), filepath.Join(r.dir, "moved"))
-	r.receiver.SetFault(func(f *usagereceiver.Fault) { f.Reject = "" })
-	eventually(t, "the others are there", func() bool {
-		return len(r.receiver.Events()) == 35-int(c.Counts().DeadLetters)
+	os.Rename(filepath.Join(f.dir, "aside"), filepath.Join(f.dir, "moved"))
+	f.receiver.SetFault(func(current *usagereceiver.Fault) { current.Reject = "" })
+	eventually(t, "the remaining events have arrived", func() bool {
+		return len(f.receiver.Events()) == 35-int(s.Counts().DeadLetters)
 	})
 }
 
-// TestReceiverKilled stops the receiver while it is sent to, six times, and starts it with the file that it left.
-func TestReceiverKilled(t *testing.T) {
-	r := newRig(t, 200)
-	r.receiver.SetFault(func(f *usagereceiver.Fault) { f.Delay = 2 * time.Millisecond })
-	addr := r.receiver.Addr()
-	r.run(sender.Options{BatchSize: 4})
+// TestReceiverRestart stops the receiver six times while events are sent to it, and starts it again with the
+// file that it left. All events must arrive exactly once.
+func TestReceiverRestart(t *testing.T) {
+	f := newFixture(t, 200)
+	f.receiver.SetFault(func(current *usagereceiver.Fault) { current.Delay = 2 * time.Millisecond })
+	addr := f.receiver.Addr()
+	f.run(sender.Options{BatchSize: 4})
 	for i := range 6 {
-		eventually(t, "some more are there", func() bool { return len(r.receiver.Events()) > 20*i })
-		r.receiver.Stop()
+		eventually(t, "more events have arrived", func() bool { return len(f.receiver.Events()) > 20*i })
+		f.receiver.Stop()
 		var err error
-		if r.receiver, err = usagereceiver.Start(addr, filepath.Join(r.dir, "events")); err != nil {
+		if f.receiver, err = usagereceiver.Start(addr, filepath.Join(f.dir, "events")); err != nil {
 			t.Fatal(err)
 		}
-		r.receiver.SetFault(func(f *usagereceiver.Fault) { f.Delay = 2 * time.Millisecond })
+		f.receiver.SetFault(func(current *usagereceiver.Fault) { current.Delay = 2 * time.Millisecond })
 	}
-	r.hasAll(200)
+	f.checkEvents(200)
 }
 
-// TestHole damages a part of the log: the events of the rest are sent, and the number of lost records is counted.
-func TestHole(t *testing.T) {
-	r := newRig(t, 30)
-	r.log.Close()
-	files, _ := filepath.Glob(filepath.Join(r.dir, "use", "*.log"))
-	b, _ := os.ReadFile(files[0])
-	at := len(b) / 2
-	binary.LittleEndian.PutUint64(b[at:], ^binary.LittleEndian.Uint64(b[at:]))
-	os.WriteFile(files[0], b, 0o600)
-	l, rec, err := wal.Open(filepath.Join(r.dir, "use"), wal.Options{}, nil, nil)
-	if err != nil || len(rec.Gaps) != 1 {
-		t.Fatalf("%+v %v", rec, err)
-	}
-	r.log = l
-	c := r.run(sender.Options{StopWhenIdle: true})
-	eventually(t, "the rest is there", func() bool { return len(r.receiver.Events()) >= 29 })
-	if c.LostRecords.Load() == 0 || len(r.receiver.Events()) > 30 {
-		t.Errorf("%d records counted as lost, %d events", c.LostRecords.Load(), len(r.receiver.Events()))
+// TestLogGap damages bytes in the middle of the log, as a faulty disk might. The events of the intact records
+// must be sent, and the missing records must be counted.
+func TestLogGap(t *testing.T) {
+	f := newFixture(t, 30)
+	f.log.Close()
+	files, _ := filepath.Glob(filepath.Join(f.dir, "use", "*.log"))
+	content, _ := os.ReadFile(files[0])
+	at := len(content) / 2
+	binary.LittleEndian.PutUint64(content[at:], ^binary.LittleEndian.Uint64(content[at:]))
+	os.WriteFile(files[0], content, 0o600)
+	l, recovery, err := wal.Open(filepath.Join(f.dir, "use"), wal.Options{}, nil, nil)
+	if err != nil || len(recovery.Gaps) != 1 {
+		t.Fatalf("got recovery %+v, error %v; want one gap", recovery, err)
+	}
+	f.log = l
+	s := f.run(sender.Options{StopWhenIdle: true})
+	eventually(t, "the remaining events have arrived", func() bool { return len(f.receiver.Events()) >= 29 })
+	if s.LostRecords.Load() == 0 || len(f.receiver.Events()) > 30 {
+		t.Errorf("%d records counted as missing, %d events; want at least 1 and at most 30",
+			s.LostRecords.Load(), len(f.receiver.Events()))
 	}
 }
