--- a/internal/wal/faultdisk_test.go
+++ b/internal/wal/faultdisk_test.go
@@ -29,6 +29,7 @@
 	synced int // length of the synced prefix of data
 }
 
+// newFaultDisk returns an empty file system without faults.
 func newFaultDisk() *faultDisk {
 	return &faultDisk{files: map[string]*content{}, durableNames: map[string]*content{}, spaceLeft: -1,
 		operationsLeft: -1}
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -278,7 +278,7 @@
 	if n == 0 || n == 100 || l.Size() > 400 {
 		t.Fatalf("log is full at %d records and %d bytes, want 1 to 99 and at most 400", n, l.Size())
 	}
-	for range 2 { // the second snapshot removes the segments that were kept for recovery without the first
+	for range 2 { // segments are kept until a second snapshot, in case the first is damaged
 		if err := l.Snapshot(l.LastDurable(), []byte("state")); err != nil {
 			t.Fatal(err)
 		}
