--- a/cmd/winghatch/state.go
+++ b/cmd/winghatch/state.go
@@ -76,9 +76,9 @@
 	fmt.Fprintln(w, "\nserver\tzone\tstate\tin flight\torphaned\tslowness\tfailure ratio\tslow start left\twarm-up budget")
 	for _, v := range s.Core.Servers {
 		slowStart, budget := "-", "-"
-		if v.SlowStartLeft > 0 {
-			slowStart = v.SlowStartLeft.Round(time.Millisecond).String()
-			budget = fmt.Sprintf("%.2f", v.WarmUpBudget)
+		if v.SlowStartRemaining > 0 {
+			slowStart = v.SlowStartRemaining.Round(time.Millisecond).String()
+			budget = fmt.Sprintf("%.2f", v.SlowStartBudget)
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%.2f\t%.2f\t%s\t%s\n", v.ID, v.Zone, states[v.State],
 			v.InFlight, v.Orphaned, v.Slowness, v.FailureRatio, slowStart, budget)
@@ -131,6 +131,6 @@
 	}
 	fmt.Fprintln(w, "\npeer\tknown\tlast received\tqueue")
 	for _, v := range s.Core.Peers {
-		fmt.Fprintf(w, "%d\t%t\t%v ago\t%d\n", v.Rank, v.Known, v.SinceHeard.Round(time.Millisecond), v.QueueLength)
+		fmt.Fprintf(w, "%d\t%t\t%v ago\t%d\n", v.Rank, v.Known, v.SinceLastReceived.Round(time.Millisecond), v.QueueLength)
 	}
 }
--- a/decide/status.go
+++ b/decide/status.go
@@ -17,16 +17,16 @@
 
 // ServerStatus is what a gateway knows of a server.
 type ServerStatus struct {
-	ID            string
-	Zone          string
-	State         ServerState
-	InFlight      int       // attempts of this gateway
-	Orphaned      int       // attempts that ended without a response and may still run
-	Slowness      float64   // times the usual latency
-	FailureRatio  []float64 // part of the requests that get no response or an error, by class
-	Ejected       bool      // of some class, others fail so much less that it gets none while they can
-	SlowStartLeft time.Duration
-	WarmUpBudget  float64 // requests that it may get in slow start; without meaning if SlowStartLeft is 0
+	ID                 string
+	Zone               string
+	State              ServerState
+	InFlight           int       // attempts of this gateway
+	Orphaned           int       // attempts that ended without a response and may still run
+	Slowness           float64   // times the usual latency
+	FailureRatio       []float64 // part of the requests that get no response or an error, by class
+	Ejected            bool      // of some class, others fail so much less that it gets none while they can
+	SlowStartRemaining time.Duration
+	SlowStartBudget    float64
 }
 
 // CustomerStatus is what a gateway knows of a customer's quota.
@@ -44,10 +44,10 @@
 
 // PeerStatus is what a gateway knows of a peer.
 type PeerStatus struct {
-	Rank        int
-	Known       bool          // a datagram of it came since this gateway started
-	SinceHeard  time.Duration // since the last one; without meaning if not Known
-	QueueLength int           // customers to send entries about
+	Rank              int
+	Known             bool          // a datagram of it came since this gateway started
+	SinceLastReceived time.Duration // since the last one; without meaning if not Known
+	QueueLength       int           // customers to send entries about
 }
 
 // CustomerKey is the key of a customer in messages between gateways and in Status: a hash of its name.
@@ -77,14 +77,14 @@
 	least := g.leastFailureRatios()
 	for _, s := range g.endpoints.sorted {
 		st := ServerStatus{
-			ID:            s.ID,
-			Zone:          s.Zone,
-			State:         s.State,
-			InFlight:      s.inFlight,
-			Orphaned:      len(s.orphans),
-			Slowness:      g.slowness(s),
-			SlowStartLeft: max(0, s.slowStart.until-g.now),
-			WarmUpBudget:  s.slowStart.budget,
+			ID:                 s.ID,
+			Zone:               s.Zone,
+			State:              s.State,
+			InFlight:           s.inFlight,
+			Orphaned:           len(s.orphans),
+			Slowness:           g.slowness(s),
+			SlowStartRemaining: max(0, s.slowStart.until-g.now),
+			SlowStartBudget:    s.slowStart.budget,
 		}
 		for i, k := range g.cfg.Classes {
 			ratio := g.failureRatio(s, g.classes.byName[k.Name])
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -131,7 +131,7 @@
 			state = metrics.ServerDraining
 		case server.State == decide.Removed:
 			state = metrics.ServerRemoved
-		case server.SlowStartLeft > 0:
+		case server.SlowStartRemaining > 0:
 			state = metrics.ServerSlowStart
 		case server.Ejected:
 			state = metrics.ServerEjected
--- a/internal/gateway/statejson.go
+++ b/internal/gateway/statejson.go
@@ -106,16 +106,16 @@
 }
 
 type serverStateJSON struct {
-	ID            string             `json:"ID"`
-	Zone          string             `json:"Zone"`
-	State         decide.ServerState `json:"State"`
-	InFlight      int                `json:"Out"`
-	Orphaned      int                `json:"Ghosts"`
-	Slowness      float64            `json:"Slow"`
-	FailureRatio  []float64          `json:"Missed"`
-	Ejected       bool               `json:"Ejected"`
-	SlowStartLeft time.Duration      `json:"Cold"`
-	WarmUpBudget  float64            `json:"Budget"`
+	ID                 string             `json:"ID"`
+	Zone               string             `json:"Zone"`
+	State              decide.ServerState `json:"State"`
+	InFlight           int                `json:"Out"`
+	Orphaned           int                `json:"Ghosts"`
+	Slowness           float64            `json:"Slow"`
+	FailureRatio       []float64          `json:"Missed"`
+	Ejected            bool               `json:"Ejected"`
+	SlowStartRemaining time.Duration      `json:"Cold"`
+	SlowStartBudget    float64            `json:"Budget"`
 }
 
 type customerStateJSON struct {
@@ -131,10 +131,10 @@
 }
 
 type peerStateJSON struct {
-	Rank        int           `json:"Rank"`
-	Known       bool          `json:"Known"`
-	SinceHeard  time.Duration `json:"Heard"`
-	QueueLength int           `json:"Queue"`
+	Rank              int           `json:"Rank"`
+	Known             bool          `json:"Known"`
+	SinceLastReceived time.Duration `json:"Heard"`
+	QueueLength       int           `json:"Queue"`
 }
 
 // convertAll converts each element and keeps nil as nil.
