--- a/decide/actions.go
+++ b/decide/actions.go
@@ -2,15 +2,19 @@
 
 import "time"
 
-// Action is something that a gateway wants done.
+// Action is an operation that the caller of [Gateway.Handle] must carry out.
 type Action interface{ action() }
 
 type (
-	// Send starts an attempt. A request's attempts are numbered from 0.
+	// Send starts an attempt of the request ID at a server. The attempts of a request are numbered from 0.
 	Send struct {
-		ID, Server  string
-		Timeout     time.Duration // after it the attempt ends as OutcomeTimedOut; 0: at the deadline
-		WriteBefore time.Duration // it may not be written to its connection after this time; 0: no bound
+		ID, Server string
+		// Timeout is the time after which the caller ends the attempt with OutcomeTimedOut. If it is 0, the
+		// attempt ends at the request's deadline.
+		Timeout time.Duration
+		// WriteBefore is the time after which the request must not be written to a connection any more. 0
+		// means that there is no such bound.
+		WriteBefore time.Duration
 	}
 
 	// Cancel ends an attempt early.
@@ -19,17 +23,17 @@
 		Attempt int
 	}
 
-	// Reject is a final answer that tells the client that the request may be sent again without harm.
+	// Reject is the final answer to a request that the client can safely send again.
 	Reject struct {
 		ID         string
-		RetryAfter time.Duration // 0: none is given
+		RetryAfter time.Duration // suggested wait before the request is sent again; 0: none
 		Reason     RejectReason
 	}
 
-	// Fail is a final answer that leaves open whether the request ran.
+	// Fail is the final answer to a request that may have run.
 	Fail struct{ ID string }
 
-	// SetTimer asks for a TimerFired.
+	// SetTimer requests a TimerFired event with the same token at the time At or later.
 	SetTimer struct {
 		At    time.Duration
 		Token uint64
@@ -49,17 +53,17 @@
 func (SetTimer) action()   {}
 func (SendGossip) action() {}
 
-// RejectReason tells rejections apart, for operators; clients need none of it.
+// RejectReason tells operators why a request was rejected. Clients need not distinguish the reasons.
 type RejectReason string
 
-// The reasons of a rejection.
+// Reasons for rejecting a request.
 const (
-	ReasonOverQuota           RejectReason = "over_mark"    // the bucket is over its high-water mark
-	ReasonTooManyInFlight     RejectReason = "over_cap"     // the plan's limit of attempts in flight
-	ReasonOverCeiling         RejectReason = "over_ceiling" // the plan's ceiling
-	ReasonLoadShed            RejectReason = "shed"         // overload, and other work has more value
-	ReasonDeadlineUnreachable RejectReason = "hopeless"     // no response could be in time
-	ReasonNoServer            RejectReason = "no_server"    // no server may get it
-	ReasonNeverExecuted       RejectReason = "in_vain"      // no attempt ran, or all may run again
-	ReasonUnknownClassOrPlan  RejectReason = "not_offered"
+	ReasonOverQuota           RejectReason = "over_mark"    // customer is over its quota
+	ReasonTooManyInFlight     RejectReason = "over_cap"     // customer has too many attempts in flight
+	ReasonOverCeiling         RejectReason = "over_ceiling" // customer has reached its hard ceiling
+	ReasonLoadShed            RejectReason = "shed"         // overload, and the request has too little value
+	ReasonDeadlineUnreachable RejectReason = "hopeless"     // no response can be expected in time
+	ReasonNoServer            RejectReason = "no_server"    // no server is available for the request
+	ReasonNeverExecuted       RejectReason = "in_vain"      // attempts failed; repeating them is safe
+	ReasonUnknownClassOrPlan  RejectReason = "not_offered"  // class or plan is not configured
 )
--- a/decide/admission.go
+++ b/decide/admission.go
@@ -6,71 +6,78 @@
 )
 
 const (
-	// queueingTarget is the time that requests should be in flight on average, in shortest latency
-	// objectives.
+	// queueingTarget is the mean time that requests should be in flight, in units of the shortest latency
+	// objective.
 	queueingTarget = 0.7
 
-	// minInFlightPerServer is the number of attempts in flight at a server, of all gateways together,
-	// that is always allowed, to find out that a jam is over.
+	// minInFlightPerServer is the number of attempts in flight per server, summed over all gateways, that
+	// is always allowed. These attempts show when an overload has ended.
 	minInFlightPerServer = 3.0
 
-	// freeInFlight is the number of own attempts in flight that are no pressure where evidence is scarce:
-	// a single attempt at each of hundreds of gateways says nothing.
+	// freeInFlight is the number of this gateway's attempts in flight that do not count as pressure where
+	// observations are sparse. With hundreds of gateways, a single attempt at each of them says nothing
+	// about the load.
 	freeInFlight = 4.0
 
-	// minReportedInFlightPerServer is minInFlightPerServer for the load that gateways report.
+	// minReportedInFlightPerServer replaces minInFlightPerServer in the comparison with the load that
+	// gateways report.
 	minReportedInFlightPerServer = 6.0
 
-	// Gains in the mean load: of a gateway that reports its load, and of this gateway at each heartbeat.
-	// Where none reports, the mean becomes this gateway's own load within seconds.
+	// Weights of a new value in the moving averages of fleetLoad: of the load that another gateway reports,
+	// and of this gateway's load at each heartbeat. If no gateway reports its load, the averages converge
+	// to this gateway's own load within seconds.
 	reportedLoadGain = 0.1
 	ownLoadGain      = 0.03
 
-	// shedThreshold is the pressure from which requests of the least value are shed. Those of the usual
-	// value and more are shed at a pressure of 1.
+	// shedThreshold is the pressure above which requests of the lowest value density are shed. Requests
+	// whose value density is at least the average are shed above a pressure of 1.
 	shedThreshold = 0.25
 
-	// reservedShedFactor is the factor on that pressure for requests whose units are reserved.
+	// reservedShedFactor multiplies the pressure threshold of requests whose units are reserved.
 	reservedShedFactor = 1.25
 
-	// valueDensityGain is the gain of one request in the usual value.
+	// valueDensityGain is the weight of one request in the average value density.
 	valueDensityGain = 0.01
 
-	// maxDeadlineFraction is the part of the time left that the expected latency may take.
+	// maxDeadlineFraction is the largest fraction of the remaining time that the expected latency may take.
 	maxDeadlineFraction = 0.8
 
-	// objectiveMargin is the time that a response needs from here to the client.
+	// objectiveMargin is the time reserved for a response to travel from this gateway to the client.
+	// Deadlines and deduplication windows are shortened by it.
 	objectiveMargin = 6 * time.Millisecond
 
-	// timeLeftNoise is the difference between the time that two requests have left which says nothing.
+	// timeLeftNoise is the largest difference in remaining time at which two requests count as equally old.
 	timeLeftNoise = 20 * time.Millisecond
 
-	// minRateAge is the least age at which the rate of responses is corrected for its youth: right after
-	// the start the correction would divide by nearly 0.
+	// minRateAge is the least time since the start that is used to correct the response rate. Right after
+	// the start, the correction would divide by nearly 0.
 	minRateAge = time.Second / 4
 
-	// minValueDensity keeps the quotient by the usual value density finite.
+	// minValueDensity is the lower bound of the average value density that is used as a divisor.
 	minValueDensity = 1e-9
 )
 
-// fleetLoad is the mean load of a gateway, from what others report and from this one.
+// fleetLoad holds moving averages of the load per gateway, over the reports of other gateways and this
+// gateway's own load.
 type fleetLoad struct {
-	inFlight     float64 // attempts in flight, and orphans
-	responseRate float64 // successful responses a second
+	inFlight     float64 // attempts in flight, including orphans
+	responseRate float64 // successful responses per second
 
-	valueDensity float64 // usual value of a request for a second of a server's work
+	// valueDensity is the average value of a request per second of server time.
+	valueDensity float64
 }
 
-// update adds a gateway's load to the mean.
+// update adds the load of one gateway to the averages, with the weight gain.
 func (l *fleetLoad) update(inFlight, responseRate, gain float64) {
 	l.inFlight += gain * (inFlight - l.inFlight)
 	l.responseRate += gain * (responseRate - l.responseRate)
 }
 
-// receiveRequest handles a new request. It is decided at once, or when an owner replies.
+// receiveRequest handles a new request. It forwards or rejects the request at once, or sends a grant
+// request to an owner gateway and waits for the reply.
 func (g *Gateway) receiveRequest(e Request) {
 	if g.requests[e.ID] != nil {
-		return // a repeated event: the request that is open gets the answer
+		return // a duplicate event; the open request will get the answer
 	}
 	k := g.classes.byName[e.Class]
 	planNo, ok := g.customers.planIndex[e.Plan]
@@ -104,8 +111,8 @@
 	}
 }
 
-// admitByOwner asks the customer's owner for a grant, unless the request is rejected anyway: the owner is
-// not to be asked, nor the customer charged, in vain.
+// admitByOwner requests a grant from the customer's owner. Requests that would be rejected anyway are
+// rejected first, so that they neither load the owner nor charge the customer.
 func (g *Gateway) admitByOwner(c *customer, r *request) {
 	c.demand.rate.add(g.now, r.units)
 	if c.fromOwner.rejectUntil > g.now {
@@ -121,8 +128,9 @@
 	g.requestGrant(r)
 }
 
-// usefulUntil is the time until which a response to a request has a value. For classes whose responses have
-// none after the objective that is the objective's end.
+// usefulUntil returns the time after which a response to the request has no value. That is the client's
+// deadline or, for classes whose responses have no value after the latency objective, the end of the
+// objective if it comes first.
 func (g *Gateway) usefulUntil(k *class, e Request) time.Duration {
 	if k.LateWeight != 0 || k.Streaming || k.ObjectiveStretch != 0 {
 		return e.Deadline
@@ -130,13 +138,14 @@
 	return min(e.Deadline, g.now+max(0, k.LatencyObjective-objectiveMargin-g.requestAge(k, e)))
 }
 
-// requestAge is how much of its objective a request has used up before it came here. What has no time left
-// is rejected before it costs quota or servers.
+// requestAge returns how much of its latency objective a request had used up before it arrived at this
+// gateway. A request without any time left is rejected before it uses quota or server capacity.
 //
-// After a stall, requests of the whole stall are found at once; the time that each has left, compared
-// with the most that a first request had, gives its age. A retry belongs to its first request, and all of
-// a client's retries end with the class's deadline: one that has less time left than a first request has
-// waited for the rest. This is wrong for clients that give their requests unequal times.
+// After a stall, the gateway finds the requests of the whole stall at once. The age of each one follows
+// from its remaining time, compared with the most that a first request of the class had. A retry is as old
+// as the first request that it repeats: the class's deadline covers the first request and all its retries,
+// so if a retry has less time left than a first request, its client has already waited for the difference.
+// The estimate is wrong for clients that set different deadlines on their requests.
 func (g *Gateway) requestAge(k *class, e Request) time.Duration {
 	left := e.Deadline - g.now
 	if e.IsRetry {
@@ -152,8 +161,9 @@
 	return min(g.stallDuration, k.maxTimeLeft-left)
 }
 
-// forwardOrReject ends the wait of a request: it is forwarded if the quota has room and a server can
-// respond in time, else rejected.
+// forwardOrReject completes admission: it forwards the request if the quota has room, a server is
+// available, a response can be expected in time and the request is not shed. Otherwise it rejects the
+// request.
 func (g *Gateway) forwardOrReject(r *request, quotaHasRoom bool) {
 	var s *endpoint
 	var expected float64
@@ -170,7 +180,7 @@
 		r.rejectReason, s = ReasonLoadShed, nil
 	}
 	if s == nil {
-		r.extraUnits = -r.units // an owner may have granted them
+		r.extraUnits = -r.units // gives units that an owner may have granted back
 		g.reject(r.ID, r.rejectReason)
 		g.finish(r)
 		return
@@ -180,19 +190,21 @@
 	g.send(r, s)
 }
 
-// queueingPressure is the work in flight over what is allowed.
+// queueingPressure returns the work in flight divided by the allowed work in flight. At values above 1 the
+// gateway is overloaded.
 //
-// By Little's law the work in flight is the responses a second times their latency. The responses that do
-// come, times the latency that they should have, thus bound the wait whatever the servers can do, and
-// when they jam the bound closes. It covers a slow dependency that all servers share, a fleet that
-// shrinks, and a rush at the start.
+// By Little's law, the work in flight equals the response rate times the latency. The allowed work is
+// therefore the observed response rate times the target latency. This bounds the queueing time whatever the
+// capacity of the servers, and when responses cease to arrive the bound shrinks to its minimum. It covers a
+// slow dependency that all servers share, a shrinking number of servers, and a surge at startup.
 //
-// Where evidence is scarce a few attempts at each of hundreds of gateways are a jam that none of them
-// sees. There the bound is on the mean of the load that gateways report, too.
+// Where observations are sparse, a few attempts at each of hundreds of gateways can overload the servers
+// without any gateway noticing. In fleets without full gossip the bound therefore also applies to the
+// average load that gateways report.
 func (g *Gateway) queueingPressure() float64 {
 	servers, gateways := g.endpoints.totals.serving, float64(g.cfg.Gateways)
 	sinceStart := max(g.now-g.startedAt, minRateAge).Seconds()
-	observed := 1 - math.Exp(-sinceStart/demandMemory.Seconds()) // the part that a young rate has seen
+	observed := 1 - math.Exp(-sinceStart/demandMemory.Seconds()) // the rate builds up from 0 at the start
 	responseRate := g.evidence.responseRate.perSecond(g.now) / observed
 	allowed := responseRate * queueingTarget * g.classes.shortestObjective
 	inFlight := max(0, g.endpoints.totals.inFlight-freeInFlight*g.evidenceScarcity())
@@ -204,8 +216,8 @@
 	return max(own, g.load.inFlight/max(reported, minReportedInFlightPerServer*servers/gateways))
 }
 
-// shouldShed decides whether the pressure is too high for the value of a request. Requests of little
-// value for their work are shed first.
+// shouldShed reports whether the pressure is too high for the value of a request. Requests with little
+// value per second of server time are shed first.
 func (g *Gateway) shouldShed(r *request) bool {
 	value := r.class.PriorityWeight * r.customer.plan.PriorityWeight * r.units
 	density := value / max(r.class.usualLatency, minUsualLatency)
--- a/decide/attempt.go
+++ b/decide/attempt.go
@@ -5,35 +5,35 @@
 	"time"
 )
 
-// minAttemptTimeout keeps Send.Timeout above 0: with 0 the attempt would have the request's deadline.
+// minAttemptTimeout keeps Send.Timeout above 0, because a timeout of 0 means the request's deadline.
 const minAttemptTimeout = time.Millisecond
 
-// request is a request that has no final answer yet, or an attempt in flight.
+// request is a request that has no final answer yet or still has an attempt in flight.
 type request struct {
 	Request
 	class        *class
 	customer     *customer
-	units        float64       // charged: estimated, then actual
-	extraUnits   float64       // units used beyond those that an owner granted
-	usefulUntil  time.Duration // a response after this has no value
+	units        float64       // charged units: the estimate, after settlement the actual units
+	extraUnits   float64       // units used beyond those that an owner granted; may be negative
+	usefulUntil  time.Duration // time after which a response has no value
 	attempts     []*attempt
-	inFlight     int  // attempts
-	streaming    bool // a response has begun
-	finished     bool // it has its final answer, or its client has left
+	inFlight     int  // number of attempts in flight
+	streaming    bool // whether a streamed response has started
+	finished     bool // whether the final answer was given or the client has disconnected
 	grant        grantState
-	rejectReason RejectReason // if it comes to that
+	rejectReason RejectReason // reason to give if the request is rejected
 }
 
-// attempt is a request at a server.
+// attempt is one attempt to get a response to a request from a server.
 type attempt struct {
 	endpoint   *endpoint
 	number     int
 	sentAt     time.Duration
 	ended      bool
-	mayHaveRun bool // true until an outcome proves that it did not
+	mayHaveRun bool // true until an outcome proves that the attempt never ran
 }
 
-// findAttempt returns an attempt of an open request, or nil.
+// findAttempt returns an attempt of an open request, or nil if there is none with that number.
 func (g *Gateway) findAttempt(id string, number int) *attempt {
 	if r := g.requests[id]; r != nil && number >= 0 && number < len(r.attempts) {
 		return r.attempts[number]
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// send starts an attempt, with the request's remaining time as its deadline.
+// send starts an attempt at a server. The attempt may take until the response would have no value.
 func (g *Gateway) send(r *request, s *endpoint) {
 	a := &attempt{endpoint: s, number: len(r.attempts), sentAt: g.now, mayHaveRun: true}
 	r.attempts = append(r.attempts, a)
@@ -66,8 +66,8 @@
 	}
 }
 
-// attemptEnded handles the end of an attempt. A request that has no final answer by it is retried, or
-// given up once none of its attempts is in flight.
+// attemptEnded handles the end of an attempt. If the response is not the final answer and no other attempt
+// is in flight, it retries the request or, where no retry is possible, gives the final answer itself.
 func (g *Gateway) attemptEnded(e AttemptEnded) {
 	r, a := g.requests[e.ID], g.findAttempt(e.ID, e.Attempt)
 	if a == nil || a.ended {
@@ -102,8 +102,8 @@
 	g.giveUp(r)
 }
 
-// retryPrice is what a retry after the outcome takes of the retry budget. One after an attempt that got no
-// connection is free, as that cost no server anything.
+// retryPrice returns the number of retry budget tokens that a retry after the outcome costs. A retry after
+// a failed connect is free, because the failed attempt cost no server any work.
 func retryPrice(o Outcome) float64 {
 	if o == OutcomeConnectFailed {
 		return 0
@@ -111,8 +111,8 @@
 	return 1
 }
 
-// giveUp gives the final answer without a response: a rejection where the client may send the request again
-// without harm, else a failure.
+// giveUp gives the final answer to a request without a response: a rejection if the client can safely send
+// the request again, otherwise a failure.
 func (g *Gateway) giveUp(r *request) {
 	k := r.class
 	mayHaveRun := slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.mayHaveRun })
@@ -126,8 +126,9 @@
 	g.finish(r)
 }
 
-// finish ends a request that has its final answer, or needs none any more. What is still in flight is
-// cancelled, but for a streamed response.
+// finish marks a request as finished once it has its final answer or its client has disconnected. It
+// cancels the attempts that are still in flight, except when a response is being streamed. A nil request is
+// ignored.
 func (g *Gateway) finish(r *request) {
 	if r == nil {
 		return
@@ -142,7 +143,7 @@
 	g.forget(r)
 }
 
-// forget drops a finished request once none of its attempts is in flight.
+// forget releases and removes a finished request once none of its attempts is in flight.
 func (g *Gateway) forget(r *request) {
 	if r.finished && r.inFlight == 0 && g.requests[r.ID] != nil {
 		g.releaseGrant(r)
--- a/decide/clock.go
+++ b/decide/clock.go
@@ -2,22 +2,24 @@
 
 import "time"
 
-// stallThreshold is how long a gap between two events must be, beside two heartbeats, to count as a stall.
+// stallThreshold is how much longer than two heartbeat intervals a gap between two events must be to count
+// as a stall.
 const stallThreshold = 100 * time.Millisecond
 
-// clock is the time of the events that a gateway handles.
+// clock tracks the time of the events that a gateway handles.
 type clock struct {
-	now       time.Duration // of the event that is being handled
-	startedAt time.Duration // of the first event
-	running   bool          // the first event has come
+	now       time.Duration // time of the current event
+	startedAt time.Duration // time of the first event
+	running   bool          // whether the first event has been handled
 
-	// The last stall: a gap in which not even the heartbeat timer fired, as the process was paused or
-	// starved.
-	stallEndedAt  time.Duration // time of the event that ended it; 0: there was none
+	// The last stall: a gap between events in which not even the heartbeat timer fired, because the process
+	// was paused or got no CPU time.
+	stallEndedAt  time.Duration // time of the event that ended the stall; 0 if there was none
 	stallDuration time.Duration
 }
 
-// advance moves on to the time of an event. It reports whether this is the first one.
+// advance moves the clock to the time of an event and detects stalls. It reports whether this is the first
+// event. The clock never goes backwards.
 func (c *clock) advance(now, heartbeat time.Duration) (first bool) {
 	if gap := now - c.now; c.running && gap > stallThreshold+2*heartbeat {
 		c.stallEndedAt, c.stallDuration = now, gap
@@ -30,5 +32,5 @@
 	return true
 }
 
-// endsStall reports whether the event that is being handled was found at the end of a stall.
+// endsStall reports whether the current event was handled at the end of a stall.
 func (c *clock) endsStall() bool { return c.now == c.stallEndedAt }
--- a/decide/config.go
+++ b/decide/config.go
@@ -9,106 +9,118 @@
 // Idempotency says whether a request of a class may run more than once.
 type Idempotency int
 
-// The kinds of idempotency.
+// Kinds of idempotency.
 const (
-	NotIdempotent   Idempotency = iota // must never run twice
-	IdempotentByKey                    // servers drop a repeat within the class's DedupScope and DedupWindow
+	NotIdempotent   Idempotency = iota // must not run more than once
+	IdempotentByKey                    // duplicates are dropped within DedupScope and DedupWindow
 	Idempotent                         // may run any number of times
 )
 
-// DedupScope says which servers know each other's requests, for classes that are idempotent by key.
+// DedupScope says which servers share their idempotency keys, for classes that are IdempotentByKey.
 type DedupScope int
 
-// The scopes.
+// Deduplication scopes.
 const (
-	DedupInCell DedupScope = iota
-	DedupInZone
-	DedupInFleet
+	DedupInCell  DedupScope = iota // servers with the same Server.Cell
+	DedupInZone                    // servers with the same Server.Zone
+	DedupInFleet                   // all servers
 )
 
-// Class describes a kind of request.
+// Class configures a kind of request.
 type Class struct {
 	Name        string
 	Idempotency Idempotency
-	DedupScope  DedupScope    // where a repeat is dropped, if IdempotentByKey
-	DedupWindow time.Duration // how long after the first attempt a repeat is dropped, if IdempotentByKey
-
-	// LatencyObjective is the time within which a response has its full value.
+	// DedupScope is the set of servers among which a duplicate is dropped. It is used only with
+	// IdempotentByKey.
+	DedupScope DedupScope
+	// DedupWindow is the time after the first attempt within which a duplicate is dropped. It is used only
+	// with IdempotentByKey.
+	DedupWindow time.Duration
+
+	// LatencyObjective is the time within which a response has its full value. It must be more than 0.
 	LatencyObjective time.Duration
-	// ObjectiveStretch extends the objective by this multiple of the request's own work.
+	// ObjectiveStretch extends the objective by this multiple of the request's own work. With a value other
+	// than 0, the gateway treats a response as valuable until the client's deadline.
 	ObjectiveStretch float64
-	// Deadline is the time that a client waits, over all requests with which it retries.
+	// Deadline is the time for which a client waits, over a request and all its retries.
 	Deadline time.Duration
 
-	PriorityWeight float64 // value of a response relative to those of other classes
-	LateWeight     float64 // fraction of that value which a response after the objective has; 0: none
-	Streaming      bool    // responses are streamed: ResponseStarted comes before AttemptEnded
+	PriorityWeight float64 // value of a response relative to that of other classes
+	LateWeight     float64 // fraction of the value that a response has after the objective; 0: none
+	Streaming      bool    // whether responses are streamed: ResponseStarted precedes AttemptEnded
 }
 
-// Plan describes the quota of each customer on it, over all gateways together.
+// Plan configures the quota of each customer on the plan, over all gateways together.
 type Plan struct {
 	Name           string
-	Rate           float64 // units a second; 0: no limit
+	Rate           float64 // units per second; 0: no limit
 	Burst          float64 // units that may be used at once
-	CeilingRate    float64 // hard ceiling in units a second, never exceeded; 0: none
-	CeilingBurst   float64 // units that the ceiling lets pass at once
+	CeilingRate    float64 // hard ceiling in units per second, never exceeded; 0: none
+	CeilingBurst   float64 // units that the ceiling admits at once
 	CeilingSlack   float64 // units by which the ceiling may be overdrawn
 	MaxInFlight    int     // attempts in flight at once; 0: no limit
-	PriorityWeight float64 // value of a response relative to those of other plans
-	OverQuotaValue float64 // fraction of its value that a request has which is forwarded over the quota
-	OverQuotaCost  float64 // fraction of its value that forwarding such a request costs
+	PriorityWeight float64 // value of a response relative to that of other plans
+	OverQuotaValue float64 // fraction of its value that a request forwarded over the quota has
+	OverQuotaCost  float64 // fraction of its value that forwarding a request over the quota costs
 }
 
-// Limits are the bounds of what a gateway may do.
+// Limits bounds what a gateway may do.
 type Limits struct {
-	MaxAttempts    int           // of a request
-	Hedging        bool          // two attempts of a request may be in flight at once
-	Cancel         bool          // attempts in flight may be cancelled
-	Gossip         bool          // gateways may exchange datagrams
-	RetryAfter     bool          // rejections carry a Retry-After
-	MaxRetryAfter  time.Duration // longest Retry-After
-	ConnectTimeout time.Duration // 0: the caller's own
+	MaxAttempts    int           // attempts per request, at least 1
+	Hedging        bool          // whether two attempts of a request may be in flight at once
+	Cancel         bool          // whether attempts in flight may be cancelled
+	Gossip         bool          // whether gateways may exchange datagrams
+	RetryAfter     bool          // whether rejections suggest a wait in Reject.RetryAfter
+	MaxRetryAfter  time.Duration // longest Reject.RetryAfter
+	ConnectTimeout time.Duration // time to establish a connection; 0: the caller's default
 }
 
-// Safety holds the figures of the rules that hold at all times.
+// Safety holds the settings of the rules that apply at all times.
 type Safety struct {
-	AnswerSlack       time.Duration // a final answer may be this late
-	DrainGrace        time.Duration // attempts at a draining server must have stopped by then
-	SlowStartCapacity float64       // part of its capacity that a server has when it starts
-	SlowStartDuration time.Duration // time after which it has all of it
-	OverloadMultiple  float64       // a server fails if it gets this multiple of its capacity ...
-	OverloadWindow    time.Duration // ... for this long
+	AnswerSlack       time.Duration // time after the deadline by which a final answer may be late
+	DrainGrace        time.Duration // time that attempts at a draining server have to finish
+	SlowStartCapacity float64       // fraction of its capacity that a server has when it starts
+	// SlowStartDuration is the time after its start until a server has its full capacity. 0 means that
+	// there is no slow start.
+	SlowStartDuration time.Duration
+	// A server fails if it receives OverloadMultiple times its capacity during OverloadWindow.
+	OverloadMultiple float64
+	OverloadWindow   time.Duration
 }
 
-// Config is what a gateway knows when it starts. Some settings are for the caller, and no decision reads
-// them: MaxUnits, the ConnectTimeout of Limits, the AnswerSlack and DrainGrace of Safety, the
-// OverQuotaValue and OverQuotaCost of a Plan.
+// Config is the configuration of a gateway. Some settings are meant for the caller and not used by any
+// decision: MaxUnits, Limits.ConnectTimeout, Safety.AnswerSlack, Safety.DrainGrace, Plan.OverQuotaValue and
+// Plan.OverQuotaCost.
 type Config struct {
-	Rank, Gateways    int // number of this gateway, from 0, and how many there are
-	Zone              string
-	Classes           []Class
-	Plans             []Plan
-	SettledOnResponse bool          // a request's units are an estimate; AttemptEnded has the actual
-	MaxUnits          float64       // of a request
-	UsageReportPeriod time.Duration // period of the reports in AttemptEnded.ReportedUsage; 0: none
-	GossipCapacity    float64       // datagrams a second that a gateway can receive
+	Rank, Gateways int // rank of this gateway, from 0, and number of gateways in the fleet
+	Zone           string
+	Classes        []Class
+	Plans          []Plan
+	// SettledOnResponse says that the units of a request are an estimate, which AttemptEnded.ActualUnits
+	// replaces.
+	SettledOnResponse bool
+	MaxUnits          float64       // largest number of units of a request
+	UsageReportPeriod time.Duration // period covered by AttemptEnded.ReportedUsage; 0: there are no reports
+	GossipCapacity    float64       // datagrams per second that a gateway can receive
 	Limits            Limits
 	Safety            Safety
 }
 
-// SettingError says which setting a gateway can't work with.
+// SettingError reports a setting that is not valid.
 type SettingError struct {
-	Field   string // path in [Config], for instance "Classes[0].LatencyObjective"
-	Problem string // for instance "is 0s, want more than 0"
+	Field   string // path in [Config], for example "Classes[0].LatencyObjective"
+	Problem string // for example "is 0s, want more than 0"
 }
 
+// Error returns the field and the problem.
 func (e *SettingError) Error() string { return "decide: " + e.Field + " " + e.Problem }
 
+// invalid returns a *SettingError with a formatted problem.
 func invalid(field, problem string, args ...any) error {
 	return &SettingError{Field: field, Problem: fmt.Sprintf(problem, args...)}
 }
 
-// Validate returns a *SettingError for the first setting with which a gateway can't work.
+// Validate returns a *[SettingError] for the first setting that is not valid, or nil.
 func (c *Config) Validate() error {
 	if c.Gateways < 1 {
 		return invalid("Gateways", "is %d, want 1 or more", c.Gateways)
@@ -174,13 +186,13 @@
 	})
 }
 
-// setting is a number of the configuration and its name.
+// setting is a numeric setting and its name.
 type setting struct {
 	name  string
 	value float64
 }
 
-// checkNumbers returns an error that names the first setting which is negative or no number.
+// checkNumbers returns an error for the first setting that is negative, infinite or not a number.
 func checkNumbers(prefix string, settings []setting) error {
 	for _, s := range settings {
 		if math.IsNaN(s.value) || math.IsInf(s.value, 0) || s.value < 0 {
--- a/decide/customers.go
+++ b/decide/customers.go
@@ -5,45 +5,48 @@
 	"time"
 )
 
-// customerIdleTimeout is after how long an idle customer is dropped. It must be long enough that each
-// bucket has leaked and each ceiling has filled by then.
+// customerIdleTimeout is the time after which an idle customer is removed. It must be long enough for each
+// bucket to have leaked completely and each ceiling to have refilled.
 const customerIdleTimeout = time.Minute
 
-// idleChecksPerHeartbeat bounds the work of dropping idle customers.
+// idleChecksPerHeartbeat bounds the work of removing idle customers.
 const idleChecksPerHeartbeat = 4
 
-// customer is what a gateway knows of a customer that it has had a request of, or gossip about.
+// customer is the state of a customer from which this gateway has received a request, or about which it has
+// received gossip.
 type customer struct {
-	key    uint64 // see hashKey
+	key    uint64 // hash of its name, see hashKey
 	plan   *Plan
-	planNo int // of the plan, in messages
+	planNo int // index of the plan in Config.Plans, sent in messages
 
-	firstGateway, gatewayCount int // the gateways through which its requests come
+	// The gateways through which the customer's requests come: rank of the first, and number.
+	firstGateway, gatewayCount int
 
 	lastUsed time.Duration
-	inFlight int // attempts
+	inFlight int // attempts in flight
 
 	bucket    bucket
 	demand    demand
 	usage     usage
 	gossip    customerGossip
-	asOwner   ownedBucket // where this gateway is one of the customer's owners
-	fromOwner ownerReport // elsewhere: what an owner replied
+	asOwner   ownedBucket // used if this gateway is an owner of the customer
+	fromOwner ownerReport // the last reply of an owner, if this gateway is none
 }
 
-// planOverride is the plan that a PlanChange put a customer on.
+// planOverride is the plan that a PlanChange assigned to a customer.
 type planOverride struct {
 	Plan
 	planNo int
 }
 
-// customerTable holds the customers and their plans.
+// customerTable holds the known customers and their plans.
 type customerTable struct {
-	byKey     map[uint64]*customer
-	order     []*customer // the head is the next one that dropIdle looks at
+	byKey map[uint64]*customer
+	order []*customer // all customers; dropIdle checks the first one next and moves it to the end
+	// overrides holds the plans assigned by PlanChange, by customer key.
 	overrides map[uint64]*planOverride
 
-	planIndex map[string]int // by name
+	planIndex map[string]int // index in Config.Plans by name
 }
 
 func newCustomerTable(plans []Plan) customerTable {
@@ -58,8 +61,8 @@
 	return t
 }
 
-// findOrAddCustomer returns the customer of the key. A new one is put on the plan of that number, unless a
-// PlanChange has named another.
+// findOrAddCustomer returns the customer with the key. A new customer is put on the plan with the index
+// planNo, unless a PlanChange has assigned another one.
 func (g *Gateway) findOrAddCustomer(key uint64, planNo int) *customer {
 	if c := g.customers.byKey[key]; c != nil {
 		c.lastUsed = g.now
@@ -72,8 +75,8 @@
 	c := &customer{key: key, plan: plan, planNo: planNo, gatewayCount: g.cfg.Gateways, lastUsed: g.now}
 	c.gossip = newCustomerGossip(len(g.gossip.peers))
 	c.usage = newUsage()
-	c.fromOwner.repliedAt = -demandMemory // never
-	c.bucket.leakedAt = g.startedAt       // the bucket leaks, and the ceiling fills, from the start on
+	c.fromOwner.repliedAt = -demandMemory // before any possible reply
+	c.bucket.leakedAt = g.startedAt       // leak, and refill the ceiling, from the start on
 	c.bucket.share = c.evenShare()
 	if !g.gossip.full {
 		c.bucket.fleetLevel = g.initialFleetLevel(c)
@@ -84,8 +87,8 @@
 	return c
 }
 
-// setGateways sets through which gateways the customer's requests come, as a request says. A set that is
-// empty or larger than the fleet is ignored.
+// setGateways sets the gateways through which the customer's requests come, as stated by a request. A set
+// that is empty or larger than the fleet is ignored.
 func (c *customer) setGateways(first, count, fleet int) {
 	if count <= 0 || count > fleet || (c.gatewayCount == count && c.firstGateway == first) {
 		return
@@ -94,17 +97,22 @@
 	c.bucket.ceilingTokens = min(c.bucket.ceilingTokens, c.plan.CeilingBurst/float64(count))
 }
 
-// servesCustomer reports whether the customer's requests may come through the gateway of that rank.
+// servesCustomer reports whether requests of the customer may come through the gateway with the rank.
 func (g *Gateway) servesCustomer(c *customer, rank int) bool {
 	return (rank-c.firstGateway+g.cfg.Gateways)%g.cfg.Gateways < c.gatewayCount
 }
 
-// changePlan puts a customer on another plan. Used units stay in its buckets: over a lower high-water
-// mark nothing passes until they have leaked at the new rate, under a higher one only the difference is
-// new, so a change there and back gives nothing away. A plan without a rate does not leak, so a level
-// from its time counts up to the mark only. Attempts in flight go on and count under the new limit, an
-// owner's grants stay. Ceiling tokens are cut to the new ceiling and never added. A plan
-// that is not configured or not valid changes nothing.
+// changePlan puts a customer on another plan. The effects are:
+//
+//   - Used units stay in the buckets. Over a lower high-water mark, nothing is admitted until the excess
+//     has leaked at the new rate; under a higher mark, only the difference becomes available. Changing a
+//     plan back and forth therefore grants no units.
+//   - A plan without a rate does not leak. When it is replaced, the level is limited to the high-water
+//     mark.
+//   - Attempts in flight continue and count towards the new limit. Grants of an owner remain valid.
+//   - Ceiling tokens are cut to the new ceiling and never added.
+//
+// A plan that is not configured or not valid changes nothing.
 func (g *Gateway) changePlan(e PlanChange) {
 	planNo, ok := g.customers.planIndex[e.Plan.Name]
 	if !ok || e.Plan.validate("Plan") != nil {
@@ -117,7 +125,7 @@
 	if c == nil {
 		return
 	}
-	g.refresh(c) // by the old plan up to now
+	g.refresh(c) // apply the old plan up to now
 	hadRate := c.plan.Rate > 0
 	c.plan, c.planNo = &override.Plan, planNo
 	b := &c.bucket
@@ -130,7 +138,8 @@
 	g.refresh(c)
 }
 
-// dropIdle drops customers that have been idle for long. It looks at a few of them each time.
+// dropIdle removes customers that have been idle for customerIdleTimeout. Each call checks only the next
+// few customers.
 func (t *customerTable) dropIdle(now time.Duration) {
 	for n := 0; n < idleChecksPerHeartbeat && len(t.order) > 0; n++ {
 		c := t.order[0]
--- a/decide/demandshare.go
+++ b/decide/demandshare.go
@@ -3,30 +3,32 @@
 import "time"
 
 const (
-	// demandMemory is the memory of rates of units: long against the gaps between requests, short against
-	// the shifts of demand between gateways.
+	// demandMemory is the time constant with which rates of units and attempts decay. It is long compared
+	// with the gaps between requests, and short compared with the time in which demand shifts between
+	// gateways.
 	demandMemory = 2 * time.Second
 
-	// demandPrior is how many seconds of the even share of the rate count as demand of each gateway. It
-	// steadies the share where demand is rare.
+	// demandPrior is the number of seconds of the evenly divided rate that is added to the demand of each
+	// gateway. It stabilizes the share of customers with little demand.
 	demandPrior = 0.05
 
-	// peerStaleAfter is after how long without gossip a peer's demand counts as unknown.
+	// peerStaleAfter is the time without gossip from a peer after which the peer's demand is unknown.
 	peerStaleAfter = 1 * time.Second
 
-	// demandGossipStep is the part of the burst by which demand must grow to be worth a gossip entry.
+	// demandGossipStep is the growth of demand, as a fraction of the burst, after which a gossip entry is
+	// queued.
 	demandGossipStep = 0.25
 )
 
-// demand is what requests at this gateway demand of a customer's quota, admitted or not.
+// demand tracks the units that requests at this gateway ask for, whether they are admitted or not.
 type demand struct {
 	rate      rate
-	total     float64 // units since the customer is known here
-	totalSent float64 // the total that was last queued as gossip
+	total     float64 // units since this gateway has known the customer
+	totalSent float64 // total when gossip about it was last queued
 }
 
-// countDemand counts the units of a request, and queues gossip about them once they are worth it. Used
-// units are gossiped at once, see charge.
+// countDemand adds the units of a request to the demand, and queues gossip once the demand has grown by
+// demandGossipStep. Used units need no such step: charge queues gossip about them at once.
 func (g *Gateway) countDemand(c *customer, units float64) {
 	d := &c.demand
 	d.rate.add(g.now, units)
@@ -37,13 +39,14 @@
 	}
 }
 
-// evenShare is the share of one of the customer's gateways if all have the same.
+// evenShare returns the share of each of the customer's gateways if the quota is divided evenly.
 func (c *customer) evenShare() float64 { return 1 / float64(c.gatewayCount) }
 
-// updateShare sets a customer's share to this gateway's part of the fleet's demand, but never below the
-// even share: a gateway whose demand begins must not wait for gossip to admit its first requests.
+// updateShare sets a customer's share to this gateway's fraction of the fleet's demand, but not below the
+// even share. A gateway at which demand begins must not have to wait for gossip before it admits its first
+// requests.
 //
-// Where the fleet's demand is not known the share is the even one, or that by the usage reports.
+// If the fleet's demand is unknown, the share follows usage reports or, without these, is the even share.
 func (g *Gateway) updateShare(c *customer) {
 	b := &c.bucket
 	even := c.evenShare()
@@ -66,8 +69,9 @@
 	}
 }
 
-// fleetDemand is the demand of all the customer's gateways, in units a second: this one's, and what peers
-// report. All peers have reported up to the time reportedUpTo.
+// fleetDemand returns the demand at all the customer's gateways in units per second: the demand at this
+// gateway, given as own, and the demand that peers reported, each with the prior. All these peers have
+// reported up to the time reportedUpTo.
 func (g *Gateway) fleetDemand(c *customer, own, prior float64) (all float64, reportedUpTo time.Duration) {
 	all, reportedUpTo = own, g.now
 	for i := range g.gossip.peers {
@@ -84,9 +88,10 @@
 	return all, reportedUpTo
 }
 
-// reconcileLevel sets the level to this gateway's share of the fleet's, once each peer has reported
-// again: the level assumes that peers use just their shares. While more is demanded than leaks the
-// level is only raised: all contend for the same room, and each would take it at once.
+// reconcileLevel sets the level to this gateway's share of the fleet level after each peer has reported
+// again, because the level itself assumes that peers use exactly their shares. While the demand exceeds the
+// rate, the level is only raised: all gateways compete for the same room in the bucket, and lowering the
+// level would let each of them use the room at once.
 func (g *Gateway) reconcileLevel(c *customer, fleetDemand float64) {
 	b := &c.bucket
 	if fleetDemand <= c.plan.Rate {
--- a/decide/digits.go
+++ b/decide/digits.go
@@ -2,23 +2,23 @@
 
 import "strings"
 
-// bitsPerDigit is how many bits of a number a digit holds.
+// bitsPerDigit is the number of bits that a digit encodes.
 const bitsPerDigit = 6
 
-// maxDigit is the value of the greatest digit.
+// maxDigit is the largest value of a digit.
 const maxDigit = 1<<bitsPerDigit - 1
 
-// digits are the 64 digits of numbers in messages between gateways.
+// digits are the 64 digits with which gateways encode numbers in messages.
 const digits = "0123456789ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz-_"
 
-// encodeDigits writes the last n digits of a number.
+// encodeDigits writes the n least significant digits of v, the most significant one first.
 func encodeDigits(b *strings.Builder, v uint64, n int) {
 	for i := n - 1; i >= 0; i-- {
 		b.WriteByte(digits[v>>(bitsPerDigit*i)&maxDigit])
 	}
 }
 
-// decodeDigits reads digits; ok is false if there is another character.
+// decodeDigits decodes a string of digits. ok is false if the string contains any other character.
 func decodeDigits(s string) (v uint64, ok bool) {
 	for i := 0; i < len(s); i++ {
 		d := strings.IndexByte(digits, s[i])
@@ -30,14 +30,14 @@
 	return v, true
 }
 
-// The parameters of FNV-1a with 64 bits.
+// Parameters of the 64-bit FNV-1a hash.
 const (
 	fnvOffsetBasis = uint64(14695981039346656037)
 	fnvPrime       = uint64(1099511628211)
 )
 
-// hashKey is the key of a name: 36 bits, thus six digits, of its FNV-1a hash, so that messages stay short.
-// Customers whose names have the same key share one bucket.
+// hashKey returns the key of a name: its 64-bit FNV-1a hash folded to 36 bits, which fit into six digits
+// and keep messages short. Customers whose names have the same key share one bucket.
 func hashKey(name string) uint64 {
 	h := fnvOffsetBasis
 	for i := 0; i < len(name); i++ {
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -1,62 +1,73 @@
-// Package decide makes the decisions of an API gateway that enforces quotas over a fleet: which requests to
-// admit, which server to send an attempt to, when to retry or hedge, and when to give the final answer.
+// Package decide implements the decisions of an API gateway that enforces quotas across a fleet of gateways:
+// which requests to admit, which server to send an attempt to, when to retry or hedge a request, and when to
+// give the client its final answer.
 //
 // A [Gateway] is a deterministic state machine. It does no I/O, reads no clock, starts no goroutine and
-// keeps no state outside itself. The caller owns the clock, the sockets, the timers and the queue of
-// events; it calls [Gateway.Handle] once for each [Event] and carries out the returned [Action] values.
+// keeps no global state. The caller owns the clock, the sockets, the timers and the event queue; it calls
+// [Gateway.Handle] once for each [Event] and carries out the returned [Action] values.
 //
 // # Calls
 //
-// A Gateway belongs to one goroutine, usually an event loop. Handle, Status and CeilingShares must not
-// run at the same time. Handle does not block, and must not be called while the caller is still carrying
-// out its actions: what an action causes at once (a failed dial, a cancelled attempt) is an event of its
-// own, handled after the actions of the present one. The returned slice belongs to the caller.
+// A Gateway is not safe for concurrent use: Handle, Status and CeilingShares must not run at the same time,
+// so a Gateway usually belongs to the goroutine of one event loop. Handle does not block. It must not be
+// called again while the caller is still carrying out the returned actions: an immediate result of an action
+// (a failed dial, a cancelled attempt) is a separate event, to be handled after the remaining actions. The
+// caller owns the returned slice.
 //
 // # Time
 //
-// Times are a [time.Duration] since an origin of the caller's choice, taken from a monotonic clock. The
-// time given to Handle is the time at which the event is handled; a time earlier than the last one counts
-// as the last one. [Request.Deadline], [Server.StartedAt], [SetTimer.At] and [Send.WriteBefore] are on
-// the same clock. A gap without any event, in which not even the heartbeat timer fired, is taken as a
-// stall of the caller's event loop: requests and responses found after it are not blamed on the servers.
+// A point in time is a [time.Duration] since an origin that the caller chooses, read from a monotonic clock.
+// The time passed to Handle is the time at which the event is handled; if it is earlier than that of the
+// previous event, the previous time is used. [Request.Deadline], [Server.StartedAt], [SetTimer.At] and
+// [Send.WriteBefore] use the same clock. A gap between events in which not even the heartbeat timer fired is
+// treated as a stall of the caller's event loop: delays of the requests and responses that are handled at its
+// end are not attributed to the servers.
 //
 // # What the caller must do
 //
-// Actions are carried out in the order in which they are returned, and all actions of one event before the
-// next event is handled.
+// Carry out actions in the order in which they are returned, and all actions of one event before the next
+// event is handled.
 //
 //   - [Send] starts an attempt. The attempts of a request are numbered from 0 in the order of their Sends.
-//     Each attempt must end in exactly one [AttemptEnded], also one that was cancelled or never started
-//     ([OutcomeNotDispatched]). An outcome that says that the attempt never ran must be true: the request
-//     may then be sent again although it is not idempotent.
-//   - [Cancel] asks for the early end of an attempt. The attempt still ends in an AttemptEnded, usually with
+//     Each attempt must end in exactly one [AttemptEnded], even if it was cancelled or never started
+//     ([OutcomeNotDispatched]). The caller may report an outcome that proves that an attempt never ran only
+//     if that is certain: the request may then be sent again even if it is not idempotent.
+//   - [Cancel] ends an attempt early. The attempt still ends in an AttemptEnded, usually with
 //     [OutcomeCancelled].
-//   - [Reject] and [Fail] are final answers. A Reject tells the client that the request may be sent again
-//     without harm, so a caller must never turn a Fail into one. The third final answer is the response of
-//     a server, which the caller passes on and marks by [AttemptEnded.RequestDone]. Each request gets
-//     exactly one of the three, unless [ClientDisconnected] was handled first.
-//   - [SetTimer] asks for one [TimerFired] with the same token, not before its time. A late timer only
-//     delays what depends on it; without the heartbeat timer gossip and upkeep stop.
-//   - [SendGossip] carries a datagram to one peer, which hands it to its Gateway as [GossipReceived]. It may
-//     be lost, repeated, delayed or overtaken. The sender's rank must be authentic.
-//   - A [PlanChange] must be durable before it is handled: a Gateway remembers nothing over a restart, so the
-//     caller hands in again what is in force.
-//
-// Until the first [EndpointUpdate] no server is known, and every request is rejected.
+//   - [Reject] and [Fail] are final answers. A Reject tells the client that it can safely send the request
+//     again, so the caller must never replace a Fail by a Reject. The third kind of final answer is the
+//     response of a server, which the caller forwards and reports with [AttemptEnded.RequestDone]. Each
+//     request gets exactly one final answer, unless [ClientDisconnected] was handled first.
+//   - [SetTimer] requests one [TimerFired] with the same token, at or after the given time. A late timer only
+//     delays the work that depends on it; if the heartbeat timer is lost, gossip and periodic maintenance
+//     stop.
+//   - [SendGossip] sends a datagram to one peer, whose caller passes it to its Gateway as [GossipReceived].
+//     Datagrams may be lost, duplicated, delayed or reordered. The caller must authenticate the sender's
+//     rank.
+//   - A [PlanChange] must be stored durably before it is handled. A Gateway keeps no state across a restart,
+//     so after one the caller must pass in again each PlanChange that is in force.
+//
+// Until the first [EndpointUpdate] no server is known and every request is rejected.
 //
 // # Determinism
 //
-// The same configuration, seed and sequence of times and events give the same actions, byte for byte. A
-// recording of a Gateway can thus be replayed, and any failure played again. The order in which random
-// numbers are drawn and the order of floating-point operations are part of that: a change of either
-// changes the outcome of recordings. No decision depends on the order of a map.
+// The same configuration, seed and sequence of times and events produce exactly the same actions, so a
+// recorded run can be replayed to reproduce a failure. This includes the order in which random numbers are
+// drawn and the order of floating-point operations: changing either one changes the result of replaying
+// existing recordings. No decision depends on map iteration order.
 //
 // # Files
 //
-// Each rule has one file: quota.go the leaky bucket, demandshare.go and usagereport.go a gateway's share
-// of it, gossip.go the totals that gateways exchange, quotaowner.go the grants of a customer's owner
-// gateways, admission.go load shedding, selection.go the choice of a server, outlier.go and latency.go
-// what is known of the servers, slowstart.go the warm-up budget, retry.go retries and hedging, attempt.go
-// the way of a request from its first attempt to its final answer. Constants stand beside the rule that
-// uses them.
+// Each rule has its own file, which also defines the constants of the rule:
+//
+//   - admission.go: admission of requests and load shedding
+//   - attempt.go: the lifecycle of a request from its first attempt to its final answer
+//   - demandshare.go and usagereport.go: the share of a customer's quota that this gateway may use
+//   - gossip.go: the totals that gateways exchange
+//   - latency.go and outlier.go: latency and failures of the servers
+//   - quota.go: the leaky bucket of a customer
+//   - quotaowner.go: grants by the owner gateways of a customer
+//   - retry.go: retries and hedging
+//   - selection.go: selection of a server
+//   - slowstart.go: the request budget of a server in slow start
 package decide
--- a/decide/endpoints.go
+++ b/decide/endpoints.go
@@ -7,60 +7,63 @@
 )
 
 const (
-	// endpointActiveFor is how long after an attempt a server counts in the sum of what is sent. By then
-	// its send rate is next to nothing.
+	// endpointActiveFor is the time after the last attempt for which a server counts as active. After that
+	// time its send rate has decayed to nearly 0.
 	endpointActiveFor = 20 * time.Second
 
-	// orphanLifetime is how long an orphan counts as load at most, in shortest latency objectives.
+	// orphanLifetime is the longest time for which an orphan counts as load, in units of the shortest
+	// latency objective.
 	orphanLifetime = 3.0
 
-	// meanInFlightGain is the gain of one attempt in a server's mean load.
+	// meanInFlightGain is the weight of one attempt in the average load of a server.
 	meanInFlightGain = 0.05
 
-	// initialMeanInFlight is the mean load of a server before any attempt.
+	// initialMeanInFlight is the average load of a server before any attempt.
 	initialMeanInFlight = 0.5
 )
 
-// endpoint is a server of the endpoint list, with what this gateway has there and knows of it.
+// endpoint is a server of the endpoint list, with this gateway's load at the server and observations of it.
 type endpoint struct {
 	Server
-	shortID uint64 // in messages, see hashKey
+	shortID uint64 // identifies the server in messages; hash of its ID, see hashKey
 
-	inFlight int // attempts of this gateway
-	// Send times of attempts that ended without a response and may still run at the server, oldest first.
+	inFlight int // attempts of this gateway in flight
+	// Send times of the orphans, oldest first. An orphan is an attempt that ended without a response and
+	// may still be running at the server.
 	orphans      []time.Duration
-	meanInFlight float64 // usual load, by the attempts that were sent
-	sendRate     rate    // attempts a second
-	lastResponse time.Duration
-	active       bool // it is among the table's active ones
+	meanInFlight float64       // moving average of the load, sampled at each attempt
+	sendRate     rate          // attempts per second from this gateway
+	lastResponse time.Duration // time of the last response to this gateway; 0: none
+	active       bool          // whether the server is in endpointTable.active
 
 	health    health
 	slowStart slowStart
 }
 
-// endpointTable holds the servers.
+// endpointTable holds the servers of the endpoint list.
 type endpointTable struct {
 	byID      map[string]*endpoint
 	byShortID map[uint64]*endpoint
 	sorted    []*endpoint // by ID
-	serving   float64     // servers in state Serving
+	serving   float64     // number of servers in state Serving
 
-	// The servers with load, an attempt of late, or in slow start. Of thousands a gateway uses few, and
-	// the rest need not be looked at to sum up.
+	// The servers that have load, were sent an attempt recently, or are in slow start. A gateway uses only
+	// a few of thousands of servers; the other servers need not be visited to compute the totals.
 	active     []*endpoint
-	hasRemoved bool // some server is removed and not yet dropped
+	hasRemoved bool // whether a removed server has not been dropped yet
 	totals     endpointTotals
 
 	classes        int
 	orphanLifetime time.Duration
 }
 
-// endpointTotals are sums over the servers in state Serving, as of the last heartbeat or update of the
-// list, so that no request needs to go through them. Only inFlight is kept up to date between.
+// endpointTotals holds sums over the servers in state Serving, so that a request need not visit all of
+// them. The sums are computed at each heartbeat and update of the list; only inFlight is kept current in
+// between.
 type endpointTotals struct {
-	serving  float64 // servers
-	warm     float64 // servers that are not in slow start
-	sendRate float64 // attempts a second that this gateway sends to the warm ones
+	serving  float64 // number of servers
+	warm     float64 // number of servers that are not in slow start
+	sendRate float64 // attempts per second from this gateway to the warm servers
 	inFlight float64 // load of this gateway, see outstanding
 }
 
@@ -73,7 +76,7 @@
 	}
 }
 
-// findOrAdd returns the server of that ID.
+// findOrAdd returns the server with the ID, and adds it if it is new.
 func (t *endpointTable) findOrAdd(id string) *endpoint {
 	if s := t.byID[id]; s != nil {
 		return s
@@ -92,7 +95,8 @@
 	return s
 }
 
-// updateEndpoints applies a change of the endpoint list. After a failed discovery the former list stays.
+// updateEndpoints applies a change of the endpoint list. After a failed discovery, the previous list stays
+// in use.
 func (g *Gateway) updateEndpoints(e EndpointUpdate) {
 	if e.Kind == FailedUpdate {
 		return
@@ -118,7 +122,7 @@
 	t.updateTotals(g.now)
 }
 
-// updateEndpoint applies a server's entry in the list.
+// updateEndpoint applies the list entry of one server.
 func (g *Gateway) updateEndpoint(s *endpoint, entry Server) {
 	slowStartUntil := entry.StartedAt + g.cfg.Safety.SlowStartDuration
 	switch {
@@ -126,14 +130,14 @@
 		s.slowStart = slowStart{until: slowStartUntil, budget: g.rng.Float64(), budgetAt: g.now}
 		s.health.restart()
 		g.endpoints.markActive(s)
-	case entry.StartedAt > 0 && entry.StartedAt < s.StartedAt: // it is older than was known at first
+	case entry.StartedAt > 0 && entry.StartedAt < s.StartedAt: // started earlier than first reported
 		s.slowStart.until = min(s.slowStart.until, slowStartUntil)
 	}
 	s.Server = entry
 }
 
-// dropRemoved drops removed servers once nothing of this gateway runs there. Where servers are replaced
-// all day by ones of new names, all of them would otherwise be kept and looked at.
+// dropRemoved drops removed servers that no longer have any load of this gateway. Deployments that keep
+// replacing servers by servers with new names would otherwise accumulate removed servers without bound.
 func (t *endpointTable) dropRemoved(now time.Duration) {
 	if !t.hasRemoved {
 		return
@@ -155,10 +159,11 @@
 	})
 }
 
-// outstanding is this gateway's load at a server: attempts in flight, and orphans. A jammed server goes
-// on with work that has timed out while its attempts in flight look few; without the orphans it would be
-// sent more and the jam would feed itself. A later response clears orphans, see clearOrphans, so they
-// cost little where a server drops such work.
+// outstanding returns this gateway's load at a server: the attempts in flight and the orphans. An
+// overloaded server continues to work on requests that have timed out while it has few attempts in flight.
+// If orphans did not count, the server would be sent more requests and the overload would sustain itself. A
+// later response clears older orphans, see clearOrphans, so they have little effect on servers that abandon
+// timed-out requests.
 func (t *endpointTable) outstanding(s *endpoint, now time.Duration) float64 {
 	for len(s.orphans) > 0 && now-s.orphans[0] > t.orphanLifetime {
 		s.orphans = s.orphans[1:]
@@ -167,13 +172,13 @@
 	return float64(s.inFlight + len(s.orphans))
 }
 
-// addOrphan counts an attempt that ended without a response.
+// addOrphan records an attempt that ended without a response.
 func (t *endpointTable) addOrphan(s *endpoint, sentAt time.Duration) {
 	s.orphans = append(s.orphans, sentAt)
 	t.totals.inFlight++
 }
 
-// clearOrphans drops the orphans sent before an attempt that the server has answered.
+// clearOrphans removes the orphans that were sent before an attempt that the server has answered.
 func (t *endpointTable) clearOrphans(s *endpoint, sentAt time.Duration) {
 	before := len(s.orphans)
 	s.orphans = slices.DeleteFunc(s.orphans, func(at time.Duration) bool { return at < sentAt })
@@ -188,13 +193,14 @@
 	t.markActive(s)
 }
 
-// attemptEnded undoes what attemptSent counted.
+// attemptEnded removes an attempt from the load of a server.
 func (t *endpointTable) attemptEnded(s *endpoint) {
 	s.inFlight--
 	t.totals.inFlight--
 }
 
-// updateTotals sums up the active servers, and drops from them those that are active no more.
+// updateTotals computes the totals over the active servers, and removes servers that are no longer active
+// from this list.
 func (t *endpointTable) updateTotals(now time.Duration) {
 	totals := endpointTotals{serving: t.serving, warm: t.serving}
 	t.active = slices.DeleteFunc(t.active, func(s *endpoint) bool {
@@ -213,7 +219,7 @@
 	t.totals = totals
 }
 
-// markActive makes updateTotals count a server.
+// markActive adds a server to the active servers, which updateTotals visits.
 func (t *endpointTable) markActive(s *endpoint) {
 	if !s.active {
 		s.active = true
--- a/decide/gateway.go
+++ b/decide/gateway.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// Gateway decides for one gateway of a fleet. Make it with New. The package documentation has the contract
-// with its caller.
+// Gateway makes the decisions of one gateway of a fleet. Create it with [New]. The package documentation
+// describes the contract with the caller. A Gateway is not safe for concurrent use.
 type Gateway struct {
 	cfg Config
-	rng *rand.Rand // the only source of chance
+	rng *rand.Rand // the only source of randomness
 
-	clock            // time of the present event
-	actions []Action // of the present event, in order
+	clock            // time of the current event
+	actions []Action // actions of the current event, in order
 
-	classes     classTable
-	customers   customerTable
-	planDemand  planDemand
-	endpoints   endpointTable
-	requests    map[string]*request // that have no final answer yet, or an attempt in flight
+	classes    classTable
+	customers  customerTable
+	planDemand planDemand
+	endpoints  endpointTable
+	// Requests by ID that have no final answer yet or still have an attempt in flight.
+	requests    map[string]*request
 	timers      timerTable
 	gossip      gossipState
 	owners      ownerState
@@ -30,12 +31,12 @@
 // classTable holds the configured classes.
 type classTable struct {
 	byName            map[string]*class
-	shortestObjective float64       // shortest latency objective, seconds
+	shortestObjective float64       // shortest latency objective in seconds
 	longestObjective  time.Duration // longest latency objective
 }
 
-// New returns a gateway that knows only its configuration. The seed feeds its random choices. The error
-// names the first setting that is not valid.
+// New returns a Gateway that knows only its configuration. The seed initializes its random number
+// generator. If a setting is invalid, New returns the *[SettingError] of the first one.
 func New(cfg Config, seed int64) (*Gateway, error) {
 	if err := cfg.Validate(); err != nil {
 		return nil, err
@@ -69,8 +70,9 @@
 	return t
 }
 
-// Handle takes one event at the time now and returns what is to be done, in order. It must not be called by
-// two goroutines at a time.
+// Handle processes one event at the time now and returns the actions to carry out, in order. If now is
+// earlier than the time of the previous event, the previous time is used. Handle must not be called
+// concurrently.
 func (g *Gateway) Handle(now time.Duration, ev Event) []Action {
 	g.actions = nil
 	if first := g.advance(now, g.heartbeatInterval()); first {
@@ -97,10 +99,11 @@
 	return g.actions
 }
 
+// emit appends an action to those of the current event.
 func (g *Gateway) emit(a Action) { g.actions = append(g.actions, a) }
 
-// timesObjective returns a multiple of the shortest latency objective. Times that belong to a request are
-// given as such multiples, since deployments differ in scale.
+// timesObjective returns n times the shortest latency objective. Durations that concern a request are
+// defined as such multiples because deployments differ in time scale.
 func (g *Gateway) timesObjective(n float64) time.Duration {
 	return time.Duration(n * g.classes.shortestObjective * float64(time.Second))
 }
--- a/decide/gossip.go
+++ b/decide/gossip.go
@@ -6,46 +6,53 @@
 	"time"
 )
 
-// Gateways that can afford it use full gossip: each sends each other totals of what its customers used
-// and demanded. Totals make lost and repeated datagrams harmless, a sequence number makes late ones so,
-// and an epoch tells the incarnations of a peer apart. Larger fleets use owner gateways instead; see
-// quotaowner.go.
+// Fleets that are small enough for their gossip capacity use full gossip: each gateway sends every other one
+// the totals of the units that its customers have used and demanded. Since these are totals, lost and
+// duplicate datagrams do no harm. A sequence number makes it possible to drop late datagrams, and an epoch
+// identifies the incarnation of a peer. Larger fleets use owner gateways instead; see quotaowner.go.
 
 const (
-	// gossipCapacityUsed is the part of the stated capacity that all peers together use.
+	// gossipCapacityUsed is the fraction of the configured gossip capacity that all peers together use.
 	gossipCapacityUsed = 0.8
 
-	// minFullGossipRate is the number of datagrams a second between any two gateways under which full
-	// gossip is too slow to be of use.
+	// minFullGossipRate is the least number of datagrams per second between any two gateways at which full
+	// gossip is fast enough to be useful.
 	minFullGossipRate = 2.0
 
-	// keepaliveInterval is the time after which a peer with nothing to report is sent an empty datagram.
+	// keepaliveInterval is the time after which a peer is sent an empty datagram if there is nothing to
+	// report.
 	keepaliveInterval = 400 * time.Millisecond
 
-	// maxGossipBytes is the size of the largest datagram.
+	// maxGossipBytes is the size limit of a datagram.
 	maxGossipBytes = 256
 
-	// sequenceNumbers is how many sequence numbers, and epochs, there are.
+	// sequenceNumbers is the number of distinct sequence numbers, and of distinct epochs.
 	sequenceNumbers = 64 * 64
 )
 
-// peer is another gateway, with full gossip.
+// peer is the state of the exchange with another gateway in full gossip.
 type peer struct {
-	known        bool // a datagram of it came since this gateway started
+	known        bool // whether a datagram of the peer has arrived since this gateway started
 	lastReceived time.Duration
-	epoch, seq   int  // of its last datagram
-	startedLater bool // it was restarted since this gateway started, so its totals began at 0 meanwhile
+	epoch, seq   int // epoch and sequence number of its last datagram
+	// startedLater reports whether the peer has restarted since this gateway started. The totals of its
+	// present incarnation then began at 0 after this gateway started.
+	startedLater bool
 
 	lastSent time.Duration
-	sentSeq  int         // sequence number of the last datagram to it
-	pending  []*customer // of which it is to be sent entries
+	sentSeq  int         // sequence number of the last datagram sent to the peer
+	pending  []*customer // customers about which entries are to be sent to the peer
 }
 
-// gossipState is what full gossip needs.
+// gossipState is the state of full gossip.
 type gossipState struct {
-	full  bool   // customers have no owners: all gateways exchange gossip, or none does
-	epoch int    // of this incarnation
-	peers []peer // by rank, with an unused one for this gateway; empty without full gossip or without gossip
+	// full reports that customers have no owner gateways: either all gateways exchange gossip with each
+	// other, or none sends any.
+	full  bool
+	epoch int // identifies this incarnation of this gateway
+	// peers is indexed by rank and has an unused entry for this gateway. It is empty if gossip is disabled
+	// or if the fleet uses owner gateways.
+	peers []peer
 }
 
 func newGossipState(cfg Config, rng *rand.Rand) gossipState {
@@ -56,25 +63,26 @@
 	return s
 }
 
-// supportsFullGossip reports whether gateways can receive gossip of all others often enough. Without any
-// gossip there are no owners to ask either, so that counts as full.
+// supportsFullGossip reports whether each gateway can receive gossip from all others often enough. Without
+// any gossip there are no owner gateways to ask either, so this counts as full gossip.
 func supportsFullGossip(cfg Config) bool {
 	needed := minFullGossipRate * float64(cfg.Gateways-1)
 	return !cfg.Limits.Gossip || gossipCapacityUsed*cfg.GossipCapacity >= needed
 }
 
-// customerGossip is what gateways report to each other of a customer.
+// customerGossip is what gateways report to each other about a customer.
 type customerGossip struct {
-	usedTotal float64      // units charged here; the demanded ones are in demand
-	totals    []peerTotals // reported by peers, by rank
-	queuedFor []bool       // by rank: the peer's pending entries contain the customer
+	usedTotal float64      // units charged at this gateway; for demanded units see demand.total
+	totals    []peerTotals // totals reported by peers, by rank
+	// queuedFor reports by rank whether the customer is in the peer's pending entries.
+	queuedFor []bool
 }
 
-// peerTotals is what a peer last reported of a customer.
+// peerTotals holds the totals that a peer last reported for a customer.
 type peerTotals struct {
-	known      bool // it has, in its present incarnation
-	used       int  // total of charged units, modulo 4096
-	demanded   int  // total of demanded units, modulo 4096
+	known      bool // whether the peer has reported them in its present incarnation
+	used       int  // charged units modulo totalModulus
+	demanded   int  // demanded units modulo totalModulus
 	demandRate rate
 }
 
@@ -82,14 +90,15 @@
 	return customerGossip{totals: make([]peerTotals, peers), queuedFor: make([]bool, peers)}
 }
 
-// queueGossip queues an entry about a customer for all its gateways.
+// queueGossip queues an entry about a customer for each of the customer's other gateways.
 func (g *Gateway) queueGossip(c *customer) {
 	for i := range g.gossip.peers {
 		g.queueGossipTo(i, c)
 	}
 }
 
-// queueGossipTo queues an entry about a customer for a peer, if it is one of the customer's gateways.
+// queueGossipTo queues an entry about a customer for a peer, if the peer is one of the customer's gateways
+// and no such entry is queued.
 func (g *Gateway) queueGossipTo(rank int, c *customer) {
 	if rank != g.cfg.Rank && g.servesCustomer(c, rank) && !c.gossip.queuedFor[rank] {
 		c.gossip.queuedFor[rank] = true
@@ -98,7 +107,8 @@
 	}
 }
 
-// sendDueGossip sends a datagram to each peer with pending entries, or to which nothing was sent for long.
+// sendDueGossip sends a datagram to each peer that has pending entries or was last sent one at least
+// keepaliveInterval ago.
 func (g *Gateway) sendDueGossip() {
 	for i := range g.gossip.peers {
 		p := &g.gossip.peers[i]
@@ -111,7 +121,7 @@
 	}
 }
 
-// nextGossip makes a datagram of as many pending entries as fit into one.
+// nextGossip encodes a datagram with as many pending entries as fit, and removes these entries.
 func (g *Gateway) nextGossip(rank int, p *peer) string {
 	var b strings.Builder
 	encodeGossipHead(&b, g.gossip.epoch, p.sentSeq)
@@ -125,7 +135,7 @@
 	return b.String()
 }
 
-// gossipEntry is what is reported of a customer.
+// gossipEntry returns the entry that reports on a customer.
 func (c *customer) gossipEntry() gossipEntry {
 	return gossipEntry{
 		key:      c.key,
@@ -136,8 +146,8 @@
 	}
 }
 
-// receiveGossip handles a datagram of another gateway. What is malformed, late or of an unknown sender is
-// dropped.
+// receiveGossip handles a datagram from another gateway. Datagrams that are malformed, late or from an
+// unknown sender are dropped.
 func (g *Gateway) receiveGossip(e GossipReceived) {
 	if e.From < 0 || e.From >= g.cfg.Gateways || e.From == g.cfg.Rank {
 		return
@@ -164,8 +174,8 @@
 	}
 }
 
-// startIncarnation prepares for the first datagram of a peer's incarnation: the peer's totals begin anew,
-// and it is sent all there is to report.
+// startIncarnation handles the first datagram of a new incarnation of a peer: the peer's totals restart,
+// and entries about all customers are queued for it.
 func (g *Gateway) startIncarnation(rank int, p *peer) {
 	p.startedLater = p.known
 	for _, c := range g.customers.order {
@@ -174,9 +184,9 @@
 	}
 }
 
-// mergeTotals adds what a peer's totals have grown by. The first totals of an incarnation count in full
-// if it began after this gateway started. Otherwise they include what was used before, for which
-// the reported level is taken.
+// mergeTotals adds the growth of a peer's totals to the fleet level and the demand of a customer. The first
+// totals of an incarnation count in full if the incarnation began after this gateway started. Otherwise
+// they include units used earlier, and the level that the peer reports is adopted instead.
 func (g *Gateway) mergeTotals(from int, p *peer, e gossipEntry) {
 	if e.planNo >= len(g.cfg.Plans) {
 		return
--- a/decide/gossipcodec.go
+++ b/decide/gossipcodec.go
@@ -5,27 +5,28 @@
 	"strings"
 )
 
-// A gossip datagram is text: the version, two digits each of epoch and sequence number, and the entries.
-// A datagram that begins otherwise is not understood and dropped. Gateways of different versions of this
-// program exchange them, so the format is fixed.
+// A gossip datagram is text: the version, an epoch and a sequence number of two digits each, and the
+// entries. A datagram that begins with another version is dropped. The format is fixed, because gateways
+// that run different versions of this program exchange datagrams.
 const (
 	gossipVersion     = "c"
 	gossipHeadLength  = 5
-	gossipEntryLength = 12 // customer 6 digits, plan 1, used 2, demanded 2, level 1
+	gossipEntryLength = 12 // digits: customer 6, plan 1, used 2, demanded 2, level 1
 	maxGossipEntries  = (maxGossipBytes - gossipHeadLength) / gossipEntryLength
 
-	totalModulus = 4096 // totals wrap at this
+	totalModulus = 4096 // totals are sent modulo this number
 
-	// levelSteps are the steps of a level between 0 and a whole burst.
+	// levelSteps is the number of steps into which a level between 0 and a whole burst is quantized.
 	levelSteps = 30.0
 )
 
-// gossipEntry is what a gateway reports of a customer.
+// gossipEntry is the report of a gateway on a customer.
 type gossipEntry struct {
 	key            uint64
 	planNo         int
-	used, demanded int // totals, see wrapTotal
-	level          int // of the bucket that all gateways fill, in steps, see levelToSteps
+	used, demanded int // totals of units, see wrapTotal
+	// level is the level of the bucket that all gateways fill, in steps; see levelToSteps.
+	level int
 }
 
 func encodeGossipHead(b *strings.Builder, epoch, seq int) {
@@ -42,7 +43,7 @@
 	encodeDigits(b, uint64(e.level), 1)
 }
 
-// parseGossipHead checks a whole datagram and reads its head.
+// parseGossipHead parses the header of a datagram. ok is false if any part of the datagram is malformed.
 func parseGossipHead(s string) (epoch, seq int, ok bool) {
 	if len(s) < gossipHeadLength || s[:1] != gossipVersion {
 		return 0, 0, false
@@ -57,7 +58,7 @@
 	return int(head >> 12), int(head & 4095), true
 }
 
-// parseGossipEntry reads an entry of a datagram that was checked.
+// parseGossipEntry parses an entry of a datagram that parseGossipHead has accepted.
 func parseGossipEntry(s string) gossipEntry {
 	key, _ := decodeDigits(s[:6])
 	rest, _ := decodeDigits(s[6:])
@@ -70,20 +71,20 @@
 	}
 }
 
-// wrapTotal is a total of units as it is sent.
+// wrapTotal converts a total of units to its encoded form, which wraps at totalModulus.
 func wrapTotal(units float64) int { return int(int64(math.Round(units)) & (totalModulus - 1)) }
 
-// totalDifference is the step from one wrapped total to a later one. A total may also fall a little, as
-// charges are given back.
+// totalDifference returns the change from one encoded total to a later one. The change may be negative,
+// because refunds reduce a total slightly.
 func totalDifference(from, to int) float64 {
 	const half = totalModulus / 2
 	return float64((to-from+half+totalModulus)%totalModulus - half)
 }
 
-// levelToSteps is a level in units as it is sent.
+// levelToSteps converts a level in units to its encoded form.
 func levelToSteps(units, burst float64) int {
 	return int(min(maxDigit, math.Round(levelSteps*units/max(burst, 1))))
 }
 
-// stepsToLevel is a level that was sent, in units.
+// stepsToLevel converts an encoded level to units.
 func stepsToLevel(steps int, burst float64) float64 { return float64(steps) / levelSteps * burst }
--- a/decide/grantcodec.go
+++ b/decide/grantcodec.go
@@ -5,20 +5,22 @@
 	"strings"
 )
 
-// A grant message is text: a head, the figures of its kind, and then perhaps a dot and observations.
-// Gateways of different versions of this program exchange them, so the format is fixed.
+// A grant message is text: a header, the values of its kind and, optionally, a dot followed by observations.
+// The format is fixed, because gateways that run different versions of this program exchange grant messages.
 const (
-	grantHeadLength   = 12   // kind 1, customer 6 digits, plan 1, number 2, load of the sender 2
-	maxGrantNumber    = 4095 // numbers of grant requests are 1 to this
-	responseRateSteps = 4    // steps of a response a second in the head
-	figureSteps       = 16   // steps of a unit in a figure; a figure has 2 digits
-	figureZero        = 2048 // the digits of 0, as figures may be negative
-	figureMax         = 4095
-
-	observationLength   = 4         // server 3 digits; class and level 1
-	shortIDMask         = 1<<18 - 1 // of a server's hash
-	maxObservedClass    = 7         // number of the last class that an observation can name
-	failedLevel         = 6         // level of a failure; lower ones are doublings of minRelativeLatency
+	grantHeadLength   = 12   // digits: kind 1, customer 6, plan 1, number 2, load 2
+	maxGrantNumber    = 4095 // grant requests are numbered from 1 to this
+	responseRateSteps = 4    // steps per response per second in the header
+	figureSteps       = 16   // steps per unit in a value; a value has 2 digits
+	figureZero        = 2048 // encoded form of 0, because values may be negative
+	figureMax         = 4095 // largest encoded value
+
+	observationLength = 4         // digits: server 3, class and level 1
+	shortIDMask       = 1<<18 - 1 // bits of the hash of a server's ID that are sent
+	maxObservedClass  = 7         // largest class index that an observation can encode
+	// failedLevel is the level that encodes a failure. The levels below it are doublings of
+	// minRelativeLatency.
+	failedLevel         = 6
 	minRelativeLatency  = 0.35
 	maxObservationBytes = observationsPerMessage * observationLength
 )
@@ -26,23 +28,24 @@
 // grantKind is the kind of a grant message.
 type grantKind byte
 
-// The kinds, by the byte that messages begin with.
+// Kinds of grant messages. The value is the first byte of the message.
 const (
-	grantRequest grantKind = 'a' // asks an owner for units: 1 figure, the units
-	grantReply   grantKind = 'r' // answers that: 4 figures, see grantAnswer
-	grantRelease grantKind = 'd' // ends a grant: 1 figure, the units used beyond those granted
+	grantRequest grantKind = 'a' // asks an owner for units; 1 value: the units
+	grantReply   grantKind = 'r' // answers a request; 4 values, see grantAnswer
+	grantRelease grantKind = 'd' // ends a grant; 1 value: the units used beyond those granted
 )
 
-// grantMessage is what a gateway and an owner of a customer send to each other about one request.
+// grantMessage is a message about one request, exchanged by a gateway and an owner of the customer.
 type grantMessage struct {
 	kind        grantKind
-	key         uint64 // of the customer
-	planNo      int
-	number      uint64 // of the grant request, by the gateway that asked
+	key         uint64 // key of the customer
+	planNo      int    // index of the customer's plan in Config.Plans
+	number      uint64 // number of the grant request, assigned by the gateway that sent it
 	figures     [4]float64
 	figureCount int
 
-	// The load of the sender, of any kind of message: attempts in flight, successful responses a second.
+	// The load of the sender, sent with each kind of message: attempts in flight, including orphans, and
+	// successful responses per second.
 	inFlight     float64
 	responseRate float64
 
@@ -50,44 +53,48 @@
 	observationCount int
 }
 
-// observation is how one request fared at a server.
+// observation is the result of one request at a server.
 type observation struct {
-	endpoint        uint64 // the server's short ID
-	class           int
-	relativeLatency float64 // times the usual latency of the class
-	failed          bool    // there was no response, or an error
+	endpoint        uint64  // short ID of the server
+	class           int     // index of the class in Config.Classes
+	relativeLatency float64 // multiple of the class's usual latency
+	failed          bool    // whether there was no response or an error
 }
 
-// grantAnswer is an owner's reply.
+// grantAnswer is the decision in an owner's reply.
 type grantAnswer struct {
 	granted     bool
 	fleetLevel  float64 // units in the customer's bucket
-	fleetDemand float64 // units a second that all gateways demand
-	rejectWait  float64 // if not granted: seconds for which the gateway is not to ask again
+	fleetDemand float64 // units per second that all gateways demand
+	// rejectWait is the time in seconds for which the gateway must not ask again, if the units were not
+	// granted.
+	rejectWait float64
 }
 
+// setFigures sets the values of the message.
 func (m *grantMessage) setFigures(figures ...float64) {
 	m.figureCount = copy(m.figures[:], figures)
 }
 
-// requestedUnits returns the units of a grant request.
+// requestedUnits returns the units of a grant request. ok is false for any other message.
 func (m *grantMessage) requestedUnits() (units float64, ok bool) {
 	return m.figures[0], m.kind == grantRequest && m.figureCount == 1 && m.figures[0] >= 0
 }
 
-// releasedUnits returns the units that a grant release adds to the granted ones.
+// releasedUnits returns the units of a grant release that were used beyond those granted. ok is false for
+// any other message.
 func (m *grantMessage) releasedUnits() (extra float64, ok bool) {
 	return m.figures[0], m.kind == grantRelease && m.figureCount == 1
 }
 
-// answer returns what a grant reply says.
+// answer returns the decision of a grant reply. ok is false for any other message.
 func (m *grantMessage) answer() (a grantAnswer, ok bool) {
 	f := &m.figures
 	a = grantAnswer{granted: f[0] > 0, fleetLevel: f[1], fleetDemand: f[2], rejectWait: f[3]}
 	return a, m.kind == grantReply && m.figureCount == 4
 }
 
-// encode writes the message. Figures that are out of range are sent as the nearest that is in range.
+// encode returns the encoded message. Values that are out of range are clamped.
 func (m *grantMessage) encode() string {
 	var b strings.Builder
 	b.WriteByte(byte(m.kind))
@@ -108,8 +115,8 @@
 	return b.String()
 }
 
-// parseGrantMessage reads a message; ok is false if it is malformed. An unknown kind is not: its load and
-// observations count all the same.
+// parseGrantMessage parses a message. ok is false if it is malformed. A message of an unknown kind is not
+// malformed, since its load and observations can still be used.
 func parseGrantMessage(s string) (m grantMessage, ok bool) {
 	s, observations, _ := strings.Cut(s, ".")
 	if len(observations)%observationLength != 0 || len(observations) > maxObservationBytes {
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -6,43 +6,48 @@
 )
 
 const (
-	// slownessGain is the gain of a response in a server's slowness: a few responses show it.
+	// slownessGain is the weight of one response in the slowness of a server. A few responses suffice to
+	// detect a slow server.
 	slownessGain = 0.2
 
-	// maxRelativeLatency bounds what one response may say of a server's slowness.
+	// maxRelativeLatency bounds the influence of one response on the slowness of a server.
 	maxRelativeLatency = 20
 
-	// failureGain is the gain of a request in a server's failure ratio where evidence is plentiful. It is
-	// up to twice as high where it is scarce.
+	// failureGain is the weight of one request in the failure ratio of a server where observations are
+	// plentiful. It is up to twice as high where they are sparse.
 	failureGain = 0.25
 
-	// failureMemoryFactor is how much longer failures are remembered than slowness.
+	// failureMemoryFactor is the time constant with which failures decay, as a multiple of that of
+	// slowness.
 	failureMemoryFactor = 2.0
 
-	// The memory of what is known of a server is the time in which evidenceResponses of it should come,
-	// within bounds.
+	// The time constant with which observations of a server decay is the time in which evidenceResponses
+	// responses of the server are expected, within these bounds.
 	evidenceResponses = 4.0
 	minEvidenceMemory = 2 * time.Second
 	maxEvidenceMemory = 20 * time.Second
 
-	// minObservationRate, in requests a second, keeps the quotient by that rate finite.
+	// minObservationRate, in requests per second, is the lower bound of the observation rate that is used
+	// as a divisor.
 	minObservationRate = 1e-3
 
-	// observationsPerMessage is how many observations a grant message carries.
+	// observationsPerMessage is the largest number of observations in a grant message.
 	observationsPerMessage = 3
 
-	// ejectionMargin is how much more than the best server's failure ratio is as good as the best.
+	// ejectionMargin is the difference to the best server's failure ratio up to which a server counts as
+	// healthy. A server beyond it is ejected.
 	ejectionMargin = 0.2
 )
 
-// health is what is known of a server's responses.
+// health holds the statistics of a server's responses.
 type health struct {
-	slowness     float64 // times the usual latency, as of slownessAt; see Gateway.slowness
-	slownessAt   time.Duration
-	failureRatio []fadingRatio // by class: part of the requests that fail; see Gateway.failureRatio
+	slowness   float64 // multiple of the usual latency, as of slownessAt; see Gateway.slowness
+	slownessAt time.Duration
+	// failureRatio is the fraction of requests that fail, by class index; see Gateway.failureRatio.
+	failureRatio []fadingRatio
 }
 
-// fadingRatio is a ratio as of a time.
+// fadingRatio is a ratio at a point in time, from which it decays.
 type fadingRatio struct {
 	value     float64
 	updatedAt time.Duration
@@ -52,20 +57,20 @@
 	return health{slowness: 1, failureRatio: make([]fadingRatio, classes)}
 }
 
-// restart forgets what is known, as the server has started anew.
+// restart resets the statistics after a restart of the server.
 func (h *health) restart() {
 	h.slowness = 1
 	clear(h.failureRatio)
 }
 
-// evidence is what this gateway knows of the fleet's responses.
+// evidence holds statistics of responses of all servers.
 type evidence struct {
-	responseRate    rate               // own successful responses of all servers, a second
-	observationRate rate               // requests a second, own or reported by others, whose fate was seen
-	recent          recentObservations // own ones
+	responseRate    rate               // own successful responses per second
+	observationRate rate               // observed requests per second, own ones and reported ones
+	recent          recentObservations // own observations to send to other gateways
 }
 
-// recentObservations are the last own observations, the last first. Grant messages carry them.
+// recentObservations holds the most recent own observations, newest first. Grant messages carry them.
 type recentObservations struct {
 	entries [observationsPerMessage]observation
 	count   int
@@ -73,46 +78,47 @@
 
 func (r *recentObservations) add(o observation) {
 	if o.class > maxObservedClass {
-		return // a message has no digit for it
+		return // messages cannot encode this class
 	}
 	copy(r.entries[1:], r.entries[:])
 	r.entries[0] = o
 	r.count = min(r.count+1, observationsPerMessage)
 }
 
-// slowness is by how many times a server is slower than the usual latency. It fades to 1 with the time
-// since it was observed, so that a server which is avoided for it gets another chance.
+// slowness returns the latency of a server as a multiple of the usual latency. It decays to 1 with the time
+// since the last observation, so that a server that is avoided because it was slow gets another chance.
 func (g *Gateway) slowness(s *endpoint) float64 {
 	h := &s.health
 	return 1 + (h.slowness-1)*math.Exp(-(g.now-h.slownessAt).Seconds()/g.evidenceMemory())
 }
 
-// failureRatio is the part of a class's requests that a server leaves without a response or fails. It
-// fades to 0.
+// failureRatio returns the fraction of a class's requests to which a server gives no response or an error.
+// It decays to 0.
 func (g *Gateway) failureRatio(s *endpoint, k *class) float64 {
 	f := &s.health.failureRatio[k.index]
 	return f.value * math.Exp(-(g.now-f.updatedAt).Seconds()/(failureMemoryFactor*g.evidenceMemory()))
 }
 
-// evidenceMemory is how long, in seconds, what is known of a server holds: longer where its responses are
-// rare.
+// evidenceMemory returns the time constant, in seconds, with which observations of a server decay. It is
+// longer where responses of a server are rare.
 func (g *Gateway) evidenceMemory() float64 {
 	perSecond := g.evidence.observationRate.perSecond(g.now)
 	wanted := evidenceResponses * g.endpoints.totals.serving / max(perSecond, minObservationRate)
 	return min(maxEvidenceMemory.Seconds(), max(minEvidenceMemory.Seconds(), wanted))
 }
 
-// evidenceScarcity is 1 where this gateway sees fewer successful responses in demandMemory than there are
-// servers, so that it can't know the load of each; it falls towards 0 the more it sees.
+// evidenceScarcity returns 1 where this gateway receives fewer successful responses within demandMemory
+// than there are servers and thus cannot know the load of each server. The more responses it receives, the
+// closer the result is to 0.
 func (g *Gateway) evidenceScarcity() float64 {
 	responses := g.evidence.responseRate.perSecond(g.now) * demandMemory.Seconds()
 	return min(1, g.endpoints.totals.serving/max(responses, 1))
 }
 
-// observe learns from a request of a class at a server, sent here or by another gateway: its latency over
-// the class's usual one, and whether it failed. Failures are held against one class, as a server may have
-// lost what only that class needs. A class of which one server gets all costly requests makes that server
-// look slow.
+// observe updates the statistics with the result of a request of a class at a server, sent by this gateway
+// or by another one: its latency as a multiple of the class's usual latency, and whether it failed.
+// Failures are recorded by class, because a server may have lost a resource that only one class needs. One
+// limitation: if one server gets all the costly requests of a class, it appears slow.
 func (g *Gateway) observe(s *endpoint, k *class, relativeLatency float64, failed bool) {
 	g.evidence.observationRate.add(g.now, 1)
 	ratio, target := g.failureRatio(s, k), 0.0
@@ -127,7 +133,7 @@
 	}
 }
 
-// observeReported learns from an observation of another gateway.
+// observeReported updates the statistics with an observation that another gateway reported.
 func (g *Gateway) observeReported(o observation) {
 	s := g.endpoints.byShortID[o.endpoint]
 	if s == nil || o.class >= len(g.cfg.Classes) {
@@ -136,8 +142,8 @@
 	g.observe(s, g.classes.byName[g.cfg.Classes[o.class].Name], o.relativeLatency, o.failed)
 }
 
-// observeOwn learns from a request of this gateway, and keeps the observation for grant messages. What is
-// found at the end of a stall says nothing of the server: it was late here.
+// observeOwn updates the statistics with the result of an own request, and keeps the observation for grant
+// messages. Results found at the end of a stall are ignored, because the delay occurred at this gateway.
 func (g *Gateway) observeOwn(s *endpoint, k *class, latency time.Duration, failed bool) {
 	if g.endsStall() {
 		return
@@ -150,7 +156,7 @@
 	}
 }
 
-// recordOutcome learns from the end of an attempt what it says of the server.
+// recordOutcome updates the state of a server after an attempt has ended.
 func (g *Gateway) recordOutcome(r *request, a *attempt, e AttemptEnded) {
 	s := a.endpoint
 	switch e.Outcome {
--- a/decide/quota.go
+++ b/decide/quota.go
@@ -6,36 +6,36 @@
 )
 
 const (
-	// initialLevel is the part of the high-water mark that a new bucket holds. What passed before a start
-	// is not known: an empty bucket would hand out the whole burst again at each restart.
+	// initialLevel is the fraction of the high-water mark to which a new bucket is filled. The usage before
+	// a start is unknown, and an empty bucket would grant the whole burst again at each restart.
 	initialLevel = 0.5
 
-	// ceilingSlackUsed is the part of a ceiling's slack that is used. The rest is for rounding.
+	// ceilingSlackUsed is the fraction of a ceiling's slack that is used. The rest allows for rounding.
 	ceilingSlackUsed = 0.9
 )
 
-// bucket is this gateway's part of a customer's leaky bucket. A request is charged on forwarding; the
-// charge leaks away at the plan's rate.
+// bucket is this gateway's part of a customer's leaky bucket. A request is charged when it is forwarded,
+// and the charge leaks at the plan's rate.
 type bucket struct {
-	share float64 // part of rate and burst that this gateway may use, more than 0 and at most 1
-	// Units charged here that have not leaked. They leak at share x rate; the high-water mark is share x
-	// burst. Settlement may lift the level over the mark.
+	share float64 // fraction of rate and burst that this gateway may use, in (0, 1]
+	// Units charged at this gateway that have not leaked yet. They leak at share * rate, and the high-water
+	// mark is share * burst. Settlement may raise the level above the mark.
 	level float64
-	// Units in the bucket that all gateways fill together, as far as known here; at an owner, as granted.
-	// They leak at the whole rate.
+	// Units in the bucket that all gateways fill together, as far as known at this gateway. At an owner,
+	// these are the granted units. They leak at the full rate.
 	fleetLevel    float64
-	ceilingTokens float64       // units that this gateway's slice of the ceiling still lets pass
-	leakedAt      time.Duration // the above are as of this time
-	reconciledAt  time.Duration // level includes what all peers reported up to this time
+	ceilingTokens float64       // units that this gateway's slice of the ceiling still admits
+	leakedAt      time.Duration // time up to which level, fleetLevel and ceilingTokens are computed
+	reconciledAt  time.Duration // level includes the usage that all peers reported up to this time
 }
 
-// refresh brings a customer's bucket and its share up to now.
+// refresh updates a customer's bucket and share to the current time.
 func (g *Gateway) refresh(c *customer) {
 	c.leak(g.now, g.ceilingSlice(c))
 	g.updateShare(c)
 }
 
-// leak lets the bucket leak, and this gateway's slice of the ceiling fill, up to now.
+// leak drains the bucket, and refills this gateway's slice of the ceiling, up to now.
 func (c *customer) leak(now time.Duration, ceilingSlice float64) {
 	b := &c.bucket
 	elapsed := (now - b.leakedAt).Seconds()
@@ -46,9 +46,9 @@
 	b.ceilingTokens = min(filled, c.plan.CeilingBurst*ceilingSlice)
 }
 
-// ceilingSlice is the part of a customer's ceiling that one gateway keeps: an even one of all its
-// gateways, or of its owners. Unlike the share it does not follow demand, as a ceiling must not be
-// exceeded while gateways disagree.
+// ceilingSlice returns the fraction of a customer's ceiling that one gateway holds: the ceiling is divided
+// evenly among the customer's gateways, or among its owners. Unlike the share, the slice does not follow
+// demand, because the ceiling must not be exceeded while gateways disagree about demand.
 func (g *Gateway) ceilingSlice(c *customer) float64 {
 	if !g.gossip.full {
 		return 1.0 / ownersPerCustomer
@@ -56,8 +56,8 @@
 	return c.evenShare()
 }
 
-// admitByQuota decides by this gateway's bucket whether the quota has room for a request. If not, the
-// request has the reason.
+// admitByQuota reports whether this gateway's bucket has room for a request. If not, it sets the
+// rejectReason of the request.
 func (g *Gateway) admitByQuota(c *customer, r *request) bool {
 	g.refresh(c)
 	g.countDemand(c, r.units)
@@ -74,13 +74,14 @@
 	return r.rejectReason == ""
 }
 
-// exceeded returns the limit, of rate or attempts in flight, in which this gateway's share has no room
-// for the units, or "". A request needs only its share of room and is charged whole, so the level may
-// pass the high-water mark by less than a request: the share of a small plan's mark is less than one
-// request.
+// exceeded returns the reason for which this gateway's share of the rate or of the attempts in flight has
+// no room for the units, or "". A request needs room only for its share of the units but is charged in
+// full, so the level may exceed the high-water mark by less than one request. Otherwise small plans could
+// never admit a request, because a gateway's share of their mark is less than one request.
 //
-// The share of the attempts in flight is rounded down, since rounded up all gateways together would be
-// far over the limit. One may always be in flight, or a customer of many gateways would get nothing.
+// The share of the attempts in flight is rounded down, because all gateways together would exceed the limit
+// by far if each rounded up. One attempt is always allowed. Otherwise a customer of many gateways could
+// never have a request forwarded.
 func (c *customer) exceeded(units float64) RejectReason {
 	b := &c.bucket
 	switch {
@@ -99,8 +100,8 @@
 	return c.bucket.ceilingTokens+slack < units
 }
 
-// charge adds units to a customer's bucket: on forwarding those of the request, on settlement the
-// difference to the actual ones. A failed attempt keeps its charge. Units may be negative.
+// charge adds units to a customer's bucket: those of a request when it is forwarded, and at settlement the
+// difference to the actual units. A failed attempt remains charged. Units may be negative.
 func (g *Gateway) charge(c *customer, units float64) {
 	c.bucket.level += units
 	if g.gossip.full {
@@ -111,7 +112,7 @@
 	g.queueGossip(c)
 }
 
-// chargeForwarded charges a request that is forwarded for the first time.
+// chargeForwarded charges a request when it is forwarded for the first time, unless its units are reserved.
 func (g *Gateway) chargeForwarded(r *request) {
 	if r.Reserved {
 		return
@@ -120,7 +121,7 @@
 	g.charge(r.customer, r.units)
 }
 
-// settle replaces the estimated units of a request by the actual ones.
+// settle replaces the estimated units of a request by the actual units.
 func (g *Gateway) settle(r *request, actual float64) {
 	if actual <= 0 || !g.cfg.SettledOnResponse || r.Reserved {
 		return
@@ -130,7 +131,8 @@
 	r.units = actual
 }
 
-// refund gives back the charge of a request of which nothing was sent, also to an owner that granted it.
+// refund returns the charge of a request of which nothing was sent, including the units that an owner
+// granted.
 func (g *Gateway) refund(r *request) {
 	if r.Reserved {
 		return
--- a/decide/quotaowner.go
+++ b/decide/quotaowner.go
@@ -6,69 +6,77 @@
 	"time"
 )
 
-// In a large fleet a gateway's share of a mark is less than one request, and gossip about it would be
-// older than the bucket. There the bucket of the whole customer is kept by its owner gateway, and each
+// In a large fleet, a gateway's share of a high-water mark is less than one request, and gossip would arrive
+// too late to describe the bucket. There, an owner gateway keeps the bucket of the whole customer, and each
 // request waits for a grant of the owner before it is forwarded. A second owner, the standby, takes over
-// while the first is unresponsive. Without any reply the gateway's own share decides.
+// while the first one is unresponsive. If neither replies, the gateway decides by its own share.
 
 const (
-	// ownersPerCustomer counts the owner and its standby.
+	// ownersPerCustomer is the number of owners of a customer: the quota owner and the standby owner.
 	ownersPerCustomer = 2
 
-	// requestsPerOwner is how often an owner is asked for one grant, as datagrams may be lost.
+	// requestsPerOwner is the number of times that an owner is asked for one grant. It is more than 1
+	// because datagrams may be lost.
 	requestsPerOwner = 2
 
-	// grantRequestCapacity is the part of the gossip capacity that grant requests may take. Beyond it an
-	// owner lets gateways wait longer before they ask again for a customer that is over its quota.
+	// grantRequestCapacity is the fraction of the gossip capacity that grant requests may use. An owner
+	// that receives more makes gateways wait longer before they ask again for a customer that is over its
+	// quota.
 	grantRequestCapacity = 0.4
 
-	// A grant reply is waited for as long as grantTimeoutFactor times the usual round trip, and
-	// grantTimeoutMargin, a turn or two of either event loop.
+	// The timeout of a grant request is grantTimeoutFactor times the average round trip, plus
+	// grantTimeoutMargin, which covers one or two iterations of either gateway's event loop. roundTripGain
+	// is the weight of one reply in the average round trip.
 	initialGrantRoundTrip = 30 * time.Millisecond
 	grantTimeoutFactor    = 2.0
 	grantTimeoutMargin    = 12 * time.Millisecond
 	roundTripGain         = 0.1
 
-	// ownerUnresponsiveFor is how long an owner is not asked that left all requests for a grant unanswered.
+	// ownerUnresponsiveFor is the time for which an owner is not asked after it has left all requests for a
+	// grant unanswered.
 	ownerUnresponsiveFor = 300 * time.Millisecond
 
-	// grantRetention is how long an owner remembers its decisions, to answer a repeated request alike.
+	// grantRetention is the time for which an owner remembers its decisions, so that a repeated request
+	// gets the same reply.
 	grantRetention = 3 * time.Second
 
-	// ceilingGrantLifetime is the time within which a grant under a ceiling must be used. What leaks
-	// meanwhile is within the ceiling's slack.
+	// ceilingGrantLifetime is the time within which a grant under a ceiling must be used. What leaks within
+	// this time is covered by the slack of the ceiling.
 	ceilingGrantLifetime = 100 * time.Millisecond
 
-	// An owner that gets too many grant requests raises the wait of those it rejects, from minRejectWait
-	// by rejectWaitGrowth each up to maxRejectWait; otherwise it lowers it by rejectWaitShrink each. The
-	// waits are seconds.
+	// An owner that receives too many grant requests raises the wait that it imposes on customers it
+	// rejects: from minRejectWait, by the factor rejectWaitGrowth with each rejection, up to maxRejectWait.
+	// Any other decision reduces the wait by the factor rejectWaitShrink. The waits are in seconds.
 	minRejectWait    = 0.1
 	maxRejectWait    = 30.0
 	rejectWaitGrowth = 1.15
 	rejectWaitShrink = 0.9
 
-	// maxLeakWait is the longest, in seconds, that a gateway rejects by itself until the bucket has leaked.
+	// maxLeakWait is the longest time in seconds for which a gateway rejects requests by itself while the
+	// bucket leaks.
 	maxLeakWait = 1.0
 
-	// minLeakRate, in units a second, keeps the wait for a bucket that does not leak finite.
+	// minLeakRate, in units per second, keeps the computed wait finite for a bucket that does not leak.
 	minLeakRate = 1e-9
 
-	// ownerHeartbeatInterval is the time between two heartbeats where there is no full gossip.
+	// ownerHeartbeatInterval is the heartbeat interval in fleets without full gossip.
 	ownerHeartbeatInterval = 100 * time.Millisecond
 
-	// noGateway is the rank of no gateway.
+	// noGateway stands for the rank of no gateway.
 	noGateway = -1
 )
 
-// ownerState is what the exchange with owners needs, on either side.
+// ownerState is the state of the grant protocol at this gateway, both as a requester and as an owner.
 type ownerState struct {
-	pending    map[uint64]*request // that wait for a grant reply, by the number of the grant request
+	// Requests that wait for a grant reply, by the number of the grant request.
+	pending    map[uint64]*request
 	lastNumber uint64
-	roundTrip  time.Duration // usual time from a grant request to its reply
-	// By rank: an owner that left grant requests unanswered is not asked until then.
+	roundTrip  time.Duration // moving average of the time from a grant request to its reply
+	// unresponsiveUntil holds, by rank, the time until which an owner that left grant requests unanswered
+	// is not asked.
 	unresponsiveUntil map[int]time.Duration
 
-	requestRate rate // grant requests that this gateway gets, a second
+	requestRate rate // grant requests received per second
 }
 
 func newOwnerState(rng *rand.Rand) ownerState {
@@ -80,45 +88,49 @@
 	}
 }
 
+// nextNumber returns the number of the next grant request.
 func (s *ownerState) nextNumber() uint64 {
 	s.lastNumber = s.lastNumber%maxGrantNumber + 1
 	return s.lastNumber
 }
 
-// ownedBucket is what a gateway keeps of a customer that it owns, beside the bucket's fleet level.
+// ownedBucket is the state that an owner keeps for a customer, in addition to bucket.fleetLevel.
 type ownedBucket struct {
 	grants     []grant
-	demandRate rate    // units that all gateways demand
-	rejectWait float64 // seconds for which gateways are to reject requests by themselves
+	demandRate rate    // units per second that all gateways demand
+	rejectWait float64 // time in seconds for which gateways must reject requests by themselves
 }
 
-// grant is an owner's decision on one grant request.
+// grant is an owner's decision on one grant request, positive or negative.
 type grant struct {
-	from      int    // rank of the gateway that asked
-	number    uint64 // of the grant request
-	decidedAt time.Duration
+	from      int           // rank of the gateway that sent the request
+	number    uint64        // number of the grant request
+	decidedAt time.Duration // time of the decision
 	granted   bool
-	inFlight  bool // an attempt counts against the plan's limit
+	inFlight  bool // whether an attempt still counts towards the plan's limit
 }
 
-// ownerReport is what a customer's owner last replied.
+// ownerReport is the last reply of a customer's owner.
 type ownerReport struct {
-	fleetDemand float64 // units a second that all gateways demand
+	fleetDemand float64 // units per second that all gateways demand
 	repliedAt   time.Duration
-	rejectUntil time.Duration // requests are rejected without a grant request until then
+	// rejectUntil is the time until which requests are rejected without asking an owner.
+	rejectUntil time.Duration
 }
 
-// grantState is a request's exchange with the owners of its customer.
+// grantState is the state of a request's grant.
 type grantState struct {
-	number      uint64 // of its grant request
-	requests    int    // grant requests sent, those skipped for an unresponsive owner included
-	requestedAt time.Duration
-	awaited     bool
-	grantedBy   int // rank of the owner that admitted it, or noGateway
+	number uint64 // number of the grant request
+	// requests is the number of grant requests sent, or skipped because the owner was unresponsive.
+	requests    int
+	requestedAt time.Duration // time of the first grant request; 0: none was sent
+	awaited     bool          // whether a reply is expected
+	grantedBy   int           // rank of the owner that admitted the request, or noGateway
 }
 
-// owner is the rank of a customer's nth owner. It is the same at every gateway. A fleet of one gateway has
-// full gossip and thus no owners, so there is no division by 0.
+// owner returns the rank of a customer's owner for n = 0, and of its standby for n = 1. All gateways
+// compute the same ranks. It must not be called in a fleet of one gateway, where the computation would
+// divide by 0; such a fleet has full gossip and no owners.
 func (g *Gateway) owner(key uint64, n int) int {
 	first := int(key % uint64(g.cfg.Gateways))
 	if n == 0 {
@@ -127,10 +139,10 @@
 	return (first + 1 + int(key>>18%uint64(g.cfg.Gateways-1))) % g.cfg.Gateways
 }
 
-// initialFleetLevel is the level that the bucket of a new customer is taken to have. A standby may know
-// nothing of what the owner granted, so its bucket starts full: it grants only what leaks. Otherwise the
-// standby would hand out a second quota each time that the owner dies, stalls or is cut off, and
-// customers would get up to twice their quota.
+// initialFleetLevel returns the fleet level of a new customer. A standby does not know what the owner has
+// granted, so its bucket starts full and it grants only what leaks. Otherwise the standby would grant a
+// second quota whenever the owner fails, stalls or is partitioned, and customers would get up to twice
+// their quota.
 func (g *Gateway) initialFleetLevel(c *customer) float64 {
 	if !g.gossip.full && g.owner(c.key, 0) != g.cfg.Rank {
 		return c.plan.Burst
@@ -138,8 +150,9 @@
 	return initialLevel * c.plan.Burst
 }
 
-// requestGrant asks the next owner for a grant, or decides where there is none left to ask. Without any
-// reply this gateway's own share of the bucket decides, but nothing passes a ceiling.
+// requestGrant asks the next owner for a grant. If this gateway is that owner, or if no owner is left to
+// ask, it decides by itself. Without any reply, this gateway's share of the bucket decides, but requests
+// under a ceiling are rejected.
 func (g *Gateway) requestGrant(r *request) {
 	c := r.customer
 	for ; r.grant.requests < requestsPerOwner*ownersPerCustomer && g.now < r.usefulUntil; r.grant.requests++ {
@@ -163,6 +176,7 @@
 	g.forwardOrReject(r, r.rejectReason == "")
 }
 
+// sendGrantRequest sends a grant request to an owner and sets the timer for its reply.
 func (g *Gateway) sendGrantRequest(r *request, owner int) {
 	r.grant.requests++
 	r.grant.awaited = true
@@ -175,9 +189,9 @@
 	g.setTimer(r.ID, grantTimer, min(r.usefulUntil, g.now+wait))
 }
 
-// grantTimedOut handles a reply that did not come in time. If the timer itself is late, this gateway
-// stalled and the reply may be among the events that it finds now: it waits a little more. Otherwise a
-// stall of this gateway would mark each owner as unresponsive.
+// grantTimedOut handles a missing grant reply. If the timer fired late, this gateway has stalled and the
+// reply may be among the events that are still queued, so it waits a little longer. Otherwise a stall of
+// this gateway would mark every owner as unresponsive.
 func (g *Gateway) grantTimedOut(r *request, dueAt time.Duration) {
 	if g.now-dueAt > grantTimeoutMargin && g.now < r.usefulUntil {
 		g.setTimer(r.ID, grantTimer, min(r.usefulUntil, g.now+grantTimeoutMargin))
@@ -191,8 +205,8 @@
 	g.requestGrant(r)
 }
 
-// decideGrant decides as an owner, by the customer's whole bucket: rate, attempts in flight and ceiling. A
-// request that comes twice gets the same answer, and is charged once.
+// decideGrant decides on a grant request as an owner, by the customer's whole bucket: rate, attempts in
+// flight and ceiling. A repeated request gets the same decision and is charged only once.
 func (g *Gateway) decideGrant(c *customer, from int, number uint64, units float64) bool {
 	g.refresh(c)
 	o, b := &c.asOwner, &c.bucket
@@ -202,7 +216,7 @@
 		if d.from == from && d.number == number {
 			return d.granted
 		}
-		d.inFlight = d.inFlight && g.now-d.decidedAt < g.classes.longestObjective // it is given up by then
+		d.inFlight = d.inFlight && g.now-d.decidedAt < g.classes.longestObjective // nobody waits any longer
 		inFlight += boolToInt(d.inFlight)
 	}
 	o.grants = slices.DeleteFunc(o.grants, func(d grant) bool { return g.now-d.decidedAt > grantRetention })
@@ -219,8 +233,8 @@
 	return granted
 }
 
-// updateRejectWait keeps a customer far over its quota from filling the capacity of its owner with requests
-// that are all rejected.
+// updateRejectWait adapts the wait that an owner imposes on gateways. Without it, a customer far over its
+// quota could exhaust the capacity of its owner with requests that are all rejected.
 func (g *Gateway) updateRejectWait(o *ownedBucket, granted bool) {
 	if !granted && g.owners.requestRate.perSecond(g.now) > grantRequestCapacity*g.cfg.GossipCapacity {
 		o.rejectWait = min(maxRejectWait, max(o.rejectWait, minRejectWait)*rejectWaitGrowth)
@@ -229,7 +243,7 @@
 	}
 }
 
-// releaseGrant reports to the owner that granted a request that its attempts are over, and the units used
+// releaseGrant reports to the owner that granted a request that its attempts have ended, and the units used
 // beyond those granted.
 func (g *Gateway) releaseGrant(r *request) {
 	owner := r.grant.grantedBy
@@ -254,8 +268,8 @@
 	}
 }
 
-// receiveGrantMessage handles a grant message of another gateway. What is malformed, of an unknown plan
-// or sent to the wrong owner is dropped.
+// receiveGrantMessage handles a grant message from another gateway. Messages that are malformed, for an
+// unknown plan or sent to the wrong owner are dropped.
 func (g *Gateway) receiveGrantMessage(from int, text string) {
 	m, ok := parseGrantMessage(text)
 	if !ok || m.planNo >= len(g.cfg.Plans) {
@@ -282,7 +296,8 @@
 	}
 }
 
-// receiveGrantReply handles an owner's reply: it corrects share and level, and decides on the request.
+// receiveGrantReply handles an owner's reply: it updates the share and the level of the customer, and
+// decides on the request.
 func (g *Gateway) receiveGrantReply(from int, m *grantMessage, a grantAnswer) {
 	r := g.owners.pending[m.number]
 	if r == nil || r.customer.key != m.key {
@@ -290,7 +305,7 @@
 	}
 	delete(g.owners.pending, m.number)
 	waited := g.now - r.grant.requestedAt
-	if r.grant.requests == 1 { // else it is not known which request was answered
+	if r.grant.requests == 1 { // otherwise the reply may be to any of them
 		g.owners.roundTrip += time.Duration(roundTripGain * float64(waited-g.owners.roundTrip))
 	}
 	r.grant.awaited = false
@@ -307,15 +322,15 @@
 	g.forwardOrReject(r, granted)
 }
 
-// rejectUntilLeaked has this gateway reject requests by itself until the bucket can have leaked, or for
-// as long as the owner asks for.
+// rejectUntilLeaked makes this gateway reject requests by itself until the bucket can have leaked enough
+// for the units, or for as long as the owner demands if that is longer.
 func (c *customer) rejectUntilLeaked(now time.Duration, units float64, a grantAnswer) {
 	leaks := min(maxLeakWait, (a.fleetLevel+units-c.plan.Burst)/max(c.plan.Rate, minLeakRate))
 	c.fromOwner.rejectUntil = now + time.Duration(max(a.rejectWait, leaks)*float64(time.Second))
 }
 
-// sendGrantMessage sends a message of the kind and figures, with the load and the observations of this
-// gateway.
+// sendGrantMessage sends a grant message with the given values, and with the load and the recent
+// observations of this gateway.
 func (g *Gateway) sendGrantMessage(to int, kind grantKind, c *customer, number uint64, figures ...float64) {
 	m := grantMessage{
 		kind:             kind,
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -3,47 +3,51 @@
 import "time"
 
 const (
-	// retryBudgetGain is what each first attempt adds to the retry budget, in further attempts, up to
-	// maxRetryBudget.
+	// retryBudgetGain is the number of tokens that each first attempt adds to the retry budget, up to
+	// maxRetryBudget. A token pays for one retry or hedged request.
 	retryBudgetGain = 0.15
 	maxRetryBudget  = 10.0
 
-	// An attempt is overdue after overdueFactor times its expected latency, and minOverdue shortest latency
-	// objectives at least.
+	// An attempt is overdue after overdueFactor times its expected latency, but not before minOverdue times
+	// the shortest latency objective.
 	overdueFactor = 4.0
 	minOverdue    = 0.3
 
-	// minMissingResponses is how many responses a server must owe for its silence to mean something.
+	// minMissingResponses is the number of responses that a server must owe before it is considered silent.
 	minMissingResponses = 2.0
 
-	// cancelFailureRatio is the failure ratio from which a server is known to leave requests without a
-	// response, so that an overdue attempt there is cancelled or hedged without waiting for more silence.
+	// cancelFailureRatio is the failure ratio from which on a server is known to leave requests without a
+	// response. An overdue attempt at such a server is cancelled or hedged without waiting for more
+	// responses to be missing.
 	cancelFailureRatio = 0.3
 
-	// retryAfterObjectives is the Retry-After, in shortest latency objectives. It leaves time for a
-	// response within the objective.
+	// retryAfterObjectives is the Retry-After in units of the shortest latency objective. It leaves time
+	// for a response within the objective.
 	retryAfterObjectives = 0.4
 )
 
-// retryBudget bounds the further attempts, retries and hedged requests, to a part of the first ones:
-// servers that are slow or fail would otherwise be sent several times the work. It holds attempts.
+// retryBudget limits retries and hedged requests to a fraction of the first attempts. Without it, slow or
+// failing servers would be sent a multiple of their usual work. The tokens are attempts.
 type retryBudget struct{ tokens float64 }
 
-// earn counts a first attempt.
+// earn adds the gain of a first attempt to the budget.
 func (b *retryBudget) earn() { b.tokens = min(maxRetryBudget, b.tokens+retryBudgetGain) }
 
+// has reports whether the budget holds the price.
 func (b *retryBudget) has(price float64) bool { return b.tokens >= price }
 
+// spend takes the price from the budget.
 func (b *retryBudget) spend(price float64) { b.tokens -= price }
 
-// attemptOverdue looks at an attempt that should have been answered by now. If the server has responded
-// to others since, this request is merely costly. If not, the server may be silent: down, out of
-// connections or behind a cut link.
+// attemptOverdue handles an attempt that should have been answered by now. If the server has responded to
+// other requests since the attempt was sent, this request is merely costly. Otherwise the server may be
+// silent because it is down, out of connections or unreachable.
 //
-// A gateway that meets a server rarely sees no response of it either way, so until a few should have come
-// only what is known of the server may speak against it. Otherwise all gateways would cancel what merely
-// waits; servers would work on it all the same, and the fleet would jam by its own further attempts. The
-// price is that a server which has just gone silent is noticed late by those who meet it rarely.
+// A gateway that rarely sends requests to a server sees few responses from it in any case. Until at least
+// minMissingResponses responses are missing, only previous failures count against the server. Otherwise all
+// gateways would cancel requests that are merely queued. Servers would work on these requests nevertheless,
+// and the additional attempts would overload the whole fleet. The drawback is that a server that has just
+// become silent is detected late by gateways that rarely use it.
 func (g *Gateway) attemptOverdue(r *request, a *attempt) {
 	s := a.endpoint
 	knownToFail := g.failureRatio(s, r.class) >= cancelFailureRatio
@@ -67,19 +71,20 @@
 	case g.cfg.Limits.Hedging:
 		g.retry(r, s, 1)
 	case g.cfg.Limits.Cancel:
-		g.emit(Cancel{r.ID, a.number}) // its end, as OutcomeCancelled, brings the next attempt
+		g.emit(Cancel{r.ID, a.number}) // its AttemptEnded triggers the retry
 	}
 }
 
-// recheckLater sets another timer for an overdue attempt, after half of the time that it has taken so far.
+// recheckLater sets another timer for an overdue attempt, after half of the time that the attempt has taken
+// so far.
 func (g *Gateway) recheckLater(r *request, a *attempt) {
 	if at := g.now + (g.now-a.sentAt)/2; at < r.usefulUntil && !r.finished {
 		g.setTimer(r.ID, a.number, at)
 	}
 }
 
-// retry sends a further attempt if the rules, the time left and the retry budget allow one, and reports
-// whether it did. The price is what the attempt takes of the budget.
+// retry sends another attempt if the limits, the remaining time and the retry budget allow it, and reports
+// whether it did. The price is the number of tokens that the attempt takes from the budget.
 func (g *Gateway) retry(r *request, failedBefore *endpoint, price float64) bool {
 	if !g.retryBudget.has(price) || len(r.attempts) >= g.cfg.Limits.MaxAttempts {
 		return false
@@ -96,8 +101,8 @@
 	return true
 }
 
-// mayRepeatAt reports whether a server may get the request, given the attempts that may have run. Without
-// it a request that must not run twice could.
+// mayRepeatAt reports whether the request may be sent to the server, given its previous attempts that may
+// have run. This prevents a request that must not run twice from running twice.
 func (g *Gateway) mayRepeatAt(r *request, s *endpoint) bool {
 	k := r.class
 	if k.Idempotency == Idempotent {
@@ -117,7 +122,8 @@
 	return true
 }
 
-// knowsRepeats reports whether a server drops the repeat of a request that another one got.
+// knowsRepeats reports whether the second server drops a duplicate of a request that the first one has
+// received.
 func (k *class) knowsRepeats(first, second *endpoint) bool {
 	switch k.DedupScope {
 	case DedupInFleet:
@@ -128,9 +134,10 @@
 	return first.Cell == second.Cell
 }
 
-// writeBefore is the time after which an attempt that still waits for its connection may not be written
-// any more. Servers forget a request a window after the first attempt that may have run, and one written
-// later would run a second time. 0: there is no such bound.
+// writeBefore returns the time after which the last attempt must not be written to a connection any more,
+// or 0 if there is no such bound. Servers forget a request when the dedup window after the first attempt
+// that may have run ends. An attempt that waits for its connection and is written later would run a second
+// time.
 func (r *request) writeBefore() time.Duration {
 	if r.class.Idempotency != IdempotentByKey {
 		return 0
@@ -143,7 +150,8 @@
 	return 0
 }
 
-// reject gives the final answer that a request may be sent again, with the time after which.
+// reject gives the final answer that the client can safely send the request again, with a Retry-After if
+// configured.
 func (g *Gateway) reject(id string, reason RejectReason) {
 	a := Reject{ID: id, Reason: reason}
 	if g.cfg.Limits.RetryAfter {
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -1,34 +1,36 @@
 package decide
 
 const (
-	// maxCandidates is how many eligible servers, from a random one on, are compared for a request.
+	// maxCandidates is the largest number of eligible servers that are compared for a request. The search
+	// starts at a random server.
 	maxCandidates = 16
 
-	// crossZoneFactor is the factor on the cost of a server in another zone.
+	// crossZoneFactor multiplies the cost of a server in another zone.
 	crossZoneFactor = 1.03
 
-	// failedBeforeFactor is the factor on the cost of the server that failed the request before.
+	// failedBeforeFactor multiplies the cost of the server that failed the request's previous attempt.
 	failedBeforeFactor = 3
 
-	// costNoise is by what part at most a cost is raised at random, so that gateways do not agree on one
-	// server.
+	// costNoise is the largest fraction by which a cost is raised at random, so that gateways do not all
+	// select the same server.
 	costNoise = 0.02
 
-	// minSuccessRatio bounds by how much failures raise a server's cost.
+	// minSuccessRatio bounds the factor by which failures raise the cost of a server.
 	minSuccessRatio = 0.2
 )
 
-// eligible reports whether a request may go to a server by its state, its slow start and the rule on
-// repeats.
+// eligible reports whether a server may receive a request, given the state of the server, its slow start
+// and the idempotency of the request.
 func (g *Gateway) eligible(s *endpoint, r *request) bool {
 	return s.State == Serving && !g.heldBySlowStart(s) && g.mayRepeatAt(r, s)
 }
 
-// selectEndpoint returns the candidate of the least cost and its expected latency in seconds, or nil.
-// Candidates that fail the class much more than the best one are left out: they are ejected. The
-// comparison is with the best, so that a fault which all servers share ejects none.
+// selectEndpoint returns the candidate with the lowest cost and its expected latency in seconds, or nil if
+// there is none. Candidates whose failure ratio for the class is much higher than that of the best
+// candidate are ejected. They are compared with the best candidate so that a fault that all servers share
+// ejects none of them.
 //
-// failedBefore is the server that failed the request before, or nil.
+// failedBefore is the server that failed the request's previous attempt, or nil.
 func (g *Gateway) selectEndpoint(r *request, failedBefore *endpoint) (*endpoint, float64) {
 	var found [maxCandidates]*endpoint
 	candidates, leastFailures := g.candidates(r, found[:0])
@@ -53,8 +55,8 @@
 	return best, g.expectedLatency(best, r.class)
 }
 
-// candidates appends eligible servers to found until it is full, and returns the least failure ratio of
-// them.
+// candidates appends eligible servers to found until its capacity is reached, and returns them with the
+// lowest failure ratio among them.
 func (g *Gateway) candidates(r *request, found []*endpoint) ([]*endpoint, float64) {
 	all := g.endpoints.sorted
 	leastFailures := 1.0
@@ -69,14 +71,15 @@
 	return found, leastFailures
 }
 
-// endpointCost is the expected latency with the failures, the zone and chance taken in. Where evidence is
-// too scarce to know the load of a server the cost is drawn at random, so that each server is chosen with
-// a chance in proportion to the inverse of its cost. Otherwise all gateways would choose the same few
-// servers, and with even chances they would jam the slow ones.
+// endpointCost returns the expected latency of a server, increased for failures and another zone and by
+// random noise. Where observations are too sparse to know the load of a server, the cost is drawn from an
+// exponential distribution, so that each server is selected with a probability inversely proportional to
+// its cost. Otherwise all gateways would select the same few servers; and if they selected servers with
+// equal probability, they would overload the slow ones.
 func (g *Gateway) endpointCost(r *request, s *endpoint, failures float64) float64 {
 	cost := g.expectedLatency(s, r.class) / max(minSuccessRatio, 1-failures) * (1 + costNoise*g.rng.Float64())
 	if g.evidenceScarcity() == 1 {
-		cost *= g.rng.ExpFloat64() // the least of such draws is each one's with a chance of 1/cost
+		cost *= g.rng.ExpFloat64() // the lowest draw is a server's with a probability of 1/cost
 	}
 	if s.Zone != g.cfg.Zone {
 		cost *= crossZoneFactor
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -2,22 +2,26 @@
 
 import "time"
 
-// slowStartMargin is the part of the warm-up budget that is used, as the costs of requests vary and the
-// traffic of other gateways is estimated.
+// slowStartMargin is the fraction of the slow start budget that is used. The rest allows for requests of
+// varying cost and for the estimate of other gateways' traffic.
 const slowStartMargin = 0.5
 
-// slowStart is how much a server that has started may get. A server that gets OverloadMultiple times its
-// present capacity for OverloadWindow fails.
+// slowStart limits the requests to a server that has recently started. A server fails if it receives
+// OverloadMultiple times its present capacity for OverloadWindow.
 type slowStart struct {
-	until    time.Duration
-	budget   float64 // requests that it may get now, at most 1
+	// until is the time at which the slow start ends. The zero value means that the server is not in slow
+	// start.
+	until time.Duration
+	// budget is the number of requests that the server may receive at the time budgetAt, at most 1.
+	budget   float64
 	budgetAt time.Duration
 }
 
-// slowStartRate is how many requests a second this gateway may send to a server in slow start. What it
-// sends to a usual warm server is its own part of the fleet's traffic; with the same multiple of it at
-// each gateway the fleet stays within the multiple of the server's capacity without any agreement. It is 0
-// while this gateway sends to no warm server: then a server gets nothing before its slow start is over.
+// slowStartRate returns the number of requests per second that this gateway may send to a server in slow
+// start. The rate at which it sends requests to an average warm server is its part of the fleet's traffic.
+// Since each gateway applies the same multiple to its own part, the fleet stays within that multiple of the
+// server's capacity without coordination. The rate is 0 while this gateway sends no requests to warm
+// servers. In that case the server receives no requests from this gateway until its slow start is over.
 func (g *Gateway) slowStartRate(s *endpoint) float64 {
 	perWarm := g.endpoints.totals.sendRate / max(g.endpoints.totals.warm, 1)
 	safety := &g.cfg.Safety
@@ -27,8 +31,8 @@
 }
 
 // heldBySlowStart reports whether a server is in slow start and has no budget for a request. The budget
-// begins at a random part of a request, see updateEndpoint: otherwise hundreds of gateways would send it
-// one each at once.
+// starts at a random fraction of a request, see updateEndpoint. Otherwise hundreds of gateways would each
+// send the server a request at the same time.
 func (g *Gateway) heldBySlowStart(s *endpoint) bool {
 	w := &s.slowStart
 	if w.until <= g.now {
@@ -39,7 +43,7 @@
 	return w.budget < 1
 }
 
-// spend counts a request against the budget.
+// spend deducts a request from the budget during slow start.
 func (w *slowStart) spend(now time.Duration) {
 	if w.until > now {
 		w.budget--
--- a/decide/status.go
+++ b/decide/status.go
@@ -2,58 +2,70 @@
 
 import "time"
 
-// Status is a gateway's state, for operators. No decision is taken by it.
+// Status is a snapshot of a gateway's state for operators. No decision depends on it.
 type Status struct {
-	FullGossip         bool // customers have no owners: all gateways exchange gossip, or none does
-	OpenRequests       int
-	Pressure           float64          // work in flight over what is allowed; over 1 it is shed
-	RetryBudget        float64          // further attempts that the retry budget allows
-	LastStall          time.Duration    // of the event loop; 0: there was none
+	// FullGossip reports that customers have no owner gateways: either all gateways exchange gossip with
+	// each other, or none sends any.
+	FullGossip bool
+	// OpenRequests is the number of requests that have no final answer yet or still have an attempt in
+	// flight.
+	OpenRequests int
+	// Pressure is the work in flight divided by the allowed work in flight. Above 1, requests of average
+	// value are shed. It is 0 while no server is known.
+	Pressure           float64
+	RetryBudget        float64          // number of retries and hedged requests that the retry budget allows
+	LastStall          time.Duration    // duration of the last stall of the event loop; 0 if there was none
 	Servers            []ServerStatus   // by ID
-	Customers          []CustomerStatus // in an order that changes as idle ones are looked for
-	Peers              []PeerStatus     // by rank; empty without full gossip
-	UnresponsiveOwners []int            // ranks of the owners that are not asked for grants now
+	Customers          []CustomerStatus // in no particular order
+	Peers              []PeerStatus     // by rank; empty unless gateways exchange full gossip
+	UnresponsiveOwners []int            // ranks of the owners that are currently not asked for grants
 }
 
-// ServerStatus is what a gateway knows of a server.
+// ServerStatus is a gateway's view of a server.
 type ServerStatus struct {
-	ID                 string
-	Zone               string
-	State              ServerState
-	InFlight           int       // attempts of this gateway
-	Orphaned           int       // attempts that ended without a response and may still run
-	Slowness           float64   // times the usual latency
-	FailureRatio       []float64 // part of the requests that get no response or an error, by class
-	Ejected            bool      // of some class, others fail so much less that it gets none while they can
+	ID           string
+	Zone         string
+	State        ServerState
+	InFlight     int       // attempts of this gateway in flight
+	Orphaned     int       // attempts that ended without a response and may still be running
+	Slowness     float64   // latency as a multiple of the usual latency
+	FailureRatio []float64 // fraction of requests with an error or no response, by class index
+	// Ejected reports whether, for some class, the server fails so much more than the best one that it
+	// receives no requests of this class while others can.
+	Ejected bool
+	// SlowStartRemaining is the remaining time of the slow start; 0 if the server is not in slow start.
 	SlowStartRemaining time.Duration
-	SlowStartBudget    float64
+	// SlowStartBudget is the number of requests that the server may receive during slow start. It has no
+	// meaning if SlowStartRemaining is 0.
+	SlowStartBudget float64
 }
 
-// CustomerStatus is what a gateway knows of a customer's quota.
+// CustomerStatus is a gateway's view of a customer's quota.
 type CustomerStatus struct {
 	Key           uint64 // see CustomerKey
 	Plan          string
-	Rate          float64 // units a second
+	Rate          float64 // units per second; 0: no limit
 	Level         float64 // units in this gateway's bucket
-	HighWaterMark float64 // units that this gateway's bucket may hold
-	Share         float64 // part of rate and burst that this gateway may use
+	HighWaterMark float64 // units that this gateway's bucket may hold before requests are rejected
+	Share         float64 // fraction of rate and burst that this gateway may use
 	FleetLevel    float64 // units in the bucket that all gateways fill, as far as known
-	CeilingTokens float64 // units that this gateway's slice of a ceiling still lets pass
-	InFlight      int     // attempts
+	CeilingTokens float64 // units that this gateway's slice of the ceiling still admits
+	InFlight      int     // attempts of this gateway in flight
 }
 
-// PeerStatus is what a gateway knows of a peer.
+// PeerStatus is a gateway's view of a peer.
 type PeerStatus struct {
 	Rank              int
-	Known             bool          // a datagram of it came since this gateway started
-	SinceLastReceived time.Duration // since the last one; without meaning if not Known
-	QueueLength       int           // customers to send entries about
+	Known             bool          // whether a datagram of the peer has arrived since this gateway started
+	SinceLastReceived time.Duration // time since the last datagram; has no meaning unless Known is set
+	QueueLength       int           // number of customers about which entries are to be sent
 }
 
-// CustomerKey is the key of a customer in messages between gateways and in Status: a hash of its name.
+// CustomerKey returns the key that identifies a customer in messages between gateways and in Status. It is
+// a hash of the customer's name, so different customers may have the same key.
 func CustomerKey(customer string) uint64 { return hashKey(customer) }
 
-// Status returns the state as of the last event. It is for the goroutine that calls Handle.
+// Status returns the state after the last event. It must not be called concurrently with Handle.
 func (g *Gateway) Status() Status {
 	st := Status{
 		FullGossip:         g.gossip.full,
@@ -67,7 +79,7 @@
 	if g.stallEndedAt > 0 {
 		st.LastStall = g.stallDuration
 	}
-	if g.running && g.endpoints.totals.serving > 0 { // without a server nothing is allowed
+	if g.running && g.endpoints.totals.serving > 0 { // with no server, no work is allowed
 		st.Pressure = g.queueingPressure()
 	}
 	return st
@@ -96,7 +108,7 @@
 	return all
 }
 
-// leastFailureRatios returns the failure ratio of the best serving server, by class.
+// leastFailureRatios returns the lowest failure ratio among the servers in state Serving, by class index.
 func (g *Gateway) leastFailureRatios() []float64 {
 	least := make([]float64, len(g.cfg.Classes))
 	for i, k := range g.cfg.Classes {
@@ -145,14 +157,15 @@
 	return ranks
 }
 
-// CeilingShare is the part of a customer's ceiling that one gateway keeps.
+// CeilingShare is the fraction of a customer's ceiling that one gateway holds.
 type CeilingShare struct {
 	Rank     int
-	Fraction float64
+	Fraction float64 // in (0, 1]
 }
 
-// CeilingShares returns where the ceiling of a customer is kept whose requests come through the gateways
-// given: even parts at all of these, or at the customer's owners.
+// CeilingShares returns the gateways that hold the ceiling of a customer. The ceiling is divided evenly
+// among the customer's owners or, in a fleet without owners, among gatewayCount gateways from the rank
+// firstGateway on. If gatewayCount is not positive or exceeds the size of the fleet, all gateways are used.
 func (g *Gateway) CeilingShares(customer string, firstGateway, gatewayCount int) (shares []CeilingShare) {
 	if gatewayCount <= 0 || gatewayCount > g.cfg.Gateways {
 		gatewayCount = g.cfg.Gateways
--- a/decide/timers.go
+++ b/decide/timers.go
@@ -3,18 +3,20 @@
 import "time"
 
 const (
-	heartbeatToken = 1  // of the heartbeat timer; other timers have tokens above it
-	grantTimer     = -1 // in place of an attempt's number
+	heartbeatToken = 1  // token of the heartbeat timer; other timers have larger tokens
+	grantTimer     = -1 // in place of an attempt number: the timer of a grant request
 )
 
-// timerTarget is what a timer is for.
+// timerTarget identifies what a timer is for.
 type timerTarget struct {
 	requestID string
-	attempt   int // number of the attempt that is overdue then; grantTimer: a grant reply is
-	dueAt     time.Duration
+	// attempt is the number of the attempt that is overdue when the timer fires. With the value grantTimer,
+	// a grant reply is overdue.
+	attempt int
+	dueAt   time.Duration
 }
 
-// timerTable holds the timers that have not fired, but for the heartbeat.
+// timerTable holds the timers that have not fired, except the heartbeat timer.
 type timerTable struct {
 	pending   map[uint64]timerTarget // by token
 	nextToken uint64
@@ -24,7 +26,7 @@
 	return timerTable{pending: map[uint64]timerTarget{}, nextToken: heartbeatToken + 1}
 }
 
-// add stores a timer's target and returns its token.
+// add stores the target of a timer and returns the timer's token.
 func (t *timerTable) add(target timerTarget) uint64 {
 	token := t.nextToken
 	t.nextToken++
@@ -32,20 +34,20 @@
 	return token
 }
 
-// take removes a timer that fired and returns its target.
+// take removes a timer that has fired and returns its target.
 func (t *timerTable) take(token uint64) (target timerTarget, ok bool) {
 	target, ok = t.pending[token]
 	delete(t.pending, token)
 	return target, ok
 }
 
-// setTimer sets a timer for an attempt, or for the wait for a grant reply if attempt is grantTimer.
+// setTimer sets a timer for an attempt or, if attempt is grantTimer, for a grant reply.
 func (g *Gateway) setTimer(requestID string, attempt int, at time.Duration) {
 	token := g.timers.add(timerTarget{requestID, attempt, at})
 	g.emit(SetTimer{at, token})
 }
 
-// timerFired acts on what the timer was for, unless that is over by now.
+// timerFired handles a timer. Timers of attempts and requests that have ended are ignored.
 func (g *Gateway) timerFired(token uint64) {
 	if token == heartbeatToken {
 		g.heartbeat()
@@ -66,8 +68,8 @@
 	}
 }
 
-// heartbeatInterval is the time between two heartbeats. With full gossip it spreads a gateway's part of the
-// receivers' capacity evenly over time.
+// heartbeatInterval returns the time between two heartbeats. With full gossip, it divides the capacity of
+// the receivers evenly among the gateways and over time.
 func (g *Gateway) heartbeatInterval() time.Duration {
 	if !g.gossip.full {
 		return ownerHeartbeatInterval
@@ -76,11 +78,12 @@
 	return time.Duration(float64(time.Second) / max(perSecond, 1))
 }
 
+// setHeartbeat sets the timer of the next heartbeat.
 func (g *Gateway) setHeartbeat() {
 	g.emit(SetTimer{g.now + g.heartbeatInterval(), heartbeatToken})
 }
 
-// heartbeat sends the gossip that is due and does the periodic upkeep.
+// heartbeat sends the gossip that is due and performs periodic maintenance.
 func (g *Gateway) heartbeat() {
 	g.setHeartbeat()
 	g.sendDueGossip()
--- a/decide/usagereport.go
+++ b/decide/usagereport.go
@@ -7,77 +7,83 @@
 )
 
 const (
-	// usageStaleAfter is the age from which a usage report says nothing any more.
+	// usageStaleAfter is the age at which a usage report expires.
 	usageStaleAfter = 3 * time.Second
 
-	// The factor on the share grows with each report, and shrinks with each that exceeds the rate.
+	// The factor on the share grows with each report, and shrinks with each report of a usage above the
+	// rate.
 	usageFactorGrowth = 1.02
 	usageFactorShrink = 0.95
 
-	// demandRatioMemory is how fast a reported demand ratio fades to the usual one of the plan.
+	// demandRatioMemory is the time constant with which a reported demand ratio decays to the typical one
+	// of the plan.
 	demandRatioMemory = 30 * time.Second
 
-	// initialDemandPerRequest is the demand ratio that one recent request counts for before any report.
+	// initialDemandPerRequest is the demand ratio per recent request that is assumed before any report.
 	initialDemandPerRequest = 0.25
 
-	// minDemandRatio is the least demand ratio. A customer that demands little is admitted again at once.
+	// minDemandRatio is the lower bound of the demand ratio. A customer whose demand is low is admitted
+	// again at once.
 	minDemandRatio = 0.25
 
-	// planDemandGain is the gain of one customer's ratio in the usual one of its plan.
+	// planDemandGain is the weight of one customer's ratio in the typical ratio of its plan.
 	planDemandGain = 0.2
 
-	// maxPlanDemandWeight bounds how much more a customer counts that is admitted rarely, and so reported
-	// rarely.
+	// maxPlanDemandWeight bounds the additional weight of customers that are rarely admitted and thus
+	// rarely reported.
 	maxPlanDemandWeight = 4
 )
 
-// usage is what usage reports and own charges say of a customer's use of its quota. It decides where the
-// customer's gateways exchange no gossip.
+// usage is a customer's use of its quota according to usage reports and own charges. It determines the
+// share of customers whose gateways exchange no gossip.
 type usage struct {
-	rate       rate    // units charged here
-	reported   float64 // fleet-wide, units a second
+	rate       rate    // units per second charged at this gateway
+	reported   float64 // usage in the whole fleet, in units per second
 	reportedAt time.Duration
-	factor     float64 // on the share that follows from the report, at most 1
+	factor     float64 // multiplies the share that follows from the report, at most 1
 
-	// What the customer demands over what its quota allows, as of demandRatioAt.
+	// The customer's demand divided by what its quota allows, as of demandRatioAt.
 	demandRatio   float64
 	demandRatioAt time.Duration
 
-	// Requests received here, as a count that fades with demandRatioMemory.
+	// The number of requests received at this gateway, decaying with the time constant demandRatioMemory.
 	recentRequests   float64
 	recentRequestsAt time.Duration
 }
 
 func newUsage() usage {
-	return usage{factor: 1, demandRatioAt: -time.Hour} // never
+	return usage{factor: 1, demandRatioAt: -time.Hour} // before any possible report
 }
 
-// planDemand is, by plan, the natural logarithm of the usual demand ratio that one recent request of a
-// customer counts for.
+// planDemand holds, by plan index, the natural logarithm of the typical demand ratio per recent request of
+// a customer.
 type planDemand []float64
 
 func newPlanDemand(plans int) planDemand {
 	return slices.Repeat(planDemand{math.Log(initialDemandPerRequest)}, plans)
 }
 
+// countRequest counts a request in recentRequests.
 func (u *usage) countRequest(now time.Duration) {
 	u.recentRequests = 1 + u.recentRequests*
 		math.Exp(-(now-u.recentRequestsAt).Seconds()/demandRatioMemory.Seconds())
 	u.recentRequestsAt = now
 }
 
-// onlyUsageReports reports whether usage reports are all that a customer's gateways know of each other.
+// onlyUsageReports reports whether usage reports are the only information that the customer's gateways have
+// about each other.
 func (g *Gateway) onlyUsageReports(c *customer) bool {
 	return g.cfg.UsageReportPeriod > 0 && c.gatewayCount > 1 && g.gossip.full && len(g.gossip.peers) == 0
 }
 
-// demandRatio is what a customer demands over what its quota allows, fleet-wide. Its inverse is the part
-// of its requests that is admitted. Chance has to decide where one gateway's share of a mark or a limit
-// is less than a request: one request at each of hundreds of gateways is far beyond it, and each of them
-// sees no other.
+// demandRatio returns a customer's demand in the whole fleet divided by what its quota allows. Its inverse
+// is the fraction of the customer's requests to admit. They are selected at random, because a gateway's
+// share of a high-water mark or limit may be less than one request: one request at each of hundreds of
+// gateways exceeds the quota by far, and none of the gateways sees the others' requests.
 //
-// A customer without a recent report is taken to be like those of its plan that send as often. Where most
-// of these exceed their quota, one that keeps it is rejected too often until it is reported on.
+// A customer without a recent report is assumed to be like the customers of its plan that send requests as
+// often. If most of these exceed their quota, a customer that stays within its quota is rejected too often
+// until there is a report about it.
 func (g *Gateway) demandRatio(c *customer) float64 {
 	u := &c.usage
 	usual := u.recentRequests * math.Exp(g.planDemand[c.planNo])
@@ -85,8 +91,8 @@
 	return usual + (u.demandRatio-usual)*fade
 }
 
-// updateUsage applies a usage report, in percent of the rate or, for plans without one, of the attempts
-// in flight.
+// updateUsage applies a usage report. The usage is in percent of the plan's rate or, for plans without a
+// rate, of the limit of attempts in flight.
 func (g *Gateway) updateUsage(c *customer, percent float64) {
 	if g.onlyUsageReports(c) && c.usage.recentRequests > 0 {
 		g.updateDemandRatio(c, percent)
@@ -99,16 +105,17 @@
 	}
 }
 
-// updateDemandRatio moves the demand ratio towards what a report says. A report is older than what was done
-// since: the ratio moves by the time since it last did, not by each response that carries the same report.
+// updateDemandRatio moves the demand ratio towards the value of a usage report. Since a report is older
+// than the most recent decisions, the size of the step depends on the time since the last step, not on the
+// number of responses that carry the same report.
 func (g *Gateway) updateDemandRatio(c *customer, percent float64) {
 	u := &c.usage
 	last := g.demandRatio(c)
 	gain := min(1, float64(g.now-u.demandRatioAt)/float64(usageStaleAfter))
-	if c.plan.Rate > 0 { // a burst that the quota allows is not yet demand beyond it
+	if c.plan.Rate > 0 { // a burst within the quota does not show excess demand
 		gain *= min(1, g.cfg.UsageReportPeriod.Seconds()*c.plan.Rate/c.plan.Burst)
 	}
-	admitted := min(1, 1/last) // part of its requests, in the period of the report
+	admitted := min(1, 1/last) // fraction of requests admitted in the period of the report
 	u.demandRatio = max(minDemandRatio, last+gain*(percent/100/admitted-last))
 	u.demandRatioAt = g.now
 	usual := &g.planDemand[c.planNo]
@@ -116,8 +123,9 @@
 	*usual += planDemandGain * min(1/admitted, maxPlanDemandWeight) * (perRequest - *usual)
 }
 
-// shareByUsage is the share of a customer whose other gateways send no gossip: its part of the reported
-// usage, less while that exceeds the rate, or the even share without a recent report.
+// shareByUsage returns the share of a customer whose other gateways send no gossip: this gateway's fraction
+// of the reported usage, reduced while that usage exceeds the rate. Without a recent report, it is the even
+// share.
 func (g *Gateway) shareByUsage(c *customer, even float64) float64 {
 	u := &c.usage
 	if u.reported > 0 && g.now-u.reportedAt < usageStaleAfter {
