--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// Without any server, a request must be rejected at once instead of waiting for one until its deadline.
 func TestNoServer(t *testing.T) {
 	h := newHarness(t, nil, []Server{}...)
 	h.handle(EndpointUpdate{Kind: FullUpdate})
@@ -14,8 +15,8 @@
 	}
 }
 
-// Attempts that were cancelled may still run at their servers. If they counted for nothing, a jammed server would be
-// sent more and more.
+// Attempts that were cancelled may still run at their servers. If they did not count as load, an overloaded
+// server would be sent more and more requests.
 func TestOrphansCountAsLoad(t *testing.T) {
 	h := newHarness(t, nil)
 	for i := 0; i < 6; i++ {
@@ -31,9 +32,9 @@
 	h.mustSend("get", "wide")
 }
 
-// TestReportedLoadSheds: a gateway with nothing in flight, to which others report much work for the responses that
-// come, sheds before it has met the jam itself. It admits again when they report little, and by itself when none
-// reports any more.
+// A gateway without any requests in flight must shed load when other gateways report much work for few
+// responses. Otherwise it sends requests to overloaded servers until it observes the overload itself. It
+// must admit requests again when the others report little load, and also when they report nothing any more.
 func TestReportedLoadSheds(t *testing.T) {
 	fleet := newCluster(t, 300, nil)
 	g := fleet.gateways[3]
@@ -64,7 +65,7 @@
 		t.Errorf("%d of 100 not shed when its end is reported, want 90 or more", n)
 	}
 	report(5, 2)
-	for i := 0; i < 300; i++ { // long, as 300 gateways have but two servers
+	for i := 0; i < 300; i++ { // long enough for 300 gateways with two servers
 		fleet.now += ownerHeartbeatInterval
 		g.Handle(fleet.now, TimerFired{heartbeatToken})
 	}
@@ -73,8 +74,9 @@
 	}
 }
 
-// With times in milliseconds, a deployment with short objectives had its rejected clients come back when their
-// objective was nearly over, and orphans kept idle servers closed. Times of a request follow the objectives.
+// Durations that concern a request must scale with the latency objectives. With fixed durations in
+// milliseconds, clients of a deployment with short objectives came back after a rejection when their
+// objective was nearly over, and orphans kept idle servers from receiving requests.
 func TestTimesFollowTheLatencyObjectives(t *testing.T) {
 	for _, by := range []float64{0.2, 0.35, 1, 2} {
 		h := newScaledHarness(t, by)
@@ -104,17 +106,17 @@
 	}
 }
 
-// A retry that had waited elsewhere for most of its objective was served too late, on its customer's quota. It is
-// as old as the first request of its client.
+// A retry whose client has already waited for most of the objective must be rejected without a charge. If
+// its age counted from its own arrival, it would be answered too late and use the customer's quota.
 func TestRetryIsAsOldAsItsFirstRequest(t *testing.T) {
 	for _, c := range []struct {
-		// of 4 s for all requests; first ones come with 3.5 s and have an objective of 1 s
+		// Remaining time, of a class deadline of 4 s. First requests arrive with 3.5 s left; the objective is 1 s.
 		left             time.Duration
 		retry, forwarded bool
 	}{
-		{3500 * ms, false, true}, {3500 * ms, true, true}, {3490 * ms, true, true}, // a little less says nothing
+		{3500 * ms, false, true}, {3500 * ms, true, true}, {3490 * ms, true, true}, // within timeLeftNoise
 		{3400 * ms, true, true}, {3300 * ms, true, true}, {2990 * ms, true, false}, {1000 * ms, true, false},
-		{1000 * ms, false, true}, // a first request of an impatient client
+		{1000 * ms, false, true}, // a first request with a short deadline
 	} {
 		h := newHarness(t, nil)
 		request := func(left time.Duration, retry bool) []Action {
@@ -141,11 +143,12 @@
 	}
 }
 
-// TestRequestAgeAfterAStall: a gateway finds all requests of a stall at once. Those too old for their objective are
-// rejected, each at once, the others forwarded. The late responses it finds do not count against their servers.
+// At the end of a stall, a gateway finds all requests of the stall at once. Requests that are too old for
+// their objective must be rejected and the others forwarded. Responses that are late because of the stall
+// must not count against their servers.
 func TestRequestAgeAfterAStall(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Limits.Gossip = false })
-	h.serve("get", "wide", "c", 1) // comes with two seconds
+	h.serve("get", "wide", "c", 1) // arrives two seconds before its deadline
 	id, s := h.mustSend("get", "wide")
 	slow := h.g.endpoints.byID[s.Server].health.slowness
 	for i := 0; i < 3; i++ {
--- a/decide/attempt_test.go
+++ b/decide/attempt_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// TestGivenUpIsAnsweredAtOnce: whatever the reason, a request that is given up has its final answer among the
-// actions of the event that decided it, far from its deadline, and a rejection has a Retry-After within its limit.
+// A request that is given up must get its final answer with the event that decides it, whatever the reason.
+// Otherwise its client waits until the deadline for nothing. A rejection has a Retry-After within its
+// limit.
 func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
 	for name, give := range map[string]func(h *harness) []Action{
 		"beyond the quota": func(h *harness) []Action {
--- a/decide/cluster_test.go
+++ b/decide/cluster_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// cluster is a fleet of gateways whose datagrams arrive late, some never, in an order that a seed decides.
+// cluster simulates a fleet of gateways. Datagrams are delayed and sometimes lost, reproducibly for a seed.
 type cluster struct {
 	t           *testing.T
 	cfg         Config
@@ -15,15 +15,15 @@
 	rng         *rand.Rand
 	now         time.Duration
 	pending     []delivery
-	received    []int              // datagrams sent to each gateway
+	received    []int              // datagrams sent to each gateway, including lost ones
 	used        float64            // units of the forwarded requests
-	units       map[string]float64 // by request ID
-	loss        float64
+	units       map[string]float64 // units by request ID
+	loss        float64            // probability that a datagram is lost
 	down        map[int]bool
-	partitioned func(a, b int) bool // reports whether two gateways are cut off from each other
+	partitioned func(a, b int) bool // reports whether two gateways cannot reach each other; may be nil
 }
 
-// delivery is an event that is to reach a gateway.
+// delivery is an event that a gateway will receive at a given time.
 type delivery struct {
 	at time.Duration
 	to int
@@ -45,7 +45,7 @@
 	return fleet
 }
 
-// start starts a gateway, or starts it again with no memory and nothing under way to it.
+// start starts or restarts a gateway with no state, and drops the pending events for it.
 func (c *cluster) start(i int) {
 	cfg := c.cfg
 	cfg.Rank = i
@@ -67,7 +67,7 @@
 	return out
 }
 
-// handle hands an event to a gateway and carries out its actions.
+// handle passes an event to a gateway and carries out the returned actions.
 func (c *cluster) handle(i int, ev Event) {
 	for _, a := range c.gateways[i].Handle(c.now, ev) {
 		switch a := a.(type) {
@@ -88,7 +88,7 @@
 	}
 }
 
-// run lets a time pass, with one request after each gap at the gateway that pick names.
+// run advances the time by d and sends a request every gap, each to the gateway whose rank pick returns.
 func (c *cluster) run(d, gap time.Duration, plan string, units float64, pick func(n int) int) {
 	for end, n := c.now+d, 0; c.now < end; n++ {
 		if i := pick(n); !c.down[i] {
--- a/decide/config_test.go
+++ b/decide/config_test.go
@@ -6,6 +6,8 @@
 	"testing"
 )
 
+// A setting with which the decisions cannot work, such as an objective of 0 or a rate that is not a number,
+// must be reported by name when a Gateway is created. Otherwise it would show up as wrong decisions later.
 func TestValidate(t *testing.T) {
 	for want, edit := range map[string]func(*Config){
 		"Classes is empty":                  func(c *Config) { c.Classes = nil },
--- a/decide/customers_test.go
+++ b/decide/customers_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// TestGatewaySetOutsideTheFleet: a set of no gateways, or of more than there are, is ignored; a first rank beyond the
-// last wraps round.
+// A request may name a set of gateways that the fleet does not have. An empty or too large set must be
+// ignored and a first rank beyond the last must wrap around. Otherwise shares would be computed for
+// gateways that do not exist, or with a division by 0.
 func TestGatewaySetOutsideTheFleet(t *testing.T) {
 	h := newHarness(t, nil)
 	for i, set := range [][2]int{{0, 0}, {1, -2}, {2, 9}, {7, 2}} {
@@ -24,8 +25,8 @@
 	}
 }
 
-// TestPlanChangeToASmallerPlan: a customer on a plan whose mark is below what it has used is rejected until that has
-// leaked at the new rate, and no unit is given back.
+// A customer that has used more than the high-water mark of its new plan must be rejected until the excess
+// has leaked at the new rate. If units were returned, a change of plan would grant additional quota.
 func TestPlanChangeToASmallerPlan(t *testing.T) {
 	h := newHarness(t, singleGateway)
 	h.handle(PlanChange{Customer: "x", Plan: planNamed("wide", nil)})
@@ -45,8 +46,8 @@
 	}
 }
 
-// TestPlanChangeThereAndBack: many changes up and down within a second give no more than the larger plan would
-// have, and leave the level where it was.
+// Changing a plan back and forth must leave the level unchanged. Otherwise each pair of changes would grant
+// units.
 func TestPlanChangeThereAndBack(t *testing.T) {
 	for _, up := range []Plan{planNamed("wide", nil), planNamed("wide", func(p *Plan) { p.Rate, p.Burst = 0, 0 })} {
 		h := newHarness(t, singleGateway)
@@ -65,7 +66,9 @@
 	}
 }
 
-// TestPlanChangeFromNoRate: without a rate nothing leaks, so a level from then counts up to the mark and no further.
+// A plan without a rate does not leak, so its level may be arbitrarily high. After a change to a plan with
+// a rate, the level counts only up to the high-water mark. Otherwise the customer would be rejected for
+// much too long.
 func TestPlanChangeFromNoRate(t *testing.T) {
 	h := newHarness(t, singleGateway)
 	h.handle(PlanChange{Customer: "x", Plan: planNamed("small", func(p *Plan) { p.Rate, p.Burst = 0, 0 })})
@@ -78,7 +81,8 @@
 	}
 }
 
-// TestPlanChangeReturnsUnits: units are given back, but never below nothing; unknown or invalid plans change nothing.
+// Returned units must not make a level negative, which would grant quota, and a plan that is unknown or
+// invalid must change nothing. A plan change also holds for a customer that sends its first request later.
 func TestPlanChangeReturnsUnits(t *testing.T) {
 	h := newHarness(t, singleGateway)
 	h.fillQuota("x")
@@ -105,7 +109,8 @@
 	}
 }
 
-// TestPlanChangeCeiling: tokens are cut under a lower ceiling and never added under a higher one.
+// A plan change must cut the ceiling tokens to a lower ceiling and must not add any under a higher one.
+// Otherwise the ceiling could be exceeded by changing the plan.
 func TestPlanChangeCeiling(t *testing.T) {
 	h := newHarness(t, singleGateway)
 	h.serve("get", "hard", "x", 1)
@@ -123,13 +128,13 @@
 	}
 }
 
-// TestOverspendWhileTermsSpread: gateways get a smaller plan one after another, or one half of a partitioned fleet
-// gets it and the other half once it has healed, while more is demanded than either plan allows. What is admitted
-// beyond the new plan stays within the stated bound: the difference of the bursts, and of the rates for as long as
-// the change takes, both with shares that add up to at most 15 % over a whole (the bound of
+// Gateways receive a plan change at different times: one after another, or half of the fleet only after a
+// partition has healed. While more is demanded than either plan allows, the units admitted beyond the new
+// plan must stay within a bound: the difference of the bursts, plus the difference of the rates for the
+// duration of the rollout, both with shares that add up to at most 1.15 (the bound of
 // TestQuotaOverAllGateways).
 func TestOverspendWhileTermsSpread(t *testing.T) {
-	const late = 2 * time.Second // until the last gateway has the change
+	const late = 2 * time.Second // time until the last gateway has received the change
 	for _, n := range []int{3, 50} {
 		for _, split := range []bool{false, true} {
 			big := planNamed("small", func(p *Plan) { p.Rate, p.Burst = 30, 60 })
--- a/decide/endpoints_test.go
+++ b/decide/endpoints_test.go
@@ -5,6 +5,8 @@
 	"testing"
 )
 
+// Servers that are draining, removed, or missing from a full list must not receive attempts. A failed
+// discovery must not remove any server, or an outage of discovery would stop all traffic.
 func TestDrainingServers(t *testing.T) {
 	h := newHarness(t, nil)
 	h.handle(EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: "s1", State: Draining}}})
@@ -25,7 +27,8 @@
 	}
 }
 
-// Where servers are replaced all day by ones of new names, the removed ones would else be kept for good.
+// Deployments that replace servers by servers with new names would accumulate removed servers without bound
+// if these were not dropped. A server with an attempt in flight must be kept until the attempt has ended.
 func TestRemovedServersAreDropped(t *testing.T) {
 	h := newHarness(t, nil)
 	id, s := h.mustSend("get", "wide")
--- a/decide/gateway_test.go
+++ b/decide/gateway_test.go
@@ -7,11 +7,13 @@
 	"time"
 )
 
-// unknownEvent is an event that no decision knows.
+// unknownEvent is an event of a type that Gateway.Handle does not know.
 type unknownEvent struct{}
 
 func (unknownEvent) event() {}
 
+// Events for requests, attempts or timers that do not exist, duplicate events and events of an unknown type
+// must be ignored. Without these checks they would cause a panic or a second final answer.
 func TestBadInput(t *testing.T) {
 	h := newHarness(t, nil)
 	for _, e := range []Request{{ID: "a", Class: "none", Plan: "wide"}, {ID: "b", Class: "get", Plan: "none"}} {
@@ -35,7 +37,8 @@
 	}
 }
 
-// TestDeterminism plays the same random events to two gateways, one alone and one beside others.
+// Recordings can be replayed only if the same events produce the same actions. A dependence on map
+// iteration order, or on state shared between gateways, would break this.
 func TestDeterminism(t *testing.T) {
 	one := playRandom(t, 3)
 	playRandom(t, 4)
@@ -44,7 +47,7 @@
 	}
 }
 
-// TestRulesUnderRandomEvents checks the rules that always hold over long random events.
+// Random sequences of events must not violate any of the rules that randomPlay checks for each action.
 func TestRulesUnderRandomEvents(t *testing.T) {
 	for seed := int64(10); seed < 30; seed++ {
 		playRandom(t, seed)
--- a/decide/gossip_test.go
+++ b/decide/gossip_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// entryText is an entry of a gossip datagram.
+// entryText returns an encoded gossip entry.
 func entryText(key string, plan, used, asked, level int) string {
 	var b strings.Builder
 	encodeDigits(&b, hashKey(key), 6)
@@ -19,7 +19,7 @@
 	return b.String()
 }
 
-// gossipText is a gossip datagram.
+// gossipText returns an encoded gossip datagram.
 func gossipText(epoch, seq int, entries ...string) string {
 	var b strings.Builder
 	b.WriteString(gossipVersion)
@@ -28,6 +28,9 @@
 	return b.String() + strings.Join(entries, "")
 }
 
+// The share must follow this gateway's fraction of the demand. It must not fall below the even share, nor
+// depend on outdated gossip. Otherwise gateways whose demand begins, or whose peers have failed, could not
+// admit requests within the quota.
 func TestShareFollowsDemand(t *testing.T) {
 	h := newHarness(t, nil)
 	h.request("get", "wide", "x", 100)
@@ -52,6 +55,9 @@
 	}
 }
 
+// Usage that peers report must count against this gateway's share. Otherwise a customer could use its burst
+// once at each gateway. It must also leak when the peers are silent, or the customer would be rejected for
+// too long.
 func TestReportedUseSettlesTheLevel(t *testing.T) {
 	h := newHarness(t, nil)
 	h.handle(GossipReceived{From: 1, Text: gossipText(1, 1, entryText("x", 1, 0, 0, 0))})
@@ -72,17 +78,19 @@
 	}
 }
 
+// Datagrams that are duplicate, late, malformed, or from an invalid rank must change nothing. If they were
+// applied, totals would move backwards and usage would be counted twice or lost.
 func TestLateOrMalformedGossipIsDropped(t *testing.T) {
 	h := newHarness(t, nil)
 	h.handle(GossipReceived{From: 1, Text: gossipText(1, 5, entryText("x", 1, 0, 0, 0))})
 	h.handle(GossipReceived{From: 1, Text: gossipText(1, 6, entryText("x", 1, 4, 4, 0))})
 	c := h.g.customers.byKey[hashKey("x")]
 	for _, e := range []GossipReceived{
-		{From: 1, Text: gossipText(1, 6, entryText("x", 1, 4, 4, 0))},  // again
+		{From: 1, Text: gossipText(1, 6, entryText("x", 1, 4, 4, 0))},  // duplicate
 		{From: 1, Text: gossipText(1, 5, entryText("x", 1, 0, 0, 0))},  // late
-		{From: 0, Text: gossipText(1, 9, entryText("x", 1, 9, 9, 0))},  // own rank
-		{From: 9, Text: gossipText(1, 9, entryText("x", 1, 9, 9, 0))},  // no such gateway
-		{From: -1, Text: gossipText(1, 9, entryText("x", 1, 9, 9, 0))}, // neither
+		{From: 0, Text: gossipText(1, 9, entryText("x", 1, 9, 9, 0))},  // the gateway's own rank
+		{From: 9, Text: gossipText(1, 9, entryText("x", 1, 9, 9, 0))},  // no gateway has this rank
+		{From: -1, Text: gossipText(1, 9, entryText("x", 1, 9, 9, 0))}, // no gateway has this rank
 		{From: 1, Text: "Z" + gossipText(1, 9, entryText("x", 1, 9, 9, 0))[1:]},
 		{From: 1, Text: gossipText(1, 9, entryText("x", 1, 9, 9, 0)) + "!"},
 		{From: 1, Text: gossipText(1, 9) + "!!!!!!!!!!!!"},
@@ -93,14 +101,16 @@
 			t.Fatalf("after %#v the fleet level is %v, want 4", e, c.bucket.fleetLevel)
 		}
 	}
-	h.handle(GossipReceived{From: 1, Text: gossipText(1, 7, entryText("y", 60, 9, 9, 0))}) // of an unknown plan
-	// A new incarnation of the peer counts from 0 again, and all that it used since is new.
+	h.handle(GossipReceived{From: 1, Text: gossipText(1, 7, entryText("y", 60, 9, 9, 0))}) // unknown plan
+	// A new incarnation of the peer counts from 0 again, so all the usage that it reports is new.
 	h.handle(GossipReceived{From: 1, Text: gossipText(2, 1, entryText("x", 1, 3, 3, 0))})
 	if c.bucket.fleetLevel != 7 {
 		t.Errorf("after the peer's restart the fleet level is %v, want 7", c.bucket.fleetLevel)
 	}
 }
 
+// A restarted gateway does not know the usage before its start. It must adopt the level that its peers
+// report, or each restart would grant a fresh burst.
 func TestRestartedGatewayTakesThePeersLevel(t *testing.T) {
 	h := newHarness(t, nil)
 	h.handle(GossipReceived{From: 1, Text: gossipText(1, 40, entryText("x", 1, 700, 800, 30))})
@@ -110,6 +120,8 @@
 	}
 }
 
+// Datagrams must not exceed maxGossipBytes, and entries that do not fit must follow in later datagrams.
+// Otherwise peers would never learn of some customers' usage.
 func TestGossipSize(t *testing.T) {
 	h := newHarness(t, nil)
 	for i := 0; i < 100; i++ {
@@ -130,7 +142,7 @@
 	}
 }
 
-// FuzzGossip: whatever datagram comes, it must neither panic nor make a level negative.
+// No datagram may cause a panic, or a negative level, which would grant quota.
 func FuzzGossip(f *testing.F) {
 	f.Add(gossipText(1, 1, entryText("x", 1, 5, 5, 5)))
 	f.Add(gossipText(4095, 4095))
@@ -150,16 +162,17 @@
 	})
 }
 
-// TestQuotaOverAllGateways: whatever the size of the fleet, what all gateways admit stays near rate and burst while
-// the traffic shifts between them, and most of it is admitted where it is within the quota.
+// While traffic shifts between gateways, the units that all of them admit must stay near rate and burst,
+// and most requests within the quota must be admitted. Shares that are out of date would grant the quota at
+// both the old and the new gateways, or at neither.
 func TestQuotaOverAllGateways(t *testing.T) {
 	for _, n := range []int{3, 300} {
-		for _, ask := range []float64{0.5, 4} { // times the rate
+		for _, ask := range []float64{0.5, 4} { // demand as a multiple of the rate
 			fleet := newCluster(t, n, nil)
 			fleet.run(3*time.Second, 100*ms, "small", 0, func(int) int { return 0 })
 			const rate, units, secs = 3.0, 2.0, 24.0
 			gap := time.Duration(units / (ask * rate) * float64(time.Second))
-			for k := 0; k < 3; k++ { // the traffic gathers on a tenth of the gateways, then on others
+			for k := 0; k < 3; k++ { // traffic moves from one tenth of the gateways to another
 				few := max(1, n/10)
 				fleet.run(8*time.Second, gap, "small", units,
 					func(int) int { return (k*few + fleet.rng.Intn(few)) % n })
@@ -173,7 +186,9 @@
 	}
 }
 
-// TestGossipStaysWithinCapacity: a customer demands many times its quota at all of 300 gateways.
+// A customer that sends many times its quota to all of 300 gateways must not cause more datagrams than a
+// gateway can receive. Without the wait that owners impose on rejected customers, grant requests would
+// overload the owner.
 func TestGossipStaysWithinCapacity(t *testing.T) {
 	fleet := newCluster(t, 300, nil)
 	fleet.run(12*time.Second, 4*ms, "small", 2, func(int) int { return fleet.rng.Intn(300) })
@@ -189,7 +204,9 @@
 	}
 }
 
-// TestCeilingOverAllGateways: while most gateways restart, what all forward stays under the ceiling.
+// The units that all gateways forward together must stay under the ceiling even while most gateways
+// restart. If a restarted gateway assumed a full set of ceiling tokens, each restart would exceed the
+// ceiling.
 func TestCeilingOverAllGateways(t *testing.T) {
 	for _, n := range []int{3, 300} {
 		fleet := newCluster(t, n, nil)
@@ -214,7 +231,8 @@
 	}
 }
 
-// TestRestartsHandOutNoFreshQuota: nine of ten gateways restart, twice. Each time buckets begin half full.
+// When nine of ten gateways restart, twice, the customer must not get a fresh burst each time. Buckets
+// therefore start half full.
 func TestRestartsHandOutNoFreshQuota(t *testing.T) {
 	for _, n := range []int{3, 300} {
 		fleet := newCluster(t, n, nil)
--- a/decide/harness_test.go
+++ b/decide/harness_test.go
@@ -9,7 +9,7 @@
 
 const ms = time.Millisecond
 
-// testConfig has a class of each kind of idempotency and a plan of each kind of limit.
+// testConfig has a class for each kind of idempotency and a plan for each kind of limit.
 func testConfig() Config {
 	return Config{
 		Gateways:          3,
@@ -40,7 +40,7 @@
 	}
 }
 
-// testClass gives a class the times that all classes of testConfig have.
+// testClass sets the durations that all classes of testConfig share.
 func testClass(k Class) Class {
 	k.LatencyObjective, k.Deadline = time.Second, 4*time.Second
 	if k.Idempotency == IdempotentByKey {
@@ -49,7 +49,7 @@
 	return k
 }
 
-// harness drives one gateway by hand, at a time that only the test moves.
+// harness drives a single gateway at a time that only the test advances.
 type harness struct {
 	t   *testing.T
 	g   *Gateway
@@ -57,6 +57,8 @@
 	n   int
 }
 
+// newHarness returns a gateway with the configuration of testConfig, changed by edit, and with three
+// servers unless others are given.
 func newHarness(t *testing.T, edit func(*Config), servers ...Server) *harness {
 	t.Helper()
 	cfg := testConfig()
@@ -75,10 +77,10 @@
 	return h
 }
 
-// handle hands an event to the gateway at the present time.
+// handle passes an event to the gateway at the current time.
 func (h *harness) handle(ev Event) []Action { return h.g.Handle(h.now, ev) }
 
-// request sends a request of a new ID, with two seconds to its deadline.
+// request sends a request with a new ID and a deadline in two seconds.
 func (h *harness) request(class, plan, customer string, units float64) (string, []Action) {
 	h.n++
 	id := fmt.Sprint("q", h.n)
@@ -86,7 +88,7 @@
 		Deadline: h.now + 2*time.Second, GatewayCount: 3})
 }
 
-// actionsOf returns the actions of one type.
+// actionsOf returns the actions of type A.
 func actionsOf[A Action](acts []Action) (out []A) {
 	for _, a := range acts {
 		if x, ok := a.(A); ok {
@@ -107,7 +109,7 @@
 	return id, s[0]
 }
 
-// serve sends a request, responds to it at once if it is forwarded, and reports whether it was.
+// serve sends a request, answers it at once if it is forwarded, and reports whether it was forwarded.
 func (h *harness) serve(class, plan, customer string, units float64) bool {
 	id, acts := h.request(class, plan, customer, units)
 	s := actionsOf[Send](acts)
@@ -117,13 +119,13 @@
 	return len(s) == 1
 }
 
-// endAttempt ends an attempt with the outcome; OutcomeOK is the final answer.
+// endAttempt ends an attempt with the outcome. A response with OutcomeOK is the final answer.
 func (h *harness) endAttempt(id string, n int, server string, o Outcome) []Action {
 	return h.handle(AttemptEnded{ID: id, Attempt: n, Server: server, Outcome: o, Duration: 20 * ms,
 		RequestDone: o == OutcomeOK})
 }
 
-// newScaledHarness has a gateway whose classes take so many times the usual time.
+// newScaledHarness returns a harness whose class objectives and deadlines are multiplied by a factor.
 func newScaledHarness(t *testing.T, by float64) *harness {
 	t.Helper()
 	return newHarness(t, func(c *Config) {
@@ -135,7 +137,7 @@
 	})
 }
 
-// poisson draws how many events of a Poisson process come in a time in which the mean is given.
+// poisson draws the number of events of a Poisson process in an interval with the given mean number.
 func poisson(rng *rand.Rand, mean float64) (n int) {
 	for p := rng.ExpFloat64(); p < mean; p += rng.ExpFloat64() {
 		n++
@@ -145,10 +147,10 @@
 
 func (h *harness) customerOf(name string) *customer { return h.g.customers.byKey[hashKey(name)] }
 
-// singleGateway makes the fleet one gateway.
+// singleGateway reduces the fleet to one gateway.
 func singleGateway(c *Config) { c.Gateways, c.Limits.Gossip = 1, false }
 
-// planNamed returns the test's plan of that name, edited.
+// planNamed returns the plan of testConfig with the name, changed by edit unless that is nil.
 func planNamed(name string, edit func(*Plan)) Plan {
 	for _, p := range testConfig().Plans {
 		if p.Name == name {
@@ -161,7 +163,8 @@
 	panic(name)
 }
 
-// fillQuota has requests of a customer on the small plan served until one is rejected, and counts them.
+// fillQuota sends requests of a customer on the small plan until one is rejected, and returns the number
+// served.
 func (h *harness) fillQuota(customer string) (n int) {
 	for i := 0; i < 5000 && h.serve("get", "small", customer, 1); i++ {
 		n++
@@ -169,7 +172,7 @@
 	return n
 }
 
-// newSparseHarness has a gateway that sends each of its many servers too little to know them.
+// newSparseHarness returns a harness with so many servers that observations of each one are sparse.
 func newSparseHarness(t *testing.T, edit func(*Config)) *harness {
 	t.Helper()
 	var servers []Server
@@ -177,14 +180,14 @@
 		servers = append(servers, Server{ID: fmt.Sprint("s", i), Zone: "a"})
 	}
 	return newHarness(t, func(c *Config) {
-		c.Limits.Gossip = false // the quota does not matter here
+		c.Limits.Gossip = false // quotas are irrelevant here
 		if edit != nil {
 			edit(c)
 		}
 	}, servers...)
 }
 
-// fireOverdueTimer fires the one timer that the actions set, at its time.
+// fireOverdueTimer fires the single timer that the actions set, at its time.
 func (h *harness) fireOverdueTimer(acts []Action) []Action {
 	h.t.Helper()
 	timers := actionsOf[SetTimer](acts)
--- a/decide/latency_test.go
+++ b/decide/latency_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A gateway whose last responses of a class were slow must not reject that class for good: without an attempt it
-// would never learn that the servers are quick again.
+// After slow responses, a gateway must not reject a class forever. If the usual latency did not decay, no
+// attempt would be sent and the gateway would never learn that the servers are fast again.
 func TestSlowResponsesAreForgottenWithoutNewOnes(t *testing.T) {
 	h := newHarness(t, nil)
 	for range 400 {
--- a/decide/limits_test.go
+++ b/decide/limits_test.go
@@ -19,7 +19,7 @@
 	maxFunctionLines = 60
 )
 
-// sourceFiles are the files of the package that are not tests, sorted by name.
+// sourceFiles returns the non-test files of the package, sorted by name.
 func sourceFiles(t *testing.T) []string {
 	t.Helper()
 	names, err := filepath.Glob("*.go")
@@ -29,7 +29,7 @@
 	return slices.DeleteFunc(names, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
 }
 
-// TestSizeLimits keeps each file and each function of the package short enough to be read in one go.
+// Files, lines and functions of the package must stay short enough to be read at a glance.
 func TestSizeLimits(t *testing.T) {
 	for _, name := range sourceFiles(t) {
 		text, err := os.ReadFile(name)
@@ -62,7 +62,8 @@
 	}
 }
 
-// TestPolicyNamesEveryFile checks that the deployment names exactly the files that hold decisions.
+// The deployment configuration must list exactly the files that contain decisions. A file that is missing
+// there would not be treated as part of the decision policy.
 func TestPolicyNamesEveryFile(t *testing.T) {
 	text, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
--- a/decide/outlier_test.go
+++ b/decide/outlier_test.go
@@ -6,6 +6,9 @@
 	"time"
 )
 
+// A server that quickly answers each request with an error has a low latency. It must be ejected, or it
+// would attract most of the traffic. A fault that all servers share must eject none of them, or the
+// remaining ones would be overloaded.
 func TestOutlierEjection(t *testing.T) {
 	h := newHarness(t, nil)
 	fails := 0
@@ -44,6 +47,8 @@
 	}
 }
 
+// A server that never responds produces no outcome until its attempts time out. Its overdue attempts must
+// already count against it.
 func TestSilentServerIsAvoided(t *testing.T) {
 	h := newHarness(t, nil)
 	lost := 0
@@ -66,6 +71,8 @@
 	}
 }
 
+// A server that is avoided because it was slow sends no responses that show its recovery. Its slowness must
+// decay, or it would be avoided forever.
 func TestSlownessFades(t *testing.T) {
 	h := newHarness(t, nil)
 	s := h.g.endpoints.sorted[0]
@@ -80,7 +87,8 @@
 	}
 }
 
-// TestClassFailureIsAvoided: a server that is known to fail one class gets the others only.
+// A server may fail only one class, for example because a resource of this class is lost. It must receive
+// no requests of this class, but all others.
 func TestClassFailureIsAvoided(t *testing.T) {
 	h := newHarness(t, nil)
 	for i := 0; i < 8; i++ {
--- a/decide/quota_test.go
+++ b/decide/quota_test.go
@@ -6,6 +6,8 @@
 	"time"
 )
 
+// A gateway must admit only its share of the burst at once, and after a start only half of that. Later, its
+// share of the rate becomes available again.
 func TestLeakyBucket(t *testing.T) {
 	h := newHarness(t, nil)
 	admitted := 0
@@ -14,8 +16,8 @@
 			admitted++
 		}
 	}
-	// A third of the high-water mark of 12, of which half counts as used after a start. A request needs room for
-	// a third of its units.
+	// The share is a third of the high-water mark of 12, half of which counts as used after a start. A request
+	// needs room for a third of its units.
 	if admitted < 1 || admitted > 3 {
 		t.Errorf("admitted %d at once after a start, want 1 to 3", admitted)
 	}
@@ -31,6 +33,8 @@
 	}
 }
 
+// The level must follow the actual units of a request. An attempt that was not dispatched must be refunded,
+// and a failed one must remain charged: otherwise failing requests would be free.
 func TestSettlement(t *testing.T) {
 	h := newHarness(t, nil)
 	id, s := h.mustSend("get", "wide")
@@ -55,6 +59,8 @@
 	}
 }
 
+// A gateway must admit only its share of a plan's limit of attempts in flight. Otherwise all gateways
+// together would exceed the limit several times.
 func TestInFlightLimit(t *testing.T) {
 	h := newHarness(t, nil)
 	h.mustSend("get", "open")
@@ -65,7 +71,8 @@
 	h.mustSend("get", "open")
 }
 
-// TestInFlightLimitIsRoundedDown: of a limit of four, three gateways may not have two in flight each, yet one each.
+// With a limit of four, three gateways must not have two attempts in flight each, which would be six. With
+// a limit of two, each must still admit one, or the customer could never have a request forwarded.
 func TestInFlightLimitIsRoundedDown(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Plans[3].MaxInFlight = 4 })
 	h.mustSend("get", "open")
@@ -73,9 +80,11 @@
 		t.Errorf("a second attempt in flight with a third of 4: got %#v, want Reject", acts)
 	}
 	h = newHarness(t, func(c *Config) { c.Plans[3].MaxInFlight = 2 })
-	h.mustSend("get", "open") // a third of 2 is less than one, but one may always be in flight
+	h.mustSend("get", "open") // a third of 2 is less than one, but one attempt is always allowed
 }
 
+// A gateway must not exceed its slice of a ceiling at any time, not even after a start, when it does not
+// know what was forwarded before.
 func TestCeiling(t *testing.T) {
 	h := newHarness(t, nil)
 	if _, acts := h.request("get", "hard", "x", 8); len(actionsOf[Send](acts)) != 0 {
@@ -97,7 +106,8 @@
 	}
 }
 
-// TestReserved: requests whose units are reserved pass a full bucket uncharged, and are shed after others.
+// The units of a reserved request have already been paid for. Such a request must pass a full bucket
+// without a second charge, and must be shed later than other requests.
 func TestReserved(t *testing.T) {
 	h := newHarness(t, singleGateway)
 	h.fillQuota("x")
--- a/decide/quotaowner_test.go
+++ b/decide/quotaowner_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestOwnersDown: with both owners of a customer down, the bucket of each gateway decides.
+// With both owners of a customer down, each gateway must decide by its own share. Otherwise the customer
+// would get nothing until an owner returns.
 func TestOwnersDown(t *testing.T) {
 	fleet := newCluster(t, 300, nil)
 	key := hashKey("x")
@@ -24,8 +25,9 @@
 	}
 }
 
-// TestMalformedGrantMessagesAreDropped: grant messages that are malformed, of unknown plans or sent to the wrong
-// owner change nothing, and one that comes twice is charged once.
+// Grant messages that are malformed, for unknown plans, or sent to the wrong owner must change nothing, and
+// a duplicate request must be charged only once. Datagrams may be repeated or come from other versions of
+// the program.
 func TestMalformedGrantMessagesAreDropped(t *testing.T) {
 	fleet := newCluster(t, 300, nil)
 	key := hashKey("x")
@@ -65,7 +67,7 @@
 	}
 }
 
-// TestWaitForOwnersEndsByTheDeadline: with both owners silent a request is answered before its client leaves.
+// With both owners silent, a request must get its final answer before its client gives up.
 func TestWaitForOwnersEndsByTheDeadline(t *testing.T) {
 	g := newCluster(t, 300, nil).gateways[4]
 	until := time.Hour + 30*ms
@@ -82,8 +84,8 @@
 	t.Errorf("no answer by the deadline: %#v", acts)
 }
 
-// TestStandbyGrantsOnlyWhatLeaks: a standby that does not know a customer grants no fresh quota, only what leaks. The
-// owner itself starts at half of the mark.
+// A standby does not know what the owner has granted. It must grant only what leaks, or the customer would
+// get a second quota when the owner fails. The owner itself starts with half of the high-water mark.
 func TestStandbyGrantsOnlyWhatLeaks(t *testing.T) {
 	fleet := newCluster(t, 300, nil)
 	key := hashKey("someone")
@@ -107,15 +109,15 @@
 	if granted(second, 1) {
 		t.Error("a standby that knows nothing granted at once")
 	}
-	fleet.now += time.Second // at three units a second
+	fleet.now += time.Second // the rate is three units per second
 	if !granted(second, 2) || granted(second, 3) {
 		t.Error("after a second the standby should grant what leaked, and no more")
 	}
 }
 
-// TestOwnerHoldsInFlightLimitWhileResponsesAreSlow: what an owner granted under a limit of attempts in flight counts
-// until it is released, or nobody can wait for it any more. Slow servers keep attempts in flight for longer than the
-// shortest objective.
+// A grant under a limit of attempts in flight must count until it is released or the longest objective has
+// passed. If it expired after the shortest objective, slow servers would keep more attempts in flight than
+// the limit allows.
 func TestOwnerHoldsInFlightLimitWhileResponsesAreSlow(t *testing.T) {
 	fleet := newCluster(t, 300, func(c *Config) {
 		c.Classes = append(c.Classes, Class{Name: "quick", Idempotency: Idempotent, LatencyObjective: 200 * ms,
@@ -150,8 +152,9 @@
 	}
 }
 
-// TestRejectedByOwnerIsAnsweredAtOnce: in a large fleet too, with the reply of the owner, and from then on without a
-// grant request.
+// A request that the owner rejects must be rejected as soon as the reply arrives, and later requests
+// without asking the owner again. Otherwise clients wait for an answer that is already known, and the owner
+// is overloaded.
 func TestRejectedByOwnerIsAnsweredAtOnce(t *testing.T) {
 	fleet := newCluster(t, 300, nil)
 	g := fleet.gateways[3]
--- a/decide/randomplay_test.go
+++ b/decide/randomplay_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// randomPlay plays servers, clients, discovery and a peer to one gateway at random, and checks each action by the
-// rules that always hold.
+// randomPlay simulates servers, clients, discovery and a peer of one gateway with random events, and checks
+// each action against the rules that always hold.
 type randomPlay struct {
 	t    *testing.T
 	seed int64
@@ -18,18 +18,18 @@
 	now  time.Duration
 
 	requests  map[string]*trackedRequest
-	open      []string // IDs of the requests that have no final answer, or an attempt in flight
+	open      []string // IDs of the requests without a final answer or with an attempt in flight
 	servers   []Server
-	forwarded map[string]float64 // units, by customer of a plan with a ceiling
+	forwarded map[string]float64 // units by customer, for customers on a plan with a ceiling
 	log       []Action
 }
 
-// trackedRequest is what a randomPlay knows of a request.
+// trackedRequest is the simulation's record of a request.
 type trackedRequest struct {
 	Request
 	class    Class
 	attempts []*trackedAttempt
-	done     bool // it has its final answer
+	done     bool // whether it has its final answer
 }
 
 type trackedAttempt struct {
@@ -46,7 +46,7 @@
 	return n
 }
 
-// playRandom plays a minute or so, and returns the actions.
+// playRandom simulates 3000 random events, about half a minute, and returns the actions.
 func playRandom(t *testing.T, seed int64) []Action {
 	t.Helper()
 	p := &randomPlay{
@@ -75,7 +75,8 @@
 	return p.log
 }
 
-// playEvent lets a request come, a server change its state, gossip come or the heartbeat timer fire, or nothing.
+// playEvent sends a random event: a request, a change of a server, gossip or the heartbeat timer; sometimes
+// none.
 func (p *randomPlay) playEvent(i int) {
 	switch k := p.rng.Intn(20); {
 	case k < 9:
@@ -112,11 +113,11 @@
 	p.handle(r)
 }
 
-// playAttempts ends the attempts whose time is out, and others at random.
+// playAttempts ends the attempts that have timed out, and others at random.
 func (p *randomPlay) playAttempts() {
 	for _, id := range p.open {
 		r := p.requests[id]
-		for n := 0; n < len(r.attempts); n++ { // an end may add attempts
+		for n := 0; n < len(r.attempts); n++ { // ending an attempt may start another one
 			a := r.attempts[n]
 			switch {
 			case !a.inFlight:
@@ -225,7 +226,7 @@
 	return Server{}
 }
 
-// filterIDs returns the IDs that are wanted.
+// filterIDs returns the IDs for which want returns true.
 func filterIDs(ids []string, want func(string) bool) (out []string) {
 	for _, id := range ids {
 		if want(id) {
--- a/decide/retry_test.go
+++ b/decide/retry_test.go
@@ -5,12 +5,14 @@
 	"time"
 )
 
+// A request that may have run must be retried only where its idempotency allows it, and rejected only if
+// the client can safely send it again. Otherwise a request could run twice.
 func TestIdempotency(t *testing.T) {
 	for _, c := range []struct {
 		class   string
 		outcome Outcome
-		retry   bool // a retry is allowed
-		reject  bool // else: a rejection is allowed
+		retry   bool // whether a retry is allowed
+		reject  bool // whether the final answer is a rejection, not a failure
 	}{
 		{"get", OutcomeError, true, true},
 		{"get", OutcomeTimedOut, true, true},
@@ -38,7 +40,7 @@
 			(more[0].Server == "s3") != (s.Server == "s3") {
 			t.Errorf("%s after %v: sent to %s after %s, another cell", c.class, c.outcome, more[0].Server, s.Server)
 		}
-		h.g.retryBudget.tokens = 0 // no retries: the final answer
+		h.g.retryBudget.tokens = 0 // no more retries, to get the final answer
 		for i := 1; len(more) == 1; i++ {
 			acts = h.endAttempt(id, i, more[0].Server, c.outcome)
 			more = actionsOf[Send](acts)
@@ -49,6 +51,7 @@
 	}
 }
 
+// Servers drop a duplicate only within the dedup window. A retry after the window could run a second time.
 func TestDedupWindow(t *testing.T) {
 	h := newHarness(t, func(c *Config) {
 		c.Classes[2].LatencyObjective, c.Classes[2].DedupWindow = 3*time.Second,
@@ -61,8 +64,8 @@
 	}
 }
 
-// A retry that waits for its connection could be written after the window in which servers know the first attempt,
-// and would run again: Send says until when it may be written.
+// A retry that waits for its connection could be written after the window in which servers remember the
+// first attempt, and would run a second time. Send.WriteBefore must prevent this.
 func TestRepeatsAreBoundedAtTheirWrite(t *testing.T) {
 	for _, c := range []struct {
 		class  string
@@ -93,15 +96,16 @@
 	}
 }
 
-// TestCostlyRequestIsNotCancelledOnScarceEvidence: a gateway that sees no other response of a server can't tell a
-// costly request from a silent server. It waits, unless the server is known to fail such requests.
+// A gateway that sees no other response of a server cannot tell a costly request from a silent server. If
+// it cancelled the attempt, all gateways would together overload the servers with retries. It must wait,
+// unless the server is known to fail such requests.
 func TestCostlyRequestIsNotCancelledOnScarceEvidence(t *testing.T) {
 	for _, known := range []bool{false, true} {
 		h := newSparseHarness(t, nil)
 		_, acts := h.request("get", "wide", "c", 1)
 		s := actionsOf[Send](acts)[0]
 		if known {
-			h.g.observe(h.g.endpoints.byID[s.Server], h.g.classes.byName["get"], 1, true) // as a peer reported
+			h.g.observe(h.g.endpoints.byID[s.Server], h.g.classes.byName["get"], 1, true) // as if a peer had reported a failure
 		}
 		if got := len(actionsOf[Cancel](h.fireOverdueTimer(acts))) > 0; got != known {
 			t.Errorf("server known to fail %v: cancelled %v", known, got)
@@ -109,8 +113,9 @@
 	}
 }
 
-// TestSilenceIsJudgedByMissingResponses: an overdue attempt is cancelled where a server that was sent much has not
-// responded since. Where it was sent little the attempt is looked at again, and nothing more.
+// An overdue attempt must be cancelled only if the server was sent enough requests that its silence is
+// significant. Otherwise the gateway must only check the attempt again later: a few missing responses are
+// common at a healthy server.
 func TestSilenceIsJudgedByMissingResponses(t *testing.T) {
 	for sent, want := range map[int]bool{100: true, 6: false} {
 		h := newHarness(t, func(c *Config) { c.Limits.Gossip = false })
@@ -130,8 +135,8 @@
 	}
 }
 
-// TestNoConnectionCostsNoRetryBudget: without any budget left, a request whose attempt got no connection, so cost no
-// server anything, is retried; one whose connection broke is not.
+// A retry after a failed connect must be possible without any retry budget, because the failed attempt cost
+// no server any work. A retry after a broken connection must not, or retries could multiply the load.
 func TestNoConnectionCostsNoRetryBudget(t *testing.T) {
 	for outcome, want := range map[Outcome]int{OutcomeConnectFailed: 1, OutcomeReset: 0} {
 		h := newHarness(t, func(c *Config) { c.Limits.Gossip = false })
--- a/decide/selection_test.go
+++ b/decide/selection_test.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// TestSelectionFollowsSpeedOnScarceEvidence: a server known to take twice the time gets about half as much, neither
-// nothing nor an even part.
+// Where observations are sparse, a server that takes twice the time must get about half of the requests.
+// With none, all gateways would use the same few servers; with an equal part, they would overload the slow
+// ones.
 func TestSelectionFollowsSpeedOnScarceEvidence(t *testing.T) {
 	h := newSparseHarness(t, nil)
 	got := [2]float64{}
 	for i := 0; i < 1500; i++ {
-		h.now += time.Second // one request at a time: few responses for forty servers
+		h.now += time.Second // few responses for forty servers
 		for n, s := range h.g.endpoints.sorted {
 			s.health.slowness, s.health.slownessAt = 1+float64(n%2), h.now
 		}
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -8,6 +8,8 @@
 	"time"
 )
 
+// A server in slow start fails if it gets as many requests as a warm one. It must get only the part that
+// its present capacity allows, and its full part when the slow start is over.
 func TestSlowStart(t *testing.T) {
 	h := newHarness(t, nil)
 	run := func(d time.Duration) map[string]int {
@@ -33,15 +35,15 @@
 	}
 }
 
-// TestSlowStartOverAllGateways: all of 300 gateways with few requests each send a started server a trickle
-// together: some of what a warm one gets, less than the rule allows, and not one request each.
+// If each of 300 gateways sent a newly started server a single request, these would already overload it.
+// Together they must send it some requests, but no more than the overload rule allows.
 func TestSlowStartOverAllGateways(t *testing.T) {
 	var servers []Server
 	for i := 0; i < 20; i++ {
 		servers = append(servers, Server{ID: fmt.Sprint("s", i), Zone: "a"})
 	}
 	cfg := testConfig()
-	cfg.Limits.Gossip = false // the quota does not matter here
+	cfg.Limits.Gossip = false // quotas are irrelevant here
 	cfg.Gateways = 300
 	cold, warm := 0, 0
 	for i := 0; i < cfg.Gateways; i++ {
@@ -77,7 +79,7 @@
 	}
 }
 
-// slowStartFleet is many gateways that forward what comes, to servers that all respond in time.
+// slowStartFleet simulates many gateways whose servers answer every request in time.
 type slowStartFleet struct {
 	t        *testing.T
 	cfg      Config
@@ -88,7 +90,7 @@
 	sentTo   map[string]int
 }
 
-// start starts a gateway, or starts it again with no memory.
+// start starts or restarts a gateway with no state.
 func (f *slowStartFleet) start(i int, servers []Server) {
 	f.cfg.Rank = i
 	f.n++
@@ -100,7 +102,8 @@
 	f.gateways[i] = g
 }
 
-// step lets ten milliseconds pass in which requests come at that rate a second, at random gateways.
+// step advances the time by ten milliseconds and sends requests at the rate, in requests per second, to
+// random gateways.
 func (f *slowStartFleet) step(rng *rand.Rand, rate float64) {
 	f.now += 10 * ms
 	for _, do := range f.pending[f.now] {
@@ -127,19 +130,20 @@
 	}
 }
 
-// TestSlowStartBudgetOfTheFleet: whatever the number of gateways, also where each has less than a request for a
-// started server, in a burst, and while gateways restart, their sum stays within what the settings and chance
-// allow.
+// The requests of all gateways to a server in slow start must stay within its capacity times
+// OverloadMultiple, with an allowance for chance. This must hold for any number of gateways, also where the
+// budget of each is less than a request, during a burst of traffic, and while gateways restart. Otherwise
+// the server fails at its start.
 func TestSlowStartBudgetOfTheFleet(t *testing.T) {
-	const servers, perServer = 10, 40.0 // requests a second that a warm server takes
+	const servers, perServer = 10, 40.0 // requests per second at a warm server
 	for _, gateways := range []int{1, 3, 30, 300} {
 		for _, c := range []struct {
 			name           string
-			burst, restart float64 // factor on the traffic; part of the gateways that restart a second
+			burst, restart float64 // factor on the traffic; fraction of the gateways that restart per second
 		}{{"even", 1, 0}, {"burst", 2.4, 0}, {"restarts", 1, 0.3}} {
 			rng := rand.New(rand.NewSource(int64(gateways)))
 			cfg := testConfig()
-			cfg.Limits.Gossip, cfg.Gateways = false, gateways // the quota does not matter here
+			cfg.Limits.Gossip, cfg.Gateways = false, gateways // quotas are irrelevant here
 			f := &slowStartFleet{t: t, cfg: cfg, gateways: make([]*Gateway, gateways),
 				pending: map[time.Duration][]func(){}, sentTo: map[string]int{}}
 			var list []Server
@@ -165,7 +169,7 @@
 						f.start(rng.Intn(gateways), list)
 					}
 				}
-				// A warm server of the same capacity takes what it got before the burst.
+				// perServer is the traffic of a warm server before the burst.
 				safety := &cfg.Safety
 				progress := float64(f.now-began-safety.OverloadWindow) / float64(safety.SlowStartDuration)
 				can := safety.SlowStartCapacity + (1-safety.SlowStartCapacity)*progress
--- a/decide/usagereport_test.go
+++ b/decide/usagereport_test.go
@@ -8,6 +8,8 @@
 	"time"
 )
 
+// Without gossip, the share must follow from usage reports, or a customer whose traffic reaches only one
+// gateway would get no more than the even share. Without a report, it is the even share.
 func TestUsageReportsDecideTheShareWithoutGossip(t *testing.T) {
 	for metered, want := range map[int]float64{1 + 100: 0.9, 1 + 1000: 1.0 / 3, 0: 1.0 / 3} {
 		h := newHarness(t, nil)
@@ -15,22 +17,25 @@
 		h.handle(AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: ms, RequestDone: true,
 			ReportedUsage: metered})
 		c := h.g.customers.byKey[hashKey("c")]
-		h.g.charge(c, 1800) // 900 units a second over the memory, of a rate of 1000
+		h.g.charge(c, 1800) // 900 units per second over demandMemory, of a rate of 1000
 		if h.g.refresh(c); math.Abs(c.bucket.share-want) > 0.01 {
 			t.Errorf("reported %d: share is %v, want %v", metered, c.bucket.share, want)
 		}
 	}
 }
 
-// TestQuotasByUsageReportsAlone: eighty gateways exchange no gossip. Customers send to random ones; each response
-// reports what a customer used of its quota in the last whole second. A limit of two attempts in flight is shared
-// by gateways each of which could let one pass, and a mark of a few units by gateways each of which has a bucket.
+// Eighty gateways exchange no gossip, and customers send requests to random gateways. Each response reports
+// what its customer used in the last full second. Each gateway alone could admit one of two attempts in
+// flight, or has a bucket of its own for a high-water mark of a few units, so without the reports customers
+// would get many times their quota.
 func TestQuotasByUsageReportsAlone(t *testing.T) {
-	const end, from = 40 * time.Second, 20 * time.Second // counted are the seconds from, to the end
+	const end, from = 40 * time.Second, 20 * time.Second // results are counted between from and end
 	for _, c := range []struct {
-		plan       Plan
-		demand     [2]float64 // requests a second of customers that demand much and little
-		most, fair float64    // of what is admitted: times the quota of the former, part of the latter
+		plan   Plan
+		demand [2]float64 // requests per second of customers with high and with low demand
+		// most is the largest multiple of the quota that customers with high demand may get; fair is the least
+		// fraction of the requests of customers with low demand that must be admitted.
+		most, fair float64
 	}{
 		{Plan{Name: "p", MaxInFlight: 2}, [2]float64{30, 1}, 2, 0.35},
 		{Plan{Name: "p", Rate: 4, Burst: 8}, [2]float64{40, 1}, 2, 0.6},
@@ -56,12 +61,12 @@
 
 const (
 	reportingGateways  = 80
-	reportingCustomers = 10 // every other one demands much
+	reportingCustomers = 10 // every other one has high demand
 	reportingStep      = 10 * ms
-	reportingService   = 400 * ms // time of a response
+	reportingService   = 400 * ms // latency of a response
 )
 
-// reportingFleet is gateways without gossip, to which responses report what customers used.
+// reportingFleet simulates gateways without gossip whose responses carry usage reports.
 type reportingFleet struct {
 	plan     Plan
 	gateways []*Gateway
@@ -71,7 +76,8 @@
 
 	inFlight, peak, used, reported [reportingCustomers]float64
 
-	// Sums over customers that demand much, and little, while counting: requests, and seconds of attempts in flight.
+	// Sums over customers with high demand and over those with low demand, collected while counting is set:
+	// requests, and seconds of attempts in flight.
 	counting                  bool
 	requested, admitted, busy [2]float64
 }
@@ -104,7 +110,7 @@
 	return f
 }
 
-// step plays what happens at one time, with requests at the rates of customers that demand much and little.
+// step simulates one time step, with requests at the rates of customers with high and with low demand.
 func (f *reportingFleet) step(demand [2]float64) {
 	if f.now%time.Second == 0 {
 		f.report()
@@ -136,7 +142,7 @@
 	}
 }
 
-// report makes the usage reports of the last second.
+// report computes the usage reports for the last second.
 func (f *reportingFleet) report() {
 	for i := range reportingCustomers {
 		f.reported[i] = 1 + 100*f.used[i]/max(f.plan.Rate, 1)
