--- a/decide/admission.go
+++ b/decide/admission.go
@@ -46,8 +46,9 @@
 	// Deadlines and deduplication windows are shortened by it.
 	objectiveMargin = 6 * time.Millisecond
 
-	// timeLeftNoise is the largest difference in remaining time at which two requests count as equally old.
-	timeLeftNoise = 20 * time.Millisecond
+	// remainingTimeTolerance is the largest difference in remaining time at which two requests count as
+	// equally old.
+	remainingTimeTolerance = 20 * time.Millisecond
 
 	// minRateAge is the least time since the start that is used to correct the response rate. Right after
 	// the start, the correction would divide by nearly 0.
@@ -80,13 +81,13 @@
 		return // a duplicate event; the open request will get the answer
 	}
 	k := g.classes.byName[e.Class]
-	planNo, ok := g.customers.planIndex[e.Plan]
+	planIndex, ok := g.customers.planIndexByName[e.Plan]
 	if k == nil || !ok {
 		g.emit(Reject{ID: e.ID, Reason: ReasonUnknownClassOrPlan})
 		return
 	}
 	usefulUntil := g.usefulUntil(k, e)
-	c := g.findOrAddCustomer(hashKey(e.Customer), planNo)
+	c := g.findOrAddCustomer(hashKey(e.Customer), planIndex)
 	c.setGateways(e.FirstGateway, e.GatewayCount, g.cfg.Gateways)
 	r := &request{
 		Request:      e,
@@ -115,7 +116,7 @@
 // rejected first, so that they neither load the owner nor charge the customer.
 func (g *Gateway) admitByOwner(c *customer, r *request) {
 	c.demand.rate.add(g.now, r.units)
-	if c.fromOwner.rejectUntil > g.now {
+	if c.ownerReport.rejectUntil > g.now {
 		g.forwardOrReject(r, false)
 		return
 	}
@@ -124,7 +125,7 @@
 		g.forwardOrReject(r, false)
 		return
 	}
-	r.grant.number = g.owners.nextNumber()
+	r.grant.number = g.owners.nextRequestNumber()
 	g.requestGrant(r)
 }
 
@@ -149,16 +150,16 @@
 func (g *Gateway) requestAge(k *class, e Request) time.Duration {
 	left := e.Deadline - g.now
 	if e.IsRetry {
-		if k.maxTimeLeft-left > timeLeftNoise {
+		if k.maxRemainingTime-left > remainingTimeTolerance {
 			return max(0, k.Deadline-left)
 		}
 		return 0
 	}
-	k.maxTimeLeft = max(k.maxTimeLeft, left)
-	if !g.endsStall() {
+	k.maxRemainingTime = max(k.maxRemainingTime, left)
+	if !g.atStallEnd() {
 		return 0
 	}
-	return min(g.stallDuration, k.maxTimeLeft-left)
+	return min(g.stallDuration, k.maxRemainingTime-left)
 }
 
 // forwardOrReject completes admission: it forwards the request if the quota has room, a server is
@@ -204,27 +205,29 @@
 func (g *Gateway) queueingPressure() float64 {
 	servers, gateways := g.endpoints.totals.serving, float64(g.cfg.Gateways)
 	sinceStart := max(g.now-g.startedAt, minRateAge).Seconds()
-	observed := 1 - math.Exp(-sinceStart/demandMemory.Seconds()) // the rate builds up from 0 at the start
-	responseRate := g.evidence.responseRate.perSecond(g.now) / observed
+	observedFraction := 1 - math.Exp(-sinceStart/rateTimeConstant.Seconds()) // the rate starts from 0
+	responseRate := g.responseStats.responseRate.perSecond(g.now) / observedFraction
 	allowed := responseRate * queueingTarget * g.classes.shortestObjective
-	inFlight := max(0, g.endpoints.totals.inFlight-freeInFlight*g.evidenceScarcity())
-	own := inFlight / max(allowed, minInFlightPerServer*servers/gateways)
+	inFlight := max(0, g.endpoints.totals.inFlight-freeInFlight*g.observationSparsity())
+	ownPressure := inFlight / max(allowed, minInFlightPerServer*servers/gateways)
 	if g.gossip.full {
-		return own
+		return ownPressure
 	}
-	reported := g.load.responseRate * queueingTarget * g.classes.shortestObjective
-	return max(own, g.load.inFlight/max(reported, minReportedInFlightPerServer*servers/gateways))
+	allowedReported := g.load.responseRate * queueingTarget * g.classes.shortestObjective
+	return max(ownPressure,
+		g.load.inFlight/max(allowedReported, minReportedInFlightPerServer*servers/gateways))
 }
 
 // shouldShed reports whether the pressure is too high for the value of a request. Requests with little
 // value per second of server time are shed first.
 func (g *Gateway) shouldShed(r *request) bool {
 	value := r.class.PriorityWeight * r.customer.plan.PriorityWeight * r.units
-	density := value / max(r.class.usualLatency, minUsualLatency)
+	density := value / max(r.class.baselineLatency, minBaselineLatency)
 	g.load.valueDensity += valueDensityGain * (density - g.load.valueDensity)
-	bearable := shedThreshold + (1-shedThreshold)*min(1, density/max(g.load.valueDensity, minValueDensity))
+	allowedPressure := shedThreshold +
+		(1-shedThreshold)*min(1, density/max(g.load.valueDensity, minValueDensity))
 	if r.Reserved {
-		bearable *= reservedShedFactor
+		allowedPressure *= reservedShedFactor
 	}
-	return g.queueingPressure() > bearable
+	return g.queueingPressure() > allowedPressure
 }
--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -28,7 +28,7 @@
 	if _, acts := h.request("get", "wide", "c", 1); len(actionsOf[Reject](acts)) != 1 {
 		t.Errorf("forwarded to servers that still run what nobody waits for: %#v", acts)
 	}
-	h.now += h.g.timesObjective(orphanLifetime) + time.Second
+	h.now += h.g.objectiveMultiple(orphanLifetime) + time.Second
 	h.mustSend("get", "wide")
 }
 
@@ -40,7 +40,7 @@
 	g := fleet.gateways[3]
 	report := func(inFlight, responseRate float64) {
 		for i := 0; i < 40; i++ {
-			w := grantMessage{kind: grantRelease, key: 1, planNo: 0, figureCount: 1, inFlight: inFlight,
+			w := grantMessage{kind: grantRelease, key: 1, planIndex: 0, valueCount: 1, inFlight: inFlight,
 				responseRate: responseRate}
 			g.Handle(fleet.now, GossipReceived{From: 9, Text: w.encode()})
 		}
@@ -110,11 +110,12 @@
 // its age counted from its own arrival, it would be answered too late and use the customer's quota.
 func TestRetryIsAsOldAsItsFirstRequest(t *testing.T) {
 	for _, c := range []struct {
-		// Remaining time, of a class deadline of 4 s. First requests arrive with 3.5 s left; the objective is 1 s.
+		// Remaining time, of a class deadline of 4 s. First requests arrive with 3.5 s left; the objective
+		// is 1 s.
 		left             time.Duration
 		retry, forwarded bool
 	}{
-		{3500 * ms, false, true}, {3500 * ms, true, true}, {3490 * ms, true, true}, // within timeLeftNoise
+		{3500 * ms, false, true}, {3500 * ms, true, true}, {3490 * ms, true, true}, // within remainingTimeTolerance
 		{3400 * ms, true, true}, {3300 * ms, true, true}, {2990 * ms, true, false}, {1000 * ms, true, false},
 		{1000 * ms, false, true}, // a first request with a short deadline
 	} {
--- a/decide/attempt.go
+++ b/decide/attempt.go
@@ -50,7 +50,7 @@
 	s.meanInFlight += meanInFlightGain * (g.endpoints.outstanding(s, g.now) - s.meanInFlight)
 	s.slowStart.spend(g.now)
 	overdue := time.Duration(overdueFactor * g.expectedLatency(s, r.class) * float64(time.Second))
-	overdueAt := g.now + max(g.timesObjective(minOverdue), overdue)
+	overdueAt := g.now + max(g.objectiveMultiple(minOverdue), overdue)
 	g.endpoints.attemptSent(s, g.now)
 	g.emit(Send{r.ID, s.ID, max(r.usefulUntil-g.now, minAttemptTimeout), r.writeBefore()})
 	if overdueAt < r.usefulUntil {
@@ -96,15 +96,15 @@
 	if r.inFlight > 0 {
 		return
 	}
-	if e.Outcome != OutcomeNotDispatched && g.retry(r, a.endpoint, retryPrice(e.Outcome)) {
+	if e.Outcome != OutcomeNotDispatched && g.retry(r, a.endpoint, retryCost(e.Outcome)) {
 		return
 	}
 	g.giveUp(r)
 }
 
-// retryPrice returns the number of retry budget tokens that a retry after the outcome costs. A retry after
+// retryCost returns the number of retry budget tokens that a retry after the outcome costs. A retry after
 // a failed connect is free, because the failed attempt cost no server any work.
-func retryPrice(o Outcome) float64 {
+func retryCost(o Outcome) float64 {
 	if o == OutcomeConnectFailed {
 		return 0
 	}
@@ -119,7 +119,7 @@
 	repeatable := !mayHaveRun || k.Idempotency == Idempotent ||
 		(k.Idempotency == IdempotentByKey && k.DedupScope == DedupInFleet)
 	if repeatable && r.inFlight == 0 {
-		g.reject(r.ID, ReasonNeverExecuted)
+		g.reject(r.ID, ReasonAttemptsFailed)
 	} else {
 		g.emit(Fail{r.ID})
 	}
@@ -133,7 +133,7 @@
 	if r == nil {
 		return
 	}
-	r.finished, r.grant.awaited = true, false
+	r.finished, r.grant.awaitingReply = true, false
 	delete(g.owners.pending, r.grant.number)
 	for _, a := range r.attempts {
 		if !a.ended && g.cfg.Limits.Cancel && !r.streaming {
--- a/decide/clock.go
+++ b/decide/clock.go
@@ -32,5 +32,5 @@
 	return true
 }
 
-// endsStall reports whether the current event was handled at the end of a stall.
-func (c *clock) endsStall() bool { return c.now == c.stallEndedAt }
+// atStallEnd reports whether the current event was handled at the end of a stall.
+func (c *clock) atStallEnd() bool { return c.now == c.stallEndedAt }
--- a/decide/customers.go
+++ b/decide/customers.go
@@ -15,9 +15,9 @@
 // customer is the state of a customer from which this gateway has received a request, or about which it has
 // received gossip.
 type customer struct {
-	key    uint64 // hash of its name, see hashKey
-	plan   *Plan
-	planNo int // index of the plan in Config.Plans, sent in messages
+	key       uint64 // hash of its name, see hashKey
+	plan      *Plan
+	planIndex int // index of the plan in Config.Plans, sent in messages
 
 	// The gateways through which the customer's requests come: rank of the first, and number.
 	firstGateway, gatewayCount int
@@ -25,18 +25,18 @@
 	lastUsed time.Duration
 	inFlight int // attempts in flight
 
-	bucket    bucket
-	demand    demand
-	usage     usage
-	gossip    customerGossip
-	asOwner   ownedBucket // used if this gateway is an owner of the customer
-	fromOwner ownerReport // the last reply of an owner, if this gateway is none
+	bucket      bucket
+	demand      demand
+	usage       usage
+	gossip      customerGossip
+	ownedBucket ownedBucket // used if this gateway is an owner of the customer
+	ownerReport ownerReport // the last reply of an owner, if this gateway is none
 }
 
 // planOverride is the plan that a PlanChange assigned to a customer.
 type planOverride struct {
 	Plan
-	planNo int
+	planIndex int
 }
 
 // customerTable holds the known customers and their plans.
@@ -46,37 +46,37 @@
 	// overrides holds the plans assigned by PlanChange, by customer key.
 	overrides map[uint64]*planOverride
 
-	planIndex map[string]int // index in Config.Plans by name
+	planIndexByName map[string]int // index in Config.Plans by name
 }
 
 func newCustomerTable(plans []Plan) customerTable {
 	t := customerTable{
-		byKey:     map[uint64]*customer{},
-		overrides: map[uint64]*planOverride{},
-		planIndex: map[string]int{},
+		byKey:           map[uint64]*customer{},
+		overrides:       map[uint64]*planOverride{},
+		planIndexByName: map[string]int{},
 	}
 	for i, p := range plans {
-		t.planIndex[p.Name] = i
+		t.planIndexByName[p.Name] = i
 	}
 	return t
 }
 
 // findOrAddCustomer returns the customer with the key. A new customer is put on the plan with the index
-// planNo, unless a PlanChange has assigned another one.
-func (g *Gateway) findOrAddCustomer(key uint64, planNo int) *customer {
+// planIndex, unless a PlanChange has assigned another one.
+func (g *Gateway) findOrAddCustomer(key uint64, planIndex int) *customer {
 	if c := g.customers.byKey[key]; c != nil {
 		c.lastUsed = g.now
 		return c
 	}
-	plan := &g.cfg.Plans[planNo]
+	plan := &g.cfg.Plans[planIndex]
 	if o := g.customers.overrides[key]; o != nil {
-		plan, planNo = &o.Plan, o.planNo
+		plan, planIndex = &o.Plan, o.planIndex
 	}
-	c := &customer{key: key, plan: plan, planNo: planNo, gatewayCount: g.cfg.Gateways, lastUsed: g.now}
+	c := &customer{key: key, plan: plan, planIndex: planIndex, gatewayCount: g.cfg.Gateways, lastUsed: g.now}
 	c.gossip = newCustomerGossip(len(g.gossip.peers))
 	c.usage = newUsage()
-	c.fromOwner.repliedAt = -demandMemory // before any possible reply
-	c.bucket.leakedAt = g.startedAt       // leak, and refill the ceiling, from the start on
+	c.ownerReport.repliedAt = -rateTimeConstant // before any possible reply
+	c.bucket.leakedAt = g.startedAt             // leak, and refill the ceiling, from the start on
 	c.bucket.share = c.evenShare()
 	if !g.gossip.full {
 		c.bucket.fleetLevel = g.initialFleetLevel(c)
@@ -114,12 +114,12 @@
 //
 // A plan that is not configured or not valid changes nothing.
 func (g *Gateway) changePlan(e PlanChange) {
-	planNo, ok := g.customers.planIndex[e.Plan.Name]
+	planIndex, ok := g.customers.planIndexByName[e.Plan.Name]
 	if !ok || e.Plan.validate("Plan") != nil {
 		return
 	}
 	key := hashKey(e.Customer)
-	override := &planOverride{e.Plan, planNo}
+	override := &planOverride{e.Plan, planIndex}
 	g.customers.overrides[key] = override
 	c := g.customers.byKey[key]
 	if c == nil {
@@ -127,7 +127,7 @@
 	}
 	g.refresh(c) // apply the old plan up to now
 	hadRate := c.plan.Rate > 0
-	c.plan, c.planNo = &override.Plan, planNo
+	c.plan, c.planIndex = &override.Plan, planIndex
 	b := &c.bucket
 	if !hadRate {
 		b.level = min(b.level, b.share*c.plan.Burst)
--- a/decide/demandshare.go
+++ b/decide/demandshare.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	// demandMemory is the time constant with which rates of units and attempts decay. It is long compared
+	// rateTimeConstant is the time constant with which rates of units and attempts decay. It is long compared
 	// with the gaps between requests, and short compared with the time in which demand shifts between
 	// gateways.
-	demandMemory = 2 * time.Second
+	rateTimeConstant = 2 * time.Second
 
 	// demandPrior is the number of seconds of the evenly divided rate that is added to the demand of each
 	// gateway. It stabilizes the share of customers with little demand.
@@ -52,40 +52,40 @@
 	even := c.evenShare()
 	prior := demandPrior * c.plan.Rate * even
 	own := c.demand.rate.perSecond(g.now) + prior
-	if !g.gossip.full && g.now-c.fromOwner.repliedAt < demandMemory {
-		b.share = min(1, max(even, own/max(own, c.fromOwner.fleetDemand)))
+	if !g.gossip.full && g.now-c.ownerReport.repliedAt < rateTimeConstant {
+		b.share = min(1, max(even, own/max(own, c.ownerReport.fleetDemand)))
 		return
 	}
-	all, reportedUpTo := g.fleetDemand(c, own, prior)
+	total, reportedUpTo := g.fleetDemand(c, own, prior)
 	noGossip := len(g.gossip.peers) == 0 && c.gatewayCount > 1
-	if g.now-reportedUpTo >= peerStaleAfter || all == 0 || noGossip {
-		b.share = g.shareByUsage(c, even)
+	if g.now-reportedUpTo >= peerStaleAfter || total == 0 || noGossip {
+		b.share = g.shareFromUsageReports(c, even)
 		return
 	}
-	b.share = max(even, own/all)
+	b.share = max(even, own/total)
 	if c.gatewayCount > 1 && reportedUpTo > b.reconciledAt {
 		b.reconciledAt = reportedUpTo
-		g.reconcileLevel(c, all)
+		g.reconcileLevel(c, total)
 	}
 }
 
 // fleetDemand returns the demand at all the customer's gateways in units per second: the demand at this
 // gateway, given as own, and the demand that peers reported, each with the prior. All these peers have
 // reported up to the time reportedUpTo.
-func (g *Gateway) fleetDemand(c *customer, own, prior float64) (all float64, reportedUpTo time.Duration) {
-	all, reportedUpTo = own, g.now
+func (g *Gateway) fleetDemand(c *customer, own, prior float64) (total float64, reportedUpTo time.Duration) {
+	total, reportedUpTo = own, g.now
 	for i := range g.gossip.peers {
 		if i == g.cfg.Rank || !g.servesCustomer(c, i) {
 			continue
 		}
-		all += c.gossip.totals[i].demandRate.perSecond(g.now) + prior
+		total += c.gossip.totals[i].demandRate.perSecond(g.now) + prior
 		p := &g.gossip.peers[i]
 		reportedUpTo = min(reportedUpTo, p.lastReceived)
 		if !p.known {
 			reportedUpTo = g.now - peerStaleAfter
 		}
 	}
-	return all, reportedUpTo
+	return total, reportedUpTo
 }
 
 // reconcileLevel sets the level to this gateway's share of the fleet level after each peer has reported
--- a/decide/gateway.go
+++ b/decide/gateway.go
@@ -19,13 +19,13 @@
 	planDemand planDemand
 	endpoints  endpointTable
 	// Requests by ID that have no final answer yet or still have an attempt in flight.
-	requests    map[string]*request
-	timers      timerTable
-	gossip      gossipState
-	owners      ownerState
-	evidence    evidence
-	load        fleetLoad
-	retryBudget retryBudget
+	requests      map[string]*request
+	timers        timerTable
+	gossip        gossipState
+	owners        ownerState
+	responseStats responseStats
+	load          fleetLoad
+	retryBudget   retryBudget
 }
 
 // classTable holds the configured classes.
@@ -51,7 +51,7 @@
 		timers:      newTimerTable(),
 		retryBudget: retryBudget{tokens: maxRetryBudget},
 	}
-	g.endpoints = newEndpointTable(len(cfg.Classes), g.timesObjective(orphanLifetime))
+	g.endpoints = newEndpointTable(len(cfg.Classes), g.objectiveMultiple(orphanLifetime))
 	g.gossip = newGossipState(cfg, g.rng)
 	g.owners = newOwnerState(g.rng)
 	return g, nil
@@ -61,7 +61,7 @@
 	t := classTable{byName: map[string]*class{}}
 	for i, k := range classes {
 		objective := k.LatencyObjective.Seconds()
-		t.byName[k.Name] = &class{index: i, Class: k, usualLatency: initialLatencyFraction * objective}
+		t.byName[k.Name] = &class{index: i, Class: k, baselineLatency: initialLatencyFraction * objective}
 		t.longestObjective = max(t.longestObjective, k.LatencyObjective)
 		if t.shortestObjective == 0 || objective < t.shortestObjective {
 			t.shortestObjective = objective
@@ -102,9 +102,9 @@
 // emit appends an action to those of the current event.
 func (g *Gateway) emit(a Action) { g.actions = append(g.actions, a) }
 
-// timesObjective returns n times the shortest latency objective. Durations that concern a request are
+// objectiveMultiple returns n times the shortest latency objective. Durations that concern a request are
 // defined as such multiples because deployments differ in time scale.
-func (g *Gateway) timesObjective(n float64) time.Duration {
+func (g *Gateway) objectiveMultiple(n float64) time.Duration {
 	return time.Duration(n * g.classes.shortestObjective * float64(time.Second))
 }
 
--- a/decide/gateway_test.go
+++ b/decide/gateway_test.go
@@ -74,7 +74,7 @@
 		g.Handle(now, Request{ID: id, Class: "get", Plan: "wide", Customer: key, Units: 1,
 			Deadline: now + time.Second, GatewayCount: 200})
 		for no, r := range g.owners.pending {
-			w := grantMessage{kind: grantReply, key: r.customer.key, number: no, figureCount: 4, figures: [4]float64{1}}
+			w := grantMessage{kind: grantReply, key: r.customer.key, number: no, valueCount: 4, values: [4]float64{1}}
 			g.Handle(now, GossipReceived{From: g.owner(r.customer.key, 0), Text: w.encode()})
 		}
 		if r := g.requests[id]; r != nil && len(r.attempts) > 0 {
--- a/decide/gossip.go
+++ b/decide/gossip.go
@@ -35,9 +35,9 @@
 	known        bool // whether a datagram of the peer has arrived since this gateway started
 	lastReceived time.Duration
 	epoch, seq   int // epoch and sequence number of its last datagram
-	// startedLater reports whether the peer has restarted since this gateway started. The totals of its
-	// present incarnation then began at 0 after this gateway started.
-	startedLater bool
+	// restartedSinceStart reports whether the peer has restarted since this gateway started. The totals of
+	// its present incarnation then began at 0 after this gateway started.
+	restartedSinceStart bool
 
 	lastSent time.Duration
 	sentSeq  int         // sequence number of the last datagram sent to the peer
@@ -117,14 +117,14 @@
 		}
 		p.lastSent = g.now
 		p.sentSeq = (p.sentSeq + 1) % sequenceNumbers
-		g.emit(SendGossip{i, g.nextGossip(i, p)})
+		g.emit(SendGossip{i, g.encodePendingGossip(i, p)})
 	}
 }
 
-// nextGossip encodes a datagram with as many pending entries as fit, and removes these entries.
-func (g *Gateway) nextGossip(rank int, p *peer) string {
+// encodePendingGossip encodes a datagram with as many pending entries as fit, and removes these entries.
+func (g *Gateway) encodePendingGossip(rank int, p *peer) string {
 	var b strings.Builder
-	encodeGossipHead(&b, g.gossip.epoch, p.sentSeq)
+	encodeGossipHeader(&b, g.gossip.epoch, p.sentSeq)
 	n := min(len(p.pending), maxGossipEntries)
 	for _, c := range p.pending[:n] {
 		c.gossip.queuedFor[rank] = false
@@ -138,11 +138,11 @@
 // gossipEntry returns the entry that reports on a customer.
 func (c *customer) gossipEntry() gossipEntry {
 	return gossipEntry{
-		key:      c.key,
-		planNo:   c.planNo,
-		used:     wrapTotal(c.gossip.usedTotal),
-		demanded: wrapTotal(c.demand.total),
-		level:    levelToSteps(c.bucket.fleetLevel, c.plan.Burst),
+		key:       c.key,
+		planIndex: c.planIndex,
+		used:      wrapTotal(c.gossip.usedTotal),
+		demanded:  wrapTotal(c.demand.total),
+		level:     levelToSteps(c.bucket.fleetLevel, c.plan.Burst),
 	}
 }
 
@@ -156,7 +156,7 @@
 		g.receiveGrantMessage(e.From, e.Text)
 		return
 	}
-	epoch, seq, ok := parseGossipHead(e.Text)
+	epoch, seq, ok := parseGossipHeader(e.Text)
 	if !ok || len(g.gossip.peers) == 0 {
 		return
 	}
@@ -169,7 +169,7 @@
 		g.startIncarnation(e.From, p)
 	}
 	p.epoch, p.seq, p.known, p.lastReceived = epoch, seq, true, g.now
-	for s := e.Text[gossipHeadLength:]; s != ""; s = s[gossipEntryLength:] {
+	for s := e.Text[gossipHeaderLength:]; s != ""; s = s[gossipEntryLength:] {
 		g.mergeTotals(e.From, p, parseGossipEntry(s[:gossipEntryLength]))
 	}
 }
@@ -177,7 +177,7 @@
 // startIncarnation handles the first datagram of a new incarnation of a peer: the peer's totals restart,
 // and entries about all customers are queued for it.
 func (g *Gateway) startIncarnation(rank int, p *peer) {
-	p.startedLater = p.known
+	p.restartedSinceStart = p.known
 	for _, c := range g.customers.order {
 		c.gossip.totals[rank].known = false
 		g.queueGossipTo(rank, c)
@@ -188,15 +188,15 @@
 // totals of an incarnation count in full if the incarnation began after this gateway started. Otherwise
 // they include units used earlier, and the level that the peer reports is adopted instead.
 func (g *Gateway) mergeTotals(from int, p *peer, e gossipEntry) {
-	if e.planNo >= len(g.cfg.Plans) {
+	if e.planIndex >= len(g.cfg.Plans) {
 		return
 	}
-	c := g.findOrAddCustomer(e.key, e.planNo)
+	c := g.findOrAddCustomer(e.key, e.planIndex)
 	g.refresh(c)
 	t := &c.gossip.totals[from]
 	switch {
 	case t.known:
-	case p.startedLater:
+	case p.restartedSinceStart:
 		t.known, t.used, t.demanded = true, 0, 0
 	default:
 		t.known, t.used, t.demanded = true, e.used, e.demanded
--- a/decide/gossip_test.go
+++ b/decide/gossip_test.go
@@ -134,7 +134,7 @@
 			if len(m.Text) > maxGossipBytes {
 				t.Fatalf("datagram of %d bytes, want %d at most", len(m.Text), maxGossipBytes)
 			}
-			entries[m.To] += (len(m.Text) - gossipHeadLength) / gossipEntryLength
+			entries[m.To] += (len(m.Text) - gossipHeaderLength) / gossipEntryLength
 		}
 	}
 	if entries[1] != 100 || entries[2] != 100 || entries[0] != 0 {
--- a/decide/gossipcodec.go
+++ b/decide/gossipcodec.go
@@ -9,10 +9,10 @@
 // entries. A datagram that begins with another version is dropped. The format is fixed, because gateways
 // that run different versions of this program exchange datagrams.
 const (
-	gossipVersion     = "c"
-	gossipHeadLength  = 5
-	gossipEntryLength = 12 // digits: customer 6, plan 1, used 2, demanded 2, level 1
-	maxGossipEntries  = (maxGossipBytes - gossipHeadLength) / gossipEntryLength
+	gossipVersion      = "c"
+	gossipHeaderLength = 5
+	gossipEntryLength  = 12 // digits: customer 6, plan 1, used 2, demanded 2, level 1
+	maxGossipEntries   = (maxGossipBytes - gossipHeaderLength) / gossipEntryLength
 
 	totalModulus = 4096 // totals are sent modulo this number
 
@@ -23,13 +23,13 @@
 // gossipEntry is the report of a gateway on a customer.
 type gossipEntry struct {
 	key            uint64
-	planNo         int
+	planIndex      int
 	used, demanded int // totals of units, see wrapTotal
 	// level is the level of the bucket that all gateways fill, in steps; see levelToSteps.
 	level int
 }
 
-func encodeGossipHead(b *strings.Builder, epoch, seq int) {
+func encodeGossipHeader(b *strings.Builder, epoch, seq int) {
 	b.WriteString(gossipVersion)
 	encodeDigits(b, uint64(epoch), 2)
 	encodeDigits(b, uint64(seq), 2)
@@ -37,37 +37,37 @@
 
 func (e gossipEntry) encode(b *strings.Builder) {
 	encodeDigits(b, e.key, 6)
-	encodeDigits(b, uint64(e.planNo), 1)
+	encodeDigits(b, uint64(e.planIndex), 1)
 	encodeDigits(b, uint64(e.used), 2)
 	encodeDigits(b, uint64(e.demanded), 2)
 	encodeDigits(b, uint64(e.level), 1)
 }
 
-// parseGossipHead parses the header of a datagram. ok is false if any part of the datagram is malformed.
-func parseGossipHead(s string) (epoch, seq int, ok bool) {
-	if len(s) < gossipHeadLength || s[:1] != gossipVersion {
+// parseGossipHeader parses the header of a datagram. ok is false if any part of the datagram is malformed.
+func parseGossipHeader(s string) (epoch, seq int, ok bool) {
+	if len(s) < gossipHeaderLength || s[:1] != gossipVersion {
 		return 0, 0, false
 	}
-	if (len(s)-gossipHeadLength)%gossipEntryLength != 0 {
+	if (len(s)-gossipHeaderLength)%gossipEntryLength != 0 {
 		return 0, 0, false
 	}
 	if _, ok = decodeDigits(s[1:]); !ok {
 		return 0, 0, false
 	}
-	head, _ := decodeDigits(s[1:gossipHeadLength])
-	return int(head >> 12), int(head & 4095), true
+	header, _ := decodeDigits(s[1:gossipHeaderLength])
+	return int(header >> 12), int(header & 4095), true
 }
 
-// parseGossipEntry parses an entry of a datagram that parseGossipHead has accepted.
+// parseGossipEntry parses an entry of a datagram that parseGossipHeader has accepted.
 func parseGossipEntry(s string) gossipEntry {
 	key, _ := decodeDigits(s[:6])
 	rest, _ := decodeDigits(s[6:])
 	return gossipEntry{
-		key:      key,
-		planNo:   int(rest >> 30),
-		used:     int(rest >> 18 & 4095),
-		demanded: int(rest >> 6 & 4095),
-		level:    int(rest & 63),
+		key:       key,
+		planIndex: int(rest >> 30),
+		used:      int(rest >> 18 & 4095),
+		demanded:  int(rest >> 6 & 4095),
+		level:     int(rest & 63),
 	}
 }
 
--- a/decide/grantcodec.go
+++ b/decide/grantcodec.go
@@ -8,12 +8,12 @@
 // A grant message is text: a header, the values of its kind and, optionally, a dot followed by observations.
 // The format is fixed, because gateways that run different versions of this program exchange grant messages.
 const (
-	grantHeadLength   = 12   // digits: kind 1, customer 6, plan 1, number 2, load 2
+	grantHeaderLength = 12   // digits: kind 1, customer 6, plan 1, number 2, load 2
 	maxGrantNumber    = 4095 // grant requests are numbered from 1 to this
 	responseRateSteps = 4    // steps per response per second in the header
-	figureSteps       = 16   // steps per unit in a value; a value has 2 digits
-	figureZero        = 2048 // encoded form of 0, because values may be negative
-	figureMax         = 4095 // largest encoded value
+	valueSteps        = 16   // steps per unit in a value; a value has 2 digits
+	encodedZero       = 2048 // encoded form of 0, because values may be negative
+	maxEncodedValue   = 4095 // largest encoded value
 
 	observationLength = 4         // digits: server 3, class and level 1
 	shortIDMask       = 1<<18 - 1 // bits of the hash of a server's ID that are sent
@@ -37,12 +37,12 @@
 
 // grantMessage is a message about one request, exchanged by a gateway and an owner of the customer.
 type grantMessage struct {
-	kind        grantKind
-	key         uint64 // key of the customer
-	planNo      int    // index of the customer's plan in Config.Plans
-	number      uint64 // number of the grant request, assigned by the gateway that sent it
-	figures     [4]float64
-	figureCount int
+	kind       grantKind
+	key        uint64 // key of the customer
+	planIndex  int    // index of the customer's plan in Config.Plans
+	number     uint64 // number of the grant request, assigned by the gateway that sent it
+	values     [4]float64
+	valueCount int
 
 	// The load of the sender, sent with each kind of message: attempts in flight, including orphans, and
 	// successful responses per second.
@@ -57,7 +57,7 @@
 type observation struct {
 	endpoint        uint64  // short ID of the server
 	class           int     // index of the class in Config.Classes
-	relativeLatency float64 // multiple of the class's usual latency
+	relativeLatency float64 // multiple of the class's baseline latency
 	failed          bool    // whether there was no response or an error
 }
 
@@ -71,27 +71,27 @@
 	rejectWait float64
 }
 
-// setFigures sets the values of the message.
-func (m *grantMessage) setFigures(figures ...float64) {
-	m.figureCount = copy(m.figures[:], figures)
+// setValues sets the values of the message.
+func (m *grantMessage) setValues(values ...float64) {
+	m.valueCount = copy(m.values[:], values)
 }
 
 // requestedUnits returns the units of a grant request. ok is false for any other message.
 func (m *grantMessage) requestedUnits() (units float64, ok bool) {
-	return m.figures[0], m.kind == grantRequest && m.figureCount == 1 && m.figures[0] >= 0
+	return m.values[0], m.kind == grantRequest && m.valueCount == 1 && m.values[0] >= 0
 }
 
 // releasedUnits returns the units of a grant release that were used beyond those granted. ok is false for
 // any other message.
 func (m *grantMessage) releasedUnits() (extra float64, ok bool) {
-	return m.figures[0], m.kind == grantRelease && m.figureCount == 1
+	return m.values[0], m.kind == grantRelease && m.valueCount == 1
 }
 
 // answer returns the decision of a grant reply. ok is false for any other message.
 func (m *grantMessage) answer() (a grantAnswer, ok bool) {
-	f := &m.figures
+	f := &m.values
 	a = grantAnswer{granted: f[0] > 0, fleetLevel: f[1], fleetDemand: f[2], rejectWait: f[3]}
-	return a, m.kind == grantReply && m.figureCount == 4
+	return a, m.kind == grantReply && m.valueCount == 4
 }
 
 // encode returns the encoded message. Values that are out of range are clamped.
@@ -99,12 +99,12 @@
 	var b strings.Builder
 	b.WriteByte(byte(m.kind))
 	encodeDigits(&b, m.key, 6)
-	encodeDigits(&b, uint64(m.planNo), 1)
+	encodeDigits(&b, uint64(m.planIndex), 1)
 	encodeDigits(&b, m.number&maxGrantNumber, 2)
 	encodeDigits(&b, uint64(min(maxDigit, max(0, math.Round(m.inFlight)))), 1)
 	encodeDigits(&b, uint64(min(maxDigit, max(0, math.Round(responseRateSteps*m.responseRate)))), 1)
-	for _, x := range m.figures[:m.figureCount] {
-		encodeDigits(&b, uint64(min(figureMax, max(0, figureZero+math.Round(x*figureSteps)))), 2)
+	for _, x := range m.values[:m.valueCount] {
+		encodeDigits(&b, uint64(min(maxEncodedValue, max(0, encodedZero+math.Round(x*valueSteps)))), 2)
 	}
 	if m.observationCount > 0 {
 		b.WriteByte('.')
@@ -122,19 +122,20 @@
 	if len(observations)%observationLength != 0 || len(observations) > maxObservationBytes {
 		return m, false
 	}
-	if len(s) < grantHeadLength || len(s)%2 != 0 || (len(s)-grantHeadLength)/2 > len(m.figures) {
+	if len(s) < grantHeaderLength || len(s)%2 != 0 || (len(s)-grantHeaderLength)/2 > len(m.values) {
 		return m, false
 	}
-	head, headOK := decodeDigits(s[1 : grantHeadLength-2])
-	load, loadOK := decodeDigits(s[grantHeadLength-2 : grantHeadLength])
-	ok = headOK && loadOK
-	m.kind, m.key, m.planNo, m.number = grantKind(s[0]), head>>18, int(head>>12&63), head&maxGrantNumber
+	header, headerOK := decodeDigits(s[1 : grantHeaderLength-2])
+	load, loadOK := decodeDigits(s[grantHeaderLength-2 : grantHeaderLength])
+	ok = headerOK && loadOK
+	m.kind, m.key, m.planIndex, m.number =
+		grantKind(s[0]), header>>18, int(header>>12&63), header&maxGrantNumber
 	m.inFlight, m.responseRate = float64(load>>6), float64(load&63)/responseRateSteps
-	for s = s[grantHeadLength:]; s != "" && ok; s = s[2:] {
+	for s = s[grantHeaderLength:]; s != "" && ok; s = s[2:] {
 		var x uint64
 		x, ok = decodeDigits(s[:2])
-		m.figures[m.figureCount] = (float64(x) - figureZero) / figureSteps
-		m.figureCount++
+		m.values[m.valueCount] = (float64(x) - encodedZero) / valueSteps
+		m.valueCount++
 	}
 	for s = observations; s != "" && ok; s = s[observationLength:] {
 		m.observations[m.observationCount], ok = parseObservation(s[:observationLength])
--- a/decide/latency_test.go
+++ b/decide/latency_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// After slow responses, a gateway must not reject a class forever. If the usual latency did not decay, no
+// After slow responses, a gateway must not reject a class forever. If the baseline latency did not decay, no
 // attempt would be sent and the gateway would never learn that the servers are fast again.
 func TestSlowResponsesAreForgottenWithoutNewOnes(t *testing.T) {
 	h := newHarness(t, nil)
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -17,15 +17,15 @@
 	// plentiful. It is up to twice as high where they are sparse.
 	failureGain = 0.25
 
-	// failureMemoryFactor is the time constant with which failures decay, as a multiple of that of
+	// failureTimeConstantFactor is the time constant with which failures decay, as a multiple of that of
 	// slowness.
-	failureMemoryFactor = 2.0
+	failureTimeConstantFactor = 2.0
 
-	// The time constant with which observations of a server decay is the time in which evidenceResponses
-	// responses of the server are expected, within these bounds.
-	evidenceResponses = 4.0
-	minEvidenceMemory = 2 * time.Second
-	maxEvidenceMemory = 20 * time.Second
+	// The time constant with which observations of a server decay is the time in which
+	// healthTimeConstantResponses responses of the server are expected, within these bounds.
+	healthTimeConstantResponses = 4.0
+	minHealthTimeConstant       = 2 * time.Second
+	maxHealthTimeConstant       = 20 * time.Second
 
 	// minObservationRate, in requests per second, is the lower bound of the observation rate that is used
 	// as a divisor.
@@ -41,20 +41,20 @@
 
 // health holds the statistics of a server's responses.
 type health struct {
-	slowness   float64 // multiple of the usual latency, as of slownessAt; see Gateway.slowness
+	slowness   float64 // multiple of the baseline latency, as of slownessAt; see Gateway.slowness
 	slownessAt time.Duration
 	// failureRatio is the fraction of requests that fail, by class index; see Gateway.failureRatio.
-	failureRatio []fadingRatio
+	failureRatio []decayingRatio
 }
 
-// fadingRatio is a ratio at a point in time, from which it decays.
-type fadingRatio struct {
+// decayingRatio is a ratio at a point in time, from which it decays.
+type decayingRatio struct {
 	value     float64
 	updatedAt time.Duration
 }
 
 func newHealth(classes int) health {
-	return health{slowness: 1, failureRatio: make([]fadingRatio, classes)}
+	return health{slowness: 1, failureRatio: make([]decayingRatio, classes)}
 }
 
 // restart resets the statistics after a restart of the server.
@@ -63,8 +63,8 @@
 	clear(h.failureRatio)
 }
 
-// evidence holds statistics of responses of all servers.
-type evidence struct {
+// responseStats holds statistics of responses of all servers.
+type responseStats struct {
 	responseRate    rate               // own successful responses per second
 	observationRate rate               // observed requests per second, own ones and reported ones
 	recent          recentObservations // own observations to send to other gateways
@@ -85,48 +85,51 @@
 	r.count = min(r.count+1, observationsPerMessage)
 }
 
-// slowness returns the latency of a server as a multiple of the usual latency. It decays to 1 with the time
-// since the last observation, so that a server that is avoided because it was slow gets another chance.
+// slowness returns the latency of a server as a multiple of the baseline latency. It decays to 1 with the
+// time since the last observation, so that a server that is avoided because it was slow gets another
+// chance.
 func (g *Gateway) slowness(s *endpoint) float64 {
 	h := &s.health
-	return 1 + (h.slowness-1)*math.Exp(-(g.now-h.slownessAt).Seconds()/g.evidenceMemory())
+	return 1 + (h.slowness-1)*math.Exp(-(g.now-h.slownessAt).Seconds()/g.healthTimeConstant())
 }
 
 // failureRatio returns the fraction of a class's requests to which a server gives no response or an error.
 // It decays to 0.
 func (g *Gateway) failureRatio(s *endpoint, k *class) float64 {
 	f := &s.health.failureRatio[k.index]
-	return f.value * math.Exp(-(g.now-f.updatedAt).Seconds()/(failureMemoryFactor*g.evidenceMemory()))
+	return f.value * math.Exp(
+		-(g.now-f.updatedAt).Seconds()/(failureTimeConstantFactor*g.healthTimeConstant()))
 }
 
-// evidenceMemory returns the time constant, in seconds, with which observations of a server decay. It is
+// healthTimeConstant returns the time constant, in seconds, with which observations of a server decay. It is
 // longer where responses of a server are rare.
-func (g *Gateway) evidenceMemory() float64 {
-	perSecond := g.evidence.observationRate.perSecond(g.now)
-	wanted := evidenceResponses * g.endpoints.totals.serving / max(perSecond, minObservationRate)
-	return min(maxEvidenceMemory.Seconds(), max(minEvidenceMemory.Seconds(), wanted))
+func (g *Gateway) healthTimeConstant() float64 {
+	perSecond := g.responseStats.observationRate.perSecond(g.now)
+	wanted := healthTimeConstantResponses * g.endpoints.totals.serving / max(perSecond, minObservationRate)
+	return min(maxHealthTimeConstant.Seconds(), max(minHealthTimeConstant.Seconds(), wanted))
 }
 
-// evidenceScarcity returns 1 where this gateway receives fewer successful responses within demandMemory
-// than there are servers and thus cannot know the load of each server. The more responses it receives, the
-// closer the result is to 0.
-func (g *Gateway) evidenceScarcity() float64 {
-	responses := g.evidence.responseRate.perSecond(g.now) * demandMemory.Seconds()
+// observationSparsity returns 1 where this gateway receives fewer successful responses within
+// rateTimeConstant than there are servers and thus cannot know the load of each server. The more responses
+// it receives, the closer the result is to 0.
+func (g *Gateway) observationSparsity() float64 {
+	responses := g.responseStats.responseRate.perSecond(g.now) * rateTimeConstant.Seconds()
 	return min(1, g.endpoints.totals.serving/max(responses, 1))
 }
 
 // observe updates the statistics with the result of a request of a class at a server, sent by this gateway
-// or by another one: its latency as a multiple of the class's usual latency, and whether it failed.
+// or by another one: its latency as a multiple of the class's baseline latency, and whether it failed.
 // Failures are recorded by class, because a server may have lost a resource that only one class needs. One
 // limitation: if one server gets all the costly requests of a class, it appears slow.
 func (g *Gateway) observe(s *endpoint, k *class, relativeLatency float64, failed bool) {
-	g.evidence.observationRate.add(g.now, 1)
+	g.responseStats.observationRate.add(g.now, 1)
 	ratio, target := g.failureRatio(s, k), 0.0
 	if failed {
 		target = 1
 	}
 	h := &s.health
-	h.failureRatio[k.index] = fadingRatio{ratio + failureGain*(1+g.evidenceScarcity())*(target-ratio), g.now}
+	h.failureRatio[k.index] =
+		decayingRatio{ratio + failureGain*(1+g.observationSparsity())*(target-ratio), g.now}
 	h.slowness, h.slownessAt = g.slowness(s), g.now
 	if !failed || relativeLatency > h.slowness {
 		h.slowness += slownessGain * (min(relativeLatency, maxRelativeLatency) - h.slowness)
@@ -145,12 +148,12 @@
 // observeOwn updates the statistics with the result of an own request, and keeps the observation for grant
 // messages. Results found at the end of a stall are ignored, because the delay occurred at this gateway.
 func (g *Gateway) observeOwn(s *endpoint, k *class, latency time.Duration, failed bool) {
-	if g.endsStall() {
+	if g.atStallEnd() {
 		return
 	}
-	relative := latency.Seconds() / max(k.usualLatency, minUsualLatency)
+	relative := latency.Seconds() / max(k.baselineLatency, minBaselineLatency)
 	g.observe(s, k, relative, failed)
-	g.evidence.recent.add(observation{s.shortID, k.index, relative, failed})
+	g.responseStats.recent.add(observation{s.shortID, k.index, relative, failed})
 	if !failed {
 		k.recordLatency(g.now, latency.Seconds())
 	}
@@ -162,7 +165,7 @@
 	switch e.Outcome {
 	case OutcomeOK:
 		s.lastResponse = g.now
-		g.evidence.responseRate.add(g.now, 1)
+		g.responseStats.responseRate.add(g.now, 1)
 		g.endpoints.clearOrphans(s, a.sentAt)
 		g.observeOwn(s, r.class, e.Duration, false)
 	case OutcomeError, OutcomeRejected:
--- a/decide/outlier_test.go
+++ b/decide/outlier_test.go
@@ -83,7 +83,7 @@
 	h.now += time.Minute
 	h.handle(TimerFired{heartbeatToken})
 	if got := h.g.slowness(s); slow < 1.3 || got > 1.1 {
-		t.Errorf("slowness went from %v to %v in a minute without responses, want it to fade to about 1", slow, got)
+		t.Errorf("slowness went from %v to %v in a minute without responses, want it to decay to about 1", slow, got)
 	}
 }
 
--- a/decide/quota.go
+++ b/decide/quota.go
@@ -61,11 +61,11 @@
 func (g *Gateway) admitByQuota(c *customer, r *request) bool {
 	g.refresh(c)
 	g.countDemand(c, r.units)
-	r.rejectReason = c.exceeded(r.units)
+	r.rejectReason = c.exceededLimit(r.units)
 	if r.rejectReason == "" && c.plan.CeilingRate > 0 && c.ceilingExceeded(r.units) {
 		r.rejectReason = ReasonOverCeiling
 	}
-	if g.onlyUsageReports(c) {
+	if g.hasOnlyUsageReports(c) {
 		c.usage.countRequest(g.now)
 		if r.rejectReason == "" && g.rng.Float64()*g.demandRatio(c) >= 1 {
 			r.rejectReason = ReasonOverQuota
@@ -74,15 +74,15 @@
 	return r.rejectReason == ""
 }
 
-// exceeded returns the reason for which this gateway's share of the rate or of the attempts in flight has
-// no room for the units, or "". A request needs room only for its share of the units but is charged in
+// exceededLimit returns the reason for which this gateway's share of the rate or of the attempts in flight
+// has no room for the units, or "". A request needs room only for its share of the units but is charged in
 // full, so the level may exceed the high-water mark by less than one request. Otherwise small plans could
 // never admit a request, because a gateway's share of their mark is less than one request.
 //
 // The share of the attempts in flight is rounded down, because all gateways together would exceed the limit
 // by far if each rounded up. One attempt is always allowed. Otherwise a customer of many gateways could
 // never have a request forwarded.
-func (c *customer) exceeded(units float64) RejectReason {
+func (c *customer) exceededLimit(units float64) RejectReason {
 	b := &c.bucket
 	switch {
 	case c.plan.Rate > 0 && b.level+b.share*units > b.share*c.plan.Burst:
--- a/decide/quota_test.go
+++ b/decide/quota_test.go
@@ -16,8 +16,8 @@
 			admitted++
 		}
 	}
-	// The share is a third of the high-water mark of 12, half of which counts as used after a start. A request
-	// needs room for a third of its units.
+	// The share is a third of the high-water mark of 12, half of which counts as used after a start. A
+	// request needs room for a third of its units.
 	if admitted < 1 || admitted > 3 {
 		t.Errorf("admitted %d at once after a start, want 1 to 3", admitted)
 	}
--- a/decide/quotaowner.go
+++ b/decide/quotaowner.go
@@ -69,9 +69,9 @@
 // ownerState is the state of the grant protocol at this gateway, both as a requester and as an owner.
 type ownerState struct {
 	// Requests that wait for a grant reply, by the number of the grant request.
-	pending    map[uint64]*request
-	lastNumber uint64
-	roundTrip  time.Duration // moving average of the time from a grant request to its reply
+	pending           map[uint64]*request
+	lastRequestNumber uint64
+	roundTrip         time.Duration // moving average of the time from a grant request to its reply
 	// unresponsiveUntil holds, by rank, the time until which an owner that left grant requests unanswered
 	// is not asked.
 	unresponsiveUntil map[int]time.Duration
@@ -82,16 +82,16 @@
 func newOwnerState(rng *rand.Rand) ownerState {
 	return ownerState{
 		pending:           map[uint64]*request{},
-		lastNumber:        uint64(rng.Intn(maxGrantNumber + 1)),
+		lastRequestNumber: uint64(rng.Intn(maxGrantNumber + 1)),
 		roundTrip:         initialGrantRoundTrip,
 		unresponsiveUntil: map[int]time.Duration{},
 	}
 }
 
-// nextNumber returns the number of the next grant request.
-func (s *ownerState) nextNumber() uint64 {
-	s.lastNumber = s.lastNumber%maxGrantNumber + 1
-	return s.lastNumber
+// nextRequestNumber returns the number of the next grant request.
+func (s *ownerState) nextRequestNumber() uint64 {
+	s.lastRequestNumber = s.lastRequestNumber%maxGrantNumber + 1
+	return s.lastRequestNumber
 }
 
 // ownedBucket is the state that an owner keeps for a customer, in addition to bucket.fleetLevel.
@@ -122,10 +122,10 @@
 type grantState struct {
 	number uint64 // number of the grant request
 	// requests is the number of grant requests sent, or skipped because the owner was unresponsive.
-	requests    int
-	requestedAt time.Duration // time of the first grant request; 0: none was sent
-	awaited     bool          // whether a reply is expected
-	grantedBy   int           // rank of the owner that admitted the request, or noGateway
+	requests      int
+	requestedAt   time.Duration // time of the first grant request; 0: none was sent
+	awaitingReply bool          // whether a reply is expected
+	grantedBy     int           // rank of the owner that admitted the request, or noGateway
 }
 
 // owner returns the rank of a customer's owner for n = 0, and of its standby for n = 1. All gateways
@@ -168,9 +168,9 @@
 			return
 		}
 	}
-	r.grant.awaited = false
+	r.grant.awaitingReply = false
 	g.refresh(c)
-	if r.rejectReason = c.exceeded(r.units); c.plan.CeilingRate > 0 {
+	if r.rejectReason = c.exceededLimit(r.units); c.plan.CeilingRate > 0 {
 		r.rejectReason = ReasonOverCeiling
 	}
 	g.forwardOrReject(r, r.rejectReason == "")
@@ -179,7 +179,7 @@
 // sendGrantRequest sends a grant request to an owner and sets the timer for its reply.
 func (g *Gateway) sendGrantRequest(r *request, owner int) {
 	r.grant.requests++
-	r.grant.awaited = true
+	r.grant.awaitingReply = true
 	if r.grant.requestedAt == 0 {
 		r.grant.requestedAt = g.now
 	}
@@ -209,7 +209,7 @@
 // flight and ceiling. A repeated request gets the same decision and is charged only once.
 func (g *Gateway) decideGrant(c *customer, from int, number uint64, units float64) bool {
 	g.refresh(c)
-	o, b := &c.asOwner, &c.bucket
+	o, b := &c.ownedBucket, &c.bucket
 	inFlight := 0
 	for i := range o.grants {
 		d := &o.grants[i]
@@ -259,8 +259,8 @@
 
 // endGrant ends a grant as its owner.
 func (g *Gateway) endGrant(c *customer, from int, number uint64, extraUnits float64) {
-	for i := range c.asOwner.grants {
-		if d := &c.asOwner.grants[i]; d.from == from && d.number == number && d.granted {
+	for i := range c.ownedBucket.grants {
+		if d := &c.ownedBucket.grants[i]; d.from == from && d.number == number && d.granted {
 			g.refresh(c)
 			c.bucket.fleetLevel = max(0, c.bucket.fleetLevel+extraUnits)
 			d.inFlight = false
@@ -272,7 +272,7 @@
 // unknown plan or sent to the wrong owner are dropped.
 func (g *Gateway) receiveGrantMessage(from int, text string) {
 	m, ok := parseGrantMessage(text)
-	if !ok || m.planNo >= len(g.cfg.Plans) {
+	if !ok || m.planIndex >= len(g.cfg.Plans) {
 		return
 	}
 	for _, o := range m.observations[:m.observationCount] {
@@ -283,13 +283,13 @@
 	owned := g.owner(m.key, 0) == g.cfg.Rank || g.owner(m.key, 1) == g.cfg.Rank
 	if units, ok := m.requestedUnits(); ok && owned {
 		g.owners.requestRate.add(g.now, 1)
-		c := g.findOrAddCustomer(m.key, m.planNo)
+		c := g.findOrAddCustomer(m.key, m.planIndex)
 		granted := g.decideGrant(c, from, m.number, units)
 		g.sendGrantMessage(from, grantReply, c, m.number, float64(boolToInt(granted)),
-			c.bucket.fleetLevel, c.asOwner.demandRate.perSecond(g.now), c.asOwner.rejectWait)
+			c.bucket.fleetLevel, c.ownedBucket.demandRate.perSecond(g.now), c.ownedBucket.rejectWait)
 	}
 	if extra, ok := m.releasedUnits(); ok && owned {
-		g.endGrant(g.findOrAddCustomer(m.key, m.planNo), from, m.number, extra)
+		g.endGrant(g.findOrAddCustomer(m.key, m.planIndex), from, m.number, extra)
 	}
 	if a, ok := m.answer(); ok {
 		g.receiveGrantReply(from, &m, a)
@@ -308,10 +308,10 @@
 	if r.grant.requests == 1 { // otherwise the reply may be to any of them
 		g.owners.roundTrip += time.Duration(roundTripGain * float64(waited-g.owners.roundTrip))
 	}
-	r.grant.awaited = false
+	r.grant.awaitingReply = false
 	c := r.customer
 	granted := a.granted && (c.plan.CeilingRate == 0 || waited <= ceilingGrantLifetime)
-	c.fromOwner.fleetDemand, c.fromOwner.repliedAt = a.fleetDemand, g.now
+	c.ownerReport.fleetDemand, c.ownerReport.repliedAt = a.fleetDemand, g.now
 	g.refresh(c)
 	c.bucket.level = c.bucket.share * a.fleetLevel
 	if granted {
@@ -325,23 +325,23 @@
 // rejectUntilLeaked makes this gateway reject requests by itself until the bucket can have leaked enough
 // for the units, or for as long as the owner demands if that is longer.
 func (c *customer) rejectUntilLeaked(now time.Duration, units float64, a grantAnswer) {
-	leaks := min(maxLeakWait, (a.fleetLevel+units-c.plan.Burst)/max(c.plan.Rate, minLeakRate))
-	c.fromOwner.rejectUntil = now + time.Duration(max(a.rejectWait, leaks)*float64(time.Second))
+	leakWait := min(maxLeakWait, (a.fleetLevel+units-c.plan.Burst)/max(c.plan.Rate, minLeakRate))
+	c.ownerReport.rejectUntil = now + time.Duration(max(a.rejectWait, leakWait)*float64(time.Second))
 }
 
 // sendGrantMessage sends a grant message with the given values, and with the load and the recent
 // observations of this gateway.
-func (g *Gateway) sendGrantMessage(to int, kind grantKind, c *customer, number uint64, figures ...float64) {
+func (g *Gateway) sendGrantMessage(to int, kind grantKind, c *customer, number uint64, values ...float64) {
 	m := grantMessage{
 		kind:             kind,
 		key:              c.key,
-		planNo:           c.planNo,
+		planIndex:        c.planIndex,
 		number:           number,
 		inFlight:         g.endpoints.totals.inFlight,
-		responseRate:     g.evidence.responseRate.perSecond(g.now),
-		observations:     g.evidence.recent.entries,
-		observationCount: g.evidence.recent.count,
+		responseRate:     g.responseStats.responseRate.perSecond(g.now),
+		observations:     g.responseStats.recent.entries,
+		observationCount: g.responseStats.recent.count,
 	}
-	m.setFigures(figures...)
+	m.setValues(values...)
 	g.emit(SendGossip{to, m.encode()})
 }
--- a/decide/quotaowner_test.go
+++ b/decide/quotaowner_test.go
@@ -32,12 +32,12 @@
 	fleet := newCluster(t, 300, nil)
 	key := hashKey("x")
 	owner := fleet.gateways[fleet.gateways[0].owner(key, 0)]
-	ask := grantMessage{kind: grantRequest, key: key, planNo: 1, number: 7, figureCount: 1, figures: [4]float64{2}}
+	ask := grantMessage{kind: grantRequest, key: key, planIndex: 1, number: 7, valueCount: 1, values: [4]float64{2}}
 	other := ask
-	other.planNo = 40
-	wrongOwner := grantMessage{kind: grantRequest, key: key + 1, planNo: 1, figureCount: 1}
-	reply := grantMessage{kind: grantReply, key: key, figureCount: 4}
-	negative := grantMessage{kind: grantRequest, key: key, planNo: 1, figureCount: 1, figures: [4]float64{-2}}
+	other.planIndex = 40
+	wrongOwner := grantMessage{kind: grantRequest, key: key + 1, planIndex: 1, valueCount: 1}
+	reply := grantMessage{kind: grantReply, key: key, valueCount: 4}
+	negative := grantMessage{kind: grantRequest, key: key, planIndex: 1, valueCount: 1, values: [4]float64{-2}}
 	for _, text := range []string{
 		"",
 		"a",
@@ -91,12 +91,12 @@
 	key := hashKey("someone")
 	g := fleet.gateways[0]
 	granted := func(owner, no int) bool {
-		m := grantMessage{kind: grantRequest, key: key, planNo: 1, number: uint64(no), figureCount: 1,
-			figures: [4]float64{2}}
+		m := grantMessage{kind: grantRequest, key: key, planIndex: 1, number: uint64(no), valueCount: 1,
+			values: [4]float64{2}}
 		for _, a := range actionsOf[SendGossip](fleet.gateways[owner].Handle(fleet.now,
 			GossipReceived{From: 9, Text: m.encode()})) {
 			if r, ok := parseGrantMessage(a.Text); ok && r.kind == grantReply {
-				return r.figures[0] > 0
+				return r.values[0] > 0
 			}
 		}
 		t.Fatalf("owner %d gave no reply", owner)
@@ -128,11 +128,11 @@
 	grants := func(n int) (granted int) {
 		for i := 0; i < n; i++ {
 			no++
-			m := grantMessage{kind: grantRequest, key: key, planNo: 3, number: no, figureCount: 1,
-				figures: [4]float64{1}}
+			m := grantMessage{kind: grantRequest, key: key, planIndex: 3, number: no, valueCount: 1,
+				values: [4]float64{1}}
 			for _, a := range actionsOf[SendGossip](owner.Handle(fleet.now,
 				GossipReceived{From: 9, Text: m.encode()})) {
-				if r, ok := parseGrantMessage(a.Text); ok && r.kind == grantReply && r.figures[0] > 0 {
+				if r, ok := parseGrantMessage(a.Text); ok && r.kind == grantReply && r.values[0] > 0 {
 					granted++
 				}
 			}
@@ -164,8 +164,8 @@
 	}
 	req("first")
 	for no, r := range g.owners.pending {
-		m := grantMessage{kind: grantReply, key: r.customer.key, planNo: r.customer.planNo, number: no, figureCount: 4,
-			figures: [4]float64{0, 12, 9, 1}}
+		m := grantMessage{kind: grantReply, key: r.customer.key, planIndex: r.customer.planIndex, number: no, valueCount: 4,
+			values: [4]float64{0, 12, 9, 1}}
 		acts := g.Handle(fleet.now+20*ms, GossipReceived{From: g.owner(r.customer.key, 0), Text: m.encode()})
 		if len(actionsOf[Reject](acts)) != 1 {
 			t.Errorf("rejected by the owner: got %#v, want one rejection at once", acts)
--- a/decide/rate.go
+++ b/decide/rate.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// rate is an exponentially decaying average of units per second, with the time constant demandMemory.
+// rate is an exponentially decaying average of units per second, with the time constant rateTimeConstant.
 type rate struct {
 	value     float64 // units per second at updatedAt
 	updatedAt time.Duration
@@ -13,11 +13,11 @@
 
 // add counts units used at the time now.
 func (r *rate) add(now time.Duration, units float64) {
-	r.value = r.perSecond(now) + units/demandMemory.Seconds()
+	r.value = r.perSecond(now) + units/rateTimeConstant.Seconds()
 	r.updatedAt = now
 }
 
 // perSecond returns the rate at the time now, in units per second.
 func (r *rate) perSecond(now time.Duration) float64 {
-	return r.value * math.Exp(-(now-r.updatedAt).Seconds()/demandMemory.Seconds())
+	return r.value * math.Exp(-(now-r.updatedAt).Seconds()/rateTimeConstant.Seconds())
 }
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -33,11 +33,11 @@
 // earn adds the gain of a first attempt to the budget.
 func (b *retryBudget) earn() { b.tokens = min(maxRetryBudget, b.tokens+retryBudgetGain) }
 
-// has reports whether the budget holds the price.
-func (b *retryBudget) has(price float64) bool { return b.tokens >= price }
+// has reports whether the budget holds the cost.
+func (b *retryBudget) has(cost float64) bool { return b.tokens >= cost }
 
-// spend takes the price from the budget.
-func (b *retryBudget) spend(price float64) { b.tokens -= price }
+// spend takes the cost from the budget.
+func (b *retryBudget) spend(cost float64) { b.tokens -= cost }
 
 // attemptOverdue handles an attempt that should have been answered by now. If the server has responded to
 // other requests since the attempt was sent, this request is merely costly. Otherwise the server may be
@@ -51,7 +51,7 @@
 func (g *Gateway) attemptOverdue(r *request, a *attempt) {
 	s := a.endpoint
 	knownToFail := g.failureRatio(s, r.class) >= cancelFailureRatio
-	if g.evidenceScarcity() == 1 && !knownToFail {
+	if g.observationSparsity() == 1 && !knownToFail {
 		return
 	}
 	g.observeOwn(s, r.class, g.now-a.sentAt, true)
@@ -59,9 +59,9 @@
 		return
 	}
 	silence := g.now - max(s.lastResponse, g.startedAt)
-	missing := s.sendRate.perSecond(g.now) * silence.Seconds()
-	if missing < minMissingResponses && !knownToFail {
-		g.recheckLater(r, a)
+	missingResponses := s.sendRate.perSecond(g.now) * silence.Seconds()
+	if missingResponses < minMissingResponses && !knownToFail {
+		g.scheduleRecheck(r, a)
 		return
 	}
 	if r.finished || r.streaming || !g.retryBudget.has(1) || r.class.Idempotency == NotIdempotent {
@@ -75,35 +75,35 @@
 	}
 }
 
-// recheckLater sets another timer for an overdue attempt, after half of the time that the attempt has taken
-// so far.
-func (g *Gateway) recheckLater(r *request, a *attempt) {
+// scheduleRecheck sets another timer for an overdue attempt, after half of the time that the attempt has
+// taken so far.
+func (g *Gateway) scheduleRecheck(r *request, a *attempt) {
 	if at := g.now + (g.now-a.sentAt)/2; at < r.usefulUntil && !r.finished {
 		g.setTimer(r.ID, a.number, at)
 	}
 }
 
 // retry sends another attempt if the limits, the remaining time and the retry budget allow it, and reports
-// whether it did. The price is the number of tokens that the attempt takes from the budget.
-func (g *Gateway) retry(r *request, failedBefore *endpoint, price float64) bool {
-	if !g.retryBudget.has(price) || len(r.attempts) >= g.cfg.Limits.MaxAttempts {
+// whether it did. The cost is the number of tokens that the attempt takes from the budget.
+func (g *Gateway) retry(r *request, lastFailed *endpoint, cost float64) bool {
+	if !g.retryBudget.has(cost) || len(r.attempts) >= g.cfg.Limits.MaxAttempts {
 		return false
 	}
 	if r.inFlight > 0 && !g.cfg.Limits.Hedging {
 		return false
 	}
-	s, expected := g.selectEndpoint(r, failedBefore)
-	if s == nil || expected > (r.usefulUntil-g.now).Seconds() || (r.inFlight > 0 && s == failedBefore) {
+	s, expected := g.selectEndpoint(r, lastFailed)
+	if s == nil || expected > (r.usefulUntil-g.now).Seconds() || (r.inFlight > 0 && s == lastFailed) {
 		return false
 	}
-	g.retryBudget.spend(price)
+	g.retryBudget.spend(cost)
 	g.send(r, s)
 	return true
 }
 
-// mayRepeatAt reports whether the request may be sent to the server, given its previous attempts that may
+// mayResendTo reports whether the request may be sent to the server, given its previous attempts that may
 // have run. This prevents a request that must not run twice from running twice.
-func (g *Gateway) mayRepeatAt(r *request, s *endpoint) bool {
+func (g *Gateway) mayResendTo(r *request, s *endpoint) bool {
 	k := r.class
 	if k.Idempotency == Idempotent {
 		return true
@@ -112,7 +112,7 @@
 		if !a.mayHaveRun {
 			continue
 		}
-		if k.Idempotency == NotIdempotent || !k.knowsRepeats(a.endpoint, s) {
+		if k.Idempotency == NotIdempotent || !k.sharesDedupScope(a.endpoint, s) {
 			return false
 		}
 		if g.now-a.sentAt >= k.DedupWindow-objectiveMargin {
@@ -122,9 +122,9 @@
 	return true
 }
 
-// knowsRepeats reports whether the second server drops a duplicate of a request that the first one has
+// sharesDedupScope reports whether the second server drops a duplicate of a request that the first one has
 // received.
-func (k *class) knowsRepeats(first, second *endpoint) bool {
+func (k *class) sharesDedupScope(first, second *endpoint) bool {
 	switch k.DedupScope {
 	case DedupInFleet:
 		return true
@@ -155,7 +155,7 @@
 func (g *Gateway) reject(id string, reason RejectReason) {
 	a := Reject{ID: id, Reason: reason}
 	if g.cfg.Limits.RetryAfter {
-		a.RetryAfter = min(g.cfg.Limits.MaxRetryAfter, g.timesObjective(retryAfterObjectives))
+		a.RetryAfter = min(g.cfg.Limits.MaxRetryAfter, g.objectiveMultiple(retryAfterObjectives))
 	}
 	g.emit(a)
 }
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -5,11 +5,11 @@
 	// starts at a random server.
 	maxCandidates = 16
 
-	// crossZoneFactor multiplies the cost of a server in another zone.
-	crossZoneFactor = 1.03
+	// crossZoneCostFactor multiplies the cost of a server in another zone.
+	crossZoneCostFactor = 1.03
 
-	// failedBeforeFactor multiplies the cost of the server that failed the request's previous attempt.
-	failedBeforeFactor = 3
+	// lastFailedCostFactor multiplies the cost of the server that failed the request's previous attempt.
+	lastFailedCostFactor = 3
 
 	// costNoise is the largest fraction by which a cost is raised at random, so that gateways do not all
 	// select the same server.
@@ -22,7 +22,7 @@
 // eligible reports whether a server may receive a request, given the state of the server, its slow start
 // and the idempotency of the request.
 func (g *Gateway) eligible(s *endpoint, r *request) bool {
-	return s.State == Serving && !g.heldBySlowStart(s) && g.mayRepeatAt(r, s)
+	return s.State == Serving && !g.blockedBySlowStart(s) && g.mayResendTo(r, s)
 }
 
 // selectEndpoint returns the candidate with the lowest cost and its expected latency in seconds, or nil if
@@ -30,8 +30,8 @@
 // candidate are ejected. They are compared with the best candidate so that a fault that all servers share
 // ejects none of them.
 //
-// failedBefore is the server that failed the request's previous attempt, or nil.
-func (g *Gateway) selectEndpoint(r *request, failedBefore *endpoint) (*endpoint, float64) {
+// lastFailed is the server that failed the request's previous attempt, or nil.
+func (g *Gateway) selectEndpoint(r *request, lastFailed *endpoint) (*endpoint, float64) {
 	var found [maxCandidates]*endpoint
 	candidates, leastFailures := g.candidates(r, found[:0])
 	var best *endpoint
@@ -42,8 +42,8 @@
 			continue
 		}
 		cost := g.endpointCost(r, s, failures)
-		if s == failedBefore {
-			cost *= failedBeforeFactor
+		if s == lastFailed {
+			cost *= lastFailedCostFactor
 		}
 		if best == nil || cost < leastCost {
 			best, leastCost = s, cost
@@ -60,9 +60,9 @@
 func (g *Gateway) candidates(r *request, found []*endpoint) ([]*endpoint, float64) {
 	all := g.endpoints.sorted
 	leastFailures := 1.0
-	from := g.rng.Intn(max(1, len(all)))
+	start := g.rng.Intn(max(1, len(all)))
 	for i := 0; i < len(all) && len(found) < cap(found); i++ {
-		s := all[(from+i)%len(all)]
+		s := all[(start+i)%len(all)]
 		if g.eligible(s, r) {
 			found = append(found, s)
 			leastFailures = min(leastFailures, g.failureRatio(s, r.class))
@@ -78,11 +78,11 @@
 // equal probability, they would overload the slow ones.
 func (g *Gateway) endpointCost(r *request, s *endpoint, failures float64) float64 {
 	cost := g.expectedLatency(s, r.class) / max(minSuccessRatio, 1-failures) * (1 + costNoise*g.rng.Float64())
-	if g.evidenceScarcity() == 1 {
+	if g.observationSparsity() == 1 {
 		cost *= g.rng.ExpFloat64() // the lowest draw is a server's with a probability of 1/cost
 	}
 	if s.Zone != g.cfg.Zone {
-		cost *= crossZoneFactor
+		cost *= crossZoneCostFactor
 	}
 	return cost
 }
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -23,17 +23,18 @@
 // server's capacity without coordination. The rate is 0 while this gateway sends no requests to warm
 // servers. In that case the server receives no requests from this gateway until its slow start is over.
 func (g *Gateway) slowStartRate(s *endpoint) float64 {
-	perWarm := g.endpoints.totals.sendRate / max(g.endpoints.totals.warm, 1)
+	ratePerWarmServer := g.endpoints.totals.sendRate / max(g.endpoints.totals.warm, 1)
 	safety := &g.cfg.Safety
-	from := safety.SlowStartCapacity
+	initialCapacity := safety.SlowStartCapacity
 	progress := 1 - (s.slowStart.until-g.now).Seconds()/safety.SlowStartDuration.Seconds()
-	return slowStartMargin * safety.OverloadMultiple * (from + (1-from)*progress) * perWarm
+	return slowStartMargin * safety.OverloadMultiple *
+		(initialCapacity + (1-initialCapacity)*progress) * ratePerWarmServer
 }
 
-// heldBySlowStart reports whether a server is in slow start and has no budget for a request. The budget
+// blockedBySlowStart reports whether a server is in slow start and has no budget for a request. The budget
 // starts at a random fraction of a request, see updateEndpoint. Otherwise hundreds of gateways would each
 // send the server a request at the same time.
-func (g *Gateway) heldBySlowStart(s *endpoint) bool {
+func (g *Gateway) blockedBySlowStart(s *endpoint) bool {
 	w := &s.slowStart
 	if w.until <= g.now {
 		return false
--- a/decide/status.go
+++ b/decide/status.go
@@ -28,7 +28,7 @@
 	State        ServerState
 	InFlight     int       // attempts of this gateway in flight
 	Orphaned     int       // attempts that ended without a response and may still be running
-	Slowness     float64   // latency as a multiple of the usual latency
+	Slowness     float64   // latency as a multiple of the baseline latency
 	FailureRatio []float64 // fraction of requests with an error or no response, by class index
 	// Ejected reports whether, for some class, the server fails so much more than the best one that it
 	// receives no requests of this class while others can.
--- a/decide/timers.go
+++ b/decide/timers.go
@@ -58,7 +58,7 @@
 		return
 	}
 	if target.attempt == grantTimer {
-		if r := g.requests[target.requestID]; r != nil && r.grant.awaited {
+		if r := g.requests[target.requestID]; r != nil && r.grant.awaitingReply {
 			g.grantTimedOut(r, target.dueAt)
 		}
 		return
@@ -89,6 +89,6 @@
 	g.sendDueGossip()
 	g.endpoints.dropRemoved(g.now)
 	g.endpoints.updateTotals(g.now)
-	g.load.update(g.endpoints.totals.inFlight, g.evidence.responseRate.perSecond(g.now), ownLoadGain)
+	g.load.update(g.endpoints.totals.inFlight, g.responseStats.responseRate.perSecond(g.now), ownLoadGain)
 	g.customers.dropIdle(g.now)
 }
--- a/decide/usagereport.go
+++ b/decide/usagereport.go
@@ -15,9 +15,9 @@
 	usageFactorGrowth = 1.02
 	usageFactorShrink = 0.95
 
-	// demandRatioMemory is the time constant with which a reported demand ratio decays to the typical one
-	// of the plan.
-	demandRatioMemory = 30 * time.Second
+	// demandRatioTimeConstant is the time constant with which a reported demand ratio decays to the typical
+	// one of the plan.
+	demandRatioTimeConstant = 30 * time.Second
 
 	// initialDemandPerRequest is the demand ratio per recent request that is assumed before any report.
 	initialDemandPerRequest = 0.25
@@ -46,7 +46,8 @@
 	demandRatio   float64
 	demandRatioAt time.Duration
 
-	// The number of requests received at this gateway, decaying with the time constant demandRatioMemory.
+	// The number of requests received at this gateway, decaying with the time constant
+	// demandRatioTimeConstant.
 	recentRequests   float64
 	recentRequestsAt time.Duration
 }
@@ -66,13 +67,13 @@
 // countRequest counts a request in recentRequests.
 func (u *usage) countRequest(now time.Duration) {
 	u.recentRequests = 1 + u.recentRequests*
-		math.Exp(-(now-u.recentRequestsAt).Seconds()/demandRatioMemory.Seconds())
+		math.Exp(-(now-u.recentRequestsAt).Seconds()/demandRatioTimeConstant.Seconds())
 	u.recentRequestsAt = now
 }
 
-// onlyUsageReports reports whether usage reports are the only information that the customer's gateways have
-// about each other.
-func (g *Gateway) onlyUsageReports(c *customer) bool {
+// hasOnlyUsageReports reports whether usage reports are the only information that the customer's gateways
+// have about each other.
+func (g *Gateway) hasOnlyUsageReports(c *customer) bool {
 	return g.cfg.UsageReportPeriod > 0 && c.gatewayCount > 1 && g.gossip.full && len(g.gossip.peers) == 0
 }
 
@@ -86,15 +87,15 @@
 // until there is a report about it.
 func (g *Gateway) demandRatio(c *customer) float64 {
 	u := &c.usage
-	usual := u.recentRequests * math.Exp(g.planDemand[c.planNo])
-	fade := math.Exp(-(g.now - u.demandRatioAt).Seconds() / demandRatioMemory.Seconds())
-	return usual + (u.demandRatio-usual)*fade
+	typical := u.recentRequests * math.Exp(g.planDemand[c.planIndex])
+	decay := math.Exp(-(g.now - u.demandRatioAt).Seconds() / demandRatioTimeConstant.Seconds())
+	return typical + (u.demandRatio-typical)*decay
 }
 
 // updateUsage applies a usage report. The usage is in percent of the plan's rate or, for plans without a
 // rate, of the limit of attempts in flight.
 func (g *Gateway) updateUsage(c *customer, percent float64) {
-	if g.onlyUsageReports(c) && c.usage.recentRequests > 0 {
+	if g.hasOnlyUsageReports(c) && c.usage.recentRequests > 0 {
 		g.updateDemandRatio(c, percent)
 	}
 	u := &c.usage
@@ -110,23 +111,23 @@
 // number of responses that carry the same report.
 func (g *Gateway) updateDemandRatio(c *customer, percent float64) {
 	u := &c.usage
-	last := g.demandRatio(c)
+	previous := g.demandRatio(c)
 	gain := min(1, float64(g.now-u.demandRatioAt)/float64(usageStaleAfter))
 	if c.plan.Rate > 0 { // a burst within the quota does not show excess demand
 		gain *= min(1, g.cfg.UsageReportPeriod.Seconds()*c.plan.Rate/c.plan.Burst)
 	}
-	admitted := min(1, 1/last) // fraction of requests admitted in the period of the report
-	u.demandRatio = max(minDemandRatio, last+gain*(percent/100/admitted-last))
+	admitted := min(1, 1/previous) // fraction of requests admitted in the period of the report
+	u.demandRatio = max(minDemandRatio, previous+gain*(percent/100/admitted-previous))
 	u.demandRatioAt = g.now
-	usual := &g.planDemand[c.planNo]
+	typical := &g.planDemand[c.planIndex]
 	perRequest := math.Log(u.demandRatio / u.recentRequests)
-	*usual += planDemandGain * min(1/admitted, maxPlanDemandWeight) * (perRequest - *usual)
+	*typical += planDemandGain * min(1/admitted, maxPlanDemandWeight) * (perRequest - *typical)
 }
 
-// shareByUsage returns the share of a customer whose other gateways send no gossip: this gateway's fraction
-// of the reported usage, reduced while that usage exceeds the rate. Without a recent report, it is the even
-// share.
-func (g *Gateway) shareByUsage(c *customer, even float64) float64 {
+// shareFromUsageReports returns the share of a customer whose other gateways send no gossip: this gateway's
+// fraction of the reported usage, reduced while that usage exceeds the rate. Without a recent report, it is
+// the even share.
+func (g *Gateway) shareFromUsageReports(c *customer, even float64) float64 {
 	u := &c.usage
 	if u.reported > 0 && g.now-u.reportedAt < usageStaleAfter {
 		return max(even, min(1, u.factor*u.rate.perSecond(g.now)/u.reported))
--- a/decide/usagereport_test.go
+++ b/decide/usagereport_test.go
@@ -17,7 +17,7 @@
 		h.handle(AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: ms, RequestDone: true,
 			ReportedUsage: metered})
 		c := h.g.customers.byKey[hashKey("c")]
-		h.g.charge(c, 1800) // 900 units per second over demandMemory, of a rate of 1000
+		h.g.charge(c, 1800) // 900 units per second over rateTimeConstant, of a rate of 1000
 		if h.g.refresh(c); math.Abs(c.bucket.share-want) > 0.01 {
 			t.Errorf("reported %d: share is %v, want %v", metered, c.bucket.share, want)
 		}
@@ -33,8 +33,8 @@
 	for _, c := range []struct {
 		plan   Plan
 		demand [2]float64 // requests per second of customers with high and with low demand
-		// most is the largest multiple of the quota that customers with high demand may get; fair is the least
-		// fraction of the requests of customers with low demand that must be admitted.
+		// most is the largest multiple of the quota that customers with high demand may get; fair is the
+		// least fraction of the requests of customers with low demand that must be admitted.
 		most, fair float64
 	}{
 		{Plan{Name: "p", MaxInFlight: 2}, [2]float64{30, 1}, 2, 0.35},
