--- a/decide/quotaowner_test.go
+++ b/decide/quotaowner_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestOwnersDown: with both owners of a customer down, the bucket of each gateway decides.
+// With both owners of a customer down, each gateway must decide by its own share. Otherwise the customer
+// would get nothing until an owner returns.
 func TestOwnersDown(t *testing.T) {
 	fleet := newCluster(t, 300, nil)
 	key := hashKey("x")
@@ -24,18 +25,19 @@
 	}
 }
 
-// TestMalformedGrantMessagesAreDropped: grant messages that are malformed, of unknown plans or sent to the wrong
-// owner change nothing, and one that comes twice is charged once.
+// Grant messages that are malformed, for unknown plans, or sent to the wrong owner must change nothing, and
+// a duplicate request must be charged only once. Datagrams may be repeated or come from other versions of
+// the program.
 func TestMalformedGrantMessagesAreDropped(t *testing.T) {
 	fleet := newCluster(t, 300, nil)
 	key := hashKey("x")
 	owner := fleet.gateways[fleet.gateways[0].owner(key, 0)]
-	ask := grantMessage{kind: grantRequest, key: key, planNo: 1, number: 7, figureCount: 1, figures: [4]float64{2}}
+	ask := grantMessage{kind: grantRequest, key: key, planIndex: 1, number: 7, valueCount: 1, values: [4]float64{2}}
 	other := ask
-	other.planNo = 40
-	wrongOwner := grantMessage{kind: grantRequest, key: key + 1, planNo: 1, figureCount: 1}
-	reply := grantMessage{kind: grantReply, key: key, figureCount: 4}
-	negative := grantMessage{kind: grantRequest, key: key, planNo: 1, figureCount: 1, figures: [4]float64{-2}}
+	other.planIndex = 40
+	wrongOwner := grantMessage{kind: grantRequest, key: key + 1, planIndex: 1, valueCount: 1}
+	reply := grantMessage{kind: grantReply, key: key, valueCount: 4}
+	negative := grantMessage{kind: grantRequest, key: key, planIndex: 1, valueCount: 1, values: [4]float64{-2}}
 	for _, text := range []string{
 		"",
 		"a",
@@ -65,7 +67,7 @@
 	}
 }
 
-// TestWaitForOwnersEndsByTheDeadline: with both owners silent a request is answered before its client leaves.
+// With both owners silent, a request must get its final answer before its client gives up.
 func TestWaitForOwnersEndsByTheDeadline(t *testing.T) {
 	g := newCluster(t, 300, nil).gateways[4]
 	until := time.Hour + 30*ms
@@ -82,19 +84,19 @@
 	t.Errorf("no answer by the deadline: %#v", acts)
 }
 
-// TestStandbyGrantsOnlyWhatLeaks: a standby that does not know a customer grants no fresh quota, only what leaks. The
-// owner itself starts at half of the mark.
+// A standby does not know what the owner has granted. It must grant only what leaks, or the customer would
+// get a second quota when the owner fails. The owner itself starts with half of the high-water mark.
 func TestStandbyGrantsOnlyWhatLeaks(t *testing.T) {
 	fleet := newCluster(t, 300, nil)
 	key := hashKey("someone")
 	g := fleet.gateways[0]
 	granted := func(owner, no int) bool {
-		m := grantMessage{kind: grantRequest, key: key, planNo: 1, number: uint64(no), figureCount: 1,
-			figures: [4]float64{2}}
+		m := grantMessage{kind: grantRequest, key: key, planIndex: 1, number: uint64(no), valueCount: 1,
+			values: [4]float64{2}}
 		for _, a := range actionsOf[SendGossip](fleet.gateways[owner].Handle(fleet.now,
 			GossipReceived{From: 9, Text: m.encode()})) {
 			if r, ok := parseGrantMessage(a.Text); ok && r.kind == grantReply {
-				return r.figures[0] > 0
+				return r.values[0] > 0
 			}
 		}
 		t.Fatalf("owner %d gave no reply", owner)
@@ -107,15 +109,15 @@
 	if granted(second, 1) {
 		t.Error("a standby that knows nothing granted at once")
 	}
-	fleet.now += time.Second // at three units a second
+	fleet.now += time.Second // the rate is three units per second
 	if !granted(second, 2) || granted(second, 3) {
 		t.Error("after a second the standby should grant what leaked, and no more")
 	}
 }
 
-// TestOwnerHoldsInFlightLimitWhileResponsesAreSlow: what an owner granted under a limit of attempts in flight counts
-// until it is released, or nobody can wait for it any more. Slow servers keep attempts in flight for longer than the
-// shortest objective.
+// A grant under a limit of attempts in flight must count until it is released or the longest objective has
+// passed. If it expired after the shortest objective, slow servers would keep more attempts in flight than
+// the limit allows.
 func TestOwnerHoldsInFlightLimitWhileResponsesAreSlow(t *testing.T) {
 	fleet := newCluster(t, 300, func(c *Config) {
 		c.Classes = append(c.Classes, Class{Name: "quick", Idempotency: Idempotent, LatencyObjective: 200 * ms,
@@ -126,11 +128,11 @@
 	grants := func(n int) (granted int) {
 		for i := 0; i < n; i++ {
 			no++
-			m := grantMessage{kind: grantRequest, key: key, planNo: 3, number: no, figureCount: 1,
-				figures: [4]float64{1}}
+			m := grantMessage{kind: grantRequest, key: key, planIndex: 3, number: no, valueCount: 1,
+				values: [4]float64{1}}
 			for _, a := range actionsOf[SendGossip](owner.Handle(fleet.now,
 				GossipReceived{From: 9, Text: m.encode()})) {
-				if r, ok := parseGrantMessage(a.Text); ok && r.kind == grantReply && r.figures[0] > 0 {
+				if r, ok := parseGrantMessage(a.Text); ok && r.kind == grantReply && r.values[0] > 0 {
 					granted++
 				}
 			}
@@ -150,8 +152,9 @@
 	}
 }
 
-// TestRejectedByOwnerIsAnsweredAtOnce: in a large fleet too, with the reply of the owner, and from then on without a
-// grant request.
+// A request that the owner rejects must be rejected as soon as the reply arrives, and later requests
+// without asking the owner again. Otherwise clients wait for an answer that is already known, and the owner
+// is overloaded.
 func TestRejectedByOwnerIsAnsweredAtOnce(t *testing.T) {
 	fleet := newCluster(t, 300, nil)
 	g := fleet.gateways[3]
@@ -161,8 +164,8 @@
 	}
 	req("first")
 	for no, r := range g.owners.pending {
-		m := grantMessage{kind: grantReply, key: r.customer.key, planNo: r.customer.planNo, number: no, figureCount: 4,
-			figures: [4]float64{0, 12, 9, 1}}
+		m := grantMessage{kind: grantReply, key: r.customer.key, planIndex: r.customer.planIndex, number: no, valueCount: 4,
+			values: [4]float64{0, 12, 9, 1}}
 		acts := g.Handle(fleet.now+20*ms, GossipReceived{From: g.owner(r.customer.key, 0), Text: m.encode()})
 		if len(actionsOf[Reject](acts)) != 1 {
 			t.Errorf("rejected by the owner: got %#v, want one rejection at once", acts)
