--- a/internal/aggregate/aggregator.go
+++ b/internal/aggregate/aggregator.go
@@ -293,8 +293,8 @@
 		}
 	}
 	slices.SortFunc(out, func(x, y FleetTotal) int {
-		if x.Class != y.Class {
-			if x.Class {
+		if x.IsClass != y.IsClass {
+			if x.IsClass {
 				return -1
 			}
 			return 1
--- a/internal/aggregate/stored_test.go
+++ b/internal/aggregate/stored_test.go
@@ -40,7 +40,7 @@
 	w.run(time.Minute)
 	for _, x := range w.aggregators {
 		for _, s := range x.FleetTotals() {
-			fmt.Fprintf(d, "%t %s %t %d %d %d %v\n", s.Key.Class, s.Key.Name, s.Primary, s.Served, s.Rejected, s.Failed, s.Units)
+			fmt.Fprintf(d, "%t %s %t %d %d %d %v\n", s.Key.IsClass, s.Key.Name, s.Primary, s.Served, s.Rejected, s.Failed, s.Units)
 		}
 	}
 	return w.sent, d.Sum64()
--- a/internal/aggregate/totals.go
+++ b/internal/aggregate/totals.go
@@ -4,13 +4,13 @@
 
 // Key is a customer or a class of requests.
 type Key struct {
-	Class bool
-	Name  string
+	IsClass bool
+	Name    string
 }
 
 func (k Key) hash() uint64 {
 	kind := "m/"
-	if k.Class {
+	if k.IsClass {
 		kind = "c/"
 	}
 	return xxhash.Sum64String(kind + k.Name)
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -37,7 +37,7 @@
 		Seed:           seed,
 	}
 	for _, class := range g.fleet.Decide.Classes {
-		s.Keys = append(s.Keys, aggregate.Key{Class: true, Name: class.Name})
+		s.Keys = append(s.Keys, aggregate.Key{IsClass: true, Name: class.Name})
 	}
 	for _, m := range g.fleet.Members {
 		s.Keys = append(s.Keys, aggregate.Key{Name: m.Name})
@@ -217,6 +217,6 @@
 	default:
 		return
 	}
-	l.totals.Add(l.now, aggregate.Key{Class: true, Name: r.Class}, totals)
+	l.totals.Add(l.now, aggregate.Key{IsClass: true, Name: r.Class}, totals)
 	l.totals.Add(l.now, aggregate.Key{Name: r.Customer}, totals)
 }
--- a/internal/gateway/statejson.go
+++ b/internal/gateway/statejson.go
@@ -75,16 +75,16 @@
 		Ceiling:      v.Ceiling,
 		FirstGateway: v.First,
 		GatewayCount: v.Spread,
-		MadeHere:     v.Mine,
+		MadeHere:     v.AcceptedHere,
 		Open:         v.Open,
 		Ended:        v.Ended,
 		HeldTokens:   v.Free,
 		DrawnTokens:  v.Drawn,
-		InFlight:     v.Out,
+		InFlight:     v.InFlight,
 		Waiting:      v.Waiting,
 		UsedUnits:    v.Spent,
-		GivenUnits:   v.Given,
-		CeilingRoom:  v.Room,
+		GivenUnits:   v.Transferred,
+		CeilingRoom:  v.CeilingRoom,
 	}
 }
 
--- a/internal/metrics/collector.go
+++ b/internal/metrics/collector.go
@@ -195,7 +195,7 @@
 		if f.Primary {
 			key.replica = "0"
 		}
-		if !f.Class {
+		if !f.IsClass {
 			key.kind, key.name = "member", c.memberLabel(f.Name)
 		}
 		t := totals[key]
--- a/internal/metrics/names_test.go
+++ b/internal/metrics/names_test.go
@@ -23,7 +23,7 @@
 			Usage:              &UsageBacklog{Rejecting: true},
 			RemoteWriteSamples: map[string]float64{"sent": 1},
 			FleetTotals: []aggregate.FleetTotal{
-				{Key: aggregate.Key{Class: true, Name: "look"}, Primary: true},
+				{Key: aggregate.Key{IsClass: true, Name: "look"}, Primary: true},
 				{Key: aggregate.Key{Name: "m"}},
 			},
 		}
--- a/internal/quotaplan/admission.go
+++ b/internal/quotaplan/admission.go
@@ -34,7 +34,7 @@
 	Burst         float64 // units at once, with a Rate
 	Ceiling       bool    // the member's plan has a ceiling, of which Rate and Burst are taken
 	First, Spread int     // the member's gateways, as Member has them
-	Mine          bool    // accepted by this gateway: its tokens are minted here
+	AcceptedHere  bool    // accepted by this gateway: its tokens are minted here
 }
 
 func windowSeconds(c *Change) float64 { return time.Duration(c.To - c.From).Seconds() }
--- a/internal/quotaplan/effective.go
+++ b/internal/quotaplan/effective.go
@@ -198,7 +198,8 @@
 		}
 		p := r.planAt(m.Name, c.From)
 		reservation := Reservation{ID: id, Number: c.Number, Member: c.Member, Units: c.Units, From: c.From, To: c.To,
-			Rate: reservationRate(c, p), Ceiling: p.CeilingRate > 0, First: m.First, Spread: m.Spread, Mine: r.own[id]}
+			Rate: reservationRate(c, p), Ceiling: p.CeilingRate > 0, First: m.First, Spread: m.Spread,
+			AcceptedHere: r.own[id]}
 		reservation.Burst = max(reservation.Rate, r.settings.MaxRequestUnits)
 		if reservation.Ceiling {
 			reservation.Burst = p.CeilingBurst * reservation.Rate / p.CeilingRate
@@ -243,10 +244,10 @@
 // EffectivePlan is the plan that was in force for a member at the last event, less what is reserved.
 func (r *Replica) EffectivePlan(member string) decide.Plan { return r.announced.plans[member] }
 
-// Overspend bounds what a member may spend beyond its new plan while the change spreads for a time, in units: gateways
-// that have not received it admit at the old rate, and up to the old burst. Without a rate before, nothing bounds
-// it and the result is infinite.
-func Overspend(before, after decide.Plan, spread time.Duration) float64 {
+// MaxOverspend bounds what a member may spend beyond its new plan while the change spreads for a time, in units:
+// gateways that have not received it admit at the old rate, and up to the old burst. Without a rate before, nothing
+// bounds it and the result is infinite.
+func MaxOverspend(before, after decide.Plan, spread time.Duration) float64 {
 	rate, burst := max(0, before.Rate-after.Rate), max(0, before.Burst-after.Burst)
 	if before.Rate == 0 && after.Rate > 0 {
 		return math.Inf(1)
--- a/internal/quotaplan/stored_test.go
+++ b/internal/quotaplan/stored_test.go
@@ -34,7 +34,7 @@
 	case AddReservation:
 		r := a.Reservation
 		return fmt.Sprintf("reservation %x %d %s %v %d %d %v %v %t %d %d %t", r.ID, r.Number, r.Member, r.Units, r.From, r.To,
-			r.Rate, r.Burst, r.Ceiling, r.First, r.Spread, r.Mine)
+			r.Rate, r.Burst, r.Ceiling, r.First, r.Spread, r.AcceptedHere)
 	case ResizeReservation:
 		return fmt.Sprintf("resize %x %v", a.ID, a.Units)
 	case ScheduleTick:
--- a/internal/reservation/holding.go
+++ b/internal/reservation/holding.go
@@ -124,7 +124,7 @@
 	h.ceilingRoomAt = l.now.Mono
 	l.byEnd = append(l.byEnd, h)
 	slices.SortFunc(l.byEnd, func(a, b *holding) int { return cmp.Or(cmp.Compare(a.To, b.To), cmp.Compare(a.ID, b.ID)) })
-	if h.Mine && !h.minted && !h.ended && h.mayMint() {
+	if h.AcceptedHere && !h.minted && !h.ended && h.mayMint() {
 		h.minted, h.free = true, h.free+h.Units
 		l.offerShares(h)
 	}
--- a/internal/reservation/ledger.go
+++ b/internal/reservation/ledger.go
@@ -158,11 +158,11 @@
 	quotaplan.Reservation
 	Open, Ended bool
 	Free, Drawn float64 // tokens here: persisted, and spendable or about to be
-	Out         int     // requests in flight
+	InFlight    int     // requests in flight
 	Waiting     int     // requests in the queue
 	Spent       float64 // by requests here, in this process
-	Given       float64 // to other gateways, in this process
-	Room        float64 // under the ceiling; 0 where there is none
+	Transferred float64 // to other gateways, in this process
+	CeilingRoom float64 // under the ceiling; 0 where there is none
 }
 
 // Views lists the announced reservations by the end of their window.
@@ -174,13 +174,13 @@
 			Ended:       h.ended,
 			Free:        h.free,
 			Drawn:       h.drawn + h.drawing,
-			Out:         len(h.inFlight),
+			InFlight:    len(h.inFlight),
 			Waiting:     len(h.queue),
 			Spent:       h.spent,
-			Given:       h.given,
+			Transferred: h.given,
 		}
 		if h.Ceiling {
-			v.Room = h.room()
+			v.CeilingRoom = h.room()
 		}
 		out = append(out, v)
 	}
--- a/internal/reservation/ledger_test.go
+++ b/internal/reservation/ledger_test.go
@@ -274,7 +274,8 @@
 func TestDiskBlocked(t *testing.T) {
 	l := New(Settings{Rank: 0, Gateways: 2, MaxRequestUnits: 8, Epoch: 1})
 	now := quotaplan.Instant{Mono: time.Hour, Wall: 1000 * sec}
-	r := quotaplan.Reservation{ID: 77, Member: "m", Units: 1e6, From: 1000 * sec, To: 2000 * sec, Spread: 2, Mine: true}
+	r := quotaplan.Reservation{ID: 77, Member: "m", Units: 1e6, From: 1000 * sec, To: 2000 * sec, Spread: 2,
+		AcceptedHere: true}
 	l.Handle(now, AddReservation{Reservation: r})
 	for i := range 3 * maxDeferred {
 		now.Mono += time.Millisecond
--- a/internal/reservation/stored_test.go
+++ b/internal/reservation/stored_test.go
@@ -40,7 +40,7 @@
 	switch word {
 	case "reservation":
 		r := quotaplan.Reservation{ID: 77, Number: 3, Member: "escuela", Units: 120, From: 1000 * sec, To: 2000 * sec,
-			Rate: 40, Burst: 60, Ceiling: true, First: 1, Spread: 3, Mine: true}
+			Rate: 40, Burst: 60, Ceiling: true, First: 1, Spread: 3, AcceptedHere: true}
 		return AddReservation{r, []CeilingShare{{0, 0.25}, {1, 0.25}, {2, 0.5}}}
 	case "persisted":
 		var e Persisted
--- a/internal/reservation/world_test.go
+++ b/internal/reservation/world_test.go
@@ -115,7 +115,7 @@
 		}
 	}
 	r := w.reservation
-	r.Mine = w.own[i]
+	r.AcceptedHere = w.own[i]
 	w.handle(i, AddReservation{r, w.ceilingShares})
 	if w.units < w.reservation.Units {
 		w.handle(i, ResizeReservation{w.reservation.ID, w.units})
