--- a/internal/aggregate/aggregator.go
+++ b/internal/aggregate/aggregator.go
@@ -1,12 +1,15 @@
-// Package aggregate sums what all gateways of a fleet counted, for each customer and each class of requests.
+// Package aggregate sums the request counts and units of all gateways of a fleet, for each customer and each
+// class of requests.
 //
-// Each key has two owners among the gateways, which all gateways compute alike from its hash. Every gateway reports its
-// totals since its start to both owners, and each owner adds what they grew by. There is no election and no hand-over,
-// as both owners sum at all times. Reports carry totals, so one that is lost, late or comes twice does no harm.
+// Each key (a customer or a class) has two owners among the gateways. All gateways compute the same owners
+// from the hash of the key. Every gateway reports its totals since its start to both owners, and each owner
+// adds the growth since the previous report. Both owners sum at all times, so there is no election and no
+// hand-over. Reports carry totals, so a lost, late or duplicate report does no harm.
 //
-// An Aggregator is a state machine that the caller drives with the monotonic time: it calls Add for what was counted,
-// Receive for messages, and Tick at NextTick, whose messages it sends. The package does no I/O, reads no clock and
-// starts no goroutine; an Aggregator is not safe for concurrent use.
+// An Aggregator is a state machine that the caller drives with the monotonic time. The caller passes counts
+// to Add and received messages to Receive. At the time that NextTick returns, it calls Tick and sends the
+// messages that Tick returns. The package does no I/O, reads no clock and starts no goroutine. An Aggregator
+// is not safe for concurrent use.
 package aggregate
 
 import (
@@ -18,87 +21,93 @@
 )
 
 const (
-	// minReportInterval is the mean time between reports. It is longer where there are many gateways.
+	// minReportInterval is the shortest mean time between reports. The mean is longer in fleets with many
+	// gateways.
 	minReportInterval = 5 * time.Second
-	// maxCapacityFraction is the part of GossipCapacity that reports take.
+	// maxCapacityFraction is the fraction of GossipCapacity that reports may use.
 	maxCapacityFraction = 0.1
-	// changeRepeats is how many reports repeat a total that has changed: messages may be lost.
+	// changeRepeats is the number of consecutive reports that contain a changed total, because messages may
+	// be lost.
 	changeRepeats = 3
-	// refreshCount is the unchanged totals in each report to an owner, in turn.
+	// refreshCount is the number of totals, in rotation, that each report to an owner contains even if
+	// unchanged.
 	refreshCount = 8
-	// ownerCount is the owners of each key, in a fleet that has as many gateways.
+	// ownerCount is the number of owners of each key. A fleet with fewer gateways has fewer owners.
 	ownerCount = 2
 
-	// Jitter keeps the gateways from reporting in step.
-	jitterLow  = 0.9 // of the interval: the shortest
-	jitterSpan = 0.2 // of the interval: from the shortest to the longest
+	// The report interval is multiplied by a random factor between jitterLow and jitterLow+jitterSpan, so
+	// that the gateways do not report at the same time.
+	jitterLow  = 0.9
+	jitterSpan = 0.2
 )
 
 // Settings are the parameters of an Aggregator.
 type Settings struct {
-	Rank           int     // of this gateway, from 0
-	Gateways       int     // of the fleet
-	Keys           []Key   // others are not counted
-	Incarnation    uint64  // of this gateway's process; higher than that of the one before
-	GossipCapacity float64 // messages a second that a gateway takes in; 0: no bound
-	Seed           int64   // of the random choices
+	Rank           int     // rank of this gateway, from 0
+	Gateways       int     // number of gateways in the fleet
+	Keys           []Key   // keys to count; all others are ignored
+	Incarnation    uint64  // identifies the process; higher than that of the gateway's previous process
+	GossipCapacity float64 // messages per second that a gateway accepts; 0: no limit
+	Seed           int64   // seed of the random choices
 }
 
-// Send is a message for another gateway. It may be lost.
+// Send is a message to another gateway. It may be lost.
 type Send struct {
-	To   int // rank
+	To   int // rank of the receiver
 	Data []byte
 }
 
-// localTotals are what this gateway counted of a key.
+// localTotals holds the totals of a key that this gateway counted itself.
 type localTotals struct {
 	Totals
 	hash    uint64
-	repeats int // reports that must have it
+	repeats int // number of further reports that must contain the totals
 }
 
-// ownedTotals are the fleet's totals of a key that this gateway owns.
+// ownedTotals holds the fleet's totals of a key that this gateway owns.
 type ownedTotals struct {
 	Totals
 	key      Key
-	primary  bool                    // it is the first owner
-	reported map[int]*reportedTotals // by rank
+	primary  bool                    // this gateway is the first owner
+	reported map[int]*reportedTotals // last report of each gateway, by rank
 }
 
-// reportedTotals are what one gateway last reported of a key.
+// reportedTotals holds the totals of a key that a gateway reported last.
 type reportedTotals struct {
 	Totals
 	incarnation uint64
 }
 
-// incarnation is a process of another gateway. It is complete if its first message came here, or this gateway began
-// before it: then all that it counted counts here, also of a key that it had not reported at first.
+// incarnation identifies a process of another gateway. It is complete if this owner received its first
+// message or started before it did. Then everything that the process counted is added here, including a key
+// that was missing from its first reports.
 type incarnation struct {
 	id       uint64
 	complete bool
 }
 
-// Aggregator is one gateway's part of the sums. It is not safe for concurrent use.
+// Aggregator counts for one gateway and sums the totals of the keys that the gateway owns. It is not safe for
+// concurrent use.
 type Aggregator struct {
 	settings Settings
 	random   *rand.Rand
-	keys     map[uint64]Key // of the settings, by hash
+	keys     map[uint64]Key // keys of the settings, by hash
 
 	now       time.Duration
-	started   bool // by the first call
+	started   bool // set by the first call that passes a time
 	startedAt time.Duration
-	reportAt  time.Duration // next report
+	reportAt  time.Duration // time of the next report
 
 	local        map[Key]*localTotals
-	localInOrder []*localTotals // as they were first counted
-	sequence     map[int]uint32 // number of the last report, by owner
-	refreshTurn  map[int]int    // of localInOrder, by owner
+	localInOrder []*localTotals // in the order in which their keys were first counted
+	sequence     map[int]uint32 // number of the last report, by rank of the owner
+	refreshTurn  map[int]int    // position in the rotation of refreshed totals, by rank of the owner
 
-	owned        map[uint64]*ownedTotals // by the key's hash
-	incarnations map[int]incarnation     // of the others, by rank
+	owned        map[uint64]*ownedTotals // by hash of the key
+	incarnations map[int]incarnation     // current processes of the other gateways, by rank
 }
 
-// New returns an aggregator that has counted nothing.
+// New returns an Aggregator that has counted nothing.
 func New(s Settings) *Aggregator {
 	a := &Aggregator{
 		settings:     s,
@@ -122,7 +131,7 @@
 	return a
 }
 
-// owners are the ranks of a key's owners, the first one first.
+// owners returns the ranks of a key's owners, the first owner first.
 func (a *Aggregator) owners(hash uint64) (ranks []int) {
 	for n := range min(ownerCount, a.settings.Gateways) {
 		ranks = append(ranks, a.owner(hash, n))
@@ -130,22 +139,24 @@
 	return ranks
 }
 
-// secondOwnerShift is by how many bits a hash is shifted for the second owner. All gateways must have the same.
+// secondOwnerShift is the number of bits by which a hash is shifted to select the second owner. All gateways
+// must use the same value.
 const secondOwnerShift = 20
 
-// owner is the rank of the nth owner of a key, from 0.
+// owner returns the rank of the nth owner of a key, counted from 0.
 func (a *Aggregator) owner(hash uint64, n int) int {
 	gateways := uint64(a.settings.Gateways)
 	first := hash % gateways
 	if n == 0 || gateways < 2 {
 		return int(first)
 	}
-	// Other bits than those of first, so that the keys of one first owner have different second ones.
+	// The shift selects other bits of the hash, so that keys with the same first owner have different second
+	// owners.
 	return int((first + 1 + (hash>>secondOwnerShift)%(gateways-1)) % gateways)
 }
 
-// reportInterval is the mean time between reports: so long that the reports of all gateways to one stay within its
-// part of the capacity.
+// reportInterval returns the mean time between reports. It is long enough that the reports of all gateways to
+// one owner stay within the fraction of its capacity that reports may use.
 func (a *Aggregator) reportInterval() time.Duration {
 	if a.settings.GossipCapacity <= 0 {
 		return minReportInterval
@@ -154,7 +165,7 @@
 	return max(minReportInterval, time.Duration(seconds*float64(time.Second)))
 }
 
-// advance sets the time, which never goes back.
+// advance sets the current time, which never goes back. The first call schedules the first report.
 func (a *Aggregator) advance(now time.Duration) {
 	a.now = max(a.now, now)
 	if !a.started {
@@ -163,7 +174,7 @@
 	}
 }
 
-// Add adds what this gateway counted. Keys that are not of the settings are ignored.
+// Add adds counts of this gateway to the totals of a key. It ignores keys that are not in the settings.
 func (a *Aggregator) Add(now time.Duration, k Key, t Totals) {
 	a.advance(now)
 	local := a.local[k]
@@ -182,7 +193,8 @@
 	}
 }
 
-// NextTick is when Tick is due; the latest possible time if it never is.
+// NextTick returns the monotonic time at which Tick must be called. It is the largest possible duration if
+// there is nothing to report: before the first call that passes a time, and in a fleet of one gateway.
 func (a *Aggregator) NextTick() time.Duration {
 	if !a.started || a.settings.Gateways < 2 {
 		return math.MaxInt64
@@ -190,7 +202,8 @@
 	return a.reportAt
 }
 
-// Tick returns the reports that are due, in the order of their owners.
+// Tick returns the messages of the reports that are due, ordered by the rank of the owner. It returns nil
+// before the time that NextTick returns.
 func (a *Aggregator) Tick(now time.Duration) (out []Send) {
 	a.advance(now)
 	if a.now < a.reportAt {
@@ -220,7 +233,8 @@
 	return out
 }
 
-// due is the totals for the next report to an owner: those that have changed, and some of the others in turn.
+// due returns the totals for the next report to an owner: all that changed recently, and some of the others
+// in rotation.
 func (a *Aggregator) due(owner int, all []*localTotals) (due []*localTotals) {
 	for _, local := range all {
 		if local.repeats > 0 {
@@ -236,7 +250,8 @@
 	return due
 }
 
-// Receive takes in another gateway's report. A malformed one is dropped from where it is not valid.
+// Receive processes a report message of another gateway. The entries of a malformed message are used up to
+// the first invalid one.
 func (a *Aggregator) Receive(now time.Duration, from int, data []byte) {
 	a.advance(now)
 	if from < 0 || from >= a.settings.Gateways || from == a.settings.Rank {
@@ -248,7 +263,7 @@
 	}
 	inc, known := a.incarnations[from]
 	if known && header.incarnation < inc.id {
-		return // of a former process, late
+		return // late message of an earlier process
 	}
 	if !known || header.incarnation != inc.id {
 		inc = incarnation{header.incarnation, header.age < a.now-a.startedAt || header.sequence == 1}
@@ -261,15 +276,15 @@
 	})
 }
 
-// mergeReport adds what a gateway's totals grew by. The first report of an incarnation counts in full if the
-// incarnation is complete here. Otherwise its past was summed by the former process of this owner, or not at all, and
-// only what comes from now on counts.
+// mergeReport adds the growth of a gateway's totals since its previous report. The first report of an
+// incarnation is added in full if the incarnation is complete. Otherwise an earlier process of this owner may
+// have summed these counts already, so the report only serves as the baseline for later ones.
 func (o *ownedTotals) mergeReport(from int, inc incarnation, t Totals) {
 	last := o.reported[from]
 	switch {
 	case last != nil && last.incarnation == inc.id:
 		if t.less(last.Totals) {
-			return // an older report
+			return // late message of an earlier report
 		}
 		o.Totals.add(t.minus(last.Totals))
 	case inc.complete:
@@ -278,14 +293,15 @@
 	o.reported[from] = &reportedTotals{t, inc.id}
 }
 
-// FleetTotal is the fleet's totals of a key that this gateway owns.
+// FleetTotal holds the fleet's totals of a key that this gateway owns.
 type FleetTotal struct {
 	Key
-	Primary bool // this gateway is the first owner; the second one sums the same
+	Primary bool // this gateway is the first owner; the second owner sums the same counts
 	Totals
 }
 
-// FleetTotals lists the owned keys of which something was counted: classes, then customers, by name.
+// FleetTotals returns the totals of the owned keys for which anything was counted: first classes, then
+// customers, each ordered by name.
 func (a *Aggregator) FleetTotals() (out []FleetTotal) {
 	for _, o := range a.owned {
 		if o.Totals != (Totals{}) {
--- a/internal/aggregate/messages.go
+++ b/internal/aggregate/messages.go
@@ -9,26 +9,28 @@
 	"winghatch/internal/encoding"
 )
 
-// Messages, integers little-endian: the sender's incarnation and its age in nanoseconds of 8 bytes each, the number of
-// its report of 4, then entries: hash of the key of 8, served, rejected and failed as varints, units of 8 bytes of
-// IEEE 754.
+// A message has a header: the incarnation of the sender (8 bytes), the age of its process in nanoseconds (8
+// bytes) and the number of the report (4 bytes). Entries follow: the hash of the key (8 bytes), the requests
+// served, rejected and failed (varints), and the units (an IEEE 754 double). Numbers of fixed size are
+// little-endian.
 const (
 	headerBytes     = 8 + 8 + 4
 	hashBytes       = 8
-	maxEntryBytes   = 50   // of 46: the hash, three varints of up to 10 and the units
-	maxMessageBytes = 1000 // below the bound of package gossip on a datagram's text
+	maxEntryBytes   = 50   // an entry has at most 46: the hash, three varints of up to 10, the units
+	maxMessageBytes = 1000 // below the limit of package gossip for the payload of a datagram
 )
 
+// reportHeader is the header of a message.
 type reportHeader struct {
 	incarnation uint64
 	age         time.Duration
-	sequence    uint32
+	sequence    uint32 // number of the report to this owner, from 1
 }
 
-// encodeReports are the messages of one report to an owner.
+// encodeReports returns the messages of one report to an owner.
 func (a *Aggregator) encodeReports(to int, due []*localTotals) (out []Send) {
 	if len(due) > 0 {
-		a.sequence[to]++ // an empty report is not sent, and so is not the first one
+		a.sequence[to]++ // an empty report is not sent, so it must not count as the first one
 	}
 	header := binary.LittleEndian.AppendUint64(nil, a.settings.Incarnation)
 	header = binary.LittleEndian.AppendUint64(header, uint64(a.now-a.startedAt))
@@ -51,7 +53,8 @@
 	return out
 }
 
-// decodeHeader reads the header of a message and returns the entries behind it.
+// decodeHeader decodes the header of a message and returns the bytes of the entries after it. ok is false if
+// the message is shorter than a header.
 func decodeHeader(data []byte) (h reportHeader, entries []byte, ok bool) {
 	if len(data) < headerBytes {
 		return h, nil, false
@@ -62,7 +65,7 @@
 	return h, data[headerBytes:], true
 }
 
-// decodeEntries calls take with each entry, up to the first that is malformed.
+// decodeEntries calls take for each entry up to the first malformed one.
 func decodeEntries(entries []byte, take func(hash uint64, t Totals)) {
 	r := &encoding.Reader{Rest: entries}
 	for len(r.Rest) >= hashBytes {
--- a/internal/aggregate/totals.go
+++ b/internal/aggregate/totals.go
@@ -2,9 +2,9 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Key is a customer or a class of requests.
+// Key identifies a customer or a class of requests.
 type Key struct {
-	IsClass bool
+	IsClass bool // the key is a class, not a customer
 	Name    string
 }
 
@@ -16,7 +16,7 @@
 	return xxhash.Sum64String(kind + k.Name)
 }
 
-// Totals are counts of requests by their outcome, and the units that were used.
+// Totals counts requests by outcome, and the units that they used.
 type Totals struct {
 	Served, Rejected, Failed uint64
 	Units                    float64
@@ -29,7 +29,7 @@
 	t.Units += o.Units
 }
 
-// less reports whether any of t is less than that of o. Totals only grow, so t is older then.
+// less reports whether any field of t is less than that of o. Totals only grow, so t is then older than o.
 func (t Totals) less(o Totals) bool {
 	return t.Served < o.Served || t.Rejected < o.Rejected || t.Failed < o.Failed || t.Units < o.Units
 }
--- a/internal/quotaplan/admission.go
+++ b/internal/quotaplan/admission.go
@@ -6,46 +6,56 @@
 	"winghatch/decide"
 )
 
-// How much may be reserved.
+// Limits and defaults of reservations.
 const (
-	maxReservedOfRate     = 0.5  // of a plan's rate, and of its ceiling's, at any moment
-	maxReservedOfCapacity = 0.5  // of the fleet's capacity, at any moment
-	defaultRateOfCeiling  = 0.25 // of a ceiling's rate: the least default rate of a reservation
-	defaultRateOfMean     = 2    // times the mean rate: the least default rate of a reservation
+	// maxReservedOfRate limits the reserved rate of a member at any time, as a fraction of the rate of
+	// its plan and of the rate of its ceiling.
+	maxReservedOfRate = 0.5
+	// maxReservedOfCapacity limits the reserved rate of all members at any time, as a fraction of the
+	// fleet's capacity.
+	maxReservedOfCapacity = 0.5
+	// The default rate of a reservation is the higher of defaultRateOfCeiling times the rate of the
+	// ceiling and defaultRateOfMean times the mean rate of the reservation.
+	defaultRateOfCeiling = 0.25
+	defaultRateOfMean    = 2
 
 	minWindow = int64(time.Second)          // nanoseconds
 	maxWindow = int64(400 * 24 * time.Hour) // nanoseconds
 
-	// minWindowSeconds keeps the mean rate finite. A change that a peer sent may have no window at all.
+	// minWindowSeconds keeps the mean rate finite, because a change received from a peer may have an empty
+	// window.
 	minWindowSeconds = 1e-9
-	// tolerance is the rounding error, relative to what is free, at which a reservation still fits: one that takes
-	// exactly what is free must not be rejected.
+	// tolerance is the accepted rounding error, relative to the free amount. A reservation of exactly the
+	// free amount must not be rejected.
 	tolerance = 1e-9
 )
 
-// Reservation is what a Reserve change sets aside.
+// Reservation describes the units that a Reserve change reserves.
 type Reservation struct {
-	ID            uint64 // hash of the change; two changes of one number differ in it
-	Number        uint64
+	ID            uint64 // hash of the change; differs between two changes with the same number
+	Number        uint64 // number of the change
 	Member        string
-	Units         float64 // as first made
-	From, To      int64   // Unix nanoseconds
-	Rate          float64 // units a second, by all gateways together; 0: no bound
-	Burst         float64 // units at once, with a Rate
-	Ceiling       bool    // the member's plan has a ceiling, of which Rate and Burst are taken
-	First, Spread int     // the member's gateways, as Member has them
-	AcceptedHere  bool    // accepted by this gateway: its tokens are minted here
+	Units         float64 // units when the reservation was made, before it was shortened
+	From, To      int64   // window, in Unix nanoseconds
+	Rate          float64 // units per second over all gateways; 0: no limit
+	Burst         float64 // units that may be used at once, if there is a Rate
+	Ceiling       bool    // the member's plan has a ceiling, of which Rate and Burst are a part
+	First, Spread int     // the gateways that the member uses, see Member
+	AcceptedHere  bool    // this gateway accepted the reservation and mints its tokens
 }
 
+// windowSeconds returns the length of a reservation's window.
 func windowSeconds(c *Change) float64 { return time.Duration(c.To - c.From).Seconds() }
 
-// meanRate is the units a second that a reservation of so many units takes off ordinary use.
+// meanRate returns the units per second by which a reservation of so many units lowers the rate of ordinary
+// use: the units divided by the length of the window.
 func meanRate(c *Change, units float64) float64 {
 	return units / max(windowSeconds(c), minWindowSeconds)
 }
 
-// reservationRate is the units a second at which a reservation may be used, under a plan. With a ceiling it has a
-// default, so that the part of the ceiling that it takes is defined.
+// reservationRate returns the units per second at which a reservation may be used under a plan; 0 means no
+// limit. If the plan has a ceiling, a reservation without a rate gets a default, so that its part of the
+// ceiling is defined.
 func reservationRate(c *Change, p decide.Plan) float64 {
 	if c.Rate > 0 || p.CeilingRate == 0 {
 		return c.Rate
@@ -53,7 +63,8 @@
 	return max(defaultRateOfCeiling*p.CeilingRate, defaultRateOfMean*meanRate(c, c.Units))
 }
 
-// checkReserve is the admission test of a submitted reservation, against what this replica knows.
+// checkReserve validates a submitted reservation and checks that it fits beside the reservations that this
+// replica knows.
 func (r *Replica) checkReserve(c *Change) *Error {
 	switch {
 	case !(c.Units > 0):
@@ -66,8 +77,8 @@
 	return r.checkCapacity(c, r.planAt(c.Member, c.From))
 }
 
-// checkCapacity reports what a reservation does not fit into: the member's plan, or else the fleet. The error says how
-// much is free.
+// checkCapacity checks that a reservation fits into the member's plan and into the capacity of the fleet. The
+// error tells how much is free.
 func (r *Replica) checkCapacity(c *Change, p decide.Plan) *Error {
 	if p.Rate > 0 {
 		if err := r.checkPlanRate(c, p); err != nil {
@@ -89,6 +100,7 @@
 	return nil
 }
 
+// checkPlanRate checks that a reservation fits into the reservable part of the plan's rate.
 func (r *Replica) checkPlanRate(c *Change, p decide.Plan) *Error {
 	free := maxReservedOfRate*p.Rate - r.derived.peakOverlap(c, func(o *Change) float64 {
 		if o.Member != c.Member {
@@ -104,6 +116,8 @@
 	return nil
 }
 
+// checkCeiling checks that a reservation fits into the reservable part of the plan's ceiling, that its burst
+// is large enough for the largest request, and that its units can be used within the window.
 func (r *Replica) checkCeiling(c *Change, p decide.Plan) *Error {
 	rate := reservationRate(c, p)
 	free := maxReservedOfRate*p.CeilingRate - r.derived.peakOverlap(c, func(o *Change) float64 {
@@ -125,7 +139,8 @@
 	return checkUsable(c, rate)
 }
 
-// checkUsable reports a reservation whose units can't all be used within its window at a rate, in units a second.
+// checkUsable checks that all units of a reservation can be used within its window at a rate, in units per
+// second.
 func checkUsable(c *Change, rate float64) *Error {
 	mean := meanRate(c, c.Units)
 	if mean > rate*(1+tolerance) {
@@ -135,6 +150,7 @@
 	return nil
 }
 
+// checkFleetCapacity checks that a reservation fits into the reservable part of the fleet's capacity.
 func (r *Replica) checkFleetCapacity(c *Change) *Error {
 	load := func(o *Change) float64 { return max(o.Rate, meanRate(o, r.derived.currentUnits(o))) }
 	free := maxReservedOfCapacity*r.settings.Capacity - r.derived.peakOverlap(c, load)
@@ -147,16 +163,17 @@
 	return nil
 }
 
-// peakOverlap is the highest sum of load, over the reservations made before c, at any moment of c's window.
+// peakOverlap returns the highest sum of load, at any time within the window of c, over the reservations made
+// before c. If c has no stamp yet, it counts as made after all others.
 func (d *derived) peakOverlap(c *Change, load func(*Change) float64) float64 {
 	var others []*Change
-	for _, o := range d.reservations { // in the order of changes: sums of floats must be equal at all gateways
+	for _, o := range d.reservations { // in a fixed order, so that floating-point sums are equal at all gateways
 		if o != c && d.cancelledBy[o.Number] == 0 && (c.Stamp == 0 || o.before(c)) && o.From < c.To && o.To > c.From {
 			others = append(others, o)
 		}
 	}
 	peak := 0.0
-	for _, start := range append(others, c) { // the sum is highest where one of them begins
+	for _, start := range append(others, c) { // the sum is highest at the start of one of the windows
 		sum := 0.0
 		for _, o := range others {
 			if from := max(start.From, c.From); o.From <= from && from < o.To {
--- a/internal/quotaplan/antientropy.go
+++ b/internal/quotaplan/antientropy.go
@@ -7,28 +7,34 @@
 	"time"
 )
 
-// How replicas converge.
+// Parameters of forwarding and anti-entropy.
 const (
-	compareInterval   = 500 * time.Millisecond // mean time between comparisons with a random peer
-	compareJitterLow  = 0.75                   // of the interval: the shortest
-	compareJitterSpan = 0.5                    // of the interval: from the shortest to the longest
-	startFanout       = 3                      // comparisons at the start
-	forwardFanout     = 4                      // peers that a new change is forwarded to at once
-	maxListedHashes   = 48                     // of a differing range on both sides; more are split into ranges
-	rangeFanout       = 8                      // parts that a range is split into
+	// compareInterval is the mean time between comparisons with a random peer. Each delay is the interval
+	// times a random factor between compareJitterLow and compareJitterLow+compareJitterSpan.
+	compareInterval   = 500 * time.Millisecond
+	compareJitterLow  = 0.75
+	compareJitterSpan = 0.5
+	startFanout       = 3 // peers to compare with at the start
+	forwardFanout     = 4 // peers to which a new change is forwarded at once
+	// maxListedHashes is the number of hashes in a differing range, on both sides together, up to which the
+	// hashes are listed. A range with more is split into rangeFanout parts.
+	maxListedHashes = 48
+	rangeFanout     = 8
 )
 
-// Messages begin with a byte that says what follows; all integers are little-endian.
+// A message begins with a byte that names its kind. All integers are little-endian.
 //
-//	'R'  ranges of hashes: each low, high (inclusive) and xor of the hashes in 8 bytes, their count in 4
-//	'L'  low, high, and the hashes that the sender has between them, in 8 bytes each
-//	'W'  hashes of changes that the sender wants, in 8 bytes each
-//	'C'  changes, as Change.Append writes them
+//	'R'  ranges of hashes: for each range low, high (inclusive) and the xor of its hashes (8 bytes each),
+//	     and the number of its hashes (4 bytes)
+//	'L'  list: low, high (inclusive) and the hashes that the sender has between them (8 bytes each)
+//	'W'  wanted: hashes of the changes that the sender wants (8 bytes each)
+//	'C'  changes, as written by Change.Append
 //
-// A gateway sends the range of all hashes to a peer at each comparison. A peer that finds a range to differ answers
-// with its parts or, where it is small, with the list of its hashes; the receiver of a list sends the changes that the
-// other lacks and asks for those that it lacks itself. So replicas converge whatever was lost, in messages whose number
-// grows with the logarithm of the set and with the difference.
+// A comparison begins when a gateway sends a peer the range of all hashes. If a range differs, the peer
+// answers with the parts of the range or, if it has few hashes, with the list of them. The receiver of a list
+// sends the changes that the peer lacks and asks for those that it lacks itself. In this way, replicas
+// converge no matter which messages were lost. The number of messages grows with the logarithm of the size of
+// the set and with the size of the difference.
 const (
 	messageRanges  = 'R'
 	messageHashes  = 'L'
@@ -41,14 +47,16 @@
 	maxMessageBytes = 1000 // unless a single change is larger
 )
 
-// noPeer is no rank.
+// noPeer stands for the rank of a peer where there is none.
 const noPeer = -1
 
-// compareDelay draws the time to the next comparison, so that the gateways do not compare in step.
+// compareDelay returns a random time until the next comparison, so that the gateways do not compare at the
+// same time.
 func (r *Replica) compareDelay() time.Duration {
 	return time.Duration((compareJitterLow + compareJitterSpan*r.random.Float64()) * float64(compareInterval))
 }
 
+// randomPeer returns the rank of a random peer. The fleet must have at least two gateways.
 func (r *Replica) randomPeer() int {
 	peer := r.random.Intn(r.settings.Gateways - 1)
 	if peer >= r.settings.Rank {
@@ -57,11 +65,12 @@
 	return peer
 }
 
-// startComparison sends a peer the range of all hashes.
+// startComparison sends the range of all hashes to a peer.
 func (r *Replica) startComparison(peer int) {
 	r.emit(Send{peer, r.set.appendRange([]byte{messageRanges}, 0, math.MaxUint64)})
 }
 
+// appendRange appends a range, from low to high inclusive, in the form of a ranges message.
 func (s *changeSet) appendRange(msg []byte, low, high uint64) []byte {
 	hashes := s.hashesBetween(low, high)
 	msg = appendBounds(msg, low, high)
@@ -69,12 +78,14 @@
 	return binary.LittleEndian.AppendUint32(msg, uint32(len(hashes)))
 }
 
+// appendBounds appends the bounds of a range.
 func appendBounds(msg []byte, low, high uint64) []byte {
 	msg = binary.LittleEndian.AppendUint64(msg, low)
 	return binary.LittleEndian.AppendUint64(msg, high)
 }
 
-// forward sends changes to a few random peers but the one that they came from; each forwards what is new to it.
+// forward sends changes to a few random peers, except the peer from that sent them. Each peer forwards the
+// changes that are new to it.
 func (r *Replica) forward(changes []*Change, from int) {
 	if r.settings.Gateways < 2 {
 		return
@@ -91,6 +102,7 @@
 	}
 }
 
+// sendChanges sends changes to a peer, in as many messages as needed.
 func (r *Replica) sendChanges(peer int, changes []*Change) {
 	msg := []byte{messageChanges}
 	for _, c := range changes {
@@ -106,7 +118,7 @@
 	}
 }
 
-// sendHashes sends hashes behind a header, which is repeated in each message.
+// sendHashes sends hashes to a peer, in as many messages as needed. Each message begins with the header.
 func (r *Replica) sendHashes(peer int, header []byte, hashes []uint64) {
 	msg := header
 	for _, h := range hashes {
@@ -121,8 +133,8 @@
 	}
 }
 
-// receive handles a message. A malformed one is dropped: it is authenticated, so it comes of a fault of a gateway, and
-// the next comparison repeats what matters.
+// receive handles a message from another gateway. It drops malformed messages. Messages are authenticated, so
+// a malformed one is caused by a faulty gateway, and the next comparison repeats what was lost.
 func (r *Replica) receive(e MessageReceived) {
 	if e.From < 0 || e.From >= r.settings.Gateways || e.From == r.settings.Rank || len(e.Data) == 0 {
 		return
@@ -144,6 +156,7 @@
 	}
 }
 
+// sendWanted sends a peer the changes that it asked for by hash.
 func (r *Replica) sendWanted(from int, body []byte) {
 	var changes []*Change
 	for ; len(body) >= hashBytes; body = body[hashBytes:] {
@@ -154,6 +167,7 @@
 	r.sendChanges(from, changes)
 }
 
+// receiveChanges adds the changes of a message, up to the first malformed one, and forwards the new ones.
 func (r *Replica) receiveChanges(from int, body []byte) {
 	var added []*Change
 	for len(body) > 0 {
@@ -172,7 +186,7 @@
 	}
 }
 
-// compareRanges answers each range that differs from this replica's.
+// compareRanges compares ranges of a peer with this replica and answers each range that differs.
 func (r *Replica) compareRanges(from int, body []byte) {
 	parts := []byte{messageRanges}
 	for ; len(body) > 0; body = body[rangeBytes:] {
@@ -184,7 +198,7 @@
 		case len(hashes)+count <= maxListedHashes || high-low < rangeFanout:
 			header := appendBounds([]byte{messageHashes}, low, high)
 			if len(hashes) == 0 {
-				r.emit(Send{from, header}) // an empty list asks for all changes of the range
+				r.emit(Send{from, header}) // an empty list asks for all changes in the range
 			}
 			r.sendHashes(from, header, hashes)
 		default:
@@ -196,7 +210,8 @@
 	}
 }
 
-// splitRange appends the parts of a range to a message, which it sends and begins anew where it is full.
+// splitRange appends the parts of a range to a message and returns it. When the message is full, it sends it
+// and starts a new one.
 func (r *Replica) splitRange(peer int, msg []byte, low, high uint64) []byte {
 	step := (high-low)/rangeFanout + 1
 	for at := low; ; at += step {
@@ -215,7 +230,8 @@
 	}
 }
 
-// compareHashes sends the changes that a peer's list of a range lacks, and asks for those that are new here.
+// compareHashes sends a peer the changes that its list of a range lacks, and requests the listed changes that
+// are new here.
 func (r *Replica) compareHashes(from int, body []byte) {
 	low, high := binary.LittleEndian.Uint64(body), binary.LittleEndian.Uint64(body[8:])
 	theirs := map[uint64]bool{}
--- a/internal/quotaplan/change.go
+++ b/internal/quotaplan/change.go
@@ -10,21 +10,21 @@
 	"winghatch/decide"
 )
 
-// Kind says what a change does.
+// Kind determines what a change does.
 type Kind byte
 
-// The kinds of change. Their numbers are stored.
+// Kinds of changes. Their numbers are stored and must not change.
 const (
-	Move    Kind = 1 + iota // Member is on Plan from From on
-	Terms                   // Plan has Terms from From on
-	Reserve                 // Units are reserved for Member from From to To
-	Cancel                  // the change numbered Target does not count
-	Shorten                 // the reservation numbered Target is reduced to Units
+	Move    Kind = 1 + iota // moves Member to Plan at From
+	Terms                   // replaces the terms of Plan by Terms at From
+	Reserve                 // reserves Units for Member from From to To
+	Cancel                  // cancels the change with the number Target
+	Shorten                 // reduces the reservation with the number Target to Units
 )
 
 var kindNames = map[Kind]string{Move: "move", Terms: "terms", Reserve: "reserve", Cancel: "cancel", Shorten: "shorten"}
 
-// String is the name of the kind in commands and files of changes.
+// String returns the name of the kind, as used in commands and in files of changes.
 func (k Kind) String() string {
 	if s := kindNames[k]; s != "" {
 		return s
@@ -32,7 +32,7 @@
 	return fmt.Sprintf("kind %d", byte(k))
 }
 
-// ParseKind reads what String writes.
+// ParseKind returns the kind with the name s, as returned by String. ok is false if there is none.
 func ParseKind(s string) (Kind, bool) {
 	for k, name := range kindNames {
 		if name == s {
@@ -42,32 +42,33 @@
 	return 0, false
 }
 
-// Change is one record of the set. Times are Unix nanoseconds.
+// Change is an immutable record of the replicated set. Which fields are used depends on the Kind. Times are
+// in Unix nanoseconds.
 type Change struct {
-	Number uint64 // chosen by the operator; unique in the lifetime of a fleet
+	Number uint64 // chosen by the operator; at least 1, unique over the lifetime of a fleet
 	Kind   Kind
-	Member string
-	Plan   string
-	Terms  decide.Plan // of kind Terms; its Name is Plan
+	Member string      // for Move and Reserve
+	Plan   string      // for Move and Terms
+	Terms  decide.Plan // for Terms; its Name is Plan
 
-	// From is when the change comes into force and, of a reservation, To the end of its window. Submit takes a From of
-	// 0 as now.
+	// From is the time at which the change comes into force. For Reserve, From and To are the start and the
+	// end of the window. Submit replaces a From of 0 in a Move or Terms change by the current time.
 	From, To int64
 
-	Units float64
-	// Rate is the units a second at which a reservation may be used, by all gateways together. Submit replaces 0 by a
-	// default where the plan has a ceiling.
+	Units float64 // for Reserve and Shorten
+	// Rate is the number of units per second at which a reservation may be used, over all gateways. 0 means
+	// no limit, but if the plan has a ceiling, Submit replaces 0 by a default.
 	Rate   float64
-	Target uint64 // number of the change that Cancel and Shorten apply to
+	Target uint64 // number of the change to which Cancel and Shorten apply
 
-	// Set by the gateway that accepted the change. Changes are ordered by Stamp, Origin and Incarnation; of two with
-	// the same Number the first counts.
-	Stamp       int64 // Unix nanoseconds, above all stamps that the gateway knew
-	Origin      int   // rank of the gateway
-	Incarnation uint64
+	// The gateway that accepts the change sets the following fields. Changes are ordered by Stamp, Origin,
+	// Incarnation and Number. Of two changes with the same Number, the first one counts.
+	Stamp       int64  // Unix nanoseconds; higher than all stamps that the gateway knew
+	Origin      int    // rank of the gateway
+	Incarnation uint64 // incarnation of the gateway's process
 }
 
-// before is the total order of changes, the same at all gateways.
+// before reports whether c precedes d in the total order of changes, which is the same at all gateways.
 func (c *Change) before(d *Change) bool {
 	switch {
 	case c.Stamp != d.Stamp:
@@ -80,8 +81,8 @@
 	return c.Number < d.Number
 }
 
-// supersedes reports whether c is in force rather than d once both dates have passed: the later date wins, of equal
-// dates the later change.
+// supersedes reports whether c is in force instead of d once both dates have passed. The change with the
+// later date wins; if the dates are equal, the later change in the total order wins.
 func (c *Change) supersedes(d *Change) bool {
 	if c.From != d.From {
 		return c.From > d.From
@@ -89,10 +90,10 @@
 	return d.before(c)
 }
 
-// hash names a change in messages and reservations.
+// hash returns the hash that identifies a change in messages and reservations.
 func (c *Change) hash() uint64 { return xxhash.Sum64(c.Append(nil)) }
 
-// String describes the change for errors and logs.
+// String returns a description of the change for errors and logs.
 func (c *Change) String() string {
 	switch c.Kind {
 	case Move:
@@ -109,25 +110,28 @@
 	return fmt.Sprintf("change %d: shortens %d to %v units", c.Number, c.Target, c.Units)
 }
 
+// formatTime returns a time, in Unix nanoseconds, in RFC 3339 form and UTC.
 func formatTime(unixNano int64) string { return time.Unix(0, unixNano).UTC().Format(time.RFC3339Nano) }
 
-// Error says which field of a change is invalid and which values are valid.
+// Error reports that a change was not accepted.
 type Error struct {
-	Number uint64 // of the change
-	Field  string
-	Text   string
+	Number uint64 // number of the change
+	Field  string // name of the invalid field; "log" if the change could not be persisted
+	Text   string // the invalid value and which values are valid
 }
 
-// Error is the text for operators.
+// Error returns the text for operators.
 func (e *Error) Error() string { return fmt.Sprintf("change %d: %s: %s", e.Number, e.Field, e.Text) }
 
+// invalid returns an Error for a field of c.
 func invalid(c *Change, field, format string, args ...any) *Error {
 	return &Error{c.Number, field, fmt.Sprintf(format, args...)}
 }
 
-// maxNamesListed is how many names an error lists.
+// maxNamesListed is the number of names that an error lists at most.
 const maxNamesListed = 12
 
+// nameList joins names with commas and omits those beyond maxNamesListed.
 func nameList(names []string) string {
 	if len(names) > maxNamesListed {
 		return strings.Join(names[:maxNamesListed], ", ") + ", ..."
--- a/internal/quotaplan/changeset.go
+++ b/internal/quotaplan/changeset.go
@@ -5,14 +5,14 @@
 	"sort"
 )
 
-// changeSet is a set of changes that only grows.
+// changeSet is a grow-only set of changes.
 type changeSet struct {
 	ordered []*Change // in the order of Change.before
 	byHash  map[uint64]*Change
 	hashes  []uint64 // ascending
 }
 
-// add adds a change; false: the set had it.
+// add adds a change. It returns false if the set already contains it.
 func (s *changeSet) add(c Change) bool {
 	h := c.hash()
 	if s.byHash[h] != nil {
@@ -27,7 +27,7 @@
 	return true
 }
 
-// hashesBetween are the hashes from low to high, both included.
+// hashesBetween returns the hashes from low to high, both inclusive, in ascending order.
 func (s *changeSet) hashesBetween(low, high uint64) []uint64 {
 	i, _ := slices.BinarySearch(s.hashes, low)
 	j, found := slices.BinarySearch(s.hashes, high)
@@ -37,7 +37,7 @@
 	return s.hashes[i:max(i, j)]
 }
 
-// xorOf combines hashes into one value that does not depend on their order.
+// xorOf combines hashes into a value that does not depend on their order.
 func xorOf(hashes []uint64) (sum uint64) {
 	for _, h := range hashes {
 		sum ^= h
--- a/internal/quotaplan/codec.go
+++ b/internal/quotaplan/codec.go
@@ -11,16 +11,17 @@
 // Stored form of a change.
 const (
 	changeVersion = 1
-	maxNameBytes  = 200            // of a member or plan
-	maxUvarint    = math.MaxUint64 // no bound
+	maxNameBytes  = 200            // length of a member's or plan's name
+	maxUvarint    = math.MaxUint64 // no limit
 )
 
 var errMalformed = errors.New("quotaplan: malformed change")
 
-// Append writes a change: the version 1, the kind, and then, integers as varints of Go's encoding/binary, strings with
-// their length before them and figures as 8 bytes of IEEE 754, little-endian: number, member, plan, from, to, units,
-// rate, target, stamp, origin, incarnation; with the kind Terms also rate, burst, ceiling rate, burst and slack,
-// requests in flight, priority weight, over-quota value and over-quota cost.
+// Append appends the stored form of a change to b: a version byte of 1, a byte for the kind, number, member,
+// plan, from, to, units, rate, target, stamp, origin, incarnation. For the kind Terms these follow: rate,
+// burst, ceiling rate, ceiling burst, ceiling slack, maximum of requests in flight, priority weight,
+// over-quota value, over-quota cost. Integers are varints of encoding/binary, strings are preceded by their
+// length, and numbers with a fraction are little-endian IEEE 754 doubles.
 func (c *Change) Append(b []byte) []byte {
 	b = append(b, changeVersion, byte(c.Kind))
 	b = binary.AppendUvarint(b, c.Number)
@@ -48,7 +49,8 @@
 	return b
 }
 
-// ParseChange reads what Append wrote and returns the bytes behind it.
+// ParseChange decodes a change that Append wrote at the start of b, and returns the bytes after it. It
+// returns an error if the change is malformed, has another version or contains invalid values.
 func ParseChange(b []byte) (c Change, rest []byte, err error) {
 	if len(b) < 2 || b[0] != changeVersion {
 		return c, nil, errMalformed
@@ -75,7 +77,8 @@
 	return c, r.Rest, nil
 }
 
-// readTerms reads the fields of kind Terms; false: the requests in flight are no integer that fits.
+// readTerms reads the additional fields of the kind Terms. It returns false if the maximum of requests in
+// flight is out of range.
 func (c *Change) readTerms(r *encoding.Reader) bool {
 	p := &c.Terms
 	p.Name = c.Plan
@@ -91,7 +94,7 @@
 	return true
 }
 
-// finite reports whether all figures are finite and 0 or more.
+// finite reports whether all numbers of the change are finite and not negative.
 func (c *Change) finite() bool {
 	p := &c.Terms
 	for _, v := range []float64{c.Units, c.Rate, p.Rate, p.Burst, p.CeilingRate, p.CeilingBurst, p.CeilingSlack,
--- a/internal/quotaplan/effective.go
+++ b/internal/quotaplan/effective.go
@@ -9,36 +9,37 @@
 )
 
 const (
-	// minOrdinaryOfRate is the part of a plan's rate and ceiling that reservations leave to ordinary use.
+	// minOrdinaryOfRate is the fraction of a plan's rate and ceiling that reservations always leave to
+	// ordinary use.
 	minOrdinaryOfRate = 0.05
-	// maxShareSum is what the gateways' shares of one plan may sum to while demand shifts between them; tests of package
-	// decide hold it to that.
+	// maxShareSum is the highest sum of the gateways' shares of one plan while demand shifts between
+	// gateways. Tests of package decide verify this limit.
 	maxShareSum = 1.15
 )
 
-// derived is what follows from the set of changes. It is computed anew whenever the set has grown.
+// derived is the state that is computed from the set of changes. It is recomputed whenever the set has grown.
 type derived struct {
-	byNumber    map[uint64]*Change // the change that counts of those with one number
-	voidReasons map[*Change]string // of changes that do not count
-	cancelledBy map[uint64]uint64  // number of a change: number of the one that cancels it
-	shortenedTo map[uint64]float64 // number of a reservation: its units now
+	byNumber    map[uint64]*Change // by number; of changes with the same number, the one that counts
+	voidReasons map[*Change]string // why a change does not count
+	cancelledBy map[uint64]uint64  // number of the cancelling change, by number of the cancelled one
+	shortenedTo map[uint64]float64 // current units of a shortened reservation, by number
 
-	planMoves            map[string][]*Change // by member
-	termChanges          map[string][]*Change // by plan
+	planMoves            map[string][]*Change // changes of kind Move, by member
+	termChanges          map[string][]*Change // changes of kind Terms, by plan
 	reservationsByMember map[string][]*Change
-	reservations         []*Change // of all members, in the order of changes
+	reservations         []*Change // reservations of all members, in the order of changes
 }
 
-// announced is what the caller knows: the last of what was emitted.
+// announced is the state that was last emitted to the caller.
 type announced struct {
-	plans      map[string]decide.Plan // in force, by member
-	units      map[uint64]float64     // of reservations, by ID
-	outdated   bool                   // derived was computed since
-	at         int64                  // wall clock of the announcement, Unix nanoseconds
-	nextDateAt int64                  // first date of a change after it, Unix nanoseconds
+	plans      map[string]decide.Plan // plan in force, by member
+	units      map[uint64]float64     // units of the announced reservations, by ID
+	outdated   bool                   // derived was recomputed since the last announcement
+	at         int64                  // wall clock of the last announcement, Unix nanoseconds
+	nextDateAt int64                  // first date of a change after the last announcement, Unix nanoseconds
 }
 
-// recompute computes derived from the set.
+// recompute computes derived from the set of changes.
 func (r *Replica) recompute() {
 	r.stale, r.announced.outdated = false, true
 	r.derived = derived{
@@ -55,7 +56,7 @@
 	}
 }
 
-// apply adds to derived what the next change in order brings.
+// apply applies the next change in the order of changes to derived.
 func (r *Replica) apply(c *Change) {
 	d := &r.derived
 	if old := d.byNumber[c.Number]; old != nil {
@@ -75,8 +76,8 @@
 			d.termChanges[c.Plan] = append(d.termChanges[c.Plan], c)
 		}
 	case Reserve:
-		// Gateways that can't reach each other may each accept a reservation of which only one fits: the first in the
-		// order of changes counts.
+		// Gateways that cannot reach each other may each accept a reservation although only one of them fits.
+		// Then the first one in the order of changes counts.
 		if err := r.checkCapacity(c, r.planAt(c.Member, c.From)); err != nil {
 			d.voidReasons[c] = err.Field + ": " + err.Text
 			return
@@ -94,7 +95,8 @@
 	}
 }
 
-// currentUnits is the size of a reservation, as cancelled or shortened.
+// currentUnits returns the units of a reservation after it was shortened. It returns 0 if the reservation is
+// cancelled or void.
 func (d *derived) currentUnits(c *Change) float64 {
 	if d.cancelledBy[c.Number] != 0 || d.voidReasons[c] != "" {
 		return 0
@@ -105,7 +107,8 @@
 	return c.Units
 }
 
-// inForce is the change of a list that is in force at a moment; nil: none.
+// inForce returns the change of a list that is in force at a time, in Unix nanoseconds. It returns nil if
+// there is none.
 func (d *derived) inForce(list []*Change, at int64) (found *Change) {
 	for _, c := range list {
 		if c.From <= at && d.cancelledBy[c.Number] == 0 && (found == nil || c.supersedes(found)) {
@@ -115,7 +118,7 @@
 	return found
 }
 
-// planAt is a member's plan at a moment, with nothing reserved.
+// planAt returns the plan of a member at a time, in Unix nanoseconds, without the effect of reservations.
 func (r *Replica) planAt(member string, at int64) decide.Plan {
 	name := r.members[member].Plan
 	if c := r.derived.inForce(r.derived.planMoves[member], at); c != nil {
@@ -129,8 +132,9 @@
 	return p
 }
 
-// effectivePlan is what a member's ordinary requests are subject to at a moment: its plan, less what is reserved. The
-// second result is the number of the last change that it follows from.
+// effectivePlan returns the plan that applies to a member's ordinary requests at a time, in Unix nanoseconds:
+// the plan of the member, reduced by open reservations. The second result is the number of the last change
+// that contributed to it, or 0.
 func (r *Replica) effectivePlan(member string, at int64) (decide.Plan, uint64) {
 	p := r.planAt(member, at)
 	last := uint64(0)
@@ -157,8 +161,9 @@
 	return p, last
 }
 
-// announce emits what is in force now and was not when it was last announced. A wall clock that was stepped back makes
-// dates come again, and what they bring is announced again as well.
+// announce emits what has changed since the last announcement: plans in force, and new or resized
+// reservations. If the wall clock was stepped back, dates that had passed are in the future again, so
+// announce checks everything again.
 func (r *Replica) announce() {
 	now := r.now.Wall
 	if !r.announced.outdated && now < r.announced.nextDateAt && now >= r.announced.at {
@@ -181,14 +186,16 @@
 	r.announceVoid()
 }
 
-// unchanged reports whether no change can concern a member, which is announced as the settings have it. It keeps
-// the work small where there are many members.
+// unchanged reports whether no change affects a member and its plan of the settings is already announced.
+// Skipping such members keeps the work small if there are many.
 func (r *Replica) unchanged(m Member) bool {
 	d := &r.derived
 	return d.planMoves[m.Name] == nil && d.reservationsByMember[m.Name] == nil && len(d.termChanges) == 0 &&
 		r.announced.plans[m.Name] == r.plans[m.Plan]
 }
 
+// announceReservation announces a reservation if it is new and has not ended, and its units if they have
+// changed.
 func (r *Replica) announceReservation(c *Change, m Member) {
 	id, units := c.hash(), r.derived.currentUnits(c)
 	last, known := r.announced.units[id]
@@ -213,7 +220,8 @@
 	}
 }
 
-// announceVoid withdraws reservations that were announced and are void by a change that came later and sorts before.
+// announceVoid withdraws announced reservations that have become void because a change that arrived later
+// precedes them in the order of changes.
 func (r *Replica) announceVoid() {
 	for _, c := range r.set.ordered {
 		reason := r.derived.voidReasons[c]
@@ -228,7 +236,8 @@
 	}
 }
 
-// nextDate is the first date of a change after now, in Unix nanoseconds.
+// nextDate returns the earliest date of a change after now, in Unix nanoseconds. It returns math.MaxInt64 if
+// there is none.
 func (r *Replica) nextDate() int64 {
 	next := int64(math.MaxInt64)
 	for _, c := range r.set.ordered {
@@ -241,12 +250,14 @@
 	return next
 }
 
-// EffectivePlan is the plan that was in force for a member at the last event, less what is reserved.
+// EffectivePlan returns the plan that was in force for a member at the last event, reduced by open
+// reservations. It returns the zero Plan for an unknown member.
 func (r *Replica) EffectivePlan(member string) decide.Plan { return r.announced.plans[member] }
 
-// MaxOverspend bounds what a member may spend beyond its new plan while the change spreads for a time, in units:
-// gateways that have not received it admit at the old rate, and up to the old burst. Without a rate before, nothing
-// bounds it and the result is infinite.
+// MaxOverspend returns an upper bound, in units, for what a member can use beyond its new plan while the
+// change reaches all gateways, which takes the time spread. Gateways that have not yet received the change
+// admit requests at the old rate and up to the old burst. The result is infinite if the new plan has a rate
+// limit and the old one has none.
 func MaxOverspend(before, after decide.Plan, spread time.Duration) float64 {
 	rate, burst := max(0, before.Rate-after.Rate), max(0, before.Burst-after.Burst)
 	if before.Rate == 0 && after.Rate > 0 {
--- a/internal/quotaplan/events.go
+++ b/internal/quotaplan/events.go
@@ -6,10 +6,10 @@
 	"winghatch/decide"
 )
 
-// Instant is the time of an event on two clocks. Timers run by the monotonic one, so a step of the wall clock does not
-// stop them; changes come into force by the wall clock.
+// Instant is the time of an event on two clocks. Timers use the monotonic clock, so a step of the wall clock
+// does not disturb them. Changes come into force by the wall clock.
 type Instant struct {
-	Mono time.Duration // since an origin that the caller chooses; never goes back
+	Mono time.Duration // time since an origin that the caller chooses; never goes back
 	Wall int64         // Unix nanoseconds
 }
 
@@ -19,67 +19,70 @@
 // Action is an output of a Replica, to be carried out by the caller.
 type Action interface{ action() }
 
-// The events.
+// Events of a Replica.
 type (
-	// Start is the first event. Persisted changes are restored before it.
+	// Start is the first event. Persisted changes must be restored before it.
 	Start struct{}
-	// Submit asks for a change to be accepted. It is answered by one Reply with the same Token.
+	// Submit submits a change. The replica answers with one Reply that has the same Token.
 	Submit struct {
 		Token  uint64
 		Change Change
 	}
-	// Persisted says that the change of that number, of an own Persist, is durable.
+	// Persisted reports that the change of a Persist with Own set is durable.
 	Persisted struct{ Number uint64 }
-	// PersistFailed says that the change of that number can't be made durable. It is not accepted.
+	// PersistFailed reports that the change of a Persist with Own set cannot be made durable. The replica
+	// rejects the change.
 	PersistFailed struct {
-		Number uint64
+		Number uint64 // number of the change
 		Reason string
 	}
-	// MessageReceived brings the Data of another gateway's Send.
+	// MessageReceived delivers the Data of a Send of another gateway.
 	MessageReceived struct {
-		From int // rank
+		From int // rank of the sender
 		Data []byte
 	}
-	// Tick says that the time of the last ScheduleTick has come.
+	// Tick reports that the time of the last ScheduleTick has been reached.
 	Tick struct{}
 )
 
-// The actions.
+// Actions of a Replica.
 type (
-	// Persist asks for a change to be made durable. If it is Own, that is accepted here, the caller answers with
-	// Persisted or PersistFailed, and the change takes effect only then. Others take effect at once: if one is lost,
-	// its origin or a peer has it.
+	// Persist asks the caller to make a change durable. A change with Own set was submitted to this gateway:
+	// the caller must answer with Persisted or PersistFailed, and the change takes effect only when it is
+	// durable. A change of another gateway takes effect at once, because it can be fetched again from its
+	// origin or a peer if it is lost.
 	Persist struct {
 		Change Change
 		Own    bool
 	}
-	// Reply answers a Submit. Err is nil if the change is durable and accepted.
+	// Reply answers a Submit. Err is nil if the change was accepted and is durable.
 	Reply struct {
 		Token  uint64
-		Change Change // as accepted
+		Change Change // the accepted change, with defaults filled in
 		Err    *Error
 	}
-	// Send sends a message to another gateway. It may be lost.
+	// Send sends a message to another gateway. The message may be lost.
 	Send struct {
-		To   int // rank
+		To   int // rank of the receiver
 		Data []byte
 	}
-	// ApplyPlan says which plan is in force for a member from now on.
+	// ApplyPlan puts a plan in force for a member.
 	ApplyPlan struct {
 		Member string
-		Plan   decide.Plan
-		Change uint64 // number of the last change that it follows from; 0: none
+		Plan   decide.Plan // the member's plan, reduced by open reservations
+		Change uint64      // number of the last change that contributed to the plan; 0: none
 	}
 	// AddReservation announces a reservation, before or within its window.
 	AddReservation struct{ Reservation }
-	// ResizeReservation says that an announced reservation is of Units now; 0: it is cancelled or void.
+	// ResizeReservation reports that an announced reservation was reduced to Units. With 0 it is cancelled or
+	// void.
 	ResizeReservation struct {
 		ID    uint64
 		Units float64
 	}
-	// ScheduleTick asks for a Tick as soon as either clock reaches At. It replaces the request before it.
+	// ScheduleTick asks for a Tick as soon as either clock reaches At. It replaces the previous ScheduleTick.
 	ScheduleTick struct{ At Instant }
-	// LogWarning is a line for the operator's log.
+	// LogWarning asks the caller to log a warning for the operator.
 	LogWarning struct{ Text string }
 )
 
--- a/internal/quotaplan/history.go
+++ b/internal/quotaplan/history.go
@@ -2,28 +2,29 @@
 
 import "fmt"
 
-// Status is what became of a change.
+// Status is the current status of a change.
 type Status string
 
-// The statuses.
+// Statuses of a change.
 const (
-	Waiting   Status = "waiting"   // its date is in the future
-	InForce   Status = "in force"  // or, of a reservation, within its window
+	Waiting   Status = "waiting"   // the date is in the future
+	InForce   Status = "in force"  // the change applies now; for a reservation, its window is open
 	Replaced  Status = "replaced"  // superseded by another change
-	Ended     Status = "ended"     // a reservation whose window is over
-	Cancelled Status = "cancelled" // by another change
-	Void      Status = "void"      // it does not count, for the Reason given
-	Done      Status = "done"      // of Cancel and Shorten
+	Ended     Status = "ended"     // the window of the reservation has passed
+	Cancelled Status = "cancelled" // cancelled by another change
+	Void      Status = "void"      // the change does not count; Entry.Reason tells why
+	Done      Status = "done"      // a Cancel or Shorten change, which takes effect at once
 )
 
-// Entry is a change and what became of it.
+// Entry is a change with its current status.
 type Entry struct {
 	Change
 	Status Status
-	Reason string // for operators; may be empty
+	Reason string // explains the status to operators; may be empty
 }
 
-// History lists the changes of one member, and those of plans, or all with an empty name, in their order.
+// History returns the changes that concern a member, including changes of plan terms, in the order of
+// changes. With an empty name it returns all changes.
 func (r *Replica) History(member string) (out []Entry) {
 	for _, c := range r.set.ordered {
 		target := r.derived.byNumber[c.Target]
@@ -35,6 +36,7 @@
 	return out
 }
 
+// entry determines the current status of a change.
 func (r *Replica) entry(c *Change) Entry {
 	e := Entry{Change: *c, Status: InForce}
 	d, now := &r.derived, r.now.Wall
@@ -59,8 +61,8 @@
 	return e
 }
 
-// Contains reports whether the replica has, or is persisting, a change of that number that says the same. Of c, a From
-// or Rate of 0 matches any.
+// Contains reports whether the replica has, or is persisting, a change with the same number and content as c.
+// A From or Rate of 0 in c matches any value, because Submit replaces these by defaults.
 func (r *Replica) Contains(c Change) bool {
 	o := r.derived.byNumber[c.Number]
 	if o == nil {
@@ -75,7 +77,7 @@
 		(c.Kind != Terms || o.Terms == c.Terms)
 }
 
-// Changes returns all changes of the set, in its order, for a snapshot.
+// Changes returns all changes of the set, in the order of changes, for a snapshot.
 func (r *Replica) Changes() (out []Change) {
 	for _, c := range r.set.ordered {
 		out = append(out, *c)
@@ -83,7 +85,8 @@
 	return out
 }
 
-// Digest identifies the set by its size and a hash: replicas with the same digest have the same set.
+// Digest returns the number of changes in the set and a hash of them. Replicas with equal digests have the
+// same set.
 func (r *Replica) Digest() (changes int, hash uint64) {
 	return len(r.set.hashes), xorOf(r.set.hashes)
 }
--- a/internal/quotaplan/replica.go
+++ b/internal/quotaplan/replica.go
@@ -8,30 +8,30 @@
 	"winghatch/decide"
 )
 
-// maxPendingSubmits bounds the submitted changes that wait for the disk: while it does not answer, submits must not
-// fill the memory.
+// maxPendingSubmits limits the submitted changes that are being persisted, so that they do not fill the
+// memory while the disk does not answer.
 const maxPendingSubmits = 256
 
 // Member is a customer of the settings.
 type Member struct {
 	Name, Plan string
-	First      int // rank of the first gateway that it uses
-	Spread     int // how many gateways it uses, from First on, modulo the fleet's
+	First      int // rank of the first gateway that the member uses
+	Spread     int // number of gateways that it uses: consecutive ranks from First, modulo the fleet size
 }
 
 // Settings are the parameters of a Replica.
 type Settings struct {
-	Rank            int // of this gateway, from 0
-	Gateways        int // of the fleet
+	Rank            int // rank of this gateway, from 0
+	Gateways        int // number of gateways in the fleet
 	Plans           []decide.Plan
 	Members         []Member
-	Capacity        float64 // units a second that the fleet can serve; 0: not stated
-	MaxRequestUnits float64 // of the largest request
-	Incarnation     uint64  // differs from process to process of this gateway
-	Seed            int64   // of the random choices
+	Capacity        float64 // units per second that the fleet can serve; 0: unknown, and not checked
+	MaxRequestUnits float64 // units of the largest request
+	Incarnation     uint64  // identifies the process; must differ for each process of this gateway
+	Seed            int64   // seed of the random choices
 }
 
-// pendingSubmit is a submitted change that waits for the disk.
+// pendingSubmit is a submitted change that is being persisted.
 type pendingSubmit struct {
 	token  uint64
 	change Change
@@ -41,26 +41,26 @@
 type Replica struct {
 	settings  Settings
 	random    *rand.Rand
-	plans     map[string]decide.Plan // of the settings, by name
-	planNames []string               // in the order of the settings
-	members   map[string]Member
+	plans     map[string]decide.Plan // plans of the settings, by name
+	planNames []string               // names of the plans, in the order of the settings
+	members   map[string]Member      // by name
 
 	now     Instant
-	actions []Action // of the event being handled
+	actions []Action // actions of the event being handled
 
 	set       changeSet
 	own       map[uint64]bool          // hashes of the changes that this gateway accepted
 	pending   map[uint64]pendingSubmit // by number of the change
-	lastStamp int64                    // highest stamp known
+	lastStamp int64                    // highest known stamp
 
 	derived   derived
 	stale     bool // the set has grown since derived was computed
 	announced announced
 
-	compareAt time.Duration // next comparison with a peer
+	compareAt time.Duration // time of the next comparison with a peer
 }
 
-// New returns a replica without changes.
+// New returns a Replica without changes.
 func New(s Settings) *Replica {
 	r := &Replica{
 		settings:  s,
@@ -84,19 +84,21 @@
 	return r
 }
 
-// Restore adds a persisted change, before Start. own says that it was persisted as an own one. A gateway that lost its
-// disk receives its former changes from peers, as foreign ones: if it took them for its own, it would mint the tokens
-// of its reservations a second time.
+// Restore adds a persisted change. It must be called before the Start event. own must be the Own flag with
+// which the change was persisted. A gateway that lost its disk receives the changes that it accepted back
+// from its peers without that flag. Otherwise it would mint the tokens of its reservations a second time.
 func (r *Replica) Restore(c Change, own bool) {
 	if r.add(c) && own {
 		r.own[c.hash()] = true
 	}
 }
 
-// Own reports whether a change was accepted by this gateway, by this process or an earlier one whose disk it has.
+// Own reports whether this gateway accepted a change, in this process or in an earlier one whose disk it
+// still has.
 func (r *Replica) Own(c *Change) bool { return r.own[c.hash()] }
 
-// Handle takes an event and returns the actions that follow from it, in order.
+// Handle processes an event and returns the resulting actions in order. The last one is always a
+// ScheduleTick. A monotonic time before that of an earlier event is raised to it.
 func (r *Replica) Handle(now Instant, ev Event) []Action {
 	r.actions = nil
 	now.Mono = max(now.Mono, r.now.Mono)
@@ -131,7 +133,8 @@
 
 func (r *Replica) emit(a Action) { r.actions = append(r.actions, a) }
 
-// nextTick is when something is due: a comparison, or the date of a change.
+// nextTick returns the times, on either clock, at which work is due even if no event arrives before: the next
+// comparison and the next date of a change.
 func (r *Replica) nextTick() Instant {
 	at := Instant{Wall: r.announced.nextDateAt, Mono: math.MaxInt64}
 	if r.settings.Gateways > 1 {
@@ -140,14 +143,15 @@
 	return at
 }
 
+// submit validates a submitted change and starts to persist it, or rejects it.
 func (r *Replica) submit(e Submit) {
 	c := e.Change
 	if err := r.check(&c); err != nil {
 		r.emit(Reply{e.Token, c, err})
 		return
 	}
-	// Stamps only grow, also where the wall clock was stepped back: a new change must not sort before those that it was
-	// checked against.
+	// Stamps increase even if the wall clock was stepped back, because a new change must not precede the
+	// changes that it was validated against.
 	r.lastStamp = max(r.lastStamp+1, r.now.Wall)
 	c.Stamp, c.Origin, c.Incarnation = r.lastStamp, r.settings.Rank, r.settings.Incarnation
 	if c.From == 0 && (c.Kind == Move || c.Kind == Terms) {
@@ -164,6 +168,8 @@
 	r.emit(Persist{c, true})
 }
 
+// persisted adds a submitted change that is now durable to the set, answers the submit and forwards the
+// change.
 func (r *Replica) persisted(number uint64) {
 	p, ok := r.pending[number]
 	if !ok {
@@ -174,7 +180,8 @@
 	hash := p.change.hash()
 	r.own[hash] = true
 	r.recompute()
-	// Another gateway's change of the same number may have arrived while this one was written.
+	// While this change was being persisted, another gateway's change may have arrived that makes this one
+	// void, for example one with the same number.
 	if reason := r.derived.voidReasons[r.set.byHash[hash]]; reason != "" {
 		r.emit(Reply{p.token, p.change, invalid(&p.change, "number", "%s", reason)})
 	} else {
@@ -183,6 +190,7 @@
 	r.forward([]*Change{&p.change}, noPeer)
 }
 
+// persistFailed rejects a submitted change that could not be made durable.
 func (r *Replica) persistFailed(e PersistFailed) {
 	p, ok := r.pending[e.Number]
 	if !ok {
@@ -192,7 +200,7 @@
 	r.emit(Reply{p.token, p.change, invalid(&p.change, "log", "%s, the change is not taken", e.Reason)})
 }
 
-// add adds a change to the set; false: the set had it.
+// add adds a change to the set. It returns false if the set already contains it.
 func (r *Replica) add(c Change) bool {
 	if !r.set.add(c) {
 		return false
--- a/internal/quotaplan/validate.go
+++ b/internal/quotaplan/validate.go
@@ -7,11 +7,11 @@
 	"winghatch/decide"
 )
 
-// maxDateInPast is how far in the past the date of a submitted change may be, in nanoseconds: a date of now is past by
-// the time it arrives.
+// maxDateInPast is how far in the past the date of a submitted change may be, in nanoseconds. A date that was
+// the current time when the change was sent has passed when the change arrives.
 const maxDateInPast = int64(time.Second)
 
-// check reports why a change can't be submitted now, or nil if it can.
+// check validates a submitted change. It returns nil if the change can be accepted now.
 func (r *Replica) check(c *Change) *Error {
 	if err := r.checkNumber(c); err != nil {
 		return err
@@ -41,6 +41,7 @@
 	return invalid(c, "kind", "%s, want move, terms, reserve, cancel or shorten", c.Kind)
 }
 
+// checkNumber checks that the number of a change is valid and unused.
 func (r *Replica) checkNumber(c *Change) *Error {
 	if c.Number == 0 {
 		return invalid(c, "number", "0, want 1 or more")
@@ -54,6 +55,7 @@
 	return nil
 }
 
+// checkNames checks that the member and the plan of a change are in the settings, where its kind needs them.
 func (r *Replica) checkNames(c *Change) *Error {
 	if len(c.Member) > maxNameBytes || len(c.Plan) > maxNameBytes {
 		return invalid(c, "member", "a name of %d bytes, want %d at most", max(len(c.Member), len(c.Plan)), maxNameBytes)
@@ -71,6 +73,7 @@
 	return nil
 }
 
+// checkTerms checks that the terms of a change are consistent, and returns the first error.
 func checkTerms(c *Change) *Error {
 	if errs := CheckPlan(&c.Terms); len(errs) > 0 {
 		return &Error{c.Number, errs[0].Field, errs[0].Text}
@@ -78,6 +81,7 @@
 	return nil
 }
 
+// checkTarget checks that a Cancel or Shorten change can be applied to its target.
 func (r *Replica) checkTarget(c *Change) *Error {
 	target := r.derived.byNumber[c.Target]
 	switch {
@@ -97,10 +101,12 @@
 	return nil
 }
 
-// FieldError says which field of a plan is invalid, by its name in settings, and which values are valid.
+// FieldError describes an invalid field of a plan. Field is its name in the settings; Text tells which values
+// are valid.
 type FieldError struct{ Field, Text string }
 
-// CheckPlan reports which figures of a plan contradict each other.
+// CheckPlan checks that the rates and bursts of a plan are consistent. It returns an error for each
+// inconsistent field, or nil.
 func CheckPlan(p *decide.Plan) (errs []FieldError) {
 	if (p.Rate > 0) != (p.Burst > 0) {
 		errs = append(errs, FieldError{"burst",
--- a/internal/reservation/ceiling.go
+++ b/internal/reservation/ceiling.go
@@ -7,14 +7,15 @@
 )
 
 const (
-	// roomGrantLifetime is how long room that another gateway gave may be used. It bounds what is admitted beyond the
-	// ceiling's burst while the giver refills.
+	// roomGrantLifetime is the time after which room granted by another gateway expires. The granting gateway
+	// refills its own room meanwhile, so the lifetime bounds the units admitted beyond the burst of the
+	// ceiling.
 	roomGrantLifetime = 100 * time.Millisecond
-	// negligible is an amount of units that is a rounding error.
+	// negligible is the number of units at or below which an amount is treated as a rounding error.
 	negligible = 1e-9
 )
 
-// ceilingFraction is the part of the ceiling that is enforced at this gateway.
+// ceilingFraction returns the fraction of the ceiling, from 0 to 1, that this gateway enforces.
 func (l *Ledger) ceilingFraction(h *holding) float64 {
 	for _, s := range h.ceilingShares {
 		if s.Rank == l.settings.Rank {
@@ -24,9 +25,10 @@
 	return 0
 }
 
-// refillRoom refills the room under the ceiling up to now. It is empty at the start of the window and of the process,
-// as that of ordinary requests is whose rate was lowered by the reservation's: the two together never have more than
-// the ceiling alone would.
+// refillRoom adds the room under the ceiling that has accrued since the last call, and drops grants that have
+// expired or are used up. The room is empty when the window opens and when the process starts. The ceiling of
+// ordinary requests is lowered by the rate of the reservation and starts empty in the same way, so reserved
+// and ordinary requests together never get more than the ceiling alone would allow.
 func (l *Ledger) refillRoom(h *holding) {
 	elapsed := (l.now.Mono - h.ceilingRoomAt).Seconds()
 	h.ceilingRoomAt = l.now.Mono
@@ -41,8 +43,8 @@
 	})
 }
 
-// room is the units that the ceiling lets pass here now. A reservation's rate without a ceiling is no limit: only its
-// admission regards it.
+// room returns the units that the ceiling allows at this gateway now. It is infinite without a ceiling: the
+// rate of such a reservation is only checked when the reservation is accepted and does not limit requests.
 func (h *holding) room() float64 {
 	if !h.Ceiling {
 		return math.Inf(1)
@@ -54,7 +56,7 @@
 	return sum
 }
 
-// useRoom uses room, that of other gateways first: it expires.
+// useRoom deducts units from the room. Grants of other gateways are used first because they expire.
 func (h *holding) useRoom(units float64) {
 	for i := range h.roomGrants {
 		n := min(units, h.roomGrants[i].units)
--- a/internal/reservation/doc.go
+++ b/internal/reservation/doc.go
@@ -1,18 +1,27 @@
-// Package reservation spends reserved units: requests that are marked as reserved pass by the customer's quota and use
-// units of a reservation instead.
+// Package reservation admits requests against reserved units. A request that is marked as reserved does not
+// use the customer's quota; it spends units of a reservation instead.
 //
-// The units of a reservation are tokens. They are minted once, at the gateway that accepted the reservation, and from
-// then on only move between gateways, so no two gateways can spend the same one, however they are partitioned. A
-// gateway that runs short requests a transfer from its peers. What a gateway held when it was killed is unusable until
-// its disk is back.
+// The units of a reservation are represented by tokens. The gateway that accepted the reservation mints the
+// tokens once. After that, tokens only move between gateways, so two gateways can never spend the same token,
+// even while the network is partitioned. A gateway that runs short of tokens requests a transfer from its
+// peers. The tokens that a gateway held when it was killed cannot be used until its disk is back.
 //
-// A Ledger is a state machine: Handle takes an event with its time and returns actions, which the caller carries out in
-// order. The caller owns the disk and the sockets. A Persist action has the complete state of a reservation; what
-// depends on it (spending tokens that were drawn, sending tokens to a peer, acknowledging tokens received) is
-// held back until the caller has returned Persisted. After a start the caller passes the last state of each reservation
-// to Restore. The package does no I/O, reads no clock and starts no goroutine; a Ledger is not safe for concurrent use.
+// If the member's plan has a ceiling, a request also needs room: units that the ceiling still allows at this
+// gateway. A gateway that has too little room asks a peer to grant some of its own.
 //
-// The states of a token at a gateway: free (persisted, not spendable), drawing (its draw is being persisted), drawn
-// (spendable; lost in a crash), and then in flight with a request until that has ended. A transfer takes it from the
-// free ones of the sender to the free ones of the receiver.
+// A Ledger is a state machine. Handle takes an event and its time, and returns actions that the caller
+// carries out in order. The caller owns the disk and the sockets. A Persist action contains the complete
+// state of a reservation. Every effect that depends on that state (spending drawn tokens, sending tokens to a
+// peer, acknowledging received tokens) is deferred until the caller reports Persisted. After a start, the
+// caller passes the last state of each reservation to Restore. The package does no I/O, reads no clock and
+// starts no goroutine. A Ledger is not safe for concurrent use.
+//
+// A token at a gateway is in one of these states:
+//
+//   - free: persisted, but not yet spendable
+//   - drawing: the state without the token is being persisted
+//   - drawn: spendable; a crash loses it
+//   - in flight: used by a request that has not ended
+//
+// A transfer moves a token from the free tokens of the sender to the free tokens of the receiver.
 package reservation
--- a/internal/reservation/drain.go
+++ b/internal/reservation/drain.go
@@ -1,7 +1,7 @@
 package reservation
 
-// startDrain puts back the tokens that were drawn, so that offerRemaining can offer them to other gateways: what stays
-// here is out of reach until this gateway is back.
+// startDrain returns drawn tokens to the free ones, so that offerRemaining can offer them to other gateways.
+// Tokens that stay here cannot be used by any gateway until this one is back.
 func (l *Ledger) startDrain() {
 	l.draining = true
 	for _, h := range l.byEnd {
@@ -13,10 +13,10 @@
 	}
 }
 
-// offerRemaining offers the tokens of a draining gateway to the member's other gateways in turn, until they have
-// requested them.
+// offerRemaining offers the tokens of this draining gateway to the other gateways of the member, in rotation,
+// until they have requested all of them.
 func (l *Ledger) offerRemaining(h *holding) {
-	if h.drawn > 0 { // of requests that have ended since
+	if h.drawn > 0 { // returned by requests that ended after startDrain
 		h.free += h.drawn
 		h.drawn = 0
 		l.persist(h)
@@ -40,7 +40,9 @@
 	}
 }
 
-// Unsettled is the tokens that a draining gateway still holds, or has sent and has no acknowledgement for.
+// Unsettled returns the units of all tokens that this gateway holds free or has sent without an
+// acknowledgement. Reservations that have ended do not count. A draining gateway has handed over everything
+// once it is 0.
 func (l *Ledger) Unsettled() (sum float64) {
 	for _, h := range l.byEnd {
 		if h.ended {
--- a/internal/reservation/events.go
+++ b/internal/reservation/events.go
@@ -12,74 +12,79 @@
 // Action is an output of a Ledger, to be carried out by the caller.
 type Action interface{ action() }
 
-// CeilingShare is the part of a plan's ceiling that is enforced at one gateway.
+// CeilingShare is the fraction of a plan's ceiling that one gateway enforces.
 type CeilingShare struct {
-	Rank     int
-	Fraction float64 // of the ceiling, 0 to 1
+	Rank     int     // rank of the gateway
+	Fraction float64 // fraction of the ceiling, from 0 to 1
 }
 
-// The events.
+// Events of a Ledger.
 type (
-	// AddReservation makes a reservation known. CeilingShares say where the member's ceiling is enforced.
+	// AddReservation announces a reservation. CeilingShares lists the gateways that enforce the member's
+	// ceiling.
 	AddReservation struct {
 		quotaplan.Reservation
 		CeilingShares []CeilingShare
 	}
-	// ResizeReservation says that a reservation is of Units now; 0: it is cancelled or void.
+	// ResizeReservation reports that a reservation was reduced to Units. With 0 it is cancelled or void.
 	ResizeReservation struct {
-		ID    uint64
+		ID    uint64 // ID of the reservation
 		Units float64
 	}
-	// Request is a request marked as reserved. It is answered by one Admit or Reject, by the Deadline at the latest.
+	// Request is a request marked as reserved. The ledger answers it with one Admit or Reject, at the latest
+	// when the Deadline has passed. A waiting request that is withdrawn by RequestEnded gets no answer.
 	Request struct {
 		ID       string
 		Member   string
 		Units    float64
 		Deadline time.Duration // on the monotonic clock
 	}
-	// RequestEnded settles an admitted request at the units that it used, or takes back one that waits.
+	// RequestEnded settles an admitted request at the units that it used, or withdraws a request that still
+	// waits.
 	RequestEnded struct {
-		ID   string
+		ID   string  // ID of the request
 		Used float64 // units
 	}
-	// Persisted says that all states up to that number are durable.
+	// Persisted reports that all states with numbers up to Number are durable.
 	Persisted struct{ Number uint64 }
-	// MessageReceived brings the Data of another gateway's Send.
+	// MessageReceived delivers the Data of a Send of another gateway.
 	MessageReceived struct {
-		From int // rank
+		From int // rank of the sender
 		Data []byte
 	}
-	// Tick says that the time of the last ScheduleTick has come.
+	// Tick reports that the time of the last ScheduleTick has been reached.
 	Tick struct{}
-	// Drain says that this gateway stops: it offers its tokens to others and rejects new requests.
+	// Drain reports that this gateway is shutting down. The ledger rejects new requests and offers its tokens
+	// to other gateways.
 	Drain struct{}
 )
 
-// The actions.
+// Actions of a Ledger.
 type (
-	// Admit lets a request pass.
+	// Admit admits a request.
 	Admit struct{ ID string }
-	// Reject answers a request that does not pass.
+	// Reject rejects a request.
 	Reject struct {
-		ID     string
+		ID     string // ID of the request
 		Reason Reason
 	}
-	// Persist asks for a state to be made durable. A later one of the same reservation replaces it.
+	// Persist asks the caller to make the state of a reservation durable. It replaces earlier states of the
+	// same reservation.
 	Persist struct {
-		Number uint64 // ascending
+		Number uint64 // number of the state, ascending
 		State  []byte
 	}
-	// Send sends a message to another gateway. It may be lost.
+	// Send sends a message to another gateway. The message may be lost.
 	Send struct {
-		To   int // rank
+		To   int // rank of the receiver
 		Data []byte
 	}
-	// ReturnUnits gives unused units back to the member's quota at this gateway.
+	// ReturnUnits returns unused units to the member's quota at this gateway.
 	ReturnUnits struct {
 		Member string
 		Units  float64
 	}
-	// ScheduleTick asks for a Tick as soon as either clock reaches At. It replaces the request before it.
+	// ScheduleTick asks for a Tick as soon as either clock reaches At. It replaces the previous ScheduleTick.
 	ScheduleTick struct{ At quotaplan.Instant }
 )
 
@@ -99,14 +104,14 @@
 func (ReturnUnits) action()  {}
 func (ScheduleTick) action() {}
 
-// Reason says why a request was rejected. Clients and metrics see it.
+// Reason tells clients and metrics why a request was rejected.
 type Reason string
 
-// The reasons.
+// Reasons for a rejection.
 const (
-	NoReservation     Reason = "reserve_none"    // the member has no reservation whose window is now
-	Exhausted         Reason = "reserve_spent"   // nothing of it is left, as far as this gateway knows
-	TokensUnavailable Reason = "reserve_short"   // gateways that may have tokens did not answer in time
-	RateExceeded      Reason = "reserve_rate"    // the reservation's rate is used up
-	Draining          Reason = "reserve_drained" // this gateway stops
+	NoReservation     Reason = "reserve_none"    // the member has no open reservation
+	Exhausted         Reason = "reserve_spent"   // too few units are left, as far as this gateway knows
+	TokensUnavailable Reason = "reserve_short"   // peers that may hold tokens sent too few in time
+	RateExceeded      Reason = "reserve_rate"    // the rate of the reservation is used up
+	Draining          Reason = "reserve_drained" // this gateway is shutting down
 )
--- a/internal/reservation/holding.go
+++ b/internal/reservation/holding.go
@@ -9,83 +9,85 @@
 	"winghatch/internal/quotaplan"
 )
 
-// holder is a gateway's state of a reservation, in one epoch. A gateway that lost its disk begins a new epoch and is
-// another holder: tokens that were sent to the former one are gone.
+// holder identifies the tokens of a reservation at one gateway in one epoch. A gateway that lost its disk
+// starts a new epoch and is then a different holder: tokens sent to the previous holder are lost.
 type holder struct {
 	rank  int
 	epoch uint64
 }
 
-// transfer is what was sent to one holder. Its message carries the total ever sent, so it may be lost, repeated or
-// reordered without harm; it is retransmitted until the total is acknowledged.
+// transfer counts the tokens sent to one holder. A transfer message carries the total ever sent, so the
+// message may be lost, duplicated or reordered without harm. It is retransmitted until the total is
+// acknowledged.
 type transfer struct {
 	total, acknowledged float64
 	sentAt              time.Duration
 	retryInterval       time.Duration
 }
 
-// peerTokens is what is known of another gateway's tokens of a reservation.
+// peerTokens is what this gateway knows about the tokens of a reservation at another gateway. Times are on
+// the monotonic clock.
 type peerTokens struct {
-	requestedAt       time.Duration // of the request that is outstanding; 0: none
-	unanswered        int           // requests in a row
-	unresponsiveUntil time.Duration // requests go to others first
-	repliedAt         time.Duration // 0: never
-	emptyAt           time.Duration // it reported that it had nothing; 0: it did not
-	emptyBackoff      time.Duration // it is not asked for so long then
-	reported          float64       // tokens that it had left
+	requestedAt       time.Duration // time of the outstanding transfer request; 0: none
+	unanswered        int           // consecutive requests without an answer
+	unresponsiveUntil time.Duration // until then the peer is asked only after all others
+	repliedAt         time.Duration // time of the last report; 0: none
+	emptyAt           time.Duration // time at which the peer reported that it had no tokens; 0: it has some
+	emptyBackoff      time.Duration // after emptyAt, the peer is not asked for this long
+	reported          float64       // tokens that the peer had left according to the last report
 }
 
-// waitingRequest waits for tokens or room.
+// waitingRequest is a request that waits for tokens or for room under the ceiling.
 type waitingRequest struct {
 	Request
 	queuedAt time.Duration
 }
 
-// roomGrant is room under the ceiling that another gateway gave.
+// roomGrant is room under the ceiling that another gateway granted.
 type roomGrant struct {
 	units float64
 	until time.Duration
 }
 
-// holding is a reservation as this gateway has it. Amounts are in units.
+// holding is the state of a reservation at this gateway. Amounts are in units, times on the monotonic clock.
 type holding struct {
 	quotaplan.Reservation
 	ceilingShares []CeilingShare
-	announced     bool // else only its persisted state is known
+	announced     bool // false: only the persisted state is known, the reservation itself is not
 
-	// Persisted.
+	// Persisted state.
 	epoch    uint64
-	minted   bool    // its tokens were made here
-	ended    bool    // its window is over, or it was cancelled
-	removed  float64 // by resizes, of all gateways' parts together, as far as this gateway has taken its own off
-	free     float64 // tokens here that are not drawn; below 0: owed after a resize
+	minted   bool    // this gateway minted the tokens
+	ended    bool    // the window has passed, or the reservation was cancelled
+	removed  float64 // units removed by resizes, over all gateways; this gateway's part is deducted
+	free     float64 // tokens that are not drawn; negative: owed after a resize
 	sent     map[holder]*transfer
-	received map[holder]float64 // in total from each
+	received map[holder]float64 // total received from each holder
 
-	// Of this process.
-	drawn    float64 // tokens that may be spent; below 0: requests used more than they were sent with
+	// State of this process, not persisted.
+	drawn    float64 // spendable tokens; negative: requests used more units than they were admitted with
 	drawing  float64 // tokens whose draw is being persisted
 	queue    []waitingRequest
-	inFlight map[string]float64 // units of admitted requests, by ID
+	inFlight map[string]float64 // units of admitted requests, by request ID
 	demand   decayingRate
 
-	ceilingRoom       float64 // under the share of the ceiling that is enforced here, as of ceilingRoomAt
+	ceilingRoom       float64 // room under this gateway's share of the ceiling, as of ceilingRoomAt
 	ceilingRoomAt     time.Duration
 	roomGrants        []roomGrant
 	nextRoomRequestAt time.Duration
 
 	peers               []peerTokens   // by rank
-	outstanding         map[uint64]int // transfer requests by number: rank that was asked
-	lastTransferRequest uint64         // number
-	offeredAt           time.Duration  // last offer of a draining gateway
-	offerTurn           int            // of the gateways, in offers
-
-	wakeAt time.Duration // something is due
-	spent  float64       // by requests here
-	given  float64       // to other gateways
+	outstanding         map[uint64]int // rank of the peer asked, by number of the transfer request
+	lastTransferRequest uint64         // number of the last transfer request
+	offeredAt           time.Duration  // time of the last offer while draining
+	offerTurn           int            // position in the rotation of gateways that get an offer
+
+	wakeAt time.Duration // time of the next action without an event
+	spent  float64       // units used by requests that have ended here
+	given  float64       // tokens sent to other gateways
 }
 
-// holding returns the state of a reservation, a new one if it has none.
+// holding returns the state of a reservation and creates it if it does not exist.
 func (l *Ledger) holding(id uint64) *holding {
 	h := l.holdings[id]
 	if h == nil {
@@ -103,18 +105,20 @@
 	return h
 }
 
-// isOpen reports whether the window of a reservation is now.
+// isOpen reports whether a reservation can be used now: it is announced, has not ended, and its window is
+// open.
 func (l *Ledger) isOpen(h *holding) bool {
 	return h.announced && !h.ended && l.now.Wall >= h.From && l.now.Wall < h.To
 }
 
-// available is the tokens here that are spendable or can be made so.
+// available returns the tokens at this gateway that are spendable or can be drawn.
 func (h *holding) available() float64 { return h.drawn + h.drawing + max(0, h.free) }
 
-// gateways is how many gateways the member uses.
+// gateways returns the number of gateways that the member uses, at least 1.
 func (l *Ledger) gateways(h *holding) int { return max(1, min(h.Spread, l.settings.Gateways)) }
 
-// addReservation announces a reservation, which may have a persisted state.
+// addReservation announces a reservation, whose state may have been restored before. It mints the tokens if
+// this gateway accepted the reservation and they were not minted before.
 func (l *Ledger) addReservation(e AddReservation) {
 	h := l.holding(e.ID)
 	if h.announced {
@@ -128,16 +132,17 @@
 		h.minted, h.free = true, h.free+h.Units
 		l.offerShares(h)
 	}
-	l.persist(h) // also the epoch, before anything is requested in its name
+	l.persist(h) // makes the epoch durable before tokens are requested for it
 }
 
-// mayMint reports whether this gateway may make the tokens of a reservation that it accepted. No former process of it
-// may have made them: a state in which tokens were received or removed is one of a reservation in use. Without such a
-// state the reservation was accepted by this process, or by a former one that ended before it persisted a state.
+// mayMint reports whether this gateway may mint the tokens of a reservation that it accepted: an earlier
+// process of it must not have minted them already. A state with received or removed tokens belongs to a
+// reservation in use. Without such a state, the reservation was accepted by this process, or by an earlier
+// one that ended before it persisted a state.
 func (h *holding) mayMint() bool { return len(h.received) == 0 && h.removed == 0 }
 
-// offerShares offers minted tokens to the member's gateways in even parts. A gateway that misses its offer requests
-// tokens when it needs them.
+// offerShares offers each of the member's gateways an even part of the minted tokens. A gateway that misses
+// its offer requests tokens when it needs them.
 func (l *Ledger) offerShares(h *holding) {
 	n := l.gateways(h)
 	for i := range n {
@@ -147,7 +152,8 @@
 	}
 }
 
-// resize takes this gateway's even part off a reservation that was shortened, or ends one that was cancelled.
+// resize deducts this gateway's even part of the removed units from its tokens. A resize to 0 units ends the
+// reservation.
 func (l *Ledger) resize(e ResizeReservation) {
 	h := l.holdings[e.ID]
 	if h == nil || h.ended {
@@ -164,8 +170,8 @@
 	}
 	n := l.gateways(h)
 	if (l.settings.Rank-h.First+l.settings.Gateways)%l.settings.Gateways < n {
-		// free may become negative: the gateway then owes tokens that others hold, and requests them before it spends
-		// any more.
+		// If other gateways hold the tokens, free becomes negative. This gateway then has to obtain the
+		// missing tokens from its peers before it spends any more.
 		h.free -= by / float64(n)
 		h.free += max(0, h.drawn)
 		h.drawn = min(0, h.drawn)
@@ -173,7 +179,8 @@
 	l.persist(h)
 }
 
-// end ends a reservation at this gateway: its requests are rejected, and what is left returns to ordinary use.
+// end ends a reservation at this gateway. It rejects the waiting requests and returns the unused units to the
+// member's quota.
 func (l *Ledger) end(h *holding) {
 	left := max(0, h.free) + max(0, h.drawn) + max(0, h.drawing)
 	h.ended, h.free, h.drawn = true, 0, min(0, h.drawn)
@@ -186,24 +193,27 @@
 	}
 	h.queue = nil
 	if left > 0 {
-		// Not before the end is durable: after a crash the units would be returned a second time.
+		// The units are returned only when the end is durable. Otherwise a crash would return them a second
+		// time.
 		l.deferred = append(l.deferred, deferredEffect{state: state, holding: h, returned: left})
 	}
 }
 
-// demandTimeConstant is how fast past demand fades: to 1/e in this time.
+// demandTimeConstant is the time in which the weight of past demand decays to 1/e.
 const demandTimeConstant = time.Second
 
-// decayingRate is an exponentially fading mean of units a second.
+// decayingRate is an exponentially decaying average of a rate, in units per second.
 type decayingRate struct {
 	value float64
 	at    time.Duration
 }
 
+// valueAt returns the average at a time not before the last call of add.
 func (r *decayingRate) valueAt(now time.Duration) float64 {
 	return r.value * math.Exp(-(now-r.at).Seconds()/demandTimeConstant.Seconds())
 }
 
+// add adds units that were requested now.
 func (r *decayingRate) add(now time.Duration, units float64) {
 	r.value, r.at = r.valueAt(now)+units/demandTimeConstant.Seconds(), now
 }
--- a/internal/reservation/ledger.go
+++ b/internal/reservation/ledger.go
@@ -11,45 +11,47 @@
 )
 
 const (
-	// retentionAfterEnd is how long a state is kept after the end of its window: a wall clock that is stepped back must
-	// not find the reservation unknown, and mint its tokens again.
+	// retentionAfterEnd is how long the state of a reservation is kept after the end of its window. If the
+	// state were deleted earlier and the wall clock stepped back, the tokens would be minted again.
 	retentionAfterEnd = 24 * time.Hour
-	// minTickDelay keeps a deadline that has passed from making the caller spin.
+	// minTickDelay is the shortest delay of a scheduled tick. It prevents a busy loop when a deadline has
+	// passed.
 	minTickDelay = time.Millisecond
-	// queuePollInterval is how often a queue is looked at without an event: room under a ceiling refills with time.
+	// queuePollInterval is how often a non-empty queue is checked without an event, because the room under a
+	// ceiling refills over time.
 	queuePollInterval = transferRequestTimeout / 4
 )
 
 // Settings are the parameters of a Ledger.
 type Settings struct {
-	Rank            int     // of this gateway, from 0
-	Gateways        int     // of the fleet
-	MaxRequestUnits float64 // of the largest request
-	Epoch           uint64  // differs from process to process of this gateway; new states get it
-	Seed            int64   // of the random choices
+	Rank            int     // rank of this gateway, from 0
+	Gateways        int     // number of gateways in the fleet
+	MaxRequestUnits float64 // units of the largest request
+	Epoch           uint64  // epoch of new states; must differ for each process of this gateway
+	Seed            int64   // seed of the random choices
 }
 
-// Ledger is one gateway's part of all reservations. It is not safe for concurrent use.
+// Ledger keeps the tokens of all reservations at one gateway. It is not safe for concurrent use.
 type Ledger struct {
 	settings Settings
 	random   *rand.Rand
 	now      quotaplan.Instant
-	actions  []Action // of the event being handled
+	actions  []Action // actions of the event being handled
 
-	holdings map[uint64]*holding // by reservation
-	byEnd    []*holding          // those that are announced, by the end of their window, then ID
-	requests map[string]*holding // that wait or are in flight, by ID
+	holdings map[uint64]*holding // by reservation ID
+	byEnd    []*holding          // announced reservations, ordered by the end of the window, then by ID
+	requests map[string]*holding // holding of each waiting or in-flight request, by request ID
 	draining bool
 
 	lastState      uint64 // number of the last Persist
 	persistedState uint64 // states up to this number are durable
 	deferred       []deferredEffect
 
-	transferRequestsLeft float64 // bucket of transfer requests, as of transferRequestsAt
+	transferRequestsLeft float64 // transfer requests that the rate limit allowed at transferRequestsAt
 	transferRequestsAt   time.Duration
 }
 
-// New returns a ledger without reservations.
+// New returns a Ledger without reservations.
 func New(s Settings) *Ledger {
 	return &Ledger{
 		settings: s,
@@ -61,7 +63,8 @@
 
 func (l *Ledger) emit(a Action) { l.actions = append(l.actions, a) }
 
-// Handle takes an event and returns the actions that follow from it, in order.
+// Handle processes an event and returns the resulting actions in order. The last one is always a
+// ScheduleTick. A monotonic time before that of an earlier event is raised to it.
 func (l *Ledger) Handle(now quotaplan.Instant, ev Event) []Action {
 	l.actions = nil
 	now.Mono = max(now.Mono, l.now.Mono)
@@ -84,7 +87,7 @@
 	case Drain:
 		l.startDrain()
 	}
-	// An event of one reservation maintains that one only: there may be many.
+	// There may be many reservations, so an event that concerns a single one maintains only that one.
 	switch e := ev.(type) {
 	case Request:
 		l.maintain(l.requests[e.ID])
@@ -103,8 +106,8 @@
 	return l.actions
 }
 
-// maintain does what is due for a reservation: its end, retransmissions, requests that wait, transfers. nil and those
-// that are not announced are passed over.
+// maintain performs the work that is due for a reservation: it ends the reservation, retransmits transfers,
+// serves the queue and requests transfers. It ignores nil and reservations that are not announced.
 func (l *Ledger) maintain(h *holding) {
 	if h == nil || !h.announced {
 		return
@@ -136,7 +139,7 @@
 	}
 }
 
-// nextTick is when something is due without an event.
+// nextTick returns the times, on either clock, at which work is due even if no event arrives before.
 func (l *Ledger) nextTick() quotaplan.Instant {
 	next := quotaplan.Instant{Mono: math.MaxInt64, Wall: math.MaxInt64}
 	for _, h := range l.byEnd {
@@ -153,19 +156,21 @@
 	return next
 }
 
-// View is a reservation as this gateway has it. All amounts are in units.
+// View describes a reservation at this gateway. All amounts are in units.
 type View struct {
 	quotaplan.Reservation
+	// Open is set if the reservation can be used now, Ended if its window has passed or it was cancelled.
 	Open, Ended bool
-	Free, Drawn float64 // tokens here: persisted, and spendable or about to be
+	// Free counts the persisted tokens that are not drawn, Drawn those that are drawn or being drawn.
+	Free, Drawn float64
 	InFlight    int     // requests in flight
 	Waiting     int     // requests in the queue
-	Spent       float64 // by requests here, in this process
-	Transferred float64 // to other gateways, in this process
-	CeilingRoom float64 // under the ceiling; 0 where there is none
+	Spent       float64 // used by requests that ended at this gateway, since the process started
+	Transferred float64 // sent to other gateways since the process started
+	CeilingRoom float64 // room under the ceiling; 0 if there is no ceiling
 }
 
-// Views lists the announced reservations by the end of their window.
+// Views returns the announced reservations, ordered by the end of their windows.
 func (l *Ledger) Views() (out []View) {
 	for _, h := range l.byEnd {
 		v := View{
--- a/internal/reservation/messages.go
+++ b/internal/reservation/messages.go
@@ -6,59 +6,63 @@
 	"winghatch/internal/encoding"
 )
 
-// Messages between gateways, integers of 8 bytes little-endian, figures 8 bytes of IEEE 754. All begin with a byte that
-// says what follows, and the reservation's ID:
+// Messages between gateways. Integers have 8 bytes, little-endian; numbers with a fraction are IEEE 754
+// doubles, also little-endian. Each message begins with a byte that names its kind, and the ID of the
+// reservation. Then follow:
 //
 //	'O'  offer: tokens that may be requested
-//	'A'  request: its number, epoch of the sender, tokens and room wanted
-//	'G'  transfer: number of the request or 0, epoch of the sender, epoch of the receiver, all tokens ever sent to that
-//	     holder, room, tokens left, 1 + rank of the gateway that seems to have most or 0, and how many that has
-//	'T'  acknowledgement: epoch of the sender of the tokens, own epoch, all tokens received
+//	'A'  request: number of the request, epoch of the sender, tokens and room wanted
+//	'G'  transfer: number of the request or 0, epoch of the sender, epoch of the receiver, total of the
+//	     tokens ever sent to that holder, room, tokens that the sender keeps, 1 + rank of the gateway
+//	     believed to hold most tokens or 0, tokens of that gateway
+//	'T'  acknowledgement: epoch of the sender of the tokens, epoch of their receiver, total of the
+//	     tokens received
 const (
 	messageOffer           = 'O'
 	messageRequest         = 'A'
 	messageTransfer        = 'G'
 	messageAcknowledgement = 'T'
 
-	messageHeaderBytes = 9 // the first byte and the reservation's ID
+	messageHeaderBytes = 9 // kind and reservation ID
 )
 
-// offerMessage tells a gateway that it may request tokens.
+// offerMessage offers tokens to a gateway, which may then request them.
 type offerMessage struct {
 	reservation uint64
 	tokens      float64
 }
 
-// requestMessage asks for tokens, or for room under the ceiling.
+// requestMessage requests tokens, or room under the ceiling.
 type requestMessage struct {
 	reservation uint64
 	number      uint64
-	epoch       uint64 // of the sender
+	epoch       uint64 // epoch of the sender
 	tokens      float64
 	room        float64
 }
 
-// transferMessage answers a request, or repeats a total that was not acknowledged.
+// transferMessage answers a request, or retransmits a total that was not acknowledged.
 type transferMessage struct {
 	reservation   uint64
-	request       uint64 // number; 0: a repetition
-	epoch         uint64 // of the sender
+	request       uint64 // number of the request; 0: a retransmission
+	epoch         uint64 // epoch of the sender
 	receiverEpoch uint64
-	total         float64 // of tokens ever sent to the receiver's epoch
+	total         float64 // total of the tokens ever sent to the receiver in its epoch
 	room          float64
 	left          float64 // tokens that the sender keeps
-	richest       uint64  // 1 + rank of the gateway that seems to have most tokens; 0: unknown
-	richestTokens float64
+	richest       uint64  // 1 + rank of the gateway believed to hold most tokens; 0: unknown
+	richestTokens float64 // tokens of that gateway
 }
 
-// acknowledgementMessage confirms the tokens received from a holder.
+// acknowledgementMessage acknowledges the tokens received from a holder.
 type acknowledgementMessage struct {
 	reservation uint64
-	senderEpoch uint64 // of the gateway that sent the tokens
-	epoch       uint64 // of the gateway that received them
-	total       float64
+	senderEpoch uint64  // epoch of the gateway that sent the tokens
+	epoch       uint64  // epoch of the gateway that received them
+	total       float64 // total of the tokens received
 }
 
+// appendIntegers starts a message of a kind with integer fields.
 func appendIntegers(kind byte, values ...uint64) []byte {
 	b := []byte{kind}
 	for _, v := range values {
@@ -93,7 +97,8 @@
 	return appendFloats(appendIntegers(messageAcknowledgement, m.reservation, m.senderEpoch, m.epoch), m.total)
 }
 
-// decodeMessage reads a message of any kind; nil: it is malformed. Bytes behind it are ignored.
+// decodeMessage decodes a message of any kind. It returns nil if the message is malformed and ignores
+// trailing bytes.
 func decodeMessage(data []byte) any {
 	if len(data) == 0 {
 		return nil
--- a/internal/reservation/persistence.go
+++ b/internal/reservation/persistence.go
@@ -10,39 +10,40 @@
 	"winghatch/internal/encoding"
 )
 
-// maxDeferred bounds the messages that wait for the disk. One that is left out is sent again, as a total, or asked for
-// again.
+// maxDeferred is the number of deferred effects at which further messages are dropped instead of deferred.
+// Nothing is lost for good: totals are retransmitted, and peers repeat requests that were not answered.
 const maxDeferred = 4096
 
 // Stored form of a state.
 const (
 	stateVersion     = 1
-	minStateBytes    = 18 // up to the flags
+	minStateBytes    = 18 // version, reservation ID, epoch and flags
 	flagMinted       = 1
 	flagEnded        = 2
 	maxStoredRank    = math.MaxUint16
 	maxStoredHolders = math.MaxUint16
 )
 
-// deferredEffect takes place once a state is durable: tokens become spendable, units are returned, or a message is
-// sent.
+// deferredEffect takes effect once a state is durable. If draw is positive, tokens become spendable.
+// Otherwise, if returned is positive, units are returned to the member's quota. Otherwise data is sent to
+// another gateway.
 type deferredEffect struct {
-	state    uint64 // number
+	state    uint64 // number of the state
 	holding  *holding
-	draw     float64 // tokens that become spendable, if above 0
-	returned float64 // units that are returned, if above 0
-	to       int     // else: rank of the receiver
+	draw     float64 // tokens
+	returned float64 // units
+	to       int     // rank of the receiver of data
 	data     []byte
 }
 
-// persist asks for the state of a reservation to be made durable and returns its number.
+// persist emits a Persist with the state of a reservation and returns the number of the state.
 func (l *Ledger) persist(h *holding) (state uint64) {
 	l.lastState++
 	l.emit(Persist{l.lastState, h.encode()})
 	return l.lastState
 }
 
-// persisted carries out the effects that waited for states up to that number.
+// persisted carries out the effects that were deferred until this state, or an earlier one, is durable.
 func (l *Ledger) persisted(state uint64) {
 	l.persistedState = max(l.persistedState, state)
 	var rest []deferredEffect
@@ -62,7 +63,8 @@
 	l.deferred = rest
 }
 
-// sendWhenPersisted sends a message once a state is durable.
+// sendWhenPersisted sends a message once a state is durable, at once if it is already. It drops the message
+// if too many effects are deferred.
 func (l *Ledger) sendWhenPersisted(state uint64, to int, data []byte) {
 	if state <= l.persistedState {
 		l.emit(Send{to, data})
@@ -73,9 +75,10 @@
 	}
 }
 
-// encode writes what is persisted: the version 1, then, in the form of package encoding, the reservation's ID, the
-// epoch, a byte of flags (1 minted, 2 ended), the units removed, the tokens free, the tokens sent (how many holders,
-// then rank, epoch and total of each) and the tokens received (the same).
+// encode returns the stored form of the persisted fields: a version byte of 1 and then, as package encoding
+// writes them, the reservation ID, the epoch, a byte of flags (1 minted, 2 ended), the units removed, the
+// free tokens, the tokens sent (number of holders, then rank, epoch and total of each) and the tokens
+// received (in the same form).
 func (h *holding) encode() []byte {
 	b := []byte{stateVersion}
 	b = binary.LittleEndian.AppendUint64(b, h.ID)
@@ -101,14 +104,15 @@
 	return b
 }
 
-// appendHolderTotal writes a holder and the tokens sent to it, or received from it, in total.
+// appendHolderTotal appends a holder and the total of the tokens sent to it or received from it.
 func appendHolderTotal(b []byte, k holder, total float64) []byte {
 	b = binary.AppendUvarint(b, uint64(k.rank))
 	b = binary.LittleEndian.AppendUint64(b, k.epoch)
 	return encoding.AppendFloat64(b, total)
 }
 
-// sortedHolders orders a map's keys, so that the same events give the same bytes.
+// sortedHolders returns the keys of a map in a fixed order, so that the same events always produce the same
+// bytes.
 func sortedHolders[V any](m map[holder]V) []holder {
 	keys := make([]holder, 0, len(m))
 	for k := range m {
@@ -120,7 +124,9 @@
 	return keys
 }
 
-// Restore reads a persisted state, before the first event. Of one reservation the last one counts.
+// Restore restores a persisted state. It must be called before the first event. A later state of a
+// reservation replaces an earlier one. It returns an error if the state has an unknown version or is
+// truncated.
 func (l *Ledger) Restore(state []byte) error {
 	if len(state) < minStateBytes || state[0] != stateVersion {
 		return fmt.Errorf("reservation: a state of %d bytes and version %v, want version %d",
@@ -144,7 +150,7 @@
 	return nil
 }
 
-// readHolderTotals reads a count and as many of what appendHolderTotal wrote.
+// readHolderTotals reads a count and that many entries written by appendHolderTotal, and calls add for each.
 func readHolderTotals(r *encoding.Reader, add func(k holder, total float64)) {
 	for n := r.Uvarint(maxStoredHolders); n > 0 && !r.Malformed; n-- {
 		k := holder{rank: int(r.Uvarint(maxStoredRank))}
@@ -153,8 +159,8 @@
 	}
 }
 
-// States are the states of all reservations, for a snapshot. What is drawn is not part of them: a crash loses it, as it
-// would without the snapshot.
+// States returns the states of all reservations, ordered by ID, for a snapshot. They do not include drawn
+// tokens: a crash loses those, with or without a snapshot.
 func (l *Ledger) States() (out [][]byte) {
 	var ids []uint64
 	for id := range l.holdings {
--- a/internal/reservation/requests.go
+++ b/internal/reservation/requests.go
@@ -6,18 +6,21 @@
 )
 
 const (
-	// maxQueueTime is how long a request waits for tokens or room.
+	// maxQueueTime is the longest time that a request waits for tokens or room.
 	maxQueueTime = 400 * time.Millisecond
-	// drawPeriod is the demand that is drawn at once. A crash loses at most what is drawn.
+	// drawPeriod is the period of demand for which tokens are drawn at once. It bounds the loss in a crash,
+	// because a crash loses the drawn tokens.
 	drawPeriod = 500 * time.Millisecond
-	// minDrawOfLargestRequest is the least draw, in largest requests: a small one would wait for the disk too often.
+	// minDrawOfLargestRequest is the smallest draw, as a multiple of the largest request. With smaller draws,
+	// requests would wait for the disk too often.
 	minDrawOfLargestRequest = 2.0
-	// negligibleDemand is a demand, in units a second, at which nothing is drawn ahead: drawn tokens of a reservation
-	// that is not used would only be lost in a crash.
+	// negligibleDemand is the demand, in units per second, below which no tokens are drawn in advance. A
+	// crash would lose the drawn tokens of a reservation that is not in use.
 	negligibleDemand = 1e-3
 )
 
-// selectReservation is the member's open reservation that ends first, of those that may have so many units left.
+// selectReservation returns the open reservation of the member that ends first, preferring those that may
+// have enough units left. It returns nil if the member has no open reservation.
 func (l *Ledger) selectReservation(member string, units float64) (found *holding) {
 	for _, h := range l.byEnd {
 		if h.Member == member && l.isOpen(h) &&
@@ -28,6 +31,7 @@
 	return found
 }
 
+// request queues a request, or rejects it if the member has no open reservation or this gateway is draining.
 func (l *Ledger) request(e Request) {
 	h := l.selectReservation(e.Member, e.Units)
 	switch {
@@ -43,6 +47,8 @@
 	h.queue = append(h.queue, waitingRequest{e, l.now.Mono})
 }
 
+// requestEnded removes a request that still waits, or settles one in flight at the units that it used. Unused
+// units become spendable again, or return to the member's quota if the reservation has ended.
 func (l *Ledger) requestEnded(e RequestEnded) {
 	h := l.requests[e.ID]
 	if h == nil {
@@ -65,7 +71,7 @@
 	}
 }
 
-// queuedUnits is the units of the requests that wait.
+// queuedUnits returns the sum of the units of all waiting requests.
 func (h *holding) queuedUnits() (sum float64) {
 	for _, w := range h.queue {
 		sum += w.Units
@@ -73,13 +79,13 @@
 	return sum
 }
 
-// serveQueue admits requests in order while there are drawn tokens and room, draws more tokens, and rejects requests
-// that waited too long.
+// serveQueue admits waiting requests in order while there are enough drawn tokens and room. It draws more
+// tokens and rejects requests that must not wait any longer.
 func (l *Ledger) serveQueue(h *holding) {
 	if !l.isOpen(h) {
 		return
 	}
-	if h.free < 0 && h.drawn > 0 { // owed after a resize: paid before anything is spent
+	if h.free < 0 && h.drawn > 0 { // tokens owed after a resize are paid back before any are spent
 		n := min(-h.free, h.drawn)
 		h.free += n
 		h.drawn -= n
@@ -110,11 +116,11 @@
 	})
 }
 
-// rejectReason is why a request must not wait any longer, or empty.
+// rejectReason returns why a waiting request is rejected now. It is empty if the request may wait on.
 func (l *Ledger) rejectReason(h *holding, w waitingRequest) Reason {
 	switch {
 	case h.available() >= w.Units && h.drawing > 0 && l.now.Mono < w.Deadline:
-		return "" // its tokens are being drawn
+		return "" // enough tokens are being drawn
 	case l.exhausted(h, w.Units):
 		return Exhausted
 	case l.now.Mono < min(w.Deadline, w.queuedAt+maxQueueTime):
@@ -125,8 +131,8 @@
 	return TokensUnavailable
 }
 
-// drawTokens takes tokens out of the state that a crash leaves, before they are spent. A process that restarts finds
-// only the others, so none is spent twice.
+// drawTokens removes tokens from the persisted state before they are spent. A process that restarts finds
+// only the remaining tokens, so no token is spent twice.
 func (l *Ledger) drawTokens(h *holding) {
 	if l.draining {
 		return
@@ -146,8 +152,8 @@
 	l.deferred = append(l.deferred, deferredEffect{state: state, holding: h, draw: n})
 }
 
-// exhausted reports whether nobody seems to have so many units: neither this gateway nor, by their last reports, the
-// others that respond.
+// exhausted reports whether a request of so many units has no prospect of being served: this gateway has too
+// few tokens, and every peer that responds reported recently that it had none.
 func (l *Ledger) exhausted(h *holding, units float64) bool {
 	if h.available() >= units {
 		return false
--- a/internal/reservation/transfer.go
+++ b/internal/reservation/transfer.go
@@ -2,14 +2,19 @@
 
 import "time"
 
-// How transfers are answered and repeated.
+// Parameters of answers and retransmissions.
 const (
-	retainPeriod          = time.Second            // of its own demand a gateway keeps when it is asked
-	minRetransmitInterval = 250 * time.Millisecond // a transfer is repeated until it is acknowledged ...
-	maxRetransmitInterval = 4 * time.Second        // ... at doubling intervals up to this
+	// retainPeriod is the period of its own demand for which a gateway keeps tokens when a peer requests
+	// some.
+	retainPeriod = time.Second
+	// minRetransmitInterval is the first interval at which an unacknowledged transfer is retransmitted. The
+	// interval doubles with each retransmission, up to maxRetransmitInterval.
+	minRetransmitInterval = 250 * time.Millisecond
+	maxRetransmitInterval = 4 * time.Second
 )
 
-// receive handles a message; a malformed one is dropped.
+// receive handles a message from another gateway. It drops malformed messages and those for an unknown
+// reservation or an earlier epoch of this gateway.
 func (l *Ledger) receive(e MessageReceived) {
 	if e.From < 0 || e.From >= l.settings.Gateways || e.From == l.settings.Rank {
 		return
@@ -38,8 +43,8 @@
 	}
 }
 
-// handleTransferRequest gives a peer what this gateway can spare. An answer without anything says that there is
-// nothing.
+// handleTransferRequest sends a peer the tokens and room that this gateway can spare. It always answers: an
+// answer without tokens and room tells the peer that there is nothing to spare.
 func (l *Ledger) handleTransferRequest(h *holding, from int, m requestMessage) {
 	if !l.draining && h.announced && !h.ended {
 		l.refillRoom(h)
@@ -66,8 +71,9 @@
 	l.sendWhenPersisted(l.persist(h), from, l.transferTo(h, to, m.number, room))
 }
 
-// spareTokens is how many of the tokens that a peer wants this gateway can give: all but what its own requests need
-// next. Drawn tokens that are not used here soon are put back first: small rests at many gateways would be unusable.
+// spareTokens returns how many of the tokens that a peer wants this gateway can send: all but those that its
+// own requests need next. Drawn tokens that will not be used here soon are made free first. Otherwise small
+// remainders at many gateways would stay unusable.
 func (l *Ledger) spareTokens(h *holding, wanted float64) float64 {
 	if h.ended || !(wanted > 0) {
 		return 0
@@ -80,8 +86,9 @@
 	return max(0, min(wanted, h.free-max(0, own-h.drawn)))
 }
 
-// spareRoom takes from this gateway's room what it can give of the room that a peer wants: what its own requests do
-// not wait for. It gives nothing rather than less than a request needs, which would expire unused.
+// spareRoom deducts from this gateway's room what it can grant of the room that a peer wants, and returns it.
+// Room that its own waiting requests need is not granted. Neither is an amount too small for a request, which
+// would expire unused.
 func (l *Ledger) spareRoom(h *holding, wanted float64) float64 {
 	if h.ended || !h.announced || !h.Ceiling || !(wanted > 0) {
 		return 0
@@ -94,7 +101,8 @@
 	return room
 }
 
-// transferTo encodes the message with the total that was sent to a holder.
+// transferTo encodes a transfer message with the total of the tokens sent to a holder. The request number is
+// 0 for a retransmission.
 func (l *Ledger) transferTo(h *holding, to holder, request uint64, room float64) []byte {
 	m := transferMessage{reservation: h.ID, request: request, epoch: h.epoch, receiverEpoch: to.epoch, room: room,
 		left: max(0, h.free)}
@@ -106,8 +114,10 @@
 	return m.encode()
 }
 
-// richest is the gateway that reported most tokens lately, but for one; -1: unknown. Transfers name it: after a rolling
-// restart, when few gateways hold all tokens, the others would otherwise ask one by one.
+// richest returns the peer with the most tokens according to recent reports, and their number. It ignores the
+// peer with the rank but, and unresponsive peers. The rank is -1 if no such peer is known. Transfer messages
+// name this peer, because after a rolling restart a few gateways hold all tokens, and the others would have
+// to ask one peer after another to find them.
 func (l *Ledger) richest(h *holding, but int) (rank int, tokens float64) {
 	rank = -1
 	for i := range h.peers {
@@ -120,7 +130,7 @@
 	return rank, tokens
 }
 
-// noteRichest notes the gateway that a transfer names as having most tokens.
+// noteRichest records the tokens of the gateway that a transfer message names as having the most.
 func (l *Ledger) noteRichest(h *holding, from int, m transferMessage) {
 	rank := int(m.richest) - 1
 	if m.richest == 0 || m.richest > uint64(l.settings.Gateways) || rank == l.settings.Rank || rank == from {
@@ -131,8 +141,8 @@
 	}
 }
 
-// handleTransfer adds the tokens and room of a transfer. Only what a total has grown by counts, so messages that come
-// twice, late or not at all do no harm.
+// handleTransfer adds the tokens and room of a transfer message. Only the growth of the total since the last
+// message counts, so duplicate, late and lost messages do no harm.
 func (l *Ledger) handleTransfer(h *holding, from int, m transferMessage) {
 	sender := holder{from, m.epoch}
 	p := &h.peers[from]
@@ -166,7 +176,7 @@
 	l.sendWhenPersisted(l.persist(h), from, acknowledgement)
 }
 
-// retransmit repeats the totals that were not acknowledged in time.
+// retransmit sends the totals again that were not acknowledged in time.
 func (l *Ledger) retransmit(h *holding) {
 	for _, to := range sortedHolders(h.sent) {
 		t := h.sent[to]
--- a/internal/reservation/transferrequest.go
+++ b/internal/reservation/transferrequest.go
@@ -6,43 +6,64 @@
 	"time"
 )
 
-// Requests for transfers.
+// Parameters of transfer requests.
 const (
-	maxTransferRequests    = 4                          // outstanding at once, of a reservation
-	transferRequestTimeout = 40 * time.Millisecond      // a peer is asked again after it
-	roomRequestInterval    = transferRequestTimeout / 2 // between two requests for room, of a reservation
-	transferRequestRate    = 25.0                       // a second, of this gateway: peers take in only so many messages
-	transferRequestBurst   = 16.0                       // requests at once
-	requestAhead           = 250 * time.Millisecond     // of demand is requested beyond what waiting requests need
-	// maxOutstanding bounds the requests that are remembered: those to peers that never answer would fill the memory.
+	// maxTransferRequests limits the outstanding transfer requests of a reservation, and the offers that a
+	// draining gateway sends at once.
+	maxTransferRequests = 4
+	// transferRequestTimeout is the time after which an unanswered request is given up and its peer may be
+	// asked again.
+	transferRequestTimeout = 40 * time.Millisecond
+	// roomRequestInterval is the shortest time between two requests for room of the same reservation.
+	roomRequestInterval = transferRequestTimeout / 2
+	// transferRequestRate limits the requests of this gateway per second, over all reservations. Peers accept
+	// only a limited rate of messages.
+	transferRequestRate  = 25.0
+	transferRequestBurst = 16.0 // requests at once
+	// requestAhead is the period of demand for which tokens are requested in advance, in addition to those
+	// that waiting requests need.
+	requestAhead = 250 * time.Millisecond
+	// maxOutstanding limits the remembered requests of a reservation. Without it, requests to peers that
+	// never answer would accumulate in memory.
 	maxOutstanding = 64 * maxTransferRequests
 )
 
-// What is known of peers.
+// Parameters of what is known about peers.
 const (
-	unansweredLimit    = 3                      // requests in a row that make a peer unresponsive
-	unresponsivePeriod = time.Second            // it is asked last for so long
-	minEmptyBackoff    = 500 * time.Millisecond // a peer that had nothing is not asked for so long ...
-	maxEmptyBackoff    = 8 * time.Second        // ... doubling up to this while it has nothing
-	reportLifetime     = 5 * time.Second        // a peer's report of its tokens is passed on for so long
-	reportTrusted      = 500 * time.Millisecond // a peer's own report is not replaced by another one's
-	tieBreak           = 1e-6                   // of a token: random part of a peer's score
+	// unansweredLimit is the number of consecutive unanswered requests that makes a peer unresponsive.
+	unansweredLimit = 3
+	// unresponsivePeriod is how long an unresponsive peer is asked only after all others.
+	unresponsivePeriod = time.Second
+	// minEmptyBackoff is how long a peer that reported no tokens is not asked again. The time doubles with
+	// each such report, up to maxEmptyBackoff.
+	minEmptyBackoff = 500 * time.Millisecond
+	maxEmptyBackoff = 8 * time.Second
+	// reportLifetime is how long a peer's report of its tokens is passed on to other gateways.
+	reportLifetime = 5 * time.Second
+	// reportTrusted is how long a peer's report of its own tokens is not overwritten by what another peer
+	// says.
+	reportTrusted = 500 * time.Millisecond
+	// tieBreak bounds the random part of a peer's score, in tokens. It decides between peers of equal score.
+	tieBreak = 1e-6
 )
 
-// reportedEmpty reports whether a peer had nothing when it last answered, not long ago.
+// reportedEmpty reports whether a peer said that it had no tokens, and its backoff has not yet passed.
 func (l *Ledger) reportedEmpty(h *holding, rank int) bool {
 	p := &h.peers[rank]
 	return p.emptyAt > 0 && l.now.Mono-p.emptyAt < p.emptyBackoff
 }
 
-// requestTransfers asks peers for what waiting requests need or a resize left owing, and for a little beyond it.
+// requestTransfers requests tokens from peers if the waiting requests need more than this gateway has, or if
+// tokens are owed after a resize. It asks for some tokens in advance. If only room under the ceiling is
+// missing, it requests room.
 func (l *Ledger) requestTransfers(h *holding) {
 	if l.draining || l.settings.Gateways < 2 {
 		return
 	}
 	queued := h.queuedUnits()
 	outstanding := l.expireTransferRequests(h)
-	// Tokens keep, so several peers are asked for all of it; room expires, so one peer is asked at a time.
+	// Surplus tokens remain usable, so several peers are each asked for the whole amount. Room expires, so
+	// only one peer is asked at a time.
 	short := max(0, queued-h.drawn-h.drawing-max(0, h.free)) + max(0, -h.free)
 	if short > negligible {
 		short += min(h.demand.valueAt(l.now.Mono)*requestAhead.Seconds(), h.Units/float64(l.settings.Gateways))
@@ -57,7 +78,8 @@
 	}
 	missing := queued - h.room()
 	if h.Ceiling && missing > negligible && outstanding == 0 && l.now.Mono >= h.nextRoomRequestAt {
-		// Where all room is in use, an answer without any comes at once. The delay keeps that from being a loop.
+		// A peer whose room is all in use answers at once, without any room. The delay keeps such answers
+		// from triggering the next request immediately, in a loop.
 		h.nextRoomRequestAt = l.now.Mono + roomRequestInterval
 		if peers := l.roomCandidates(h); len(peers) > 0 && l.takeTransferRequest() {
 			l.sendTransferRequest(h, peers[0], 0, missing)
@@ -65,7 +87,8 @@
 	}
 }
 
-// expireTransferRequests gives up requests that were not answered in time and returns how many are outstanding.
+// expireTransferRequests gives up requests that were not answered in time and returns the number that is
+// still outstanding.
 func (l *Ledger) expireTransferRequests(h *holding) (outstanding int) {
 	for i := range h.peers {
 		p := &h.peers[i]
@@ -82,7 +105,7 @@
 	return outstanding
 }
 
-// takeTransferRequest counts a request in, if the rate limit allows it.
+// takeTransferRequest reports whether the rate limit allows another transfer request, and counts it if so.
 func (l *Ledger) takeTransferRequest() bool {
 	elapsed := (l.now.Mono - l.transferRequestsAt).Seconds()
 	l.transferRequestsLeft = min(transferRequestBurst, l.transferRequestsLeft+transferRequestRate*elapsed)
@@ -94,6 +117,7 @@
 	return true
 }
 
+// sendTransferRequest requests tokens or room from a peer.
 func (l *Ledger) sendTransferRequest(h *holding, to int, tokens, room float64) {
 	h.lastTransferRequest++
 	if len(h.outstanding) > maxOutstanding {
@@ -104,7 +128,7 @@
 	l.emit(Send{to, requestMessage{h.ID, h.lastTransferRequest, h.epoch, tokens, room}.encode()})
 }
 
-// tokenCandidates are the peers to ask for tokens, those first that should have most.
+// tokenCandidates returns the peers to ask for tokens, those that should have the most first.
 func (l *Ledger) tokenCandidates(h *holding) []int {
 	return l.candidates(h, func(rank int) (score float64, ok bool) {
 		p := &h.peers[rank]
@@ -112,14 +136,14 @@
 		case l.reportedEmpty(h, rank):
 			return 0, false
 		case p.repliedAt == 0:
-			return h.Units / float64(max(1, h.Spread)), true // it should have its even part
+			return h.Units / float64(max(1, h.Spread)), true // assume an even part
 		}
 		return p.reported, true
 	})
 }
 
-// roomCandidates are the peers to ask for room: those that enforce a share of the ceiling, in a random order in which
-// larger shares tend to be first. Without chance all gateways would ask the same one.
+// roomCandidates returns the peers to ask for room: those that enforce a share of the ceiling, in a random
+// order in which larger shares tend to come first. In a fixed order, all gateways would ask the same peer.
 func (l *Ledger) roomCandidates(h *holding) []int {
 	return l.candidates(h, func(rank int) (score float64, ok bool) {
 		for _, s := range h.ceilingShares {
@@ -131,8 +155,8 @@
 	})
 }
 
-// candidates are the peers that have a score and no outstanding request, the highest score first, unresponsive ones
-// last.
+// candidates returns the peers that have a score and no outstanding request, ordered by descending score.
+// Unresponsive peers come last.
 func (l *Ledger) candidates(h *holding, scoreOf func(rank int) (score float64, ok bool)) (ranks []int) {
 	scores := make([]float64, l.settings.Gateways)
 	for rank := range h.peers {
