--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -7,7 +7,7 @@
 )
 
 // Without any server, a request must be rejected at once instead of waiting for one until its deadline.
-func TestNoServer(t *testing.T) {
+func TestRequestIsRejectedWithoutServers(t *testing.T) {
 	h := newHarness(t, nil, []Server{}...)
 	h.handle(EndpointUpdate{Kind: FullUpdate})
 	if _, acts := h.request("get", "wide", "c", 1); len(actionsOf[Reject](acts)) != 1 {
@@ -26,7 +26,7 @@
 		}
 	}
 	if _, acts := h.request("get", "wide", "c", 1); len(actionsOf[Reject](acts)) != 1 {
-		t.Errorf("forwarded to servers that still run what nobody waits for: %#v", acts)
+		t.Errorf("request forwarded to servers whose cancelled attempts may still run: %#v", acts)
 	}
 	h.now += h.g.objectiveMultiple(orphanLifetime) + time.Second
 	h.mustSend("get", "wide")
@@ -35,7 +35,7 @@
 // A gateway without any requests in flight must shed load when other gateways report much work for few
 // responses. Otherwise it sends requests to overloaded servers until it observes the overload itself. It
 // must admit requests again when the others report little load, and also when they report nothing any more.
-func TestReportedLoadSheds(t *testing.T) {
+func TestReportedLoadCausesShedding(t *testing.T) {
 	fleet := newCluster(t, 300, nil)
 	g := fleet.gateways[3]
 	report := func(inFlight, responseRate float64) {
@@ -58,11 +58,11 @@
 	}
 	report(5, 2)
 	if n := admitted(); n > 0 {
-		t.Errorf("%d of 100 not shed when a jam is reported, want none", n)
+		t.Errorf("%d of 100 requests admitted while gateways report overload, want none", n)
 	}
 	report(0, 2)
 	if n := admitted(); n < 90 {
-		t.Errorf("%d of 100 not shed when its end is reported, want 90 or more", n)
+		t.Errorf("%d of 100 requests admitted after gateways report little load, want 90 or more", n)
 	}
 	report(5, 2)
 	for i := 0; i < 300; i++ { // long enough for 300 gateways with two servers
@@ -70,27 +70,28 @@
 		g.Handle(fleet.now, TimerFired{heartbeatToken})
 	}
 	if n := admitted(); n < 90 {
-		t.Errorf("%d of 100 not shed after 30 s without a report, want 90 or more", n)
+		t.Errorf("%d of 100 requests admitted after 30 s without a report, want 90 or more", n)
 	}
 }
 
 // Durations that concern a request must scale with the latency objectives. With fixed durations in
 // milliseconds, clients of a deployment with short objectives came back after a rejection when their
 // objective was nearly over, and orphans kept idle servers from receiving requests.
-func TestTimesFollowTheLatencyObjectives(t *testing.T) {
-	for _, by := range []float64{0.2, 0.35, 1, 2} {
-		h := newScaledHarness(t, by)
-		objective := time.Duration(by * float64(time.Second))
+func TestDurationsScaleWithLatencyObjectives(t *testing.T) {
+	for _, scale := range []float64{0.2, 0.35, 1, 2} {
+		h := newScaledHarness(t, scale)
+		objective := time.Duration(scale * float64(time.Second))
 		id, s := h.mustSend("get", "wide")
 		h.endAttempt(id, 0, s.Server, OutcomeCancelled)
 		server := h.g.endpoints.byID[s.Server]
 		if len(server.orphans) != 1 {
-			t.Fatalf("objectives times %g: no orphan of an attempt that was cancelled", by)
+			t.Fatalf("objectives times %g: a cancelled attempt left no orphan", scale)
 		}
 		h.now += 4 * objective
 		h.handle(TimerFired{heartbeatToken})
 		if h.g.endpoints.outstanding(server, h.g.now); len(server.orphans) != 0 {
-			t.Errorf("objectives times %g: an orphan is load 4 objectives after its attempt was sent", by)
+			t.Errorf("objectives times %g: an orphan counts as load 4 objectives after it was sent",
+				scale)
 		}
 		var retryAfter time.Duration
 		for range 200 {
@@ -100,7 +101,8 @@
 			}
 		}
 		if retryAfter <= 0 || retryAfter > objective/2 {
-			t.Errorf("objectives times %g: Retry-After is %v, want time left for a response within %v", by, retryAfter,
+			t.Errorf("objectives times %g: Retry-After is %v, want more than 0 and at most half of %v",
+				scale, retryAfter,
 				objective)
 		}
 	}
@@ -108,21 +110,22 @@
 
 // A retry whose client has already waited for most of the objective must be rejected without a charge. If
 // its age counted from its own arrival, it would be answered too late and use the customer's quota.
-func TestRetryIsAsOldAsItsFirstRequest(t *testing.T) {
+func TestRetryAgeCountsFromFirstRequest(t *testing.T) {
 	for _, c := range []struct {
 		// Remaining time, of a class deadline of 4 s. First requests arrive with 3.5 s left; the objective
 		// is 1 s.
 		left             time.Duration
 		retry, forwarded bool
 	}{
-		{3500 * ms, false, true}, {3500 * ms, true, true}, {3490 * ms, true, true}, // within remainingTimeTolerance
+		{3500 * ms, false, true}, {3500 * ms, true, true}, {3490 * ms, true, true}, // within the tolerance
 		{3400 * ms, true, true}, {3300 * ms, true, true}, {2990 * ms, true, false}, {1000 * ms, true, false},
 		{1000 * ms, false, true}, // a first request with a short deadline
 	} {
 		h := newHarness(t, nil)
 		request := func(left time.Duration, retry bool) []Action {
 			h.n++
-			return h.handle(Request{ID: fmt.Sprint("q", h.n), Class: "get", Plan: "wide", Customer: "c", Units: 1,
+			return h.handle(Request{ID: fmt.Sprint("q", h.n), Class: "get", Plan: "wide", Customer: "c",
+				Units:        1,
 				Deadline:     h.now + left,
 				GatewayCount: 3, IsRetry: retry})
 		}
@@ -130,16 +133,17 @@
 		level := h.g.customers.byKey[hashKey("c")].bucket.level
 		acts := request(c.left, c.retry)
 		if got := len(actionsOf[Send](acts)) > 0; got != c.forwarded {
-			t.Errorf("%v left, a retry %t: forwarded %t, want %t", c.left, c.retry, got, c.forwarded)
+			t.Errorf("%v left, IsRetry %t: forwarded %t, want %t", c.left, c.retry, got, c.forwarded)
 		}
 		for _, s := range actionsOf[Send](acts) {
 			if most := h.g.classes.byName["get"].LatencyObjective - (4*time.Second - c.left); c.retry &&
 				c.left < 3480*ms && s.Timeout > most {
-				t.Errorf("%v left, a retry: waits %v for a response, want %v at most", c.left, s.Timeout, most)
+				t.Errorf("%v left, IsRetry true: attempt timeout is %v, want at most %v",
+					c.left, s.Timeout, most)
 			}
 		}
 		if !c.forwarded && h.g.customers.byKey[hashKey("c")].bucket.level != level {
-			t.Errorf("%v left, a retry: it was rejected and charged", c.left)
+			t.Errorf("%v left, IsRetry true: the rejected request was charged", c.left)
 		}
 	}
 }
@@ -147,7 +151,7 @@
 // At the end of a stall, a gateway finds all requests of the stall at once. Requests that are too old for
 // their objective must be rejected and the others forwarded. Responses that are late because of the stall
 // must not count against their servers.
-func TestRequestAgeAfterAStall(t *testing.T) {
+func TestRequestAgeAfterStall(t *testing.T) {
 	h := newHarness(t, func(c *Config) { c.Limits.Gossip = false })
 	h.serve("get", "wide", "c", 1) // arrives two seconds before its deadline
 	id, s := h.mustSend("get", "wide")
@@ -157,16 +161,18 @@
 		h.handle(TimerFired{heartbeatToken})
 	}
 	h.now += 2*h.g.heartbeatInterval() + 1500*ms
-	h.handle(AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: 1600 * ms, RequestDone: true})
+	h.handle(AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: 1600 * ms,
+		RequestDone: true})
 	if got := h.g.endpoints.byID[s.Server].health.slowness; got != slow {
-		t.Errorf("a late response found after a stall raised the server's slowness from %v to %v", slow, got)
+		t.Errorf("a response delayed by a stall changed the server's slowness from %v to %v", slow, got)
 	}
 	for _, left := range []time.Duration{900 * ms, 1100 * ms, 1900 * ms} {
 		acts := h.handle(Request{ID: left.String(), Class: "get", Plan: "wide", Customer: "c", Units: 1,
 			Deadline: h.now + left, GatewayCount: 3})
 		if sent, want := len(actionsOf[Send](acts)), boolToInt(left > time.Second); sent != want ||
 			len(actionsOf[Reject](acts)) != 1-want {
-			t.Errorf("with %v of 2 s left: forwarded %d, want %d, else a rejection: %v", left, sent, want, acts)
+			t.Errorf("%v of 2 s left: forwarded %d, want %d, or else one rejection: %v",
+				left, sent, want, acts)
 		}
 	}
 }
--- a/decide/cluster_test.go
+++ b/decide/cluster_test.go
@@ -55,7 +55,8 @@
 	}
 	c.gateways[i] = g
 	c.pending = filterDeliveries(c.pending, func(l delivery) bool { return l.to != i })
-	c.handle(i, EndpointUpdate{Kind: StaleUpdate, Servers: []Server{{ID: "s1", Zone: "a"}, {ID: "s2", Zone: "a"}}})
+	c.handle(i, EndpointUpdate{Kind: StaleUpdate,
+		Servers: []Server{{ID: "s1", Zone: "a"}, {ID: "s2", Zone: "a"}}})
 }
 
 func filterDeliveries(ls []delivery, want func(delivery) bool) (out []delivery) {
@@ -73,9 +74,11 @@
 		switch a := a.(type) {
 		case SendGossip:
 			c.received[a.To]++
-			if c.rng.Float64() >= c.loss && !c.down[a.To] && (c.partitioned == nil || !c.partitioned(i, a.To)) {
+			if c.rng.Float64() >= c.loss && !c.down[a.To] &&
+				(c.partitioned == nil || !c.partitioned(i, a.To)) {
 				late := time.Duration(2+c.rng.Intn(16)) * ms
-				c.pending = append(c.pending, delivery{at: c.now + late, to: a.To, ev: GossipReceived{i, a.Text}})
+				c.pending = append(c.pending,
+					delivery{at: c.now + late, to: a.To, ev: GossipReceived{i, a.Text}})
 			}
 		case SetTimer:
 			c.pending = append(c.pending, delivery{at: a.At, to: i, ev: TimerFired{a.Token}})
--- a/decide/config_test.go
+++ b/decide/config_test.go
@@ -8,7 +8,7 @@
 
 // A setting with which the decisions cannot work, such as an objective of 0 or a rate that is not a number,
 // must be reported by name when a Gateway is created. Otherwise it would show up as wrong decisions later.
-func TestValidate(t *testing.T) {
+func TestInvalidConfigIsRejected(t *testing.T) {
 	for want, edit := range map[string]func(*Config){
 		"Classes is empty":                  func(c *Config) { c.Classes = nil },
 		"Rank is 3":                         func(c *Config) { c.Rank = 3 },
--- a/decide/endpoints_test.go
+++ b/decide/endpoints_test.go
@@ -19,11 +19,11 @@
 	}
 	h.handle(EndpointUpdate{Kind: FullUpdate, Servers: []Server{{ID: "s2"}}})
 	if _, s := h.mustSend("get", "wide"); s.Server != "s2" {
-		t.Errorf("sent to %s, which a full list left out, want s2", s.Server)
+		t.Errorf("sent to %s, which the full list does not contain, want s2", s.Server)
 	}
 	h.handle(EndpointUpdate{Kind: FailedUpdate})
 	if _, acts := h.request("get", "wide", "c", 1); len(actionsOf[Send](acts)) != 1 {
-		t.Errorf("a failed discovery lost the former list: %#v", acts)
+		t.Errorf("request not forwarded after a failed discovery: %#v", acts)
 	}
 }
 
@@ -39,8 +39,9 @@
 			{ID: "s1", State: Removed}, {ID: "s2", State: Removed}, {ID: "s3", State: Removed}}})
 		h.handle(TimerFired{heartbeatToken})
 	}
-	if n := len(h.g.endpoints.sorted); n != 2 || len(h.g.endpoints.byID) != 2 || len(h.g.endpoints.byShortID) != 2 {
-		t.Errorf("%d servers are kept, want the one that is listed and the one with an attempt in flight", n)
+	if n := len(h.g.endpoints.sorted); n != 2 || len(h.g.endpoints.byID) != 2 ||
+		len(h.g.endpoints.byShortID) != 2 {
+		t.Errorf("%d servers are kept, want 2: the listed one and the one with an attempt in flight", n)
 	}
 	h.endAttempt(id, 0, s.Server, OutcomeOK)
 	h.handle(TimerFired{heartbeatToken})
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -7,7 +7,7 @@
 	"winghatch/decide"
 )
 
-// A gateway is handed what happened and returns what is to be done; the caller does it.
+// The caller passes each event to a Gateway and carries out the actions that it returns.
 func Example() {
 	cfg := decide.Config{
 		Gateways: 1,
@@ -15,16 +15,17 @@
 			Deadline: 4 * time.Second, PriorityWeight: 1}},
 		Plans:  []decide.Plan{{Name: "basic", Rate: 5, Burst: 20, PriorityWeight: 1}},
 		Limits: decide.Limits{MaxAttempts: 3},
-		Safety: decide.Safety{SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second, OverloadMultiple: 2,
-			OverloadWindow: time.Second},
+		Safety: decide.Safety{SlowStartCapacity: 0.2, SlowStartDuration: 10 * time.Second,
+			OverloadMultiple: 2, OverloadWindow: time.Second},
 	}
 	g, err := decide.New(cfg, 1)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	now := time.Minute // since an origin of the caller's choice
-	g.Handle(now, decide.EndpointUpdate{Kind: decide.FullUpdate, Servers: []decide.Server{{ID: "10.0.0.1:80"}}})
+	now := time.Minute // since an origin that the caller chooses
+	g.Handle(now, decide.EndpointUpdate{Kind: decide.FullUpdate,
+		Servers: []decide.Server{{ID: "10.0.0.1:80"}}})
 	for _, a := range g.Handle(now, decide.Request{ID: "r1", Class: "read", Plan: "basic", Customer: "ada",
 		Units: 1, Deadline: now + 4*time.Second, GatewayCount: 1}) {
 		switch a := a.(type) {
@@ -34,8 +35,9 @@
 			fmt.Println("reject", a.ID)
 		}
 	}
-	// Report how the attempt ended; RequestDone says that its response is the final answer.
-	g.Handle(now+20*time.Millisecond, decide.AttemptEnded{ID: "r1", Server: "10.0.0.1:80", Outcome: decide.OutcomeOK,
+	// Report the end of the attempt. RequestDone says that its response is the final answer.
+	g.Handle(now+20*time.Millisecond, decide.AttemptEnded{ID: "r1", Server: "10.0.0.1:80",
+		Outcome:  decide.OutcomeOK,
 		Duration: 20 * time.Millisecond, RequestDone: true})
 	// Output: send r1 to 10.0.0.1:80
 }
--- a/decide/gateway_test.go
+++ b/decide/gateway_test.go
@@ -14,43 +14,45 @@
 
 // Events for requests, attempts or timers that do not exist, duplicate events and events of an unknown type
 // must be ignored. Without these checks they would cause a panic or a second final answer.
-func TestBadInput(t *testing.T) {
+func TestInvalidEvents(t *testing.T) {
 	h := newHarness(t, nil)
-	for _, e := range []Request{{ID: "a", Class: "none", Plan: "wide"}, {ID: "b", Class: "get", Plan: "none"}} {
+	for _, e := range []Request{{ID: "a", Class: "none", Plan: "wide"},
+		{ID: "b", Class: "get", Plan: "none"}} {
 		if acts := h.handle(e); len(actionsOf[Reject](acts)) != 1 {
 			t.Errorf("%#v: got %#v, want Reject", e, acts)
 		}
 	}
-	for _, e := range []Event{AttemptEnded{ID: "zz", Outcome: OutcomeOK}, ClientDisconnected{"zz"}, TimerFired{1 << 60},
+	for _, e := range []Event{AttemptEnded{ID: "zz", Outcome: OutcomeOK}, ClientDisconnected{"zz"},
+		TimerFired{1 << 60},
 		ResponseStarted{ID: "zz"}, unknownEvent{}, AttemptEnded{ID: "zz", Attempt: -1}} {
 		if acts := h.handle(e); len(acts) != 0 {
-			t.Errorf("%#v: got %#v, want nothing", e, acts)
+			t.Errorf("%#v: got %#v, want no action", e, acts)
 		}
 	}
 	id, s := h.mustSend("get", "wide")
 	h.handle(ClientDisconnected{id})
 	if acts := h.endAttempt(id, 0, s.Server, OutcomeTimedOut); len(acts) != 0 {
-		t.Errorf("answered a request whose client is gone: %#v", acts)
+		t.Errorf("got %#v for a request whose client has disconnected, want no action", acts)
 	}
 	if acts := h.endAttempt(id, 0, s.Server, OutcomeTimedOut); len(acts) != 0 {
-		t.Errorf("answered an outcome that came twice: %#v", acts)
+		t.Errorf("got %#v for a duplicate outcome, want no action", acts)
 	}
 }
 
 // Recordings can be replayed only if the same events produce the same actions. A dependence on map
 // iteration order, or on state shared between gateways, would break this.
 func TestDeterminism(t *testing.T) {
-	one := playRandom(t, 3)
-	playRandom(t, 4)
-	if two := playRandom(t, 3); !reflect.DeepEqual(one, two) {
-		t.Error("the same events gave other actions")
+	one := simulateRandom(t, 3)
+	simulateRandom(t, 4)
+	if two := simulateRandom(t, 3); !reflect.DeepEqual(one, two) {
+		t.Error("the same events produced different actions")
 	}
 }
 
-// Random sequences of events must not violate any of the rules that randomPlay checks for each action.
-func TestRulesUnderRandomEvents(t *testing.T) {
+// Random sequences of events must not violate any of the rules that randomSimulation checks for each action.
+func TestInvariantsUnderRandomEvents(t *testing.T) {
 	for seed := int64(10); seed < 30; seed++ {
-		playRandom(t, seed)
+		simulateRandom(t, seed)
 	}
 }
 
@@ -74,7 +76,8 @@
 		g.Handle(now, Request{ID: id, Class: "get", Plan: "wide", Customer: key, Units: 1,
 			Deadline: now + time.Second, GatewayCount: 200})
 		for no, r := range g.owners.pending {
-			w := grantMessage{kind: grantReply, key: r.customer.key, number: no, valueCount: 4, values: [4]float64{1}}
+			w := grantMessage{kind: grantReply, key: r.customer.key, number: no, valueCount: 4,
+				values: [4]float64{1}}
 			g.Handle(now, GossipReceived{From: g.owner(r.customer.key, 0), Text: w.encode()})
 		}
 		if r := g.requests[id]; r != nil && len(r.attempts) > 0 {
--- a/decide/gossip_test.go
+++ b/decide/gossip_test.go
@@ -9,12 +9,12 @@
 )
 
 // entryText returns an encoded gossip entry.
-func entryText(key string, plan, used, asked, level int) string {
+func entryText(key string, plan, used, demanded, level int) string {
 	var b strings.Builder
 	encodeDigits(&b, hashKey(key), 6)
 	encodeDigits(&b, uint64(plan), 1)
 	encodeDigits(&b, uint64(used), 2)
-	encodeDigits(&b, uint64(asked), 2)
+	encodeDigits(&b, uint64(demanded), 2)
 	encodeDigits(&b, uint64(level), 1)
 	return b.String()
 }
@@ -40,7 +40,7 @@
 	h.handle(GossipReceived{From: 1, Text: gossipText(1, 2, entryText("x", 0, 0, 900, 0))})
 	h.g.refresh(c)
 	if math.Abs(c.bucket.share-1.0/3) > 1e-9 {
-		t.Errorf("share is %v with a tenth of the demand, want the even one", c.bucket.share)
+		t.Errorf("share is %v with a tenth of the demand, want the even share", c.bucket.share)
 	}
 	h.request("get", "wide", "x", 2700)
 	h.g.refresh(c)
@@ -51,30 +51,30 @@
 	h.handle(TimerFired{heartbeatToken})
 	h.g.refresh(c)
 	if c.bucket.share != 1.0/3 {
-		t.Errorf("share is %v with silent peers, want the even one", c.bucket.share)
+		t.Errorf("share is %v with silent peers, want the even share", c.bucket.share)
 	}
 }
 
 // Usage that peers report must count against this gateway's share. Otherwise a customer could use its burst
 // once at each gateway. It must also leak when the peers are silent, or the customer would be rejected for
 // too long.
-func TestReportedUseSettlesTheLevel(t *testing.T) {
+func TestReportedUsageRaisesLevel(t *testing.T) {
 	h := newHarness(t, nil)
 	h.handle(GossipReceived{From: 1, Text: gossipText(1, 1, entryText("x", 1, 0, 0, 0))})
 	h.handle(GossipReceived{From: 2, Text: gossipText(1, 1)})
 	_, acts := h.request("get", "small", "x", 1)
 	if len(actionsOf[Send](acts)) != 1 {
-		t.Fatalf("rejected though all peers report that nothing was used: %#v", acts)
+		t.Fatalf("got %#v while all peers report no usage, want one Send", acts)
 	}
 	h.now += 100 * ms
 	h.handle(GossipReceived{From: 1, Text: gossipText(1, 2, entryText("x", 1, 12, 12, 0))})
 	h.handle(GossipReceived{From: 2, Text: gossipText(1, 2)})
 	if _, acts = h.request("get", "small", "x", 1); len(actionsOf[Send](acts)) != 0 {
-		t.Errorf("forwarded though a peer reports that the whole burst is used")
+		t.Errorf("request forwarded while a peer reports that the whole burst is used")
 	}
 	h.now += 2 * time.Second // the peers have fallen silent, and the use that they reported leaks
 	if _, acts = h.request("get", "small", "x", 1); len(actionsOf[Send](acts)) != 1 {
-		t.Errorf("rejected after two seconds of leaking: %#v", acts)
+		t.Errorf("got %#v after the level has leaked for two seconds, want one Send", acts)
 	}
 }
 
@@ -111,18 +111,18 @@
 
 // A restarted gateway does not know the usage before its start. It must adopt the level that its peers
 // report, or each restart would grant a fresh burst.
-func TestRestartedGatewayTakesThePeersLevel(t *testing.T) {
+func TestRestartedGatewayAdoptsPeerLevel(t *testing.T) {
 	h := newHarness(t, nil)
 	h.handle(GossipReceived{From: 1, Text: gossipText(1, 40, entryText("x", 1, 700, 800, 30))})
 	h.handle(GossipReceived{From: 2, Text: gossipText(3, 50)})
 	if _, acts := h.request("get", "small", "x", 1); len(actionsOf[Send](acts)) != 0 {
-		t.Error("a restarted gateway forwarded though its peers report that the burst is used up")
+		t.Error("restarted gateway forwarded a request while a peer reports that the whole burst is used")
 	}
 }
 
 // Datagrams must not exceed maxGossipBytes, and entries that do not fit must follow in later datagrams.
 // Otherwise peers would never learn of some customers' usage.
-func TestGossipSize(t *testing.T) {
+func TestGossipDatagramSize(t *testing.T) {
 	h := newHarness(t, nil)
 	for i := 0; i < 100; i++ {
 		h.serve("get", "wide", fmt.Sprint("c", i), 1)
@@ -132,13 +132,13 @@
 		h.now += 200 * ms
 		for _, m := range actionsOf[SendGossip](h.handle(TimerFired{heartbeatToken})) {
 			if len(m.Text) > maxGossipBytes {
-				t.Fatalf("datagram of %d bytes, want %d at most", len(m.Text), maxGossipBytes)
+				t.Fatalf("datagram of %d bytes, want at most %d", len(m.Text), maxGossipBytes)
 			}
 			entries[m.To] += (len(m.Text) - gossipHeaderLength) / gossipEntryLength
 		}
 	}
 	if entries[1] != 100 || entries[2] != 100 || entries[0] != 0 {
-		t.Errorf("sent entries about %v customers by gateway, want 100 each for 1 and 2", entries)
+		t.Errorf("number of entries sent by gateway is %v, want 100 each for gateways 1 and 2", entries)
 	}
 }
 
@@ -156,7 +156,7 @@
 		g.Handle(time.Second, GossipReceived{From: 1, Text: text})
 		for _, c := range g.customers.order {
 			if c.bucket.fleetLevel < 0 || math.IsNaN(c.bucket.fleetLevel) {
-				t.Errorf("fleet level is %v", c.bucket.fleetLevel)
+				t.Errorf("fleet level is %v, want a number of 0 or more", c.bucket.fleetLevel)
 			}
 		}
 	})
@@ -165,22 +165,23 @@
 // While traffic shifts between gateways, the units that all of them admit must stay near rate and burst,
 // and most requests within the quota must be admitted. Shares that are out of date would grant the quota at
 // both the old and the new gateways, or at neither.
-func TestQuotaOverAllGateways(t *testing.T) {
+func TestQuotaAcrossGateways(t *testing.T) {
 	for _, n := range []int{3, 300} {
-		for _, ask := range []float64{0.5, 4} { // demand as a multiple of the rate
+		for _, demandFactor := range []float64{0.5, 4} { // demand as a multiple of the rate
 			fleet := newCluster(t, n, nil)
 			fleet.run(3*time.Second, 100*ms, "small", 0, func(int) int { return 0 })
 			const rate, units, secs = 3.0, 2.0, 24.0
-			gap := time.Duration(units / (ask * rate) * float64(time.Second))
+			gap := time.Duration(units / (demandFactor * rate) * float64(time.Second))
 			for k := 0; k < 3; k++ { // traffic moves from one tenth of the gateways to another
-				few := max(1, n/10)
+				subset := max(1, n/10)
 				fleet.run(8*time.Second, gap, "small", units,
-					func(int) int { return (k*few + fleet.rng.Intn(few)) % n })
+					func(int) int { return (k*subset + fleet.rng.Intn(subset)) % n })
 			}
-			most := rate*secs + 12 + 2*units
-			least := 0.8 * min(ask*rate*secs, rate*secs)
-			if fleet.used > 1.15*most || fleet.used < least {
-				t.Errorf("%d gateways, %v times the rate: used %v, want %v to %v", n, ask, fleet.used, least, most)
+			maxUsed := rate*secs + 12 + 2*units
+			minUsed := 0.8 * min(demandFactor*rate*secs, rate*secs)
+			if fleet.used > 1.15*maxUsed || fleet.used < minUsed {
+				t.Errorf("%d gateways, demand of %v times the rate: used %v units, want %v to %v",
+					n, demandFactor, fleet.used, minUsed, maxUsed)
 			}
 		}
 	}
@@ -198,7 +199,7 @@
 	fleet.run(5*time.Second, 4*ms, "small", 2, func(int) int { return fleet.rng.Intn(300) })
 	for i, n := range fleet.received {
 		if float64(n)/5 > fleet.cfg.GossipCapacity {
-			t.Errorf("gateway %d was sent %d datagrams in 5 s, want %v a second at most", i, n,
+			t.Errorf("gateway %d was sent %d datagrams in 5 s, want at most %v per second", i, n,
 				fleet.cfg.GossipCapacity)
 		}
 	}
@@ -207,7 +208,7 @@
 // The units that all gateways forward together must stay under the ceiling even while most gateways
 // restart. If a restarted gateway assumed a full set of ceiling tokens, each restart would exceed the
 // ceiling.
-func TestCeilingOverAllGateways(t *testing.T) {
+func TestCeilingAcrossGateways(t *testing.T) {
 	for _, n := range []int{3, 300} {
 		fleet := newCluster(t, n, nil)
 		tokens, last, used := 60.0, fleet.now, 0.0
@@ -222,18 +223,19 @@
 			fleet.run(100*ms, 10*ms, "hard", 4, func(int) int { return fleet.rng.Intn(n) })
 			tokens = min(60, tokens+30*(fleet.now-last).Seconds()) - (fleet.used - used)
 			if last, used = fleet.now, fleet.used; tokens < -6 {
-				t.Fatalf("%d gateways: the ceiling's tokens fell to %v, want -6 at least", n, tokens)
+				t.Fatalf("%d gateways: ceiling tokens fell to %v, want at least -6", n, tokens)
 			}
 		}
 		if fleet.used < 30 {
-			t.Errorf("%d gateways: forwarded %v units in 6 s under a ceiling of 30 a second", n, fleet.used)
+			t.Errorf("%d gateways: forwarded %v units in 6 s under a ceiling of 30/s, want at least 30",
+				n, fleet.used)
 		}
 	}
 }
 
 // When nine of ten gateways restart, twice, the customer must not get a fresh burst each time. Buckets
 // therefore start half full.
-func TestRestartsHandOutNoFreshQuota(t *testing.T) {
+func TestRestartGrantsNoFreshQuota(t *testing.T) {
 	for _, n := range []int{3, 300} {
 		fleet := newCluster(t, n, nil)
 		fleet.run(3*time.Second, 100*ms, "small", 0, func(int) int { return 0 })
@@ -248,8 +250,10 @@
 			fleet.run(5*time.Second, 170*ms, "small", 2, func(int) int { return fleet.rng.Intn(n) })
 		}
 		const rate, burst, secs = 3.0, 12.0, 15.0
-		if most := 1.15 * (rate*secs + burst + 2*initialLevel*burst); fleet.used > most || fleet.used < 0.7*rate*secs {
-			t.Errorf("%d gateways: used %v in 15 s, want %v to %v", n, fleet.used, 0.7*rate*secs, most)
+		if maxUsed := 1.15 * (rate*secs + burst + 2*initialLevel*burst); fleet.used > maxUsed ||
+			fleet.used < 0.7*rate*secs {
+			t.Errorf("%d gateways: used %v units in 15 s, want %v to %v",
+				n, fleet.used, 0.7*rate*secs, maxUsed)
 		}
 	}
 }
--- a/decide/harness_test.go
+++ b/decide/harness_test.go
@@ -19,17 +19,21 @@
 		SettledOnResponse: true,
 		Classes: []Class{
 			testClass(Class{Name: "get", Idempotency: Idempotent, PriorityWeight: 1}),
-			testClass(Class{Name: "put", Idempotency: IdempotentByKey, DedupScope: DedupInCell, PriorityWeight: 2}),
-			testClass(Class{Name: "putall", Idempotency: IdempotentByKey, DedupScope: DedupInFleet, PriorityWeight: 2}),
+			testClass(Class{Name: "put", Idempotency: IdempotentByKey, DedupScope: DedupInCell,
+				PriorityWeight: 2}),
+			testClass(Class{Name: "putall", Idempotency: IdempotentByKey, DedupScope: DedupInFleet,
+				PriorityWeight: 2}),
 			testClass(Class{Name: "pay", Idempotency: NotIdempotent, PriorityWeight: 2}),
 		},
 		Plans: []Plan{
 			{Name: "wide", Rate: 1000, Burst: 3000, PriorityWeight: 1},
 			{Name: "small", Rate: 3, Burst: 12, PriorityWeight: 1},
-			{Name: "hard", Rate: 30, Burst: 60, CeilingRate: 30, CeilingBurst: 60, CeilingSlack: 6, PriorityWeight: 1},
+			{Name: "hard", Rate: 30, Burst: 60, CeilingRate: 30, CeilingBurst: 60, CeilingSlack: 6,
+				PriorityWeight: 1},
 			{Name: "open", MaxInFlight: 3, PriorityWeight: 1},
 		},
-		Limits: Limits{MaxAttempts: 3, Cancel: true, Gossip: true, RetryAfter: true, MaxRetryAfter: time.Second},
+		Limits: Limits{MaxAttempts: 3, Cancel: true, Gossip: true, RetryAfter: true,
+			MaxRetryAfter: time.Second},
 		Safety: Safety{
 			AnswerSlack:       16 * ms,
 			SlowStartCapacity: 0.2,
@@ -126,13 +130,13 @@
 }
 
 // newScaledHarness returns a harness whose class objectives and deadlines are multiplied by a factor.
-func newScaledHarness(t *testing.T, by float64) *harness {
+func newScaledHarness(t *testing.T, scale float64) *harness {
 	t.Helper()
 	return newHarness(t, func(c *Config) {
 		for i := range c.Classes {
 			k := &c.Classes[i]
-			k.LatencyObjective = time.Duration(by * float64(k.LatencyObjective))
-			k.Deadline = time.Duration(by * float64(k.Deadline))
+			k.LatencyObjective = time.Duration(scale * float64(k.LatencyObjective))
+			k.Deadline = time.Duration(scale * float64(k.Deadline))
 		}
 	})
 }
--- a/decide/latency_test.go
+++ b/decide/latency_test.go
@@ -7,7 +7,7 @@
 
 // After slow responses, a gateway must not reject a class forever. If the baseline latency did not decay, no
 // attempt would be sent and the gateway would never learn that the servers are fast again.
-func TestSlowResponsesAreForgottenWithoutNewOnes(t *testing.T) {
+func TestBaselineLatencyDecaysWithoutResponses(t *testing.T) {
 	h := newHarness(t, nil)
 	for range 400 {
 		id, acts := h.request("get", "wide", "c", 1)
@@ -16,7 +16,8 @@
 				h.now += 20 * ms
 				h.handle(TimerFired{heartbeatToken})
 			}
-			h.handle(AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: 980 * ms, RequestDone: true})
+			h.handle(AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: 980 * ms,
+				RequestDone: true})
 		}
 	}
 	forwarded, last := 0, h.now
@@ -26,11 +27,13 @@
 		for _, s := range actionsOf[Send](acts) {
 			forwarded++
 			last = h.now
-			h.handle(AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: 50 * ms, RequestDone: true})
+			h.handle(AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: 50 * ms,
+				RequestDone: true})
 		}
 	}
 	if forwarded < 50 || h.now-last > time.Second {
-		t.Errorf("%d of 200 requests were forwarded after slow responses, the last %v before the end", forwarded,
+		t.Errorf("%d of 200 requests forwarded, the last %v before the end; want at least 50 and at most 1s",
+			forwarded,
 			h.now-last)
 	}
 }
--- a/decide/limits_test.go
+++ b/decide/limits_test.go
@@ -38,11 +38,11 @@
 		}
 		lines := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
 		if len(lines) > maxFileLines {
-			t.Errorf("%s has %d lines, want %d at most", name, len(lines), maxFileLines)
+			t.Errorf("%s has %d lines, want at most %d", name, len(lines), maxFileLines)
 		}
 		for i, line := range lines {
 			if n := utf8.RuneCountInString(strings.ReplaceAll(line, "\t", "    ")); n > maxColumns {
-				t.Errorf("%s:%d has %d columns, want %d at most", name, i+1, n, maxColumns)
+				t.Errorf("%s:%d has %d columns, want at most %d", name, i+1, n, maxColumns)
 			}
 		}
 		fset := token.NewFileSet()
@@ -54,7 +54,8 @@
 			if f, ok := n.(*ast.FuncDecl); ok {
 				from, to := fset.Position(f.Pos()).Line, fset.Position(f.End()).Line
 				if n := to - from + 1; n > maxFunctionLines {
-					t.Errorf("%s:%d: %s has %d lines, want %d at most", name, from, f.Name.Name, n, maxFunctionLines)
+					t.Errorf("%s:%d: %s has %d lines, want at most %d",
+						name, from, f.Name.Name, n, maxFunctionLines)
 				}
 			}
 			return true
@@ -64,14 +65,14 @@
 
 // The deployment configuration must list exactly the files that contain decisions. A file that is missing
 // there would not be treated as part of the decision policy.
-func TestPolicyNamesEveryFile(t *testing.T) {
+func TestPolicyListsEveryFile(t *testing.T) {
 	text, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	line := regexp.MustCompile(`(?m)^policy = \[(.*)\]$`).FindSubmatch(text)
 	if line == nil {
-		t.Fatal("deploy/balancer.toml has no line \"policy = [...]\"")
+		t.Fatal("deploy/balancer.toml: no line \"policy = [...]\"")
 	}
 	var named []string
 	for _, quoted := range regexp.MustCompile(`"([^"]*)"`).FindAllStringSubmatch(string(line[1]), -1) {
@@ -83,6 +84,6 @@
 		want = append(want, "decide/"+name)
 	}
 	if !slices.Equal(named, want) {
-		t.Errorf("deploy/balancer.toml's policy names %v, want %v", named, want)
+		t.Errorf("deploy/balancer.toml: policy lists %v, want %v", named, want)
 	}
 }
--- a/decide/outlier_test.go
+++ b/decide/outlier_test.go
@@ -11,7 +11,7 @@
 // remaining ones would be overloaded.
 func TestOutlierEjection(t *testing.T) {
 	h := newHarness(t, nil)
-	fails := 0
+	failures := 0
 	for i := 0; i < 200; i++ {
 		id, s := h.mustSend("get", "wide")
 		h.now += 20 * ms
@@ -19,13 +19,13 @@
 			h.endAttempt(id, 0, s.Server, OutcomeOK)
 			continue
 		}
-		fails++
+		failures++
 		for _, m := range actionsOf[Send](h.endAttempt(id, 0, "s1", OutcomeError)) {
 			h.endAttempt(id, 1, m.Server, OutcomeOK)
 		}
 	}
-	if fails > 12 {
-		t.Errorf("%d of 200 went to a server that fails all, quickly", fails)
+	if failures > 12 {
+		t.Errorf("%d of 200 requests sent to a server that fails every request, want at most 12", failures)
 	}
 	all := newHarness(t, nil)
 	for i := 0; i < 100; i++ {
@@ -43,7 +43,7 @@
 		}
 	}
 	if len(got) < 3 {
-		t.Errorf("only %v get requests for a fault that all servers share", got)
+		t.Errorf("only servers %v receive requests despite a fault that all three share", got)
 	}
 }
 
@@ -51,29 +51,30 @@
 // already count against it.
 func TestSilentServerIsAvoided(t *testing.T) {
 	h := newHarness(t, nil)
-	lost := 0
+	sentToSilent := 0
 	for i := 0; i < 200; i++ {
 		id, s := h.mustSend("get", "wide")
 		h.now += 30 * ms
 		if s.Server != "s1" {
 			h.endAttempt(id, 0, s.Server, OutcomeOK)
 		} else {
-			lost++
+			sentToSilent++
 		}
 		for token, target := range h.g.timers.pending {
-			if a := h.g.findAttempt(target.requestID, target.attempt); a != nil && h.now > a.sentAt+time.Second {
+			if a := h.g.findAttempt(target.requestID, target.attempt); a != nil &&
+				h.now > a.sentAt+time.Second {
 				h.handle(TimerFired{token})
 			}
 		}
 	}
-	if lost > 40 {
-		t.Errorf("%d of 200 went to a server that never responds", lost)
+	if sentToSilent > 40 {
+		t.Errorf("%d of 200 requests sent to a server that never responds, want at most 40", sentToSilent)
 	}
 }
 
 // A server that is avoided because it was slow sends no responses that show its recovery. Its slowness must
 // decay, or it would be avoided forever.
-func TestSlownessFades(t *testing.T) {
+func TestSlownessDecays(t *testing.T) {
 	h := newHarness(t, nil)
 	s := h.g.endpoints.sorted[0]
 	for i := 0; i < 10; i++ {
@@ -83,13 +84,14 @@
 	h.now += time.Minute
 	h.handle(TimerFired{heartbeatToken})
 	if got := h.g.slowness(s); slow < 1.3 || got > 1.1 {
-		t.Errorf("slowness went from %v to %v in a minute without responses, want it to decay to about 1", slow, got)
+		t.Errorf("slowness went from %v to %v in a minute, want from at least 1.3 to at most 1.1",
+			slow, got)
 	}
 }
 
 // A server may fail only one class, for example because a resource of this class is lost. It must receive
 // no requests of this class, but all others.
-func TestClassFailureIsAvoided(t *testing.T) {
+func TestServerFailingOneClassIsAvoided(t *testing.T) {
 	h := newHarness(t, nil)
 	for i := 0; i < 8; i++ {
 		h.g.observe(h.g.endpoints.byID["s1"], h.g.classes.byName["pay"], 5, true)
@@ -103,6 +105,6 @@
 		}
 	}
 	if got["pays1"] > 0 {
-		t.Errorf("sent %d of a class to a server that fails it: %v", got["pays1"], got)
+		t.Errorf("%d requests sent to a server that fails their class, want none: %v", got["pays1"], got)
 	}
 }
--- a/decide/quota_test.go
+++ b/decide/quota_test.go
@@ -19,7 +19,7 @@
 	// The share is a third of the high-water mark of 12, half of which counts as used after a start. A
 	// request needs room for a third of its units.
 	if admitted < 1 || admitted > 3 {
-		t.Errorf("admitted %d at once after a start, want 1 to 3", admitted)
+		t.Errorf("admitted %d requests at once after a start, want 1 to 3", admitted)
 	}
 	h.now += 10 * time.Second
 	later := 0
@@ -29,7 +29,7 @@
 		}
 	}
 	if later <= admitted || later > 5 {
-		t.Errorf("admitted %d at once after a pause, want %d to 5", later, admitted+1)
+		t.Errorf("admitted %d requests at once after a pause, want %d to 5", later, admitted+1)
 	}
 }
 
@@ -43,19 +43,19 @@
 	h.handle(AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: ms, RequestDone: true,
 		ActualUnits: 6})
 	if got := c.bucket.level - before; got != 5 {
-		t.Errorf("settling 1 unit to 6 moved the level by %v, want 5", got)
+		t.Errorf("settling 1 unit to 6 raised the level by %v, want 5", got)
 	}
 	id, s = h.mustSend("get", "wide")
 	before = c.bucket.level
 	h.endAttempt(id, 0, s.Server, OutcomeNotDispatched)
 	if got := before - c.bucket.level; got != 1 {
-		t.Errorf("an attempt that was not dispatched gave back %v, want 1", got)
+		t.Errorf("an attempt that was not dispatched refunded %v units, want 1", got)
 	}
 	id, _ = h.mustSend("pay", "wide")
 	before = c.bucket.level
 	h.endAttempt(id, 0, "s1", OutcomeError)
 	if c.bucket.level != before {
-		t.Errorf("a failed attempt moved the level from %v to %v, want it kept", before, c.bucket.level)
+		t.Errorf("a failed attempt changed the level from %v to %v, want no change", before, c.bucket.level)
 	}
 }
 
@@ -65,7 +65,7 @@
 	h := newHarness(t, nil)
 	h.mustSend("get", "open")
 	if _, acts := h.request("get", "open", "c", 1); len(actionsOf[Reject](acts)) != 1 {
-		t.Errorf("a second attempt in flight with a third of 3: got %#v, want Reject", acts)
+		t.Errorf("second attempt in flight under a third of a limit of 3: got %#v, want Reject", acts)
 	}
 	h.endAttempt("q1", 0, "s1", OutcomeOK)
 	h.mustSend("get", "open")
@@ -77,7 +77,7 @@
 	h := newHarness(t, func(c *Config) { c.Plans[3].MaxInFlight = 4 })
 	h.mustSend("get", "open")
 	if _, acts := h.request("get", "open", "c", 1); len(actionsOf[Reject](acts)) != 1 {
-		t.Errorf("a second attempt in flight with a third of 4: got %#v, want Reject", acts)
+		t.Errorf("second attempt in flight under a third of a limit of 4: got %#v, want Reject", acts)
 	}
 	h = newHarness(t, func(c *Config) { c.Plans[3].MaxInFlight = 2 })
 	h.mustSend("get", "open") // a third of 2 is less than one, but one attempt is always allowed
@@ -88,7 +88,7 @@
 func TestCeiling(t *testing.T) {
 	h := newHarness(t, nil)
 	if _, acts := h.request("get", "hard", "x", 8); len(actionsOf[Send](acts)) != 0 {
-		t.Fatal("forwarded under a ceiling at the start, when all of its tokens must count as used")
+		t.Fatal("request forwarded under a ceiling at the start, when all ceiling tokens count as used")
 	}
 	sent, start := 0.0, h.now
 	for ; h.now < start+20*time.Second; h.now += 50 * ms {
@@ -98,17 +98,18 @@
 			h.endAttempt(id, 0, s[0].Server, OutcomeOK)
 		}
 		if most := 10*(h.now-start).Seconds() + 2; sent > most+1e-6 {
-			t.Fatalf("forwarded %v units by %v, want a third of the ceiling at most: %v", sent, h.now-start, most)
+			t.Fatalf("forwarded %v units within %v, want at most a third of the ceiling: %v",
+				sent, h.now-start, most)
 		}
 	}
 	if sent < 100 {
-		t.Errorf("forwarded %v units in 20 s, want over 100", sent)
+		t.Errorf("forwarded %v units in 20 s, want at least 100", sent)
 	}
 }
 
 // The units of a reserved request have already been paid for. Such a request must pass a full bucket
 // without a second charge, and must be shed later than other requests.
-func TestReserved(t *testing.T) {
+func TestReservedRequests(t *testing.T) {
 	h := newHarness(t, singleGateway)
 	h.fillQuota("x")
 	c := h.customerOf("x")
@@ -118,12 +119,13 @@
 		GatewayCount: 1, Reserved: true})
 	s := actionsOf[Send](acts)
 	if len(s) != 1 {
-		t.Fatalf("%v", acts)
+		t.Fatalf("reserved request: got %v, want one Send", acts)
 	}
 	h.handle(AttemptEnded{ID: "r", Server: s[0].Server, Outcome: OutcomeOK, Duration: ms, RequestDone: true,
 		ActualUnits: 9})
 	if c.bucket.level != level || c.bucket.ceilingTokens != tokens || c.inFlight != 0 {
-		t.Errorf("level %v, ceiling tokens %v, %d in flight; want %v, %v, 0", c.bucket.level, c.bucket.ceilingTokens,
+		t.Errorf("level %v, ceiling tokens %v, %d in flight; want %v, %v, 0",
+			c.bucket.level, c.bucket.ceilingTokens,
 			c.inFlight, level, tokens)
 	}
 	first := func(reserved bool) (n int) {
@@ -133,7 +135,7 @@
 				Deadline: h.now + 2*time.Second, GatewayCount: 1, Reserved: reserved})
 			if f := actionsOf[Reject](acts); len(f) > 0 {
 				if f[0].Reason != ReasonLoadShed {
-					t.Errorf("rejected as %s", f[0].Reason)
+					t.Errorf("rejected with reason %s, want shed", f[0].Reason)
 				}
 				return n
 			}
@@ -141,6 +143,6 @@
 		return n
 	}
 	if with, without := first(true), first(false); with <= without {
-		t.Errorf("shed after %d reserved and %d other requests, want more of the reserved", with, without)
+		t.Errorf("shed after %d reserved and %d other requests, want more reserved ones", with, without)
 	}
 }
--- a/decide/quotaowner_test.go
+++ b/decide/quotaowner_test.go
@@ -7,7 +7,7 @@
 
 // With both owners of a customer down, each gateway must decide by its own share. Otherwise the customer
 // would get nothing until an owner returns.
-func TestOwnersDown(t *testing.T) {
+func TestFallbackWhenOwnersAreDown(t *testing.T) {
 	fleet := newCluster(t, 300, nil)
 	key := hashKey("x")
 	for n := 0; n < ownersPerCustomer; n++ {
@@ -15,13 +15,13 @@
 	}
 	fleet.run(20*time.Second, 1300*ms, "small", 2, func(int) int { return fleet.rng.Intn(300) })
 	if fleet.used < 20 {
-		t.Errorf("used %v of 60 with both owners down, want 20 or more", fleet.used)
+		t.Errorf("used %v of 60 units with both owners down, want at least 20", fleet.used)
 	}
 	fleet.down = map[int]bool{}
 	before := fleet.used
 	fleet.run(20*time.Second, 1300*ms, "small", 2, func(int) int { return fleet.rng.Intn(300) })
 	if got := fleet.used - before; got < 24 {
-		t.Errorf("used %v of 30 requested after the owners came back, want 24 or more", got)
+		t.Errorf("used %v of 30 requested units after the owners returned, want at least 24", got)
 	}
 }
 
@@ -32,43 +32,49 @@
 	fleet := newCluster(t, 300, nil)
 	key := hashKey("x")
 	owner := fleet.gateways[fleet.gateways[0].owner(key, 0)]
-	ask := grantMessage{kind: grantRequest, key: key, planIndex: 1, number: 7, valueCount: 1, values: [4]float64{2}}
-	other := ask
+	request := grantMessage{kind: grantRequest, key: key, planIndex: 1, number: 7, valueCount: 1,
+		values: [4]float64{2}}
+	other := request
 	other.planIndex = 40
-	wrongOwner := grantMessage{kind: grantRequest, key: key + 1, planIndex: 1, valueCount: 1}
+	toWrongOwner := grantMessage{kind: grantRequest, key: key + 1, planIndex: 1, valueCount: 1}
 	reply := grantMessage{kind: grantReply, key: key, valueCount: 4}
-	negative := grantMessage{kind: grantRequest, key: key, planIndex: 1, valueCount: 1, values: [4]float64{-2}}
+	negative := grantMessage{kind: grantRequest, key: key, planIndex: 1, valueCount: 1,
+		values: [4]float64{-2}}
 	for _, text := range []string{
 		"",
 		"a",
-		ask.encode()[:11],
-		ask.encode() + "!!",
-		"Z" + ask.encode()[1:],
+		request.encode()[:11],
+		request.encode() + "!!",
+		"Z" + request.encode()[1:],
 		other.encode(),
-		wrongOwner.encode(),
+		toWrongOwner.encode(),
 		reply.encode(),
 		negative.encode(),
 	} {
 		if acts := owner.Handle(fleet.now, GossipReceived{From: 299, Text: text}); len(acts) != 0 ||
 			len(owner.customers.byKey) > 0 {
-			t.Errorf("%q: got %#v, %d customers", text, acts, len(owner.customers.byKey))
+			t.Errorf("message %q: got %#v and %d customers, want neither",
+				text, acts, len(owner.customers.byKey))
 		}
 	}
 	for _, from := range []int{-1, 300, owner.cfg.Rank} {
-		if acts := owner.Handle(fleet.now, GossipReceived{From: from, Text: ask.encode()}); len(acts) != 0 {
-			t.Errorf("from %d: got %#v", from, acts)
+		if acts := owner.Handle(fleet.now, GossipReceived{From: from,
+			Text: request.encode()}); len(acts) != 0 {
+			t.Errorf("message from rank %d: got %#v, want no action", from, acts)
 		}
 	}
-	first := owner.Handle(fleet.now, GossipReceived{From: 9, Text: ask.encode()})
-	again := owner.Handle(fleet.now, GossipReceived{From: 9, Text: ask.encode()})
-	if len(first) != 1 || len(again) != 1 || owner.customers.byKey[key].bucket.fleetLevel > initialLevel*12+2 {
-		t.Errorf("the same grant request twice: %#v, %#v, fleet level %v", first, again,
+	first := owner.Handle(fleet.now, GossipReceived{From: 9, Text: request.encode()})
+	again := owner.Handle(fleet.now, GossipReceived{From: 9, Text: request.encode()})
+	if len(first) != 1 || len(again) != 1 ||
+		owner.customers.byKey[key].bucket.fleetLevel > initialLevel*12+2 {
+		t.Errorf("duplicate grant request: got %#v, %#v, fleet level %v; want one reply each, one charge",
+			first, again,
 			owner.customers.byKey[key].bucket.fleetLevel)
 	}
 }
 
 // With both owners silent, a request must get its final answer before its client gives up.
-func TestWaitForOwnersEndsByTheDeadline(t *testing.T) {
+func TestOwnerWaitEndsByDeadline(t *testing.T) {
 	g := newCluster(t, 300, nil).gateways[4]
 	until := time.Hour + 30*ms
 	acts := g.Handle(time.Hour, Request{ID: "q", Class: "get", Plan: "small", Customer: "x", Units: 2,
@@ -81,7 +87,7 @@
 			return
 		}
 	}
-	t.Errorf("no answer by the deadline: %#v", acts)
+	t.Errorf("no final answer by the deadline: %#v", acts)
 }
 
 // A standby does not know what the owner has granted. It must grant only what leaks, or the customer would
@@ -90,8 +96,8 @@
 	fleet := newCluster(t, 300, nil)
 	key := hashKey("someone")
 	g := fleet.gateways[0]
-	granted := func(owner, no int) bool {
-		m := grantMessage{kind: grantRequest, key: key, planIndex: 1, number: uint64(no), valueCount: 1,
+	granted := func(owner, number int) bool {
+		m := grantMessage{kind: grantRequest, key: key, planIndex: 1, number: uint64(number), valueCount: 1,
 			values: [4]float64{2}}
 		for _, a := range actionsOf[SendGossip](fleet.gateways[owner].Handle(fleet.now,
 			GossipReceived{From: 9, Text: m.encode()})) {
@@ -99,36 +105,37 @@
 				return r.values[0] > 0
 			}
 		}
-		t.Fatalf("owner %d gave no reply", owner)
+		t.Fatalf("owner %d sent no reply", owner)
 		return false
 	}
 	first, second := g.owner(key, 0), g.owner(key, 1)
 	if !granted(first, 1) {
-		t.Error("the owner rejected at the start, want half of the mark")
+		t.Error("owner rejected a request at the start, when half of the high-water mark is free")
 	}
 	if granted(second, 1) {
-		t.Error("a standby that knows nothing granted at once")
+		t.Error("standby that does not know the customer granted a request at once")
 	}
 	fleet.now += time.Second // the rate is three units per second
 	if !granted(second, 2) || granted(second, 3) {
-		t.Error("after a second the standby should grant what leaked, and no more")
+		t.Error("after one second, want the standby to grant what has leaked and no more")
 	}
 }
 
 // A grant under a limit of attempts in flight must count until it is released or the longest objective has
 // passed. If it expired after the shortest objective, slow servers would keep more attempts in flight than
 // the limit allows.
-func TestOwnerHoldsInFlightLimitWhileResponsesAreSlow(t *testing.T) {
+func TestOwnerInFlightLimitWithSlowResponses(t *testing.T) {
 	fleet := newCluster(t, 300, func(c *Config) {
-		c.Classes = append(c.Classes, Class{Name: "quick", Idempotency: Idempotent, LatencyObjective: 200 * ms,
-			Deadline: time.Second, PriorityWeight: 1})
+		c.Classes = append(c.Classes, Class{Name: "quick", Idempotency: Idempotent,
+			LatencyObjective: 200 * ms,
+			Deadline:         time.Second, PriorityWeight: 1})
 	})
-	key, no := hashKey("someone"), uint64(0)
+	key, number := hashKey("someone"), uint64(0)
 	owner := fleet.gateways[fleet.gateways[0].owner(key, 0)]
 	grants := func(n int) (granted int) {
 		for i := 0; i < n; i++ {
-			no++
-			m := grantMessage{kind: grantRequest, key: key, planIndex: 3, number: no, valueCount: 1,
+			number++
+			m := grantMessage{kind: grantRequest, key: key, planIndex: 3, number: number, valueCount: 1,
 				values: [4]float64{1}}
 			for _, a := range actionsOf[SendGossip](owner.Handle(fleet.now,
 				GossipReceived{From: 9, Text: m.encode()})) {
@@ -140,22 +147,22 @@
 		return granted
 	}
 	if n := grants(5); n != 3 {
-		t.Errorf("%d of 5 granted under a limit of 3", n)
+		t.Errorf("%d of 5 requests granted under a limit of 3, want 3", n)
 	}
 	fleet.now += 500 * ms
 	if n := grants(2); n > 0 {
-		t.Errorf("%d more granted while three may still be in flight", n)
+		t.Errorf("%d more requests granted while three may still be in flight, want none", n)
 	}
 	fleet.now += 600 * ms
 	if n := grants(2); n != 2 {
-		t.Errorf("%d of 2 granted after all were given up", n)
+		t.Errorf("%d of 2 requests granted after the earlier grants have expired, want 2", n)
 	}
 }
 
 // A request that the owner rejects must be rejected as soon as the reply arrives, and later requests
 // without asking the owner again. Otherwise clients wait for an answer that is already known, and the owner
 // is overloaded.
-func TestRejectedByOwnerIsAnsweredAtOnce(t *testing.T) {
+func TestOwnerRejectionIsImmediate(t *testing.T) {
 	fleet := newCluster(t, 300, nil)
 	g := fleet.gateways[3]
 	req := func(id string) []Action {
@@ -163,15 +170,16 @@
 			Deadline: fleet.now + 4*time.Second, GatewayCount: 300})
 	}
 	req("first")
-	for no, r := range g.owners.pending {
-		m := grantMessage{kind: grantReply, key: r.customer.key, planIndex: r.customer.planIndex, number: no, valueCount: 4,
+	for number, r := range g.owners.pending {
+		m := grantMessage{kind: grantReply, key: r.customer.key, planIndex: r.customer.planIndex,
+			number: number, valueCount: 4,
 			values: [4]float64{0, 12, 9, 1}}
 		acts := g.Handle(fleet.now+20*ms, GossipReceived{From: g.owner(r.customer.key, 0), Text: m.encode()})
 		if len(actionsOf[Reject](acts)) != 1 {
-			t.Errorf("rejected by the owner: got %#v, want one rejection at once", acts)
+			t.Errorf("rejected by the owner: got %#v, want one Reject", acts)
 		}
 	}
 	if acts := req("second"); len(actionsOf[Reject](acts)) != 1 {
-		t.Errorf("while the owner rejects: got %#v, want one rejection at once", acts)
+		t.Errorf("while the owner rejects: got %#v, want one Reject", acts)
 	}
 }
--- a/decide/randomplay_test.go
+++ b/decide/randomplay_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// randomPlay simulates servers, clients, discovery and a peer of one gateway with random events, and checks
-// each action against the rules that always hold.
-type randomPlay struct {
+// randomSimulation simulates servers, clients, discovery and a peer of one gateway with random events, and
+// checks each action against the rules that always hold.
+type randomSimulation struct {
 	t    *testing.T
 	seed int64
 	rng  *rand.Rand
@@ -34,9 +34,9 @@
 
 type trackedAttempt struct {
 	Send
-	sentAt   time.Duration
-	inFlight bool
-	mayRun   bool
+	sentAt     time.Duration
+	inFlight   bool
+	mayHaveRun bool
 }
 
 func (r *trackedRequest) inFlight() (n int) {
@@ -46,10 +46,10 @@
 	return n
 }
 
-// playRandom simulates 3000 random events, about half a minute, and returns the actions.
-func playRandom(t *testing.T, seed int64) []Action {
+// simulateRandom simulates 3000 random events, about half a minute, and returns the actions.
+func simulateRandom(t *testing.T, seed int64) []Action {
 	t.Helper()
-	p := &randomPlay{
+	p := &randomSimulation{
 		t:         t,
 		seed:      seed,
 		rng:       rand.New(rand.NewSource(seed)),
@@ -69,18 +69,18 @@
 	p.handle(EndpointUpdate{Kind: StaleUpdate, Servers: p.servers})
 	for i := range 3000 {
 		p.now += time.Duration(p.rng.Intn(20)) * ms
-		p.playEvent(i)
-		p.playAttempts()
+		p.simulateEvent(i)
+		p.simulateAttempts()
 	}
 	return p.log
 }
 
-// playEvent sends a random event: a request, a change of a server, gossip or the heartbeat timer; sometimes
-// none.
-func (p *randomPlay) playEvent(i int) {
+// simulateEvent sends a random event: a request, a change of a server, gossip or the heartbeat timer;
+// sometimes none.
+func (p *randomSimulation) simulateEvent(i int) {
 	switch k := p.rng.Intn(20); {
 	case k < 9:
-		p.playRequest(fmt.Sprint("q", i))
+		p.simulateRequest(fmt.Sprint("q", i))
 	case k < 11:
 		s := &p.servers[p.rng.Intn(len(p.servers))]
 		s.State = ServerState(p.rng.Intn(3))
@@ -96,7 +96,7 @@
 	}
 }
 
-func (p *randomPlay) playRequest(id string) {
+func (p *randomSimulation) simulateRequest(id string) {
 	class := p.cfg.Classes[p.rng.Intn(len(p.cfg.Classes))]
 	r := Request{
 		ID:           id,
@@ -113,8 +113,8 @@
 	p.handle(r)
 }
 
-// playAttempts ends the attempts that have timed out, and others at random.
-func (p *randomPlay) playAttempts() {
+// simulateAttempts ends the attempts that have timed out, and others at random.
+func (p *randomSimulation) simulateAttempts() {
 	for _, id := range p.open {
 		r := p.requests[id]
 		for n := 0; n < len(r.attempts); n++ { // ending an attempt may start another one
@@ -136,11 +136,11 @@
 	})
 }
 
-func (p *randomPlay) endAttempt(r *trackedRequest, n int, o Outcome) {
+func (p *randomSimulation) endAttempt(r *trackedRequest, n int, o Outcome) {
 	a := r.attempts[n]
 	a.inFlight = false
 	if o.neverRan() {
-		a.mayRun = false
+		a.mayHaveRun = false
 	}
 	r.done = r.done || o == OutcomeOK
 	p.handle(AttemptEnded{
@@ -154,7 +154,7 @@
 	})
 }
 
-func (p *randomPlay) handle(ev Event) {
+func (p *randomSimulation) handle(ev Event) {
 	actions := p.g.Handle(p.now, ev)
 	p.log = append(p.log, actions...)
 	for _, a := range actions {
@@ -169,39 +169,42 @@
 	}
 }
 
-func (p *randomPlay) checkSend(a Send) {
+func (p *randomSimulation) checkSend(a Send) {
 	r := p.requests[a.ID]
 	if r == nil || r.done {
-		p.t.Fatalf("seed %d: Send for finished request %s", p.seed, a.ID)
+		p.t.Fatalf("seed %d: Send for unknown or finished request %s", p.seed, a.ID)
 	}
 	server := p.server(a.Server)
 	if server.State != Serving {
 		p.t.Fatalf("seed %d: Send to %s, which is draining or removed", p.seed, a.Server)
 	}
 	if len(r.attempts) >= p.cfg.Limits.MaxAttempts || (!p.cfg.Limits.Hedging && r.inFlight() > 0) {
-		p.t.Fatalf("seed %d: attempt %d with %d in flight", p.seed, len(r.attempts), r.inFlight())
+		p.t.Fatalf("seed %d: attempt %d with %d in flight exceeds the limits",
+			p.seed, len(r.attempts), r.inFlight())
 	}
 	for n, before := range r.attempts {
-		if !before.mayRun || r.class.Idempotency == Idempotent {
+		if !before.mayHaveRun || r.class.Idempotency == Idempotent {
 			continue
 		}
 		if r.class.Idempotency == NotIdempotent || p.now-before.sentAt > r.class.DedupWindow ||
 			(r.class.DedupScope == DedupInCell && server.Cell != p.server(before.Server).Cell) {
-			p.t.Fatalf("seed %d: %s sent to %s after attempt %d may have run", p.seed, r.class.Name, a.Server, n)
+			p.t.Fatalf("seed %d: %s sent to %s after attempt %d may have run",
+				p.seed, r.class.Name, a.Server, n)
 		}
 	}
 	if len(r.attempts) == 0 && r.Plan == "hard" {
 		p.forwarded[r.Customer] += r.Units
 		if most := 10*p.now.Seconds() + 2; p.forwarded[r.Customer] > most+1e-6 {
-			p.t.Fatalf("seed %d: ceiling exceeded: %v over %v", p.seed, p.forwarded[r.Customer], most)
+			p.t.Fatalf("seed %d: ceiling exceeded: forwarded %v units, want at most %v",
+				p.seed, p.forwarded[r.Customer], most)
 		}
 	}
-	r.attempts = append(r.attempts, &trackedAttempt{Send: a, sentAt: p.now, inFlight: true, mayRun: true})
+	r.attempts = append(r.attempts, &trackedAttempt{Send: a, sentAt: p.now, inFlight: true, mayHaveRun: true})
 }
 
-func (p *randomPlay) checkReject(r *trackedRequest) {
+func (p *randomSimulation) checkReject(r *trackedRequest) {
 	for n, a := range r.attempts {
-		if a.mayRun && (r.class.Idempotency == NotIdempotent ||
+		if a.mayHaveRun && (r.class.Idempotency == NotIdempotent ||
 			(r.class.Idempotency == IdempotentByKey && r.class.DedupScope != DedupInFleet)) {
 			p.t.Fatalf("seed %d: rejected %s after attempt %d may have run", p.seed, r.class.Name, n)
 		}
@@ -209,14 +212,14 @@
 	p.finish(r)
 }
 
-func (p *randomPlay) finish(r *trackedRequest) {
+func (p *randomSimulation) finish(r *trackedRequest) {
 	if r.done {
 		p.t.Fatalf("seed %d: second final answer for %s", p.seed, r.ID)
 	}
 	r.done = true
 }
 
-func (p *randomPlay) server(id string) Server {
+func (p *randomSimulation) server(id string) Server {
 	for _, s := range p.servers {
 		if s.ID == id {
 			return s
--- a/decide/retry_test.go
+++ b/decide/retry_test.go
@@ -38,15 +38,17 @@
 		}
 		if len(more) == 1 && c.class == "put" && !c.outcome.neverRan() &&
 			(more[0].Server == "s3") != (s.Server == "s3") {
-			t.Errorf("%s after %v: sent to %s after %s, another cell", c.class, c.outcome, more[0].Server, s.Server)
+			t.Errorf("%s after %v: sent to %s after %s, which is in another cell",
+				c.class, c.outcome, more[0].Server, s.Server)
 		}
 		h.g.retryBudget.tokens = 0 // no more retries, to get the final answer
 		for i := 1; len(more) == 1; i++ {
 			acts = h.endAttempt(id, i, more[0].Server, c.outcome)
 			more = actionsOf[Send](acts)
 		}
-		if len(actionsOf[Reject](acts)) != boolToInt(c.reject) || len(actionsOf[Fail](acts)) != boolToInt(!c.reject) {
-			t.Errorf("%s after %v: final %#v, want reject=%v", c.class, c.outcome, acts, c.reject)
+		if len(actionsOf[Reject](acts)) != boolToInt(c.reject) ||
+			len(actionsOf[Fail](acts)) != boolToInt(!c.reject) {
+			t.Errorf("%s after %v: final answer %#v, want reject=%v", c.class, c.outcome, acts, c.reject)
 		}
 	}
 }
@@ -60,13 +62,13 @@
 	id, s := h.mustSend("putall", "wide")
 	h.now += 1100 * ms
 	if acts := h.endAttempt(id, 0, s.Server, OutcomeError); len(actionsOf[Send](acts)) != 0 {
-		t.Errorf("sent again after the window: %#v", acts)
+		t.Errorf("request sent again after the dedup window: %#v", acts)
 	}
 }
 
 // A retry that waits for its connection could be written after the window in which servers remember the
 // first attempt, and would run a second time. Send.WriteBefore must prevent this.
-func TestRepeatsAreBoundedAtTheirWrite(t *testing.T) {
+func TestRetryWriteBeforeEndsWithDedupWindow(t *testing.T) {
 	for _, c := range []struct {
 		class  string
 		first  Outcome
@@ -81,16 +83,17 @@
 		id, s := h.mustSend(c.class, "wide")
 		at := h.now
 		if s.WriteBefore != 0 {
-			t.Errorf("%s: the first attempt may be written until %v, want no bound", c.class, s.WriteBefore)
+			t.Errorf("%s: WriteBefore of the first attempt is %v, want 0", c.class, s.WriteBefore)
 		}
 		h.now += 700 * ms
 		again := actionsOf[Send](h.endAttempt(id, 0, s.Server, c.first))
 		if len(again) != 1 {
-			t.Fatalf("%s after %v: %d sent, want 1", c.class, c.first, len(again))
+			t.Fatalf("%s after %v: %d retries, want 1", c.class, c.first, len(again))
 		}
 		got, bounded := again[0].WriteBefore-at, again[0].WriteBefore != 0
 		if bounded != c.window || bounded && (got > 2*time.Second || got < 1900*ms) {
-			t.Errorf("%s after %v: the retry may be written until %v after the first, want the window: %t", c.class,
+			t.Errorf("%s after %v: retry has WriteBefore %v after the first, want the dedup window: %t",
+				c.class,
 				c.first, got, c.window)
 		}
 	}
@@ -99,16 +102,17 @@
 // A gateway that sees no other response of a server cannot tell a costly request from a silent server. If
 // it cancelled the attempt, all gateways would together overload the servers with retries. It must wait,
 // unless the server is known to fail such requests.
-func TestCostlyRequestIsNotCancelledOnScarceEvidence(t *testing.T) {
+func TestCostlyRequestIsNotCancelledOnSparseObservations(t *testing.T) {
 	for _, known := range []bool{false, true} {
 		h := newSparseHarness(t, nil)
 		_, acts := h.request("get", "wide", "c", 1)
 		s := actionsOf[Send](acts)[0]
 		if known {
-			h.g.observe(h.g.endpoints.byID[s.Server], h.g.classes.byName["get"], 1, true) // as if a peer had reported a failure
+			h.g.observe(h.g.endpoints.byID[s.Server], h.g.classes.byName["get"], 1,
+				true) // as if reported by a peer
 		}
 		if got := len(actionsOf[Cancel](h.fireOverdueTimer(acts))) > 0; got != known {
-			t.Errorf("server known to fail %v: cancelled %v", known, got)
+			t.Errorf("server known to fail is %v: cancelled is %v, want the same", known, got)
 		}
 	}
 }
@@ -116,7 +120,7 @@
 // An overdue attempt must be cancelled only if the server was sent enough requests that its silence is
 // significant. Otherwise the gateway must only check the attempt again later: a few missing responses are
 // common at a healthy server.
-func TestSilenceIsJudgedByMissingResponses(t *testing.T) {
+func TestOverdueAttemptIsCancelledOnMissingResponses(t *testing.T) {
 	for sent, want := range map[int]bool{100: true, 6: false} {
 		h := newHarness(t, func(c *Config) { c.Limits.Gossip = false })
 		for i := 0; i < sent; i++ {
@@ -130,14 +134,14 @@
 			t.Errorf("after %d requests in a row: cancelled %v, want %v", sent, got, want)
 		}
 		if got := len(actionsOf[SetTimer](acts)) > 0; got == want {
-			t.Errorf("after %d requests in a row: looked at again %v, want %v", sent, got, !want)
+			t.Errorf("after %d requests in a row: recheck timer set %v, want %v", sent, got, !want)
 		}
 	}
 }
 
 // A retry after a failed connect must be possible without any retry budget, because the failed attempt cost
 // no server any work. A retry after a broken connection must not, or retries could multiply the load.
-func TestNoConnectionCostsNoRetryBudget(t *testing.T) {
+func TestConnectFailureCostsNoRetryBudget(t *testing.T) {
 	for outcome, want := range map[Outcome]int{OutcomeConnectFailed: 1, OutcomeReset: 0} {
 		h := newHarness(t, func(c *Config) { c.Limits.Gossip = false })
 		h.g.retryBudget.tokens = 0
--- a/decide/selection_test.go
+++ b/decide/selection_test.go
@@ -8,7 +8,7 @@
 // Where observations are sparse, a server that takes twice the time must get about half of the requests.
 // With none, all gateways would use the same few servers; with an equal part, they would overload the slow
 // ones.
-func TestSelectionFollowsSpeedOnScarceEvidence(t *testing.T) {
+func TestSelectionFollowsSpeedOnSparseObservations(t *testing.T) {
 	h := newSparseHarness(t, nil)
 	got := [2]float64{}
 	for i := 0; i < 1500; i++ {
@@ -27,6 +27,7 @@
 		h.endAttempt(id, 0, s.Server, OutcomeOK)
 	}
 	if x := got[1] / got[0]; x < 0.4 || x > 0.65 {
-		t.Errorf("servers of twice the time got %v of what the others got, want about a half", x)
+		t.Errorf("servers with twice the latency got %v times the requests of the others, want 0.4 to 0.65",
+			x)
 	}
 }
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -23,21 +23,23 @@
 		return n
 	}
 	run(10 * time.Second)
-	h.handle(EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: "s1", Zone: "a", StartedAt: h.now - ms}}})
+	h.handle(EndpointUpdate{Kind: DeltaUpdate,
+		Servers: []Server{{ID: "s1", Zone: "a", StartedAt: h.now - ms}}})
 	n := run(time.Second)
 	warm := float64(n["s2"]+n["s3"]) / 2
 	if most := slowStartMargin * 2 * 0.3 * warm * 1.2; float64(n["s1"]) > most+1 {
-		t.Errorf("the server in slow start got %d in its first second, want %v at most", n["s1"], most)
+		t.Errorf("server in slow start got %d requests in its first second, want at most %v", n["s1"], most)
 	}
 	run(10 * time.Second)
 	if n = run(2 * time.Second); n["s1"] < n["s2"]/2 {
-		t.Errorf("warm again, the server gets %d of %v", n["s1"], n)
+		t.Errorf("server got %d requests after its slow start, want at least half of those of s2: %v",
+			n["s1"], n)
 	}
 }
 
 // If each of 300 gateways sent a newly started server a single request, these would already overload it.
 // Together they must send it some requests, but no more than the overload rule allows.
-func TestSlowStartOverAllGateways(t *testing.T) {
+func TestSlowStartAcrossGateways(t *testing.T) {
 	var servers []Server
 	for i := 0; i < 20; i++ {
 		servers = append(servers, Server{ID: fmt.Sprint("s", i), Zone: "a"})
@@ -45,7 +47,7 @@
 	cfg := testConfig()
 	cfg.Limits.Gossip = false // quotas are irrelevant here
 	cfg.Gateways = 300
-	cold, warm := 0, 0
+	slowStarting, warm := 0, 0
 	for i := 0; i < cfg.Gateways; i++ {
 		cfg.Rank = i
 		g, err := New(cfg, int64(i))
@@ -61,21 +63,25 @@
 					Servers: []Server{{ID: "s0", Zone: "a", StartedAt: now}}})
 			}
 			id := fmt.Sprint(n)
-			for _, s := range actionsOf[Send](g.Handle(now, Request{ID: id, Class: "get", Plan: "wide", Customer: "x",
-				Units: 1, Deadline: now + time.Second, GatewayCount: 1})) {
+			for _, s := range actionsOf[Send](g.Handle(now, Request{ID: id, Class: "get", Plan: "wide",
+				Customer: "x",
+				Units:    1, Deadline: now + time.Second, GatewayCount: 1})) {
 				if n >= 25 && s.Server == "s0" {
-					cold++
+					slowStarting++
 				} else if n >= 25 {
 					warm++
 				}
-				g.Handle(now+50*ms, AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: 50 * ms,
+				g.Handle(now+50*ms, AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK,
+					Duration:    50 * ms,
 					RequestDone: true})
 			}
 		}
 	}
-	usual := float64(warm) / 19
-	if most := cfg.Safety.OverloadMultiple * 0.4 * usual; float64(cold) > most || cold == 0 {
-		t.Errorf("the server in slow start got %d in 2 s, a warm one %v: want some, %v at most", cold, usual, most)
+	perWarmServer := float64(warm) / 19
+	if most := cfg.Safety.OverloadMultiple * 0.4 * perWarmServer; float64(slowStarting) > most ||
+		slowStarting == 0 {
+		t.Errorf("server in slow start got %d requests in 2 s, a warm one %v; want 1 to %v",
+			slowStarting, perWarmServer, most)
 	}
 }
 
@@ -134,7 +140,7 @@
 // OverloadMultiple, with an allowance for chance. This must hold for any number of gateways, also where the
 // budget of each is less than a request, during a burst of traffic, and while gateways restart. Otherwise
 // the server fails at its start.
-func TestSlowStartBudgetOfTheFleet(t *testing.T) {
+func TestSlowStartBudgetAcrossFleet(t *testing.T) {
 	const servers, perServer = 10, 40.0 // requests per second at a warm server
 	for _, gateways := range []int{1, 3, 30, 300} {
 		for _, c := range []struct {
@@ -160,8 +166,8 @@
 			for _, g := range f.gateways {
 				g.Handle(f.now, EndpointUpdate{Kind: DeltaUpdate, Servers: list[:1]})
 			}
-			began, before := f.now, f.sentTo["s0"]
-			for f.now < began+4*time.Second {
+			slowStartBegan, before := f.now, f.sentTo["s0"]
+			for f.now < slowStartBegan+4*time.Second {
 				from := f.sentTo["s0"]
 				for end := f.now + cfg.Safety.OverloadWindow; f.now < end; {
 					f.step(rng, c.burst*servers*perServer)
@@ -171,17 +177,18 @@
 				}
 				// perServer is the traffic of a warm server before the burst.
 				safety := &cfg.Safety
-				progress := float64(f.now-began-safety.OverloadWindow) / float64(safety.SlowStartDuration)
-				can := safety.SlowStartCapacity + (1-safety.SlowStartCapacity)*progress
-				n := cfg.Safety.OverloadMultiple * can * perServer * cfg.Safety.OverloadWindow.Seconds()
+				progress := float64(f.now-slowStartBegan-safety.OverloadWindow) /
+					float64(safety.SlowStartDuration)
+				capacity := safety.SlowStartCapacity + (1-safety.SlowStartCapacity)*progress
+				n := cfg.Safety.OverloadMultiple * capacity * perServer * cfg.Safety.OverloadWindow.Seconds()
 				if got := float64(f.sentTo["s0"] - from); got > n+2*math.Sqrt(n)+2 {
-					t.Errorf("%d gateways, %s: got %.0f within %v at %v, want %.1f and chance at most",
+					t.Errorf("%d gateways, %s: got %.0f requests in %v at %v, want at most %.1f plus chance",
 						gateways, c.name, got,
-						cfg.Safety.OverloadWindow, f.now-began, n)
+						cfg.Safety.OverloadWindow, f.now-slowStartBegan, n)
 				}
 			}
 			if f.sentTo["s0"] == before {
-				t.Errorf("%d gateways, %s: the server in slow start got nothing", gateways, c.name)
+				t.Errorf("%d gateways, %s: server in slow start got no requests", gateways, c.name)
 			}
 		}
 	}
--- a/decide/usagereport_test.go
+++ b/decide/usagereport_test.go
@@ -10,16 +10,16 @@
 
 // Without gossip, the share must follow from usage reports, or a customer whose traffic reaches only one
 // gateway would get no more than the even share. Without a report, it is the even share.
-func TestUsageReportsDecideTheShareWithoutGossip(t *testing.T) {
-	for metered, want := range map[int]float64{1 + 100: 0.9, 1 + 1000: 1.0 / 3, 0: 1.0 / 3} {
+func TestShareFollowsUsageReportsWithoutGossip(t *testing.T) {
+	for report, want := range map[int]float64{1 + 100: 0.9, 1 + 1000: 1.0 / 3, 0: 1.0 / 3} {
 		h := newHarness(t, nil)
 		id, s := h.mustSend("get", "wide")
 		h.handle(AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: ms, RequestDone: true,
-			ReportedUsage: metered})
+			ReportedUsage: report})
 		c := h.g.customers.byKey[hashKey("c")]
 		h.g.charge(c, 1800) // 900 units per second over rateTimeConstant, of a rate of 1000
 		if h.g.refresh(c); math.Abs(c.bucket.share-want) > 0.01 {
-			t.Errorf("reported %d: share is %v, want %v", metered, c.bucket.share, want)
+			t.Errorf("ReportedUsage %d: share is %v, want %v", report, c.bucket.share, want)
 		}
 	}
 }
@@ -28,14 +28,15 @@
 // what its customer used in the last full second. Each gateway alone could admit one of two attempts in
 // flight, or has a bucket of its own for a high-water mark of a few units, so without the reports customers
 // would get many times their quota.
-func TestQuotasByUsageReportsAlone(t *testing.T) {
+func TestQuotaWithUsageReportsOnly(t *testing.T) {
 	const end, from = 40 * time.Second, 20 * time.Second // results are counted between from and end
 	for _, c := range []struct {
 		plan   Plan
 		demand [2]float64 // requests per second of customers with high and with low demand
-		// most is the largest multiple of the quota that customers with high demand may get; fair is the
-		// least fraction of the requests of customers with low demand that must be admitted.
-		most, fair float64
+		// maxMultiple is the largest multiple of the quota that customers with high demand may get;
+		// minAdmitted is the least fraction of the requests of customers with low demand that must be
+		// admitted.
+		maxMultiple, minAdmitted float64
 	}{
 		{Plan{Name: "p", MaxInFlight: 2}, [2]float64{30, 1}, 2, 0.35},
 		{Plan{Name: "p", Rate: 4, Burst: 8}, [2]float64{40, 1}, 2, 0.6},
@@ -50,11 +51,13 @@
 		if c.plan.Rate > 0 {
 			quota, got = c.plan.Rate, f.admitted[0]/(reportingCustomers/2)/(end-from).Seconds()
 		}
-		if got > c.most*quota || got < 0.4*quota {
-			t.Errorf("%+v: customers that demand much get %.1f, want %v to %v", c.plan, got, 0.4*quota, c.most*quota)
+		if got > c.maxMultiple*quota || got < 0.4*quota {
+			t.Errorf("%+v: customers with high demand get %.1f, want %v to %v",
+				c.plan, got, 0.4*quota, c.maxMultiple*quota)
 		}
-		if share := f.admitted[1] / f.requested[1]; share < c.fair {
-			t.Errorf("%+v: of customers that demand little %.2f is admitted, want %v", c.plan, share, c.fair)
+		if share := f.admitted[1] / f.requested[1]; share < c.minAdmitted {
+			t.Errorf("%+v: admitted %.2f of the requests of customers with low demand, want at least %v",
+				c.plan, share, c.minAdmitted)
 		}
 	}
 }
@@ -97,7 +100,8 @@
 	for n := range 40 {
 		servers = append(servers, Server{ID: fmt.Sprint("s", n), Zone: "a"})
 	}
-	f := &reportingFleet{plan: plan, rng: rand.New(rand.NewSource(3)), due: map[time.Duration][]reportingResponse{}}
+	f := &reportingFleet{plan: plan, rng: rand.New(rand.NewSource(3)),
+		due: map[time.Duration][]reportingResponse{}}
 	for i := range reportingGateways {
 		cfg.Rank = i
 		g, err := New(cfg, int64(i))
