--- a/decide/gateway_test.go
+++ b/decide/gateway_test.go
@@ -75,8 +75,8 @@
 		key := fmt.Sprint("c", i%2000)
 		g.Handle(now, Request{ID: id, Class: "get", Plan: "wide", Customer: key, Units: 1,
 			Deadline: now + time.Second, GatewayCount: 200})
-		for no, r := range g.owners.pending {
-			w := grantMessage{kind: grantReply, key: r.customer.key, number: no, valueCount: 4,
+		for number, r := range g.owners.pending {
+			w := grantMessage{kind: grantReply, key: r.customer.key, number: number, valueCount: 4,
 				values: [4]float64{1}}
 			g.Handle(now, GossipReceived{From: g.owner(r.customer.key, 0), Text: w.encode()})
 		}
--- a/decide/gossip_test.go
+++ b/decide/gossip_test.go
@@ -72,7 +72,7 @@
 	if _, acts = h.request("get", "small", "x", 1); len(actionsOf[Send](acts)) != 0 {
 		t.Errorf("request forwarded while a peer reports that the whole burst is used")
 	}
-	h.now += 2 * time.Second // the peers have fallen silent, and the use that they reported leaks
+	h.now += 2 * time.Second // the peers are silent, and the usage that they reported leaks
 	if _, acts = h.request("get", "small", "x", 1); len(actionsOf[Send](acts)) != 1 {
 		t.Errorf("got %#v after the level has leaked for two seconds, want one Send", acts)
 	}
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -101,8 +101,8 @@
 		-(g.now-f.updatedAt).Seconds()/(failureTimeConstantFactor*g.healthTimeConstant()))
 }
 
-// healthTimeConstant returns the time constant, in seconds, with which observations of a server decay. It is
-// longer where responses of a server are rare.
+// healthTimeConstant returns the time constant, in seconds, with which observations of a server decay. It
+// is longer where responses of a server are rare.
 func (g *Gateway) healthTimeConstant() float64 {
 	perSecond := g.responseStats.observationRate.perSecond(g.now)
 	wanted := healthTimeConstantResponses * g.endpoints.totals.serving / max(perSecond, minObservationRate)
--- a/decide/quotaowner.go
+++ b/decide/quotaowner.go
@@ -268,8 +268,9 @@
 	}
 }
 
-// receiveGrantMessage handles a grant message from another gateway. Messages that are malformed, for an
-// unknown plan or sent to the wrong owner are dropped.
+// receiveGrantMessage handles a grant message from another gateway. Messages that are malformed or for an
+// unknown plan are dropped. Of a request or release that was sent to the wrong owner, only the load and the
+// observations are used.
 func (g *Gateway) receiveGrantMessage(from int, text string) {
 	m, ok := parseGrantMessage(text)
 	if !ok || m.planIndex >= len(g.cfg.Plans) {
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -33,10 +33,10 @@
 // earn adds the gain of a first attempt to the budget.
 func (b *retryBudget) earn() { b.tokens = min(maxRetryBudget, b.tokens+retryBudgetGain) }
 
-// has reports whether the budget holds the cost.
+// has reports whether the budget covers the cost.
 func (b *retryBudget) has(cost float64) bool { return b.tokens >= cost }
 
-// spend takes the cost from the budget.
+// spend deducts the cost from the budget.
 func (b *retryBudget) spend(cost float64) { b.tokens -= cost }
 
 // attemptOverdue handles an attempt that should have been answered by now. If the server has responded to
--- a/decide/retry_test.go
+++ b/decide/retry_test.go
@@ -108,8 +108,8 @@
 		_, acts := h.request("get", "wide", "c", 1)
 		s := actionsOf[Send](acts)[0]
 		if known {
-			h.g.observe(h.g.endpoints.byID[s.Server], h.g.classes.byName["get"], 1,
-				true) // as if reported by a peer
+			// A failure as if reported by a peer.
+			h.g.observe(h.g.endpoints.byID[s.Server], h.g.classes.byName["get"], 1, true)
 		}
 		if got := len(actionsOf[Cancel](h.fireOverdueTimer(acts))) > 0; got != known {
 			t.Errorf("server known to fail is %v: cancelled is %v, want the same", known, got)
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -8,7 +8,8 @@
 	// crossZoneCostFactor multiplies the cost of a server in another zone.
 	crossZoneCostFactor = 1.03
 
-	// lastFailedCostFactor multiplies the cost of the server that failed the request's previous attempt.
+	// lastFailedCostFactor multiplies the cost of the server whose attempt for the request has failed or is
+	// overdue.
 	lastFailedCostFactor = 3
 
 	// costNoise is the largest fraction by which a cost is raised at random, so that gateways do not all
@@ -30,7 +31,7 @@
 // candidate are ejected. They are compared with the best candidate so that a fault that all servers share
 // ejects none of them.
 //
-// lastFailed is the server that failed the request's previous attempt, or nil.
+// lastFailed is the server whose attempt for this request has failed or is overdue, or nil.
 func (g *Gateway) selectEndpoint(r *request, lastFailed *endpoint) (*endpoint, float64) {
 	var found [maxCandidates]*endpoint
 	candidates, leastFailures := g.candidates(r, found[:0])
@@ -79,7 +80,8 @@
 func (g *Gateway) endpointCost(r *request, s *endpoint, failures float64) float64 {
 	cost := g.expectedLatency(s, r.class) / max(minSuccessRatio, 1-failures) * (1 + costNoise*g.rng.Float64())
 	if g.observationSparsity() == 1 {
-		cost *= g.rng.ExpFloat64() // the lowest draw is a server's with a probability of 1/cost
+		// The probability that a server has the lowest draw is proportional to 1/cost.
+		cost *= g.rng.ExpFloat64()
 	}
 	if s.Zone != g.cfg.Zone {
 		cost *= crossZoneCostFactor
--- a/decide/usagereport_test.go
+++ b/decide/usagereport_test.go
@@ -27,7 +27,8 @@
 // Eighty gateways exchange no gossip, and customers send requests to random gateways. Each response reports
 // what its customer used in the last full second. Each gateway alone could admit one of two attempts in
 // flight, or has a bucket of its own for a high-water mark of a few units, so without the reports customers
-// would get many times their quota.
+// would get many times their quota. Customers with low demand must still have a fair part of their
+// requests admitted.
 func TestQuotaWithUsageReportsOnly(t *testing.T) {
 	const end, from = 40 * time.Second, 20 * time.Second // results are counted between from and end
 	for _, c := range []struct {
@@ -66,7 +67,7 @@
 	reportingGateways  = 80
 	reportingCustomers = 10 // every other one has high demand
 	reportingStep      = 10 * ms
-	reportingService   = 400 * ms // latency of a response
+	reportingLatency   = 400 * ms // latency of a response
 )
 
 // reportingFleet simulates gateways without gossip whose responses carry usage reports.
@@ -125,7 +126,7 @@
 			ID:            a.id,
 			Server:        a.server,
 			Outcome:       OutcomeOK,
-			Duration:      reportingService,
+			Duration:      reportingLatency,
 			RequestDone:   true,
 			ReportedUsage: int(f.reported[a.customer]),
 		})
@@ -176,7 +177,7 @@
 		f.used[customer]++
 		f.peak[customer] = max(f.peak[customer], f.inFlight[customer])
 		f.admitted[customer%2] += counted
-		at := f.now + reportingService
+		at := f.now + reportingLatency
 		f.due[at] = append(f.due[at], reportingResponse{g, id, s.Server, customer})
 	}
 }
