--- a/decide/customers.go
+++ b/decide/customers.go
@@ -43,7 +43,7 @@
 type customerTable struct {
 	byKey map[uint64]*customer
 	order []*customer // all customers; dropIdle checks the first one next and moves it to the end
-	// overrides holds the plans assigned by PlanChange, by customer key.
+	// overrides holds the plans that PlanChange events assigned, by customer key.
 	overrides map[uint64]*planOverride
 
 	planIndexByName map[string]int // index in Config.Plans by name
--- a/decide/gossipcodec.go
+++ b/decide/gossipcodec.go
@@ -43,7 +43,8 @@
 	encodeDigits(b, uint64(e.level), 1)
 }
 
-// parseGossipHeader parses the header of a datagram. ok is false if any part of the datagram is malformed.
+// parseGossipHeader checks a whole datagram and parses its header. ok is false if any part of the datagram
+// is malformed.
 func parseGossipHeader(s string) (epoch, seq int, ok bool) {
 	if len(s) < gossipHeaderLength || s[:1] != gossipVersion {
 		return 0, 0, false
--- a/decide/grantcodec.go
+++ b/decide/grantcodec.go
@@ -21,7 +21,7 @@
 	// failedLevel is the level that encodes a failure. The levels below it are doublings of
 	// minRelativeLatency.
 	failedLevel         = 6
-	minRelativeLatency  = 0.35
+	minRelativeLatency  = 0.35 // lowest relative latency that an observation can encode
 	maxObservationBytes = observationsPerMessage * observationLength
 )
 
--- a/decide/quotaowner.go
+++ b/decide/quotaowner.go
@@ -72,8 +72,8 @@
 	pending           map[uint64]*request
 	lastRequestNumber uint64
 	roundTrip         time.Duration // moving average of the time from a grant request to its reply
-	// unresponsiveUntil holds, by rank, the time until which an owner that left grant requests unanswered
-	// is not asked.
+	// unresponsiveUntil holds, by rank, the time until which an owner is not asked because it left grant
+	// requests unanswered.
 	unresponsiveUntil map[int]time.Duration
 
 	requestRate rate // grant requests received per second
