--- a/internal/quotaplan/replica.go
+++ b/internal/quotaplan/replica.go
@@ -197,7 +197,7 @@
 		return
 	}
 	delete(r.pending, e.Number)
-	r.emit(Reply{p.token, p.change, invalid(&p.change, "log", "%s, the change is not taken", e.Reason)})
+	r.emit(Reply{p.token, p.change, invalid(&p.change, "log", "%s, the change was not accepted", e.Reason)})
 }
 
 // add adds a change to the set. It returns false if the set already contains it.
--- a/internal/reservation/persistence.go
+++ b/internal/reservation/persistence.go
@@ -129,7 +129,7 @@
 // truncated.
 func (l *Ledger) Restore(state []byte) error {
 	if len(state) < minStateBytes || state[0] != stateVersion {
-		return fmt.Errorf("reservation: a state of %d bytes and version %v, want version %d",
+		return fmt.Errorf("reservation: stored state has %d bytes and version %v, want version %d",
 			len(state), state[:min(1, len(state))], stateVersion)
 	}
 	r := &encoding.Reader{Rest: state[1:]}
@@ -145,7 +145,7 @@
 	readHolderTotals(r, func(k holder, total float64) { h.received[k] = total })
 	if r.Malformed {
 		delete(l.holdings, id)
-		return fmt.Errorf("reservation %016x: its state of %d bytes is cut short", id, len(state))
+		return fmt.Errorf("reservation %016x: stored state of %d bytes is truncated", id, len(state))
 	}
 	return nil
 }
