--- a/internal/quotaplan/admission.go
+++ b/internal/quotaplan/admission.go
@@ -8,16 +8,16 @@
 
 // Limits and defaults of reservations.
 const (
-	// maxReservedOfRate limits the reserved rate of a member at any time, as a fraction of the rate of
+	// maxReservedRateFraction limits the reserved rate of a member at any time, as a fraction of the rate of
 	// its plan and of the rate of its ceiling.
-	maxReservedOfRate = 0.5
-	// maxReservedOfCapacity limits the reserved rate of all members at any time, as a fraction of the
+	maxReservedRateFraction = 0.5
+	// maxReservedCapacityFraction limits the reserved rate of all members at any time, as a fraction of the
 	// fleet's capacity.
-	maxReservedOfCapacity = 0.5
-	// The default rate of a reservation is the higher of defaultRateOfCeiling times the rate of the
-	// ceiling and defaultRateOfMean times the mean rate of the reservation.
-	defaultRateOfCeiling = 0.25
-	defaultRateOfMean    = 2
+	maxReservedCapacityFraction = 0.5
+	// The default rate of a reservation is the higher of defaultRateCeilingFraction times the rate of the
+	// ceiling and defaultRateMeanMultiple times the mean rate of the reservation.
+	defaultRateCeilingFraction = 0.25
+	defaultRateMeanMultiple    = 2
 
 	minWindow = int64(time.Second)          // nanoseconds
 	maxWindow = int64(400 * 24 * time.Hour) // nanoseconds
@@ -60,7 +60,7 @@
 	if c.Rate > 0 || p.CeilingRate == 0 {
 		return c.Rate
 	}
-	return max(defaultRateOfCeiling*p.CeilingRate, defaultRateOfMean*meanRate(c, c.Units))
+	return max(defaultRateCeilingFraction*p.CeilingRate, defaultRateMeanMultiple*meanRate(c, c.Units))
 }
 
 // checkReserve validates a submitted reservation and checks that it fits beside the reservations that this
@@ -102,7 +102,7 @@
 
 // checkPlanRate checks that a reservation fits into the reservable part of the plan's rate.
 func (r *Replica) checkPlanRate(c *Change, p decide.Plan) *Error {
-	free := maxReservedOfRate*p.Rate - r.derived.peakOverlap(c, func(o *Change) float64 {
+	free := maxReservedRateFraction*p.Rate - r.derived.peakOverlap(c, func(o *Change) float64 {
 		if o.Member != c.Member {
 			return 0
 		}
@@ -120,7 +120,7 @@
 // is large enough for the largest request, and that its units can be used within the window.
 func (r *Replica) checkCeiling(c *Change, p decide.Plan) *Error {
 	rate := reservationRate(c, p)
-	free := maxReservedOfRate*p.CeilingRate - r.derived.peakOverlap(c, func(o *Change) float64 {
+	free := maxReservedRateFraction*p.CeilingRate - r.derived.peakOverlap(c, func(o *Change) float64 {
 		if o.Member != c.Member {
 			return 0
 		}
@@ -153,7 +153,7 @@
 // checkFleetCapacity checks that a reservation fits into the reservable part of the fleet's capacity.
 func (r *Replica) checkFleetCapacity(c *Change) *Error {
 	load := func(o *Change) float64 { return max(o.Rate, meanRate(o, r.derived.currentUnits(o))) }
-	free := maxReservedOfCapacity*r.settings.Capacity - r.derived.peakOverlap(c, load)
+	free := maxReservedCapacityFraction*r.settings.Capacity - r.derived.peakOverlap(c, load)
 	wanted := max(c.Rate, meanRate(c, c.Units))
 	if wanted > free*(1+tolerance) {
 		return invalid(c, "units",
--- a/internal/quotaplan/antientropy.go
+++ b/internal/quotaplan/antientropy.go
@@ -234,21 +234,21 @@
 // are new here.
 func (r *Replica) compareHashes(from int, body []byte) {
 	low, high := binary.LittleEndian.Uint64(body), binary.LittleEndian.Uint64(body[8:])
-	theirs := map[uint64]bool{}
+	peerHashes := map[uint64]bool{}
 	var wanted []uint64
 	for body = body[listHeaderBytes:]; len(body) > 0; body = body[hashBytes:] {
 		h := binary.LittleEndian.Uint64(body)
-		theirs[h] = true
+		peerHashes[h] = true
 		if r.set.byHash[h] == nil {
 			wanted = append(wanted, h)
 		}
 	}
-	var lacking []*Change
+	var missing []*Change
 	for _, h := range r.set.hashesBetween(low, high) {
-		if !theirs[h] {
-			lacking = append(lacking, r.set.byHash[h])
+		if !peerHashes[h] {
+			missing = append(missing, r.set.byHash[h])
 		}
 	}
-	r.sendChanges(from, lacking)
+	r.sendChanges(from, missing)
 	r.sendHashes(from, []byte{messageWanted}, wanted)
 }
--- a/internal/quotaplan/change.go
+++ b/internal/quotaplan/change.go
@@ -68,26 +68,26 @@
 	Incarnation uint64 // incarnation of the gateway's process
 }
 
-// before reports whether c precedes d in the total order of changes, which is the same at all gateways.
-func (c *Change) before(d *Change) bool {
+// before reports whether c precedes other in the total order of changes, which is the same at all gateways.
+func (c *Change) before(other *Change) bool {
 	switch {
-	case c.Stamp != d.Stamp:
-		return c.Stamp < d.Stamp
-	case c.Origin != d.Origin:
-		return c.Origin < d.Origin
-	case c.Incarnation != d.Incarnation:
-		return c.Incarnation < d.Incarnation
+	case c.Stamp != other.Stamp:
+		return c.Stamp < other.Stamp
+	case c.Origin != other.Origin:
+		return c.Origin < other.Origin
+	case c.Incarnation != other.Incarnation:
+		return c.Incarnation < other.Incarnation
 	}
-	return c.Number < d.Number
+	return c.Number < other.Number
 }
 
-// supersedes reports whether c is in force instead of d once both dates have passed. The change with the
+// supersedes reports whether c is in force instead of other once both dates have passed. The change with the
 // later date wins; if the dates are equal, the later change in the total order wins.
-func (c *Change) supersedes(d *Change) bool {
-	if c.From != d.From {
-		return c.From > d.From
+func (c *Change) supersedes(other *Change) bool {
+	if c.From != other.From {
+		return c.From > other.From
 	}
-	return d.before(c)
+	return other.before(c)
 }
 
 // hash returns the hash that identifies a change in messages and reservations.
@@ -131,8 +131,8 @@
 // maxNamesListed is the number of names that an error lists at most.
 const maxNamesListed = 12
 
-// nameList joins names with commas and omits those beyond maxNamesListed.
-func nameList(names []string) string {
+// joinNames joins names with commas and omits those beyond maxNamesListed.
+func joinNames(names []string) string {
 	if len(names) > maxNamesListed {
 		return strings.Join(names[:maxNamesListed], ", ") + ", ..."
 	}
--- a/internal/quotaplan/codec.go
+++ b/internal/quotaplan/codec.go
@@ -71,7 +71,7 @@
 	if c.Kind == Terms && !c.readTerms(r) {
 		return c, nil, errMalformed
 	}
-	if r.Malformed || kindNames[c.Kind] == "" || c.Number == 0 || !c.finite() {
+	if r.Malformed || kindNames[c.Kind] == "" || c.Number == 0 || !c.numbersValid() {
 		return c, nil, errMalformed
 	}
 	return c, r.Rest, nil
@@ -94,8 +94,8 @@
 	return true
 }
 
-// finite reports whether all numbers of the change are finite and not negative.
-func (c *Change) finite() bool {
+// numbersValid reports whether all numbers of the change are finite and not negative.
+func (c *Change) numbersValid() bool {
 	p := &c.Terms
 	for _, v := range []float64{c.Units, c.Rate, p.Rate, p.Burst, p.CeilingRate, p.CeilingBurst, p.CeilingSlack,
 		p.PriorityWeight, p.OverQuotaValue, p.OverQuotaCost} {
--- a/internal/quotaplan/effective.go
+++ b/internal/quotaplan/effective.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// minOrdinaryOfRate is the fraction of a plan's rate and ceiling that reservations always leave to
+	// minOrdinaryFraction is the fraction of a plan's rate and ceiling that reservations always leave to
 	// ordinary use.
-	minOrdinaryOfRate = 0.05
+	minOrdinaryFraction = 0.05
 	// maxShareSum is the highest sum of the gateways' shares of one plan while demand shifts between
 	// gateways. Tests of package decide verify this limit.
 	maxShareSum = 1.15
@@ -149,10 +149,10 @@
 		}
 		last = c.Number
 		if p.Rate > 0 {
-			p.Rate = max(minOrdinaryOfRate*full.Rate, p.Rate-meanRate(c, units))
+			p.Rate = max(minOrdinaryFraction*full.Rate, p.Rate-meanRate(c, units))
 		}
 		if p.CeilingRate > 0 {
-			rate := min(reservationRate(c, full), p.CeilingRate*(1-minOrdinaryOfRate))
+			rate := min(reservationRate(c, full), p.CeilingRate*(1-minOrdinaryFraction))
 			p.CeilingBurst -= p.CeilingBurst * rate / p.CeilingRate
 			p.CeilingRate -= rate
 			p.CeilingSlack *= 1 - rate/full.CeilingRate
--- a/internal/quotaplan/validate.go
+++ b/internal/quotaplan/validate.go
@@ -19,7 +19,7 @@
 	if len(r.pending) >= maxPendingSubmits {
 		return invalid(c, "log", "%d changes wait for the disk, want fewer than %d", len(r.pending), maxPendingSubmits)
 	}
-	if !c.finite() {
+	if !c.numbersValid() {
 		return invalid(c, "units", "figures of %v, %v, %+v, want numbers of 0 or more", c.Units, c.Rate, c.Terms)
 	}
 	if err := r.checkNames(c); err != nil {
@@ -67,7 +67,7 @@
 	}
 	if c.Kind == Move || c.Kind == Terms {
 		if _, ok := r.plans[c.Plan]; !ok {
-			return invalid(c, "plan", "%q, want one of %s", c.Plan, nameList(r.planNames))
+			return invalid(c, "plan", "%q, want one of %s", c.Plan, joinNames(r.planNames))
 		}
 	}
 	return nil
--- a/internal/reservation/holding.go
+++ b/internal/reservation/holding.go
@@ -82,9 +82,9 @@
 	offeredAt           time.Duration  // time of the last offer while draining
 	offerTurn           int            // position in the rotation of gateways that get an offer
 
-	wakeAt time.Duration // time of the next action without an event
-	spent  float64       // units used by requests that have ended here
-	given  float64       // tokens sent to other gateways
+	wakeAt      time.Duration // time of the next action without an event
+	spent       float64       // units used by requests that have ended here
+	transferred float64       // tokens sent to other gateways
 }
 
 // holding returns the state of a reservation and creates it if it does not exist.
@@ -159,11 +159,11 @@
 	if h == nil || h.ended {
 		return
 	}
-	by := h.Units - e.Units - h.removed
-	if by <= 0 {
+	reduction := h.Units - e.Units - h.removed
+	if reduction <= 0 {
 		return
 	}
-	h.removed += by
+	h.removed += reduction
 	if e.Units == 0 {
 		l.end(h)
 		return
@@ -172,7 +172,7 @@
 	if (l.settings.Rank-h.First+l.settings.Gateways)%l.settings.Gateways < n {
 		// If other gateways hold the tokens, free becomes negative. This gateway then has to obtain the
 		// missing tokens from its peers before it spends any more.
-		h.free -= by / float64(n)
+		h.free -= reduction / float64(n)
 		h.free += max(0, h.drawn)
 		h.drawn = min(0, h.drawn)
 	}
--- a/internal/reservation/ledger.go
+++ b/internal/reservation/ledger.go
@@ -182,7 +182,7 @@
 			InFlight:    len(h.inFlight),
 			Waiting:     len(h.queue),
 			Spent:       h.spent,
-			Transferred: h.given,
+			Transferred: h.transferred,
 		}
 		if h.Ceiling {
 			v.CeilingRoom = h.room()
--- a/internal/reservation/ledger_test.go
+++ b/internal/reservation/ledger_test.go
@@ -12,9 +12,9 @@
 )
 
 // Tokens that exist twice let a member use more than it reserved, which nobody notices until it is billed.
-// TestConserved kills gateways with and without their disks, stalls, partitions and drains them while they spend: no
-// more units may be used than were reserved, those that are returned included. A disk that loses what it confirmed, and
-// tokens that are minted twice, must be found.
+// TestConserved kills gateways with and without their disks, stalls, partitions and drains them while they
+// spend: no more units may be used than were reserved, those that are returned included. A disk that loses
+// what it confirmed, and tokens that are minted twice, must be found.
 func TestConserved(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		if s := playConserved(rt, false, false); s != "" {
@@ -152,9 +152,9 @@
 	}
 }
 
-// A member that reserved units finds a part of them unusable if tokens stay where nobody spends them. TestShare
-// measures the part that can be used while nothing fails and under faults, at 3 and at 50 gateways: nearly all, but for
-// what a killed gateway held (its even part and half a second's use).
+// A member that reserved units finds a part of them unusable if tokens stay where nobody spends them.
+// TestShare measures the part that can be used while nothing fails and under faults, at 3 and at 50 gateways:
+// nearly all, but for what a killed gateway held (its even part and half a second's use).
 func TestShare(t *testing.T) {
 	const units = 2000.0
 	for _, n := range []int{3, 50} {
@@ -178,8 +178,8 @@
 	}
 }
 
-// TestCeiling has all gateways together stay under the reservation's rate and burst, also across restarts, and nearly
-// reach it.
+// TestCeiling has all gateways together stay under the reservation's rate and burst, also across restarts,
+// and nearly reach it.
 func TestCeiling(t *testing.T) {
 	for _, n := range []int{3, 50} {
 		for name, pick := range map[string]func(w *world) func() int{
@@ -246,8 +246,8 @@
 	}
 }
 
-// TestEnd passes the end of the window with requests in flight: they settle, what is left is returned, and later
-// requests are rejected, also after the wall clock was stepped back into the window.
+// TestEnd passes the end of the window with requests in flight: they settle, what is left is returned, and
+// later requests are rejected, also after the wall clock was stepped back into the window.
 func TestEnd(t *testing.T) {
 	w := newWorld(3, 1, quotaplan.Reservation{Units: 300})
 	w.run(1100 * time.Millisecond)
@@ -269,8 +269,8 @@
 	}
 }
 
-// A disk that takes nothing, while peers go on to request tokens, must not fill the memory, and no transfer may be sent
-// that a crash would take back. TestDiskBlocked counts what is deferred.
+// A disk that takes nothing, while peers go on to request tokens, must not fill the memory, and no transfer
+// may be sent that a crash would take back. TestDiskBlocked counts what is deferred.
 func TestDiskBlocked(t *testing.T) {
 	l := New(Settings{Rank: 0, Gateways: 2, MaxRequestUnits: 8, Epoch: 1})
 	now := quotaplan.Instant{Mono: time.Hour, Wall: 1000 * sec}
--- a/internal/reservation/messages.go
+++ b/internal/reservation/messages.go
@@ -43,15 +43,15 @@
 
 // transferMessage answers a request, or retransmits a total that was not acknowledged.
 type transferMessage struct {
-	reservation   uint64
-	request       uint64 // number of the request; 0: a retransmission
-	epoch         uint64 // epoch of the sender
-	receiverEpoch uint64
-	total         float64 // total of the tokens ever sent to the receiver in its epoch
-	room          float64
-	left          float64 // tokens that the sender keeps
-	richest       uint64  // 1 + rank of the gateway believed to hold most tokens; 0: unknown
-	richestTokens float64 // tokens of that gateway
+	reservation         uint64
+	request             uint64 // number of the request; 0: a retransmission
+	epoch               uint64 // epoch of the sender
+	receiverEpoch       uint64
+	total               float64 // total of the tokens ever sent to the receiver in its epoch
+	room                float64
+	left                float64 // tokens that the sender keeps
+	largestHolder       uint64  // 1 + rank of the gateway believed to hold most tokens; 0: unknown
+	largestHolderTokens float64 // tokens of that gateway
 }
 
 // acknowledgementMessage acknowledges the tokens received from a holder.
@@ -89,8 +89,8 @@
 func (m transferMessage) encode() []byte {
 	b := appendIntegers(messageTransfer, m.reservation, m.request, m.epoch, m.receiverEpoch)
 	b = appendFloats(b, m.total, m.room, m.left)
-	b = binary.LittleEndian.AppendUint64(b, m.richest)
-	return appendFloats(b, m.richestTokens)
+	b = binary.LittleEndian.AppendUint64(b, m.largestHolder)
+	return appendFloats(b, m.largestHolderTokens)
 }
 
 func (m acknowledgementMessage) encode() []byte {
--- a/internal/reservation/requests.go
+++ b/internal/reservation/requests.go
@@ -11,9 +11,9 @@
 	// drawPeriod is the period of demand for which tokens are drawn at once. It bounds the loss in a crash,
 	// because a crash loses the drawn tokens.
 	drawPeriod = 500 * time.Millisecond
-	// minDrawOfLargestRequest is the smallest draw, as a multiple of the largest request. With smaller draws,
+	// minDrawRequests is the smallest draw, as a multiple of the largest request. With smaller draws,
 	// requests would wait for the disk too often.
-	minDrawOfLargestRequest = 2.0
+	minDrawRequests = 2.0
 	// negligibleDemand is the demand, in units per second, below which no tokens are drawn in advance. A
 	// crash would lose the drawn tokens of a reservation that is not in use.
 	negligibleDemand = 1e-3
@@ -139,13 +139,14 @@
 	}
 	queued := h.queuedUnits()
 	demand := h.demand.valueAt(l.now.Mono)
-	chunk := max(minDrawOfLargestRequest*l.settings.MaxRequestUnits, demand*drawPeriod.Seconds())
-	have := h.drawn + h.drawing
-	enough := have >= queued && (have >= chunk/2 || queued == 0 && demand < negligibleDemand)
+	drawSize := max(minDrawRequests*l.settings.MaxRequestUnits, demand*drawPeriod.Seconds())
+	drawnOrDrawing := h.drawn + h.drawing
+	enough := drawnOrDrawing >= queued &&
+		(drawnOrDrawing >= drawSize/2 || queued == 0 && demand < negligibleDemand)
 	if h.free <= 0 || enough {
 		return
 	}
-	n := min(h.free, max(queued-have, 0)+chunk)
+	n := min(h.free, max(queued-drawnOrDrawing, 0)+drawSize)
 	h.free -= n
 	h.drawing += n
 	state := l.persist(h)
--- a/internal/reservation/stored_test.go
+++ b/internal/reservation/stored_test.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// The log keeps states of reservations that an earlier version of the program wrote, with the tokens that a gateway
-// holds, has sent and has received. A state that is misread makes tokens a second time or loses them. Each stored one
-// is read, written again to the same bytes and has the units free that are noted with it.
+// The log keeps states of reservations that an earlier version of the program wrote, with the tokens that a
+// gateway holds, has sent and has received. A state that is misread makes tokens a second time or loses them.
+// Each stored one is read, written again to the same bytes and has the units free that are noted with it.
 func TestStoredStates(t *testing.T) {
 	for i, line := range storeddata.ReadLines(t, "testdata/states.txt") {
 		var id uint64
@@ -103,9 +103,9 @@
 	}
 }
 
-// During a roll-out gateways of two versions move tokens between them: a message that is misread or misnamed loses
-// tokens or makes them twice. The stored conversation has a message of each kind that an earlier version received,
-// and what it did at each event: the same bytes must be sent and persisted.
+// During a roll-out gateways of two versions move tokens between them: a message that is misread or misnamed
+// loses tokens or makes them twice. The stored conversation has a message of each kind that an earlier
+// version received, and what it did at each event: the same bytes must be sent and persisted.
 func TestStoredMessages(t *testing.T) {
 	l := New(Settings{Rank: 0, Gateways: 3, MaxRequestUnits: 8, Epoch: 5, Seed: 1})
 	lines := storeddata.ReadLines(t, "testdata/messages.txt")
@@ -126,7 +126,8 @@
 	}
 }
 
-// transcript plays a random history of a small fleet and returns how many actions its gateways took and a hash of them.
+// transcript plays a random history of a small fleet and returns how many actions its gateways took and a
+// hash of them.
 func transcript(seed int64) (actions int, hash uint64) {
 	rng := rand.New(rand.NewSource(seed))
 	n := 1 + int(seed)%6
@@ -195,8 +196,8 @@
 	}
 }
 
-// A change of any decision (order, arithmetic, a draw of a random number) shows as another transcript of the random
-// histories: the stored ones are of the version whose data is beside them.
+// A change of any decision (order, arithmetic, a draw of a random number) shows as another transcript of the
+// random histories: the stored ones are of the version whose data is beside them.
 func TestStoredTranscripts(t *testing.T) {
 	storeddata.CheckTranscripts(t, "testdata/transcripts.txt", transcript)
 }
--- a/internal/reservation/transfer.go
+++ b/internal/reservation/transfer.go
@@ -22,7 +22,7 @@
 	switch m := decodeMessage(e.Data).(type) {
 	case offerMessage:
 		h := l.holdings[m.reservation]
-		if h != nil && h.announced && !h.ended && !l.draining && m.tokens > 0 && l.takeTransferRequest() {
+		if h != nil && h.announced && !h.ended && !l.draining && m.tokens > 0 && l.allowTransferRequest() {
 			l.sendTransferRequest(h, e.From, m.tokens, 0)
 		}
 	case requestMessage:
@@ -31,7 +31,7 @@
 		}
 	case transferMessage:
 		if h := l.holdings[m.reservation]; h != nil && m.receiverEpoch == h.epoch {
-			l.noteRichest(h, e.From, m)
+			l.noteLargestHolder(h, e.From, m)
 			l.handleTransfer(h, e.From, m)
 		}
 	case acknowledgementMessage:
@@ -57,7 +57,7 @@
 		return
 	}
 	h.free -= tokens
-	h.given += tokens
+	h.transferred += tokens
 	t := h.sent[to]
 	if t == nil {
 		t = &transfer{}
@@ -78,12 +78,12 @@
 	if h.ended || !(wanted > 0) {
 		return 0
 	}
-	own := min((h.free+h.drawn)/2, h.demand.valueAt(l.now.Mono)*retainPeriod.Seconds())
-	if idle := h.drawn - own; h.free < wanted && idle > 0 {
+	ownNeed := min((h.free+h.drawn)/2, h.demand.valueAt(l.now.Mono)*retainPeriod.Seconds())
+	if idle := h.drawn - ownNeed; h.free < wanted && idle > 0 {
 		h.free += idle
 		h.drawn -= idle
 	}
-	return max(0, min(wanted, h.free-max(0, own-h.drawn)))
+	return max(0, min(wanted, h.free-max(0, ownNeed-h.drawn)))
 }
 
 // spareRoom deducts from this gateway's room what it can grant of the room that a peer wants, and returns it.
@@ -104,25 +104,25 @@
 // transferTo encodes a transfer message with the total of the tokens sent to a holder. The request number is
 // 0 for a retransmission.
 func (l *Ledger) transferTo(h *holding, to holder, request uint64, room float64) []byte {
-	m := transferMessage{reservation: h.ID, request: request, epoch: h.epoch, receiverEpoch: to.epoch, room: room,
-		left: max(0, h.free)}
+	m := transferMessage{reservation: h.ID, request: request, epoch: h.epoch, receiverEpoch: to.epoch,
+		room: room, left: max(0, h.free)}
 	if t := h.sent[to]; t != nil {
 		m.total = t.total
 	}
-	rank, tokens := l.richest(h, to.rank)
-	m.richest, m.richestTokens = uint64(rank+1), tokens
+	rank, tokens := l.largestHolder(h, to.rank)
+	m.largestHolder, m.largestHolderTokens = uint64(rank+1), tokens
 	return m.encode()
 }
 
-// richest returns the peer with the most tokens according to recent reports, and their number. It ignores the
-// peer with the rank but, and unresponsive peers. The rank is -1 if no such peer is known. Transfer messages
-// name this peer, because after a rolling restart a few gateways hold all tokens, and the others would have
-// to ask one peer after another to find them.
-func (l *Ledger) richest(h *holding, but int) (rank int, tokens float64) {
+// largestHolder returns the peer with the most tokens according to recent reports, and their number. It
+// ignores the peer with the rank except, and unresponsive peers. The rank is -1 if no such peer is known.
+// Transfer messages name this peer, because after a rolling restart a few gateways hold all tokens, and the
+// others would have to ask one peer after another to find them.
+func (l *Ledger) largestHolder(h *holding, except int) (rank int, tokens float64) {
 	rank = -1
 	for i := range h.peers {
 		p := &h.peers[i]
-		if i != but && i != l.settings.Rank && p.reported > tokens && p.unresponsiveUntil <= l.now.Mono &&
+		if i != except && i != l.settings.Rank && p.reported > tokens && p.unresponsiveUntil <= l.now.Mono &&
 			l.now.Mono-p.repliedAt < reportLifetime {
 			rank, tokens = i, p.reported
 		}
@@ -130,14 +130,15 @@
 	return rank, tokens
 }
 
-// noteRichest records the tokens of the gateway that a transfer message names as having the most.
-func (l *Ledger) noteRichest(h *holding, from int, m transferMessage) {
-	rank := int(m.richest) - 1
-	if m.richest == 0 || m.richest > uint64(l.settings.Gateways) || rank == l.settings.Rank || rank == from {
+// noteLargestHolder records the tokens of the gateway that a transfer message names as having the most.
+func (l *Ledger) noteLargestHolder(h *holding, from int, m transferMessage) {
+	rank := int(m.largestHolder) - 1
+	if m.largestHolder == 0 || m.largestHolder > uint64(l.settings.Gateways) ||
+		rank == l.settings.Rank || rank == from {
 		return
 	}
-	if p := &h.peers[rank]; l.now.Mono-p.repliedAt > reportTrusted && m.richestTokens > p.reported {
-		p.reported, p.emptyAt, p.emptyBackoff = m.richestTokens, 0, 0
+	if p := &h.peers[rank]; l.now.Mono-p.repliedAt > reportTrusted && m.largestHolderTokens > p.reported {
+		p.reported, p.emptyAt, p.emptyBackoff = m.largestHolderTokens, 0, 0
 	}
 }
 
--- a/internal/reservation/transferrequest.go
+++ b/internal/reservation/transferrequest.go
@@ -64,25 +64,26 @@
 	outstanding := l.expireTransferRequests(h)
 	// Surplus tokens remain usable, so several peers are each asked for the whole amount. Room expires, so
 	// only one peer is asked at a time.
-	short := max(0, queued-h.drawn-h.drawing-max(0, h.free)) + max(0, -h.free)
-	if short > negligible {
-		short += min(h.demand.valueAt(l.now.Mono)*requestAhead.Seconds(), h.Units/float64(l.settings.Gateways))
+	missingTokens := max(0, queued-h.drawn-h.drawing-max(0, h.free)) + max(0, -h.free)
+	if missingTokens > negligible {
+		missingTokens += min(h.demand.valueAt(l.now.Mono)*requestAhead.Seconds(),
+			h.Units/float64(l.settings.Gateways))
 		for _, peer := range l.tokenCandidates(h) {
-			if outstanding >= maxTransferRequests || !l.takeTransferRequest() {
+			if outstanding >= maxTransferRequests || !l.allowTransferRequest() {
 				break
 			}
 			outstanding++
-			l.sendTransferRequest(h, peer, short, 0)
+			l.sendTransferRequest(h, peer, missingTokens, 0)
 		}
 		return
 	}
-	missing := queued - h.room()
-	if h.Ceiling && missing > negligible && outstanding == 0 && l.now.Mono >= h.nextRoomRequestAt {
+	missingRoom := queued - h.room()
+	if h.Ceiling && missingRoom > negligible && outstanding == 0 && l.now.Mono >= h.nextRoomRequestAt {
 		// A peer whose room is all in use answers at once, without any room. The delay keeps such answers
 		// from triggering the next request immediately, in a loop.
 		h.nextRoomRequestAt = l.now.Mono + roomRequestInterval
-		if peers := l.roomCandidates(h); len(peers) > 0 && l.takeTransferRequest() {
-			l.sendTransferRequest(h, peers[0], 0, missing)
+		if peers := l.roomCandidates(h); len(peers) > 0 && l.allowTransferRequest() {
+			l.sendTransferRequest(h, peers[0], 0, missingRoom)
 		}
 	}
 }
@@ -105,8 +106,8 @@
 	return outstanding
 }
 
-// takeTransferRequest reports whether the rate limit allows another transfer request, and counts it if so.
-func (l *Ledger) takeTransferRequest() bool {
+// allowTransferRequest reports whether the rate limit allows another transfer request, and counts it if so.
+func (l *Ledger) allowTransferRequest() bool {
 	elapsed := (l.now.Mono - l.transferRequestsAt).Seconds()
 	l.transferRequestsLeft = min(transferRequestBurst, l.transferRequestsLeft+transferRequestRate*elapsed)
 	l.transferRequestsAt = l.now.Mono
