--- a/internal/reservation/ledger_test.go
+++ b/internal/reservation/ledger_test.go
@@ -11,42 +11,43 @@
 	"winghatch/internal/quotaplan"
 )
 
-// Tokens that exist twice let a member use more than it reserved, which nobody notices until it is billed.
-// TestConserved kills gateways with and without their disks, stalls, partitions and drains them while they
-// spend: no more units may be used than were reserved, those that are returned included. A disk that loses
-// what it confirmed, and tokens that are minted twice, must be found.
-func TestConserved(t *testing.T) {
+// A token that exists twice lets a member use more units than it reserved, which nobody notices until the
+// bill. The test kills gateways with and without their disks, and stalls, partitions and drains them while
+// they spend tokens. Used and returned units together must not exceed the reservation. To show that the
+// simulation can find such faults, the test also plants two of them: a disk that loses writes that it
+// confirmed, and tokens that are minted twice.
+func TestUnitsAreNeverSpentTwice(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		if s := playConserved(rt, false, false); s != "" {
+		if s := checkConservation(rt, false, false); s != "" {
 			rt.Fatal(s)
 		}
 	})
 	for name, fault := range map[string][2]bool{
-		"a disk that keeps nothing": {true, false},
-		"tokens made twice":         {false, true},
+		"disk loses writes":   {true, false},
+		"tokens minted twice": {false, true},
 	} {
 		found := 0
 		rapid.Check(t, func(rt *rapid.T) {
-			if playConserved(rt, fault[0], fault[1]) != "" {
+			if checkConservation(rt, fault[0], fault[1]) != "" {
 				found++
 			}
 		})
 		if found == 0 {
-			t.Errorf("the model does not find %s", name)
+			t.Errorf("the simulation does not find the planted fault: %s", name)
 		}
 	}
 }
 
-// playConserved plays a history and says what is wrong, or nothing.
-func playConserved(rt *rapid.T, badDisk, mintTwice bool) string {
+// checkConservation runs a random simulation. It returns a description of the failure, or an empty string.
+func checkConservation(rt *rapid.T, losesWrites, mintTwice bool) string {
 	n := rapid.IntRange(1, 6).Draw(rt, "gateways")
 	w := newWorld(n, rapid.Int64().Draw(rt, "seed"), quotaplan.Reservation{Units: 200})
 	w.loss = rapid.SampledFrom([]float64{0, 0.1, 0.4}).Draw(rt, "loss")
-	w.badDisk, w.mintTwice = badDisk, mintTwice
+	w.losesWrites, w.mintTwice = losesWrites, mintTwice
 	for range rapid.IntRange(2, 20).Draw(rt, "steps") {
-		stepConserved(rt, w)
+		drawStep(rt, w)
 		if w.used > w.reservation.Units+1e-6 {
-			return fmt.Sprintf("%v units used of %v", w.used, w.reservation.Units)
+			return fmt.Sprintf("%v units used, want at most %v", w.used, w.reservation.Units)
 		}
 	}
 	clear(w.partition)
@@ -60,26 +61,27 @@
 	w.now.Wall = w.reservation.To - sec/2
 	w.run(2 * time.Second)
 	if w.used+w.returned > w.reservation.Units+1e-6 {
-		return fmt.Sprintf("%v units used and %v returned of %v", w.used, w.returned, w.reservation.Units)
+		return fmt.Sprintf("%v units used and %v returned, want at most %v together",
+			w.used, w.returned, w.reservation.Units)
 	}
 	return ""
 }
 
-// stepConserved draws one fault or some load.
-func stepConserved(rt *rapid.T, w *world) {
+// drawStep performs a random step: a fault, the end of one, or some load.
+func drawStep(rt *rapid.T, w *world) {
 	i := rapid.IntRange(0, w.n-1).Draw(rt, "gateway")
-	one := rapid.Bool().Draw(rt, "at one")
+	one := rapid.Bool().Draw(rt, "at one gateway")
 	pick := func() int {
 		if one {
 			return i
 		}
 		return w.rng.Intn(w.n)
 	}
-	switch rapid.IntRange(0, 8).Draw(rt, "what") {
+	switch rapid.IntRange(0, 8).Draw(rt, "step") {
 	case 0:
 		w.kill(i, true)
 	case 1:
-		w.kill(i, rapid.IntRange(0, 3).Draw(rt, "disk") > 0)
+		w.kill(i, rapid.IntRange(0, 3).Draw(rt, "disk survives") > 0)
 	case 2:
 		w.stalled[i] = !w.stalled[i]
 	case 3:
@@ -104,20 +106,21 @@
 	}
 }
 
-// shareCase is how a reservation is used in TestShare, and what fails meanwhile.
+// shareCase describes how a reservation is used in TestReservedUnitsStayUsable, and what fails meanwhile.
 type shareCase struct {
 	name  string
-	least float64 // share of the reservation that must be usable
-	pick  func(w *world) func() int
-	fault func(w *world)
+	least float64                   // fraction of the reservation that must be usable
+	pick  func(w *world) func() int // returns a function that selects the gateway of the next request
+	fault func(w *world)            // what fails after 4 s of load; nil: nothing
 }
 
+// shareCases returns the cases for a fleet of n gateways.
 func shareCases(n int) []shareCase {
 	evenPart := 1 / float64(n)
-	const halfSecond = 0.12 // of use, as a share, and a margin
+	const halfSecond = 0.12 // fraction of the reservation used in half a second, with a margin
 	evenly := func(w *world) func() int { return func() int { return w.rng.Intn(n) } }
 	lastOne := func(*world) func() int { return func() int { return n - 1 } }
-	butFirst := func(w *world) func() int { return func() int { return 1 + w.rng.Intn(n-1) } }
+	allButFirst := func(w *world) func() int { return func() int { return 1 + w.rng.Intn(n-1) } }
 	moving := func(w *world) func() int {
 		return func() int { return int((w.now.Mono-time.Hour)/(700*time.Millisecond)) * 7 % n }
 	}
@@ -130,18 +133,20 @@
 		}
 	}
 	return []shareCase{
-		{"evenly at all", 0.99, evenly, nil},
-		{"all at one", 0.99, lastOne, nil},
-		{"moving at one stroke", 0.99, moving, nil},
-		{"its taker killed", 1 - evenPart - halfSecond, butFirst, func(w *world) { w.kill(0, true) }},
-		{"its taker stalled", 0.99, butFirst, func(w *world) {
+		{"load on all gateways", 0.99, evenly, nil},
+		{"load on one gateway", 0.99, lastOne, nil},
+		{"load moves between gateways", 0.99, moving, nil},
+		{"accepting gateway killed", 1 - evenPart - halfSecond, allButFirst,
+			func(w *world) { w.kill(0, true) }},
+		{"accepting gateway stalled", 0.99, allButFirst, func(w *world) {
 			w.stalled[0] = true
 			w.inTransit = append(w.inTransit, delivery{w.now.Mono + 3*time.Second, 0, 0, nil})
 		}},
-		{"its taker cut off", 1 - evenPart - halfSecond, butFirst, func(w *world) { w.partition[0] = 1 }},
-		{"the one that all calls reach killed, then another", 1 - evenPart - halfSecond, lastThenSecond,
+		{"accepting gateway partitioned", 1 - evenPart - halfSecond, allButFirst,
+			func(w *world) { w.partition[0] = 1 }},
+		{"only loaded gateway killed, load moves", 1 - evenPart - halfSecond, lastThenSecond,
 			func(w *world) { w.kill(n-1, true) }},
-		{"rolled, each drained", 0.97, evenly, func(w *world) {
+		{"rolling restart with draining", 0.97, evenly, func(w *world) {
 			for i := range n {
 				w.handle(i, Drain{})
 				w.load(60*time.Millisecond, 200, 2, func() int { return (i + 1) % n })
@@ -152,10 +157,10 @@
 	}
 }
 
-// A member that reserved units finds a part of them unusable if tokens stay where nobody spends them.
-// TestShare measures the part that can be used while nothing fails and under faults, at 3 and at 50 gateways:
-// nearly all, but for what a killed gateway held (its even part and half a second's use).
-func TestShare(t *testing.T) {
+// Reserved units are unusable if their tokens stay at gateways that get no requests. The test measures the
+// fraction of a reservation that can be used with 3 and with 50 gateways, without and with faults. Nearly all
+// of it must be usable, except what a killed gateway held: its even part and the use of half a second.
+func TestReservedUnitsStayUsable(t *testing.T) {
 	const units = 2000.0
 	for _, n := range []int{3, 50} {
 		for _, c := range shareCases(n) {
@@ -172,24 +177,27 @@
 			share := w.used / units
 			t.Logf("%d gateways, %s: %.1f %% used, rejected %v", n, c.name, 100*share, w.rejected)
 			if share < c.least || share > 1+1e-9 {
-				t.Errorf("%d gateways, %s: %.3f of the reservation was used, want %.3f to 1", n, c.name, share, c.least)
+				t.Errorf("%d gateways, %s: %.3f of the reservation was used, want %.3f to 1",
+					n, c.name, share, c.least)
 			}
 		}
 	}
 }
 
-// TestCeiling has all gateways together stay under the reservation's rate and burst, also across restarts,
-// and nearly reach it.
-func TestCeiling(t *testing.T) {
+// Gateways that each refill their room, grant it to others and restart could together exceed the rate and
+// burst of a reservation under a ceiling. The test sends more load than the rate allows: the fleet must stay
+// within rate and burst, apart from what grants of room and one large request can add, and must use at least
+// half of the rate.
+func TestFleetStaysWithinReservationRate(t *testing.T) {
 	for _, n := range []int{3, 50} {
 		for name, pick := range map[string]func(w *world) func() int{
-			"evenly": func(w *world) func() int { return func() int { return w.rng.Intn(n) } },
-			"at one": func(*world) func() int { return func() int { return n - 1 } },
+			"load on all gateways": func(w *world) func() int { return func() int { return w.rng.Intn(n) } },
+			"load on one gateway":  func(*world) func() int { return func() int { return n - 1 } },
 		} {
 			w := newWorld(n, 3, quotaplan.Reservation{Units: 1e6, Rate: 40, Burst: 60, Ceiling: true})
 			w.loss = 0.02
 			w.run(time.Second)
-			for k := range 6 { // a restart begins without room
+			for k := range 6 { // a restarted gateway has no room at first
 				w.load(2*time.Second, 120, 2, pick(w))
 				if i := k % n; i != n-1 {
 					w.kill(i, true)
@@ -198,18 +206,23 @@
 			}
 			over := w.excess(40, 60)
 			if bound := 40*roomGrantLifetime.Seconds() + 8; over > bound {
-				t.Errorf("%d gateways, %s: %.1f units over rate and burst, want %v at most", n, name, over, bound)
+				t.Errorf("%d gateways, %s: %.1f units over rate and burst, want at most %v",
+					n, name, over, bound)
 			}
 			if w.used < 0.5*40*12 {
-				t.Errorf("%d gateways, %s: %.0f units in 12 s at 40/s", n, name, w.used)
+				t.Errorf("%d gateways, %s: %.0f units used in 12 s at 40/s, want half or more",
+					n, name, w.used)
 			}
-			t.Logf("%d gateways, %s: %.0f units in 12 s at 40/s, %.1f over rate and burst", n, name, w.used, over)
+			t.Logf("%d gateways, %s: %.0f units used in 12 s at 40/s, %.1f over rate and burst",
+				n, name, w.used, over)
 		}
 	}
 }
 
-// TestResize shortens a reservation below its use, and cancels one while requests are in flight.
-func TestResize(t *testing.T) {
+// A resize takes units away that other gateways may hold or have spent already. The test shortens a
+// reservation above and below its use, and cancels one while requests are in flight. No more than the new
+// units may be used, and a cancelled reservation returns everything that was not used.
+func TestResizeLimitsUse(t *testing.T) {
 	w := newWorld(3, 1, quotaplan.Reservation{Units: 300})
 	w.run(1100 * time.Millisecond)
 	w.load(time.Second, 150, 2, func() int { return 0 })
@@ -223,15 +236,15 @@
 	resize(200)
 	w.load(5*time.Second, 150, 2, func() int { return w.rng.Intn(3) })
 	if w.used < 190 || w.used > 202 {
-		t.Errorf("%v used of 300 shortened to 200 at %v", w.used, before)
+		t.Errorf("%v used after 300 was shortened to 200 at a use of %v, want 190 to 202", w.used, before)
 	}
 	resize(50)
 	w.load(time.Second, 150, 2, func() int { return w.rng.Intn(3) })
 	if w.used > 202 {
-		t.Errorf("%v used after it was shortened below its use", w.used)
+		t.Errorf("%v used after shortening below the use, want at most 202", w.used)
 	}
 	if w.returned != 0 {
-		t.Errorf("%v returned", w.returned)
+		t.Errorf("%v returned after shortening, want 0", w.returned)
 	}
 	w = newWorld(3, 1, quotaplan.Reservation{Units: 300})
 	w.run(1100 * time.Millisecond)
@@ -242,13 +255,15 @@
 	before = w.used
 	w.load(time.Second, 100, 2, func() int { return w.rng.Intn(3) })
 	if w.used != before || w.used+w.returned > 300+1e-9 || w.used+w.returned < 299 {
-		t.Errorf("cancelled: %v used, then %v, %v returned of 300", before, w.used, w.returned)
+		t.Errorf("cancelled: %v used before and %v after, %v returned, want no further use and 300 together",
+			before, w.used, w.returned)
 	}
 }
 
-// TestEnd passes the end of the window with requests in flight: they settle, what is left is returned, and
-// later requests are rejected, also after the wall clock was stepped back into the window.
-func TestEnd(t *testing.T) {
+// Units could be lost or returned twice if requests are in flight when the window of a reservation ends. The
+// test lets the window end during load: requests in flight settle, all other units are returned, and later
+// requests are rejected, even after the wall clock was stepped back into the window.
+func TestEndOfWindowReturnsUnusedUnits(t *testing.T) {
 	w := newWorld(3, 1, quotaplan.Reservation{Units: 300})
 	w.run(1100 * time.Millisecond)
 	w.serviceTime = 300 * time.Millisecond
@@ -256,22 +271,23 @@
 	w.now.Wall = w.reservation.To - int64(10*time.Millisecond)
 	w.run(time.Second)
 	if math.Abs(w.used+w.returned-300) > 1e-6 {
-		t.Errorf("%v used and %v returned of 300", w.used, w.returned)
+		t.Errorf("%v used and %v returned, want 300 together", w.used, w.returned)
 	}
 	w.send(1, 1)
 	if w.rejected[NoReservation] != 1 {
-		t.Errorf("%v", w.rejected)
+		t.Errorf("rejected after the window: %v, want 1 without a reservation", w.rejected)
 	}
-	w.now.Wall -= 100 * sec // stepped back
+	w.now.Wall -= 100 * sec // the wall clock is stepped back
 	w.send(1, 1)
 	if w.rejected[NoReservation] != 2 {
-		t.Errorf("%v", w.rejected)
+		t.Errorf("rejected after the clock step: %v, want 2 without a reservation", w.rejected)
 	}
 }
 
-// A disk that takes nothing, while peers go on to request tokens, must not fill the memory, and no transfer
-// may be sent that a crash would take back. TestDiskBlocked counts what is deferred.
-func TestDiskBlocked(t *testing.T) {
+// If the disk blocks while peers keep requesting tokens, deferred messages could fill the memory. A transfer
+// that is sent before its state is durable would create tokens twice after a crash. The test sends requests
+// while nothing is persisted, checks that no transfer is sent, and counts the deferred effects.
+func TestBlockedDiskDefersTransfersUpToLimit(t *testing.T) {
 	l := New(Settings{Rank: 0, Gateways: 2, MaxRequestUnits: 8, Epoch: 1})
 	now := quotaplan.Instant{Mono: time.Hour, Wall: 1000 * sec}
 	r := quotaplan.Reservation{ID: 77, Member: "m", Units: 1e6, From: 1000 * sec, To: 2000 * sec, Spread: 2,
@@ -281,15 +297,17 @@
 		now.Mono += time.Millisecond
 		for _, a := range l.Handle(now, MessageReceived{1, requestMessage{77, uint64(i), 5, 1, 0}.encode()}) {
 			if _, ok := a.(Send); ok {
-				t.Fatal("a transfer that is not persisted is sent")
+				t.Fatal("a message was sent before its state was persisted")
 			}
 		}
 	}
 	if len(l.deferred) > maxDeferred {
-		t.Errorf("%d effects are deferred, want %d at most", len(l.deferred), maxDeferred)
+		t.Errorf("%d effects deferred, want at most %d", len(l.deferred), maxDeferred)
 	}
 }
 
+// FuzzReceive checks that no message or truncated state makes a ledger panic, and that the states that follow
+// from a message can be restored.
 func FuzzReceive(f *testing.F) {
 	f.Add(requestMessage{77, 1, 2, 5, 5}.encode(), 1)
 	f.Add(append([]byte{messageTransfer}, make([]byte, 72)...), 2)
--- a/internal/reservation/stored_test.go
+++ b/internal/reservation/stored_test.go
@@ -14,7 +14,7 @@
 	"winghatch/internal/testbed/storeddata"
 )
 
-// describe writes an action in a form that does not depend on the names in the code.
+// describe returns the stored form of an action, which does not depend on names in the code.
 func describe(a Action) string {
 	switch a := a.(type) {
 	case Admit:
@@ -33,7 +33,7 @@
 	return fmt.Sprintf("%T", a)
 }
 
-// parseEvent is the event of a line of testdata/messages.txt, by the word that it begins with.
+// parseEvent returns the event of a line of testdata/messages.txt. The first word names the kind of event.
 func parseEvent(t *testing.T, line string) Event {
 	t.Helper()
 	word, rest, _ := strings.Cut(line, " ")
@@ -70,6 +70,7 @@
 	return nil
 }
 
+// scanLine scans the fields of a line, and fails the test if the line does not match the format.
 func scanLine(t *testing.T, line, format string, to ...any) {
 	t.Helper()
 	if _, err := fmt.Sscanf(line, format, to...); err != nil {
@@ -77,9 +78,9 @@
 	}
 }
 
-// The log keeps states of reservations that an earlier version of the program wrote, with the tokens that a
-// gateway holds, has sent and has received. A state that is misread makes tokens a second time or loses them.
-// Each stored one is read, written again to the same bytes and has the units free that are noted with it.
+// The log may contain states of reservations that an earlier version of the program wrote. A misread state
+// creates tokens a second time or loses them. The test restores stored states, checks that each is encoded to
+// the same bytes again, and compares its free units with those stored beside it.
 func TestStoredStates(t *testing.T) {
 	for i, line := range storeddata.ReadLines(t, "testdata/states.txt") {
 		var id uint64
@@ -91,21 +92,22 @@
 			t.Fatal(err)
 		}
 		if states := l.States(); len(states) != 1 || !slices.Equal(states[0], raw) {
-			t.Errorf("state %d is written as %x, stored is %x", i, states, raw)
+			t.Errorf("state %d is encoded as %x, want the stored %x", i, states, raw)
 		}
-		// Before its window nothing is drawn, so all that it holds is free.
+		// Nothing is drawn before the window, so all tokens are free.
 		now := quotaplan.Instant{Mono: time.Hour, Wall: 1000 * sec}
 		r := quotaplan.Reservation{ID: id, Member: "m", Units: 1000, From: 2000 * sec, To: 3000 * sec}
 		l.Handle(now, AddReservation{Reservation: r})
 		if v := l.Views(); !v[0].Ended && v[0].Free != free {
-			t.Errorf("state %d: %v units are free, stored are %v", i, v[0].Free, free)
+			t.Errorf("state %d: %v units are free, want the stored %v", i, v[0].Free, free)
 		}
 	}
 }
 
-// During a roll-out gateways of two versions move tokens between them: a message that is misread or misnamed
-// loses tokens or makes them twice. The stored conversation has a message of each kind that an earlier
-// version received, and what it did at each event: the same bytes must be sent and persisted.
+// During a rollout, gateways of two versions transfer tokens to each other. A message that is misread or has
+// another kind byte loses tokens or creates them twice. The stored conversation contains messages of each
+// kind that an earlier version received, and its actions at each event. The same bytes must be sent and
+// persisted.
 func TestStoredMessages(t *testing.T) {
 	l := New(Settings{Rank: 0, Gateways: 3, MaxRequestUnits: 8, Epoch: 5, Seed: 1})
 	lines := storeddata.ReadLines(t, "testdata/messages.txt")
@@ -126,8 +128,8 @@
 	}
 }
 
-// transcript plays a random history of a small fleet and returns how many actions its gateways took and a
-// hash of them.
+// transcript runs a random simulation of a small fleet and returns the number of actions of its gateways and
+// a hash of them.
 func transcript(seed int64) (actions int, hash uint64) {
 	rng := rand.New(rand.NewSource(seed))
 	n := 1 + int(seed)%6
@@ -157,7 +159,7 @@
 	return actions, d.Sum64()
 }
 
-// randomStep draws one fault or some load.
+// randomStep performs a random fault or some load.
 func randomStep(rng *rand.Rand, w *world) {
 	i := rng.Intn(w.n)
 	if w.down[i] {
@@ -196,8 +198,9 @@
 	}
 }
 
-// A change of any decision (order, arithmetic, a draw of a random number) shows as another transcript of the
-// random histories: the stored ones are of the version whose data is beside them.
+// A change that is not meant to alter decisions may do so unnoticed, for example through another order,
+// another arithmetic or one more random number. The test repeats random simulations and compares their
+// transcripts with stored ones, which the version that wrote the other files in testdata produced.
 func TestStoredTranscripts(t *testing.T) {
 	storeddata.CheckTranscripts(t, "testdata/transcripts.txt", transcript)
 }
--- a/internal/reservation/world_test.go
+++ b/internal/reservation/world_test.go
@@ -10,55 +10,58 @@
 
 const sec = int64(time.Second)
 
-// world is the ledgers of a fleet, on a network that loses messages and can be partitioned, over disks that take a
-// while. One reservation is used, which gateway 0 accepted.
+// world simulates the ledgers of a fleet, with a network that loses and delays messages and can be
+// partitioned, and with disks that need time to write. There is one reservation, which gateway 0 accepted.
 type world struct {
-	n             int // gateways
+	n             int // number of gateways
 	ledgers       []*Ledger
 	rng           *rand.Rand
 	now           quotaplan.Instant
 	reservation   quotaplan.Reservation
-	units         float64 // of the reservation, after the last resize
+	units         float64 // units of the reservation after the last resize
 	ceilingShares []CeilingShare
-	process       uint64        // the last one that was started
-	serviceTime   time.Duration // of a request
+	process       uint64        // number of the last process that was started
+	serviceTime   time.Duration // time from the admission of a request to its end
 
-	disks       [][][]byte // persisted states of each gateway, in order
-	persistedAt []time.Duration
-	own         []bool // it is on the disk that the gateway accepted the reservation
+	disks       [][][]byte      // persisted states of each gateway, in order
+	persistedAt []time.Duration // time at which the last write of each gateway is durable
+	accepted    []bool          // whether the disk of each gateway records that it accepted the reservation
 	down        []bool
 	stalled     []bool
 
 	inTransit []delivery
-	loss      float64
-	partition []int // gateways of different ones do not reach each other
+	loss      float64 // probability that a message is lost
+	partition []int   // side of each gateway; gateways on different sides cannot reach each other
 
 	lastRequest int
 	inFlight    map[string]openRequest
 	admitted    []admission
 	rejected    map[Reason]int
-	asked       float64 // units of all requests
+	requested   float64 // units of all requests
 	used        float64 // units of admitted requests
-	returned    float64 // units returned to ordinary use
+	returned    float64 // units returned to the member's quota
 
-	badDisk   bool // planted fault: what is said to be durable is lost in a crash
-	mintTwice bool // planted fault: a gateway forgets that it minted the tokens
+	losesWrites bool // planted fault: a crash loses states that were reported as durable
+	mintTwice   bool // planted fault: a gateway forgets that it minted the tokens
 
-	record func(gateway int, a Action) // sees every action, if set
+	record func(gateway int, a Action) // called for every action, if not nil
 }
 
+// admission is an admitted request.
 type admission struct {
 	at    time.Duration
 	units float64
 }
 
+// openRequest is a request that waits or is in flight.
 type openRequest struct {
 	gateway int
 	units   float64
 	process uint64
 }
 
-// delivery is an event on its way to a gateway; process 0: to whichever process it has then.
+// delivery is an event on its way to a gateway. It reaches only the given process of the gateway, or any
+// process if process is 0.
 type delivery struct {
 	at      time.Duration
 	to      int
@@ -77,7 +80,7 @@
 		serviceTime: 30 * time.Millisecond,
 		disks:       make([][][]byte, n),
 		persistedAt: make([]time.Duration, n),
-		own:         make([]bool, n),
+		accepted:    make([]bool, n),
 		down:        make([]bool, n),
 		stalled:     make([]bool, n),
 		partition:   make([]int, n),
@@ -86,11 +89,11 @@
 	}
 	w.reservation.ID, w.reservation.Member, w.reservation.Spread = 77, "m", n
 	w.reservation.From, w.reservation.To = w.now.Wall+sec, w.now.Wall+1000*sec
-	w.own[0] = true
+	w.accepted[0] = true
 	for i := range n {
 		w.ceilingShares = append(w.ceilingShares, CeilingShare{i, 1 / float64(n)})
 	}
-	if n > 10 && res.Ceiling { // as where a customer's ceiling is enforced by its quota owners
+	if n > 10 && res.Ceiling { // as in a fleet where two quota owners enforce the ceiling of a customer
 		w.ceilingShares = []CeilingShare{{1, 0.5}, {2, 0.5}}
 	}
 	for i := range n {
@@ -99,7 +102,7 @@
 	return w
 }
 
-// start starts a process of a gateway with what its disk has.
+// start starts a new process of a gateway, which restores the states on its disk.
 func (w *world) start(i int) {
 	w.process++
 	w.down[i], w.stalled[i] = false, false
@@ -115,21 +118,22 @@
 		}
 	}
 	r := w.reservation
-	r.AcceptedHere = w.own[i]
+	r.AcceptedHere = w.accepted[i]
 	w.handle(i, AddReservation{r, w.ceilingShares})
 	if w.units < w.reservation.Units {
 		w.handle(i, ResizeReservation{w.reservation.ID, w.units})
 	}
 }
 
-// kill ends a gateway's process, and loses its disk unless disk is true.
+// kill ends the process of a gateway. Its disk is lost unless disk is true.
 func (w *world) kill(i int, disk bool) {
 	w.down[i] = true
 	if !disk {
-		w.disks[i], w.own[i] = nil, false
+		w.disks[i], w.accepted[i] = nil, false
 	}
 }
 
+// handle passes an event to the ledger of a gateway and carries out its actions.
 func (w *world) handle(i int, ev Event) {
 	l := w.ledgers[i]
 	deliver := func(at time.Duration, to int, process uint64, ev Event) {
@@ -153,7 +157,7 @@
 			if w.mintTwice {
 				state[17] &^= 1
 			}
-			// A disk takes a while, and keeps the order.
+			// A write takes some time. Writes of a gateway become durable in order.
 			w.persistedAt[i] = max(w.persistedAt[i], w.now.Mono+time.Duration(1+w.rng.Intn(8))*time.Millisecond)
 			deliver(w.persistedAt[i], i, l.settings.Epoch, stateWritten{a.Number, state})
 		case Send:
@@ -167,7 +171,7 @@
 	}
 }
 
-// stateWritten is a state on its way to the disk.
+// stateWritten is the event that a state has been written to the disk. The world handles it itself.
 type stateWritten struct {
 	number uint64
 	state  []byte
@@ -175,7 +179,7 @@
 
 func (stateWritten) event() {}
 
-// step lets 2 ms pass and delivers what is due.
+// step advances both clocks by 2 ms and delivers the events that are due.
 func (w *world) step() {
 	w.now.Mono += 2 * time.Millisecond
 	w.now.Wall += int64(2 * time.Millisecond)
@@ -195,7 +199,7 @@
 		}
 		switch e := d.event.(type) {
 		case stateWritten:
-			if !w.badDisk {
+			if !w.losesWrites {
 				w.disks[d.to] = append(w.disks[d.to], e.state)
 			}
 			w.handle(d.to, Persisted{e.number})
@@ -214,13 +218,14 @@
 	}
 }
 
+// run advances the simulation by a duration.
 func (w *world) run(d time.Duration) {
 	for end := w.now.Mono + d; w.now.Mono < end; {
 		w.step()
 	}
 }
 
-// send sends a request to a gateway, unless it is down or stalled.
+// send sends a request to a gateway, unless the gateway is down or stalled.
 func (w *world) send(i int, units float64) {
 	if w.down[i] || w.stalled[i] {
 		return
@@ -228,11 +233,12 @@
 	w.lastRequest++
 	id := fmt.Sprint("c", w.lastRequest)
 	w.inFlight[id] = openRequest{i, units, w.process}
-	w.asked += units
+	w.requested += units
 	w.handle(i, Request{id, "m", units, w.now.Mono + 2*time.Second})
 }
 
-// load sends requests of some units each, at a rate of units a second, to the gateways that pick names.
+// load sends requests for a duration, at a rate in units per second. Each request has the given units and
+// goes to the gateway that pick returns.
 func (w *world) load(d time.Duration, rate, units float64, pick func() int) {
 	gap := time.Duration(units / rate * float64(time.Second))
 	at := w.now.Mono
@@ -245,14 +251,15 @@
 	}
 }
 
-// excess is the most by which admitted units went over a rate, in units a second, and a burst.
+// excess returns by how many units, at most, the admitted requests exceeded a token bucket with a rate, in
+// units per second, and a burst.
 func (w *world) excess(rate, burst float64) (over float64) {
-	store, last := burst, time.Duration(0)
+	level, last := burst, time.Duration(0)
 	for _, p := range w.admitted {
-		store = min(burst, store+rate*(p.at-last).Seconds())
+		level = min(burst, level+rate*(p.at-last).Seconds())
 		last = p.at
-		store -= p.units
-		over = max(over, -store)
+		level -= p.units
+		over = max(over, -level)
 	}
 	return over
 }
