--- a/internal/aggregate/aggregator_test.go
+++ b/internal/aggregate/aggregator_test.go
@@ -9,24 +9,26 @@
 	"pgregory.net/rapid"
 )
 
-// world is the aggregators of a fleet, on a network that loses, delays and duplicates messages and can be partitioned.
+// world simulates the aggregators of a fleet on a network that loses, delays and duplicates messages and can
+// be partitioned.
 type world struct {
 	aggregators []*Aggregator
 	keys        []Key
-	truth       map[Key]Totals // all that was counted
+	truth       map[Key]Totals // everything that was counted
 	rng         *rand.Rand
 	now         time.Duration
-	process     uint64 // the last one that was started
+	process     uint64 // number of the last process that was started
 
 	inTransit  []message
-	loss       float64
-	duplicates float64
-	partition  []int // gateways of different ones do not reach each other
+	loss       float64 // probability that a message is lost
+	duplicates float64 // probability that a message is sent twice
+	partition  []int   // side of each gateway; gateways on different sides cannot reach each other
 
-	sent, bytes int
-	record      func(from, to int, data []byte) // sees every message, if set
+	sent, bytes int                             // messages sent, and their bytes
+	record      func(from, to int, data []byte) // called for every message, if not nil
 }
 
+// message is a message on the network.
 type message struct {
 	at       time.Duration
 	from, to int
@@ -51,7 +53,7 @@
 	return w
 }
 
-// start starts a process of a gateway.
+// start starts a new process of a gateway.
 func (w *world) start(i int) {
 	w.process++
 	w.aggregators[i] = New(Settings{Rank: i, Gateways: len(w.aggregators), Keys: w.keys, Incarnation: w.process,
@@ -59,13 +61,15 @@
 	w.aggregators[i].Tick(w.now)
 }
 
-func (w *world) add(i int, n Key, t Totals) {
-	w.aggregators[i].Add(w.now, n, t)
-	x := w.truth[n]
-	x.add(t)
-	w.truth[n] = x
+// add counts totals of a key at a gateway.
+func (w *world) add(i int, key Key, t Totals) {
+	w.aggregators[i].Add(w.now, key, t)
+	sum := w.truth[key]
+	sum.add(t)
+	w.truth[key] = sum
 }
 
+// run advances the simulation by a duration.
 func (w *world) run(d time.Duration) {
 	const step = 50 * time.Millisecond
 	for end := w.now + d; w.now < end; {
@@ -91,7 +95,7 @@
 	}
 }
 
-// send puts a message on the network, or loses or duplicates it.
+// send puts a message on the network, which may lose, delay or duplicate it.
 func (w *world) send(from int, m Send) {
 	if w.record != nil {
 		w.record(from, m.To, m.Data)
@@ -107,11 +111,11 @@
 	}
 }
 
-// fleetTotals is what the first or the second owner of a key has.
-func (w *world) fleetTotals(n Key, primary bool) (t Totals) {
+// fleetTotals returns the totals of a key at its first or second owner.
+func (w *world) fleetTotals(key Key, primary bool) (t Totals) {
 	for _, a := range w.aggregators {
 		for _, s := range a.FleetTotals() {
-			if s.Key == n && s.Primary == primary {
+			if s.Key == key && s.Primary == primary {
 				t = s.Totals
 			}
 		}
@@ -119,15 +123,16 @@
 	return t
 }
 
-// An owner that counts a report twice, or misses one for good, shows operators wrong totals. TestModel loses, delays
-// and duplicates messages, partitions the fleet and restarts gateways: no sum may be above the truth or fall, and in
-// the end both owners of each key have the truth, but for those that were restarted.
-func TestModel(t *testing.T) {
+// An owner that counts a report twice, or never counts it, shows operators wrong totals. The test loses,
+// delays and duplicates messages, partitions the fleet and restarts gateways. A sum must never exceed the
+// true total or decrease. At the end, both owners of each key must have the true total, except owners that
+// were restarted.
+func TestOwnersReachTrueTotals(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(2, 6).Draw(rt, "gateways")
 		w := newWorld(n, 5, rapid.Int64().Draw(rt, "seed"))
 		w.loss = rapid.SampledFrom([]float64{0, 0.3}).Draw(rt, "loss")
-		w.duplicates = rapid.SampledFrom([]float64{0, 0.5}).Draw(rt, "twice")
+		w.duplicates = rapid.SampledFrom([]float64{0, 0.5}).Draw(rt, "duplicates")
 		last := map[string]Totals{}
 		restarted := map[int]bool{}
 		for range rapid.IntRange(1, 25).Draw(rt, "steps") {
@@ -138,7 +143,8 @@
 					got := w.fleetTotals(key, primary)
 					k := fmt.Sprint(key, primary, w.aggregators[owner].settings.Incarnation)
 					if got.less(last[k]) || w.truth[key].less(got) {
-						rt.Fatalf("%v at its owner %d: %+v after %+v, the truth is %+v", key, owner, got, last[k], w.truth[key])
+						rt.Fatalf("%v at owner %d: got %+v after %+v, true total %+v",
+							key, owner, got, last[k], w.truth[key])
 					}
 					last[k] = got
 				}
@@ -151,23 +157,24 @@
 			for n, primary := range []bool{true, false} {
 				owner := w.aggregators[0].owner(key.hash(), n)
 				if got := w.fleetTotals(key, primary); !restarted[owner] && got != w.truth[key] {
-					rt.Fatalf("%v at its owner %d: %+v, the truth is %+v", key, owner, got, w.truth[key])
+					rt.Fatalf("%v at owner %d: got %+v, want %+v", key, owner, got, w.truth[key])
 				}
 			}
 		}
 	})
 }
 
-// stepModel draws a partition, a restart, or something that is counted.
+// stepModel performs a random step: a partition, a restart or some counts.
 func stepModel(rt *rapid.T, w *world, restarted map[int]bool) {
 	i := rapid.IntRange(0, len(w.aggregators)-1).Draw(rt, "gateway")
-	switch rapid.IntRange(0, 6).Draw(rt, "what") {
+	switch rapid.IntRange(0, 6).Draw(rt, "step") {
 	case 0:
 		for k := range w.partition {
 			w.partition[k] = rapid.IntRange(0, 1).Draw(rt, "side")
 		}
 	case 1:
-		// What was counted and not reported is lost with a process: it is reported before, as in a drain.
+		// A process that ends loses counts that it has not reported. Everything is reported first, as in a
+		// drain.
 		clear(w.partition)
 		loss := w.loss
 		w.loss = 0
@@ -176,16 +183,17 @@
 		w.start(i)
 		restarted[i] = true
 	default:
-		key := rapid.SampledFrom(w.keys).Draw(rt, "name")
-		rejected := uint64(rapid.IntRange(0, 3).Draw(rt, "refused"))
+		key := rapid.SampledFrom(w.keys).Draw(rt, "key")
+		rejected := uint64(rapid.IntRange(0, 3).Draw(rt, "rejected"))
 		w.add(i, key, Totals{Served: 1, Rejected: rejected, Units: 1.5})
 		w.run(time.Duration(rapid.IntRange(0, 8000).Draw(rt, "ms")) * time.Millisecond)
 	}
 }
 
-// TestOwnerRestarts restarts a first owner: the second one has the truth all along, and the first one counts from its
-// start on, nothing twice.
-func TestOwnerRestarts(t *testing.T) {
+// An owner that restarts must not add counts that its previous process has already summed. The test restarts
+// a first owner. The second owner must always have the true total, and the first one only what was counted
+// after its restart.
+func TestRestartedOwnerCountsNothingTwice(t *testing.T) {
 	w := newWorld(4, 1, 3)
 	m := Key{false, "m0"}
 	feed := func() {
@@ -200,24 +208,26 @@
 	before := w.truth[m]
 	reported := w.fleetTotals(m, true)
 	if reported != before {
-		t.Fatalf("%+v, want %+v", reported, before)
+		t.Fatalf("the first owner has %+v, want %+v", reported, before)
 	}
 	w.start(owner)
 	w.run(30 * time.Second)
 	if s := w.fleetTotals(m, true); s != (Totals{}) {
-		t.Errorf("a new owner begins with %+v of what was summed before", s)
+		t.Errorf("the restarted owner has %+v counted before its restart, want none", s)
 	}
 	feed()
 	if s := w.fleetTotals(m, false); s != w.truth[m] {
 		t.Errorf("the second owner has %+v, want %+v", s, w.truth[m])
 	}
 	if s := w.fleetTotals(m, true); s != w.truth[m].minus(before) {
-		t.Errorf("the new owner has %+v, want %+v", s, w.truth[m].minus(before))
+		t.Errorf("the restarted owner has %+v, want %+v", s, w.truth[m].minus(before))
 	}
 }
 
-// TestLoad measures messages and bytes a second, by the number of gateways and customers.
-func TestLoad(t *testing.T) {
+// In a large fleet, reports could use up the rate of messages that a gateway accepts. The test measures the
+// messages and bytes per second in fleets of different sizes, and fails if a gateway gets more messages than
+// about a quarter of its capacity.
+func TestReportsStayWithinCapacity(t *testing.T) {
 	for _, n := range []int{3, 50, 500} {
 		for _, members := range []int{100, 1000} {
 			if n == 500 && members == 1000 {
@@ -226,7 +236,7 @@
 			w := newWorld(n, members, 1)
 			secs := 2 * w.aggregators[0].reportInterval().Seconds()
 			for range 20 {
-				for i := range n { // each is used by 40 members over the time
+				for i := range n { // over the whole run, each gateway is used by 40 members
 					w.add(i, w.keys[w.rng.Intn(2)], Totals{Served: 1, Units: 1})
 					w.add(i, w.keys[2+(i*37+w.rng.Intn(40))%members], Totals{Served: 1, Units: 1})
 				}
@@ -234,15 +244,16 @@
 			}
 			per := float64(w.sent) / secs / float64(n)
 			if per > 0.25*40+1 {
-				t.Errorf("%d gateways, %d members: each is sent %.1f messages a second, the capacity is 40", n, members, per)
+				t.Errorf("%d gateways, %d members: each gets %.1f messages per second, the capacity is 40",
+					n, members, per)
 			}
-			t.Logf("%d gateways, %d members: a report each %v, to each gateway %.2f messages and %.0f bytes a second",
+			t.Logf("%d gateways, %d members: report interval %v, each gets %.2f messages and %.0f bytes a second",
 				n, members, w.aggregators[0].reportInterval(), per, float64(w.bytes)/secs/float64(n))
 		}
 	}
 }
 
-// FuzzReceive receives any message.
+// FuzzReceive checks that no message makes an aggregator panic.
 func FuzzReceive(f *testing.F) {
 	f.Add(make([]byte, 60), 1)
 	f.Fuzz(func(_ *testing.T, b []byte, from int) {
@@ -251,36 +262,37 @@
 	})
 }
 
-// A gateway starts a moment before an owner and has nothing to report at first. What it counted later, also of a key
-// that it reported last, was taken for the past of a former process and never summed.
-func TestCountsBehindAnEmptyFirstReportAreSummed(t *testing.T) {
-	names := []Key{{true, "look"}, {false, "m"}}
+// A gateway that starts a moment before an owner may have nothing to report at first. The owner then took its
+// later counts, including those of a key that appeared only in the last reports, for counts of the time
+// before the owner started, and never summed them.
+func TestCountsAfterEmptyFirstReportAreSummed(t *testing.T) {
+	keys := []Key{{true, "look"}, {false, "m"}}
 	for seed := range int64(20) {
-		for _, n := range names {
-			owner := New(Settings{Gateways: 3, Keys: names, Incarnation: 1, Seed: seed}).owner(n.hash(), 0)
+		for _, key := range keys {
+			owner := New(Settings{Gateways: 3, Keys: keys, Incarnation: 1, Seed: seed}).owner(key.hash(), 0)
 			from := (owner + 1) % 3
-			sender := New(Settings{Rank: from, Gateways: 3, Keys: names, Incarnation: 7, Seed: seed})
-			sender.Tick(time.Hour) // it starts
-			x := New(Settings{Rank: owner, Gateways: 3, Keys: names, Incarnation: 8, Seed: seed})
+			sender := New(Settings{Rank: from, Gateways: 3, Keys: keys, Incarnation: 7, Seed: seed})
+			sender.Tick(time.Hour) // starts the sender
+			receiver := New(Settings{Rank: owner, Gateways: 3, Keys: keys, Incarnation: 8, Seed: seed})
 			now := time.Hour + time.Millisecond
-			x.Tick(now)
+			receiver.Tick(now)
 			for report := range 6 {
 				if report >= 2 {
-					sender.Add(now, names[0], Totals{Served: 1})
+					sender.Add(now, keys[0], Totals{Served: 1})
 				}
 				if report >= 4 {
-					sender.Add(now, names[1], Totals{Served: 1})
+					sender.Add(now, keys[1], Totals{Served: 1})
 				}
 				now += 2 * sender.reportInterval()
 				for _, s := range sender.Tick(now) {
 					if s.To == owner {
-						x.Receive(now, from, s.Data)
+						receiver.Receive(now, from, s.Data)
 					}
 				}
 			}
-			want := map[Key]uint64{names[0]: 4, names[1]: 2}[n]
-			if got := x.owned[n.hash()].Served; got != want {
-				t.Errorf("seed %d: %v: %d requests summed, want %d", seed, n, got, want)
+			want := map[Key]uint64{keys[0]: 4, keys[1]: 2}[key]
+			if got := receiver.owned[key.hash()].Served; got != want {
+				t.Errorf("seed %d: %v: %d requests summed, want %d", seed, key, got, want)
 			}
 		}
 	}
--- a/internal/aggregate/stored_test.go
+++ b/internal/aggregate/stored_test.go
@@ -11,8 +11,8 @@
 	"winghatch/internal/testbed/storeddata"
 )
 
-// transcript plays a random history of a small fleet and returns how many messages its gateways sent and a hash of
-// these and of the totals at the end.
+// transcript runs a random simulation of a small fleet. It returns the number of messages that the gateways
+// sent, and a hash of these messages and the final totals.
 func transcript(seed int64) (messages int, hash uint64) {
 	rng := rand.New(rand.NewSource(seed))
 	n := 1 + int(seed)%7
@@ -46,8 +46,9 @@
 	return w.sent, d.Sum64()
 }
 
-// During a roll-out gateways of two versions report to each other. A change of the messages, of when they are sent or
-// of what is added up shows as another transcript of the random histories: the stored ones are of an earlier version.
+// During a rollout, gateways of two versions report to each other. If the messages, their timing or the
+// summation differ between versions, the totals are wrong. The test repeats random simulations and compares
+// their transcripts with those stored by an earlier version.
 func TestStoredTranscripts(t *testing.T) {
 	storeddata.CheckTranscripts(t, "testdata/transcripts.txt", transcript)
 }
--- a/internal/quotaplan/replica_test.go
+++ b/internal/quotaplan/replica_test.go
@@ -11,25 +11,27 @@
 	"winghatch/decide"
 )
 
-// Replicas that never agree again would keep members on different plans at different gateways, for good. TestModel
-// plays random histories of changes, lost messages, partitions and restarts with and without a disk: once the gateways
-// reach each other all replicas are equal, and no acknowledged change is gone unless the disk of its gateway is.
-// Without comparisons it must find a difference.
-func TestModel(t *testing.T) {
+// Replicas that do not converge would keep members on different plans at different gateways permanently. The
+// test runs random changes, lost messages, partitions and restarts with and without the disk. Once all
+// gateways can reach each other, all replicas must be equal, and no acknowledged change may be missing unless
+// the disk of its gateway was lost. To show that the simulation can find a difference, the test also plants a
+// fault: replicas that never compare their sets.
+func TestReplicasConverge(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		if s := playModel(rt, false); s != "" {
+		if s := checkConvergence(rt, false); s != "" {
 			rt.Fatal(s)
 		}
 	})
 	found := false
-	rapid.Check(t, func(rt *rapid.T) { found = playModel(rt, true) != "" || found })
+	rapid.Check(t, func(rt *rapid.T) { found = checkConvergence(rt, true) != "" || found })
 	if !found {
-		t.Error("the model does not find replicas that never compare")
+		t.Error("the simulation does not find the planted fault: replicas that never compare their sets")
 	}
 }
 
-// playModel plays a history and says what is wrong at its end, or nothing.
-func playModel(rt *rapid.T, noComparison bool) string {
+// checkConvergence runs a random simulation. It returns a description of the failure at its end, or an empty
+// string.
+func checkConvergence(rt *rapid.T, noComparison bool) string {
 	n := rapid.IntRange(2, 7).Draw(rt, "gateways")
 	w := newWorld(n, rapid.Int64().Draw(rt, "seed"))
 	w.loss = rapid.SampledFrom([]float64{0, 0.1, 0.5}).Draw(rt, "loss")
@@ -40,7 +42,7 @@
 		i := rapid.IntRange(0, n-1).Draw(rt, "gateway")
 		number++
 		c := drawChange(rt, w, number)
-		switch what := rapid.IntRange(0, 9).Draw(rt, "what"); what {
+		switch what := rapid.IntRange(0, 9).Draw(rt, "step"); what {
 		case 0, 1, 2, 3, 4, 5, 6:
 			drawKind(rt, w, &c, what, number)
 			if err := w.submit(i, c); err == nil {
@@ -54,7 +56,7 @@
 			process++
 			if rapid.Bool().Draw(rt, "empty disk") {
 				for k := range w.disks[i] {
-					delete(acknowledged, w.disks[i][k].Number) // no other gateway may have had it
+					delete(acknowledged, w.disks[i][k].Number) // possibly no other gateway has received it
 				}
 				w.disks[i] = map[uint64]Change{}
 			}
@@ -71,19 +73,19 @@
 	}
 	for k := range acknowledged {
 		if w.replicas[0].derived.byNumber[k] == nil {
-			return fmt.Sprintf("change %d was acknowledged and is gone", k)
+			return fmt.Sprintf("acknowledged change %d is missing", k)
 		}
 	}
 	return ""
 }
 
-// drawChange draws a change without a kind.
+// drawChange returns a random change without a kind.
 func drawChange(rt *rapid.T, w *world, number uint64) Change {
 	member := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(rt, "member")
 	c := Change{Number: number, Member: member}
 	c.Plan = rapid.SampledFrom([]string{"small", "wide", "hard"}).Draw(rt, "plan")
-	if rapid.IntRange(0, 9).Draw(rt, "again") == 0 {
-		c.Number = 1 + number/2 // maybe a number that another gateway has taken
+	if rapid.IntRange(0, 9).Draw(rt, "reuse number") == 0 {
+		c.Number = 1 + number/2 // possibly a number that is already used, also at another gateway
 	}
 	if rapid.Bool().Draw(rt, "dated") {
 		c.From = w.now.Wall + rapid.Int64Range(0, 3*sec).Draw(rt, "from")
@@ -91,7 +93,7 @@
 	return c
 }
 
-// drawKind makes c a change of the kind that what, from 0 to 6, stands for.
+// drawKind sets the kind of a change, which what selects by a number from 0 to 6, and the fields of the kind.
 func drawKind(rt *rapid.T, w *world, c *Change, what int, number uint64) {
 	switch what {
 	case 0, 1, 2:
@@ -107,8 +109,10 @@
 	}
 }
 
-// TestSpread measures how long a change takes to reach all of many gateways while messages are lost.
-func TestSpread(t *testing.T) {
+// Until a change has reached all gateways, some of them still admit requests under the old plan. The test
+// measures how long a change takes to reach all gateways of fleets of different sizes while messages are
+// lost, and fails after 10 s.
+func TestChangeReachesAllGateways(t *testing.T) {
 	for _, n := range []int{3, 50, 200} {
 		w := newWorld(n, 1)
 		w.loss = 0.05
@@ -133,16 +137,17 @@
 				break
 			}
 			if w.now.Mono-began > 10*time.Second {
-				t.Fatalf("%d gateways: %d know it after 10 s", n, known)
+				t.Fatalf("%d gateways: %d know the change after 10 s, want all", n, known)
 			}
 		}
-		t.Logf("%d gateways: half after %v, all after %v, %d messages", n, half, w.now.Mono-began, w.sent-sent)
+		t.Logf("%d gateways: half know the change after %v, all after %v, %d messages",
+			n, half, w.now.Mono-began, w.sent-sent)
 	}
 }
 
-// A gateway that was cut off lacks a few changes of thousands. TestGap has it converge in a number of messages that
-// does not grow with the set.
-func TestGap(t *testing.T) {
+// A gateway that was partitioned lacks a few of thousands of changes. The number of messages that it needs to
+// converge must not grow with the size of the set. The test lets such replicas converge and bounds the number.
+func TestFewMissingChangesNeedFewMessages(t *testing.T) {
 	w := newWorld(2, 3)
 	w.partition = []int{0, 1}
 	for k := range 3000 {
@@ -156,12 +161,14 @@
 	w.partition, w.sent = []int{0, 0}, 0
 	w.run(5 * time.Second)
 	if s := w.difference(); s != "" || w.sent > 200 {
-		t.Errorf("%s; %d messages", s, w.sent)
+		t.Errorf("difference %q after %d messages, want none after at most 200", s, w.sent)
 	}
 }
 
-// TestRejected submits invalid changes: each is rejected with its field and what is valid, and changes nothing.
-func TestRejected(t *testing.T) {
+// An invalid change that is accepted can put members on plans that do not exist or reserve more than there
+// is, at all gateways. The test submits invalid changes. Each must be rejected with an error that names the
+// field and the valid values, and must not alter the set.
+func TestInvalidChangesAreRejected(t *testing.T) {
 	w := newWorld(1, 1)
 	now := w.now.Wall
 	ok := Change{Number: 5, Kind: Move, Member: "a", Plan: "wide"}
@@ -194,7 +201,7 @@
 		{Change{Number: 7, Kind: Shorten, Target: 6, Units: 100}, "units", "100, want less than the 100"},
 		{reserve("b", 0, 0, 1, 11), "units", "0, want"},
 		{reserve("b", 1, 0, 11, 1), "to", "want a time after"},
-		// Half of 100 units a second for ten seconds is 500, of which 100 are reserved.
+		// Half of the rate of 100 units per second is 500 units in ten seconds, of which 100 are reserved.
 		{reserve("b", 401, 0, 1, 11), "units", "room for 400"},
 		{reserve("c", 10, 31, 1, 11), "rate", "room for 30/s"},
 		{reserve("c", 10, 1, 1, 11), "rate", "the 8 of the largest"},
@@ -203,17 +210,18 @@
 	} {
 		err := w.submit(0, c.Change)
 		if err == nil || err.Field != c.field || !strings.Contains(err.Text, c.says) || err.Number != c.Number {
-			t.Errorf("%s: %v, want %s: ... %s", &c.Change, err, c.field, c.says)
+			t.Errorf("%s: got error %v, want one of field %s with %q", &c.Change, err, c.field, c.says)
 		}
 	}
 	if m, s := w.replicas[0].Digest(); m != n || s != sum {
-		t.Error("a rejected change was added")
+		t.Error("a rejected change was added to the set")
 	}
 }
 
-// Two operators change the same member, or use the same number, at two gateways at once. TestOneOrder has all replicas
-// decide alike which change counts.
-func TestOneOrder(t *testing.T) {
+// Two operators may change the same member, or use the same number, at two gateways at once. Gateways that
+// decide differently which change counts would keep different plans. The test submits such changes and checks
+// that all replicas choose the same one.
+func TestConflictingChangesResolveAlike(t *testing.T) {
 	w := newWorld(3, 1)
 	w.submit(0, Change{Number: 1, Kind: Move, Member: "a", Plan: "wide"})
 	w.submit(1, Change{Number: 2, Kind: Move, Member: "a", Plan: "hard"})
@@ -224,11 +232,12 @@
 		t.Fatal(s)
 	}
 	if p := w.plans[2]["a"].Name; p != "hard" {
-		t.Errorf("a is on %s, want the later stamp of equal dates", p)
+		t.Errorf("a is on %s, want hard: of equal dates, the later stamp is in force", p)
 	}
-	// The stamp of gateway 0's second change is above that of its first, so gateway 2's sorts before it.
+	// The second change of gateway 0 has a higher stamp than its first one, so the change of gateway 2
+	// precedes it.
 	if p := w.plans[0]["b"].Name; p != "hard" {
-		t.Errorf("b is on %s, want the first of two with one number", p)
+		t.Errorf("b is on %s, want hard: of two changes with the same number, the first counts", p)
 	}
 	void := 0
 	for _, e := range w.replicas[1].History("b") {
@@ -237,13 +246,14 @@
 		}
 	}
 	if void != 1 {
-		t.Errorf("%+v", w.replicas[1].History("b"))
+		t.Errorf("history %+v, want one void change", w.replicas[1].History("b"))
 	}
 }
 
-// TestDates has changes come into force at their dates and cancelled. Then the wall clock is stepped back: a change
-// that is accepted after it must not sort before the others and be superseded.
-func TestDates(t *testing.T) {
+// After the wall clock is stepped back, a new change with a lower stamp would precede older changes and be
+// superseded by them. The test checks that changes come into force at their dates and can be cancelled, then
+// steps the wall clock back and checks that a new change comes into force.
+func TestChangesTakeEffectAtTheirDates(t *testing.T) {
 	w := newWorld(2, 1)
 	now := w.now.Wall
 	w.submit(0, Change{Number: 1, Kind: Move, Member: "a", Plan: "wide", From: now + 3*sec})
@@ -266,7 +276,7 @@
 	w.submit(1, Change{Number: 3, Kind: Cancel, Target: 1})
 	w.run(2 * time.Second)
 	at("small", 3)
-	w.now.Wall -= 100 * sec // the clock steps back
+	w.now.Wall -= 100 * sec // the wall clock is stepped back
 	if err := w.submit(0, Change{Number: 4, Kind: Move, Member: "a", Plan: "hard"}); err != nil {
 		t.Fatal(err)
 	}
@@ -274,8 +284,9 @@
 	at("hard", 30)
 }
 
-// TestReservationLowersPlan has a reservation lower the rate and the ceiling of ordinary requests within its window
-// only.
+// If a reservation did not lower the plan of ordinary requests, the member could use both in full. The test
+// checks that a reservation lowers the rate and the ceiling, only within its window, and less after it was
+// shortened.
 func TestReservationLowersPlan(t *testing.T) {
 	w := newWorld(2, 1)
 	now := w.now.Wall
@@ -284,26 +295,28 @@
 		t.Fatal(err)
 	}
 	if p := w.plans[1]["c"]; p.Rate != 30 {
-		t.Errorf("%+v before the window", p)
+		t.Errorf("plan %+v before the window, want a rate of 30", p)
 	}
 	w.run(3 * time.Second)
 	if p := w.plans[1]["c"]; p.Rate != 20 || p.CeilingRate != 40 || p.CeilingBurst != 80 || p.CeilingSlack != 4 {
-		t.Errorf("%+v, want 30-10/s under 60-20/s and two thirds of 120 and 6", p)
+		t.Errorf("plan %+v in the window, want rates of 30-10 and 60-20, two thirds of 120 and 6", p)
 	}
 	w.submit(1, Change{Number: 2, Kind: Shorten, Target: 1, Units: 50})
 	w.run(time.Second)
 	if p := w.plans[0]["c"]; p.Rate != 25 || w.units[0][w.reservationIDs[1]] != 50 {
-		t.Errorf("%+v, %v held after it was shortened", p, w.units[0][w.reservationIDs[1]])
+		t.Errorf("plan %+v and %v units after shortening, want a rate of 25 and 50 units",
+			p, w.units[0][w.reservationIDs[1]])
 	}
 	w.run(10 * time.Second)
 	if p := w.plans[0]["c"]; p.Rate != 30 || p.CeilingRate != 60 {
-		t.Errorf("%+v after the window", p)
+		t.Errorf("plan %+v after the window, want a rate of 30 and a ceiling rate of 60", p)
 	}
 }
 
-// Two halves of a partitioned fleet each accept a reservation, which together exceed what may be reserved.
-// TestOverbooked has the first in order count and the other be void at all gateways, with the reason in the history.
-func TestOverbooked(t *testing.T) {
+// Both halves of a partitioned fleet may accept a reservation, although only one of the two fits. After the
+// partition ends, all gateways must treat the first one in the order of changes as valid and the other as
+// void, and give the reason in the history.
+func TestOverbookedReservationIsVoid(t *testing.T) {
 	w := newWorld(4, 1)
 	w.partition = []int{0, 0, 1, 1}
 	now := w.now.Wall
@@ -323,15 +336,16 @@
 		t.Fatal(s)
 	}
 	if w.units[3][w.reservationIDs[1]] != 400 || w.units[3][w.reservationIDs[2]] != 0 {
-		t.Errorf("reservations of %v units, want the first whole and the second void", w.units[3])
+		t.Errorf("reservations of %v units by ID, want the first in full and the second void", w.units[3])
 	}
 	if h := w.replicas[0].History("b"); h[1].Status != Void || !strings.Contains(h[1].Reason, "room for 100") {
-		t.Errorf("%+v", h)
+		t.Errorf("history %+v, want the second change void for lack of room", h)
 	}
 }
 
-// A disk that takes nothing leaves submitted changes in memory. TestPendingBound bounds their number.
-func TestPendingBound(t *testing.T) {
+// While the disk blocks, submitted changes stay in memory. The test submits more than the limit and checks
+// that the excess is rejected.
+func TestPendingSubmitsAreBounded(t *testing.T) {
 	r := New(settings(0, 1))
 	rejected := 0
 	for i := range maxPendingSubmits + 10 {
@@ -343,36 +357,39 @@
 		}
 	}
 	if rejected != 10 {
-		t.Errorf("%d rejected, want 10", rejected)
+		t.Errorf("%d submits rejected, want 10", rejected)
 	}
 }
 
-// TestCodec reads what was written, and nothing of what is cut short.
-func TestCodec(t *testing.T) {
+// A change that is decoded differently than it was encoded, or accepted although truncated, would corrupt the
+// set at other gateways and after a restart. The test decodes encoded changes and all their prefixes.
+func TestChangeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := rapid.Float64Range(0, 1e9)
 		c := Change{Number: rapid.Uint64Min(1).Draw(rt, "number"), Kind: Kind(rapid.IntRange(1, 5).Draw(rt, "kind")),
 			Member: rapid.StringN(0, 20, 80).Draw(rt, "member"), Plan: rapid.StringN(0, 20, 80).Draw(rt, "plan"),
 			From: rapid.Int64().Draw(rt, "from"), To: rapid.Int64().Draw(rt, "to"), Units: f.Draw(rt, "units"),
 			Rate: f.Draw(rt, "rate"), Target: rapid.Uint64().Draw(rt, "target"), Stamp: rapid.Int64().Draw(rt, "stamp"),
-			Origin: rapid.IntRange(0, 65535).Draw(rt, "origin"), Incarnation: rapid.Uint64().Draw(rt, "life")}
+			Origin:      rapid.IntRange(0, 65535).Draw(rt, "origin"),
+			Incarnation: rapid.Uint64().Draw(rt, "incarnation")}
 		if c.Kind == Terms {
-			c.Terms = decide.Plan{Name: c.Plan, Rate: f.Draw(rt, "r"), Burst: 3,
-				MaxInFlight: rapid.IntRange(0, 1e6).Draw(rt, "o"), PriorityWeight: 2}
+			c.Terms = decide.Plan{Name: c.Plan, Rate: f.Draw(rt, "terms rate"), Burst: 3,
+				MaxInFlight: rapid.IntRange(0, 1e6).Draw(rt, "terms in flight"), PriorityWeight: 2}
 		}
 		raw := c.Append(nil)
 		got, rest, err := ParseChange(append(raw, "more"...))
 		if err != nil || got != c || string(rest) != "more" {
-			rt.Fatalf("%+v %v %q, want %+v", got, err, rest, c)
+			rt.Fatalf("got %+v, error %v, rest %q, want %+v", got, err, rest, c)
 		}
 		for n := range raw {
 			if _, _, err := ParseChange(raw[:n]); err == nil {
-				rt.Fatalf("cut at %d of %d it is a change", n, len(raw))
+				rt.Fatalf("the first %d of %d bytes are accepted as a change", n, len(raw))
 			}
 		}
 	})
 }
 
+// FuzzReceive checks that no message makes a replica panic, or send far more bytes than it received.
 func FuzzReceive(f *testing.F) {
 	c := Change{Number: 1, Kind: Move, Member: "a", Plan: "wide"}
 	f.Add(append([]byte{messageChanges}, c.Append(nil)...))
@@ -388,7 +405,7 @@
 			}
 		}
 		if sent > 20*len(data)+5000 {
-			t.Errorf("%d bytes bring %d out", len(data), sent)
+			t.Errorf("a message of %d bytes makes the replica send %d bytes", len(data), sent)
 		}
 	})
 }
--- a/internal/quotaplan/stored_test.go
+++ b/internal/quotaplan/stored_test.go
@@ -14,7 +14,7 @@
 	"winghatch/internal/testbed/storeddata"
 )
 
-// describe writes an action in a form that does not depend on the names in the code.
+// describe returns the stored form of an action, which does not depend on names in the code.
 func describe(a Action) string {
 	switch a := a.(type) {
 	case Persist:
@@ -45,7 +45,7 @@
 	return fmt.Sprintf("%T", a)
 }
 
-// storedChanges are the changes whose bytes are in testdata/changes.txt, in the order of the file.
+// storedChanges returns the changes whose bytes are in testdata/changes.txt, in the order of the file.
 func storedChanges() []Change {
 	return []Change{
 		{Number: 1, Kind: Move, Member: "escuela", Plan: "wide", From: 1_500_000_000,
@@ -60,7 +60,7 @@
 	}
 }
 
-// storedReplica is the replica that testdata/messages.txt was exchanged with.
+// storedReplica returns a replica in the state in which it received the messages of testdata/messages.txt.
 func storedReplica() *Replica {
 	r := New(settings(0, 3))
 	for i, c := range storedChanges() {
@@ -69,9 +69,10 @@
 	return r
 }
 
-// Logs and peers hold changes that an earlier version of the program encoded. If a field moved or changed its size, a
-// gateway would drop changes that were acknowledged, and the hash of a change, which names it between gateways, would
-// differ within a fleet of two versions. The stored bytes are read, compared field by field and written again.
+// Logs and peers may contain changes that an earlier version of the program encoded. If a field moved or
+// changed its size, a gateway would lose acknowledged changes, and gateways of two versions would compute
+// different hashes for the same change. The test decodes stored bytes, compares each field, and encodes the
+// changes again.
 func TestStoredChanges(t *testing.T) {
 	lines := storeddata.ReadLines(t, "testdata/changes.txt")
 	want := storedChanges()
@@ -86,19 +87,20 @@
 		}
 		got, rest, err := ParseChange(raw)
 		if err != nil || got != want[i] || len(rest) != 0 {
-			t.Errorf("%+v, %d bytes left, %v, want %+v", got, len(rest), err, want[i])
+			t.Errorf("decoded %+v, %d bytes left, error %v, want %+v", got, len(rest), err, want[i])
 		}
 		if again := want[i].Append(nil); !slices.Equal(again, raw) {
-			t.Errorf("change %d is written as %x, stored is %x", want[i].Number, again, raw)
+			t.Errorf("change %d is encoded as %x, want the stored %x", want[i].Number, again, raw)
 		}
 		if want[i].hash() != id {
-			t.Errorf("change %d has the hash %x, stored is %x", want[i].Number, want[i].hash(), id)
+			t.Errorf("change %d has the hash %x, want the stored %x", want[i].Number, want[i].hash(), id)
 		}
 	}
 }
 
-// During a roll-out gateways of two versions compare their sets of changes. The stored conversation has a message of
-// each kind that an earlier version received, and what it did then: the same bytes must be sent and persisted.
+// During a rollout, gateways of two versions compare their sets of changes. If they read messages
+// differently, their replicas do not converge. The stored conversation contains messages of each kind that an
+// earlier version received, and its actions. The same bytes must be sent and persisted.
 func TestStoredMessages(t *testing.T) {
 	b := storedReplica()
 	at := Instant{Mono: time.Second, Wall: 2_000_000_000}
@@ -124,7 +126,8 @@
 	}
 }
 
-// transcript plays a random history of a small fleet and returns how many actions its gateways took and a hash of them.
+// transcript runs a random simulation of a small fleet and returns the number of actions of its gateways and
+// a hash of them.
 func transcript(seed int64) (actions int, hash uint64) {
 	rng := rand.New(rand.NewSource(seed))
 	n := 1 + int(seed)%6
@@ -185,8 +188,9 @@
 	return actions, d.Sum64()
 }
 
-// A change of any decision (order, arithmetic, a draw of a random number) shows as another transcript of the random
-// histories: the stored ones are of the version whose data is beside them.
+// A code change that is not meant to alter decisions may do so unnoticed, for example through another order,
+// another arithmetic or one more random number. The test repeats random simulations and compares their
+// transcripts with stored ones, which the version that wrote the other files in testdata produced.
 func TestStoredTranscripts(t *testing.T) {
 	storeddata.CheckTranscripts(t, "testdata/transcripts.txt", transcript)
 }
--- a/internal/quotaplan/world_test.go
+++ b/internal/quotaplan/world_test.go
@@ -12,6 +12,7 @@
 
 const sec = int64(time.Second)
 
+// settings returns the settings of one gateway in a fleet of n, with three plans and a member on each.
 func settings(rank, n int) Settings {
 	return Settings{Rank: rank, Gateways: n, Incarnation: uint64(rank + 1), Seed: int64(rank), Capacity: 1000,
 		MaxRequestUnits: 8,
@@ -22,25 +23,27 @@
 		Members: []Member{{"a", "small", 0, n}, {"b", "wide", 0, n}, {"c", "hard", 0, n}}}
 }
 
-// world is the replicas of a fleet, on a network that loses and delays messages and can be partitioned.
+// world simulates the replicas of a fleet on a network that loses and delays messages and can be partitioned.
+// Slices have an element for each gateway, by rank.
 type world struct {
 	replicas       []*Replica
-	disks          []map[uint64]Change // what each has persisted, by hash
-	own            []map[uint64]bool
+	disks          []map[uint64]Change // persisted changes, by hash
+	own            []map[uint64]bool   // Own flags of the persisted changes, by hash
 	rng            *rand.Rand
 	now            Instant
 	inTransit      []message
-	loss           float64
-	partition      []int // gateways of different ones do not reach each other
-	plans          []map[string]decide.Plan
-	units          []map[uint64]float64
-	reservationIDs map[uint64]uint64 // of reservations, by number
+	loss           float64                  // probability that a message is lost
+	partition      []int                    // side of each gateway; different sides cannot reach each other
+	plans          []map[string]decide.Plan // plan in force, by member
+	units          []map[uint64]float64     // units of each reservation, by ID
+	reservationIDs map[uint64]uint64        // ID of each reservation, by number
 	replies        []Reply
-	sent           int
-	noComparison   bool                        // planted fault: comparisons are lost
-	record         func(gateway int, a Action) // sees every action, if set
+	sent           int                         // number of messages sent
+	noComparison   bool                        // planted fault: messages of comparisons are lost
+	record         func(gateway int, a Action) // called for every action, if not nil
 }
 
+// message is a message on the network.
 type message struct {
 	at       Instant
 	from, to int
@@ -66,7 +69,7 @@
 	return w
 }
 
-// start starts a process of a gateway with what its disk has.
+// start starts a new process of a gateway, which restores the changes on its disk.
 func (w *world) start(i int, process uint64) {
 	s := settings(i, len(w.replicas))
 	s.Incarnation = process*1000 + uint64(i)
@@ -81,6 +84,7 @@
 	w.handle(i, Start{})
 }
 
+// handle passes an event to the replica of a gateway and carries out its actions.
 func (w *world) handle(i int, ev Event) {
 	for _, a := range w.replicas[i].Handle(w.now, ev) {
 		if w.record != nil {
@@ -96,7 +100,7 @@
 		case Send:
 			w.sent++
 			if len(a.Data) > maxMessageBytes+400 {
-				panic(fmt.Sprintf("a message of %d bytes", len(a.Data)))
+				panic(fmt.Sprintf("quotaplan: message of %d bytes is too long", len(a.Data)))
 			}
 			if w.noComparison && a.Data[0] != messageChanges {
 				continue
@@ -118,22 +122,23 @@
 	}
 }
 
+// run advances the simulation by a duration, in steps of 5 ms.
 func (w *world) run(d time.Duration) {
 	for end := w.now.Mono + d; w.now.Mono < end; {
 		w.now.Mono += 5 * time.Millisecond
 		w.now.Wall += int64(5 * time.Millisecond)
 		var ready, rest []message
-		for _, l := range w.inTransit {
-			if l.at.Mono <= w.now.Mono {
-				ready = append(ready, l)
+		for _, m := range w.inTransit {
+			if m.at.Mono <= w.now.Mono {
+				ready = append(ready, m)
 			} else {
-				rest = append(rest, l)
+				rest = append(rest, m)
 			}
 		}
 		w.inTransit = rest
-		for _, l := range ready {
-			if w.partition[l.from] == w.partition[l.to] {
-				w.handle(l.to, MessageReceived{l.from, l.data})
+		for _, m := range ready {
+			if w.partition[m.from] == w.partition[m.to] {
+				w.handle(m.to, MessageReceived{m.from, m.data})
 			}
 		}
 		for i, r := range w.replicas {
@@ -144,12 +149,13 @@
 	}
 }
 
+// submit submits a change at a gateway and returns the error of the reply.
 func (w *world) submit(i int, c Change) *Error {
 	w.handle(i, Submit{c.Number, c})
 	return w.replies[len(w.replies)-1].Err
 }
 
-// difference names the first difference between two replicas, or nothing.
+// difference describes the first difference found between replicas. It is empty if there is none.
 func (w *world) difference() string {
 	n, sum := w.replicas[0].Digest()
 	for i, r := range w.replicas {
@@ -158,12 +164,14 @@
 		}
 		for m, p := range w.plans[0] {
 			if w.plans[i][m] != p {
-				return fmt.Sprintf("%s is on %+v at gateway %d and on %+v at 0", m, w.plans[i][m], i, p)
+				return fmt.Sprintf("member %s is on %+v at gateway %d and on %+v at gateway 0",
+					m, w.plans[i][m], i, p)
 			}
 		}
 		for id, u := range w.units[0] {
 			if w.units[i][id] != u {
-				return fmt.Sprintf("reservation %d is of %v at gateway %d and of %v at 0", id, w.units[i][id], i, u)
+				return fmt.Sprintf("reservation %d has %v units at gateway %d and %v at gateway 0",
+					id, w.units[i][id], i, u)
 			}
 		}
 	}
--- a/internal/reservation/stored_test.go
+++ b/internal/reservation/stored_test.go
@@ -198,7 +198,7 @@
 	}
 }
 
-// A change that is not meant to alter decisions may do so unnoticed, for example through another order,
+// A code change that is not meant to alter decisions may do so unnoticed, for example through another order,
 // another arithmetic or one more random number. The test repeats random simulations and compares their
 // transcripts with stored ones, which the version that wrote the other files in testdata produced.
 func TestStoredTranscripts(t *testing.T) {
