--- a/internal/aggregate/aggregator.go
+++ b/internal/aggregate/aggregator.go
@@ -277,8 +277,8 @@
 }
 
 // mergeReport adds the growth of a gateway's totals since its previous report. The first report of an
-// incarnation is added in full if the incarnation is complete. Otherwise an earlier process of this owner may
-// have summed these counts already, so the report only serves as the baseline for later ones.
+// incarnation is added in full if the incarnation is complete. Otherwise an earlier process of this owner has
+// summed these counts, or nobody has, and the report only serves as the baseline for later ones.
 func (o *ownedTotals) mergeReport(from int, inc incarnation, t Totals) {
 	last := o.reported[from]
 	switch {
--- a/internal/aggregate/aggregator_test.go
+++ b/internal/aggregate/aggregator_test.go
@@ -56,8 +56,8 @@
 // start starts a new process of a gateway.
 func (w *world) start(i int) {
 	w.process++
-	w.aggregators[i] = New(Settings{Rank: i, Gateways: len(w.aggregators), Keys: w.keys, Incarnation: w.process,
-		GossipCapacity: 40, Seed: int64(w.process)})
+	w.aggregators[i] = New(Settings{Rank: i, Gateways: len(w.aggregators), Keys: w.keys,
+		Incarnation: w.process, GossipCapacity: 40, Seed: int64(w.process)})
 	w.aggregators[i].Tick(w.now)
 }
 
@@ -234,21 +234,22 @@
 				continue
 			}
 			w := newWorld(n, members, 1)
-			secs := 2 * w.aggregators[0].reportInterval().Seconds()
+			seconds := 2 * w.aggregators[0].reportInterval().Seconds()
 			for range 20 {
 				for i := range n { // over the whole run, each gateway is used by 40 members
 					w.add(i, w.keys[w.rng.Intn(2)], Totals{Served: 1, Units: 1})
 					w.add(i, w.keys[2+(i*37+w.rng.Intn(40))%members], Totals{Served: 1, Units: 1})
 				}
-				w.run(time.Duration(secs / 20 * float64(time.Second)))
+				w.run(time.Duration(seconds / 20 * float64(time.Second)))
 			}
-			per := float64(w.sent) / secs / float64(n)
-			if per > 0.25*40+1 {
+			perGateway := float64(w.sent) / seconds / float64(n)
+			if perGateway > 0.25*40+1 {
 				t.Errorf("%d gateways, %d members: each gets %.1f messages per second, the capacity is 40",
-					n, members, per)
+					n, members, perGateway)
 			}
-			t.Logf("%d gateways, %d members: report interval %v, each gets %.2f messages and %.0f bytes a second",
-				n, members, w.aggregators[0].reportInterval(), per, float64(w.bytes)/secs/float64(n))
+			t.Logf("%d gateways, %d members: report interval %v, each gets %.2f messages/s and %.0f bytes/s",
+				n, members, w.aggregators[0].reportInterval(), perGateway,
+				float64(w.bytes)/seconds/float64(n))
 		}
 	}
 }
--- a/internal/aggregate/stored_test.go
+++ b/internal/aggregate/stored_test.go
@@ -31,7 +31,8 @@
 			w.start(i)
 		default:
 			for range rng.Intn(5) {
-				w.add(i, w.keys[rng.Intn(len(w.keys))], Totals{1, uint64(rng.Intn(3)), uint64(rng.Intn(2)), 3 * rng.Float64()})
+				w.add(i, w.keys[rng.Intn(len(w.keys))],
+					Totals{1, uint64(rng.Intn(3)), uint64(rng.Intn(2)), 3 * rng.Float64()})
 			}
 			w.run(time.Duration(rng.Intn(8000)) * time.Millisecond)
 		}
@@ -40,7 +41,8 @@
 	w.run(time.Minute)
 	for _, x := range w.aggregators {
 		for _, s := range x.FleetTotals() {
-			fmt.Fprintf(d, "%t %s %t %d %d %d %v\n", s.Key.IsClass, s.Key.Name, s.Primary, s.Served, s.Rejected, s.Failed, s.Units)
+			fmt.Fprintf(d, "%t %s %t %d %d %d %v\n",
+				s.Key.IsClass, s.Key.Name, s.Primary, s.Served, s.Rejected, s.Failed, s.Units)
 		}
 	}
 	return w.sent, d.Sum64()
--- a/internal/quotaplan/admission.go
+++ b/internal/quotaplan/admission.go
@@ -72,7 +72,8 @@
 	case c.To <= c.From || c.From == 0:
 		return invalid(c, "to", "%s, want a time after %s", formatTime(c.To), formatTime(c.From))
 	case c.To-c.From < minWindow || c.To-c.From > maxWindow:
-		return invalid(c, "to", "a window of %v, want 1s to %v", time.Duration(c.To-c.From), time.Duration(maxWindow))
+		return invalid(c, "to", "a window of %v, want 1s to %v",
+			time.Duration(c.To-c.From), time.Duration(maxWindow))
 	}
 	return r.checkCapacity(c, r.planAt(c.Member, c.From))
 }
@@ -127,7 +128,8 @@
 		return reservationRate(o, p)
 	})
 	if rate > free*(1+tolerance) {
-		return invalid(c, "rate", "%v/s, the ceiling of %s (%v/s, half of which may be set aside) has room for %.6g/s",
+		return invalid(c, "rate",
+			"%v/s, the ceiling of %s (%v/s, half of which may be set aside) has room for %.6g/s",
 			rate, c.Member, p.CeilingRate, max(0, free))
 	}
 	burst := p.CeilingBurst * rate / p.CeilingRate
@@ -167,8 +169,10 @@
 // before c. If c has no stamp yet, it counts as made after all others.
 func (d *derived) peakOverlap(c *Change, load func(*Change) float64) float64 {
 	var others []*Change
-	for _, o := range d.reservations { // in a fixed order, so that floating-point sums are equal at all gateways
-		if o != c && d.cancelledBy[o.Number] == 0 && (c.Stamp == 0 || o.before(c)) && o.From < c.To && o.To > c.From {
+	// The order is fixed, so that floating-point sums are equal at all gateways.
+	for _, o := range d.reservations {
+		if o != c && d.cancelledBy[o.Number] == 0 && (c.Stamp == 0 || o.before(c)) &&
+			o.From < c.To && o.To > c.From {
 			others = append(others, o)
 		}
 	}
--- a/internal/quotaplan/change.go
+++ b/internal/quotaplan/change.go
@@ -22,7 +22,8 @@
 	Shorten                 // reduces the reservation with the number Target to Units
 )
 
-var kindNames = map[Kind]string{Move: "move", Terms: "terms", Reserve: "reserve", Cancel: "cancel", Shorten: "shorten"}
+var kindNames = map[Kind]string{
+	Move: "move", Terms: "terms", Reserve: "reserve", Cancel: "cancel", Shorten: "shorten"}
 
 // String returns the name of the kind, as used in commands and in files of changes.
 func (k Kind) String() string {
@@ -97,7 +98,8 @@
 func (c *Change) String() string {
 	switch c.Kind {
 	case Move:
-		return fmt.Sprintf("change %d: member %s to plan %s from %s", c.Number, c.Member, c.Plan, formatTime(c.From))
+		return fmt.Sprintf("change %d: member %s to plan %s from %s",
+			c.Number, c.Member, c.Plan, formatTime(c.From))
 	case Terms:
 		return fmt.Sprintf("change %d: plan %s to rate %v/s, burst %v from %s",
 			c.Number, c.Plan, c.Terms.Rate, c.Terms.Burst, formatTime(c.From))
--- a/internal/quotaplan/codec.go
+++ b/internal/quotaplan/codec.go
@@ -36,8 +36,8 @@
 	b = binary.AppendUvarint(b, c.Incarnation)
 	if c.Kind == Terms {
 		p := &c.Terms
-		b = appendFloats(b, p.Rate, p.Burst, p.CeilingRate, p.CeilingBurst, p.CeilingSlack, float64(p.MaxInFlight),
-			p.PriorityWeight, p.OverQuotaValue, p.OverQuotaCost)
+		b = appendFloats(b, p.Rate, p.Burst, p.CeilingRate, p.CeilingBurst, p.CeilingSlack,
+			float64(p.MaxInFlight), p.PriorityWeight, p.OverQuotaValue, p.OverQuotaCost)
 	}
 	return b
 }
@@ -83,8 +83,8 @@
 	p := &c.Terms
 	p.Name = c.Plan
 	maxInFlight := 0.0
-	for _, v := range []*float64{&p.Rate, &p.Burst, &p.CeilingRate, &p.CeilingBurst, &p.CeilingSlack, &maxInFlight,
-		&p.PriorityWeight, &p.OverQuotaValue, &p.OverQuotaCost} {
+	for _, v := range []*float64{&p.Rate, &p.Burst, &p.CeilingRate, &p.CeilingBurst, &p.CeilingSlack,
+		&maxInFlight, &p.PriorityWeight, &p.OverQuotaValue, &p.OverQuotaCost} {
 		*v = r.Float64()
 	}
 	if !(maxInFlight >= 0 && maxInFlight <= math.MaxInt32) {
@@ -97,8 +97,8 @@
 // numbersValid reports whether all numbers of the change are finite and not negative.
 func (c *Change) numbersValid() bool {
 	p := &c.Terms
-	for _, v := range []float64{c.Units, c.Rate, p.Rate, p.Burst, p.CeilingRate, p.CeilingBurst, p.CeilingSlack,
-		p.PriorityWeight, p.OverQuotaValue, p.OverQuotaCost} {
+	for _, v := range []float64{c.Units, c.Rate, p.Rate, p.Burst, p.CeilingRate, p.CeilingBurst,
+		p.CeilingSlack, p.PriorityWeight, p.OverQuotaValue, p.OverQuotaCost} {
 		if !(v >= 0) || math.IsInf(v, 0) {
 			return false
 		}
--- a/internal/quotaplan/effective.go
+++ b/internal/quotaplan/effective.go
@@ -204,8 +204,9 @@
 			return
 		}
 		p := r.planAt(m.Name, c.From)
-		reservation := Reservation{ID: id, Number: c.Number, Member: c.Member, Units: c.Units, From: c.From, To: c.To,
-			Rate: reservationRate(c, p), Ceiling: p.CeilingRate > 0, First: m.First, Spread: m.Spread,
+		reservation := Reservation{ID: id, Number: c.Number, Member: c.Member, Units: c.Units,
+			From: c.From, To: c.To, Rate: reservationRate(c, p), Ceiling: p.CeilingRate > 0,
+			First: m.First, Spread: m.Spread,
 			AcceptedHere: r.own[id]}
 		reservation.Burst = max(reservation.Rate, r.settings.MaxRequestUnits)
 		if reservation.Ceiling {
--- a/internal/quotaplan/history.go
+++ b/internal/quotaplan/history.go
@@ -28,7 +28,8 @@
 func (r *Replica) History(member string) (out []Entry) {
 	for _, c := range r.set.ordered {
 		target := r.derived.byNumber[c.Target]
-		if member != "" && c.Member != member && c.Kind != Terms && (target == nil || target.Member != member) {
+		if member != "" && c.Member != member && c.Kind != Terms &&
+			(target == nil || target.Member != member) {
 			continue
 		}
 		out = append(out, r.entry(c))
@@ -72,8 +73,9 @@
 		}
 		o = &p.change
 	}
-	return o.Kind == c.Kind && o.Member == c.Member && o.Plan == c.Plan && o.Units == c.Units && o.Target == c.Target &&
-		(c.From == 0 || c.From == o.From) && c.To == o.To && (c.Rate == 0 || c.Rate == o.Rate) &&
+	return o.Kind == c.Kind && o.Member == c.Member && o.Plan == c.Plan && o.Units == c.Units &&
+		o.Target == c.Target && (c.From == 0 || c.From == o.From) && c.To == o.To &&
+		(c.Rate == 0 || c.Rate == o.Rate) &&
 		(c.Kind != Terms || o.Terms == c.Terms)
 }
 
--- a/internal/quotaplan/replica_test.go
+++ b/internal/quotaplan/replica_test.go
@@ -146,7 +146,8 @@
 }
 
 // A gateway that was partitioned lacks a few of thousands of changes. The number of messages that it needs to
-// converge must not grow with the size of the set. The test lets such replicas converge and bounds the number.
+// converge must not grow with the size of the set. The test lets such replicas converge and bounds the
+// number.
 func TestFewMissingChangesNeedFewMessages(t *testing.T) {
 	w := newWorld(2, 3)
 	w.partition = []int{0, 1}
@@ -175,7 +176,8 @@
 	if err := w.submit(0, ok); err != nil {
 		t.Fatal(err)
 	}
-	reservation := Change{Number: 6, Kind: Reserve, Member: "b", Units: 100, From: now + sec, To: now + 11*sec}
+	reservation := Change{Number: 6, Kind: Reserve, Member: "b", Units: 100,
+		From: now + sec, To: now + 11*sec}
 	if err := w.submit(0, reservation); err != nil {
 		t.Fatal(err)
 	}
@@ -190,9 +192,11 @@
 	}{
 		{Change{Number: 0, Kind: Move, Member: "a", Plan: "wide"}, "number", "0, want"},
 		{ok, "number", "member a to plan wide"},
-		{Change{Number: 7, Kind: Move, Member: "a", Plan: "gold"}, "plan", `"gold", want one of small, wide, hard`},
+		{Change{Number: 7, Kind: Move, Member: "a", Plan: "gold"},
+			"plan", `"gold", want one of small, wide, hard`},
 		{Change{Number: 7, Kind: Move, Member: "z", Plan: "wide"}, "member", `"z"`},
-		{Change{Number: 7, Kind: Move, Member: "a", Plan: "wide", From: now - 5*sec}, "from", "1970-01-01T00:16:35Z"},
+		{Change{Number: 7, Kind: Move, Member: "a", Plan: "wide", From: now - 5*sec},
+			"from", "1970-01-01T00:16:35Z"},
 		{Change{Number: 7, Kind: Terms, Plan: "wide", Terms: decide.Plan{Rate: 3}}, "burst", "rate 3"},
 		{Change{Number: 7, Kind: Terms, Plan: "wide", Terms: decide.Plan{Rate: -3}}, "units", "-3"},
 		{Change{Number: 7, Kind: 9}, "kind", "kind 9"},
@@ -209,7 +213,8 @@
 		{reserve("b", 100, 800, 1, 11), "units", "room for 490/s"},
 	} {
 		err := w.submit(0, c.Change)
-		if err == nil || err.Field != c.field || !strings.Contains(err.Text, c.says) || err.Number != c.Number {
+		if err == nil || err.Field != c.field || !strings.Contains(err.Text, c.says) ||
+			err.Number != c.Number {
 			t.Errorf("%s: got error %v, want one of field %s with %q", &c.Change, err, c.field, c.says)
 		}
 	}
@@ -257,7 +262,8 @@
 	w := newWorld(2, 1)
 	now := w.now.Wall
 	w.submit(0, Change{Number: 1, Kind: Move, Member: "a", Plan: "wide", From: now + 3*sec})
-	w.submit(1, Change{Number: 2, Kind: Terms, Plan: "wide", Terms: decide.Plan{Rate: 50, Burst: 70}, From: now + 5*sec})
+	w.submit(1, Change{Number: 2, Kind: Terms, Plan: "wide", Terms: decide.Plan{Rate: 50, Burst: 70},
+		From: now + 5*sec})
 	at := func(want string, rate float64) {
 		t.Helper()
 		for i := range w.replicas {
@@ -290,7 +296,8 @@
 func TestReservationLowersPlan(t *testing.T) {
 	w := newWorld(2, 1)
 	now := w.now.Wall
-	c := Change{Number: 1, Kind: Reserve, Member: "c", Units: 100, Rate: 20, From: now + 2*sec, To: now + 12*sec}
+	c := Change{Number: 1, Kind: Reserve, Member: "c", Units: 100, Rate: 20,
+		From: now + 2*sec, To: now + 12*sec}
 	if err := w.submit(0, c); err != nil {
 		t.Fatal(err)
 	}
@@ -298,7 +305,8 @@
 		t.Errorf("plan %+v before the window, want a rate of 30", p)
 	}
 	w.run(3 * time.Second)
-	if p := w.plans[1]["c"]; p.Rate != 20 || p.CeilingRate != 40 || p.CeilingBurst != 80 || p.CeilingSlack != 4 {
+	if p := w.plans[1]["c"]; p.Rate != 20 || p.CeilingRate != 40 || p.CeilingBurst != 80 ||
+		p.CeilingSlack != 4 {
 		t.Errorf("plan %+v in the window, want rates of 30-10 and 60-20, two thirds of 120 and 6", p)
 	}
 	w.submit(1, Change{Number: 2, Kind: Shorten, Target: 1, Units: 50})
@@ -338,7 +346,8 @@
 	if w.units[3][w.reservationIDs[1]] != 400 || w.units[3][w.reservationIDs[2]] != 0 {
 		t.Errorf("reservations of %v units by ID, want the first in full and the second void", w.units[3])
 	}
-	if h := w.replicas[0].History("b"); h[1].Status != Void || !strings.Contains(h[1].Reason, "room for 100") {
+	if h := w.replicas[0].History("b"); h[1].Status != Void ||
+		!strings.Contains(h[1].Reason, "room for 100") {
 		t.Errorf("history %+v, want the second change void for lack of room", h)
 	}
 }
@@ -366,10 +375,16 @@
 func TestChangeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		f := rapid.Float64Range(0, 1e9)
-		c := Change{Number: rapid.Uint64Min(1).Draw(rt, "number"), Kind: Kind(rapid.IntRange(1, 5).Draw(rt, "kind")),
-			Member: rapid.StringN(0, 20, 80).Draw(rt, "member"), Plan: rapid.StringN(0, 20, 80).Draw(rt, "plan"),
-			From: rapid.Int64().Draw(rt, "from"), To: rapid.Int64().Draw(rt, "to"), Units: f.Draw(rt, "units"),
-			Rate: f.Draw(rt, "rate"), Target: rapid.Uint64().Draw(rt, "target"), Stamp: rapid.Int64().Draw(rt, "stamp"),
+		c := Change{Number: rapid.Uint64Min(1).Draw(rt, "number"),
+			Kind:        Kind(rapid.IntRange(1, 5).Draw(rt, "kind")),
+			Member:      rapid.StringN(0, 20, 80).Draw(rt, "member"),
+			Plan:        rapid.StringN(0, 20, 80).Draw(rt, "plan"),
+			From:        rapid.Int64().Draw(rt, "from"),
+			To:          rapid.Int64().Draw(rt, "to"),
+			Units:       f.Draw(rt, "units"),
+			Rate:        f.Draw(rt, "rate"),
+			Target:      rapid.Uint64().Draw(rt, "target"),
+			Stamp:       rapid.Int64().Draw(rt, "stamp"),
 			Origin:      rapid.IntRange(0, 65535).Draw(rt, "origin"),
 			Incarnation: rapid.Uint64().Draw(rt, "incarnation")}
 		if c.Kind == Terms {
--- a/internal/quotaplan/stored_test.go
+++ b/internal/quotaplan/stored_test.go
@@ -29,12 +29,14 @@
 		return fmt.Sprintf("send %d %x", a.To, a.Data)
 	case ApplyPlan:
 		p := a.Plan
-		return fmt.Sprintf("plan %s %s %v %v %v %v %v %d %v %v %v by %d", a.Member, p.Name, p.Rate, p.Burst, p.CeilingRate,
-			p.CeilingBurst, p.CeilingSlack, p.MaxInFlight, p.PriorityWeight, p.OverQuotaValue, p.OverQuotaCost, a.Change)
+		return fmt.Sprintf("plan %s %s %v %v %v %v %v %d %v %v %v by %d",
+			a.Member, p.Name, p.Rate, p.Burst, p.CeilingRate, p.CeilingBurst, p.CeilingSlack,
+			p.MaxInFlight, p.PriorityWeight, p.OverQuotaValue, p.OverQuotaCost, a.Change)
 	case AddReservation:
 		r := a.Reservation
-		return fmt.Sprintf("reservation %x %d %s %v %d %d %v %v %t %d %d %t", r.ID, r.Number, r.Member, r.Units, r.From, r.To,
-			r.Rate, r.Burst, r.Ceiling, r.First, r.Spread, r.AcceptedHere)
+		return fmt.Sprintf("reservation %x %d %s %v %d %d %v %v %t %d %d %t",
+			r.ID, r.Number, r.Member, r.Units, r.From, r.To, r.Rate, r.Burst, r.Ceiling,
+			r.First, r.Spread, r.AcceptedHere)
 	case ResizeReservation:
 		return fmt.Sprintf("resize %x %v", a.ID, a.Units)
 	case ScheduleTick:
@@ -50,12 +52,15 @@
 	return []Change{
 		{Number: 1, Kind: Move, Member: "escuela", Plan: "wide", From: 1_500_000_000,
 			Stamp: 1_000_000_001, Origin: 0, Incarnation: 11},
-		{Number: 2, Kind: Terms, Plan: "hard", From: 1_000_000_002, Stamp: 1_000_000_002, Origin: 2, Incarnation: 1 << 60,
-			Terms: decide.Plan{Name: "hard", Rate: 30, Burst: 61.5, CeilingRate: 60, CeilingBurst: 120, CeilingSlack: 6,
-				MaxInFlight: 9, PriorityWeight: 1.25, OverQuotaValue: 0.5, OverQuotaCost: 0.125}},
-		{Number: 1 << 50, Kind: Reserve, Member: "c", Units: 100, Rate: 20, From: 3_000_000_000, To: 13_000_000_000,
-			Stamp: 1_000_000_003, Origin: 1, Incarnation: 7},
-		{Number: 4, Kind: Shorten, Units: 62.5, Target: 1 << 50, Stamp: 1_000_000_004, Origin: 65535, Incarnation: 7},
+		{Number: 2, Kind: Terms, Plan: "hard", From: 1_000_000_002, Stamp: 1_000_000_002, Origin: 2,
+			Incarnation: 1 << 60,
+			Terms: decide.Plan{Name: "hard", Rate: 30, Burst: 61.5, CeilingRate: 60, CeilingBurst: 120,
+				CeilingSlack: 6, MaxInFlight: 9, PriorityWeight: 1.25,
+				OverQuotaValue: 0.5, OverQuotaCost: 0.125}},
+		{Number: 1 << 50, Kind: Reserve, Member: "c", Units: 100, Rate: 20,
+			From: 3_000_000_000, To: 13_000_000_000, Stamp: 1_000_000_003, Origin: 1, Incarnation: 7},
+		{Number: 4, Kind: Shorten, Units: 62.5, Target: 1 << 50, Stamp: 1_000_000_004, Origin: 65535,
+			Incarnation: 7},
 		{Number: 5, Kind: Cancel, Target: 1, Stamp: -5, Origin: 0, Incarnation: 1<<64 - 1},
 	}
 }
@@ -154,7 +159,8 @@
 		case 0, 1, 2:
 			c.Kind = Move
 		case 3:
-			c.Kind, c.Terms = Terms, decide.Plan{Rate: 7, Burst: 20, CeilingRate: float64(10 * rng.Intn(2)), CeilingBurst: 0}
+			c.Kind, c.Terms = Terms, decide.Plan{Rate: 7, Burst: 20,
+				CeilingRate: float64(10 * rng.Intn(2)), CeilingBurst: 0}
 			if c.Terms.CeilingRate > 0 {
 				c.Terms.CeilingBurst = 40
 			}
--- a/internal/quotaplan/validate.go
+++ b/internal/quotaplan/validate.go
@@ -17,10 +17,12 @@
 		return err
 	}
 	if len(r.pending) >= maxPendingSubmits {
-		return invalid(c, "log", "%d changes wait for the disk, want fewer than %d", len(r.pending), maxPendingSubmits)
+		return invalid(c, "log", "%d changes wait for the disk, want fewer than %d",
+			len(r.pending), maxPendingSubmits)
 	}
 	if !c.numbersValid() {
-		return invalid(c, "units", "figures of %v, %v, %+v, want numbers of 0 or more", c.Units, c.Rate, c.Terms)
+		return invalid(c, "units", "figures of %v, %v, %+v, want numbers of 0 or more",
+			c.Units, c.Rate, c.Terms)
 	}
 	if err := r.checkNames(c); err != nil {
 		return err
@@ -58,7 +60,8 @@
 // checkNames checks that the member and the plan of a change are in the settings, where its kind needs them.
 func (r *Replica) checkNames(c *Change) *Error {
 	if len(c.Member) > maxNameBytes || len(c.Plan) > maxNameBytes {
-		return invalid(c, "member", "a name of %d bytes, want %d at most", max(len(c.Member), len(c.Plan)), maxNameBytes)
+		return invalid(c, "member", "a name of %d bytes, want %d at most",
+			max(len(c.Member), len(c.Plan)), maxNameBytes)
 	}
 	if c.Kind == Move || c.Kind == Reserve {
 		if _, ok := r.members[c.Member]; !ok {
@@ -96,7 +99,8 @@
 	case c.Kind == Shorten && target.Kind != Reserve:
 		return invalid(c, "target", "%d is a %s, want a reservation", c.Target, target.Kind)
 	case c.Kind == Shorten && !(c.Units < r.derived.currentUnits(target)):
-		return invalid(c, "units", "%v, want less than the %v of %d", c.Units, r.derived.currentUnits(target), c.Target)
+		return invalid(c, "units", "%v, want less than the %v of %d",
+			c.Units, r.derived.currentUnits(target), c.Target)
 	}
 	return nil
 }
--- a/internal/quotaplan/world_test.go
+++ b/internal/quotaplan/world_test.go
@@ -107,7 +107,8 @@
 			}
 			if w.rng.Float64() >= w.loss {
 				late := time.Duration(1+w.rng.Intn(20)) * time.Millisecond
-				w.inTransit = append(w.inTransit, message{Instant{w.now.Mono + late, w.now.Wall + int64(late)}, i, a.To, a.Data})
+				w.inTransit = append(w.inTransit,
+					message{Instant{w.now.Mono + late, w.now.Wall + int64(late)}, i, a.To, a.Data})
 			}
 		case ApplyPlan:
 			w.plans[i][a.Member] = a.Plan
--- a/internal/reservation/holding.go
+++ b/internal/reservation/holding.go
@@ -127,7 +127,9 @@
 	h.announced, h.Reservation, h.ceilingShares = true, e.Reservation, e.CeilingShares
 	h.ceilingRoomAt = l.now.Mono
 	l.byEnd = append(l.byEnd, h)
-	slices.SortFunc(l.byEnd, func(a, b *holding) int { return cmp.Or(cmp.Compare(a.To, b.To), cmp.Compare(a.ID, b.ID)) })
+	slices.SortFunc(l.byEnd, func(a, b *holding) int {
+		return cmp.Or(cmp.Compare(a.To, b.To), cmp.Compare(a.ID, b.ID))
+	})
 	if h.AcceptedHere && !h.minted && !h.ended && h.mayMint() {
 		h.minted, h.free = true, h.free+h.Units
 		l.offerShares(h)
@@ -184,7 +186,9 @@
 func (l *Ledger) end(h *holding) {
 	left := max(0, h.free) + max(0, h.drawn) + max(0, h.drawing)
 	h.ended, h.free, h.drawn = true, 0, min(0, h.drawn)
-	l.deferred = slices.DeleteFunc(l.deferred, func(e deferredEffect) bool { return e.holding == h && e.draw > 0 })
+	l.deferred = slices.DeleteFunc(l.deferred, func(e deferredEffect) bool {
+		return e.holding == h && e.draw > 0
+	})
 	h.drawing = 0
 	state := l.persist(h)
 	for _, w := range h.queue {
--- a/internal/reservation/messages.go
+++ b/internal/reservation/messages.go
@@ -94,7 +94,8 @@
 }
 
 func (m acknowledgementMessage) encode() []byte {
-	return appendFloats(appendIntegers(messageAcknowledgement, m.reservation, m.senderEpoch, m.epoch), m.total)
+	return appendFloats(
+		appendIntegers(messageAcknowledgement, m.reservation, m.senderEpoch, m.epoch), m.total)
 }
 
 // decodeMessage decodes a message of any kind. It returns nil if the message is malformed and ignores
--- a/internal/reservation/stored_test.go
+++ b/internal/reservation/stored_test.go
@@ -39,8 +39,9 @@
 	word, rest, _ := strings.Cut(line, " ")
 	switch word {
 	case "reservation":
-		r := quotaplan.Reservation{ID: 77, Number: 3, Member: "escuela", Units: 120, From: 1000 * sec, To: 2000 * sec,
-			Rate: 40, Burst: 60, Ceiling: true, First: 1, Spread: 3, AcceptedHere: true}
+		r := quotaplan.Reservation{ID: 77, Number: 3, Member: "escuela", Units: 120,
+			From: 1000 * sec, To: 2000 * sec, Rate: 40, Burst: 60, Ceiling: true,
+			First: 1, Spread: 3, AcceptedHere: true}
 		return AddReservation{r, []CeilingShare{{0, 0.25}, {1, 0.25}, {2, 0.5}}}
 	case "persisted":
 		var e Persisted
@@ -189,12 +190,13 @@
 		}
 	default:
 		one := rng.Intn(2) == 0
-		w.load(time.Duration(20+rng.Intn(600))*time.Millisecond, 10+100*rng.Float64(), 0.5+7*rng.Float64(), func() int {
-			if one {
-				return i
-			}
-			return w.rng.Intn(w.n)
-		})
+		w.load(time.Duration(20+rng.Intn(600))*time.Millisecond, 10+100*rng.Float64(), 0.5+7*rng.Float64(),
+			func() int {
+				if one {
+					return i
+				}
+				return w.rng.Intn(w.n)
+			})
 	}
 }
 
--- a/internal/reservation/transfer.go
+++ b/internal/reservation/transfer.go
@@ -165,7 +165,8 @@
 	if m.total == 0 {
 		return
 	}
-	acknowledgement := acknowledgementMessage{h.ID, m.epoch, h.epoch, max(m.total, h.received[sender])}.encode()
+	acknowledgement := acknowledgementMessage{
+		h.ID, m.epoch, h.epoch, max(m.total, h.received[sender])}.encode()
 	if added <= 0 {
 		l.sendWhenPersisted(l.lastState, from, acknowledgement)
 		return
--- a/internal/reservation/world_test.go
+++ b/internal/reservation/world_test.go
@@ -106,7 +106,8 @@
 func (w *world) start(i int) {
 	w.process++
 	w.down[i], w.stalled[i] = false, false
-	w.ledgers[i] = New(Settings{Rank: i, Gateways: w.n, MaxRequestUnits: 8, Epoch: w.process, Seed: int64(w.process)})
+	w.ledgers[i] = New(Settings{Rank: i, Gateways: w.n, MaxRequestUnits: 8, Epoch: w.process,
+		Seed: int64(w.process)})
 	for _, s := range w.disks[i] {
 		if err := w.ledgers[i].Restore(s); err != nil {
 			panic(err)
@@ -158,7 +159,8 @@
 				state[17] &^= 1
 			}
 			// A write takes some time. Writes of a gateway become durable in order.
-			w.persistedAt[i] = max(w.persistedAt[i], w.now.Mono+time.Duration(1+w.rng.Intn(8))*time.Millisecond)
+			w.persistedAt[i] = max(w.persistedAt[i],
+				w.now.Mono+time.Duration(1+w.rng.Intn(8))*time.Millisecond)
 			deliver(w.persistedAt[i], i, l.settings.Epoch, stateWritten{a.Number, state})
 		case Send:
 			if w.rng.Float64() >= w.loss {
