--- a/internal/aggregate/aggregator_test.go
+++ b/internal/aggregate/aggregator_test.go
@@ -35,6 +35,7 @@
 	data     []byte
 }
 
+// newWorld starts a fleet of n gateways with two classes and a number of customers.
 func newWorld(n, members int, seed int64) *world {
 	w := &world{
 		aggregators: make([]*Aggregator, n),
--- a/internal/aggregate/totals.go
+++ b/internal/aggregate/totals.go
@@ -8,6 +8,7 @@
 	Name    string
 }
 
+// hash returns the hash that identifies the key in reports and selects its owners.
 func (k Key) hash() uint64 {
 	kind := "m/"
 	if k.IsClass {
--- a/internal/quotaplan/effective.go
+++ b/internal/quotaplan/effective.go
@@ -133,8 +133,8 @@
 }
 
 // effectivePlan returns the plan that applies to a member's ordinary requests at a time, in Unix nanoseconds:
-// the plan of the member, reduced by open reservations. The second result is the number of the last change
-// that contributed to it, or 0.
+// the plan of the member, reduced by open reservations. The second result is the number of the last Move or
+// Reserve change that contributed to it, or 0.
 func (r *Replica) effectivePlan(member string, at int64) (decide.Plan, uint64) {
 	p := r.planAt(member, at)
 	last := uint64(0)
--- a/internal/quotaplan/events.go
+++ b/internal/quotaplan/events.go
@@ -70,7 +70,7 @@
 	ApplyPlan struct {
 		Member string
 		Plan   decide.Plan // the member's plan, reduced by open reservations
-		Change uint64      // number of the last change that contributed to the plan; 0: none
+		Change uint64      // number of the last Move or Reserve change that contributed to it; 0: none
 	}
 	// AddReservation announces a reservation, before or within its window.
 	AddReservation struct{ Reservation }
--- a/internal/quotaplan/world_test.go
+++ b/internal/quotaplan/world_test.go
@@ -50,6 +50,7 @@
 	data     []byte
 }
 
+// newWorld starts a fleet of n gateways that can all reach each other.
 func newWorld(n int, seed int64) *world {
 	w := &world{
 		replicas:       make([]*Replica, n),
--- a/internal/reservation/holding.go
+++ b/internal/reservation/holding.go
@@ -31,10 +31,10 @@
 	requestedAt       time.Duration // time of the outstanding transfer request; 0: none
 	unanswered        int           // consecutive requests without an answer
 	unresponsiveUntil time.Duration // until then the peer is asked only after all others
-	repliedAt         time.Duration // time of the last report; 0: none
-	emptyAt           time.Duration // time at which the peer reported that it had no tokens; 0: it has some
+	repliedAt         time.Duration // time of its last reply, or of tokens sent to it while draining; 0: none
+	emptyAt           time.Duration // time of a report that the peer had no tokens; 0: none since it had some
 	emptyBackoff      time.Duration // after emptyAt, the peer is not asked for this long
-	reported          float64       // tokens that the peer had left according to the last report
+	reported          float64       // tokens that the peer should have, according to reports
 }
 
 // waitingRequest is a request that waits for tokens or for room under the ceiling.
--- a/internal/reservation/world_test.go
+++ b/internal/reservation/world_test.go
@@ -69,6 +69,7 @@
 	event   Event
 }
 
+// newWorld starts a fleet of n gateways with a reservation whose window opens after one second.
 func newWorld(n int, seed int64, res quotaplan.Reservation) *world {
 	w := &world{
 		n:           n,
