--- a/internal/quotaplan/admission.go
+++ b/internal/quotaplan/admission.go
@@ -8,16 +8,16 @@
 
 // Limits and defaults of reservations.
 const (
-	// maxReservedOfRate limits the reserved rate of a member at any time, as a fraction of the rate of
+	// maxReservedRateFraction limits the reserved rate of a member at any time, as a fraction of the rate of
 	// its plan and of the rate of its ceiling.
-	maxReservedOfRate = 0.5
-	// maxReservedOfCapacity limits the reserved rate of all members at any time, as a fraction of the
+	maxReservedRateFraction = 0.5
+	// maxReservedCapacityFraction limits the reserved rate of all members at any time, as a fraction of the
 	// fleet's capacity.
-	maxReservedOfCapacity = 0.5
-	// The default rate of a reservation is the higher of defaultRateOfCeiling times the rate of the
-	// ceiling and defaultRateOfMean times the mean rate of the reservation.
-	defaultRateOfCeiling = 0.25
-	defaultRateOfMean    = 2
+	maxReservedCapacityFraction = 0.5
+	// The default rate of a reservation is the higher of defaultRateCeilingFraction times the rate of the
+	// ceiling and defaultRateMeanMultiple times the mean rate of the reservation.
+	defaultRateCeilingFraction = 0.25
+	defaultRateMeanMultiple    = 2
 
 	minWindow = int64(time.Second)          // nanoseconds
 	maxWindow = int64(400 * 24 * time.Hour) // nanoseconds
@@ -60,7 +60,7 @@
 	if c.Rate > 0 || p.CeilingRate == 0 {
 		return c.Rate
 	}
-	return max(defaultRateOfCeiling*p.CeilingRate, defaultRateOfMean*meanRate(c, c.Units))
+	return max(defaultRateCeilingFraction*p.CeilingRate, defaultRateMeanMultiple*meanRate(c, c.Units))
 }
 
 // checkReserve validates a submitted reservation and checks that it fits beside the reservations that this
@@ -72,7 +72,8 @@
 	case c.To <= c.From || c.From == 0:
 		return invalid(c, "to", "%s, want a time after %s", formatTime(c.To), formatTime(c.From))
 	case c.To-c.From < minWindow || c.To-c.From > maxWindow:
-		return invalid(c, "to", "a window of %v, want 1s to %v", time.Duration(c.To-c.From), time.Duration(maxWindow))
+		return invalid(c, "to", "a window of %v, want 1s to %v",
+			time.Duration(c.To-c.From), time.Duration(maxWindow))
 	}
 	return r.checkCapacity(c, r.planAt(c.Member, c.From))
 }
@@ -102,7 +103,7 @@
 
 // checkPlanRate checks that a reservation fits into the reservable part of the plan's rate.
 func (r *Replica) checkPlanRate(c *Change, p decide.Plan) *Error {
-	free := maxReservedOfRate*p.Rate - r.derived.peakOverlap(c, func(o *Change) float64 {
+	free := maxReservedRateFraction*p.Rate - r.derived.peakOverlap(c, func(o *Change) float64 {
 		if o.Member != c.Member {
 			return 0
 		}
@@ -120,14 +121,15 @@
 // is large enough for the largest request, and that its units can be used within the window.
 func (r *Replica) checkCeiling(c *Change, p decide.Plan) *Error {
 	rate := reservationRate(c, p)
-	free := maxReservedOfRate*p.CeilingRate - r.derived.peakOverlap(c, func(o *Change) float64 {
+	free := maxReservedRateFraction*p.CeilingRate - r.derived.peakOverlap(c, func(o *Change) float64 {
 		if o.Member != c.Member {
 			return 0
 		}
 		return reservationRate(o, p)
 	})
 	if rate > free*(1+tolerance) {
-		return invalid(c, "rate", "%v/s, the ceiling of %s (%v/s, half of which may be set aside) has room for %.6g/s",
+		return invalid(c, "rate",
+			"%v/s, the ceiling of %s (%v/s, half of which may be set aside) has room for %.6g/s",
 			rate, c.Member, p.CeilingRate, max(0, free))
 	}
 	burst := p.CeilingBurst * rate / p.CeilingRate
@@ -153,7 +155,7 @@
 // checkFleetCapacity checks that a reservation fits into the reservable part of the fleet's capacity.
 func (r *Replica) checkFleetCapacity(c *Change) *Error {
 	load := func(o *Change) float64 { return max(o.Rate, meanRate(o, r.derived.currentUnits(o))) }
-	free := maxReservedOfCapacity*r.settings.Capacity - r.derived.peakOverlap(c, load)
+	free := maxReservedCapacityFraction*r.settings.Capacity - r.derived.peakOverlap(c, load)
 	wanted := max(c.Rate, meanRate(c, c.Units))
 	if wanted > free*(1+tolerance) {
 		return invalid(c, "units",
@@ -167,8 +169,10 @@
 // before c. If c has no stamp yet, it counts as made after all others.
 func (d *derived) peakOverlap(c *Change, load func(*Change) float64) float64 {
 	var others []*Change
-	for _, o := range d.reservations { // in a fixed order, so that floating-point sums are equal at all gateways
-		if o != c && d.cancelledBy[o.Number] == 0 && (c.Stamp == 0 || o.before(c)) && o.From < c.To && o.To > c.From {
+	// The order is fixed, so that floating-point sums are equal at all gateways.
+	for _, o := range d.reservations {
+		if o != c && d.cancelledBy[o.Number] == 0 && (c.Stamp == 0 || o.before(c)) &&
+			o.From < c.To && o.To > c.From {
 			others = append(others, o)
 		}
 	}
--- a/internal/quotaplan/effective.go
+++ b/internal/quotaplan/effective.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// minOrdinaryOfRate is the fraction of a plan's rate and ceiling that reservations always leave to
+	// minOrdinaryFraction is the fraction of a plan's rate and ceiling that reservations always leave to
 	// ordinary use.
-	minOrdinaryOfRate = 0.05
+	minOrdinaryFraction = 0.05
 	// maxShareSum is the highest sum of the gateways' shares of one plan while demand shifts between
 	// gateways. Tests of package decide verify this limit.
 	maxShareSum = 1.15
@@ -133,8 +133,8 @@
 }
 
 // effectivePlan returns the plan that applies to a member's ordinary requests at a time, in Unix nanoseconds:
-// the plan of the member, reduced by open reservations. The second result is the number of the last change
-// that contributed to it, or 0.
+// the plan of the member, reduced by open reservations. The second result is the number of the last Move or
+// Reserve change that contributed to it, or 0.
 func (r *Replica) effectivePlan(member string, at int64) (decide.Plan, uint64) {
 	p := r.planAt(member, at)
 	last := uint64(0)
@@ -149,10 +149,10 @@
 		}
 		last = c.Number
 		if p.Rate > 0 {
-			p.Rate = max(minOrdinaryOfRate*full.Rate, p.Rate-meanRate(c, units))
+			p.Rate = max(minOrdinaryFraction*full.Rate, p.Rate-meanRate(c, units))
 		}
 		if p.CeilingRate > 0 {
-			rate := min(reservationRate(c, full), p.CeilingRate*(1-minOrdinaryOfRate))
+			rate := min(reservationRate(c, full), p.CeilingRate*(1-minOrdinaryFraction))
 			p.CeilingBurst -= p.CeilingBurst * rate / p.CeilingRate
 			p.CeilingRate -= rate
 			p.CeilingSlack *= 1 - rate/full.CeilingRate
@@ -204,8 +204,9 @@
 			return
 		}
 		p := r.planAt(m.Name, c.From)
-		reservation := Reservation{ID: id, Number: c.Number, Member: c.Member, Units: c.Units, From: c.From, To: c.To,
-			Rate: reservationRate(c, p), Ceiling: p.CeilingRate > 0, First: m.First, Spread: m.Spread,
+		reservation := Reservation{ID: id, Number: c.Number, Member: c.Member, Units: c.Units,
+			From: c.From, To: c.To, Rate: reservationRate(c, p), Ceiling: p.CeilingRate > 0,
+			First: m.First, Spread: m.Spread,
 			AcceptedHere: r.own[id]}
 		reservation.Burst = max(reservation.Rate, r.settings.MaxRequestUnits)
 		if reservation.Ceiling {
--- a/internal/reservation/holding.go
+++ b/internal/reservation/holding.go
@@ -31,10 +31,10 @@
 	requestedAt       time.Duration // time of the outstanding transfer request; 0: none
 	unanswered        int           // consecutive requests without an answer
 	unresponsiveUntil time.Duration // until then the peer is asked only after all others
-	repliedAt         time.Duration // time of the last report; 0: none
-	emptyAt           time.Duration // time at which the peer reported that it had no tokens; 0: it has some
+	repliedAt         time.Duration // time of its last reply, or of tokens sent to it while draining; 0: none
+	emptyAt           time.Duration // time of a report that the peer had no tokens; 0: none since it had some
 	emptyBackoff      time.Duration // after emptyAt, the peer is not asked for this long
-	reported          float64       // tokens that the peer had left according to the last report
+	reported          float64       // tokens that the peer should have, according to reports
 }
 
 // waitingRequest is a request that waits for tokens or for room under the ceiling.
@@ -82,9 +82,9 @@
 	offeredAt           time.Duration  // time of the last offer while draining
 	offerTurn           int            // position in the rotation of gateways that get an offer
 
-	wakeAt time.Duration // time of the next action without an event
-	spent  float64       // units used by requests that have ended here
-	given  float64       // tokens sent to other gateways
+	wakeAt      time.Duration // time of the next action without an event
+	spent       float64       // units used by requests that have ended here
+	transferred float64       // tokens sent to other gateways
 }
 
 // holding returns the state of a reservation and creates it if it does not exist.
@@ -127,7 +127,9 @@
 	h.announced, h.Reservation, h.ceilingShares = true, e.Reservation, e.CeilingShares
 	h.ceilingRoomAt = l.now.Mono
 	l.byEnd = append(l.byEnd, h)
-	slices.SortFunc(l.byEnd, func(a, b *holding) int { return cmp.Or(cmp.Compare(a.To, b.To), cmp.Compare(a.ID, b.ID)) })
+	slices.SortFunc(l.byEnd, func(a, b *holding) int {
+		return cmp.Or(cmp.Compare(a.To, b.To), cmp.Compare(a.ID, b.ID))
+	})
 	if h.AcceptedHere && !h.minted && !h.ended && h.mayMint() {
 		h.minted, h.free = true, h.free+h.Units
 		l.offerShares(h)
@@ -159,11 +161,11 @@
 	if h == nil || h.ended {
 		return
 	}
-	by := h.Units - e.Units - h.removed
-	if by <= 0 {
+	reduction := h.Units - e.Units - h.removed
+	if reduction <= 0 {
 		return
 	}
-	h.removed += by
+	h.removed += reduction
 	if e.Units == 0 {
 		l.end(h)
 		return
@@ -172,7 +174,7 @@
 	if (l.settings.Rank-h.First+l.settings.Gateways)%l.settings.Gateways < n {
 		// If other gateways hold the tokens, free becomes negative. This gateway then has to obtain the
 		// missing tokens from its peers before it spends any more.
-		h.free -= by / float64(n)
+		h.free -= reduction / float64(n)
 		h.free += max(0, h.drawn)
 		h.drawn = min(0, h.drawn)
 	}
@@ -184,7 +186,9 @@
 func (l *Ledger) end(h *holding) {
 	left := max(0, h.free) + max(0, h.drawn) + max(0, h.drawing)
 	h.ended, h.free, h.drawn = true, 0, min(0, h.drawn)
-	l.deferred = slices.DeleteFunc(l.deferred, func(e deferredEffect) bool { return e.holding == h && e.draw > 0 })
+	l.deferred = slices.DeleteFunc(l.deferred, func(e deferredEffect) bool {
+		return e.holding == h && e.draw > 0
+	})
 	h.drawing = 0
 	state := l.persist(h)
 	for _, w := range h.queue {
