--- a/cmd/standin/discovery.go
+++ b/cmd/standin/discovery.go
@@ -27,7 +27,7 @@
 		endpoints = append(endpoints, parseEndpoint(server, "serving"))
 	}
 	u := discoveryws.Update{Endpoints: endpoints}
-	if err := u.Check(); err != nil {
+	if err := u.Validate(); err != nil {
 		return err
 	}
 	service.Replace(endpoints)
@@ -60,7 +60,7 @@
 			endpoint.StartedMs = time.Now().UnixMilli()
 		}
 		u := discoveryws.Update{Endpoints: []discoveryws.Endpoint{endpoint}}
-		if err := u.Check(); err != nil {
+		if err := u.Validate(); err != nil {
 			fmt.Println(err)
 			continue
 		}
--- a/internal/discovery/http/list.go
+++ b/internal/discovery/http/list.go
@@ -94,9 +94,9 @@
 	t.CapacityHint = max(0, t.CapacityHint)
 }
 
-// Check returns an error that names the first target and field that cannot be used. It is for a list of the
+// Validate returns an error that names the first target and field that cannot be used. It is for a list of the
 // configuration; of discovery's list such targets are restricted.
-func (l *List) Check() error {
+func (l *List) Validate() error {
 	if len(l.Targets) > maxTargets {
 		return fmt.Errorf("discovery: rev %d: %d targets, want %d at most", l.Rev, len(l.Targets), maxTargets)
 	}
--- a/internal/discovery/websocket/cache.go
+++ b/internal/discovery/websocket/cache.go
@@ -49,7 +49,7 @@
 	if err := json.Unmarshal(raw, &u); err != nil {
 		return u, fmt.Errorf("discovery: %s: %w", file, err)
 	}
-	if err := u.Check(); err != nil {
+	if err := u.Validate(); err != nil {
 		return u, fmt.Errorf("%s: %w", file, err)
 	}
 	return u, nil
--- a/internal/discovery/websocket/endpoint.go
+++ b/internal/discovery/websocket/endpoint.go
@@ -45,9 +45,9 @@
 	stateGone:     decide.Removed,
 }
 
-// Check returns why an update is unusable: an address that is not host:port, an unknown state, or an address that
+// Validate returns why an update is unusable: an address that is not host:port, an unknown state, or an address that
 // occurs twice.
-func (u *Update) Check() error {
+func (u *Update) Validate() error {
 	seen := map[string]bool{}
 	for i, e := range u.Endpoints {
 		host, port, err := net.SplitHostPort(e.Address)
--- a/internal/discovery/websocket/tracker.go
+++ b/internal/discovery/websocket/tracker.go
@@ -37,10 +37,10 @@
 
 // apply checks an update and returns the event for the core. full marks a complete list. first marks the first
 // complete list of a connection, which is applied whatever its version is: the service may have restarted with its
-// versions from the beginning. The error is errVersionGap, errStaleVersion or that of Check; then nothing changes.
+// versions from the beginning. The error is errVersionGap, errStaleVersion or that of Validate; then nothing changes.
 func (t *tracker) apply(now time.Duration, full, first bool, u *Update) (decide.EndpointUpdate, error) {
 	event := decide.EndpointUpdate{Kind: decide.DeltaUpdate, Version: u.Version}
-	if err := u.Check(); err != nil {
+	if err := u.Validate(); err != nil {
 		return event, err
 	}
 	switch {
--- a/internal/discovery/websocket/tracker_test.go
+++ b/internal/discovery/websocket/tracker_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// TestCheck applies updates that Check refuses; none of them changes the tracker.
+// TestCheck applies updates that Validate refuses; none of them changes the tracker.
 func TestCheck(t *testing.T) {
 	for want, u := range map[string]Update{
 		"nodes[0].node: \"x\"":   {Endpoints: []Endpoint{endpoint("x", "serving", 0)}},
--- a/internal/gossip/plain/plain.go
+++ b/internal/gossip/plain/plain.go
@@ -1,5 +1,5 @@
 // Package plain carries gossip between gateways as bare UDP datagrams, on a network of their own: a sender is known
-// by its address. Datagrams of unknown senders, longer than MaxDatagram or beyond the rate limit are dropped and
+// by its address. Datagrams of unknown senders, longer than MaxDatagramBytes or beyond the rate limit are dropped and
 // counted.
 package plain
 
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// MaxDatagram is the longest datagram, in bytes.
-const MaxDatagram = 256
+// MaxDatagramBytes is the longest datagram, in bytes.
+const MaxDatagramBytes = 256
 
 // readRetryPause is the pause after a read that failed.
 const readRetryPause = time.Millisecond
@@ -63,7 +63,7 @@
 	if to < 0 || to >= len(t.peers) || to == t.rank {
 		return
 	}
-	if len(text) > MaxDatagram {
+	if len(text) > MaxDatagramBytes {
 		t.TooLong.Add(1)
 		return
 	}
@@ -76,7 +76,7 @@
 
 // Serve passes received messages to handle until Close.
 func (t *Transport) Serve(handle func(from int, text string)) {
-	var buf [MaxDatagram + 1]byte // a longer datagram shows by the byte more
+	var buf [MaxDatagramBytes + 1]byte // a longer datagram shows by the byte more
 	for {
 		n, addr, err := t.conn.ReadFromUDPAddrPort(buf[:])
 		if errors.Is(err, net.ErrClosed) {
@@ -90,7 +90,7 @@
 		switch {
 		case !known || from == t.rank:
 			t.UnknownSender.Add(1)
-		case n > MaxDatagram:
+		case n > MaxDatagramBytes:
 			t.TooLong.Add(1)
 		case !t.limit.allow(time.Now()):
 			t.RateLimited.Add(1)
--- a/internal/gossip/plain/plain_test.go
+++ b/internal/gossip/plain/plain_test.go
@@ -41,8 +41,8 @@
 	}
 	received, done := serve(receiver)
 	stranger.WriteToUDP([]byte("x"), b.LocalAddr().(*net.UDPAddr))
-	a.WriteToUDP(make([]byte, MaxDatagram+1), b.LocalAddr().(*net.UDPAddr))
-	sender.Send(1, strings.Repeat("y", MaxDatagram+1))
+	a.WriteToUDP(make([]byte, MaxDatagramBytes+1), b.LocalAddr().(*net.UDPAddr))
+	sender.Send(1, strings.Repeat("y", MaxDatagramBytes+1))
 	sender.Send(7, "nobody")
 	sender.Send(0, "myself")
 	sender.Send(1, "hello")
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -99,7 +99,7 @@
 	if c.Seed, err = parseSeed(f.Seed); err != nil {
 		return nil, err
 	}
-	if err := c.LastKnown.Check(); err != nil {
+	if err := c.LastKnown.Validate(); err != nil {
 		return nil, fmt.Errorf("field \"known\": %w", err)
 	}
 	if len(f.Settings) == 0 {
