--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -1,5 +1,8 @@
-// Package upstream holds what every transport to the servers shares: a call, which is one attempt of a request on its
-// way to a server, and how it ended. The transports are its sub-packages; they choose no server and retry nothing.
+// Package upstream defines the types that all transports to the servers share: Call, which is one attempt of
+// a request that is being sent to a server, and Result, which describes how the call ended.
+//
+// The sub-packages http and websocket implement the transports. They do not select servers and never retry a
+// call; package decide does both.
 package upstream
 
 import (
@@ -9,101 +12,113 @@
 	"winghatch/decide"
 )
 
-// Result is how a call ended.
+// Result describes how a call ended.
 type Result struct {
-	// Outcome is OutcomeConnectFailed only if provably the call never ran, as its last byte was not written,
-	// OutcomeRejected only if the server said that it did not execute it, and OutcomeReset if the connection broke
-	// after the call may have run.
+	// Outcome is the kind of ending. The core decides by it whether a retry could run the request twice, so
+	// it must be exact: OutcomeConnectFailed means that the call provably never ran because its last byte was
+	// not written, OutcomeRejected that the server reported that it did not execute the call, and
+	// OutcomeReset that the connection broke after the call may have run.
 	Outcome decide.Outcome
-	// Body is the server's response; empty unless Outcome is OutcomeOK.
+	// Body is the body of the server's response. It is empty unless Outcome is OutcomeOK.
 	Body json.RawMessage
-	// ActualUnits are the units that the request cost, as the response reports them; 0: not reported.
+	// ActualUnits is the cost of the request in units, as reported in the response. Zero means that the
+	// response did not report it.
 	ActualUnits float64
-	// ReportedUsage is 1 + the customer's use in percent of its rate; 0: not reported.
+	// ReportedUsage is 1 plus the customer's usage in percent of its rate, as reported in the response. Zero
+	// means that the response did not report it.
 	ReportedUsage int
-	// LoadReport is the server's load as the response reports it; nil: not reported.
+	// LoadReport is the load of the server, as reported in the response. Nil means that the response did not
+	// report it.
 	LoadReport decide.LoadReport
 }
 
-// The states of a call. A call only moves forward.
+// The states of a call. The state only ever advances.
 const (
-	stateWaiting int32 = iota // it can't have run: its last byte was not written
-	stateSent                 // it may have run
-	stateEnded
+	stateWaiting int32 = iota // the last byte was not written, so the call cannot have run
+	stateSent                 // the call may have run
+	stateEnded                // the call has a result or was abandoned
 )
 
-// Call is one attempt on its way. Done is called exactly once, unless Abandon came first. The methods are safe for
-// concurrent use.
+// Call is one attempt that a transport sends to a server. Done is called exactly once, unless Abandon ends
+// the call first. All methods are safe for concurrent use.
 type Call struct {
-	// Server is the address to send to, host:port.
+	// Server is the address of the server as host:port, or, in transports that are given a list of servers,
+	// the ID of the server in that list.
 	Server string
-	// Method and Params are what is sent, in the transport's form.
+	// Method is the name of the method to call, for transports that have one.
 	Method string
+	// Params is the content to send, in the encoding of the transport.
 	Params []byte
-	// Done takes the result. It must not block.
+	// Done receives the result. It must not block.
 	Done func(Result)
 
-	// Cancelled reports, asked right before the write, that the call must not leave any more: its client has
-	// disconnected, or its deadline or deduplication window is over. A call that waited for its connection, or behind a
-	// full send buffer, would otherwise be written long after it was decided. nil: never.
+	// Cancelled reports whether the call must no longer be sent because its client has disconnected or its
+	// deadline or deduplication window has passed. Transports ask it immediately before the write: a call
+	// that waited for its connection, or behind a full send buffer, would otherwise be written long after the
+	// decision to send it. Nil means that the call is never cancelled.
 	Cancelled func() bool
-	// BuildParams makes the bytes at the write, so that the deadline in them is what is left then; nil: Params is sent.
+	// BuildParams returns the content to send in place of Params. It is called at the time of the write, so
+	// that the remaining time that the content states is correct then. Nil means that Params is sent.
 	BuildParams func() []byte
 
-	// TransportState and ID belong to the transport that carries the call: its connection, and the call's number on it.
+	// TransportState is the connection that carries the call. Only the transport uses it.
 	TransportState any
-	ID             uint64
+	// ID is the number of the call on its connection. Only the transport uses it.
+	ID uint64
 
 	state atomic.Int32
 }
 
-// AbandonResult is what is known of a call that was abandoned.
+// AbandonResult tells whether an abandoned call may have run.
 type AbandonResult int
 
 // The results of Abandon.
 const (
-	AlreadyEnded AbandonResult = iota // Done was called, or is just being called
-	NotSent                           // it never ran; Done will not be called
-	MayHaveRun                        // it may have run or still run; Done will not be called
+	AlreadyEnded AbandonResult = iota // Done was called or is being called
+	NotSent                           // the call never ran, and Done will not be called
+	MayHaveRun                        // the call may have run or may still run, and Done will not be called
 )
 
-// Abandon ends a call without a result and returns what is known of it.
+// Abandon ends the call without a result and reports whether it may have run.
 func (c *Call) Abandon() AbandonResult {
-	switch was, first := c.end(); {
+	switch previous, first := c.end(); {
 	case !first:
 		return AlreadyEnded
-	case was == stateWaiting:
+	case previous == stateWaiting:
 		return NotSent
 	}
 	return MayHaveRun
 }
 
-// Waiting reports that the call can't have run yet and has not ended.
+// Waiting reports whether the call has neither ended nor been marked as sent.
 func (c *Call) Waiting() bool { return c.state.Load() == stateWaiting }
 
-// MarkSent is called by the writer before the last byte, or after it under the lock that its pool's Abandon takes: from
-// then on the call may have run. It reports false if the call has ended and must not be written.
+// MarkSent records that the call may have run from now on. The writer calls it before it writes the last
+// byte, or after that while holding the lock that the Abandon method of its pool takes. It returns false if
+// the call has ended and must not be written.
 func (c *Call) MarkSent() bool { return c.state.CompareAndSwap(stateWaiting, stateSent) }
 
-// end moves the call to its last state; first is set for the one caller that ends it.
-func (c *Call) end() (was int32, first bool) {
-	was = c.state.Swap(stateEnded)
-	return was, was != stateEnded
+// end moves the call to stateEnded and returns its previous state. The result first is true for the one
+// caller that ended the call.
+func (c *Call) end() (previous int32, first bool) {
+	previous = c.state.Swap(stateEnded)
+	return previous, previous != stateEnded
 }
 
-// Finish ends a call with its result, unless it has ended or was abandoned.
+// Finish ends the call with a result. It does nothing if the call has already ended or was abandoned.
 func (c *Call) Finish(r Result) {
 	if _, first := c.end(); first {
 		c.Done(r)
 	}
 }
 
-// ConnectionLost ends a call whose connection is gone: with OutcomeReset if it may have run, else with
-// OutcomeConnectFailed.
+// ConnectionLost ends the call after its connection was lost or could not be established. The outcome is
+// OutcomeReset if the call may have run and OutcomeConnectFailed if not. It does nothing if the call has
+// already ended or was abandoned.
 func (c *Call) ConnectionLost() {
-	switch was, first := c.end(); {
+	switch previous, first := c.end(); {
 	case !first:
-	case was == stateSent:
+	case previous == stateSent:
 		c.Done(Result{Outcome: decide.OutcomeReset})
 	default:
 		c.Done(Result{Outcome: decide.OutcomeConnectFailed})
--- a/internal/upstream/http/attempt.go
+++ b/internal/upstream/http/attempt.go
@@ -8,12 +8,14 @@
 	"winghatch/internal/upstream"
 )
 
-// writeTimeout bounds the write of what the socket's buffer did not take at once. The deadline of an attempt is
-// shorter; this bound ends the goroutine where the core has already given the attempt up.
+// writeTimeout limits the write of the bytes that did not fit into the socket's send buffer at once. The
+// deadline of an attempt is shorter; this limit ends the writing goroutine after the core has already
+// abandoned the attempt.
 const writeTimeout = 10 * time.Second
 
-// Send starts an attempt: on an idle connection of its server, else on a new one. It never blocks. The attempt's Done
-// is called once, maybe before Send returns, unless Abandon comes first.
+// Send starts an attempt on an idle connection to its server or, if there is none, on a new connection.
+// call.Server is the ID of a server that Update has added. Send never blocks. It calls call.Done exactly
+// once, possibly before it returns, unless Abandon ends the attempt first.
 func (p *Pool) Send(call *upstream.Call) {
 	p.mu.Lock()
 	s := p.servers[call.Server]
@@ -48,33 +50,34 @@
 	go c.run(addr)
 }
 
-// Abandon ends an attempt without a result and returns what is known of it. Its connection is closed at once, as a
-// response that arrives later could be taken for the next attempt's; one that is still being dialed is kept.
+// Abandon ends an attempt without a result and reports whether it may have run. An established connection of
+// the attempt is closed at once, because a response that arrives later could be taken for that of the next
+// attempt. A connection that is still being dialed is kept.
 func (p *Pool) Abandon(call *upstream.Call) upstream.AbandonResult {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	// Under the lock: between the write of an attempt and its MarkSent the result would be NotSent, and the request might
-	// run twice.
-	known := call.Abandon()
+	// The lock must be held here: between the write of an attempt and its MarkSent, the result would be
+	// NotSent, and the request might run twice.
+	result := call.Abandon()
 	if c, ok := call.TransportState.(*conn); ok && c.call == call {
 		c.call = nil
 		if c.nc != nil {
 			c.discard()
 		}
 	}
-	return known
+	return result
 }
 
 // notDispatched is the result of an attempt that was cancelled before its last byte was written.
 var notDispatched = upstream.Result{Outcome: decide.OutcomeNotDispatched}
 
-// isCancelled reports whether an attempt must not be written any more. It is asked immediately before each write that
-// could complete the attempt: after the decision to send it, the client may have left or its deadline passed while a
-// connection came up or a full buffer drained.
+// isCancelled reports whether an attempt must no longer be written. It is called immediately before each
+// write that could complete the attempt: while a connection was established or a full send buffer drained,
+// the client may have disconnected or the deadline may have passed.
 func isCancelled(call *upstream.Call) bool { return call.Cancelled != nil && call.Cancelled() }
 
-// writeAttempt writes the connection's attempt without waiting; p.mu is held. The socket's buffer takes all of
-// it but for the largest bodies, whose remainder gets a goroutine.
+// writeAttempt writes the attempt of the connection without waiting. The socket's send buffer takes all but
+// the largest requests at once; a goroutine writes the rest of those. The caller holds Pool.mu.
 func (c *conn) writeAttempt() {
 	call := c.call
 	request := call.Params
@@ -87,7 +90,7 @@
 		return
 	}
 	if err != nil && !socket.IsTransient(err) {
-		c.shutdown() // wakes the reader, which ends the attempt as never sent
+		c.shutdown() // wakes the reader, which ends the attempt with OutcomeConnectFailed
 		return
 	}
 	c.writing = true
@@ -95,9 +98,10 @@
 	go c.writeRemainder(call, request[n:])
 }
 
-// writeRemainder writes what the socket's buffer did not take. The server can't have run the attempt before its last
-// byte, so that byte is written on its own: until then the attempt may be cancelled, and a break means that it never
-// ran. Whoever fails here closes the connection; its reader ends the attempt.
+// writeRemainder writes the bytes of an attempt that did not fit into the socket's send buffer. The server
+// cannot run the attempt before it has the last byte, so that byte is written separately: until then, the
+// attempt can still be cancelled, and a broken connection means that it never ran. On an error,
+// writeRemainder closes the connection, and the reader of the connection ends the attempt.
 func (c *conn) writeRemainder(call *upstream.Call, rest []byte) {
 	defer c.pool.wg.Done()
 	defer c.writeDone()
@@ -117,7 +121,7 @@
 		return
 	}
 	if !call.MarkSent() {
-		return // given up meanwhile
+		return // abandoned in the meantime
 	}
 	if err := socket.WriteAll(c.nc, rest[last:], writeTimeout); err != nil {
 		c.nc.Close()
--- a/internal/upstream/http/conn.go
+++ b/internal/upstream/http/conn.go
@@ -15,35 +15,37 @@
 )
 
 const (
-	readBufferBytes = 4 << 10 // also the longest line of a head
+	readBufferBytes = 4 << 10 // also limits the length of a line in a response head
 	maxHeadBytes    = 8 << 10
 )
 
-// conn is one connection to a server, from the dial on. Its reader (run) owns the descriptor and closes it.
+// conn is one connection to a server, including the time when it is being dialed. The goroutine that executes
+// run reads from the connection; it owns the file descriptor and closes it.
 type conn struct {
 	pool   *Pool
 	server *server
 	reader *http1.Reader
 
-	// Pool.mu guards these. nc is nil until the connection is established; from then on nc and raw do not change.
+	// Pool.mu guards the following fields. nc is nil until the connection is established; from then on, nc
+	// and raw do not change.
 	nc            *net.TCPConn
 	raw           syscall.RawConn
-	call          *upstream.Call // the attempt it carries or was dialed for; nil: none
-	idleElem      *list.Element  // in Pool.idleConns; nil unless idle
+	call          *upstream.Call // the attempt that the connection carries or is being dialed for, or nil
+	idleElem      *list.Element  // the element in Pool.idleConns, or nil if the connection is not idle
 	idleSince     time.Time
-	respondedAt   time.Time     // when its last response was complete; zero: none yet
-	idleBefore    time.Duration // how long it was idle before the current attempt; 0 for a new connection
-	readWhileIdle bool          // bytes, or its end, were read while it was idle
+	respondedAt   time.Time     // end of the last response; the zero time before the first one
+	idleBefore    time.Duration // idle time before the current attempt; 0 on a new connection
+	readWhileIdle bool          // bytes or the end of the connection were read while it was idle
 	writing       bool          // writeRemainder is running
 	discarded     bool
 
-	// These belong to the reader.
-	responseBegun bool  // a byte of the current response was read
-	bodyBytes     int64 // the part of Pool.bodyBytes that this connection holds
+	// Only the reader uses the following fields.
+	responseBegun bool  // reading of the current response has begun
+	bodyBytes     int64 // the share of this connection in Pool.bodyBytes
 }
 
-// makeRoom reports whether another connection may be opened; at the limit it closes the one that has been idle
-// longest. Pool.mu is held.
+// makeRoom reports whether another connection may be opened. At the limit, it closes the connection that has
+// been idle longest; if none is idle, it returns false. The caller holds Pool.mu.
 func (p *Pool) makeRoom() bool {
 	if int(p.Conns.Load()) < p.opts.MaxConns {
 		return true
@@ -56,7 +58,8 @@
 	return true
 }
 
-// newConn registers a connection that is to be dialed for an attempt; Pool.mu is held. Its run must follow.
+// newConn registers a connection that is going to be dialed for an attempt. The caller holds Pool.mu and must
+// start run afterwards.
 func (p *Pool) newConn(s *server, call *upstream.Call) *conn {
 	c := &conn{pool: p, server: s, call: call}
 	p.conns[c] = struct{}{}
@@ -66,7 +69,7 @@
 	return c
 }
 
-// run dials and then reads responses until the connection ends.
+// run dials the server and then reads responses until the connection can no longer be used.
 func (c *conn) run(addr string) {
 	p := c.pool
 	defer p.wg.Done()
@@ -82,8 +85,8 @@
 	c.nc.Close()
 }
 
-// dial establishes the connection and writes the attempt that waits for it, if there still is one. False: it failed
-// or is not wanted any more, and the attempt has ended.
+// dial establishes the connection and writes the attempt that waits for it, if there still is one. It returns
+// false if the connection failed or is no longer needed; the attempt has ended then.
 func (c *conn) dial(addr string) bool {
 	p := c.pool
 	dialer := net.Dialer{Timeout: p.opts.DialTimeout, KeepAlive: -1}
@@ -106,7 +109,7 @@
 	c.reader = http1.NewReader(bufio.NewReaderSize(socketReader, readBufferBytes), limits)
 	var cancelled *upstream.Call
 	switch call := c.call; {
-	case call == nil: // it was given up meanwhile
+	case call == nil: // the attempt was abandoned in the meantime
 		c.enterIdle()
 	case isCancelled(call):
 		cancelled = call
@@ -123,7 +126,9 @@
 	return true
 }
 
-// dialFailed closes what was opened and ends the attempt that waited for it; call may be nil.
+// dialFailed cleans up after a dial that failed or whose connection is no longer needed: it closes the
+// connection, if one was opened, and ends the attempt that waited for it. err is the error of the dial or
+// nil; call may be nil.
 func (c *conn) dialFailed(call *upstream.Call, err error) {
 	if c.nc != nil {
 		c.nc.Close()
@@ -136,7 +141,8 @@
 	}
 }
 
-// readResponse reads one response and ends its attempt. False: the connection is of no further use.
+// readResponse reads one response and ends its attempt. It returns false if the connection can no longer be
+// used.
 func (c *conn) readResponse() bool {
 	p := c.pool
 	err := c.reader.Wait()
@@ -179,14 +185,15 @@
 	return reusable
 }
 
-// canReuse reports whether the connection may carry another attempt after a response; Pool.mu is held. Bytes that
-// arrived behind the response belong to no attempt, so the connection ends with them.
+// canReuse reports whether the connection may carry another attempt after a response. It may not if bytes
+// have arrived after the response, because they belong to no attempt. The caller holds Pool.mu.
 func (c *conn) canReuse(r *http1.Response) bool {
 	return !r.Close && c.reader.Buffered() == 0 && !c.pool.closed && c.server.State == decide.Serving &&
 		!c.discarded && !c.writing
 }
 
-// rejectResponse ends an attempt whose response cannot be parsed or is too large, and its connection.
+// rejectResponse ends an attempt whose response cannot be parsed or is too large, and discards its
+// connection.
 func (c *conn) rejectResponse(call *upstream.Call) {
 	p := c.pool
 	p.MalformedResponses.Add(1)
@@ -197,8 +204,8 @@
 	call.Finish(upstream.Result{Outcome: decide.OutcomeError})
 }
 
-// fail ends a connection that broke and the attempt it carried; call may be nil. A break before the first byte of a
-// response counts against the time that the connection was idle.
+// fail discards a connection that broke and ends the attempt that it carried; call may be nil. A break before
+// the first byte of the response is recorded for the idle time that preceded the attempt.
 func (c *conn) fail(call *upstream.Call) {
 	p := c.pool
 	p.mu.Lock()
@@ -215,9 +222,9 @@
 	}
 }
 
-// discard takes a connection out of the pool and shuts it down; Pool.mu is held. The reader wakes up and closes the
-// descriptor: a Close here would wait for the reader's step under way, which may itself wait for Pool.mu, and the
-// pool would never get on.
+// discard removes a connection from the pool and shuts it down, which wakes its reader. The caller holds
+// Pool.mu. The reader closes the file descriptor: net.TCPConn.Close would wait here for a read that is in
+// progress, which may in turn wait for Pool.mu, and the pool would deadlock.
 func (c *conn) discard() {
 	if c.discarded {
 		return
@@ -229,15 +236,16 @@
 	c.shutdown()
 }
 
-// shutdown ends an established connection in both directions. It never waits; Pool.mu is held.
+// shutdown shuts down both directions of an established connection. It never waits. The caller holds Pool.mu.
 func (c *conn) shutdown() {
 	if c.raw != nil {
 		c.raw.Control(func(fd uintptr) { syscall.Shutdown(int(fd), syscall.SHUT_RDWR) })
 	}
 }
 
-// reserveBody counts bytes of a response against MaxTotalBodyBytes and reports whether they fit: responses without
-// end from many servers at once must not exceed the memory limit of the process.
+// reserveBody counts n bytes of a response body against Options.MaxTotalBodyBytes and reports whether they
+// fit. The limit keeps endless responses from many servers at once from exceeding the memory limit of the
+// process.
 func (c *conn) reserveBody(n int) bool {
 	p := c.pool
 	total := p.bodyBytes.Add(int64(n))
@@ -249,8 +257,9 @@
 	return true
 }
 
-// noteRead is called by the socket's reader after each read of n bytes, or of the end; Pool.mu is held. So Send never
-// takes a connection of which a byte was read that is not noted yet.
+// noteRead records a read on an idle connection. The socket's reader calls it with Pool.mu held after each
+// read that returned bytes, the end of the connection or an error, so that Send never takes a connection with
+// a read that is not recorded yet.
 func (c *conn) noteRead(int) {
 	if c.call == nil {
 		c.readWhileIdle = true
--- a/internal/upstream/http/idle.go
+++ b/internal/upstream/http/idle.go
@@ -6,18 +6,20 @@
 	"winghatch/internal/socket"
 )
 
-// reuseDelay is how long a connection stays unused after a response. A server may send a second response to the same
-// request some milliseconds after the first; if the next attempt were written meanwhile, that response would be taken
-// for its own. Within the delay the second response reaches an idle connection, which is then closed.
+// reuseDelay is the time after a response in which a connection is not used again. A faulty server may send a
+// second response to the same request some milliseconds after the first. If the next attempt were written in
+// between, the second response would be taken for the response to that attempt. With the delay, the second
+// response arrives on an idle connection, which is then closed.
 const reuseDelay = 25 * time.Millisecond
 
 const (
-	sweepsPerTimeout = 8 // the sweep runs so often within IdleTimeout, so an idle connection outstays it by an eighth
+	sweepsPerTimeout = 8 // sweeps per IdleTimeout; an idle connection may exceed the timeout by an eighth
 	minSweepInterval = 10 * time.Millisecond
 )
 
-// takeIdle takes the most recently used connection that is idle for at least reuseDelay and less than timeout; nil if
-// there is none. Connections found too old or unusable on the way are closed. Pool.mu is held.
+// takeIdle removes and returns the most recently used idle connection whose last response ended at least
+// reuseDelay ago and which has been idle for less than timeout. It returns nil if there is none. It closes
+// the connections that it finds to be too old or unusable. The caller holds Pool.mu.
 func (s *server) takeIdle(timeout time.Duration) *conn {
 	now := time.Now()
 	for i := len(s.idle) - 1; i >= 0; i-- {
@@ -35,16 +37,17 @@
 	return nil
 }
 
-// closeIdle closes a server's idle connections; Pool.mu is held.
+// closeIdle closes the idle connections to a server. The caller holds Pool.mu.
 func (s *server) closeIdle() {
 	for len(s.idle) > 0 {
 		s.idle[len(s.idle)-1].discard()
 	}
 }
 
-// isUsable reports whether nothing arrived on an idle connection: not its end, by which the next attempt would be
-// lost, nor bytes, which would be taken for the response to it. The look at the socket is conclusive, as reads hold
-// Pool.mu: what was read already shows in readWhileIdle, what was not is still in the socket. Pool.mu is held.
+// isUsable reports whether nothing has arrived on an idle connection: neither its end, which would lose the
+// next attempt, nor bytes, which would be taken for the response to the next attempt. Because reads hold
+// Pool.mu, the check is conclusive: everything that was already read is recorded in readWhileIdle, and the
+// rest is still in the socket. The caller holds Pool.mu.
 func (c *conn) isUsable() bool {
 	if c.readWhileIdle {
 		return false
@@ -56,14 +59,15 @@
 	return !unread && !ended
 }
 
-// enterIdle makes a connection without an attempt available; Pool.mu is held.
+// enterIdle adds a connection that carries no attempt to the idle connections. The caller holds Pool.mu.
 func (c *conn) enterIdle() {
 	c.idleSince = time.Now()
 	c.idleElem = c.pool.idleConns.PushBack(c)
 	c.server.idle = append(c.server.idle, c)
 }
 
-// leaveIdle takes a connection out of the idle ones, if it is one; Pool.mu is held.
+// leaveIdle removes a connection from the idle connections. It does nothing if the connection is not idle.
+// The caller holds Pool.mu.
 func (c *conn) leaveIdle() {
 	if c.idleElem == nil {
 		return
@@ -79,7 +83,8 @@
 	}
 }
 
-// sweep closes connections that have been idle for IdleTimeout, until the pool is closed.
+// sweep periodically closes connections that have been idle for IdleTimeout. It returns when the pool is
+// closed.
 func (p *Pool) sweep() {
 	defer p.wg.Done()
 	ticker := time.NewTicker(max(p.opts.IdleTimeout/sweepsPerTimeout, minSweepInterval))
@@ -94,6 +99,7 @@
 	}
 }
 
+// closeExpired closes all connections that have been idle for IdleTimeout or longer.
 func (p *Pool) closeExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/http/pool.go
+++ b/internal/upstream/http/pool.go
@@ -1,20 +1,21 @@
-// Package http sends attempts to servers over HTTP/1.1 and keeps the connections for it.
+// Package http implements a pool of HTTP/1.1 connections that sends attempts to servers.
 //
-// A connection carries one attempt at a time. An attempt is written in one piece and never sent again by this
-// package, as the server may not be able to recognise a repeat. Its outcome says what is known of it:
+// A connection carries one attempt at a time. The package never sends an attempt again, because the server
+// may be unable to recognise a repetition. The outcome of an attempt tells whether it may have run:
 //
-//   - OutcomeOK: a complete response with status 200.
-//   - OutcomeRejected: the server marked the response as refused before execution.
-//   - OutcomeConnectFailed: the last byte of the attempt was never written, so it did not run.
-//   - OutcomeNotDispatched: its Cancelled function reported true before the last byte was written.
-//   - OutcomeReset: the connection ended after the last byte was written and before the response was complete; the
-//     attempt may have run.
-//   - OutcomeError: any other response, and one that cannot be parsed.
+//   - OutcomeOK: a complete response with status 200 was received.
+//   - OutcomeRejected: the server marked the response as rejected before execution.
+//   - OutcomeConnectFailed: the last byte of the attempt was never written, so the attempt did not run.
+//   - OutcomeNotDispatched: the attempt was cancelled before its last byte was written.
+//   - OutcomeReset: the connection ended after the last byte was written and before the response was
+//     complete, so the attempt may have run.
+//   - OutcomeError: any other response was received, or one that cannot be parsed.
 //
-// The package selects no server and retries nothing; package decide does.
+// The package does not select servers and does not retry attempts; package decide does both.
 //
-// Files: pool.go has the servers and the limit on connections, conn.go the life of a connection, attempt.go one
-// attempt on it, idle.go the idle connections, response.go the mapping of a response to an outcome.
+// The pool, its servers and the limit on connections are in pool.go, the life cycle of a connection in
+// conn.go, the sending of an attempt in attempt.go, the idle connections in idle.go, and the mapping of a
+// response to an outcome in response.go.
 package http
 
 import (
@@ -29,33 +30,38 @@
 	"winghatch/internal/upstream/idletimeout"
 )
 
-// Options are the limits of a Pool. They are read only after New.
+// Options configure a Pool. They must not change after the call of New.
 type Options struct {
-	// DialTimeout bounds how long a connection may take to come up. An attempt that waits for one ends as
-	// OutcomeConnectFailed. Zero: no bound but the kernel's.
+	// DialTimeout limits the time in which a connection has to be established. When it passes, the attempt
+	// that waits for the connection ends with OutcomeConnectFailed. Zero means that only the limit of the
+	// operating system applies.
 	DialTimeout time.Duration
-	// MaxConns bounds the connections to all servers together, those that are being dialed included. At the bound the
-	// connection that has been idle longest is closed for a new one; if none is idle, the attempt fails. Zero allows
-	// none.
+	// MaxConns limits the number of connections to all servers together, including those that are being
+	// dialed. At the limit, the connection that has been idle longest is closed in favour of a new one; if
+	// none is idle, the attempt fails with OutcomeConnectFailed. Zero allows no connections.
 	MaxConns int
-	// IdleTimeout is how long an idle connection is kept. It has to be shorter than the servers' own idle timeout: a
-	// connection that both sides close at once may lose an attempt. A shorter timeout that is learned from breaks
-	// (see package idletimeout) applies on top of it. Zero keeps none.
+	// IdleTimeout is the time after which an idle connection is closed. It has to be shorter than the idle
+	// timeout of the servers, because an attempt can be lost on a connection that both sides close at the
+	// same time. If package idletimeout has learned a shorter limit from broken connections, that limit
+	// applies. Zero means that idle connections are not reused.
 	IdleTimeout time.Duration
-	// MaxBodyBytes bounds the body of one response. A longer one ends the attempt as OutcomeError. Zero allows empty
-	// bodies only.
+	// MaxBodyBytes limits the length of a response body. An attempt with a longer response ends with
+	// OutcomeError. Zero allows only empty bodies.
 	MaxBodyBytes int
-	// MaxTotalBodyBytes bounds the bodies of all responses that are being read. Zero: no bound.
+	// MaxTotalBodyBytes limits the total length of the bodies of all responses that are being read. An
+	// attempt whose response would exceed it ends with OutcomeError. Zero means no limit.
 	MaxTotalBodyBytes int64
-	// MaxUnits is the most that a response may charge in quota units; a larger figure is ignored. Zero: any below
-	// 2^31.
+	// MaxUnits is the highest charge in quota units that a response may report; a higher one is ignored. Zero
+	// allows any charge below 2^31.
 	MaxUnits float64
-	// LoadReportName maps the name of a figure in a server's load report to the core's. Nil: names stay as received.
+	// LoadReportName maps the name of a figure in a server's load report to the name that the core uses. Nil
+	// means that names are kept as received.
 	LoadReportName func(name string) string
 }
 
-// Server is one incarnation of a server at an address. Connections belong to ID, address and incarnation together, so
-// that a new server at an old address gets no connection of the former one.
+// Server describes one incarnation of a server at an address. A connection belongs to one combination of ID,
+// address and incarnation, so that a new server at a known address does not get connections to the previous
+// one.
 type Server struct {
 	ID          string
 	Addr        string // host:port
@@ -63,47 +69,51 @@
 	State       decide.ServerState
 }
 
-// Counters are the pool's figures for operators. Conns is a gauge, the others only grow.
+// Counters are the pool's figures for operators. Conns is a gauge; all others only grow.
 type Counters struct {
 	Conns              atomic.Int64 // connections that are open or being dialed
-	Dials              atomic.Int64 // connections that were begun
-	DialFailures       atomic.Int64 // of those, not established
+	Dials              atomic.Int64 // connections whose dialing was started
+	DialFailures       atomic.Int64 // connections that could not be established
 	MalformedResponses atomic.Int64 // responses that could not be parsed or were too large
-	StaleConns         atomic.Int64 // idle connections with unexpected bytes, or found ended when an attempt needed one
-	ConnLimitReached   atomic.Int64 // attempts that failed as MaxConns was reached and no connection was idle
+	// StaleConns counts idle connections on which unexpected bytes arrived or which had ended when an attempt
+	// needed them.
+	StaleConns       atomic.Int64
+	ConnLimitReached atomic.Int64 // attempts that failed because of MaxConns with no idle connection to close
 }
 
-// Pool holds the connections to all servers. Make one with New. It is safe for concurrent use.
-//
-// Lock order: no system call under mu waits. A connection's readStep takes mu inside the runtime's lock of its
-// descriptor, so net.TCPConn.Close, which waits for that step, must never be called with mu held.
+// Pool holds the connections to all servers. Create it with New. It is safe for concurrent use. System calls
+// that are made with mu held must not wait. In particular, net.TCPConn.Close must never be called with mu
+// held: it waits for a read that is in progress, and the socket.Reader of a connection acquires mu during
+// each read.
 type Pool struct {
 	Counters
 	opts      Options
 	startedAt time.Time
 
 	mu           sync.Mutex
-	servers      map[string]*server // by Server.ID
-	conns        map[*conn]struct{} // all that are not discarded, those of servers that were removed included
-	idleConns    *list.List         // of *conn, the longest idle first
+	servers      map[string]*server // keyed by Server.ID
+	conns        map[*conn]struct{} // connections that are not discarded, including those to removed servers
+	idleConns    *list.List         // of *conn, ordered by idleSince with the oldest first
 	idleEstimate idletimeout.Estimator
 	closed       bool
 
-	bodyBytes atomic.Int64 // of responses that are being read
+	bodyBytes atomic.Int64 // total length of the response bodies that are being read
 
-	// wg counts the sweep, and for each connection its reader and the writer of a remainder; Close waits for them.
+	// wg counts the goroutines of the pool, for which Close waits: the sweep, the reader of each connection,
+	// and each writeRemainder.
 	wg   sync.WaitGroup
 	ctx  context.Context
 	stop context.CancelFunc
 }
 
-// server is a Server with its idle connections; Pool.mu guards it.
+// server is a Server with its idle connections. Pool.mu guards it.
 type server struct {
 	Server
-	idle []*conn // the most recently used last
+	idle []*conn // ordered by last use with the most recent one last
 }
 
-// New returns an empty pool and starts its sweep of idle connections, which runs until Close.
+// New returns a pool without servers and starts the goroutine that closes expired idle connections. Close
+// stops it.
 func New(o Options) *Pool {
 	ctx, stop := context.WithCancel(context.Background())
 	p := &Pool{
@@ -120,10 +130,11 @@
 	return p
 }
 
-// Update takes changed entries of the endpoint list; full says that it is the complete list, so that servers it
-// does not name are removed. It has to be called before the loop learns of the same change: from its return on, nothing
-// is written to a server that is not serving. Attempts that still wait for a connection to such a server end as
-// OutcomeConnectFailed, and its idle connections are closed; attempts already written go on.
+// Update applies changed entries of the endpoint list. If full is true, servers is the complete list, and
+// servers that are missing from it are removed. After Update returns, no attempt is written to a server that
+// is not serving, so it must be called before the event loop processes the same change. For such a server,
+// attempts that wait for a connection end with OutcomeConnectFailed and idle connections are closed; attempts
+// that were already written continue.
 func (p *Pool) Update(servers []Server, full bool) {
 	var ended []*upstream.Call
 	named := map[string]bool{}
@@ -145,7 +156,8 @@
 	}
 }
 
-// updateServer applies one entry and returns the attempts that end by it; Pool.mu is held.
+// updateServer applies one entry of the endpoint list. It returns the attempts that the caller has to end
+// after unlocking Pool.mu, which it holds during the call.
 func (p *Pool) updateServer(entry Server) (ended []*upstream.Call) {
 	s := p.servers[entry.ID]
 	if s != nil && (s.Addr != entry.Addr || s.Incarnation != entry.Incarnation) {
@@ -169,8 +181,8 @@
 	return ended
 }
 
-// removeServer forgets a server and returns the attempts that end by it; attempts already written go on. Pool.mu is
-// held.
+// removeServer removes a server. Attempts that were already written to it continue; the others are returned
+// for the caller to end after unlocking Pool.mu, which it holds during the call.
 func (p *Pool) removeServer(s *server) (ended []*upstream.Call) {
 	s.State = decide.Removed
 	if p.servers[s.ID] == s {
@@ -179,8 +191,9 @@
 	return p.quiesce(s)
 }
 
-// quiesce closes a server's idle connections and takes the attempts off connections that are being dialed. It returns
-// those attempts, which were not written; Pool.mu is held.
+// quiesce closes the idle connections to a server and detaches the attempts from connections that are being
+// dialed. These attempts were not written; they are returned for the caller to end after unlocking Pool.mu,
+// which it holds during the call.
 func (p *Pool) quiesce(s *server) (ended []*upstream.Call) {
 	s.closeIdle()
 	for c := range p.conns {
@@ -192,8 +205,9 @@
 	return ended
 }
 
-// Close ends all connections and waits for the pool's goroutines. Attempts that are under way end as when their
-// connection breaks, later ones as OutcomeConnectFailed.
+// Close shuts down all connections and waits for the goroutines of the pool to return. Attempts in progress
+// end with OutcomeReset if they may have run, and with OutcomeConnectFailed if not. Later calls of Send end
+// with OutcomeConnectFailed.
 func (p *Pool) Close() {
 	p.stop()
 	p.mu.Lock()
--- a/internal/upstream/http/response.go
+++ b/internal/upstream/http/response.go
@@ -10,15 +10,16 @@
 	"winghatch/internal/upstream"
 )
 
-// Bounds of what a response may report: a faulty server must not fill the memory or a customer's bucket.
+// Limits on the figures in a response, so that a faulty server can neither exhaust the memory of the gateway
+// nor drain a customer's token bucket.
 const (
-	maxReportFigures = 8       // in a load report
-	maxReportFigure  = 1e12    // exclusive
-	unitsLimit       = 1 << 31 // of a charge, exclusive, where Options.MaxUnits is 0
+	maxReportFigures = 8       // number of figures in a load report
+	maxReportFigure  = 1e12    // exclusive limit on a figure in a load report
+	unitsLimit       = 1 << 31 // exclusive limit on the charged units if Options.MaxUnits is 0
 )
 
-// parseResult maps a response to the result of its attempt. Figures on load and usage that cannot be parsed are left
-// out; the response counts without them.
+// parseResult maps a response to the result of its attempt. Figures on load and usage that cannot be parsed
+// are omitted from the result.
 func (p *Pool) parseResult(r *http1.Response) upstream.Result {
 	var result upstream.Result
 	rejected, _ := r.Get("X-Turned-Away")
@@ -47,7 +48,7 @@
 	return result
 }
 
-// isChargeable reports whether a response may charge so many units.
+// isChargeable reports whether units is a charge that a response may report.
 func (p *Pool) isChargeable(units float64) bool {
 	if p.opts.MaxUnits == 0 {
 		return units > 0 && units < unitsLimit
@@ -55,8 +56,8 @@
 	return units > 0 && units <= p.opts.MaxUnits
 }
 
-// parseLoadReport parses a report such as "inflight=7,queue=2". If any part cannot be parsed, or there are too many,
-// it returns nil: a part of a report would be taken for all of it.
+// parseLoadReport parses a report such as "inflight=7,queue=2". It returns nil if any part cannot be parsed
+// or if there are too many parts, because an incomplete report would be taken for a complete one.
 func (p *Pool) parseLoadReport(text string) decide.LoadReport {
 	report := decide.LoadReport{}
 	for part := range strings.SplitSeq(text, ",") {
--- a/internal/upstream/idletimeout/estimator.go
+++ b/internal/upstream/idletimeout/estimator.go
@@ -1,16 +1,18 @@
-// Package idletimeout learns for how long an idle connection may still be used.
+// Package idletimeout learns how long a connection may be idle and still be used again.
 //
-// A server's machine, or a middlebox on the way, may forget idle connections without notice, long before the
-// configured idle timeout. The next request on such a connection is reset, and one that must not run twice is then
-// lost to its client. An Estimator counts attempts and breaks by how long their connection had been idle. Breaks that
-// have nothing to do with idling occur after all idle times alike; if those beyond some idle time break clearly more
-// often than those below it, that idle time is the limit. Counts decay, so that a limit is tried again after a while.
+// The host of a server, or a middlebox on the path, may drop idle connections without notice, long before the
+// configured idle timeout. The next request on such a connection is reset, and a request that must not run
+// twice is then lost to its client. An Estimator counts attempts and broken connections by the time for which
+// the connection had been idle. Breaks that are not caused by idleness are equally frequent after all idle
+// times. If connections that were idle for longer than some time break significantly more often than the
+// others, that time becomes the limit. The counts decay, so that longer idle times are tried again after a
+// while.
 //
-// The cost of a wrong limit is connections that are opened anew without need, where servers happened to break just
-// those that had been idle.
+// A wrong limit, which results when the connections that servers break by chance had mostly been idle, only
+// costs unnecessary new connections.
 //
-// The package does no I/O and reads no clock: the same calls in the same order give the same limits. Times are spans
-// since any fixed moment, of a monotonic clock.
+// The package does no I/O and reads no clock: the same calls in the same order give the same limits. The
+// times passed to an Estimator are durations on a monotonic clock since any fixed moment.
 package idletimeout
 
 import (
@@ -18,36 +20,38 @@
 	"time"
 )
 
-// Idle times are counted in buckets: the first is below firstBucket, each further one reaches twice as far, the last
-// has all that is longer.
+// Idle times are counted in buckets. The first bucket holds idle times below firstBucket, the upper bound of
+// each further bucket is twice that of the one before it, and the last bucket has no upper bound.
 const (
 	buckets     = 12
 	firstBucket = 25 * time.Millisecond
 )
 
-// A limit is set where breaks beyond it exceed those expected from the idle times below it by both of these.
+// An idle time becomes the limit if the number of breaks after longer idle times exceeds the number expected
+// from the shorter ones by both of these margins.
 const (
-	minExcess     = 0.15 // as a part of the attempts beyond it
-	minDeviations = 4.0  // in standard deviations, so that chance alone hardly ever sets one
+	minExcess     = 0.15 // as a fraction of the attempts after longer idle times
+	minDeviations = 4.0  // in standard deviations, so that chance alone hardly ever sets a limit
 )
 
-// halfLife is the time in which counts halve.
+// halfLife is the time in which the counts decay to half.
 const halfLife = 30 * time.Second
 
-// forgetAfter is the number of half-lives after which counts are dropped at once: what is left of them by then
-// changes no limit.
-const forgetAfter = 20
+// resetAfter is the number of half-lives without a call after which all counts are reset to zero. By then,
+// the remaining counts are too small to change a limit.
+const resetAfter = 20
 
-// NoLimit is the limit where idling does no harm.
+// NoLimit is the result of Limit if idleness does not break connections.
 const NoLimit = time.Duration(math.MaxInt64)
 
-// Estimator holds the counts. The zero value is ready. It is not safe for concurrent use.
+// Estimator estimates the limit from its counts of attempts and breaks. The zero value is ready to use. It is
+// not safe for concurrent use.
 type Estimator struct {
-	uses, breaks [buckets]float64
-	decayedAt    time.Duration
+	uses, breaks [buckets]float64 // decayed counts by idle time
+	decayedAt    time.Duration    // the time up to which the counts have decayed
 }
 
-// bucketOf is the bucket of an idle time.
+// bucketOf returns the index of the bucket of an idle time.
 func bucketOf(idle time.Duration) int {
 	bucket := 0
 	for upper := firstBucket; idle >= upper && bucket < buckets-1; upper *= 2 {
@@ -56,9 +60,9 @@
 	return bucket
 }
 
-// decay halves the counts for each half-life that has passed.
+// decay halves the counts for each half-life that has passed since the last decay.
 func (e *Estimator) decay(now time.Duration) {
-	if now-e.decayedAt > forgetAfter*halfLife {
+	if now-e.decayedAt > resetAfter*halfLife {
 		*e = Estimator{decayedAt: now}
 		return
 	}
@@ -71,21 +75,22 @@
 	}
 }
 
-// RecordUse counts an attempt on a connection that had been idle so long; 0 stands for a new one.
+// RecordUse counts an attempt on a connection that had been idle for the given time. Zero stands for a new
+// connection.
 func (e *Estimator) RecordUse(now, idle time.Duration) {
 	e.decay(now)
 	e.uses[bucketOf(idle)]++
 }
 
-// RecordBreak counts such an attempt that found its connection broken before any byte of a response. Its RecordUse
-// came before.
+// RecordBreak counts an attempt whose connection broke before any byte of the response arrived. The attempt
+// must already have been counted by RecordUse with the same idle time.
 func (e *Estimator) RecordBreak(now, idle time.Duration) {
 	e.decay(now)
 	e.breaks[bucketOf(idle)]++
 }
 
-// Limit is the idle time from which on a connection must not be used any more. Of several candidates it is the one
-// that separates good from bad most clearly.
+// Limit returns the idle time from which on a connection must not be used again, or NoLimit. If several idle
+// times qualify, it returns the one at which the excess of breaks is most significant.
 func (e *Estimator) Limit(now time.Duration) time.Duration {
 	e.decay(now)
 	var allUses, allBreaks float64
@@ -97,7 +102,8 @@
 	usesBelow, breaksBelow := e.uses[0], e.breaks[0]
 	candidate := firstBucket
 	for i := 1; i < buckets; i++ {
-		// Without data a quarter is expected to break, so that it takes several good uses below to blame idling.
+		// The prior, one break in four attempts, requires several successful attempts after short idle times
+		// before idleness is taken for the cause.
 		expected := (breaksBelow + 1) / (usesBelow + 4)
 		uses, broken := allUses-usesBelow, allBreaks-breaksBelow
 		deviations := (broken - expected*uses) / math.Sqrt(expected*uses+1)
--- a/internal/upstream/websocket/conn.go
+++ b/internal/upstream/websocket/conn.go
@@ -12,23 +12,26 @@
 	"winghatch/internal/wsconn"
 )
 
-// maxBatch is the largest number of responses in one message of a server. A message with more ends the connection.
+// maxBatch is the maximum number of responses in one message from a server. A message with more of them ends
+// the connection.
 const maxBatch = 4096
 
-// conn is a connection and the calls on it. It accepts calls while it is being opened. The pool's mutex guards all
-// fields but pool and server, which do not change. Its goroutine is run; Pool.Close waits for it.
+// conn is a connection to a server with its calls. It accepts calls while it is still being opened. Each conn
+// has a goroutine that executes run, for which Pool.Close waits. Pool.mu guards all fields except pool and
+// server, which do not change.
 type conn struct {
 	pool      *Pool
 	server    *server
-	ws        *wsconn.Conn // nil while the connection is being opened
-	calls     map[uint64]*upstream.Call
-	pending   []*upstream.Call // calls that wait for the connection to open
-	nextID    uint64
-	removed   bool        // no longer among the server's connections
-	idleTimer *time.Timer // runs while the connection is open and has no calls; else nil
+	ws        *wsconn.Conn              // nil while the connection is being opened
+	calls     map[uint64]*upstream.Call // keyed by JSON-RPC id
+	pending   []*upstream.Call          // calls that wait for the connection to open
+	nextID    uint64                    // the id that was assigned last
+	removed   bool                      // the connection is no longer in server.conns
+	idleTimer *time.Timer               // non-nil while the connection is open and has no calls
 }
 
-// run opens the connection, sends what waits for it, reads responses until it breaks and ends the calls that are left.
+// run opens the connection, sends the calls that wait for it, reads responses until the connection ends, and
+// then ends the remaining calls.
 func (c *conn) run() {
 	defer c.pool.wg.Done()
 	ws, err := c.dial()
@@ -38,7 +41,7 @@
 	}
 	stop := context.AfterFunc(c.pool.ctx, func() { ws.Close(websocket.CodeGoingAway, "") })
 	defer stop()
-	for _, call := range c.opened(ws) {
+	for _, call := range c.markOpen(ws) {
 		if call.Waiting() {
 			c.send(ws, call)
 		}
@@ -55,8 +58,8 @@
 	return wsconn.Dial(ctx, c.server.addr, request, c.pool.options.Conn)
 }
 
-// opened makes the connection available to Pool.Send and returns the calls that waited for it.
-func (c *conn) opened(ws *wsconn.Conn) (waiting []*upstream.Call) {
+// markOpen makes the established connection available to Pool.Send and returns the calls that waited for it.
+func (c *conn) markOpen(ws *wsconn.Conn) (waiting []*upstream.Call) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	c.ws = ws
@@ -65,7 +68,7 @@
 	return waiting
 }
 
-// send queues a call on the open connection.
+// send queues a call for sending on the open connection, unless the call is cancelled.
 func (c *conn) send(ws *wsconn.Conn, call *upstream.Call) {
 	if call.Cancelled != nil && call.Cancelled() {
 		c.removeCall(call)
@@ -80,7 +83,8 @@
 	}
 }
 
-// readResponses reads until the connection ends.
+// readResponses reads and handles messages until the connection ends. It closes the connection on a message
+// that is not JSON-RPC.
 func (c *conn) readResponses(ws *wsconn.Conn) {
 	for {
 		data, err := ws.Read()
@@ -98,6 +102,8 @@
 	}
 }
 
+// handleResponse ends the call to which a response belongs. Messages that are not responses are ignored, and
+// responses without a call in progress are counted as late.
 func (c *conn) handleResponse(m *jsonrpc.Message) {
 	if m.Invalid || m.Method != "" {
 		return
@@ -114,7 +120,7 @@
 	call.Finish(parseResponse(m))
 }
 
-// removeCall takes a call off the connection. The idle timer starts when it was the last one.
+// removeCall removes a call from the connection. If it was the last one, the idle timer is started.
 func (c *conn) removeCall(call *upstream.Call) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -122,15 +128,16 @@
 	c.startIdleTimer()
 }
 
-// startIdleTimer starts the idle timer of an open connection without calls. It is also called when the connection
-// opens: otherwise one whose calls were all abandoned during the handshake would never be closed. The pool's mutex
-// is held.
+// startIdleTimer starts the idle timer if the connection is open and has no calls. It is also called when the
+// connection opens: otherwise, a connection whose calls were all abandoned during the handshake would never
+// be closed. The caller holds Pool.mu.
 func (c *conn) startIdleTimer() {
 	if len(c.calls) == 0 && !c.removed && c.ws != nil && c.idleTimer == nil {
 		c.idleTimer = time.AfterFunc(c.pool.options.IdleTimeout, c.closeIdle)
 	}
 }
 
+// closeIdle closes the connection after IdleTimeout unless it has got a call or was removed in the meantime.
 func (c *conn) closeIdle() {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -140,7 +147,8 @@
 	}
 }
 
-// remove takes the connection off its server, so that no further call is assigned to it. The pool's mutex is held.
+// remove removes the connection from its server, so that no further calls are assigned to it. The caller
+// holds Pool.mu.
 func (c *conn) remove() {
 	c.removed = true
 	s := c.server
@@ -154,7 +162,7 @@
 	}
 }
 
-// failCalls ends all calls of a connection that is gone.
+// failCalls ends all calls of a connection that was lost or could not be established.
 func (c *conn) failCalls() {
 	c.pool.mu.Lock()
 	if !c.removed {
--- a/internal/upstream/websocket/message.go
+++ b/internal/upstream/websocket/message.go
@@ -10,23 +10,24 @@
 	"winghatch/internal/upstream"
 )
 
-// cancelMessage is the notification to a server that nobody waits for a call any more. The server may drop the call
-// while it is queued; a response that comes all the same is counted as late.
+// cancelMessage returns the notification that tells a server that a call was abandoned. The server may drop
+// the call while it is queued; a response that arrives nevertheless is counted as late.
 func cancelMessage(id uint64) []byte {
 	params := `{"id":` + strconv.FormatUint(id, 10) + `}`
 	return jsonrpc.AppendCall(nil, "", "cancel", []byte(params))
 }
 
-// response is a server's result object. An error object may carry the load alone, in its data.
+// response is the result object of a server's response. The data of an error object has the same form, but
+// only its load is used.
 type response struct {
-	Units   float64           `json:"units"`
-	Metered int               `json:"metered"`
+	Units   float64           `json:"units"`   // actual cost of the request; 0: not reported
+	Metered int               `json:"metered"` // see upstream.Result.ReportedUsage; 0: not reported
 	Load    decide.LoadReport `json:"load"`
 	Body    json.RawMessage   `json:"body"`
 }
 
-// parseResponse reads a server's response. A malformed one ends its call as decide.OutcomeError, because the work may
-// have run.
+// parseResponse parses a server's response. A malformed response gives decide.OutcomeError, because the
+// server may have run the request.
 func parseResponse(m *jsonrpc.Message) upstream.Result {
 	if m.Err != nil {
 		return parseError(m.Err)
@@ -48,6 +49,7 @@
 	}
 }
 
+// parseError returns the result of a call that the server answered with an error object.
 func parseError(e *jsonrpc.Error) upstream.Result {
 	result := upstream.Result{Outcome: decide.OutcomeError}
 	if e.Code == jsonrpc.CodeServerFull {
@@ -60,6 +62,7 @@
 	return result
 }
 
+// setMember sets the field for one member of the result object. Unknown members are ignored.
 func (r *response) setMember(name string, value json.RawMessage) error {
 	switch name {
 	case "units":
@@ -77,12 +80,13 @@
 	return nil
 }
 
-// parseNumber reads a JSON number, or null as no change. Parse has checked that the value is well formed.
-func parseNumber(to *float64, value json.RawMessage) error {
+// parseNumber stores a JSON number in dst; null leaves dst unchanged. jsonrpc.Parse has already checked that
+// value is valid JSON.
+func parseNumber(dst *float64, value json.RawMessage) error {
 	if string(value) == "null" {
 		return nil
 	}
 	x, err := strconv.ParseFloat(string(value), 64)
-	*to = x
+	*dst = x
 	return err
 }
--- a/internal/upstream/websocket/pool.go
+++ b/internal/upstream/websocket/pool.go
@@ -1,13 +1,15 @@
-// Package websocket carries calls to servers over a pool of WebSocket connections with JSON-RPC 2.0, many calls on
-// each connection. It chooses no server and decides nothing.
+// Package websocket implements a pool of WebSocket connections that sends calls to servers as JSON-RPC 2.0
+// requests, with many concurrent calls on each connection. It does not select servers and does not retry
+// calls; package decide does both.
 //
-// The outcome of each call is exact, because the core decides by it whether a retry could run the work twice:
-//   - decide.OutcomeConnectFailed: no byte of the call was written;
-//   - decide.OutcomeRejected: the server rejected the call without looking at it;
-//   - decide.OutcomeReset: the connection broke after a byte may have been written;
+// The outcome of each call is exact, because the core decides by it whether a retry could run the request
+// twice:
+//   - decide.OutcomeConnectFailed: no byte of the call was written.
+//   - decide.OutcomeRejected: the server rejected the call without executing it.
+//   - decide.OutcomeReset: the connection broke after a byte of the call may have been written.
 //   - decide.OutcomeNotDispatched: the call was cancelled before it was written.
 //
-// The connection of a call is in its TransportState, the call's JSON-RPC id on that connection in its ID.
+// The TransportState of a call is its connection, and its ID is its JSON-RPC id on that connection.
 package websocket
 
 import (
@@ -24,37 +26,47 @@
 // protocol is the WebSocket subprotocol between gateways, servers and the discovery service.
 const protocol = "jsonrpc"
 
-// Options bound a pool.
+// Options configure a Pool.
 type Options struct {
+	// ConnectTimeout limits the time for connecting, including the WebSocket handshake. When it passes, the
+	// calls that wait for the connection end with decide.OutcomeConnectFailed.
 	ConnectTimeout time.Duration
-	MaxConns       int            // connections to one server
-	CallsPerConn   int            // concurrent calls on a connection before another one is opened
-	IdleTimeout    time.Duration  // a connection without calls is closed after this
-	PingInterval   time.Duration  // see wsconn.PingIdle; 0: no pings
-	Conn           wsconn.Options // of each connection
-	Path           string         // of the upgrade request; empty: "/"
+	// MaxConns is the maximum number of connections to one server. The first connection is always opened.
+	MaxConns int
+	// CallsPerConn is the number of concurrent calls on each connection to a server from which on another
+	// connection is opened. With MaxConns connections, further calls share them.
+	CallsPerConn int
+	// IdleTimeout is the time without calls after which a connection is closed.
+	IdleTimeout time.Duration
+	// PingInterval is the interval of pings, see wsconn.PingIdle. Zero disables pings.
+	PingInterval time.Duration
+	// Conn are the options of each connection.
+	Conn wsconn.Options
+	// Path is the path of the upgrade request. Empty means "/".
+	Path string
 }
 
-// Pool holds the connections to all servers. It is safe for concurrent use.
+// Pool holds the connections to all servers. Create it with New. It is safe for concurrent use.
 type Pool struct {
 	options       Options
-	mu            sync.Mutex         // guards servers and the fields of conn
-	servers       map[string]*server // by address; a server without connections is not in it
+	mu            sync.Mutex         // guards servers and the fields of each conn
+	servers       map[string]*server // servers with at least one connection, keyed by address
 	lateResponses atomic.Int64
-	wg            sync.WaitGroup // one goroutine a connection, and the one that pings
+	wg            sync.WaitGroup // counts the goroutine of each connection and the one that sends pings
 	ctx           context.Context
 	cancel        context.CancelFunc
 }
 
+// server holds the connections to one server.
 type server struct {
-	addr  string
+	addr  string // host:port
 	conns []*conn
 }
 
-// defaultPath is the path of the upgrade request.
+// defaultPath is the path of the upgrade request if Options.Path is empty.
 const defaultPath = "/"
 
-// New returns an empty pool. Close ends the goroutines that it starts.
+// New returns a pool without connections. The caller must call Close to stop the goroutines of the pool.
 func New(o Options) *Pool {
 	if o.Path == "" {
 		o.Path = defaultPath
@@ -71,7 +83,8 @@
 	return p
 }
 
-// Send starts a call. It does not block.
+// Send starts a call to the server at the address call.Server. It does not block. It calls call.Done exactly
+// once, possibly before it returns, unless Abandon ends the call first.
 func (p *Pool) Send(call *upstream.Call) {
 	p.mu.Lock()
 	c := p.assign(call)
@@ -85,7 +98,8 @@
 	}
 }
 
-// assign gives a call a connection and an id on it, and opens a connection if none has room. p.mu is held.
+// assign assigns a call to a connection, gives it an id there, and returns the connection. It opens a new
+// connection if pickConn returns none. The caller holds p.mu.
 func (p *Pool) assign(call *upstream.Call) *conn {
 	s := p.servers[call.Server]
 	if s == nil {
@@ -109,8 +123,8 @@
 	return c
 }
 
-// pickConn returns the connection with the fewest calls, or nil if another one should be opened. The pool's mutex is
-// held.
+// pickConn returns the connection with the fewest calls, or nil if a new connection should be opened. The
+// caller holds Pool.mu.
 func (s *server) pickConn(o Options) *conn {
 	var best *conn
 	for _, c := range s.conns {
@@ -124,7 +138,8 @@
 	return best
 }
 
-// Abandon ends a call without a result; see upstream.Call. If the call was sent, its server gets a cancel message.
+// Abandon ends a call without a result and reports whether it may have run, see upstream.Call.Abandon. If the
+// call was sent, Abandon sends a cancel notification to its server.
 func (p *Pool) Abandon(call *upstream.Call) upstream.AbandonResult {
 	result := call.Abandon()
 	if result == upstream.AlreadyEnded {
@@ -141,7 +156,7 @@
 	return result
 }
 
-// CloseIdle closes the connections to a server that carry no call.
+// CloseIdle closes all established connections to the server at an address that carry no call.
 func (p *Pool) CloseIdle(addr string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -157,7 +172,7 @@
 	}
 }
 
-// Conns is the number of connections that are open or being opened.
+// Conns returns the number of connections that are open or being opened.
 func (p *Pool) Conns() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -167,16 +182,18 @@
 	return n
 }
 
-// LateResponses is the number of responses to calls that had ended.
+// LateResponses returns the number of responses that arrived for calls that had already ended or were
+// unknown.
 func (p *Pool) LateResponses() int64 { return p.lateResponses.Load() }
 
-// Close closes all connections and waits for their goroutines. Open calls end as those of a broken connection.
+// Close closes all connections and waits for the goroutines of the pool to return. Calls in progress end as
+// if their connections had broken.
 func (p *Pool) Close() {
 	p.cancel()
 	p.wg.Wait()
 }
 
-// openConns returns the connections whose handshake is done.
+// openConns returns the connections that have completed the handshake.
 func (p *Pool) openConns() (out []*wsconn.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
