--- a/internal/upstream/http/attempt_test.go
+++ b/internal/upstream/http/attempt_test.go
@@ -13,9 +13,10 @@
 	"winghatch/internal/upstream"
 )
 
-// Attempts were given up just as their responses came. Closing a connection with the pool's lock held waited for its
-// reader, which waited for the lock: the gateway made no progress any more.
-func TestAttemptsGivenUpAsTheirAnswersCome(t *testing.T) {
+// Guards against a deadlock when attempts are abandoned while their responses arrive. Closing a connection
+// with the pool's lock held waited for the reader of the connection, which in turn waited for the lock, and
+// the gateway made no further progress.
+func TestAbandonDuringResponseDoesNotDeadlock(t *testing.T) {
 	addr := startServer(t, func(nc net.Conn, r *bufio.Reader) {
 		for {
 			txn, err := readRequest(r)
@@ -32,101 +33,105 @@
 		defer close(done)
 		for i := range 20000 {
 			c, _ := newAttempt("a", fmt.Sprint(i))
-			over := make(chan struct{})
+			attemptDone := make(chan struct{})
 			c.Done = func(upstream.Result) {
 				ended.Add(1)
-				close(over)
+				close(attemptDone)
 			}
 			p.Send(c)
 			if i%2 == 0 {
 				for range i % 97 {
-					p.Conns.Load() // about as long as an answer takes
+					p.Conns.Load() // the loop takes up to about as long as a response
 				}
 				if p.Abandon(c) != upstream.AlreadyEnded {
 					continue
 				}
 			}
-			<-over
+			<-attemptDone
 		}
 	}()
 	select {
 	case <-done:
 	case <-time.After(60 * time.Second):
-		t.Fatal("the pool stands still")
+		t.Fatal("the attempts did not finish within 60 s, the pool is probably deadlocked")
 	}
 	if ended.Load() < 10000 {
-		t.Errorf("%d attempts ended, want those that were not given up: 10000", ended.Load())
+		t.Errorf("%d attempts ended, want at least the 10000 that were not abandoned", ended.Load())
 	}
 }
 
-// A server that stops reading holds up a large attempt. Given up then, it has not run: its last byte was never
-// written.
-func TestAnAttemptGivenUpHalfWrittenNeverLeft(t *testing.T) {
-	got := make(chan struct{})
+// Guards against reporting a partly written attempt as one that may have run, which would prevent its retry.
+// A large attempt is blocked because the server does not read, and is then abandoned: its last byte was never
+// written, so it cannot have run.
+func TestAbandonedPartialWriteIsNotSent(t *testing.T) {
+	connected := make(chan struct{})
 	addr := startServer(t, func(net.Conn, *bufio.Reader) {
-		close(got)
+		close(connected)
 		<-t.Context().Done()
 	})
 	p := newPool(t, Options{}, Server{ID: "a", Addr: addr})
 	call, _ := newAttempt("a", "1")
 	call.Params = append([]byte("POST / HTTP/1.1\r\nContent-Length: 33554432\r\n\r\n"), make([]byte, 32<<20)...)
 	p.Send(call)
-	<-got
-	if given := p.Abandon(call); given != upstream.NotSent {
-		t.Errorf("given up: %v, want %v", given, upstream.NotSent)
+	<-connected
+	if result := p.Abandon(call); result != upstream.NotSent {
+		t.Errorf("Abandon returned %v, want %v", result, upstream.NotSent)
 	}
 }
 
-// A connection took long to come up. Meanwhile the attempt's deadline or deduplication window passed, or its client
-// left. Written now, a repeat would run a second time, or the server would work for nobody.
-func TestAnAttemptThatIsLateAtItsWrite(t *testing.T) {
+// Guards against writing an attempt that was cancelled while it waited for its connection. If its
+// deduplication window has passed, the server could run a repeated request a second time; if its deadline has
+// passed or its client has disconnected, the server would work in vain.
+func TestCancelledAttemptIsNotWritten(t *testing.T) {
 	addr, open := slowListener(t)
 	p := newPool(t, Options{DialTimeout: time.Minute}, Server{ID: "a", Addr: addr})
-	var late atomic.Bool
+	var cancelled atomic.Bool
 	call, ch := newAttempt("a", "late")
-	call.Cancelled = late.Load
+	call.Cancelled = cancelled.Load
 	p.Send(call)
-	late.Store(true)
-	came := make(chan string, 10)
+	cancelled.Store(true)
+	received := make(chan string, 10)
 	open(func(nc net.Conn) {
 		for r := bufio.NewReader(nc); ; {
 			txn, err := readRequest(r)
 			if err != nil {
 				return
 			}
-			came <- txn
+			received <- txn
 			io.WriteString(nc, okHead+"\r\nhi")
 		}
 	})
 	if got := waitResult(t, ch); got.Outcome != decide.OutcomeNotDispatched {
 		t.Errorf("outcome %v, want %v", got.Outcome, decide.OutcomeNotDispatched)
 	}
-	// The connection is kept for the next attempt, whose bytes are built at the write.
+	// The connection is kept for the next attempt, whose content comes from BuildParams.
 	call, ch = newAttempt("a", "next")
 	next := call.Params
 	call.Params, call.BuildParams = nil, func() []byte { return next }
 	p.Send(call)
 	if got := waitResult(t, ch); got.Outcome != decide.OutcomeOK {
-		t.Errorf("the next: outcome %v, want %v", got.Outcome, decide.OutcomeOK)
+		t.Errorf("next attempt: outcome %v, want %v", got.Outcome, decide.OutcomeOK)
 	}
-	if txn := <-came; txn != "next" || len(came) > 0 {
-		t.Errorf("the server got %q, want the next alone", txn)
+	if txn := <-received; txn != "next" || len(received) > 0 {
+		t.Errorf("the server received %q first, want \"next\" and nothing else", txn)
 	}
 	if n := p.Dials.Load(); n != 1 {
 		t.Errorf("%d connections were opened, want 1", n)
 	}
 	time.Sleep(reuseDelay)
-	call, ch = newAttempt("a", "rests") // on the connection that is idle now
-	call.Cancelled = late.Load
+	call, ch = newAttempt("a", "idle") // would use the connection that is idle now
+	call.Cancelled = cancelled.Load
 	p.Send(call)
-	if got := waitResult(t, ch); got.Outcome != decide.OutcomeNotDispatched || len(came) > 0 {
-		t.Errorf("outcome %v with %d at the server, want %v and none", got.Outcome, len(came), decide.OutcomeNotDispatched)
+	if got := waitResult(t, ch); got.Outcome != decide.OutcomeNotDispatched || len(received) > 0 {
+		t.Errorf("on an idle connection: outcome %v and %d received requests, want %v and none",
+			got.Outcome, len(received), decide.OutcomeNotDispatched)
 	}
 }
 
-// A large body waited in a full buffer until its client had left. The attempt cannot run before its last byte, so it
-// is checked again before that byte.
-func TestAnAttemptThatIsLateBeforeItsLastByte(t *testing.T) {
+// Guards against completing a large attempt whose client disconnected while the rest of the body waited for a
+// full send buffer to drain. The attempt cannot run before its last byte, so the pool checks again before
+// that byte whether the attempt was cancelled.
+func TestCancelledAttemptStopsBeforeLastByte(t *testing.T) {
 	begin := make(chan struct{})
 	ended := make(chan error, 1)
 	addr := startServer(t, func(_ net.Conn, r *bufio.Reader) {
@@ -135,25 +140,25 @@
 		ended <- err
 	})
 	p := newPool(t, Options{}, Server{ID: "a", Addr: addr})
-	var late atomic.Bool
+	var cancelled atomic.Bool
 	call, ch := newAttempt("a", "1")
 	head := "POST / HTTP/1.1\r\nX-Txn: 1\r\nContent-Length: 33554432\r\n\r\n"
 	call.Params = append([]byte(head), make([]byte, 32<<20)...)
-	call.Cancelled = late.Load
+	call.Cancelled = cancelled.Load
 	p.Send(call)
 	for {
 		p.mu.Lock()
-		written := false
-		for k := range p.conns {
-			written = k.writing
+		inRemainder := false
+		for c := range p.conns {
+			inRemainder = c.writing
 		}
 		p.mu.Unlock()
-		if written {
+		if inRemainder {
 			break
 		}
 		time.Sleep(time.Millisecond)
 	}
-	late.Store(true)
+	cancelled.Store(true)
 	close(begin)
 	if got := waitResult(t, ch); got.Outcome != decide.OutcomeNotDispatched {
 		t.Errorf("outcome %v, want %v", got.Outcome, decide.OutcomeNotDispatched)
--- a/internal/upstream/http/conn_test.go
+++ b/internal/upstream/http/conn_test.go
@@ -12,9 +12,9 @@
 	"winghatch/internal/upstream"
 )
 
-// Another server, or another incarnation of the same one, may listen at an address that is known already. It must get
-// no attempt on a connection to the former one.
-func TestServerReplacedAtItsAddress(t *testing.T) {
+// Guards against sending an attempt for a new server, or for a new incarnation of a server, on a connection
+// to the previous one. This could happen because both listen at the same address.
+func TestReplacedServerGetsNoOldConnection(t *testing.T) {
 	var conns atomic.Int64
 	addr := startServer(t, func(nc net.Conn, r *bufio.Reader) {
 		conns.Add(1)
@@ -26,35 +26,35 @@
 		}
 	})
 	p := newPool(t, Options{}, Server{ID: "old", Addr: addr})
-	use := func(server string) decide.Outcome {
+	send := func(server string) decide.Outcome {
 		call, ch := newAttempt(server, "1")
 		p.Send(call)
 		return waitResult(t, ch).Outcome
 	}
-	use("old")
+	send("old")
 	time.Sleep(reuseDelay)
-	use("old")
+	send("old")
 	if n := conns.Load(); n != 1 {
 		t.Errorf("%d connections for two requests, want 1", n)
 	}
-	time.Sleep(reuseDelay) // the idle connection could be used now
+	time.Sleep(reuseDelay) // from here on, the idle connection may be reused
 	p.Update([]Server{{ID: "new", Addr: addr}}, true)
-	if got := use("old"); got != decide.OutcomeConnectFailed {
-		t.Errorf("a server that is gone: outcome %v, want %v", got, decide.OutcomeConnectFailed)
+	if got := send("old"); got != decide.OutcomeConnectFailed {
+		t.Errorf("attempt for a removed server: outcome %v, want %v", got, decide.OutcomeConnectFailed)
 	}
-	if use("new"); conns.Load() != 2 {
-		t.Errorf("the new server got a connection of the old one's")
+	if send("new"); conns.Load() != 2 {
+		t.Errorf("the new server got an attempt on a connection to the old one")
 	}
 	time.Sleep(reuseDelay)
 	p.Update([]Server{{ID: "new", Addr: addr, Incarnation: 5}}, false)
-	if use("new"); conns.Load() != 3 {
-		t.Errorf("a server that started anew got a connection of its former incarnation")
+	if send("new"); conns.Load() != 3 {
+		t.Errorf("a restarted server got an attempt on a connection to its previous incarnation")
 	}
 }
 
-// A server that drains gets no new attempts. One that was waiting for its connection when the drain was announced
-// must not be written later.
-func TestDrainToldWhileAnAttemptConnects(t *testing.T) {
+// Guards against new attempts on a draining server. An attempt that was waiting for its connection when the
+// drain was announced must not be written once the connection is established.
+func TestDrainDuringDialEndsAttempt(t *testing.T) {
 	addr := fullListener(t) // dialing takes longer than the test
 	p := newPool(t, Options{DialTimeout: 30 * time.Second}, Server{ID: "a", Addr: addr})
 	call, ch := newAttempt("a", "1")
@@ -66,12 +66,13 @@
 	call, ch = newAttempt("a", "2")
 	p.Send(call)
 	if got := waitResult(t, ch); got.Outcome != decide.OutcomeConnectFailed {
-		t.Errorf("a new attempt: outcome %v, want %v", got.Outcome, decide.OutcomeConnectFailed)
+		t.Errorf("attempt after the drain: outcome %v, want %v", got.Outcome, decide.OutcomeConnectFailed)
 	}
 }
 
-// A server that accepts no connection must not hold an attempt until its deadline.
-func TestConnectingIsBoundedInTime(t *testing.T) {
+// Guards against an attempt that waits until its deadline for a server that accepts no connections. The dial
+// has to fail after DialTimeout, while there is time for another server.
+func TestDialTimeoutEndsAttempt(t *testing.T) {
 	p := newPool(t, Options{DialTimeout: 50 * time.Millisecond}, Server{ID: "a", Addr: fullListener(t)})
 	call, ch := newAttempt("a", "1")
 	p.Send(call)
@@ -80,8 +81,10 @@
 	}
 }
 
-// At MaxConns the longest idle connection is closed for a new one; with none idle the attempt ends as never sent.
-func TestConnectionsAreBoundedOverAllServers(t *testing.T) {
+// Guards against more than MaxConns connections to all servers together. At the limit, the connection that
+// has been idle longest is closed in favour of a new one; if none is idle, the attempt ends with
+// OutcomeConnectFailed.
+func TestMaxConnsAppliesToAllServersTogether(t *testing.T) {
 	hold := make(chan struct{})
 	addr := startResponder(t, func(nc net.Conn, txn string) {
 		if txn == "hold" {
@@ -95,7 +98,8 @@
 		call, ch := newAttempt(server, "1")
 		p.Send(call)
 		if got := waitResult(t, ch); got.Outcome != decide.OutcomeOK || p.Conns.Load() > 2 {
-			t.Errorf("%s: outcome %v with %d connections", server, got.Outcome, p.Conns.Load())
+			t.Errorf("server %s: outcome %v with %d connections, want OutcomeOK with at most 2",
+				server, got.Outcome, p.Conns.Load())
 		}
 	}
 	var held []chan upstream.Result
@@ -107,12 +111,12 @@
 	call, ch := newAttempt("c", "1")
 	p.Send(call)
 	if got := waitResult(t, ch); got.Outcome != decide.OutcomeConnectFailed {
-		t.Errorf("over the bound: outcome %v, want %v", got.Outcome, decide.OutcomeConnectFailed)
+		t.Errorf("beyond MaxConns: outcome %v, want %v", got.Outcome, decide.OutcomeConnectFailed)
 	}
 	close(hold)
 	for _, ch := range held {
 		if got := waitResult(t, ch); got.Outcome != decide.OutcomeOK {
-			t.Errorf("held: outcome %v, want %v", got.Outcome, decide.OutcomeOK)
+			t.Errorf("attempt with a delayed response: outcome %v, want %v", got.Outcome, decide.OutcomeOK)
 		}
 	}
 }
--- a/internal/upstream/http/idle_test.go
+++ b/internal/upstream/http/idle_test.go
@@ -14,8 +14,8 @@
 	"winghatch/decide"
 )
 
-// A server closes a connection while it is idle. The next attempt must not be lost to that.
-func TestAnIdleCloseLosesNoAttempt(t *testing.T) {
+// Guards against losing an attempt because the server has closed the idle connection on which it is sent.
+func TestIdleCloseByServerLosesNoAttempt(t *testing.T) {
 	closed := make(chan struct{}, 1)
 	addr := startServer(t, func(nc net.Conn, r *bufio.Reader) {
 		readRequest(r)
@@ -34,18 +34,18 @@
 	}
 }
 
-// A server sends its response twice. The copy must not be taken for the response to the next attempt on the
-// connection.
-func TestWhatComesBehindAnAnswerReachesNoOtherRequest(t *testing.T) {
-	for name, late := range map[string]bool{"at once": false, "later": true} {
+// Guards against taking the second copy of a response for the response to the next attempt on the connection.
+// A faulty server sends each response twice, in one write or in two.
+func TestDuplicateResponseIsDropped(t *testing.T) {
+	for name, separate := range map[string]bool{"in one write": false, "in two writes": true} {
 		sent := make(chan struct{}, 100)
 		addr := startResponder(t, func(nc net.Conn, txn string) {
-			a := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(txn), txn)
-			if !late {
-				io.WriteString(nc, a+a)
+			response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(txn), txn)
+			if !separate {
+				io.WriteString(nc, response+response)
 			} else {
-				io.WriteString(nc, a)
-				io.WriteString(nc, a)
+				io.WriteString(nc, response)
+				io.WriteString(nc, response)
 			}
 			sent <- struct{}{}
 		})
@@ -55,20 +55,20 @@
 			call, ch := newAttempt("a", txn)
 			p.Send(call)
 			if got := waitResult(t, ch); got.Outcome == decide.OutcomeOK && string(got.Body) != txn {
-				t.Fatalf("%s: %q was answered %q", name, txn, got.Body)
+				t.Fatalf("%s: attempt %q got the response %q", name, txn, got.Body)
 			}
-			<-sent // the copy is sent before the next attempt is
+			<-sent // the server has sent the copy before the next attempt
 		}
 	}
 }
 
-// A server sends a second response some milliseconds after the first, and the next attempt was written while it was
-// on its way: that attempt was answered with the former one's response. A second
-// response that the test's server itself wrote later than that, as the machine did not let it run, tells nothing, and
-// its round is played again.
-func TestASecondAnswerOnItsWayReachesNoOtherRequest(t *testing.T) {
-	const late, flight = 8 * time.Millisecond, 6 * time.Millisecond
-	const toleratedDelay = 25 * time.Millisecond // a second response that is later than this may reach another request
+// Guards against taking a delayed second response for the response to the next attempt. A faulty server sends
+// a second response some milliseconds after the first; the next attempt was written in the meantime and ended
+// with that response. If the test's server was not scheduled and wrote the second response later than
+// toleratedDelay, the round proves nothing and is repeated.
+func TestDelayedDuplicateResponseIsDropped(t *testing.T) {
+	const quietTime, writeDelay = 8 * time.Millisecond, 6 * time.Millisecond
+	const toleratedDelay = 25 * time.Millisecond // a later second response may reach the next attempt
 	var mu sync.Mutex
 	delays := map[string]time.Duration{} // from the first response to the second, by txn
 	addr := startServer(t, func(nc net.Conn, r *bufio.Reader) {
@@ -80,13 +80,13 @@
 			text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(txn), txn)
 			first := time.Now()
 			io.WriteString(nc, text)
-			nc.SetReadDeadline(time.Now().Add(late))
+			nc.SetReadDeadline(time.Now().Add(quietTime))
 			_, err = r.Peek(1)
 			nc.SetReadDeadline(time.Time{})
 			if !errors.Is(err, os.ErrDeadlineExceeded) {
-				continue // the next request waits on the connection
+				continue // the next request has arrived, so there is no second response
 			}
-			time.Sleep(flight)
+			time.Sleep(writeDelay)
 			mu.Lock()
 			io.WriteString(nc, text)
 			delays[txn] = time.Since(first)
@@ -94,16 +94,16 @@
 		}
 	})
 	p := newPool(t, Options{}, Server{ID: "a", Addr: addr})
-	const rounds, maxPlayed = 40, 400
-	for round, played := 0, 0; round < rounds; played++ {
-		if played == maxPlayed {
-			t.Fatalf("%d of %d rounds within %d", round, rounds, maxPlayed)
+	const rounds, maxTries = 40, 400
+	for round, tries := 0, 0; round < rounds; tries++ {
+		if tries == maxTries {
+			t.Fatalf("%d of %d rounds succeeded within %d tries", round, rounds, maxTries)
 		}
-		txn := fmt.Sprint("t", played)
+		txn := fmt.Sprint("t", tries)
 		c, ch := newAttempt("a", txn)
 		p.Send(c)
 		r := waitResult(t, ch)
-		time.Sleep(late + flight/2)
+		time.Sleep(quietTime + writeDelay/2)
 		if r.Outcome == decide.OutcomeOK && string(r.Body) == txn {
 			round++
 			continue
@@ -112,16 +112,16 @@
 		delay := delays[string(r.Body)]
 		mu.Unlock()
 		if r.Outcome != decide.OutcomeOK || delay < toleratedDelay {
-			t.Fatalf("attempt %s ended as %d with %q, whose second response was written %v behind its first, want its own response",
+			t.Fatalf("attempt %s: outcome %d, response %q (its copy followed after %v), want its own response",
 				txn, r.Outcome, r.Body, delay)
 		}
-		t.Logf("attempt %s got %q, whose second response was written %v behind its first", txn, r.Body, delay)
+		t.Logf("attempt %s: repeating the round, the copy of response %q followed after %v", txn, r.Body, delay)
 	}
 }
 
-// A process that is held up does not close idle connections in time, and servers may have forgotten them. One that
-// was idle for longer than the timeout must not be used, though the sweep has not run.
-func TestAConnectionThatRestedTooLongIsNotUsed(t *testing.T) {
+// Guards against the use of a connection that has been idle for longer than IdleTimeout. A process that was
+// stalled has not closed such connections yet, and the servers may have dropped them in the meantime.
+func TestExpiredIdleConnectionIsNotUsed(t *testing.T) {
 	addr := startServer(t, func(nc net.Conn, r *bufio.Reader) {
 		for {
 			if _, err := readRequest(r); err != nil {
@@ -137,17 +137,18 @@
 		waitResult(t, ch)
 		p.mu.Lock()
 		for k := range p.conns {
-			k.idleSince = k.idleSince.Add(-2 * time.Hour) // as after a hold-up: the sweep has not run
+			k.idleSince = k.idleSince.Add(-2 * time.Hour) // as after a stall in which the sweep did not run
 		}
 		p.mu.Unlock()
 	}
 	if n := p.Dials.Load(); n != 2 {
-		t.Errorf("%d connections for two attempts two hours apart, want 2", n)
+		t.Errorf("%d connections were dialed for two attempts that are two hours apart, want 2", n)
 	}
 }
 
-// A connection that both sides close at once may lose an attempt, so the pool closes idle ones first.
-func TestRestingConnectionsAreClosedBeforeTheServerDoes(t *testing.T) {
+// Guards against idle connections that stay open until the server closes them. An attempt may be lost on a
+// connection that the server closes at the same time, so the pool has to close it first.
+func TestIdleConnectionIsClosedAfterTimeout(t *testing.T) {
 	ended := make(chan struct{}, 1)
 	addr := startServer(t, func(nc net.Conn, r *bufio.Reader) {
 		readRequest(r)
@@ -162,6 +163,6 @@
 	select {
 	case <-ended:
 	case <-time.After(10 * time.Second):
-		t.Error("the connection was not closed")
+		t.Error("the idle connection was not closed within 10 s")
 	}
 }
--- a/internal/upstream/http/response_test.go
+++ b/internal/upstream/http/response_test.go
@@ -12,14 +12,15 @@
 	"winghatch/internal/upstream"
 )
 
-// A wrong outcome makes the core repeat an attempt that ran, or give up one that did not.
-func TestOutcomesAreTrue(t *testing.T) {
-	shut, err := net.Listen("tcp", "127.0.0.1:0")
+// Guards against wrong outcomes of attempts. They make the core retry an attempt that has run, or give up on
+// one that has not.
+func TestOutcomeOfEachResponse(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	refused := shut.Addr().String()
-	shut.Close()
+	closedAddr := ln.Addr().String()
+	ln.Close()
 	send := func(text string) string {
 		return startResponder(t, func(nc net.Conn, _ string) { io.WriteString(nc, text) })
 	}
@@ -40,23 +41,23 @@
 		name, addr string
 		want       upstream.Result
 	}{
-		{"served", send(okHead + "\r\nhi"), ok},
-		{"figures", send(okHead + "X-Quota-Used: 85\r\nX-Units-Charged: 3\r\nX-Pressure: inflight=7,util=0.5\r\n\r\nhi"),
+		{"status 200", send(okHead + "\r\nhi"), ok},
+		{"valid figures", send(okHead + "X-Quota-Used: 85\r\nX-Units-Charged: 3\r\nX-Pressure: inflight=7,util=0.5\r\n\r\nhi"),
 			okWithFigures},
-		{"figures that can't be read", send(okHead + "X-Quota-Used: -3\r\nX-Units-Charged: many\r\n" +
+		{"malformed figures", send(okHead + "X-Quota-Used: -3\r\nX-Units-Charged: many\r\n" +
 			"X-Pressure: a=b;;\r\n\r\nhi"), ok},
-		{"units beyond the most", send(okHead + "X-Units-Charged: 9000\r\n\r\nhi"), ok},
-		{"interim answers", send("HTTP/1.1 103 E\r\n\r\n" + okHead + "\r\nhi"), ok},
-		{"error", send("HTTP/1.1 500 E\r\n" + empty), failed},
-		{"turned away", send("HTTP/1.1 503 E\r\nX-Turned-Away: 1\r\n" + empty), rejected},
-		{"503 without the mark", send("HTTP/1.1 503 E\r\n" + empty), failed},
-		{"another status", send("HTTP/1.1 404 E\r\n" + empty), failed},
-		{"noise", send("\x01\x02\x03\r\n\r\n"), failed},
-		{"3 GB", send("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx"), failed},
+		{"more units than MaxUnits", send(okHead + "X-Units-Charged: 9000\r\n\r\nhi"), ok},
+		{"interim response", send("HTTP/1.1 103 E\r\n\r\n" + okHead + "\r\nhi"), ok},
+		{"status 500", send("HTTP/1.1 500 E\r\n" + empty), failed},
+		{"rejected with 503", send("HTTP/1.1 503 E\r\nX-Turned-Away: 1\r\n" + empty), rejected},
+		{"503 without X-Turned-Away", send("HTTP/1.1 503 E\r\n" + empty), failed},
+		{"status 404", send("HTTP/1.1 404 E\r\n" + empty), failed},
+		{"not HTTP", send("\x01\x02\x03\r\n\r\n"), failed},
+		{"body of 3 GB", send("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx"), failed},
 		{"endless head", send("HTTP/1.1 200 OK\r\n" + strings.Repeat("X: yyyyyyyyyyyyyyyyyyyyyyyy\r\n", 1000)), failed},
-		{"break after the last byte", sendAndClose(""), reset},
-		{"break within the answer", sendAndClose(okHead + "\r\nh"), reset},
-		{"refused", refused, upstream.Result{Outcome: decide.OutcomeConnectFailed}},
+		{"connection closed before the response", sendAndClose(""), reset},
+		{"connection closed within the response", sendAndClose(okHead + "\r\nh"), reset},
+		{"connection refused", closedAddr, upstream.Result{Outcome: decide.OutcomeConnectFailed}},
 	} {
 		p := newPool(t, Options{MaxUnits: 8}, Server{ID: "a", Addr: c.addr})
 		call, ch := newAttempt("a", "1")
@@ -67,9 +68,10 @@
 	}
 }
 
-// A response without a length ends with its connection. Where that is reset instead, the attempt may have run but the
-// response is not complete. Long ones are read up to MaxBodyBytes, and all together up to MaxTotalBodyBytes.
-func TestAnswersUpToTheEnd(t *testing.T) {
+// Guards against wrong outcomes of responses without a length, which end with their connection. If the
+// connection is reset instead, the response is incomplete, and the attempt may have run. A response is read
+// up to MaxBodyBytes, and all responses together up to MaxTotalBodyBytes.
+func TestResponseWithoutLength(t *testing.T) {
 	long := strings.Repeat("a", 200<<10)
 	addr := startResponder(t, func(nc net.Conn, txn string) {
 		defer nc.Close()
@@ -104,18 +106,19 @@
 		call, ch := newAttempt("a", c.txn)
 		p.Send(call)
 		if got := waitResult(t, ch); got.Outcome != c.want || string(got.Body) != c.body {
-			t.Errorf("%s: outcome %v and %d bytes, want %v and %d", c.txn, got.Outcome, len(got.Body), c.want, len(c.body))
+			t.Errorf("%s: outcome %v and %d bytes, want %v and %d",
+				c.txn, got.Outcome, len(got.Body), c.want, len(c.body))
 		}
 	}
 	for end := time.Now().Add(10 * time.Second); p.bodyBytes.Load() != 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d bytes of answers are still counted", p.bodyBytes.Load())
+			t.Fatalf("%d bytes of bodies are still counted after all responses, want 0", p.bodyBytes.Load())
 		}
 	}
 	p.opts.MaxTotalBodyBytes = 100 << 10
 	call, ch := newAttempt("a", "long")
 	p.Send(call)
 	if got := waitResult(t, ch); got.Outcome != decide.OutcomeError {
-		t.Errorf("beyond the sum: outcome %v, want %v", got.Outcome, decide.OutcomeError)
+		t.Errorf("beyond MaxTotalBodyBytes: outcome %v, want %v", got.Outcome, decide.OutcomeError)
 	}
 }
--- a/internal/upstream/http/server_test.go
+++ b/internal/upstream/http/server_test.go
@@ -14,13 +14,14 @@
 	"winghatch/internal/upstream"
 )
 
-// startServer runs a server until the test ends and returns its address; serve has each connection to itself.
+// startServer starts a server that runs until the test ends and returns its address. The server calls serve
+// for each connection in a goroutine of its own.
 func startServer(t *testing.T, serve func(nc net.Conn, r *bufio.Reader)) string {
 	t.Helper()
 	return tcpserver.Start(t, func(nc net.Conn) { serve(nc, bufio.NewReader(nc)) })
 }
 
-// readRequest reads one request with its body and returns its X-Txn.
+// readRequest reads one request including its body and returns the value of its X-Txn field.
 func readRequest(r *bufio.Reader) (txn string, err error) {
 	length := 0
 	for {
@@ -40,7 +41,7 @@
 	}
 }
 
-// startResponder runs a server that reads each request whole and then calls respond.
+// startResponder starts a server that reads each request completely and then calls respond.
 func startResponder(t *testing.T, respond func(nc net.Conn, txn string)) string {
 	t.Helper()
 	return startServer(t, func(nc net.Conn, r *bufio.Reader) {
@@ -54,11 +55,12 @@
 	})
 }
 
-// okHead is a response head up to further fields and the empty line; its body has two bytes.
+// okHead is the beginning of a response with a body of two bytes. Further fields and the empty line may
+// follow it.
 const okHead = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n"
 
-// slowListener returns an address where connections are established only after open is called: until then its accept
-// queue is full.
+// slowListener returns the address of a listener whose accept queue is full, so that connections are
+// established only after open is called.
 func slowListener(t *testing.T) (addr string, open func(serve func(nc net.Conn))) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -70,7 +72,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw.Control(func(fd uintptr) { err = syscall.Listen(int(fd), 0) }) // from here on a queue of one
+	// The accept queue now has room for one connection.
+	raw.Control(func(fd uintptr) { err = syscall.Listen(int(fd), 0) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,7 +102,8 @@
 	}
 }
 
-// fullListener returns an address where no connection is established: its accept queue is full.
+// fullListener returns the address of a listener whose accept queue is full, so that no connection is
+// established.
 func fullListener(t *testing.T) string {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -127,8 +131,8 @@
 	}
 }
 
-// newPool makes a pool of the servers given and closes it when the test ends. Zero options take values that bound
-// nothing in these tests.
+// newPool returns a pool with the given servers and closes it when the test ends. Options that are zero are
+// replaced by values that the tests do not reach.
 func newPool(t *testing.T, o Options, servers ...Server) *Pool {
 	t.Helper()
 	if o.DialTimeout == 0 {
@@ -154,13 +158,14 @@
 		select {
 		case <-done:
 		case <-time.After(10 * time.Second):
-			t.Error("the pool does not end")
+			t.Error("Pool.Close did not return within 10 s")
 		}
 	})
 	return p
 }
 
-// newAttempt returns an attempt and the channel of its result; a second result would show there too.
+// newAttempt returns an attempt and the channel that receives its result. The channel has room for a second
+// result, so that a test can detect one.
 func newAttempt(server, txn string) (*upstream.Call, chan upstream.Result) {
 	results := make(chan upstream.Result, 2)
 	return &upstream.Call{
@@ -176,7 +181,7 @@
 	case r := <-ch:
 		return r
 	case <-time.After(10 * time.Second):
-		t.Fatal("no end of the attempt within 10 s")
+		t.Fatal("the attempt did not end within 10 s")
 		return upstream.Result{}
 	}
 }
--- a/internal/upstream/websocket/pool_test.go
+++ b/internal/upstream/websocket/pool_test.go
@@ -19,34 +19,40 @@
 	"winghatch/internal/wsconn"
 )
 
+// testOptions returns options whose limits the tests do not reach.
 func testOptions() Options {
 	return Options{ConnectTimeout: 2 * time.Second, MaxConns: 2, CallsPerConn: 1000, IdleTimeout: time.Minute,
 		Conn: wsconn.Options{WriteTimeout: 5 * time.Second}}
 }
 
+// send sends a call and returns it with the channel that receives its result. The channel has room for a
+// second result, so that a test can detect one.
 func send(p *Pool, addr, params string) (*upstream.Call, chan upstream.Result) {
-	got := make(chan upstream.Result, 2)
-	c := &upstream.Call{Server: addr, Method: "m", Params: []byte(params), Done: func(r upstream.Result) { got <- r }}
+	results := make(chan upstream.Result, 2)
+	c := &upstream.Call{Server: addr, Method: "m", Params: []byte(params),
+		Done: func(r upstream.Result) { results <- r }}
 	p.Send(c)
-	return c, got
+	return c, results
 }
 
-func want(t *testing.T, got chan upstream.Result, o decide.Outcome) upstream.Result {
+// waitOutcome waits for a result, which must have the outcome want, and returns it.
+func waitOutcome(t *testing.T, results chan upstream.Result, want decide.Outcome) upstream.Result {
 	t.Helper()
 	select {
-	case r := <-got:
-		if r.Outcome != o {
-			t.Fatalf("outcome %d, want %d", r.Outcome, o)
+	case r := <-results:
+		if r.Outcome != want {
+			t.Fatalf("outcome %d, want %d", r.Outcome, want)
 		}
 		return r
 	case <-time.After(20 * time.Second):
-		t.Fatalf("no outcome, want %d", o)
+		t.Fatalf("no result within 20 s, want outcome %d", want)
 	}
 	return upstream.Result{}
 }
 
-// startServer accepts connections and calls f for each after its handshake.
-func startServer(t *testing.T, f func(net.Conn, *bufio.Reader)) string {
+// startServer starts a server that calls serve for each connection after its handshake, and returns its
+// address.
+func startServer(t *testing.T, serve func(net.Conn, *bufio.Reader)) string {
 	t.Helper()
 	return tcpserver.Start(t, func(nc net.Conn) {
 		br := bufio.NewReader(nc)
@@ -55,54 +61,56 @@
 			return
 		}
 		nc.Write(u.Accept(protocol))
-		f(nc, br)
+		serve(nc, br)
 	})
 }
 
-// responseFrame is a frame with the response to the call with an id.
+// responseFrame returns a frame with the response to the call with the given id.
 func responseFrame(id int) []byte {
 	result := `{"units":2,"metered":3,"load":{"queue":1},"body":7}`
 	message := fmt.Appendf(nil, `{"jsonrpc":"2.0","result":%s,"id":%d}`, result, id)
 	return websocket.AppendFrame(nil, true, websocket.Text, message, nil)
 }
 
-// TestCutInAnswer: the server breaks the connection at some byte of its response. The call ends as Reset unless the
-// whole response has come, and it ends once.
-func TestCutInAnswer(t *testing.T) {
-	whole := responseFrame(1)
-	for at := 0; at <= len(whole); at += 7 {
-		if at+7 > len(whole) {
-			at = len(whole)
+// TestConnectionBreaksDuringResponse guards against wrong outcomes, and against two results of one call, when
+// a server closes the connection within its response. The call ends with OutcomeReset unless the response is
+// complete.
+func TestConnectionBreaksDuringResponse(t *testing.T) {
+	frame := responseFrame(1)
+	for length := 0; length <= len(frame); length += 7 {
+		if length+7 > len(frame) {
+			length = len(frame)
 		}
 		addr := startServer(t, func(nc net.Conn, br *bufio.Reader) {
 			r := websocket.NewReader(br, websocket.Server, 1<<20)
 			if _, err := r.Next(); err == nil {
-				nc.Write(whole[:at])
+				nc.Write(frame[:length])
 			}
 		})
 		p := New(testOptions())
-		_, got := send(p, addr, `{}`)
-		if at < len(whole) {
-			want(t, got, decide.OutcomeReset)
+		_, results := send(p, addr, `{}`)
+		if length < len(frame) {
+			waitOutcome(t, results, decide.OutcomeReset)
 		} else {
-			r := want(t, got, decide.OutcomeOK)
+			r := waitOutcome(t, results, decide.OutcomeOK)
 			if r.ActualUnits != 2 || r.ReportedUsage != 3 || r.LoadReport["queue"] != 1 || string(r.Body) != "7" {
-				t.Errorf("%+v", r)
+				t.Errorf("result %+v, want 2 units, usage 3, queue 1 and body 7", r)
 			}
 		}
 		p.Close()
-		if len(got) != 0 {
-			t.Fatal("a call ended twice")
+		if len(results) != 0 {
+			t.Fatal("a call got two results")
 		}
 	}
 }
 
-// TestCutBeforeRead: a connection breaks while some calls are written and others wait in the queue, because the server
-// reads nothing. A call ends as Reset if a byte of it may have been written and as ConnectFailed only if none was: no
-// call that the server received ends as ConnectFailed, as the core would run it again.
-func TestCutBeforeRead(t *testing.T) {
+// TestConnectionBreaksWithQueuedCalls guards against a call that the server received and that ends with
+// OutcomeConnectFailed: the core would run it a second time. The server reads nothing, and the connection
+// breaks while some calls were written and others still wait in the send queue. A call ends with OutcomeReset
+// if a byte of it may have been written, and with OutcomeConnectFailed only if none was.
+func TestConnectionBreaksWithQueuedCalls(t *testing.T) {
 	var mu sync.Mutex
-	got := map[string]bool{}
+	received := map[string]bool{} // keyed by the "n" member of the params
 	cut := make(chan struct{})
 	addr := startServer(t, func(nc net.Conn, br *bufio.Reader) {
 		nc.(*net.TCPConn).SetReadBuffer(4 << 10)
@@ -115,7 +123,7 @@
 				return
 			}
 			mu.Lock()
-			got[string(m.Data[strings.Index(string(m.Data), `"n":`):][:10])] = true
+			received[string(m.Data[strings.Index(string(m.Data), `"n":`):][:10])] = true
 			mu.Unlock()
 		}
 	})
@@ -125,33 +133,33 @@
 	p := New(o)
 	defer p.Close()
 	pad := strings.Repeat("x", 20_000)
-	var outs []chan upstream.Result
+	var results []chan upstream.Result
 	for i := range 600 {
 		_, ch := send(p, addr, fmt.Sprintf(`{"n":%06d,"pad":"%s"}`, i, pad))
-		outs = append(outs, ch)
+		results = append(results, ch)
 		if i == 0 {
-			until(t, "connected", func() bool { return p.connected(addr) == 1 })
+			waitUntil(t, "the connection is open", func() bool { return p.connectedTo(addr) == 1 })
 		}
 	}
 	close(cut)
 	count := map[decide.Outcome]int{}
-	for i, ch := range outs {
+	for i, ch := range results {
 		r := <-ch
 		count[r.Outcome]++
 		mu.Lock()
-		arrived := got[fmt.Sprintf(`"n":%06d`, i)]
+		arrived := received[fmt.Sprintf(`"n":%06d`, i)]
 		mu.Unlock()
 		if arrived && r.Outcome != decide.OutcomeReset {
-			t.Fatalf("call %d arrived and has outcome %d", i, r.Outcome)
+			t.Fatalf("call %d was received by the server and has outcome %d, want OutcomeReset", i, r.Outcome)
 		}
 	}
 	if count[decide.OutcomeReset] == 0 || count[decide.OutcomeConnectFailed] == 0 || len(count) != 2 {
-		t.Errorf("outcomes %v, want some of each", count)
+		t.Errorf("calls by outcome: %v, want some OutcomeReset and some OutcomeConnectFailed alone", count)
 	}
 }
 
-// connected is the number of connections to a server whose handshake is done.
-func (p *Pool) connected(addr string) (n int) {
+// connectedTo returns the number of connections to a server that have completed the handshake.
+func (p *Pool) connectedTo(addr string) (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if s := p.servers[addr]; s != nil {
@@ -164,14 +172,15 @@
 	return n
 }
 
-// TestNoConnection calls servers that do not listen, that never answer the handshake, and that reject it. Every call
-// ends as ConnectFailed, and the pool keeps no connection.
-func TestNoConnection(t *testing.T) {
+// TestFailedHandshakeEndsCalls guards against calls that hang, or that appear to have run, when no connection
+// can be established: the server does not listen, never answers the handshake, or rejects it. Every call ends
+// with OutcomeConnectFailed, and the pool keeps no connection.
+func TestFailedHandshakeEndsCalls(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	silent := ln.Addr().String() // connections stay in its backlog
+	silent := ln.Addr().String() // connections stay in the accept queue
 	defer ln.Close()
 	closed, _ := net.Listen("tcp", "127.0.0.1:0")
 	closed.Close()
@@ -193,23 +202,24 @@
 	defer p.Close()
 	for _, addr := range []string{silent, closed.Addr().String(), rejecting.Addr().String()} {
 		for range 3 {
-			_, got := send(p, addr, `{}`)
-			want(t, got, decide.OutcomeConnectFailed)
+			_, results := send(p, addr, `{}`)
+			waitOutcome(t, results, decide.OutcomeConnectFailed)
 		}
 	}
-	until(t, "none is left", func() bool { return p.Conns() == 0 })
+	waitUntil(t, "the pool has no connections", func() bool { return p.Conns() == 0 })
 }
 
-// TestAbandon abandons a call that was sent, one that waits for its connection, and one that has ended. The response to
-// an abandoned call is counted as late.
+// TestAbandon guards against wrong results of Abandon, by which the core decides whether a retry could run a
+// request twice: for a call that was sent, for one that waits for its connection, and for one that has ended.
+// The response to an abandoned call is counted as late.
 func TestAbandon(t *testing.T) {
-	first := make(chan struct{})
+	received := make(chan struct{})
 	addr := startServer(t, func(nc net.Conn, br *bufio.Reader) {
 		r := websocket.NewReader(br, websocket.Server, 1<<20)
 		if _, err := r.Next(); err != nil {
 			return
 		}
-		close(first)
+		close(received)
 		for {
 			m, err := r.Next()
 			if err != nil {
@@ -222,72 +232,74 @@
 	})
 	p := New(testOptions())
 	defer p.Close()
-	c, got := send(p, addr, `{}`)
-	<-first
-	if g := p.Abandon(c); g != upstream.MayHaveRun {
-		t.Errorf("abandoning a sent call: %d", g)
+	sent, sentResults := send(p, addr, `{}`)
+	<-received
+	if result := p.Abandon(sent); result != upstream.MayHaveRun {
+		t.Errorf("abandoning a sent call returned %d, want MayHaveRun", result)
 	}
-	until(t, "a late answer is counted", func() bool { return p.LateResponses() > 0 })
+	waitUntil(t, "the late response is counted", func() bool { return p.LateResponses() > 0 })
 	ln, _ := net.Listen("tcp", "127.0.0.1:0")
 	defer ln.Close()
-	c2, got2 := send(p, ln.Addr().String(), `{}`)
-	if g := p.Abandon(c2); g != upstream.NotSent {
-		t.Errorf("abandoning a call that waits for its connection: %d", g)
+	waiting, waitingResults := send(p, ln.Addr().String(), `{}`)
+	if result := p.Abandon(waiting); result != upstream.NotSent {
+		t.Errorf("abandoning a call that waits for its connection returned %d, want NotSent", result)
 	}
-	if g := p.Abandon(c2); g != upstream.AlreadyEnded {
-		t.Errorf("abandoning it again: %d", g)
+	if result := p.Abandon(waiting); result != upstream.AlreadyEnded {
+		t.Errorf("abandoning the same call again returned %d, want AlreadyEnded", result)
 	}
-	if len(got)+len(got2) > 0 {
-		t.Error("an abandoned call has an outcome")
+	if len(sentResults)+len(waitingResults) > 0 {
+		t.Error("an abandoned call got a result")
 	}
 }
 
-// TestNode sends calls to an emulated server: many at once on few connections, then with faults. Idle connections are
-// closed; one that carries a call is not.
-func TestNode(t *testing.T) {
+// TestCallsToEmulatedServer guards against lost or mixed-up responses of many concurrent calls on few
+// connections, against wrong outcomes when the server fails, and against idle connections that stay open. A
+// connection that carries a call must not be closed as idle.
+func TestCallsToEmulatedServer(t *testing.T) {
 	log := invariant.NewLog(nil)
-	n, err := backend.Start(backend.Options{Address: "127.0.0.1:0", Log: log, Cores: 4, Speed: 1, Queue: 1000,
+	server, err := backend.Start(backend.Options{Address: "127.0.0.1:0", Log: log, Cores: 4, Speed: 1, Queue: 1000,
 		Classes: map[string]backend.Class{"m": {MeanWork: 100 * time.Microsecond}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer n.Stop()
+	defer server.Stop()
 	o := testOptions()
 	o.CallsPerConn, o.MaxConns, o.IdleTimeout = 10, 3, 20*time.Millisecond
 	p := New(o)
 	defer p.Close()
-	var outs []chan upstream.Result
+	var results []chan upstream.Result
 	for i := range 500 {
-		_, ch := send(p, n.Addr(), fmt.Sprintf(`{"request":"r%d","units":2}`, i))
-		outs = append(outs, ch)
+		_, ch := send(p, server.Addr(), fmt.Sprintf(`{"request":"r%d","units":2}`, i))
+		results = append(results, ch)
 	}
-	for _, ch := range outs {
-		if r := want(t, ch, decide.OutcomeOK); r.ActualUnits != 2 {
-			t.Fatalf("%+v", r)
+	for _, ch := range results {
+		if r := waitOutcome(t, ch, decide.OutcomeOK); r.ActualUnits != 2 {
+			t.Fatalf("result %+v, want 2 units", r)
 		}
 	}
-	n.SetFault(func(x *backend.Fault) { x.ErrorShare = 1 })
-	_, ch := send(p, n.Addr(), `{"request":"e"}`)
-	want(t, ch, decide.OutcomeError)
-	until(t, "idle ones are closed", func() bool { return p.Conns() == 0 })
-	n.SetFault(func(x *backend.Fault) { x.ErrorShare, x.Unresponsive = 0, true })
-	_, ch = send(p, n.Addr(), `{"request":"s"}`)
-	until(t, "the call arrived", func() bool {
+	server.SetFault(func(f *backend.Fault) { f.ErrorShare = 1 })
+	_, ch := send(p, server.Addr(), `{"request":"e"}`)
+	waitOutcome(t, ch, decide.OutcomeError)
+	waitUntil(t, "the idle connections are closed", func() bool { return p.Conns() == 0 })
+	server.SetFault(func(f *backend.Fault) { f.ErrorShare, f.Unresponsive = 0, true })
+	_, ch = send(p, server.Addr(), `{"request":"s"}`)
+	waitUntil(t, "the server has received the call", func() bool {
 		return slices.ContainsFunc(log.Records(), func(r invariant.Record) bool {
 			return r.Kind == invariant.Received && r.Request == "s"
 		})
 	})
-	p.CloseIdle(n.Addr())
+	p.CloseIdle(server.Addr())
 	if p.Conns() != 1 {
 		t.Error("a connection with a call was closed as idle")
 	}
-	n.Stop()
-	want(t, ch, decide.OutcomeReset)
+	server.Stop()
+	waitOutcome(t, ch, decide.OutcomeReset)
 }
 
-// TestIdleFromTheStart: every call of a connection is abandoned during its handshake. The connection carried no call,
-// so no last call starts its idle timer; it is closed as idle all the same.
-func TestIdleFromTheStart(t *testing.T) {
+// TestConnectionWithoutCallsIsClosed guards against a connection that is never closed because all of its
+// calls were abandoned during the handshake: then no call ends on the open connection and starts the idle
+// timer.
+func TestConnectionWithoutCallsIsClosed(t *testing.T) {
 	handshake := make(chan struct{})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -296,8 +308,8 @@
 	defer ln.Close()
 	go wsconn.Serve(ln, func(nc net.Conn) {
 		<-handshake
-		if l, err := wsconn.Accept(nc, protocol, 5*time.Second, nil, wsconn.Options{}); err == nil {
-			l.Read()
+		if ws, err := wsconn.Accept(nc, protocol, 5*time.Second, nil, wsconn.Options{}); err == nil {
+			ws.Read()
 		}
 	})
 	o := testOptions()
@@ -306,18 +318,19 @@
 	defer p.Close()
 	c, _ := send(p, ln.Addr().String(), `{}`)
 	if p.Abandon(c) != upstream.NotSent {
-		t.Fatal("a byte left before the handshake")
+		t.Fatal("a call was marked as sent before the handshake")
 	}
 	close(handshake)
-	until(t, "the connection is closed", func() bool { return p.Conns() == 0 })
+	waitUntil(t, "the connection is closed", func() bool { return p.Conns() == 0 })
 }
 
-func until(t *testing.T, what string, f func() bool) {
+// waitUntil waits until a condition holds and fails the test after 20 s.
+func waitUntil(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if f() {
+		if holds() {
 			return
 		}
 	}
-	t.Fatal("never: " + what)
+	t.Fatal("condition not met within 20 s: " + condition)
 }
