--- a/internal/discovery/http/call.go
+++ b/internal/discovery/http/call.go
@@ -14,18 +14,19 @@
 )
 
 const (
-	readBufferBytes = 4 << 10
+	readBufferBytes = 4 << 10 // also limits the length of a line in a response head
 	maxHeadBytes    = 8 << 10
 )
 
-// query is what a call asks discovery for: the full list, or what is newer than a version. For the latter discovery
-// waits until there is something, but no longer than wait.
+// query is a request for the full list, or for the changes since a version. In the latter case, discovery
+// waits for a change before it responds, but not for longer than wait (long poll).
 type query struct {
 	full bool
-	from uint64
-	wait time.Duration
+	from uint64        // the version; unused if full is true
+	wait time.Duration // maximum duration of the long poll; unused if full is true
 }
 
+// path returns the request target of the query.
 func (q query) path() string {
 	if q.full {
 		return "/registry/instances"
@@ -34,19 +35,19 @@
 		"&hold_ms=" + strconv.FormatInt(q.wait.Milliseconds(), 10)
 }
 
-// call is one query under way, on a connection of its own.
+// call is one query in progress, on a connection of its own.
 type call struct {
 	query
-	cancel context.CancelFunc // ends it and its connection
+	cancel context.CancelFunc // ends the call and closes its connection
 }
 
-// result is how a call ended.
+// result describes how a call ended. Either list or err is set.
 type result struct {
 	call   *call
 	list   *List
-	errors entryErrors // beside the list
-	err    error
-	conn   *conn // for the next call; nil: it is closed
+	errors entryErrors // the invalid targets in the list
+	err    error       // why the call failed; nil if it succeeded
+	conn   *conn       // the open connection, which the next call may use; nil if it was closed
 }
 
 // conn is a connection to discovery.
@@ -55,8 +56,10 @@
 	reader *http1.Reader
 }
 
+// dial connects to discovery at the address host:port.
 func dial(ctx context.Context, addr string) (*conn, error) {
-	nc, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", addr) // no probes: callTimeout bounds each call
+	// No keep-alive probes are needed, because callTimeout limits each call.
+	nc, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
@@ -65,8 +68,8 @@
 	return &conn{nc, http1.NewReader(bufio.NewReaderSize(nc, readBufferBytes), limits)}, nil
 }
 
-// execute carries out a call on a connection, or on a new one if it is nil. The context ends the call and its
-// connection.
+// execute makes a call on the connection cn, or on a new connection if cn is nil. When the context ends, so
+// does the call, and the connection is closed.
 func execute(ctx context.Context, addr string, c *call, cn *conn) result {
 	r := result{call: c}
 	if cn == nil {
@@ -85,18 +88,19 @@
 	return r
 }
 
-// fetch makes one request; last says that the connection ends with the response.
-func (c *conn) fetch(path string) (list *List, bad entryErrors, last bool, err error) {
+// fetch sends one request and reads the response. last reports whether the connection cannot be used for
+// another request.
+func (c *conn) fetch(path string) (list *List, invalid entryErrors, last bool, err error) {
 	if _, err = c.nc.Write([]byte("GET " + path + " HTTP/1.1\r\nHost: service.internal\r\n\r\n")); err != nil {
-		return nil, bad, true, err
+		return nil, invalid, true, err
 	}
 	response, body, err := c.reader.StreamResponse()
 	if err != nil {
-		return nil, bad, true, err
+		return nil, invalid, true, err
 	}
 	if response.Status != http.StatusOK {
-		return nil, bad, true, fmt.Errorf("discovery: %s: status %d, want 200", path, response.Status)
+		return nil, invalid, true, fmt.Errorf("discovery: %s: status %d, want 200", path, response.Status)
 	}
-	list, bad, err = decode(body)
-	return list, bad, response.Close, err
+	list, invalid, err = decode(body)
+	return list, invalid, response.Close, err
 }
--- a/internal/discovery/http/decode.go
+++ b/internal/discovery/http/decode.go
@@ -7,18 +7,19 @@
 	"io"
 )
 
-// maxEntryBytes bounds one target, and the white space between two.
+// maxEntryBytes limits the length of one target together with the white space before it.
 const maxEntryBytes = 64 << 10
 
-// errTrailing says that something follows a list where only white space may.
-var errTrailing = errors.New("discovery: bytes after the list")
+// errTrailing reports bytes other than white space after a list.
+var errTrailing = errors.New("discovery: unexpected bytes after the endpoint list")
 
-// entryErrors are the targets of a list that cannot be used.
+// entryErrors collects the errors of the invalid targets in a list.
 type entryErrors struct {
-	n     int
-	first error
+	n     int   // number of invalid targets
+	first error // error of the first one; nil if n is 0
 }
 
+// add records the error of the target with the given index.
 func (e *entryErrors) add(index int, err error) {
 	e.n++
 	if e.n == 1 {
@@ -26,8 +27,10 @@
 	}
 }
 
-// decode reads a list one target at a time, so that neither its size nor indentation costs memory. A target that
-// cannot be used in part must not hide the others: it is restricted, and counted in the entryErrors beside the list.
+// decode reads a list from a response body. It decodes one target at a time, so that memory is needed neither
+// for the encoded list nor for its indentation. An invalid target must not hide the others, so it does not
+// make decode fail: it is sanitized (see Target.sanitize) and counted in the entryErrors that are returned
+// with the list.
 func decode(body io.Reader) (*List, entryErrors, error) {
 	d := decoder{json: json.NewDecoder(&entryLimitReader{r: body}), list: &List{}, index: map[string]int{}}
 	if err := d.decodeList(); err != nil {
@@ -37,27 +40,30 @@
 		return nil, d.errors, errTrailing
 	}
 	if d.list.Full && !d.hasTargets {
-		return nil, d.errors, fmt.Errorf("discovery: rev %d is a full list without targets", d.list.Rev)
+		return nil, d.errors, fmt.Errorf("discovery: rev %d: full list has no field \"targets\"", d.list.Rev)
 	}
 	return d.list, d.errors, nil
 }
 
+// decoder decodes one list.
 type decoder struct {
 	json       *json.Decoder
 	list       *List
-	index      map[string]int // of a UID in list.Targets
-	hasTargets bool           // the list has the field, maybe without any
+	index      map[string]int // index in list.Targets, keyed by UID
+	hasTargets bool           // the field "targets" is present, possibly empty
 	errors     entryErrors
 }
 
+// expectDelim reads the next token, which must be the given delimiter.
 func (d *decoder) expectDelim(want json.Delim) error {
 	token, err := d.json.Token()
 	if err == nil && token != want {
-		err = fmt.Errorf("discovery: %v, want %v", token, want)
+		err = fmt.Errorf("discovery: endpoint list: got %v, want %v", token, want)
 	}
 	return err
 }
 
+// decodeList reads the object of the list. Unknown fields are ignored.
 func (d *decoder) decodeList() error {
 	if err := d.expectDelim('{'); err != nil {
 		return err
@@ -85,6 +91,7 @@
 	return d.expectDelim('}')
 }
 
+// decodeTargets reads the value of the field "targets". Targets without a usable UID are omitted.
 func (d *decoder) decodeTargets() error {
 	d.hasTargets = true
 	switch token, err := d.json.Token(); {
@@ -93,7 +100,7 @@
 	case token == nil: // null means no targets
 		return nil
 	case token != json.Delim('['):
-		return fmt.Errorf("discovery: targets begin with %v, want a list", token)
+		return fmt.Errorf("discovery: targets: got %v, want an array", token)
 	}
 	for d.json.More() {
 		t, err := d.decodeTarget()
@@ -110,7 +117,8 @@
 	return d.expectDelim(']')
 }
 
-// decodeTarget reads a target. An error means that the list cannot be read any further.
+// decodeTarget reads one target. If the target is invalid, decodeTarget records the error and sanitizes the
+// target. It returns an error only if the rest of the list cannot be read.
 func (d *decoder) decodeTarget() (Target, error) {
 	var t Target
 	err := d.json.Decode(&t)
@@ -119,21 +127,22 @@
 		return t, err
 	}
 	if wrongType != nil && wrongType.Field == "boot_ms" {
-		t.BootMS = bootUnknown
+		t.BootMS = bootMSUnknown
 	}
 	if err == nil {
-		err = t.check()
+		err = t.validate()
 	}
 	if err != nil {
 		d.errors.add(len(d.list.Targets), err)
-		t.restrict()
+		t.sanitize()
 	}
 	return t, nil
 }
 
-// add adds a target; of two with the same name the later one counts.
+// add adds a target to the list. If the list already has a target with the same UID, the new one replaces it.
+// It returns an error if the list has too many targets.
 func (d *decoder) add(t Target) error {
-	if i, twice := d.index[t.UID]; twice {
+	if i, exists := d.index[t.UID]; exists {
 		d.list.Targets[i] = t
 		return nil
 	}
@@ -145,13 +154,14 @@
 	return nil
 }
 
-// entryLimitReader fails once more than maxEntryBytes arrived without the end of a JSON object: an entry that never
-// ends must not fill the memory. A list without end is bounded by maxTargets and callTimeout.
+// entryLimitReader fails when more than maxEntryBytes have been read without the end of a JSON object, so
+// that an endless entry cannot exhaust the memory. An endless list is limited by maxTargets and callTimeout.
 type entryLimitReader struct {
 	r        io.Reader
-	sinceEnd int // bytes
+	sinceEnd int // bytes since the last '}'
 }
 
+// Read implements io.Reader.
 func (l *entryLimitReader) Read(b []byte) (int, error) {
 	n, err := l.r.Read(b)
 	for _, c := range b[:n] {
@@ -161,7 +171,7 @@
 		}
 	}
 	if l.sinceEnd > maxEntryBytes {
-		return n, errors.New("discovery: an entry without end")
+		return n, errors.New("discovery: entry in the endpoint list is longer than 64 KiB")
 	}
 	return n, err
 }
--- a/internal/discovery/http/follower.go
+++ b/internal/discovery/http/follower.go
@@ -9,38 +9,42 @@
 )
 
 const (
-	callTimeout     = 10 * time.Second // of one call, its connection included
-	maxCalls        = 4                // at once
+	callTimeout     = 10 * time.Second // limit on one call, including the connection setup
+	maxCalls        = 4                // maximum number of concurrent calls
 	maxRetryBackoff = 400 * time.Millisecond
-	// resumeWait is the long poll of a call that only asks what was missed.
+	// resumeWait is the long poll duration of a call that requests missed changes. It is short, because
+	// missed changes are available at once.
 	resumeWait   = 100 * time.Millisecond
-	warnInterval = 5 * time.Second // between two warnings of an outage
+	warnInterval = 5 * time.Second // minimum interval between two warnings during an outage
 )
 
-// follower is the state of a watch, owned by the goroutine of Watch.Run. Each call runs in a goroutine of its own,
-// which ends with a result, at callTimeout or by its cancel; close waits for all of them.
+// follower is the state of a Watch while it runs. It belongs to the goroutine that executes Watch.Run. Each
+// call runs in a goroutine of its own, which ends when the call has a result, after callTimeout, or when the
+// call is cancelled. close waits for all of these goroutines.
 //
-// A slow discovery is not a silent one: a call that takes long stays open while others are made beside it, and the
-// first complete response ends the others. After a failure the changes since the last version are asked for; only if
-// that fails as well the full list is, as its size is most of what following costs.
+// Discovery may be slow rather than unresponsive. A call that takes long therefore stays in flight while
+// hedged calls are made, and the first complete response cancels all other calls. After a failure, the first
+// call requests the changes since the last known version. Only if that fails too is the full list requested,
+// because its size accounts for most of the cost of following the list.
 type follower struct {
 	opts Options
 	ctx  context.Context
-	addr string
+	addr string // host:port of discovery
 
-	synced     bool // a list was received from addr
-	rev        uint64
-	answeredAt time.Time     // when the last response arrived
-	retries    int           // calls made since then, beyond the one that it led to
-	backoff    time.Duration // after the next failure
-	warnedAt   time.Time     // zero: not since the last response
+	synced      bool          // a list was received from addr
+	rev         uint64        // version of the last list
+	respondedAt time.Time     // when the last valid response arrived
+	retries     int           // calls since then, not counting the one that was made on that response
+	backoff     time.Duration // pause after the next failure
+	warnedAt    time.Time     // last warning; the zero time if there was none since the last valid response
 
-	nextCall *time.Timer // for a call beside those in flight, or after a failure
-	inFlight []*call     // the oldest first
+	nextCall *time.Timer // fires when a hedged call, or a retry after a failure, is due
+	inFlight []*call     // ordered by age with the oldest first
 	results  chan result
-	running  sync.WaitGroup // calls' goroutines
+	running  sync.WaitGroup // counts the goroutines of the calls
 }
 
+// newFollower returns a follower whose timer fires at once for the first call.
 func newFollower(ctx context.Context, o Options, addr string) *follower {
 	return &follower{
 		opts:     o,
@@ -52,14 +56,14 @@
 	}
 }
 
-// close ends all calls and waits for them; the context has ended.
+// close cancels all calls and waits for their goroutines. The context must have ended.
 func (f *follower) close() {
 	f.nextCall.Stop()
 	f.cancelAll()
 	f.running.Wait()
 }
 
-// start makes a call, on a connection if there is one.
+// start starts a call on the connection cn, or on a new connection if cn is nil.
 func (f *follower) start(q query, cn *conn) {
 	ctx, cancel := context.WithTimeout(f.ctx, callTimeout)
 	c := &call{q, cancel}
@@ -71,7 +75,8 @@
 		select {
 		case f.results <- r:
 		case <-ctx.Done():
-			// It was cancelled, or timed out; in the latter case Run still has it in flight.
+			// The call was cancelled or timed out. In the latter case it is still in inFlight and needs a
+			// result.
 			select {
 			case f.results <- result{call: c, err: ctx.Err()}:
 			case <-f.ctx.Done():
@@ -81,16 +86,17 @@
 	})
 }
 
+// closeConn closes the connection of the result, if it has one.
 func (r *result) closeConn() {
 	if r.conn != nil {
 		r.conn.nc.Close()
 	}
 }
 
-// hedge makes a call beside those that have no response yet.
+// hedge starts another call in addition to those in flight.
 func (f *follower) hedge() {
 	if len(f.inFlight) == maxCalls {
-		// The oldest call stays, as discovery may be slow; the oldest of the others is cancelled.
+		// The oldest call continues, because discovery may be slow. The second oldest is cancelled.
 		f.inFlight[1].cancel()
 		f.inFlight = slices.Delete(f.inFlight, 1, 2)
 	}
@@ -103,6 +109,7 @@
 	f.nextCall.Reset(f.opts.HedgeDelay)
 }
 
+// cancelAll cancels all calls in flight.
 func (f *follower) cancelAll() {
 	for _, c := range f.inFlight {
 		c.cancel()
@@ -110,7 +117,7 @@
 	f.inFlight = nil
 }
 
-// setAddr follows another address; the same one is asked again.
+// setAddr starts to follow another address. If the address is unchanged, it only starts another call.
 func (f *follower) setAddr(addr string) {
 	if addr != f.addr {
 		f.cancelAll()
@@ -121,22 +128,22 @@
 	f.hedge()
 }
 
-// handle takes the result of a call.
+// handle processes the result of a call.
 func (f *follower) handle(r result) {
 	i := slices.Index(f.inFlight, r.call)
-	if i < 0 { // it was cancelled
+	if i < 0 { // the call was cancelled
 		r.closeConn()
 		return
 	}
 	f.inFlight = slices.Delete(f.inFlight, i, i+1)
 	if r.errors.n > 0 {
-		f.opts.Log.Warn("Entries of the endpoint list cannot be used", "addr", f.addr,
+		f.opts.Log.Warn("Endpoint list has invalid entries", "addr", f.addr,
 			"entries", r.errors.n, "first", r.errors.first)
 	}
 	if err := f.validate(r); err != nil {
 		f.warn(err)
 		r.closeConn()
-		if len(f.inFlight) == 0 { // calls without a pause would not help a discovery that is overloaded
+		if len(f.inFlight) == 0 { // a pause, because immediate retries would add to the load of discovery
 			f.nextCall.Reset(f.backoff)
 			f.backoff = min(2*f.backoff, max(maxRetryBackoff, f.opts.RetryBackoff))
 		}
@@ -145,8 +152,8 @@
 	f.accept(r)
 }
 
-// accept takes a list and makes the next call before the list is passed on: the sooner that call is at discovery, the
-// sooner a change is known.
+// accept applies a valid result. It starts the next call before it passes the list on, because a change is
+// known the earlier the sooner that call reaches discovery.
 func (f *follower) accept(r result) {
 	f.cancelAll()
 	isNew := !f.synced || r.list.Full || r.list.Rev != f.rev || len(r.list.Targets) > 0
@@ -154,28 +161,28 @@
 	f.retries, f.backoff, f.warnedAt = 0, f.opts.RetryBackoff, time.Time{}
 	f.start(query{from: f.rev, wait: f.opts.LongPoll}, r.conn)
 	f.nextCall.Reset(f.opts.LongPoll + f.opts.ResponseGrace)
-	silence := time.Since(f.answeredAt)
-	f.answeredAt = time.Now()
+	sinceLast := time.Since(f.respondedAt)
+	f.respondedAt = time.Now()
 	if isNew {
-		f.opts.OnList(r.list, silence)
+		f.opts.OnList(r.list, sinceLast)
 	}
 }
 
-// validate returns why a result cannot be used.
+// validate returns an error that states why a result cannot be used, or nil.
 func (f *follower) validate(r result) error {
 	switch {
 	case r.err != nil:
 		return r.err
 	case r.call.full && !r.list.Full:
-		return fmt.Errorf("discovery: rev %d is a change, want the full list", r.list.Rev)
+		return fmt.Errorf("discovery: rev %d: got a list of changes, want the full list", r.list.Rev)
 	case !r.list.Full && r.list.Rev < r.call.from:
-		f.synced = false // discovery was restarted: its versions began anew
-		return fmt.Errorf("discovery: rev %d after %d, want the full list", r.list.Rev, r.call.from)
+		f.synced = false // discovery was restarted and its versions begin again
+		return fmt.Errorf("discovery: got rev %d, want at least %d or the full list", r.list.Rev, r.call.from)
 	}
 	return nil
 }
 
-// warn logs a failure; a long outage is logged once each warnInterval.
+// warn logs a failed call. During a long outage, it logs one failure per warnInterval.
 func (f *follower) warn(err error) {
 	if time.Since(f.warnedAt) > warnInterval {
 		f.warnedAt = time.Now()
--- a/internal/discovery/http/list.go
+++ b/internal/discovery/http/list.go
@@ -8,7 +8,7 @@
 	upstreamhttp "winghatch/internal/upstream/http"
 )
 
-// Target is a server as discovery lists it. The keys are the protocol's.
+// Target describes a server in the list from discovery. The JSON keys are defined by the protocol.
 type Target struct {
 	UID          string  `json:"uid"`
 	Endpoint     string  `json:"endpoint"` // host:port
@@ -16,51 +16,55 @@
 	Model        string  `json:"model"`
 	Cell         int     `json:"pod_group"`
 	State        string  `json:"state"`         // ready, draining or gone
-	CapacityHint float64 `json:"capacity_hint"` // relative to other servers
-	BootMS       int64   `json:"boot_ms"`       // when it started, in Unix time; 0: long ago
+	CapacityHint float64 `json:"capacity_hint"` // weight relative to other servers
+	BootMS       int64   `json:"boot_ms"`       // start of the server, Unix time in ms; 0: long ago
 }
 
-// List is the endpoint list, or a change of it.
+// List is the endpoint list or a list of changed entries.
 type List struct {
-	Rev     uint64   `json:"rev"` // grows with each change; begins anew when discovery is restarted
-	Full    bool     `json:"all"` // the complete list: servers that it does not name are removed
+	Rev     uint64   `json:"rev"` // version; grows with each change, starts again when discovery is restarted
+	Full    bool     `json:"all"` // the list is complete: servers that are missing from it are removed
 	Targets []Target `json:"targets"`
 }
 
 const (
-	// maxTargets bounds a list. The protocol promises up to 3,200 servers, and a change may replace all of them a few
-	// times over.
+	// maxTargets limits the number of targets in a list. The protocol allows up to 3,200 servers, and a list
+	// of changes may replace all of them several times.
 	maxTargets  = 16 << 10
 	maxUIDBytes = 1 << 10
-	// bootUnknown replaces a boot_ms that cannot be read: the server started at some time that is not long ago.
-	bootUnknown = 1
+	// bootMSUnknown replaces an invalid boot_ms. It stands for an unknown start time that may be recent,
+	// whereas 0 would mean long ago.
+	bootMSUnknown = 1
 )
 
+// Values of Target.State.
 const (
 	stateReady    = "ready"
 	stateDraining = "draining"
 	stateGone     = "gone"
 )
 
+// serverStates maps Target.State to the states of the core.
 var serverStates = map[string]decide.ServerState{
 	stateReady:    decide.Serving,
 	stateDraining: decide.Draining,
 	stateGone:     decide.Removed,
 }
 
-// fieldError says which field of a target cannot be used.
+// fieldError reports a field of a target with an invalid value.
 type fieldError struct {
 	field string
 	value any
 	want  string
 }
 
+// Error implements error.
 func (e *fieldError) Error() string {
 	return fmt.Sprintf("%s is %#v, want %s", e.field, e.value, e.want)
 }
 
-// check returns a fieldError for the first field that cannot be used.
-func (t *Target) check() error {
+// validate returns a fieldError for the first field with an invalid value, or nil.
+func (t *Target) validate() error {
 	if t.UID == "" || len(t.UID) > maxUIDBytes {
 		return &fieldError{"uid", t.UID, fmt.Sprintf("1 to %d bytes", maxUIDBytes)}
 	}
@@ -79,9 +83,10 @@
 	return nil
 }
 
-// restrict makes a target that cannot be used in part one that gets no new attempts: to leave it out would hide it,
-// and the attempts that it carries. Without a usable name it is cleared.
-func (t *Target) restrict() {
+// sanitize replaces the invalid fields of a target and marks it as draining unless it is gone, so that it
+// gets no new attempts. Omitting the target would hide it together with the attempts that it is still
+// processing. A UID that is too long is cleared, which makes the decoder omit the target.
+func (t *Target) sanitize() {
 	if len(t.UID) > maxUIDBytes {
 		t.UID = ""
 	}
@@ -89,13 +94,14 @@
 		t.State = stateDraining
 	}
 	if t.BootMS < 0 {
-		t.BootMS = bootUnknown
+		t.BootMS = bootMSUnknown
 	}
 	t.CapacityHint = max(0, t.CapacityHint)
 }
 
-// Validate returns an error that names the first target and field that cannot be used. It is for a list of the
-// configuration; of discovery's list such targets are restricted.
+// Validate returns an error if the list has too many targets, or one that names the first target with an
+// invalid field or with a UID that occurs twice. It is meant for a list in the configuration. In a list from
+// discovery, invalid targets are sanitized instead.
 func (l *List) Validate() error {
 	if len(l.Targets) > maxTargets {
 		return fmt.Errorf("discovery: rev %d: %d targets, want %d at most", l.Rev, len(l.Targets), maxTargets)
@@ -103,9 +109,9 @@
 	seen := map[string]bool{}
 	for i := range l.Targets {
 		t := &l.Targets[i]
-		err := t.check()
+		err := t.validate()
 		if err == nil && seen[t.UID] {
-			err = &fieldError{"uid", t.UID, "each once"}
+			err = &fieldError{"uid", t.UID, "each uid only once"}
 		}
 		if err != nil {
 			return fmt.Errorf("discovery: rev %d: targets[%d].%w", l.Rev, i, err)
@@ -115,7 +121,7 @@
 	return nil
 }
 
-// Servers is the list for the pool of server connections.
+// Servers returns the targets in the form that the pool of upstream connections uses.
 func (l *List) Servers() []upstreamhttp.Server {
 	servers := make([]upstreamhttp.Server, 0, len(l.Targets))
 	for _, t := range l.Targets {
--- a/internal/discovery/http/starttimes.go
+++ b/internal/discovery/http/starttimes.go
@@ -6,53 +6,60 @@
 	"winghatch/decide"
 )
 
-// startRetention is how long a server that left the list is remembered: one that returns in time was not restarted.
+// startRetention is the time for which a server that has left the list is remembered. A server that returns
+// within it with the same boot_ms was not restarted.
 const startRetention = 10 * time.Minute
 
-// StartTimes estimates when servers started, on the gateway's monotonic clock, for slow start. A server's boot_ms is
-// Unix time, and wall clocks may be stepped, this machine's and a server's alike. So a boot_ms is compared with other
-// servers' only, and a server that appears while the list is followed cannot be older than the last list from
-// discovery before it.
+// StartTimes estimates the times at which servers started, on the gateway's monotonic clock. The core needs
+// them for slow start. The boot_ms of a server is Unix time, and the wall clock of this machine or of a
+// server may be stepped. Therefore, a boot_ms is compared only with the boot_ms of other servers, and a
+// server that appears while the list is followed is assumed to be no older than the previous list from
+// discovery.
 //
-// In the first list the newest start is taken for now, as none can lie ahead; the others are older by the difference
-// of their boot_ms. Where that would put more than half of the servers into slow start, the fleet started together
-// some time ago; then the wall clock decides.
+// In the first list, the most recent start is taken to be now, because no start can be in the future, and the
+// other starts are earlier by the differences of their boot_ms. If more than half of the servers would be in
+// slow start then, all servers started together some time ago, and the wall clock is used instead.
 //
-// The cost is that the ramp of a new server begins when it is first listed, some seconds late. It is not safe for
-// concurrent use.
+// As a consequence, the slow start of a new server begins when the server is first listed, some seconds late.
+//
+// StartTimes is not safe for concurrent use.
 type StartTimes struct {
 	slowStart time.Duration
 	wallClock func() time.Time
-	offset    time.Duration // Unix time less the gateway's clock is at least this, as far as servers' clocks are right
-	servers   map[string]serverStart
-	following bool // a list was received, beyond the one of the configuration
-	updates   uint64
-	forgotAt  time.Duration // when forget last ran
+	// offset is a lower bound of the difference between Unix time and the gateway's clock, provided that the
+	// clocks of the servers are correct.
+	offset   time.Duration
+	servers  map[string]serverStart // keyed by UID
+	synced   bool                   // the last list came from discovery, not from the configuration
+	updates  uint64                 // number of calls of Update
+	prunedAt time.Duration          // when prune last ran
 }
 
-// serverStart is what is known of one server's start.
+// serverStart describes the start of one server.
 type serverStart struct {
-	bootMS  int64         // as listed
-	at      time.Duration // on the gateway's clock; 0: long ago
-	namedIn uint64        // the last update that named it
-	goneAt  time.Duration // it left the list then; 0: it is listed
+	bootMS     int64         // boot_ms as listed
+	at         time.Duration // estimated start on the gateway's clock; 0: long ago
+	lastUpdate uint64        // number of the last update that listed the server
+	removedAt  time.Duration // when the server left the list; 0 while it is listed
 }
 
-// NewStartTimes returns an estimate without servers. slowStart is the length of slow start.
+// NewStartTimes returns a StartTimes without servers. slowStart is the duration of slow start.
 func NewStartTimes(slowStart time.Duration, wallClock func() time.Time) *StartTimes {
 	return &StartTimes{slowStart: slowStart, wallClock: wallClock, servers: map[string]serverStart{}}
 }
 
-// Update turns a list into the core's event. now is on the gateway's clock, silence the time since discovery last
-// answered before this list. A StaleUpdate is the list of the configuration.
-func (s *StartTimes) Update(l *List, kind decide.UpdateKind, now, silence time.Duration) decide.EndpointUpdate {
-	first := !s.following
-	s.following = kind != decide.StaleUpdate
+// Update converts a list to an event for the core and sets the start times of its servers. now is the time on
+// the gateway's clock, and sinceLast is the time between the previous response of discovery and this list.
+// The kind decide.StaleUpdate denotes the list in the configuration.
+func (s *StartTimes) Update(l *List, kind decide.UpdateKind,
+	now, sinceLast time.Duration) decide.EndpointUpdate {
+	first := !s.synced
+	s.synced = kind != decide.StaleUpdate
 	if first {
-		s.estimate(l, now)
-		silence = now // a server of the first list may have any age
+		s.initOffset(l, now)
+		sinceLast = now // the servers of the first list may have any age
 	} else {
-		s.observe(l, now)
+		s.raiseOffset(l, now)
 	}
 	s.updates++
 	servers := make([]decide.Server, 0, len(l.Targets))
@@ -64,16 +71,16 @@
 			Cell:      t.Cell,
 			Kind:      t.Model,
 			State:     serverStates[t.State],
-			StartedAt: s.startedAt(t, first, now, now-silence),
+			StartedAt: s.startedAt(t, first, now, now-sinceLast),
 			Weight:    t.CapacityHint,
 		})
 	}
-	s.forget(kind != decide.DeltaUpdate, now)
+	s.prune(kind != decide.DeltaUpdate, now)
 	return decide.EndpointUpdate{Kind: kind, Version: l.Rev, Servers: servers}
 }
 
-// observe raises the offset by a list that is followed: no start lies ahead.
-func (s *StartTimes) observe(l *List, now time.Duration) {
+// raiseOffset raises the offset so that no start in the list is in the future.
+func (s *StartTimes) raiseOffset(l *List, now time.Duration) {
 	for i := range l.Targets {
 		if boot := l.Targets[i].BootMS; boot > 0 {
 			s.offset = max(s.offset, millis(boot)-now)
@@ -81,10 +88,10 @@
 	}
 }
 
-// estimate sets the offset by a first list.
-func (s *StartTimes) estimate(l *List, now time.Duration) {
+// initOffset sets the offset from the first list.
+func (s *StartTimes) initOffset(l *List, now time.Duration) {
 	s.offset = -now
-	s.observe(l, now)
+	s.raiseOffset(l, now)
 	ready, inSlowStart := 0, 0
 	for i := range l.Targets {
 		t := &l.Targets[i]
@@ -101,44 +108,48 @@
 	}
 }
 
-// startedAt is when a server started; 0 means long ago. One that was not known is no older than earliest.
+// startedAt records and returns the start time of a server; 0 means long ago. A server that is new or was
+// restarted gets no start time before earliest. first reports whether the list is the first one from
+// discovery.
 func (s *StartTimes) startedAt(t *Target, first bool, now, earliest time.Duration) time.Duration {
-	known, isKnown := s.servers[t.UID]
-	start := serverStart{bootMS: t.BootMS, namedIn: s.updates}
+	previous, isKnown := s.servers[t.UID]
+	start := serverStart{bootMS: t.BootMS, lastUpdate: s.updates}
 	if t.State == stateGone {
-		start.goneAt = now
+		start.removedAt = now
 	}
-	listed := max(1, millis(t.BootMS)-s.offset)
-	unchanged := isKnown && known.bootMS == t.BootMS
+	listedStart := max(1, millis(t.BootMS)-s.offset)
+	unchanged := isKnown && previous.bootMS == t.BootMS
 	switch {
 	case t.BootMS == 0:
 		start.at = 0
-	case unchanged && first: // known from the list of the configuration
-		start.at = min(known.at, listed)
+	case unchanged && first: // known from the list in the configuration
+		start.at = min(previous.at, listedStart)
 	case unchanged:
-		start.at = known.at
+		start.at = previous.at
 	default:
-		start.at = max(listed, earliest, known.at+1)
+		start.at = max(listedStart, earliest, previous.at+1)
 	}
 	s.servers[t.UID] = start
 	return start.at
 }
 
-// forget notes which servers a full list does not name, and drops those that left the list long ago.
-func (s *StartTimes) forget(full bool, now time.Duration) {
-	if !full && now-s.forgotAt < startRetention {
+// prune records which servers are missing from a full list and drops those that left the list more than
+// startRetention ago.
+func (s *StartTimes) prune(full bool, now time.Duration) {
+	if !full && now-s.prunedAt < startRetention {
 		return
 	}
-	s.forgotAt = now
+	s.prunedAt = now
 	for uid, start := range s.servers {
 		switch {
-		case start.goneAt > 0 && now-start.goneAt > startRetention:
+		case start.removedAt > 0 && now-start.removedAt > startRetention:
 			delete(s.servers, uid)
-		case start.goneAt == 0 && full && start.namedIn != s.updates:
-			start.goneAt = now
+		case start.removedAt == 0 && full && start.lastUpdate != s.updates:
+			start.removedAt = now
 			s.servers[uid] = start
 		}
 	}
 }
 
+// millis converts milliseconds to a Duration.
 func millis(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
