--- a/internal/discovery/http/helper_test.go
+++ b/internal/discovery/http/helper_test.go
@@ -14,20 +14,21 @@
 	"winghatch/internal/testbed/tcpserver"
 )
 
-// startAgent runs a discovery that answers each call by the next step of its script (see playScript), and is silent
-// after the last. It sends the path of each call to paths.
-func startAgent(t *testing.T, paths chan<- string, script ...string) string {
+// startDiscovery starts a discovery server that responds to each call with the next step of its script (see
+// serveScript) and not at all after the last one. It sends the request target of each call to paths. It
+// returns the address of the server.
+func startDiscovery(t *testing.T, paths chan<- string, script ...string) string {
 	t.Helper()
 	steps := make(chan string, len(script))
 	for _, step := range script {
 		steps <- step
 	}
-	return tcpserver.Start(t, func(nc net.Conn) { playScript(nc, steps, paths) })
+	return tcpserver.Start(t, func(nc net.Conn) { serveScript(nc, steps, paths) })
 }
 
-// playScript answers the calls on a connection by the next steps. A step is a list; a list with a kind of transfer
-// before it, as in "chunked LIST"; or a failure: "silence", "reset" or "hang up".
-func playScript(nc net.Conn, steps <-chan string, paths chan<- string) {
+// serveScript responds to each call on a connection with the next step. A step is a list, a list after a kind
+// of transfer, such as "chunked LIST", or a failure: "silence", "reset" or "hang up".
+func serveScript(nc net.Conn, steps <-chan string, paths chan<- string) {
 	r := bufio.NewReader(nc)
 	for {
 		q, err := http.ReadRequest(r)
@@ -43,19 +44,19 @@
 		case step = <-steps:
 		default:
 		}
-		if !playStep(nc, r, step) {
+		if !serveStep(nc, r, step) {
 			return
 		}
 	}
 }
 
-// playStep plays one step; false ends the connection.
-func playStep(nc net.Conn, r *bufio.Reader, step string) bool {
+// serveStep executes one step. It returns false if the connection is to be closed.
+func serveStep(nc net.Conn, r *bufio.Reader, step string) bool {
 	kind, text := cutKind(step)
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n", len(text))
 	switch {
 	case step == "silence":
-		r.Peek(1) // until the other side gives up
+		r.Peek(1) // waits until the client closes the connection
 		return false
 	case step == "reset":
 		nc.(*net.TCPConn).SetLinger(0)
@@ -78,7 +79,7 @@
 	return true
 }
 
-// cutKind cuts the kind of transfer off a step.
+// cutKind splits a step into the kind of transfer, which may be empty, and the rest.
 func cutKind(step string) (kind, text string) {
 	for _, kind := range []string{"chunked", "pieces", "last"} {
 		if text, ok := strings.CutPrefix(step, kind+" "); ok {
@@ -88,37 +89,38 @@
 	return "", step
 }
 
-// targetJSON and listJSON are as discovery sends them.
+// targetJSON returns a target as discovery sends it.
 func targetJSON(uid, state string) string {
 	return fmt.Sprintf(`{"uid":%q,"endpoint":"127.0.0.1:1","az":"a","model":"m","pod_group":1,"state":%q,`+
 		`"capacity_hint":1,"boot_ms":0}`, uid, state)
 }
 
+// listJSON returns a list as discovery sends it.
 func listJSON(rev int, full bool, targets ...string) string {
 	return fmt.Sprintf(`{"rev":%d,"all":%t,"targets":[%s]}`, rev, full, strings.Join(targets, ","))
 }
 
-// watched is a running watch, the lists that it took and the paths that it asked for.
-type watched struct {
+// watchHarness runs a Watch and records its lists and the request targets of its calls.
+type watchHarness struct {
 	watch *Watch
 	lists chan *List
 	paths chan string
 }
 
-func newWatched() *watched {
-	return &watched{lists: make(chan *List, 100), paths: make(chan string, 10000)}
+func newWatchHarness() *watchHarness {
+	return &watchHarness{lists: make(chan *List, 100), paths: make(chan string, 10000)}
 }
 
-// startWatch watches an agent with a script.
-func startWatch(t *testing.T, o Options, script ...string) *watched {
+// startWatch starts a watch of a discovery server with a script.
+func startWatch(t *testing.T, o Options, script ...string) *watchHarness {
 	t.Helper()
-	w := newWatched()
-	w.run(t, startAgent(t, w.paths, script...), o)
+	w := newWatchHarness()
+	w.run(t, startDiscovery(t, w.paths, script...), o)
 	return w
 }
 
-// run watches an address until the test ends.
-func (w *watched) run(t *testing.T, addr string, o Options) {
+// run runs a watch of discovery at an address until the test ends.
+func (w *watchHarness) run(t *testing.T, addr string, o Options) {
 	t.Helper()
 	o.OnList = func(l *List, _ time.Duration) { w.lists <- l }
 	o.Log = slog.New(slog.DiscardHandler)
@@ -136,8 +138,8 @@
 	})
 }
 
-// awaitRev takes lists until one of a version.
-func (w *watched) awaitRev(t *testing.T, rev uint64) {
+// awaitRev receives lists until one has the given version.
+func (w *watchHarness) awaitRev(t *testing.T, rev uint64) {
 	t.Helper()
 	for {
 		if receive(t, w.lists).Rev == rev {
@@ -146,12 +148,13 @@
 	}
 }
 
+// receive returns the next value from a channel and fails the test after 10 s.
 func receive[T any](t *testing.T, ch <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-ch:
 	case <-time.After(10 * time.Second):
-		t.Fatal("nothing came within 10 s")
+		t.Fatal("nothing was received within 10 s")
 	}
 	return v
 }
--- a/internal/discovery/http/watch_test.go
+++ b/internal/discovery/http/watch_test.go
@@ -16,27 +16,29 @@
 	"winghatch/internal/testbed/tcpserver"
 )
 
-// Paths that a watch asks for: the full list, the changes since a version, and what was missed since one.
+// fullPath is the request target of a query for the full list.
 const fullPath = "/registry/instances"
 
+// changesPath returns the request target of a query for the changes since a version.
 func changesPath(rev int, longPoll time.Duration) string {
 	return fmt.Sprintf("/registry/instances?from=%d&hold_ms=%d", rev, longPoll.Milliseconds())
 }
 
+// missedPath returns the request target of a query for the changes that were missed since a version.
 func missedPath(rev int) string { return changesPath(rev, 100*time.Millisecond) }
 
-// expectPaths takes one path for each that is wanted.
-func (w *watched) expectPaths(t *testing.T, want ...string) {
+// expectPaths receives the paths of the next calls and compares them.
+func (w *watchHarness) expectPaths(t *testing.T, want ...string) {
 	t.Helper()
 	for i, path := range want {
 		if got := receive(t, w.paths); got != path {
-			t.Errorf("call %d asked %s, want %s", i, got, path)
+			t.Errorf("call %d requested %s, want %s", i, got, path)
 		}
 	}
 }
 
-// A gateway that misses a change sends requests to a server that drains, or none to one that has joined.
-func TestWatch(t *testing.T) {
+// Guards against missed changes: the gateway would send requests to a draining server, or none to a new one.
+func TestWatchDeliversChanges(t *testing.T) {
 	const longPoll = 5 * time.Second
 	w := startWatch(t, Options{LongPoll: longPoll},
 		listJSON(41, true, targetJSON("a", "ready")),
@@ -52,8 +54,9 @@
 		changesPath(50, longPoll))
 }
 
-// Discovery, or a middlebox, keeps a connection open and never answers. The watch must not wait for it.
-func TestASilentListIsAskedAgain(t *testing.T) {
+// Guards against waiting for a response that never comes, because discovery or a middlebox keeps the
+// connection open and sends nothing.
+func TestUnansweredCallsAreHedged(t *testing.T) {
 	const longPoll = 10 * time.Millisecond
 	options := Options{LongPoll: longPoll, ResponseGrace: 20 * time.Millisecond, HedgeDelay: 20 * time.Millisecond}
 	w := startWatch(t, options,
@@ -62,22 +65,23 @@
 	w.expectPaths(t, fullPath, changesPath(41, longPoll), missedPath(41), fullPath)
 }
 
-// The configuration names another address, after two dead ones, while a long poll is under way. It must be followed
-// at once, not when the poll ends.
-func TestMove(t *testing.T) {
+// Guards against a change of the address that takes effect only when the current long poll ends. The address
+// is changed during a long poll, twice to an address where nothing listens and then to one where discovery
+// does.
+func TestSetAddrTakesEffectAtOnce(t *testing.T) {
 	w := startWatch(t, Options{LongPoll: time.Minute}, listJSON(41, true, targetJSON("a", "ready")))
 	receive(t, w.lists)
 	w.watch.SetAddr("127.0.0.1:1")
 	w.watch.SetAddr("127.0.0.1:1")
-	w.watch.SetAddr(startAgent(t, w.paths, listJSON(45, true, targetJSON("b", "ready"))))
+	w.watch.SetAddr(startDiscovery(t, w.paths, listJSON(45, true, targetJSON("b", "ready"))))
 	if l := receive(t, w.lists); l.Rev != 45 {
 		t.Errorf("rev %d, want 45", l.Rev)
 	}
 }
 
-// The watch may be silent without anybody noticing. A configuration that names the same address again asks for what
-// was missed at once.
-func TestTheSameAddressNamedAnew(t *testing.T) {
+// Guards against missed changes while discovery does not respond and this is not detected yet. Setting the
+// same address again must request them at once.
+func TestSetAddrWithSameAddressQueriesAtOnce(t *testing.T) {
 	w := startWatch(t, Options{LongPoll: time.Minute},
 		listJSON(41, true, targetJSON("a", "ready")), "silence", listJSON(44, false, targetJSON("a", "draining")))
 	receive(t, w.lists)
@@ -89,9 +93,10 @@
 	}
 }
 
-// Discovery falls silent, resets, closes or starts anew at any call. The change that came meanwhile, the last step of
-// each script, must be asked for.
-func TestWhatAWatchMissesIsAskedFor(t *testing.T) {
+// Guards against changes that are missed when a call fails: discovery stops responding, resets or closes the
+// connection, or is restarted. The watch must request the change that was made in the meantime, the last step
+// of each script.
+func TestMissedChangesAreRequested(t *testing.T) {
 	const longPoll = 50 * time.Millisecond
 	changes := func(rev int) string { return changesPath(rev, longPoll) }
 	first := listJSON(41, true, targetJSON("a", "ready"), targetJSON("b", "ready"))
@@ -104,27 +109,27 @@
 		script []string
 		paths  []string
 	}{
-		{"silent at once", []string{first, "silence", drained},
+		{"no response to the first poll", []string{first, "silence", drained},
 			[]string{fullPath, changes(41), missedPath(41)}},
-		{"silent after answers", []string{first, listJSON(41, false), joined, "silence", drained},
+		{"no response to a later poll", []string{first, listJSON(41, false), joined, "silence", drained},
 			[]string{fullPath, changes(41), changes(41), changes(42), missedPath(42)}},
-		{"silent at the next call too", []string{first, "silence", "silence", drained},
+		{"no response to two calls", []string{first, "silence", "silence", drained},
 			[]string{fullPath, changes(41), missedPath(41), fullPath}},
-		{"reset", []string{first, "reset", drained},
+		{"connection reset", []string{first, "reset", drained},
 			[]string{fullPath, changes(41), missedPath(41)}},
-		{"ends instead of telling", []string{first, "hang up", drained},
+		{"connection closed without a response", []string{first, "hang up", drained},
 			[]string{fullPath, changes(41), missedPath(41)}},
-		{"fails twice", []string{first, "hang up", "hang up", drained},
+		{"connection closed twice", []string{first, "hang up", "hang up", drained},
 			[]string{fullPath, changes(41), missedPath(41), fullPath}},
-		{"discovery began anew", []string{first, "reset", listJSON(2, false), drained},
+		{"discovery restarted", []string{first, "reset", listJSON(2, false), drained},
 			[]string{fullPath, changes(41), missedPath(41), fullPath}},
-		{"whole list as answer to a watch", []string{first, drained},
+		{"full list in response to a poll", []string{first, drained},
 			[]string{fullPath, changes(41)}},
 		{"indented and in pieces", []string{first, "pieces " + indented},
 			[]string{fullPath, changes(41)}},
 		{"chunked", []string{first, "chunked " + drained},
 			[]string{fullPath, changes(41)}},
-		{"ends with an answer", []string{first, "last " + joined, drained},
+		{"connection closed after a response", []string{first, "last " + joined, drained},
 			[]string{fullPath, changes(41), changes(42)}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -134,25 +139,25 @@
 				l = receive(t, w.lists)
 			}
 			if !l.Full || len(l.Targets) != 1 || l.Targets[0].UID != "b" {
-				t.Errorf("%+v, want the full list without a", l)
+				t.Errorf("got %+v, want the full list with only b", l)
 			}
 			w.expectPaths(t, c.paths...)
 		})
 	}
 }
 
-// Discovery takes longer for each answer than the watch waits before the next call. Its answers must be taken all the
-// same, and it must not be asked by ever more calls at once.
-func TestASlowDiscoveryIsHeard(t *testing.T) {
-	var calls, most atomic.Int64
+// Guards against a discovery whose responses are never used, or that gets ever more concurrent calls, because
+// each response takes longer than the watch waits before the next call.
+func TestSlowResponsesAreUsed(t *testing.T) {
+	var calls, maxSeen atomic.Int64
 	addr := tcpserver.Start(t, func(nc net.Conn) {
-		for n := calls.Add(1); n > most.Load(); {
-			most.Store(n)
+		for n := calls.Add(1); n > maxSeen.Load(); {
+			maxSeen.Store(n)
 		}
 		defer calls.Add(-1)
-		answerLate(nc, 400*time.Millisecond)
+		respondLate(nc, 400*time.Millisecond)
 	})
-	w := newWatched()
+	w := newWatchHarness()
 	w.run(t, addr, Options{
 		LongPoll:      20 * time.Millisecond,
 		ResponseGrace: 20 * time.Millisecond,
@@ -163,13 +168,14 @@
 			t.Errorf("rev %d, want 44", l.Rev)
 		}
 	}
-	if n := most.Load(); n > maxCalls+2 { // two that end while the next begin
-		t.Errorf("%d calls at once, want %d at most", n, maxCalls)
+	if n := maxSeen.Load(); n > maxCalls+2 { // two calls may still be ending while the next ones begin
+		t.Errorf("%d concurrent calls, want at most %d and 2 that are ending", n, maxCalls)
 	}
 }
 
-// answerLate reads a call and answers it after a while, if it was not given up by then.
-func answerLate(nc net.Conn, delay time.Duration) {
+// respondLate reads a request and responds to it after a delay unless the client has closed the connection by
+// then.
+func respondLate(nc net.Conn, delay time.Duration) {
 	r := bufio.NewReader(nc)
 	if _, err := http.ReadRequest(r); err != nil {
 		return
@@ -182,9 +188,9 @@
 	fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s", len(text), text)
 }
 
-// Discovery was down and came back at its address with a drain. The gateway must learn of it, also where a reload led
-// to another address and back.
-func TestAnOutageAndAReloadThereAndBack(t *testing.T) {
+// Guards against a drain that the gateway does not learn of. Discovery was down and returns at the same
+// address with a drained server; after that, configuration reloads change the address and change it back.
+func TestReconnectAfterOutageAndReload(t *testing.T) {
 	var port ports.Reservation
 	addr, err := port.Addr()
 	if err != nil {
@@ -195,16 +201,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := newWatched()
-	serve := func(ln net.Listener, answer string) {
+	w := newWatchHarness()
+	serve := func(ln net.Listener, list string) {
 		for {
 			nc, err := ln.Accept()
 			if err != nil {
 				return
 			}
 			steps := make(chan string, 1)
-			steps <- answer
-			go playScript(nc, steps, w.paths)
+			steps <- list
+			go serveScript(nc, steps, w.paths)
 		}
 	}
 	go serve(ln, listJSON(41, true, targetJSON("a", "ready")))
@@ -223,14 +229,15 @@
 		<-w.lists
 	}
 	if l := receive(t, w.lists); l.Rev != 43 || serverStates[l.Targets[0].State] != decide.Draining {
-		t.Errorf("%+v, want the drain again", l)
+		t.Errorf("got %+v, want rev 43 with the draining server", l)
 	}
 }
 
-// A change counts as known 6 s after discovery fell silent. By then the third call for it must be made, as the first
-// two may fail.
-func TestAChangeIsKnownInTime(t *testing.T) {
-	if known := (Options{}).MaxStaleness(); known > 6*time.Second {
-		t.Errorf("a change after a silence is asked for the third time after %v, want 6 s at most", known)
+// Guards against default timeouts that detect an unresponsive discovery too late. A change has to be known 6
+// s after discovery stopped responding, and the first two calls may fail, so the third one must be made by
+// then.
+func TestDefaultsLimitStaleness(t *testing.T) {
+	if staleness := (Options{}).MaxStaleness(); staleness > 6*time.Second {
+		t.Errorf("the third call is made %v after discovery stopped responding, want at most 6 s", staleness)
 	}
 }
