--- a/internal/discovery/http/list.go
+++ b/internal/discovery/http/list.go
@@ -14,7 +14,7 @@
 	Endpoint     string  `json:"endpoint"` // host:port
 	Zone         string  `json:"az"`
 	Model        string  `json:"model"`
-	Cell         int     `json:"pod_group"`
+	Cell         int     `json:"pod_group"`     // servers of a cell know each other's idempotency keys
 	State        string  `json:"state"`         // ready, draining or gone
 	CapacityHint float64 `json:"capacity_hint"` // weight relative to other servers
 	BootMS       int64   `json:"boot_ms"`       // start of the server, Unix time in ms; 0: long ago
--- a/internal/discovery/websocket/cache.go
+++ b/internal/discovery/websocket/cache.go
@@ -7,7 +7,8 @@
 	"path/filepath"
 )
 
-// saveList replaces a cache file in one step: a crash leaves the old list or the new one, never a part.
+// saveList atomically replaces the cache file by a new list. A crash leaves either the old list or the new
+// one in the file, never a part of a list.
 func saveList(file string, u Update) error {
 	raw, err := json.Marshal(u)
 	if err != nil {
@@ -23,7 +24,8 @@
 	return err
 }
 
-// writeTemporary writes and syncs a new file in a directory. The name is empty if none was created.
+// writeTemporary creates a file with the data in a directory, syncs it to disk and returns its name. If an
+// error occurs after the file was created, it returns the name as well; otherwise the name is empty.
 func writeTemporary(dir string, data []byte) (name string, err error) {
 	f, err := os.CreateTemp(dir, ".list-*")
 	if err != nil {
@@ -39,7 +41,7 @@
 	return f.Name(), err
 }
 
-// LoadList reads a file that saveList wrote and checks it. The error is os.ErrNotExist if there is none.
+// LoadList reads and validates the list in a cache file. If there is no file, the error wraps os.ErrNotExist.
 func LoadList(file string) (Update, error) {
 	var u Update
 	raw, err := os.ReadFile(file)
--- a/internal/discovery/websocket/stored_test.go
+++ b/internal/discovery/websocket/stored_test.go
@@ -6,9 +6,11 @@
 	"testing"
 )
 
-// TestStoredList loads a cached list of an earlier version, with a server that has just started, and saves it again:
-// the bytes are the same. A key that is lost would start a gateway without its servers, or with a wrong age of them.
-func TestStoredList(t *testing.T) {
+// TestCacheFormatIsStable guards against a change of the format of the cache file: a gateway that is started
+// after an update would have no servers, or wrong start times of them. It loads a file that an earlier
+// version of the gateway wrote, which has a server that has just started, and saves it again; the bytes must
+// be the same.
+func TestCacheFormatIsStable(t *testing.T) {
 	u, err := LoadList("testdata/list.json")
 	if err != nil {
 		t.Fatal(err)
@@ -20,7 +22,8 @@
 		}
 	}
 	if u.Version != 4 || len(u.Endpoints) != 6 || started != 1 {
-		t.Errorf("version %d with %d endpoints, %d of them started: want 4, 6, 1", u.Version, len(u.Endpoints), started)
+		t.Errorf("version %d with %d endpoints, %d of them with a start time, want 4, 6 and 1",
+			u.Version, len(u.Endpoints), started)
 	}
 	file := filepath.Join(t.TempDir(), "list.json")
 	if err := saveList(file, u); err != nil {
@@ -35,6 +38,6 @@
 		t.Fatal(err)
 	}
 	if string(got) != string(want) {
-		t.Errorf("saved again: %s, want %s", got, want)
+		t.Errorf("saved the list as %s, want %s", got, want)
 	}
 }
--- a/internal/discovery/websocket/tracker.go
+++ b/internal/discovery/websocket/tracker.go
@@ -7,52 +7,53 @@
 	"winghatch/decide"
 )
 
-// errVersionGap reports that versions between the last update and a change are missing: the complete list has to be
-// fetched.
-var errVersionGap = errors.New("discovery: versions are missing, the complete list is needed")
+// errVersionGap reports a change that does not directly follow the last applied version, so that the complete
+// list has to be fetched.
+var errVersionGap = errors.New("discovery: versions before the change are missing, want the complete list")
 
-// errStaleVersion reports an update whose version is not newer than that of the last one.
-var errStaleVersion = errors.New("discovery: version is not newer")
+// errStaleVersion reports an update whose version is not higher than the last applied version.
+var errStaleVersion = errors.New("discovery: version is not higher than the last applied one")
 
-// tracker turns updates of the endpoint list into events of the core. It enforces the order of versions, and it gives
-// each start of a server one time on the gateway's clock: the service repeats the start with every full list, and
-// each repetition must not look like a restart. It is not safe for concurrent use.
+// tracker converts updates of the endpoint list to events for the core. It enforces the order of versions and
+// assigns one time on the gateway's clock to each start of a server: the service repeats the start time in
+// every complete list, and a repetition must not look like a restart. tracker is not safe for concurrent use.
 type tracker struct {
-	version   uint64
-	known     bool // an update was applied
-	starts    map[string]startTime
-	endpoints map[string]Endpoint // by address
+	version   uint64               // version of the last applied update
+	synced    bool                 // an update was applied
+	starts    map[string]startTime // keyed by address
+	endpoints map[string]Endpoint  // keyed by address
 }
 
-// startTime is the start of a server on the service's clock and on the gateway's.
+// startTime is the start time of a server on two clocks.
 type startTime struct {
-	reportedMs int64
-	at         time.Duration
+	reportedMs int64         // on the service's clock, Unix time in ms
+	at         time.Duration // on the gateway's clock
 }
 
-// newTracker returns a tracker that has no list.
+// newTracker returns a tracker without a list.
 func newTracker() *tracker {
 	return &tracker{starts: map[string]startTime{}, endpoints: map[string]Endpoint{}}
 }
 
-// apply checks an update and returns the event for the core. full marks a complete list. first marks the first
-// complete list of a connection, which is applied whatever its version is: the service may have restarted with its
-// versions from the beginning. The error is errVersionGap, errStaleVersion or that of Validate; then nothing changes.
+// apply validates and applies an update and returns the event for the core. full denotes a complete list.
+// first denotes the first complete list on a connection, which is applied whatever its version is, because
+// the service may have been restarted and its versions may have started again. The error is errVersionGap,
+// errStaleVersion or an error of Validate; after an error, the tracker is unchanged.
 func (t *tracker) apply(now time.Duration, full, first bool, u *Update) (decide.EndpointUpdate, error) {
 	event := decide.EndpointUpdate{Kind: decide.DeltaUpdate, Version: u.Version}
 	if err := u.Validate(); err != nil {
 		return event, err
 	}
 	switch {
-	case full && (first || !t.known || u.Version > t.version):
+	case full && (first || !t.synced || u.Version > t.version):
 		event.Kind = decide.FullUpdate
 		t.endpoints = map[string]Endpoint{}
-	case full || t.known && u.Version <= t.version:
+	case full || t.synced && u.Version <= t.version:
 		return event, errStaleVersion
-	case !t.known || u.Version != t.version+1:
+	case !t.synced || u.Version != t.version+1:
 		return event, errVersionGap
 	}
-	t.known, t.version = true, u.Version
+	t.synced, t.version = true, u.Version
 	for _, e := range u.Endpoints {
 		event.Servers = append(event.Servers, t.toServer(now, u.NowMs, e))
 		if e.State == stateGone {
@@ -65,8 +66,9 @@
 	return event, nil
 }
 
-// toServer converts an endpoint. Its start is placed on the gateway's clock by its age on the service's clock. The age
-// is never negative: a service whose clock stepped back would otherwise report starts in the future.
+// toServer converts an endpoint to a server of the core. The start time on the gateway's clock is computed
+// from the age of the server on the service's clock. An age below zero counts as zero, because otherwise a
+// service whose clock was set back would report starts in the future.
 func (t *tracker) toServer(now time.Duration, serviceNowMs int64, e Endpoint) decide.Server {
 	s := decide.Server{
 		ID:     e.Address,
@@ -89,7 +91,8 @@
 	return s
 }
 
-// pruneStarts drops the starts of servers that are not listed, so that memory is bounded by the list.
+// pruneStarts drops the start times of servers that are no longer listed, so that their number is limited by
+// the length of the list.
 func (t *tracker) pruneStarts() {
 	for address := range t.starts {
 		if _, ok := t.endpoints[address]; !ok {
@@ -98,7 +101,8 @@
 	}
 }
 
-// snapshot returns the complete list as of the last update, in no particular order.
+// snapshot returns the complete list as of the last update, in no particular order. nowMs becomes the NowMs
+// of the result.
 func (t *tracker) snapshot(nowMs int64) Update {
 	u := Update{Version: t.version, NowMs: nowMs}
 	for _, e := range t.endpoints {
--- a/internal/discovery/websocket/tracker_test.go
+++ b/internal/discovery/websocket/tracker_test.go
@@ -9,13 +9,15 @@
 	"winghatch/decide"
 )
 
+// endpoint returns an endpoint; started is its StartedMs.
 func endpoint(addr, state string, started int64) Endpoint {
 	return Endpoint{Address: addr, State: state, StartedMs: started}
 }
 
-// TestBook applies updates in and out of order: a change needs the version before it, and only the first full list of a
-// connection may go back.
-func TestBook(t *testing.T) {
+// TestUpdatesAreAppliedInOrder guards against updates that are applied out of order, which would bring back
+// an old state of a server or miss a change. A change needs the version directly before it, and only the
+// first complete list on a connection may have a lower version.
+func TestUpdatesAreAppliedInOrder(t *testing.T) {
 	tracker := newTracker()
 	a, c := endpoint("10.0.0.1:1", "serving", 0), endpoint("10.0.0.2:1", "serving", 5000)
 	steps := []struct {
@@ -26,29 +28,29 @@
 		err         error
 		kind        decide.UpdateKind
 	}{
-		{"a change before any list", false, false, 3, []Endpoint{a}, errVersionGap, 0},
-		{"the full list", true, true, 3, []Endpoint{a, c}, nil, decide.FullUpdate},
-		{"a change", false, false, 4, []Endpoint{endpoint("10.0.0.1:1", "draining", 0)}, nil, decide.DeltaUpdate},
-		{"the same again", false, false, 4, []Endpoint{a}, errStaleVersion, 0},
-		{"an older one", false, false, 2, []Endpoint{a}, errStaleVersion, 0},
-		{"a gap", false, false, 6, []Endpoint{a}, errVersionGap, 0},
-		{"an older full list", true, false, 3, nil, errStaleVersion, 0},
-		{"a newer full list", true, false, 9, []Endpoint{c}, nil, decide.FullUpdate},
-		{"a service that restarted", true, true, 1, []Endpoint{c}, nil, decide.FullUpdate},
-		{"a change of it", false, false, 2, []Endpoint{a}, nil, decide.DeltaUpdate},
+		{"change before any list", false, false, 3, []Endpoint{a}, errVersionGap, 0},
+		{"first full list", true, true, 3, []Endpoint{a, c}, nil, decide.FullUpdate},
+		{"change", false, false, 4, []Endpoint{endpoint("10.0.0.1:1", "draining", 0)}, nil, decide.DeltaUpdate},
+		{"repeated change", false, false, 4, []Endpoint{a}, errStaleVersion, 0},
+		{"older change", false, false, 2, []Endpoint{a}, errStaleVersion, 0},
+		{"change after a gap", false, false, 6, []Endpoint{a}, errVersionGap, 0},
+		{"older full list", true, false, 3, nil, errStaleVersion, 0},
+		{"newer full list", true, false, 9, []Endpoint{c}, nil, decide.FullUpdate},
+		{"full list after a restart", true, true, 1, []Endpoint{c}, nil, decide.FullUpdate},
+		{"change after the restart", false, false, 2, []Endpoint{a}, nil, decide.DeltaUpdate},
 	}
 	for _, s := range steps {
 		u := &Update{Version: s.version, NowMs: 8000, Endpoints: s.endpoints}
 		event, err := tracker.apply(time.Hour, s.full, s.first, u)
 		if !errors.Is(err, s.err) || err == nil && event.Kind != s.kind {
-			t.Errorf("%s: %v, %v", s.name, event, err)
+			t.Errorf("%s: event %v, error %v", s.name, event, err)
 		}
 	}
 }
 
-// TestStarts repeats one start of a server while the service's clock runs on. It stays one start: a start that moved
-// would put a warm server into slow start again.
-func TestStarts(t *testing.T) {
+// TestRepeatedStartIsStable guards against a start time that moves when the service repeats it while its
+// clock advances: a warm server would go through slow start again.
+func TestRepeatedStartIsStable(t *testing.T) {
 	tracker := newTracker()
 	apply := func(now time.Duration, serviceNow, started int64, version uint64) time.Duration {
 		t.Helper()
@@ -61,48 +63,51 @@
 	}
 	at := apply(time.Hour, 8000, 5000, 1)
 	if at != time.Hour-3*time.Second {
-		t.Errorf("started at %v", at)
+		t.Errorf("start at %v, want 3 s before the update", at)
 	}
 	if again := apply(time.Hour+time.Second, 9100, 5000, 2); again != at {
-		t.Errorf("repeated, the start moved from %v to %v", at, again)
+		t.Errorf("the start moved from %v to %v when it was repeated", at, again)
 	}
 	if later := apply(time.Hour+2*time.Second, 10000, 9900, 3); later != time.Hour+1900*time.Millisecond {
-		t.Errorf("a new start is at %v", later)
+		t.Errorf("start after a restart at %v, want 100 ms before the update", later)
 	}
-	// A service whose clock stepped back does not report a start in the future.
+	// After the service's clock was set back, the start is not in the future.
 	if ahead := apply(time.Hour+3*time.Second, 100, 20000, 4); ahead != time.Hour+3*time.Second {
-		t.Errorf("a start ahead of the service's clock is at %v", ahead)
+		t.Errorf("start ahead of the service's clock at %v, want the time of the update", ahead)
 	}
 }
 
-// TestCheck applies updates that Validate refuses; none of them changes the tracker.
-func TestCheck(t *testing.T) {
+// TestInvalidUpdateIsRejected guards against an invalid update that is applied in part. The error names the
+// field, and the tracker is unchanged.
+func TestInvalidUpdateIsRejected(t *testing.T) {
 	for want, u := range map[string]Update{
 		"nodes[0].node: \"x\"":   {Endpoints: []Endpoint{endpoint("x", "serving", 0)}},
 		"nodes[0].state: \"up\"": {Endpoints: []Endpoint{endpoint("h:1", "up", 0)}},
-		"comes twice":            {Endpoints: []Endpoint{endpoint("h:1", "serving", 0), endpoint("h:1", "gone", 0)}},
+		"occurs more than once":  {Endpoints: []Endpoint{endpoint("h:1", "serving", 0), endpoint("h:1", "gone", 0)}},
 	} {
 		tracker := newTracker()
 		if _, err := tracker.apply(0, true, true, &u); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v, want %q", err, want)
+			t.Errorf("error %v, want one that contains %q", err, want)
 		}
-		if tracker.known {
-			t.Error("an invalid list was applied")
+		if tracker.synced {
+			t.Error("an invalid update was applied")
 		}
 	}
 }
 
-// TestForget lists many servers that come and go: the tracker holds no more than the list.
-func TestForget(t *testing.T) {
+// TestMemoryIsLimitedByList guards against memory that grows when servers are replaced again and again. The
+// tracker must not hold more servers than the list.
+func TestMemoryIsLimitedByList(t *testing.T) {
 	tracker := newTracker()
-	for v := range uint64(100) {
-		address := "h:" + string(rune('a'+v%26))
-		u := Update{Version: v, NowMs: 8000, Endpoints: []Endpoint{endpoint(address, "serving", int64(v+1))}}
+	for version := range uint64(100) {
+		address := "h:" + string(rune('a'+version%26))
+		u := Update{Version: version, NowMs: 8000,
+			Endpoints: []Endpoint{endpoint(address, "serving", int64(version+1))}}
 		if _, err := tracker.apply(time.Hour, true, true, &u); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if len(tracker.starts) != 1 || len(tracker.endpoints) != 1 {
-		t.Errorf("%d starts, %d endpoints", len(tracker.starts), len(tracker.endpoints))
+		t.Errorf("%d start times and %d endpoints, want 1 and 1", len(tracker.starts), len(tracker.endpoints))
 	}
 }
--- a/internal/discovery/websocket/watch.go
+++ b/internal/discovery/websocket/watch.go
@@ -1,8 +1,9 @@
-// Package websocket watches the discovery service over WebSocket. The service sends the complete endpoint list when a
-// connection opens and changes after that, as JSON-RPC notifications. Updates are checked here and passed on as events
-// of the core; what follows from them is decided there.
+// Package websocket follows the endpoint list of the discovery service over WebSocket. When a connection
+// opens, the service sends the complete list as a JSON-RPC notification, and after that it sends the changes.
+// The package validates these updates and passes them to the core as events; the core decides what to do
+// about them.
 //
-// The last complete list is kept in a cache file, so that a gateway can start while the service is unreachable.
+// The current list is stored in a cache file, so that a gateway can start while the service is unreachable.
 package websocket
 
 import (
@@ -20,29 +21,36 @@
 )
 
 const (
-	dialTimeout     = time.Second
-	minBackoff      = 20 * time.Millisecond // between connections
+	dialTimeout     = time.Second           // limit on connecting, including the handshake
+	minBackoff      = 20 * time.Millisecond // first pause between two connections
 	maxBackoff      = time.Second
-	maxMessageBytes = 8 << 20 // of the service; a complete list is one message
-	maxBatch        = 64      // notifications in one message
+	maxMessageBytes = 8 << 20 // maximum size of a message; a complete list is one message
+	maxBatch        = 64      // maximum number of notifications in one message
 
 	protocol   = "jsonrpc"        // WebSocket subprotocol
-	rankHeader = "X-Gateway-Rank" // of the handshake
+	rankHeader = "X-Gateway-Rank" // handshake header with the rank of the gateway
 )
 
-// Options of a watch. All but CacheFile are required.
+// Options configure Watch. All but CacheFile are required.
 type Options struct {
-	Address   string // host:port of the service
-	CacheFile string // empty: the list is not cached
-	Rank      int    // of the gateway, sent to the service
-	Clock     func() time.Duration
-	OnUpdate  func(decide.EndpointUpdate)
-	Log       func(msg string, args ...any)
+	// Address is the address of the service, host:port.
+	Address string
+	// CacheFile is the path of the cache file. Empty means that the list is not cached.
+	CacheFile string
+	// Rank is the rank of this gateway, which is sent to the service.
+	Rank int
+	// Clock returns the time on the gateway's monotonic clock.
+	Clock func() time.Duration
+	// OnUpdate is called with each event.
+	OnUpdate func(decide.EndpointUpdate)
+	// Log writes a log line with a message and pairs of keys and values.
+	Log func(msg string, args ...any)
 }
 
-// Watch watches the endpoint list until the context ends, and reconnects with a backoff. It starts with the cached list
-// as a decide.StaleUpdate. A connection that can't be opened is a decide.FailedUpdate. OnUpdate is called from this
-// goroutine only.
+// Watch follows the endpoint list until the context ends. When a connection ends, it reconnects after a pause
+// that grows with each failure. The first event is a decide.StaleUpdate with the cached list, if there is
+// one. If a connection cannot be opened, the event is a decide.FailedUpdate. OnUpdate is called only from the
+// goroutine that calls Watch.
 func Watch(ctx context.Context, o Options) {
 	w := &watcher{options: o, tracker: newTracker()}
 	w.loadCache()
@@ -59,13 +67,14 @@
 	}
 }
 
+// watcher is the state of Watch.
 type watcher struct {
-	options Options
-	tracker *tracker
-	listed  bool // the current connection has delivered a complete list
+	options         Options
+	tracker         *tracker
+	fullListApplied bool // a complete list from the current connection was applied
 }
 
-// loadCache starts with the cached list, if there is one.
+// loadCache applies the cached list, if there is one.
 func (w *watcher) loadCache() {
 	if w.options.CacheFile == "" {
 		return
@@ -80,15 +89,16 @@
 	}
 	// The service's clock is not known yet; the best estimate is this machine's.
 	u.NowMs = time.Now().UnixMilli()
-	event, _ := w.tracker.apply(w.options.Clock(), true, true, &u) // LoadList has checked it
+	event, _ := w.tracker.apply(w.options.Clock(), true, true, &u) // cannot fail, LoadList has validated u
 	event.Kind = decide.StaleUpdate
 	w.options.OnUpdate(event)
 	w.options.Log("Started with the cached endpoint list", "version", u.Version, "endpoints", len(u.Endpoints))
 }
 
-// watchConn opens one connection and reads it until it ends. It returns whether it delivered a complete list.
+// watchConn opens one connection and handles its messages until it ends. It reports whether a complete list
+// was applied.
 func (w *watcher) watchConn(ctx context.Context) bool {
-	w.listed = false
+	w.fullListApplied = false
 	conn, err := w.dial(ctx)
 	if err != nil {
 		w.options.OnUpdate(decide.EndpointUpdate{Kind: decide.FailedUpdate})
@@ -100,12 +110,12 @@
 	for {
 		data, err := conn.Read()
 		if err != nil {
-			return w.listed
+			return w.fullListApplied
 		}
 		messages, _, parseErr := jsonrpc.Parse(data, maxBatch)
 		if parseErr != nil {
 			w.options.Log("Discovery service sent a message that is not JSON-RPC", "err", parseErr.Message)
-			return w.listed
+			return w.fullListApplied
 		}
 		for i := range messages {
 			w.handle(conn, &messages[i])
@@ -113,6 +123,7 @@
 	}
 }
 
+// dial connects to the service and performs the WebSocket handshake.
 func (w *watcher) dial(ctx context.Context) (*wsconn.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -121,8 +132,8 @@
 	return wsconn.Dial(ctx, w.options.Address, request, wsconn.Options{MaxMessage: maxMessageBytes})
 }
 
-// handle applies one notification. Where versions are missing it asks for the complete list; any other update that is
-// not applied is only logged, and the list stays as it is.
+// handle applies one notification. If versions before a change are missing, it requests the complete list.
+// Any other update that cannot be applied is only logged, and the list stays unchanged.
 func (w *watcher) handle(conn *wsconn.Conn, m *jsonrpc.Message) {
 	if m.Method != MethodFull && m.Method != MethodChange {
 		return
@@ -133,7 +144,7 @@
 		return
 	}
 	full := m.Method == MethodFull
-	event, err := w.tracker.apply(w.options.Clock(), full, full && !w.listed, &u)
+	event, err := w.tracker.apply(w.options.Clock(), full, full && !w.fullListApplied, &u)
 	if err != nil {
 		w.options.Log("Endpoint update rejected", "err", err)
 		if errors.Is(err, errVersionGap) {
@@ -141,7 +152,7 @@
 		}
 		return
 	}
-	w.listed = w.listed || full
+	w.fullListApplied = w.fullListApplied || full
 	w.options.OnUpdate(event)
 	if w.options.CacheFile == "" {
 		return
