--- a/internal/gossip/datagram.go
+++ b/internal/gossip/datagram.go
@@ -7,30 +7,33 @@
 	"winghatch/internal/credentials"
 )
 
-// Layout of a datagram, in bytes. Integers are big-endian.
+// Layout of a datagram with the offset and the length of each field in bytes. Integers are big-endian.
 //
 //	 0  4  magic
-//	 4  8  hash of the fleet's name
+//	 4  8  first bytes of the hash of the fleet's name
 //	12  2  rank of the sender
 //	14  2  rank of the receiver
 //	16  8  epoch: start of the sender's incarnation, Unix time in nanoseconds
-//	24  8  sequence number of the datagrams of this incarnation to this receiver, from 1
+//	24  8  sequence number of the datagram among those of this incarnation to this receiver, from 1
 //	32  n  text, at most maxTextLen
-//	    32 keyed hash of all before it
+//	    32 keyed hash of all preceding bytes
 const (
 	magic      = "WHP1"
-	headerLen  = 4 + 8 + 2 + 2 + 8 + 8 // the fields in the order above
+	headerLen  = 4 + 8 + 2 + 2 + 8 + 8 // sum of the fields before the text
 	hashLen    = 32
-	maxTextLen = 1200 // a datagram stays under 1,500 bytes, the usual MTU
+	maxTextLen = 1200 // keeps a datagram below 1,500 bytes, the usual MTU
 )
 
+// datagramHeader holds the fields of a datagram between the magic and the text.
 type datagramHeader struct {
 	fleet    [8]byte
-	from, to int // ranks
+	from, to int // ranks of the sender and the receiver
 	epoch    uint64
 	sequence uint64
 }
 
+// appendDatagram appends an encoded datagram, authenticated with the keyed hash, to dst and returns the
+// result.
 func appendDatagram(dst []byte, h datagramHeader, text string, hash credentials.Hasher) []byte {
 	start := len(dst)
 	dst = append(dst, magic...)
@@ -44,7 +47,8 @@
 	return append(dst, sum[:]...)
 }
 
-// parseDatagram checks the form and the hash. The hash covers the header, so that no field of it can be forged.
+// parseDatagram decodes a datagram. It returns false if the datagram is malformed or its keyed hash is wrong.
+// The hash covers the header, so that none of its fields can be forged.
 func parseDatagram(b []byte, hash credentials.Hasher) (h datagramHeader, text string, ok bool) {
 	if len(b) < headerLen+hashLen || len(b) > headerLen+maxTextLen+hashLen || !bytes.HasPrefix(b, []byte(magic)) {
 		return h, "", false
--- a/internal/gossip/plain/plain.go
+++ b/internal/gossip/plain/plain.go
@@ -1,6 +1,6 @@
-// Package plain carries gossip between gateways as bare UDP datagrams, on a network of their own: a sender is known
-// by its address. Datagrams of unknown senders, longer than MaxDatagramBytes or beyond the rate limit are dropped and
-// counted.
+// Package plain sends gossip between gateways as unauthenticated UDP datagrams. It is meant for a network
+// that only the gateways use, and identifies a sender by its address. Datagrams that come from unknown
+// senders, are longer than MaxDatagramBytes or exceed the rate limit are dropped and counted.
 package plain
 
 import (
@@ -12,34 +12,36 @@
 	"time"
 )
 
-// MaxDatagramBytes is the longest datagram, in bytes.
+// MaxDatagramBytes is the maximum length of a datagram.
 const MaxDatagramBytes = 256
 
-// readRetryPause is the pause after a read that failed.
-const readRetryPause = time.Millisecond
+// readRetryDelay is the pause after a failed read.
+const readRetryDelay = time.Millisecond
 
-// Counters are figures for operators, in datagrams.
+// Counters count datagrams for operators.
 type Counters struct {
 	Sent          atomic.Int64
-	Received      atomic.Int64
-	UnknownSender atomic.Int64 // dropped
-	TooLong       atomic.Int64 // dropped, sent or received
-	RateLimited   atomic.Int64 // dropped
-	Failed        atomic.Int64 // sends
+	Received      atomic.Int64 // received and passed to the handler
+	UnknownSender atomic.Int64 // dropped because the sender is not a peer
+	TooLong       atomic.Int64 // dropped before sending or after receiving because of MaxDatagramBytes
+	RateLimited   atomic.Int64 // dropped because of the rate limit
+	Failed        atomic.Int64 // not sent because of an error of the socket
 }
 
-// Transport is this gateway's socket. Send and Serve may be used at the same time.
+// Transport exchanges messages with the other gateways over one socket. Create it with New. Send and Serve
+// may be called concurrently.
 type Transport struct {
 	Counters
 	conn  *net.UDPConn
 	rank  int
 	peers []netip.AddrPort       // by rank
-	ranks map[netip.AddrPort]int // of peers
-	limit rateLimit              // Serve's own
+	ranks map[netip.AddrPort]int // keyed by the addresses in peers
+	limit rateLimit              // used only by Serve
 }
 
-// New returns a transport on a socket, which it owns from then on. peers are the addresses of all gateways by rank,
-// this one's included. rate is how many datagrams are received in a second; 0: any.
+// New returns a transport that uses and owns the socket conn. peers are the addresses of all gateways by
+// rank, including this gateway, as IP:port. rate is the maximum number of received datagrams per second; 0
+// means no limit. New returns an error if an address cannot be parsed.
 func New(conn *net.UDPConn, rank int, peers []string, rate float64) (*Transport, error) {
 	t := &Transport{
 		conn:  conn,
@@ -50,7 +52,7 @@
 	for i, peer := range peers {
 		addr, err := netip.ParseAddrPort(peer)
 		if err != nil {
-			return nil, fmt.Errorf("peers[%d]: %q: %w", i, peer, err)
+			return nil, fmt.Errorf("peers[%d]: %q, want IP:port: %w", i, peer, err)
 		}
 		t.peers = append(t.peers, addr)
 		t.ranks[addr] = i
@@ -58,7 +60,8 @@
 	return t, nil
 }
 
-// Send sends a message to the gateway of a rank. It does not wait; a message may be lost without notice.
+// Send sends a message to the gateway with the given rank. A message may be lost without an error; one to
+// this gateway itself or to an unknown rank is dropped without being counted.
 func (t *Transport) Send(to int, text string) {
 	if to < 0 || to >= len(t.peers) || to == t.rank {
 		return
@@ -74,16 +77,16 @@
 	t.Sent.Add(1)
 }
 
-// Serve passes received messages to handle until Close.
+// Serve calls handle for each received message until Close is called. from is the rank of the sender.
 func (t *Transport) Serve(handle func(from int, text string)) {
-	var buf [MaxDatagramBytes + 1]byte // a longer datagram shows by the byte more
+	var buf [MaxDatagramBytes + 1]byte // the extra byte reveals a datagram that is too long
 	for {
 		n, addr, err := t.conn.ReadFromUDPAddrPort(buf[:])
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // any other error is transient, as ENOBUFS
-			time.Sleep(readRetryPause)
+		if err != nil { // any other error is transient, for example ENOBUFS
+			time.Sleep(readRetryDelay)
 			continue
 		}
 		from, known := t.ranks[netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())]
@@ -101,17 +104,18 @@
 	}
 }
 
-// Close closes the socket and so ends Serve.
+// Close closes the socket, which makes Serve return.
 func (t *Transport) Close() { t.conn.Close() }
 
-// rateLimit is a token bucket that holds a second's worth: a flood must not keep the loop from its requests.
+// rateLimit is a token bucket with the capacity of one second. It keeps a flood of datagrams from delaying
+// the requests that the event loop handles.
 type rateLimit struct {
-	rate       float64 // tokens a second; 0 or less: no limit
-	tokens     float64
+	rate       float64 // tokens per second; no limit if not positive
+	tokens     float64 // tokens in the bucket as of refilledAt
 	refilledAt time.Time
 }
 
-// allow takes a token, if there is one.
+// allow takes a token and reports whether there was one.
 func (l *rateLimit) allow(now time.Time) bool {
 	if l.rate <= 0 {
 		return true
--- a/internal/gossip/ratelimit.go
+++ b/internal/gossip/ratelimit.go
@@ -2,14 +2,16 @@
 
 import "time"
 
-// rateLimiter is a leaky bucket of messages that holds those of one second, and at least one. It keeps peers that send
-// too much from filling the event loop's queue.
+// rateLimiter limits the rate of received messages with a leaky bucket, so that peers that send too much
+// cannot fill the queue of the event loop. The bucket holds the messages of one second, but at least one
+// message.
 type rateLimiter struct {
-	rate      float64 // messages a second
-	level     float64 // messages
+	rate      float64 // drain rate in messages per second
+	level     float64 // messages in the bucket as of updatedAt
 	updatedAt time.Time
 }
 
+// allow adds a message to the bucket and reports whether there was room for it.
 func (l *rateLimiter) allow(now time.Time) bool {
 	l.level = max(0, l.level-l.rate*now.Sub(l.updatedAt).Seconds())
 	l.updatedAt = now
--- a/internal/gossip/replay.go
+++ b/internal/gossip/replay.go
@@ -6,27 +6,29 @@
 )
 
 const (
-	// incarnationTimeout is how long the known incarnation of a sender has to be silent before an earlier epoch is
-	// accepted. Epochs are times of the sender's wall clock: one that restarts after a step back of its clock has the
-	// smaller epoch, and its datagrams would otherwise be dropped for good.
+	// incarnationTimeout is the time without datagrams from the latest incarnation of a sender after which an
+	// earlier epoch is accepted. Epochs are times on the sender's wall clock. A sender that restarts after
+	// its clock was set back has a lower epoch than before, and without this exception its datagrams would be
+	// dropped forever.
 	incarnationTimeout = 2 * time.Second
 
-	// maxIncarnations is how many incarnations of a sender are remembered, so that old datagrams are still recognized
-	// when an incarnation, or a copy of its datagrams, comes back.
+	// maxIncarnations is the number of incarnations of a sender that are remembered, so that old datagrams
+	// are still recognized when an earlier incarnation, or a copy of its datagrams, reappears.
 	maxIncarnations = 4
 
-	// replayWindowSize is how many sequence numbers up to the highest are remembered of an incarnation; datagrams that
-	// are overtaken by more are dropped.
+	// replayWindowSize is the number of sequence numbers, up to the highest one, that are tracked for an
+	// incarnation. Datagrams with lower sequence numbers are dropped. It is the number of bits in
+	// replayWindow.seen.
 	replayWindowSize = 64
 )
 
-// sender distinguishes new datagrams of one sender from repeated ones and from those of an earlier incarnation.
+// sender detects repeated datagrams of one sender and those of its earlier incarnations.
 type sender struct {
-	incarnations []replayWindow // in the order in which they were last received
-	lastReceived time.Time
+	incarnations []replayWindow // ordered by the last accepted datagram with the latest one last
+	lastReceived time.Time      // when a datagram was last accepted
 }
 
-// accept reports whether a datagram is new, and remembers it.
+// accept reports whether a datagram is new and, if so, records it.
 func (s *sender) accept(epoch, sequence uint64, now time.Time) bool {
 	if n := len(s.incarnations); n > 0 {
 		latest := s.incarnations[n-1].epoch
@@ -35,15 +37,15 @@
 		}
 	}
 	w := replayWindow{epoch: epoch}
-	at := slices.IndexFunc(s.incarnations, func(i replayWindow) bool { return i.epoch == epoch })
-	if at >= 0 {
-		w = s.incarnations[at]
+	index := slices.IndexFunc(s.incarnations, func(i replayWindow) bool { return i.epoch == epoch })
+	if index >= 0 {
+		w = s.incarnations[index]
 	}
 	if !w.accept(sequence) {
 		return false
 	}
-	if at >= 0 {
-		s.incarnations = slices.Delete(s.incarnations, at, at+1)
+	if index >= 0 {
+		s.incarnations = slices.Delete(s.incarnations, index, index+1)
 	}
 	s.incarnations = append(s.incarnations, w)
 	if len(s.incarnations) > maxIncarnations {
@@ -53,13 +55,14 @@
 	return true
 }
 
-// replayWindow holds the sequence numbers that were received of one incarnation.
+// replayWindow records the sequence numbers that were received from one incarnation.
 type replayWindow struct {
 	epoch   uint64
-	highest uint64
-	seen    uint64 // bit n: highest-n was received
+	highest uint64 // highest sequence number received; 0: none
+	seen    uint64 // bit n is set if highest-n was received
 }
 
+// accept reports whether a sequence number is new and, if so, records it.
 func (w *replayWindow) accept(sequence uint64) bool {
 	if sequence > w.highest {
 		w.advance(sequence)
@@ -73,7 +76,7 @@
 	return true
 }
 
-// advance moves the window to a new highest number.
+// advance moves the window to a new highest sequence number.
 func (w *replayWindow) advance(sequence uint64) {
 	if step := sequence - w.highest; step < replayWindowSize {
 		w.seen = w.seen<<step | 1
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -1,9 +1,10 @@
-// Package gossip carries short text messages between the gateways of a fleet in UDP datagrams. Each datagram is
-// authenticated by a keyed hash with the fleet's secret. A message may be lost or overtaken by later ones; it is
-// delivered at most once. Datagrams that are forged, repeated, of another fleet or beyond the receive rate are dropped
-// and counted.
+// Package gossip sends short text messages between the gateways of a fleet in UDP datagrams. Each datagram is
+// authenticated with a keyed hash that uses the fleet's secret. Messages may be lost or reordered, and each
+// one is delivered at most once. Datagrams that are forged, repeated, from another fleet or beyond the
+// receive rate are dropped and counted.
 //
-// The wire format must not change: gateways of two versions exchange datagrams while a new version is rolled out.
+// The wire format must not change, because gateways of different versions exchange datagrams while a new
+// version is rolled out.
 package gossip
 
 import (
@@ -18,45 +19,53 @@
 )
 
 const (
-	// readRetryDelay is the delay after a read that failed; it keeps a lasting error from taking all of a core.
+	// readRetryDelay is the pause after a failed read. It keeps a persistent error from using a whole CPU
+	// core.
 	readRetryDelay = time.Millisecond
 
-	// readBufferBytes is more than any valid datagram, so that a longer one is seen as such.
+	// readBufferBytes is larger than any valid datagram, so that one that is too long is detected.
 	readBufferBytes = 2048
 )
 
-// Options of a transport. All but Now are required.
+// Options configure a Transport. All but Now are required.
 type Options struct {
-	Fleet          string   // name; messages of other fleets are dropped
-	Rank           int      // of this gateway
-	Peers          []string // host:port by rank
-	Secret         credentials.Secret
-	MaxMessageRate float64          // messages a second that are accepted, from all peers together
-	Now            func() time.Time // nil: time.Now
+	// Fleet is the name of the fleet. Messages of other fleets are dropped.
+	Fleet string
+	// Rank is the rank of this gateway, its index in Peers.
+	Rank int
+	// Peers holds the addresses of all gateways, including this one, as host:port by rank.
+	Peers []string
+	// Secret is the fleet's secret for the keyed hash.
+	Secret credentials.Secret
+	// MaxMessageRate is the maximum rate of received messages from all peers together, per second.
+	MaxMessageRate float64
+	// Now returns the current time. Nil means time.Now.
+	Now func() time.Time
 }
 
-// Counts are datagrams by what became of them. The names are the keys of the state page.
+// Counts are numbers of datagrams by how they were handled. The field names are the keys on the state page.
 type Counts struct {
 	Sent       int64
-	Unsent     int64 // the text is too long, the receiver unknown, or the socket refused it
-	Taken      int64 // received and passed on
-	Forged     int64 // malformed, or the hash is wrong, as with another secret
-	Foreign    int64 // of another fleet, for another gateway, or of an unknown sender
-	Repeated   int64 // received before, too old, or of an earlier incarnation
-	OverIntake int64 // beyond MaxMessageRate
+	Unsent     int64 // not sent: text too long, unknown receiver, or an error of the socket
+	Taken      int64 // received and delivered
+	Forged     int64 // dropped: malformed, or the keyed hash is wrong, as with another secret
+	Foreign    int64 // dropped: from another fleet, for another gateway, or from an unknown sender
+	Repeated   int64 // dropped: received before, too old, or from an earlier incarnation
+	OverIntake int64 // dropped: beyond MaxMessageRate
 }
 
-// Transport is a gateway's socket to its peers. Send is safe for concurrent use.
+// Transport exchanges messages with the peers of a gateway over one socket. Create it with New. All methods
+// except Serve are safe for concurrent use; Serve may run concurrently with them.
 type Transport struct {
 	options   Options
 	socket    net.PacketConn
 	hash      credentials.Hasher
-	fleet     [8]byte
+	fleet     [8]byte    // first bytes of the hash of the fleet's name
 	epoch     uint64     // start of this incarnation, Unix time in nanoseconds
 	peerAddrs []net.Addr // by rank
 
 	mu        sync.Mutex
-	sequences []uint64 // the last one sent to each peer
+	sequences []uint64 // last sequence number sent to each peer, by rank; guarded by mu
 
 	counts [countKinds]atomic.Int64
 }
@@ -73,8 +82,8 @@
 	countKinds
 )
 
-// New returns a transport on a bound socket, which it owns from then on. It fails if a peer's address can't be
-// resolved.
+// New returns a transport that uses and owns the bound socket. It returns an error if the address of a peer
+// cannot be resolved; the caller keeps the socket in that case.
 func New(socket net.PacketConn, o Options) (*Transport, error) {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -91,15 +100,15 @@
 	for rank, peer := range o.Peers {
 		addr, err := net.ResolveUDPAddr("udp", peer)
 		if err != nil {
-			return nil, fmt.Errorf("address %q of gateway %d: %w", peer, rank, err)
+			return nil, fmt.Errorf("gossip: resolving address %q of gateway %d: %w", peer, rank, err)
 		}
 		t.peerAddrs = append(t.peerAddrs, addr)
 	}
 	return t, nil
 }
 
-// Send sends one message to the peer of a rank. It returns no error, as any datagram may be lost: a message that is not
-// sent is counted as Unsent.
+// Send sends a message to the peer with the given rank. It returns no error, because any datagram may be
+// lost. A message that cannot be sent is counted as Unsent.
 func (t *Transport) Send(to int, text string) {
 	if to < 0 || to >= len(t.peerAddrs) || to == t.options.Rank || len(text) > maxTextLen {
 		t.counts[countUnsent].Add(1)
@@ -120,6 +129,7 @@
 	t.counts[countSent].Add(1)
 }
 
+// nextSequence returns the sequence number of the next datagram to a peer.
 func (t *Transport) nextSequence(to int) uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -127,8 +137,9 @@
 	return t.sequences[to]
 }
 
-// Serve reads datagrams until Close and calls deliver for each valid message, in the calling goroutine. A read that
-// fails otherwise is repeated: an unreachable peer must not stop messages of the others.
+// Serve reads datagrams until Close is called, and calls deliver for each valid message in the calling
+// goroutine. from is the rank of the sender. After any other read error, Serve continues, because an
+// unreachable peer must not stop the messages of the others.
 func (t *Transport) Serve(deliver func(from int, text string)) {
 	senders := make([]sender, len(t.peerAddrs))
 	limiter := rateLimiter{rate: t.options.MaxMessageRate, updatedAt: t.options.Now()}
@@ -146,7 +157,7 @@
 		switch {
 		case !ok:
 			t.counts[countForged].Add(1)
-		case !t.isForThis(h):
+		case !t.isForThisGateway(h):
 			t.counts[countForeign].Add(1)
 		case !senders[h.from].accept(h.epoch, h.sequence, t.options.Now()):
 			t.counts[countRepeated].Add(1)
@@ -159,12 +170,13 @@
 	}
 }
 
-// isForThis reports whether a datagram comes from a peer of this fleet and is for this gateway.
-func (t *Transport) isForThis(h datagramHeader) bool {
+// isForThisGateway reports whether a datagram is addressed to this gateway and comes from a peer in its
+// fleet.
+func (t *Transport) isForThisGateway(h datagramHeader) bool {
 	return h.fleet == t.fleet && h.to == t.options.Rank && h.from < len(t.peerAddrs) && h.from != t.options.Rank
 }
 
-// Counts returns the counters.
+// Counts returns the current counts. They are read one after the other, not as a consistent snapshot.
 func (t *Transport) Counts() Counts {
 	return Counts{
 		Sent:       t.counts[countSent].Load(),
@@ -177,5 +189,5 @@
 	}
 }
 
-// Close closes the socket, which ends Serve.
+// Close closes the socket, which makes Serve return.
 func (t *Transport) Close() error { return t.socket.Close() }
