--- a/internal/gossip/plain/plain_test.go
+++ b/internal/gossip/plain/plain_test.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// listen returns a socket on a loopback port that is closed when the test ends.
 func listen(t *testing.T) *net.UDPConn {
 	t.Helper()
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -17,7 +18,8 @@
 	return conn
 }
 
-// serve passes received messages to a channel; done is closed when Serve has returned.
+// serve starts Serve and passes the received messages to a channel. The channel done is closed when Serve
+// returns.
 func serve(tr *Transport) (received chan string, done chan struct{}) {
 	received, done = make(chan string, 1000), make(chan struct{})
 	go func() {
@@ -27,9 +29,10 @@
 	return received, done
 }
 
-// A stranger, a datagram that is too long or a flood must not reach the loop, nor keep a peer's message from it.
-func TestMessagesBetweenGateways(t *testing.T) {
-	a, b, stranger := listen(t), listen(t), listen(t)
+// Guards against datagrams of an unknown sender, datagrams that are too long or a flood that reach the event
+// loop, and against such datagrams that keep the message of a peer from it.
+func TestOnlyValidMessagesAreDelivered(t *testing.T) {
+	a, b, unknown := listen(t), listen(t), listen(t)
 	peers := []string{a.LocalAddr().String(), b.LocalAddr().String()}
 	sender, err := New(a, 0, peers, 0)
 	if err != nil {
@@ -40,17 +43,17 @@
 		t.Fatal(err)
 	}
 	received, done := serve(receiver)
-	stranger.WriteToUDP([]byte("x"), b.LocalAddr().(*net.UDPAddr))
+	unknown.WriteToUDP([]byte("x"), b.LocalAddr().(*net.UDPAddr))
 	a.WriteToUDP(make([]byte, MaxDatagramBytes+1), b.LocalAddr().(*net.UDPAddr))
 	sender.Send(1, strings.Repeat("y", MaxDatagramBytes+1))
-	sender.Send(7, "nobody")
-	sender.Send(0, "myself")
+	sender.Send(7, "unknown rank")
+	sender.Send(0, "own rank")
 	sender.Send(1, "hello")
 	if text := <-received; text != "hello" {
-		t.Errorf("%q was received, want hello alone", text)
+		t.Errorf("received %q first, want \"hello\"", text)
 	}
 	if receiver.UnknownSender.Load() != 1 || receiver.TooLong.Load() != 1 || sender.TooLong.Load() != 1 {
-		t.Errorf("unknown sender %d, too long %d and %d, want 1 of each",
+		t.Errorf("unknown senders: %d, too long: %d received and %d sent, want 1 of each",
 			receiver.UnknownSender.Load(), receiver.TooLong.Load(), sender.TooLong.Load())
 	}
 	for range 200 {
@@ -59,31 +62,34 @@
 	deadline := time.Now().Add(10 * time.Second)
 	for receiver.Received.Load()+receiver.RateLimited.Load() < 150 {
 		if time.Now().After(deadline) {
-			t.Fatalf("%d received, %d over the rate", receiver.Received.Load(), receiver.RateLimited.Load())
+			t.Fatalf("%d datagrams received and %d beyond the rate within 10 s, want at least 150 together",
+				receiver.Received.Load(), receiver.RateLimited.Load())
 		}
 		time.Sleep(time.Millisecond)
 	}
-	if n, over := receiver.Received.Load(), receiver.RateLimited.Load(); over < n {
-		t.Errorf("%d of a flood were received, %d not, at a rate of 5 a second", n, over)
+	if n, dropped := receiver.Received.Load(), receiver.RateLimited.Load(); dropped < n {
+		t.Errorf("%d datagrams of a flood were received and %d dropped at a rate of 5 per second", n, dropped)
 	}
 	receiver.Close()
 	<-done
 }
 
-func TestPeersThatCantBeRead(t *testing.T) {
+// Guards against a peer address that cannot be parsed and whose error does not name the field.
+func TestInvalidPeerAddressIsNamed(t *testing.T) {
 	_, err := New(listen(t), 0, []string{"127.0.0.1:1", "nowhere"}, 0)
 	if err == nil || !strings.Contains(err.Error(), `peers[1]: "nowhere"`) {
 		t.Errorf("error %v, want one that names peers[1]", err)
 	}
 }
 
-// Reads fail for a long time and then work again. Serve must go on, or the gateway hears no gossip until its restart.
-func TestReadsThatFailForLong(t *testing.T) {
+// Guards against a gateway that receives no gossip until it is restarted, because reads failed for a long
+// time and Serve gave up. Serve must continue once reads succeed again.
+func TestServeContinuesAfterReadErrors(t *testing.T) {
 	a, b := listen(t), listen(t)
 	peers := []string{a.LocalAddr().String(), b.LocalAddr().String()}
 	sender, _ := New(a, 0, peers, 0)
 	receiver, _ := New(b, 1, peers, 0)
-	b.SetReadDeadline(time.Now().Add(-time.Second)) // each read fails
+	b.SetReadDeadline(time.Now().Add(-time.Second)) // makes each read fail
 	received, done := serve(receiver)
 	select {
 	case <-done:
@@ -93,7 +99,7 @@
 	b.SetReadDeadline(time.Time{})
 	sender.Send(1, "hello")
 	if text := <-received; text != "hello" {
-		t.Errorf("%q was received, want hello", text)
+		t.Errorf("received %q, want \"hello\"", text)
 	}
 	receiver.Close()
 	<-done
