--- a/internal/discovery/http/follower.go
+++ b/internal/discovery/http/follower.go
@@ -12,8 +12,7 @@
 	callTimeout     = 10 * time.Second // limit on one call, including the connection setup
 	maxCalls        = 4                // maximum number of concurrent calls
 	maxRetryBackoff = 400 * time.Millisecond
-	// resumeWait is the long poll duration of a call that requests missed changes. It is short, because
-	// missed changes are available at once.
+	// resumeWait is the duration of the long poll of a call that only requests missed changes.
 	resumeWait   = 100 * time.Millisecond
 	warnInterval = 5 * time.Second // minimum interval between two warnings during an outage
 )
@@ -152,8 +151,8 @@
 	f.accept(r)
 }
 
-// accept applies a valid result. It starts the next call before it passes the list on, because a change is
-// known the earlier the sooner that call reaches discovery.
+// accept applies a valid result. It starts the next call before it passes the list on: the sooner that call
+// reaches discovery, the sooner the next change is known.
 func (f *follower) accept(r result) {
 	f.cancelAll()
 	isNew := !f.synced || r.list.Full || r.list.Rev != f.rev || len(r.list.Targets) > 0
--- a/internal/discovery/http/watch.go
+++ b/internal/discovery/http/watch.go
@@ -17,8 +17,8 @@
 
 // Options configure a Watch. OnList and Log are required. MaxStaleness explains how the durations combine.
 type Options struct {
-	// OnList is called with each list that differs from the previous one and with the time since the previous
-	// response of discovery. Run calls it and waits until it returns.
+	// OnList is called with each received list, except for responses without changes, and with the time since
+	// the previous response of discovery. Run calls it and waits until it returns.
 	OnList func(list *List, sinceLast time.Duration)
 	// Log receives warnings about failed calls and invalid lists.
 	Log *slog.Logger
@@ -31,8 +31,8 @@
 	ResponseGrace time.Duration
 	// HedgeDelay is the time that any other call may take before a hedged call is made. Zero means 750 ms.
 	HedgeDelay time.Duration
-	// RetryBackoff is the pause after the first failure. It doubles with each further failure up to 400 ms; a
-	// longer one stays constant. Zero means 100 ms.
+	// RetryBackoff is the pause after the first failure. It doubles with each further failure up to
+	// maxRetryBackoff; a value above that stays constant. Zero means 100 ms.
 	RetryBackoff time.Duration
 }
 
--- a/internal/discovery/websocket/endpoint.go
+++ b/internal/discovery/websocket/endpoint.go
@@ -20,7 +20,7 @@
 
 // Update is the params object of the notifications MethodFull and MethodChange.
 type Update struct {
-	Version   uint64     `json:"version"` // grows by 1 with each change; may start again with the service
+	Version   uint64     `json:"version"` // grows by 1 with each change; may start again on a restart
 	NowMs     int64      `json:"now_ms"`  // time on the service's clock, Unix ms
 	Endpoints []Endpoint `json:"nodes"`
 }
--- a/internal/upstream/http/pool.go
+++ b/internal/upstream/http/pool.go
@@ -81,10 +81,11 @@
 	ConnLimitReached atomic.Int64 // attempts that failed because of MaxConns with no idle connection to close
 }
 
-// Pool holds the connections to all servers. Create it with New. It is safe for concurrent use. System calls
-// that are made with mu held must not wait. In particular, net.TCPConn.Close must never be called with mu
-// held: it waits for a read that is in progress, and the socket.Reader of a connection acquires mu during
-// each read.
+// Pool holds the connections to all servers. Create it with New. It is safe for concurrent use.
+//
+// System calls that are made with mu held must not wait. In particular, net.TCPConn.Close must never be
+// called with mu held: it waits for a read that is in progress, and the socket.Reader of a connection
+// acquires mu during each read.
 type Pool struct {
 	Counters
 	opts      Options
