--- a/internal/discovery/http/call.go
+++ b/internal/discovery/http/call.go
@@ -91,7 +91,8 @@
 // fetch sends one request and reads the response. last reports whether the connection cannot be used for
 // another request.
 func (c *conn) fetch(path string) (list *List, invalid entryErrors, last bool, err error) {
-	if _, err = c.nc.Write([]byte("GET " + path + " HTTP/1.1\r\nHost: service.internal\r\n\r\n")); err != nil {
+	if _, err = c.nc.Write([]byte("GET " + path +
+		" HTTP/1.1\r\nHost: service.internal\r\n\r\n")); err != nil {
 		return nil, invalid, true, err
 	}
 	response, body, err := c.reader.StreamResponse()
--- a/internal/discovery/http/decode_test.go
+++ b/internal/discovery/http/decode_test.go
@@ -59,8 +59,10 @@
 				got = target.State
 			}
 		}
-		if last := l.Targets[len(l.Targets)-1]; got != c.state || last.UID != "b" || last.State != "draining" {
-			t.Errorf("entry %s: list %+v, want server a with state %q and b draining", c.bad, l.Targets, c.state)
+		if last := l.Targets[len(l.Targets)-1]; got != c.state || last.UID != "b" ||
+			last.State != "draining" {
+			t.Errorf("entry %s: list %+v, want server a with state %q and b draining",
+				c.bad, l.Targets, c.state)
 		}
 	}
 }
--- a/internal/discovery/http/starttimes_test.go
+++ b/internal/discovery/http/starttimes_test.go
@@ -57,17 +57,18 @@
 			s := NewStartTimes(slowStart, wallClockOff(wall))
 			s.Update(starts{"a": 0, "b": 0}.list(true), decide.FullUpdate, now, 0)
 			for _, again := range []time.Duration{0, time.Minute} {
-				u := s.Update(starts{"c": boot}.list(false), decide.DeltaUpdate, now+10*time.Second+again, 2*time.Second)
+				u := s.Update(starts{"c": boot}.list(false), decide.DeltaUpdate,
+					now+10*time.Second+again, 2*time.Second)
 				got := startsOf(u)["c"]
 				if got < now+8*time.Second || got > now+10*time.Second {
-					t.Errorf("wall clock off by %v, boot by %v: start %v after the first list, want 8 to 10 s",
+					t.Errorf("wall off by %v, boot by %v: start %v after the first list, want 8 to 10 s",
 						wall, boot, got-now)
 				}
 			}
 			restarted := starts{"c": boot - time.Minute}.list(false)
 			got := startsOf(s.Update(restarted, decide.DeltaUpdate, now+40*time.Second, 2*time.Second))["c"]
 			if got < now+38*time.Second {
-				t.Errorf("wall clock off by %v, boot by %v: restart %v after the first list, want at least 38 s",
+				t.Errorf("wall off by %v, boot by %v: restart %v after the first list, want at least 38 s",
 					wall, boot, got-now)
 			}
 		}
@@ -146,7 +147,8 @@
 	if got := startsOf(u)["b"]; got != before {
 		t.Errorf("a server that returned to the list has the start %v, want %v", got, before)
 	}
-	s.Update(&List{Targets: []Target{{UID: "b", State: "gone"}}}, decide.DeltaUpdate, now+3*time.Minute, time.Second)
+	s.Update(&List{Targets: []Target{{UID: "b", State: "gone"}}}, decide.DeltaUpdate,
+		now+3*time.Minute, time.Second)
 	s.Update(&List{}, decide.DeltaUpdate, now+14*time.Minute, time.Second)
 	if len(s.servers) != 2 {
 		t.Errorf("%d servers are remembered, want 2", len(s.servers))
--- a/internal/discovery/http/watch_test.go
+++ b/internal/discovery/http/watch_test.go
@@ -50,15 +50,16 @@
 			t.Errorf("list %d: rev %d, full %t, want rev %d", i, l.Rev, l.Full, want)
 		}
 	}
-	w.expectPaths(t, fullPath, changesPath(41, longPoll), changesPath(43, longPoll), changesPath(43, longPoll),
-		changesPath(50, longPoll))
+	w.expectPaths(t, fullPath, changesPath(41, longPoll), changesPath(43, longPoll),
+		changesPath(43, longPoll), changesPath(50, longPoll))
 }
 
 // Guards against waiting for a response that never comes, because discovery or a middlebox keeps the
 // connection open and sends nothing.
 func TestUnansweredCallsAreHedged(t *testing.T) {
 	const longPoll = 10 * time.Millisecond
-	options := Options{LongPoll: longPoll, ResponseGrace: 20 * time.Millisecond, HedgeDelay: 20 * time.Millisecond}
+	options := Options{LongPoll: longPoll, ResponseGrace: 20 * time.Millisecond,
+		HedgeDelay: 20 * time.Millisecond}
 	w := startWatch(t, options,
 		listJSON(41, true, targetJSON("a", "ready")))
 	receive(t, w.lists)
@@ -83,7 +84,8 @@
 // same address again must request them at once.
 func TestSetAddrWithSameAddressQueriesAtOnce(t *testing.T) {
 	w := startWatch(t, Options{LongPoll: time.Minute},
-		listJSON(41, true, targetJSON("a", "ready")), "silence", listJSON(44, false, targetJSON("a", "draining")))
+		listJSON(41, true, targetJSON("a", "ready")), "silence",
+		listJSON(44, false, targetJSON("a", "draining")))
 	receive(t, w.lists)
 	receive(t, w.paths)
 	receive(t, w.paths)
@@ -233,8 +235,8 @@
 	}
 }
 
-// Guards against default timeouts that detect an unresponsive discovery too late. A change has to be known 6
-// s after discovery stopped responding, and the first two calls may fail, so the third one must be made by
+// Guards against default timeouts that detect an unresponsive discovery too late. A change has to be known
+// 6 s after discovery stopped responding, and the first two calls may fail, so the third one must be made by
 // then.
 func TestDefaultsLimitStaleness(t *testing.T) {
 	if staleness := (Options{}).MaxStaleness(); staleness > 6*time.Second {
--- a/internal/discovery/websocket/tracker_test.go
+++ b/internal/discovery/websocket/tracker_test.go
@@ -30,7 +30,8 @@
 	}{
 		{"change before any list", false, false, 3, []Endpoint{a}, errVersionGap, 0},
 		{"first full list", true, true, 3, []Endpoint{a, c}, nil, decide.FullUpdate},
-		{"change", false, false, 4, []Endpoint{endpoint("10.0.0.1:1", "draining", 0)}, nil, decide.DeltaUpdate},
+		{"change", false, false, 4, []Endpoint{endpoint("10.0.0.1:1", "draining", 0)}, nil,
+			decide.DeltaUpdate},
 		{"repeated change", false, false, 4, []Endpoint{a}, errStaleVersion, 0},
 		{"older change", false, false, 2, []Endpoint{a}, errStaleVersion, 0},
 		{"change after a gap", false, false, 6, []Endpoint{a}, errVersionGap, 0},
@@ -55,7 +56,8 @@
 	apply := func(now time.Duration, serviceNow, started int64, version uint64) time.Duration {
 		t.Helper()
 		endpoints := []Endpoint{endpoint("h:1", "serving", started)}
-		event, err := tracker.apply(now, true, false, &Update{Version: version, NowMs: serviceNow, Endpoints: endpoints})
+		event, err := tracker.apply(now, true, false,
+			&Update{Version: version, NowMs: serviceNow, Endpoints: endpoints})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -83,7 +85,8 @@
 	for want, u := range map[string]Update{
 		"nodes[0].node: \"x\"":   {Endpoints: []Endpoint{endpoint("x", "serving", 0)}},
 		"nodes[0].state: \"up\"": {Endpoints: []Endpoint{endpoint("h:1", "up", 0)}},
-		"occurs more than once":  {Endpoints: []Endpoint{endpoint("h:1", "serving", 0), endpoint("h:1", "gone", 0)}},
+		"occurs more than once": {Endpoints: []Endpoint{
+			endpoint("h:1", "serving", 0), endpoint("h:1", "gone", 0)}},
 	} {
 		tracker := newTracker()
 		if _, err := tracker.apply(0, true, true, &u); err == nil || !strings.Contains(err.Error(), want) {
--- a/internal/discovery/websocket/watch.go
+++ b/internal/discovery/websocket/watch.go
@@ -92,7 +92,8 @@
 	event, _ := w.tracker.apply(w.options.Clock(), true, true, &u) // cannot fail, LoadList has validated u
 	event.Kind = decide.StaleUpdate
 	w.options.OnUpdate(event)
-	w.options.Log("Started with the cached endpoint list", "version", u.Version, "endpoints", len(u.Endpoints))
+	w.options.Log("Started with the cached endpoint list",
+		"version", u.Version, "endpoints", len(u.Endpoints))
 }
 
 // watchConn opens one connection and handles its messages until it ends. It reports whether a complete list
--- a/internal/gossip/datagram.go
+++ b/internal/gossip/datagram.go
@@ -50,7 +50,8 @@
 // parseDatagram decodes a datagram. It returns false if the datagram is malformed or its keyed hash is wrong.
 // The hash covers the header, so that none of its fields can be forged.
 func parseDatagram(b []byte, hash credentials.Hasher) (h datagramHeader, text string, ok bool) {
-	if len(b) < headerLen+hashLen || len(b) > headerLen+maxTextLen+hashLen || !bytes.HasPrefix(b, []byte(magic)) {
+	if len(b) < headerLen+hashLen || len(b) > headerLen+maxTextLen+hashLen ||
+		!bytes.HasPrefix(b, []byte(magic)) {
 		return h, "", false
 	}
 	body := b[:len(b)-hashLen]
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -173,7 +173,8 @@
 // isForThisGateway reports whether a datagram is addressed to this gateway and comes from a peer in its
 // fleet.
 func (t *Transport) isForThisGateway(h datagramHeader) bool {
-	return h.fleet == t.fleet && h.to == t.options.Rank && h.from < len(t.peerAddrs) && h.from != t.options.Rank
+	return h.fleet == t.fleet && h.to == t.options.Rank &&
+		h.from < len(t.peerAddrs) && h.from != t.options.Rank
 }
 
 // Counts returns the current counts. They are read one after the other, not as a consistent snapshot.
--- a/internal/upstream/http/attempt_test.go
+++ b/internal/upstream/http/attempt_test.go
@@ -71,7 +71,8 @@
 	})
 	p := newPool(t, Options{}, Server{ID: "a", Addr: addr})
 	call, _ := newAttempt("a", "1")
-	call.Params = append([]byte("POST / HTTP/1.1\r\nContent-Length: 33554432\r\n\r\n"), make([]byte, 32<<20)...)
+	call.Params = append([]byte("POST / HTTP/1.1\r\nContent-Length: 33554432\r\n\r\n"),
+		make([]byte, 32<<20)...)
 	p.Send(call)
 	<-connected
 	if result := p.Abandon(call); result != upstream.NotSent {
--- a/internal/upstream/http/conn.go
+++ b/internal/upstream/http/conn.go
@@ -104,7 +104,8 @@
 		c.dialFailed(call, err)
 		return false
 	}
-	limits := http1.Limits{MaxHeadBytes: maxHeadBytes, MaxBodyBytes: p.opts.MaxBodyBytes, ReserveBody: c.reserveBody}
+	limits := http1.Limits{MaxHeadBytes: maxHeadBytes, MaxBodyBytes: p.opts.MaxBodyBytes,
+		ReserveBody: c.reserveBody}
 	socketReader := socket.NewReader(c.raw, &p.mu, c.noteRead)
 	c.reader = http1.NewReader(bufio.NewReaderSize(socketReader, readBufferBytes), limits)
 	var cancelled *upstream.Call
--- a/internal/upstream/http/idle_test.go
+++ b/internal/upstream/http/idle_test.go
@@ -112,10 +112,11 @@
 		delay := delays[string(r.Body)]
 		mu.Unlock()
 		if r.Outcome != decide.OutcomeOK || delay < toleratedDelay {
-			t.Fatalf("attempt %s: outcome %d, response %q (its copy followed after %v), want its own response",
+			t.Fatalf("attempt %s: outcome %d, response %q, whose copy followed after %v, want its own",
 				txn, r.Outcome, r.Body, delay)
 		}
-		t.Logf("attempt %s: repeating the round, the copy of response %q followed after %v", txn, r.Body, delay)
+		t.Logf("attempt %s: repeating the round, the copy of response %q followed after %v",
+			txn, r.Body, delay)
 	}
 }
 
--- a/internal/upstream/http/response.go
+++ b/internal/upstream/http/response.go
@@ -27,7 +27,8 @@
 	case r.Status == http.StatusOK:
 		result.Outcome = decide.OutcomeOK
 		result.Body = r.Body
-	case (r.Status == http.StatusServiceUnavailable || r.Status == http.StatusGatewayTimeout) && rejected == "1":
+	case (r.Status == http.StatusServiceUnavailable || r.Status == http.StatusGatewayTimeout) &&
+		rejected == "1":
 		result.Outcome = decide.OutcomeRejected
 	default:
 		result.Outcome = decide.OutcomeError
--- a/internal/upstream/http/response_test.go
+++ b/internal/upstream/http/response_test.go
@@ -32,8 +32,8 @@
 	}
 	const empty = "Content-Length: 0\r\n\r\n"
 	ok := upstream.Result{Outcome: decide.OutcomeOK, Body: []byte("hi")}
-	okWithFigures := upstream.Result{Outcome: decide.OutcomeOK, Body: []byte("hi"), ReportedUsage: 86, ActualUnits: 3,
-		LoadReport: decide.LoadReport{"inflight": 7, "util": 0.5}}
+	okWithFigures := upstream.Result{Outcome: decide.OutcomeOK, Body: []byte("hi"),
+		ReportedUsage: 86, ActualUnits: 3, LoadReport: decide.LoadReport{"inflight": 7, "util": 0.5}}
 	rejected := upstream.Result{Outcome: decide.OutcomeRejected}
 	failed := upstream.Result{Outcome: decide.OutcomeError}
 	reset := upstream.Result{Outcome: decide.OutcomeReset}
@@ -42,7 +42,9 @@
 		want       upstream.Result
 	}{
 		{"status 200", send(okHead + "\r\nhi"), ok},
-		{"valid figures", send(okHead + "X-Quota-Used: 85\r\nX-Units-Charged: 3\r\nX-Pressure: inflight=7,util=0.5\r\n\r\nhi"),
+		{"valid figures",
+			send(okHead +
+				"X-Quota-Used: 85\r\nX-Units-Charged: 3\r\nX-Pressure: inflight=7,util=0.5\r\n\r\nhi"),
 			okWithFigures},
 		{"malformed figures", send(okHead + "X-Quota-Used: -3\r\nX-Units-Charged: many\r\n" +
 			"X-Pressure: a=b;;\r\n\r\nhi"), ok},
@@ -54,7 +56,8 @@
 		{"status 404", send("HTTP/1.1 404 E\r\n" + empty), failed},
 		{"not HTTP", send("\x01\x02\x03\r\n\r\n"), failed},
 		{"body of 3 GB", send("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx"), failed},
-		{"endless head", send("HTTP/1.1 200 OK\r\n" + strings.Repeat("X: yyyyyyyyyyyyyyyyyyyyyyyy\r\n", 1000)), failed},
+		{"endless head",
+			send("HTTP/1.1 200 OK\r\n" + strings.Repeat("X: yyyyyyyyyyyyyyyyyyyyyyyy\r\n", 1000)), failed},
 		{"connection closed before the response", sendAndClose(""), reset},
 		{"connection closed within the response", sendAndClose(okHead + "\r\nh"), reset},
 		{"connection refused", closedAddr, upstream.Result{Outcome: decide.OutcomeConnectFailed}},
--- a/internal/upstream/idletimeout/estimator_test.go
+++ b/internal/upstream/idletimeout/estimator_test.go
@@ -47,7 +47,8 @@
 	short := 0
 	for seed := range int64(50) {
 		var e Estimator
-		cut := traffic{seed: seed, attempts: 1000, cutAfter: 120 * time.Millisecond, cutRate: 0.4, baseRate: 0.1}
+		cut := traffic{seed: seed, attempts: 1000, cutAfter: 120 * time.Millisecond,
+			cutRate: 0.4, baseRate: 0.1}
 		now, _ := simulate(&e, 0, cut)
 		if l := e.Limit(now); l > 200*time.Millisecond {
 			t.Errorf("seed %d: limit %v, want at most 200 ms", seed, l)
@@ -67,12 +68,14 @@
 		limited := 0
 		for seed := range int64(200) {
 			var e Estimator
-			if now, _ := simulate(&e, 0, traffic{seed: seed, attempts: 1000, baseRate: base}); e.Limit(now) != NoLimit {
+			if now, _ := simulate(&e, 0,
+				traffic{seed: seed, attempts: 1000, baseRate: base}); e.Limit(now) != NoLimit {
 				limited++
 			}
 		}
 		if limited > 20 {
-			t.Errorf("break rate %g: a limit in %d of 200 runs without idle breaks, want at most 20", base, limited)
+			t.Errorf("break rate %g: a limit in %d of 200 runs without idle breaks, want at most 20",
+				base, limited)
 		}
 	}
 }
@@ -81,7 +84,8 @@
 // caused it was replaced.
 func TestLimitExpires(t *testing.T) {
 	var e Estimator
-	now, broken := simulate(&e, 0, traffic{seed: 1, attempts: 1000, cutAfter: 120 * time.Millisecond, cutRate: 0.4})
+	now, broken := simulate(&e, 0,
+		traffic{seed: 1, attempts: 1000, cutAfter: 120 * time.Millisecond, cutRate: 0.4})
 	if e.Limit(now) == NoLimit || broken == 0 {
 		t.Fatal("no limit was learned from the idle breaks")
 	}
--- a/internal/upstream/websocket/pool_test.go
+++ b/internal/upstream/websocket/pool_test.go
@@ -93,7 +93,8 @@
 			waitOutcome(t, results, decide.OutcomeReset)
 		} else {
 			r := waitOutcome(t, results, decide.OutcomeOK)
-			if r.ActualUnits != 2 || r.ReportedUsage != 3 || r.LoadReport["queue"] != 1 || string(r.Body) != "7" {
+			if r.ActualUnits != 2 || r.ReportedUsage != 3 || r.LoadReport["queue"] != 1 ||
+				string(r.Body) != "7" {
 				t.Errorf("result %+v, want 2 units, usage 3, queue 1 and body 7", r)
 			}
 		}
@@ -257,7 +258,8 @@
 // connection that carries a call must not be closed as idle.
 func TestCallsToEmulatedServer(t *testing.T) {
 	log := invariant.NewLog(nil)
-	server, err := backend.Start(backend.Options{Address: "127.0.0.1:0", Log: log, Cores: 4, Speed: 1, Queue: 1000,
+	server, err := backend.Start(backend.Options{Address: "127.0.0.1:0", Log: log,
+		Cores: 4, Speed: 1, Queue: 1000,
 		Classes: map[string]backend.Class{"m": {MeanWork: 100 * time.Microsecond}}})
 	if err != nil {
 		t.Fatal(err)
