--- a/decide/customers.go
+++ b/decide/customers.go
@@ -5,75 +5,78 @@
 	"time"
 )
 
-// customerIdleTimeout is after how long an idle customer is dropped. It must be long enough that each
-// bucket has leaked and each ceiling has filled by then.
+// customerIdleTimeout is the time after which an idle customer is removed. It must be long enough for each
+// bucket to have leaked completely and each ceiling to have refilled.
 const customerIdleTimeout = time.Minute
 
-// idleChecksPerHeartbeat bounds the work of dropping idle customers.
+// idleChecksPerHeartbeat bounds the work of removing idle customers.
 const idleChecksPerHeartbeat = 4
 
-// customer is what a gateway knows of a customer that it has had a request of, or gossip about.
+// customer is the state of a customer from which this gateway has received a request, or about which it has
+// received gossip.
 type customer struct {
-	key    uint64 // see hashKey
-	plan   *Plan
-	planNo int // of the plan, in messages
+	key       uint64 // hash of its name, see hashKey
+	plan      *Plan
+	planIndex int // index of the plan in Config.Plans, sent in messages
 
-	firstGateway, gatewayCount int // the gateways through which its requests come
+	// The gateways through which the customer's requests come: rank of the first, and number.
+	firstGateway, gatewayCount int
 
 	lastUsed time.Duration
-	inFlight int // attempts
-
-	bucket    bucket
-	demand    demand
-	usage     usage
-	gossip    customerGossip
-	asOwner   ownedBucket // where this gateway is one of the customer's owners
-	fromOwner ownerReport // elsewhere: what an owner replied
+	inFlight int // attempts in flight
+
+	bucket      bucket
+	demand      demand
+	usage       usage
+	gossip      customerGossip
+	ownedBucket ownedBucket // used if this gateway is an owner of the customer
+	ownerReport ownerReport // the last reply of an owner, if this gateway is none
 }
 
-// planOverride is the plan that a PlanChange put a customer on.
+// planOverride is the plan that a PlanChange assigned to a customer.
 type planOverride struct {
 	Plan
-	planNo int
+	planIndex int
 }
 
-// customerTable holds the customers and their plans.
+// customerTable holds the known customers and their plans.
 type customerTable struct {
-	byKey     map[uint64]*customer
-	order     []*customer // the head is the next one that dropIdle looks at
+	byKey map[uint64]*customer
+	order []*customer // all customers; dropIdle checks the first one next and moves it to the end
+	// overrides holds the plans that PlanChange events assigned, by customer key.
 	overrides map[uint64]*planOverride
 
-	planIndex map[string]int // by name
+	planIndexByName map[string]int // index in Config.Plans by name
 }
 
 func newCustomerTable(plans []Plan) customerTable {
 	t := customerTable{
-		byKey:     map[uint64]*customer{},
-		overrides: map[uint64]*planOverride{},
-		planIndex: map[string]int{},
+		byKey:           map[uint64]*customer{},
+		overrides:       map[uint64]*planOverride{},
+		planIndexByName: map[string]int{},
 	}
 	for i, p := range plans {
-		t.planIndex[p.Name] = i
+		t.planIndexByName[p.Name] = i
 	}
 	return t
 }
 
-// findOrAddCustomer returns the customer of the key. A new one is put on the plan of that number, unless a
-// PlanChange has named another.
-func (g *Gateway) findOrAddCustomer(key uint64, planNo int) *customer {
+// findOrAddCustomer returns the customer with the key. A new customer is put on the plan with the index
+// planIndex, unless a PlanChange has assigned another one.
+func (g *Gateway) findOrAddCustomer(key uint64, planIndex int) *customer {
 	if c := g.customers.byKey[key]; c != nil {
 		c.lastUsed = g.now
 		return c
 	}
-	plan := &g.cfg.Plans[planNo]
+	plan := &g.cfg.Plans[planIndex]
 	if o := g.customers.overrides[key]; o != nil {
-		plan, planNo = &o.Plan, o.planNo
+		plan, planIndex = &o.Plan, o.planIndex
 	}
-	c := &customer{key: key, plan: plan, planNo: planNo, gatewayCount: g.cfg.Gateways, lastUsed: g.now}
+	c := &customer{key: key, plan: plan, planIndex: planIndex, gatewayCount: g.cfg.Gateways, lastUsed: g.now}
 	c.gossip = newCustomerGossip(len(g.gossip.peers))
 	c.usage = newUsage()
-	c.fromOwner.repliedAt = -demandMemory // never
-	c.bucket.leakedAt = g.startedAt       // the bucket leaks, and the ceiling fills, from the start on
+	c.ownerReport.repliedAt = -rateTimeConstant // before any possible reply
+	c.bucket.leakedAt = g.startedAt             // leak, and refill the ceiling, from the start on
 	c.bucket.share = c.evenShare()
 	if !g.gossip.full {
 		c.bucket.fleetLevel = g.initialFleetLevel(c)
@@ -84,8 +87,8 @@
 	return c
 }
 
-// setGateways sets through which gateways the customer's requests come, as a request says. A set that is
-// empty or larger than the fleet is ignored.
+// setGateways sets the gateways through which the customer's requests come, as stated by a request. A set
+// that is empty or larger than the fleet is ignored.
 func (c *customer) setGateways(first, count, fleet int) {
 	if count <= 0 || count > fleet || (c.gatewayCount == count && c.firstGateway == first) {
 		return
@@ -94,32 +97,37 @@
 	c.bucket.ceilingTokens = min(c.bucket.ceilingTokens, c.plan.CeilingBurst/float64(count))
 }
 
-// servesCustomer reports whether the customer's requests may come through the gateway of that rank.
+// servesCustomer reports whether requests of the customer may come through the gateway with the rank.
 func (g *Gateway) servesCustomer(c *customer, rank int) bool {
 	return (rank-c.firstGateway+g.cfg.Gateways)%g.cfg.Gateways < c.gatewayCount
 }
 
-// changePlan puts a customer on another plan. Used units stay in its buckets: over a lower high-water
-// mark nothing passes until they have leaked at the new rate, under a higher one only the difference is
-// new, so a change there and back gives nothing away. A plan without a rate does not leak, so a level
-// from its time counts up to the mark only. Attempts in flight go on and count under the new limit, an
-// owner's grants stay. Ceiling tokens are cut to the new ceiling and never added. A plan
-// that is not configured or not valid changes nothing.
+// changePlan puts a customer on another plan. The effects are:
+//
+//   - Used units stay in the buckets. Over a lower high-water mark, nothing is admitted until the excess
+//     has leaked at the new rate; under a higher mark, only the difference becomes available. Changing a
+//     plan back and forth therefore grants no units.
+//   - A plan without a rate does not leak. When it is replaced, the level is limited to the high-water
+//     mark.
+//   - Attempts in flight continue and count towards the new limit. Grants of an owner remain valid.
+//   - Ceiling tokens are cut to the new ceiling and never added.
+//
+// A plan that is not configured or not valid changes nothing.
 func (g *Gateway) changePlan(e PlanChange) {
-	planNo, ok := g.customers.planIndex[e.Plan.Name]
+	planIndex, ok := g.customers.planIndexByName[e.Plan.Name]
 	if !ok || e.Plan.validate("Plan") != nil {
 		return
 	}
 	key := hashKey(e.Customer)
-	override := &planOverride{e.Plan, planNo}
+	override := &planOverride{e.Plan, planIndex}
 	g.customers.overrides[key] = override
 	c := g.customers.byKey[key]
 	if c == nil {
 		return
 	}
-	g.refresh(c) // by the old plan up to now
+	g.refresh(c) // apply the old plan up to now
 	hadRate := c.plan.Rate > 0
-	c.plan, c.planNo = &override.Plan, planNo
+	c.plan, c.planIndex = &override.Plan, planIndex
 	b := &c.bucket
 	if !hadRate {
 		b.level = min(b.level, b.share*c.plan.Burst)
@@ -130,7 +138,8 @@
 	g.refresh(c)
 }
 
-// dropIdle drops customers that have been idle for long. It looks at a few of them each time.
+// dropIdle removes customers that have been idle for customerIdleTimeout. Each call checks only the next
+// few customers.
 func (t *customerTable) dropIdle(now time.Duration) {
 	for n := 0; n < idleChecksPerHeartbeat && len(t.order) > 0; n++ {
 		c := t.order[0]
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -8,6 +8,8 @@
 	"time"
 )
 
+// A server in slow start fails if it gets as many requests as a warm one. It must get only the part that
+// its present capacity allows, and its full part when the slow start is over.
 func TestSlowStart(t *testing.T) {
 	h := newHarness(t, nil)
 	run := func(d time.Duration) map[string]int {
@@ -21,29 +23,31 @@
 		return n
 	}
 	run(10 * time.Second)
-	h.handle(EndpointUpdate{Kind: DeltaUpdate, Servers: []Server{{ID: "s1", Zone: "a", StartedAt: h.now - ms}}})
+	h.handle(EndpointUpdate{Kind: DeltaUpdate,
+		Servers: []Server{{ID: "s1", Zone: "a", StartedAt: h.now - ms}}})
 	n := run(time.Second)
 	warm := float64(n["s2"]+n["s3"]) / 2
 	if most := slowStartMargin * 2 * 0.3 * warm * 1.2; float64(n["s1"]) > most+1 {
-		t.Errorf("the server in slow start got %d in its first second, want %v at most", n["s1"], most)
+		t.Errorf("server in slow start got %d requests in its first second, want at most %v", n["s1"], most)
 	}
 	run(10 * time.Second)
 	if n = run(2 * time.Second); n["s1"] < n["s2"]/2 {
-		t.Errorf("warm again, the server gets %d of %v", n["s1"], n)
+		t.Errorf("server got %d requests after its slow start, want at least half of those of s2: %v",
+			n["s1"], n)
 	}
 }
 
-// TestSlowStartOverAllGateways: all of 300 gateways with few requests each send a started server a trickle
-// together: some of what a warm one gets, less than the rule allows, and not one request each.
-func TestSlowStartOverAllGateways(t *testing.T) {
+// If each of 300 gateways sent a newly started server a single request, these would already overload it.
+// Together they must send it some requests, but no more than the overload rule allows.
+func TestSlowStartAcrossGateways(t *testing.T) {
 	var servers []Server
 	for i := 0; i < 20; i++ {
 		servers = append(servers, Server{ID: fmt.Sprint("s", i), Zone: "a"})
 	}
 	cfg := testConfig()
-	cfg.Limits.Gossip = false // the quota does not matter here
+	cfg.Limits.Gossip = false // quotas are irrelevant here
 	cfg.Gateways = 300
-	cold, warm := 0, 0
+	slowStarting, warm := 0, 0
 	for i := 0; i < cfg.Gateways; i++ {
 		cfg.Rank = i
 		g, err := New(cfg, int64(i))
@@ -59,25 +63,29 @@
 					Servers: []Server{{ID: "s0", Zone: "a", StartedAt: now}}})
 			}
 			id := fmt.Sprint(n)
-			for _, s := range actionsOf[Send](g.Handle(now, Request{ID: id, Class: "get", Plan: "wide", Customer: "x",
-				Units: 1, Deadline: now + time.Second, GatewayCount: 1})) {
+			for _, s := range actionsOf[Send](g.Handle(now, Request{ID: id, Class: "get", Plan: "wide",
+				Customer: "x",
+				Units:    1, Deadline: now + time.Second, GatewayCount: 1})) {
 				if n >= 25 && s.Server == "s0" {
-					cold++
+					slowStarting++
 				} else if n >= 25 {
 					warm++
 				}
-				g.Handle(now+50*ms, AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: 50 * ms,
+				g.Handle(now+50*ms, AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK,
+					Duration:    50 * ms,
 					RequestDone: true})
 			}
 		}
 	}
-	usual := float64(warm) / 19
-	if most := cfg.Safety.OverloadMultiple * 0.4 * usual; float64(cold) > most || cold == 0 {
-		t.Errorf("the server in slow start got %d in 2 s, a warm one %v: want some, %v at most", cold, usual, most)
+	perWarmServer := float64(warm) / 19
+	if most := cfg.Safety.OverloadMultiple * 0.4 * perWarmServer; float64(slowStarting) > most ||
+		slowStarting == 0 {
+		t.Errorf("server in slow start got %d requests in 2 s, a warm one %v; want 1 to %v",
+			slowStarting, perWarmServer, most)
 	}
 }
 
-// slowStartFleet is many gateways that forward what comes, to servers that all respond in time.
+// slowStartFleet simulates many gateways whose servers answer every request in time.
 type slowStartFleet struct {
 	t        *testing.T
 	cfg      Config
@@ -88,7 +96,7 @@
 	sentTo   map[string]int
 }
 
-// start starts a gateway, or starts it again with no memory.
+// start starts or restarts a gateway with no state.
 func (f *slowStartFleet) start(i int, servers []Server) {
 	f.cfg.Rank = i
 	f.n++
@@ -100,7 +108,8 @@
 	f.gateways[i] = g
 }
 
-// step lets ten milliseconds pass in which requests come at that rate a second, at random gateways.
+// step advances the time by ten milliseconds and sends requests at the rate, in requests per second, to
+// random gateways.
 func (f *slowStartFleet) step(rng *rand.Rand, rate float64) {
 	f.now += 10 * ms
 	for _, do := range f.pending[f.now] {
@@ -127,19 +136,20 @@
 	}
 }
 
-// TestSlowStartBudgetOfTheFleet: whatever the number of gateways, also where each has less than a request for a
-// started server, in a burst, and while gateways restart, their sum stays within what the settings and chance
-// allow.
-func TestSlowStartBudgetOfTheFleet(t *testing.T) {
-	const servers, perServer = 10, 40.0 // requests a second that a warm server takes
+// The requests of all gateways to a server in slow start must stay within its capacity times
+// OverloadMultiple, with an allowance for chance. This must hold for any number of gateways, also where the
+// budget of each is less than a request, during a burst of traffic, and while gateways restart. Otherwise
+// the server fails at its start.
+func TestSlowStartBudgetAcrossFleet(t *testing.T) {
+	const servers, perServer = 10, 40.0 // requests per second at a warm server
 	for _, gateways := range []int{1, 3, 30, 300} {
 		for _, c := range []struct {
 			name           string
-			burst, restart float64 // factor on the traffic; part of the gateways that restart a second
+			burst, restart float64 // factor on the traffic; fraction of the gateways that restart per second
 		}{{"even", 1, 0}, {"burst", 2.4, 0}, {"restarts", 1, 0.3}} {
 			rng := rand.New(rand.NewSource(int64(gateways)))
 			cfg := testConfig()
-			cfg.Limits.Gossip, cfg.Gateways = false, gateways // the quota does not matter here
+			cfg.Limits.Gossip, cfg.Gateways = false, gateways // quotas are irrelevant here
 			f := &slowStartFleet{t: t, cfg: cfg, gateways: make([]*Gateway, gateways),
 				pending: map[time.Duration][]func(){}, sentTo: map[string]int{}}
 			var list []Server
@@ -156,8 +166,8 @@
 			for _, g := range f.gateways {
 				g.Handle(f.now, EndpointUpdate{Kind: DeltaUpdate, Servers: list[:1]})
 			}
-			began, before := f.now, f.sentTo["s0"]
-			for f.now < began+4*time.Second {
+			slowStartBegan, before := f.now, f.sentTo["s0"]
+			for f.now < slowStartBegan+4*time.Second {
 				from := f.sentTo["s0"]
 				for end := f.now + cfg.Safety.OverloadWindow; f.now < end; {
 					f.step(rng, c.burst*servers*perServer)
@@ -165,19 +175,20 @@
 						f.start(rng.Intn(gateways), list)
 					}
 				}
-				// A warm server of the same capacity takes what it got before the burst.
+				// perServer is the traffic of a warm server before the burst.
 				safety := &cfg.Safety
-				progress := float64(f.now-began-safety.OverloadWindow) / float64(safety.SlowStartDuration)
-				can := safety.SlowStartCapacity + (1-safety.SlowStartCapacity)*progress
-				n := cfg.Safety.OverloadMultiple * can * perServer * cfg.Safety.OverloadWindow.Seconds()
+				progress := float64(f.now-slowStartBegan-safety.OverloadWindow) /
+					float64(safety.SlowStartDuration)
+				capacity := safety.SlowStartCapacity + (1-safety.SlowStartCapacity)*progress
+				n := cfg.Safety.OverloadMultiple * capacity * perServer * cfg.Safety.OverloadWindow.Seconds()
 				if got := float64(f.sentTo["s0"] - from); got > n+2*math.Sqrt(n)+2 {
-					t.Errorf("%d gateways, %s: got %.0f within %v at %v, want %.1f and chance at most",
+					t.Errorf("%d gateways, %s: got %.0f requests in %v at %v, want at most %.1f plus chance",
 						gateways, c.name, got,
-						cfg.Safety.OverloadWindow, f.now-began, n)
+						cfg.Safety.OverloadWindow, f.now-slowStartBegan, n)
 				}
 			}
 			if f.sentTo["s0"] == before {
-				t.Errorf("%d gateways, %s: the server in slow start got nothing", gateways, c.name)
+				t.Errorf("%d gateways, %s: server in slow start got no requests", gateways, c.name)
 			}
 		}
 	}
--- a/internal/quotaplan/validate.go
+++ b/internal/quotaplan/validate.go
@@ -7,20 +7,22 @@
 	"winghatch/decide"
 )
 
-// maxDateInPast is how far in the past the date of a submitted change may be, in nanoseconds: a date of now is past by
-// the time it arrives.
+// maxDateInPast is how far in the past the date of a submitted change may be, in nanoseconds. A date that was
+// the current time when the change was sent has passed when the change arrives.
 const maxDateInPast = int64(time.Second)
 
-// check reports why a change can't be submitted now, or nil if it can.
+// check validates a submitted change. It returns nil if the change can be accepted now.
 func (r *Replica) check(c *Change) *Error {
 	if err := r.checkNumber(c); err != nil {
 		return err
 	}
 	if len(r.pending) >= maxPendingSubmits {
-		return invalid(c, "log", "%d changes wait for the disk, want fewer than %d", len(r.pending), maxPendingSubmits)
+		return invalid(c, "log", "%d changes wait for the disk, want fewer than %d",
+			len(r.pending), maxPendingSubmits)
 	}
-	if !c.finite() {
-		return invalid(c, "units", "figures of %v, %v, %+v, want numbers of 0 or more", c.Units, c.Rate, c.Terms)
+	if !c.numbersValid() {
+		return invalid(c, "units", "figures of %v, %v, %+v, want numbers of 0 or more",
+			c.Units, c.Rate, c.Terms)
 	}
 	if err := r.checkNames(c); err != nil {
 		return err
@@ -41,6 +43,7 @@
 	return invalid(c, "kind", "%s, want move, terms, reserve, cancel or shorten", c.Kind)
 }
 
+// checkNumber checks that the number of a change is valid and unused.
 func (r *Replica) checkNumber(c *Change) *Error {
 	if c.Number == 0 {
 		return invalid(c, "number", "0, want 1 or more")
@@ -54,9 +57,11 @@
 	return nil
 }
 
+// checkNames checks that the member and the plan of a change are in the settings, where its kind needs them.
 func (r *Replica) checkNames(c *Change) *Error {
 	if len(c.Member) > maxNameBytes || len(c.Plan) > maxNameBytes {
-		return invalid(c, "member", "a name of %d bytes, want %d at most", max(len(c.Member), len(c.Plan)), maxNameBytes)
+		return invalid(c, "member", "a name of %d bytes, want %d at most",
+			max(len(c.Member), len(c.Plan)), maxNameBytes)
 	}
 	if c.Kind == Move || c.Kind == Reserve {
 		if _, ok := r.members[c.Member]; !ok {
@@ -65,12 +70,13 @@
 	}
 	if c.Kind == Move || c.Kind == Terms {
 		if _, ok := r.plans[c.Plan]; !ok {
-			return invalid(c, "plan", "%q, want one of %s", c.Plan, nameList(r.planNames))
+			return invalid(c, "plan", "%q, want one of %s", c.Plan, joinNames(r.planNames))
 		}
 	}
 	return nil
 }
 
+// checkTerms checks that the terms of a change are consistent, and returns the first error.
 func checkTerms(c *Change) *Error {
 	if errs := CheckPlan(&c.Terms); len(errs) > 0 {
 		return &Error{c.Number, errs[0].Field, errs[0].Text}
@@ -78,6 +84,7 @@
 	return nil
 }
 
+// checkTarget checks that a Cancel or Shorten change can be applied to its target.
 func (r *Replica) checkTarget(c *Change) *Error {
 	target := r.derived.byNumber[c.Target]
 	switch {
@@ -92,15 +99,18 @@
 	case c.Kind == Shorten && target.Kind != Reserve:
 		return invalid(c, "target", "%d is a %s, want a reservation", c.Target, target.Kind)
 	case c.Kind == Shorten && !(c.Units < r.derived.currentUnits(target)):
-		return invalid(c, "units", "%v, want less than the %v of %d", c.Units, r.derived.currentUnits(target), c.Target)
+		return invalid(c, "units", "%v, want less than the %v of %d",
+			c.Units, r.derived.currentUnits(target), c.Target)
 	}
 	return nil
 }
 
-// FieldError says which field of a plan is invalid, by its name in settings, and which values are valid.
+// FieldError describes an invalid field of a plan. Field is its name in the settings; Text tells which values
+// are valid.
 type FieldError struct{ Field, Text string }
 
-// CheckPlan reports which figures of a plan contradict each other.
+// CheckPlan checks that the rates and bursts of a plan are consistent. It returns an error for each
+// inconsistent field, or nil.
 func CheckPlan(p *decide.Plan) (errs []FieldError) {
 	if (p.Rate > 0) != (p.Burst > 0) {
 		errs = append(errs, FieldError{"burst",
