--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -49,9 +49,9 @@
 	Log       *slog.Logger // nil: nothing is logged
 
 	// For tests.
-	FS     wal.FS // nil: the disk
-	Core   Core   // nil: that of package decide
-	Tamper Tamper
+	FS        wal.FS // nil: the disk
+	Core      Core   // nil: that of package decide
+	TestHooks TestHooks
 }
 
 // Gateway is a running gateway. Start starts its goroutines, Stop ends them in the order that is documented there.
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -42,8 +42,9 @@
 	Status() decide.Status
 }
 
-// Tamper breaks a gateway on purpose, so that tests can check whether package invariant finds it. Nothing else sets it.
-type Tamper struct {
+// TestHooks break a gateway on purpose, so that tests can check whether package invariant finds it. Nothing else
+// sets them.
+type TestHooks struct {
 	Event    func(decide.Event) decide.Event // replaces an event; a nil result keeps it from the core
 	Actions  func(decide.Event, []decide.Action) []decide.Action
 	Response func(f frontend.Response, done func(frontend.Response))
@@ -73,7 +74,7 @@
 	upstream Upstream
 	peers    Peers             // nil: there are none
 	recorder *recording.Writer // nil: events are not recorded, or writing them failed
-	tamper   Tamper
+	hooks    TestHooks
 
 	// Before Run; nil or false where the settings do not ask for it.
 	plans          *quotaPlans
@@ -236,14 +237,14 @@
 
 // handleEvent gives an event to the core, records both sides and carries the actions out.
 func (l *Loop) handleEvent(ev decide.Event) {
-	if l.tamper.Event != nil {
-		if ev = l.tamper.Event(ev); ev == nil {
+	if l.hooks.Event != nil {
+		if ev = l.hooks.Event(ev); ev == nil {
 			return
 		}
 	}
 	actions := l.core.Handle(l.now, ev)
-	if l.tamper.Actions != nil {
-		actions = l.tamper.Actions(ev, actions)
+	if l.hooks.Actions != nil {
+		actions = l.hooks.Actions(ev, actions)
 	}
 	if l.recorder != nil {
 		if err := l.recorder.Write(l.now, ev, actions); err != nil {
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -171,8 +171,8 @@
 			"retry", r.IsRetry, "kind", response.Kind.String(), "reason", response.Reason, "attempts", len(r.attempts),
 			"duration", l.now-r.arrivedAt, "time_left", r.Deadline-r.arrivedAt, "units", r.Units)
 	}
-	if l.tamper.Response != nil {
-		l.tamper.Response(response, r.Done)
+	if l.hooks.Response != nil {
+		l.hooks.Response(response, r.Done)
 		return
 	}
 	r.Done(response)
--- a/internal/gateway/start.go
+++ b/internal/gateway/start.go
@@ -196,7 +196,7 @@
 		}
 	}
 	l.SetMaxOpenRequests(f.Caps.MaxInFlight)
-	l.tamper = o.Tamper
+	l.hooks = o.TestHooks
 	return nil
 }
 
--- a/internal/scenario/breach_test.go
+++ b/internal/scenario/breach_test.go
@@ -11,8 +11,8 @@
 
 // breach is a way in which a gateway is made to break a rule.
 type breach struct {
-	settings func(*config.Fleet)   // changes what the gateway reads; may be nil
-	tamper   func() gateway.Tamper // changes what its loop does; may be nil
+	settings func(*config.Fleet)      // changes what the gateway reads; may be nil
+	tamper   func() gateway.TestHooks // changes what its loop does; may be nil
 }
 
 // breaches are named by the cases of TestPlantedBreaches. The gateway "" is not broken.
@@ -35,8 +35,8 @@
 	"sends to who drains": {tamper: sendToDraining},
 
 	// Rule 4: a server in slow start is not overloaded.
-	"all to the cold":  {tamper: func() gateway.Tamper { return sendToSlowStart(never) }},
-	"most to the cold": {tamper: func() gateway.Tamper { return sendToSlowStart(everyNth(3)) }},
+	"all to the cold":  {tamper: func() gateway.TestHooks { return sendToSlowStart(never) }},
+	"most to the cold": {tamper: func() gateway.TestHooks { return sendToSlowStart(everyNth(3)) }},
 
 	// Rule 5: the ceilings of the plans are kept.
 	"no ceiling":    {settings: removeCeilings},
@@ -82,9 +82,10 @@
 }
 
 // replaceActions passes each action of the core, with the event that caused it, to replace.
-func replaceActions(replace func(o *observer, ev decide.Event, a decide.Action) []decide.Action) gateway.Tamper {
+func replaceActions(
+	replace func(o *observer, ev decide.Event, a decide.Action) []decide.Action) gateway.TestHooks {
 	o := &observer{requests: map[string]decide.Request{}}
-	return gateway.Tamper{Actions: func(ev decide.Event, actions []decide.Action) (out []decide.Action) {
+	return gateway.TestHooks{Actions: func(ev decide.Event, actions []decide.Action) (out []decide.Action) {
 		o.observe(ev)
 		for _, a := range actions {
 			out = append(out, replace(o, ev, a)...)
@@ -116,18 +117,18 @@
 
 func never() bool { return false }
 
-func noAnswer() gateway.Tamper {
+func noAnswer() gateway.TestHooks {
 	drop := everyNth(20)
-	return gateway.Tamper{Response: func(f frontend.Response, done func(frontend.Response)) {
+	return gateway.TestHooks{Response: func(f frontend.Response, done func(frontend.Response)) {
 		if !drop() {
 			done(f)
 		}
 	}}
 }
 
-func twoAnswers() gateway.Tamper {
+func twoAnswers() gateway.TestHooks {
 	again := everyNth(20)
-	return gateway.Tamper{Response: func(f frontend.Response, done func(frontend.Response)) {
+	return gateway.TestHooks{Response: func(f frontend.Response, done func(frontend.Response)) {
 		done(f)
 		if again() {
 			done(f)
@@ -135,9 +136,9 @@
 	}}
 }
 
-func lateAnswers() gateway.Tamper {
+func lateAnswers() gateway.TestHooks {
 	late := everyNth(20)
-	return gateway.Tamper{Response: func(f frontend.Response, done func(frontend.Response)) {
+	return gateway.TestHooks{Response: func(f frontend.Response, done func(frontend.Response)) {
 		if late() {
 			time.AfterFunc(6*time.Second, func() { done(f) })
 			return
@@ -146,15 +147,15 @@
 	}}
 }
 
-func longRetryAfter() gateway.Tamper {
-	return gateway.Tamper{Response: func(f frontend.Response, done func(frontend.Response)) {
+func longRetryAfter() gateway.TestHooks {
+	return gateway.TestHooks{Response: func(f frontend.Response, done func(frontend.Response)) {
 		f.RetryAfter = time.Minute
 		done(f)
 	}}
 }
 
 // retryUnsafe sends a request that is not idempotent to another server after an attempt that may have run.
-func retryUnsafe() gateway.Tamper {
+func retryUnsafe() gateway.TestHooks {
 	return replaceActions(func(o *observer, ev decide.Event, a decide.Action) []decide.Action {
 		if f, ok := a.(decide.Fail); ok {
 			if e, ok := ev.(decide.AttemptEnded); ok {
@@ -166,7 +167,7 @@
 }
 
 // sendTwice sends each request of a class to two servers at once.
-func sendTwice() gateway.Tamper {
+func sendTwice() gateway.TestHooks {
 	return replaceActions(func(o *observer, _ decide.Event, a decide.Action) []decide.Action {
 		if s, ok := a.(decide.Send); ok && o.requests[s.ID].Class == "order-lookup" {
 			return []decide.Action{a, decide.Send{ID: s.ID, Server: o.otherServer(s.Server), Timeout: s.Timeout}}
@@ -176,7 +177,7 @@
 }
 
 // rejectFailed answers a request that may have run as if it had not.
-func rejectFailed() gateway.Tamper {
+func rejectFailed() gateway.TestHooks {
 	return replaceActions(func(_ *observer, _ decide.Event, a decide.Action) []decide.Action {
 		if f, ok := a.(decide.Fail); ok {
 			return []decide.Action{decide.Reject{ID: f.ID}}
@@ -186,8 +187,8 @@
 }
 
 // ignoreUpdates keeps all changes of the endpoint list from the core.
-func ignoreUpdates() gateway.Tamper {
-	return gateway.Tamper{Event: func(ev decide.Event) decide.Event {
+func ignoreUpdates() gateway.TestHooks {
+	return gateway.TestHooks{Event: func(ev decide.Event) decide.Event {
 		if e, ok := ev.(decide.EndpointUpdate); ok && e.Kind == decide.DeltaUpdate {
 			return nil
 		}
@@ -196,7 +197,7 @@
 }
 
 // sendToDraining sends some requests to the server that drains.
-func sendToDraining() gateway.Tamper {
+func sendToDraining() gateway.TestHooks {
 	draining := ""
 	redirect := everyNth(5)
 	t := replaceActions(func(_ *observer, _ decide.Event, a decide.Action) []decide.Action {
@@ -215,7 +216,7 @@
 }
 
 // sendToSlowStart sends all requests, but those that are spared, to the server that started last.
-func sendToSlowStart(spare func() bool) gateway.Tamper {
+func sendToSlowStart(spare func() bool) gateway.TestHooks {
 	started := ""
 	t := replaceActions(func(_ *observer, _ decide.Event, a decide.Action) []decide.Action {
 		if s, ok := a.(decide.Send); ok && started != "" && !spare() {
@@ -244,7 +245,7 @@
 }
 
 // sendOverQuota sends requests that the core rejected for a quota or a ceiling.
-func sendOverQuota() gateway.Tamper {
+func sendOverQuota() gateway.TestHooks {
 	return replaceActions(func(o *observer, _ decide.Event, a decide.Action) []decide.Action {
 		r, ok := a.(decide.Reject)
 		if ok && (r.Reason == decide.ReasonOverQuota || r.Reason == decide.ReasonOverCeiling) {
--- a/internal/scenario/main_test.go
+++ b/internal/scenario/main_test.go
@@ -55,7 +55,7 @@
 	}
 	o := gateway.Options{Rank: rank, Recording: out}
 	if b.tamper != nil {
-		o.Tamper = b.tamper()
+		o.TestHooks = b.tamper()
 	}
 	term := make(chan os.Signal, 1)
 	signal.Notify(term, syscall.SIGTERM)
