--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -13,18 +13,19 @@
 	"winghatch/internal/usage/outbox"
 )
 
-// Upstream carries attempts to servers. Its methods don't block; the results of calls come through their Done.
+// Upstream sends attempts to servers. Its methods do not block; the result of a call is passed to its Done
+// function.
 type Upstream interface {
 	Send(*upstream.Call)
 	Abandon(*upstream.Call) upstream.AbandonResult
 }
 
-// minAttemptTimeout is the least time left that an attempt can pass on to its server, in whole milliseconds. An attempt
-// with less is not written.
+// minAttemptTimeout is the shortest remaining time that can be passed on to a server, which is told whole
+// milliseconds. An attempt with less time left is not written to its connection.
 const minAttemptTimeout = time.Millisecond
 
-// outcomeNames are the outcomes of attempts in logs, metrics, traces and the state. Operators' tools know them, so they
-// stay as they are.
+// outcomeNames maps the outcomes of attempts to their names in logs, metrics, traces and the state.
+// Operators' tools match these names, so they must not change.
 var outcomeNames = map[decide.Outcome]string{
 	decide.OutcomeOK:            metrics.AttemptOK,
 	decide.OutcomeError:         "error",
@@ -36,31 +37,34 @@
 	decide.OutcomeNotDispatched: "moot",
 }
 
-// attempt is one dispatch of a request to a server. The loop owns it.
+// attempt is one dispatch of a request to a server. It is owned by the loop.
 type attempt struct {
 	request   *openRequest
-	number    int // from 0
+	number    int // zero-based
 	server    string
 	startedAt time.Duration
-	call      *upstream.Call // nil: it was never dispatched
+	call      *upstream.Call // nil if the attempt was not dispatched
 
 	ended    bool
-	duration time.Duration // once it has ended
-	outcome  string        // of outcomeNames, once it has ended
+	duration time.Duration // time from start to end; 0 until the attempt has ended
+	outcome  string        // a value of outcomeNames; empty until the attempt has ended
 	span     trace.SpanID
 
-	usageID        outbox.ID // 0: its use is not exported
-	awaitingIntent bool      // not given to upstream yet, as its intent is not durable
-	denied         bool      // its intent can't be written, so it is never sent; its result is in the queue
+	usageID outbox.ID // ID in the usage outbox; 0 if the usage is not exported
+	// awaitingIntent is set while the call is held back because the intent of the attempt is not durable yet.
+	awaitingIntent bool
+	// denied is set if the intent can't be written: the call is never sent, and the result of the attempt is
+	// already in the queue.
+	denied bool
 
-	// Of its time-out; see timers.
+	// The timeout of the attempt, maintained by timers.
 	timeoutAt     time.Duration
 	timerSequence uint64
-	heapIndex     int // place in attemptTimerHeap, from 1; 0: not in it
+	heapIndex     int // position in attemptTimerHeap, counted from 1; 0 if not in the heap
 }
 
-// dispatch starts an attempt. One that can't be dispatched any more ends through the queue, behind the actions under
-// way.
+// dispatch starts an attempt. If the attempt can no longer be dispatched, its end is posted to the queue and
+// so handled after the remaining actions of the current event.
 func (l *Loop) dispatch(action decide.Send) {
 	r := l.requests[action.ID]
 	if r == nil {
@@ -91,8 +95,10 @@
 	l.upstream.Send(a.call)
 }
 
-// newCall returns the call of an attempt. Connecting takes time, so whether it may leave at all, and the time left that
-// its server gets where the front end encodes it, are determined when it is written. writeBefore is 0 for no bound.
+// newCall returns the upstream call of an attempt. Connecting takes time, so two things are determined only
+// when the call is written to its connection: whether it may still be sent and, if the front end encodes
+// attempts itself, the remaining time that the server is told. writeBefore is the time by which the call must
+// be written; 0 means no bound.
 func (l *Loop) newCall(a *attempt, timeLeft, writeBefore time.Duration) *upstream.Call {
 	r := a.request
 	timeoutAt := l.now + timeLeft
@@ -115,6 +121,7 @@
 	return call
 }
 
+// cancelAttempt gives up an attempt that the core no longer needs. It does nothing if the attempt has ended.
 func (l *Loop) cancelAttempt(action decide.Cancel) {
 	r := l.requests[action.ID]
 	if r == nil || action.Attempt < 0 || action.Attempt >= len(r.attempts) {
@@ -125,12 +132,14 @@
 		return
 	}
 	if result, ok := l.abandonAttempt(a, decide.OutcomeCancelled); ok {
-		l.queue.post(attemptResult{a, result}) // its end is an event of its own, behind the actions under way
+		l.queue.post(attemptResult{a, result}) // handled as a separate event, after the current actions
 	}
 }
 
-// abandonAttempt gives an attempt up that has timed out or is cancelled. One that provably never left did not run,
-// whatever the clock says. It returns false for one whose result is in the queue already, which then counts.
+// abandonAttempt gives up an attempt that timed out or was cancelled and returns its result with the given
+// outcome. An attempt that was provably never sent did not run, so its outcome is OutcomeConnectFailed
+// instead. abandonAttempt returns false if the result of the attempt is already in the queue; that result
+// then counts.
 func (l *Loop) abandonAttempt(a *attempt, outcome decide.Outcome) (upstream.Result, bool) {
 	switch {
 	case a.awaitingIntent:
@@ -148,7 +157,8 @@
 	return upstream.Result{}, false
 }
 
-// attemptEnded takes the end of an attempt. The first OK becomes the request's final answer.
+// attemptEnded handles the end of an attempt. The first successful attempt of a request provides its final
+// answer.
 func (l *Loop) attemptEnded(a *attempt, result upstream.Result) {
 	if a.ended {
 		l.LateResponses.Add(1)
@@ -160,10 +170,10 @@
 	r.inFlight--
 	l.countAttemptEnd(a, result)
 	l.outcomes[outcomeNames[result.Outcome]]++
-	if l.debug { // asked first, as the fields alone cost an allocation each
-		l.log.Debug("Attempt ended", "request", r.ID, "attempt", a.number, "member", r.Customer, "server", a.server,
-			"class", r.Class, "outcome", outcomeNames[result.Outcome], "duration", l.now-a.startedAt,
-			"load_report", result.LoadReport)
+	if l.debug { // checked first, because each field costs an allocation
+		l.log.Debug("Attempt ended", "request", r.ID, "attempt", a.number, "member", r.Customer,
+			"server", a.server, "class", r.Class, "outcome", outcomeNames[result.Outcome],
+			"duration", l.now-a.startedAt, "load_report", result.LoadReport)
 	}
 	ev := decide.AttemptEnded{
 		ID:            r.ID,
--- a/internal/gateway/changejson.go
+++ b/internal/gateway/changejson.go
@@ -11,41 +11,41 @@
 	"winghatch/internal/quotaplan"
 )
 
-// The JSON of the control API. Tools and gateways of different versions speak it, and scripts read it, so its keys
-// never change; TestJSONKeys pins them.
+// The types below define the JSON of the control API. Scripts, tools and gateways of other versions depend on
+// the keys, so the keys must not change; TestJSONKeys verifies them.
 
-// changeJSON is a plan change as operators submit and read it.
+// changeJSON is a plan change in the form in which operators submit and read it.
 type changeJSON struct {
 	Number uint64     `json:"number"`
 	Kind   string     `json:"kind"`
 	Member string     `json:"member,omitempty"`
 	Plan   string     `json:"plan,omitempty"`
 	Terms  *PlanTerms `json:"terms,omitempty"`
-	From   string     `json:"from,omitempty"` // RFC 3339
-	To     string     `json:"to,omitempty"`   // RFC 3339
+	From   string     `json:"from,omitempty"` // RFC 3339; empty if the change has no start time
+	To     string     `json:"to,omitempty"`   // RFC 3339; empty if the change has no end time
 	Units  float64    `json:"units,omitempty"`
-	Rate   float64    `json:"rate,omitempty"` // units a second
+	Rate   float64    `json:"rate,omitempty"` // units per second
 	Target uint64     `json:"target,omitempty"`
 }
 
-// History is what a gateway knows of plan changes.
+// History holds the plan changes that a gateway knows.
 type History struct {
 	Changes int                  `json:"changes"`
-	Digest  string               `json:"sum"`    // equal where the same changes are known
-	Plans   map[string]PlanTerms `json:"stands"` // in force, by member
+	Digest  string               `json:"sum"`    // equal on gateways that know the same changes
+	Plans   map[string]PlanTerms `json:"stands"` // plans in force, by member name
 	Entries []HistoryEntry       `json:"entries"`
 }
 
-// HistoryEntry is a plan change and what became of it.
+// HistoryEntry is a plan change and its status.
 type HistoryEntry struct {
 	changeJSON
 	Status     string `json:"status"`
-	Reason     string `json:"why,omitempty"` // of a status that has one
-	Gateway    int    `json:"gateway"`       // that accepted it
+	Reason     string `json:"why,omitempty"` // explains Status; empty if it needs no explanation
+	Gateway    int    `json:"gateway"`       // rank of the gateway that accepted the change
 	AcceptedAt string `json:"taken"`         // RFC 3339
 }
 
-// PlanTerms is a plan in the JSON of plan changes.
+// PlanTerms is a plan in the JSON of plan changes. Its keys do not depend on the field names of decide.Plan.
 type PlanTerms struct{ decide.Plan }
 
 type planTermsJSON struct {
@@ -61,10 +61,10 @@
 	OverQuotaCost  float64 `json:"OverCost"`
 }
 
-// MarshalJSON writes the plan under its stored keys.
+// MarshalJSON encodes the plan under its stored keys.
 func (p PlanTerms) MarshalJSON() ([]byte, error) { return json.Marshal(planTermsJSON(p.Plan)) }
 
-// UnmarshalJSON reads what MarshalJSON writes.
+// UnmarshalJSON decodes the output of MarshalJSON.
 func (p *PlanTerms) UnmarshalJSON(raw []byte) error {
 	var v planTermsJSON
 	if err := json.Unmarshal(raw, &v); err != nil {
@@ -74,6 +74,7 @@
 	return nil
 }
 
+// newChangeJSON converts a plan change to its JSON form.
 func newChangeJSON(c *quotaplan.Change) changeJSON {
 	j := changeJSON{
 		Number: c.Number,
@@ -92,12 +93,13 @@
 	return j
 }
 
-// change returns the change, or an error that names the field that is wrong.
+// change converts the JSON form to a plan change. Its errors name the number of the change and the invalid
+// field.
 func (j *changeJSON) change() (quotaplan.Change, error) {
 	kind, ok := quotaplan.ParseKind(j.Kind)
 	if !ok {
-		return quotaplan.Change{}, fmt.Errorf("change %d: kind: %q, want move, terms, reserve, cancel or shorten",
-			j.Number, j.Kind)
+		return quotaplan.Change{}, fmt.Errorf(
+			"change %d: kind: %q, want move, terms, reserve, cancel or shorten", j.Number, j.Kind)
 	}
 	c := quotaplan.Change{
 		Number: j.Number,
@@ -121,7 +123,8 @@
 	return c, nil
 }
 
-// formatTime formats nanoseconds of Unix time; 0 means none.
+// formatTime formats nanoseconds of Unix time as RFC 3339 in UTC. It returns an empty string for 0, which
+// means no time.
 func formatTime(ns int64) string {
 	if ns == 0 {
 		return ""
@@ -129,7 +132,8 @@
 	return time.Unix(0, ns).UTC().Format(time.RFC3339Nano)
 }
 
-// parseTime reads what formatTime writes.
+// parseTime parses the output of formatTime and returns nanoseconds of Unix time. It returns 0 for an empty
+// string.
 func parseTime(text string) (int64, error) {
 	if text == "" {
 		return 0, nil
@@ -141,10 +145,11 @@
 	return at.UnixNano(), nil
 }
 
-// macHeader carries the keyed hash of a request that changes something. One that is sent twice does no harm, as the
-// number of its change is known then.
+// macHeader is the HTTP header with the keyed hash of a request that submits a change. Replaying such a
+// request does no harm, because the gateway already knows the number of its change.
 const macHeader = "Winghatch-Mac"
 
+// requestMAC returns the value of macHeader for a POST /changes request with the given body.
 func requestMAC(s credentials.Secret, body []byte) string {
 	sum := s.OperatorRequestHasher().Sum(append([]byte("POST /changes\n"), body...))
 	return hex.EncodeToString(sum[:])
--- a/internal/gateway/changesfile.go
+++ b/internal/gateway/changesfile.go
@@ -13,20 +13,23 @@
 	"winghatch/internal/quotaplan"
 )
 
-// changesPollInterval is how often the file of plan changes is read.
+// changesPollInterval is the interval at which the file of plan changes is read.
 const changesPollInterval = 500 * time.Millisecond
 
-// Bounds of numbers in the file. Integers up to maxNumber are exact in float64, which JSON readers use.
+// Upper bounds of the numbers in the file. Integers up to maxNumber are exact in float64, which JSON readers
+// use.
 const (
-	maxNumber      = 1 << 53   // of a plan change
+	maxNumber      = 1 << 53   // number of a plan change
 	maxReservation = 1e12      // units
 	maxBurst       = 1e9       // units
 	maxOpenLimit   = 1<<31 - 1 // attempts in flight
-	maxPrice       = 1e9       // priority weight, without unit
+	maxPrice       = 1e9       // priority weight, dimensionless
 )
 
-// ReadChanges reads a file of plan changes: KDL nodes named "change" with the fields of one each, times in RFC 3339. It
-// returns the place of each change. The error lists all mistakes with their places.
+// ReadChanges parses src, the content of a file of plan changes, and returns the changes and the position of
+// each one in the file. The file consists of KDL nodes named "change"; each holds the fields of one change,
+// with times in RFC 3339. The error lists all mistakes with their positions. file is the name used in these
+// positions.
 func ReadChanges(file string, src []byte) ([]quotaplan.Change, []kdl.Pos, error) {
 	nodes, err := decode.Parse(file, src)
 	if err != nil {
@@ -52,6 +55,7 @@
 	return changes, places, d.Err()
 }
 
+// readChange decodes one change node and reports mistakes to d.
 func readChange(d *decode.Decoder, n *kdl.Node) (c quotaplan.Change) {
 	d.Plain("change", n)
 	kinds := map[string]quotaplan.Kind{}
@@ -84,6 +88,7 @@
 	return c
 }
 
+// timeSetting returns a decoder of an RFC 3339 time that stores nanoseconds of Unix time in to.
 func timeSetting(to *int64) func(decode.Setting) {
 	return func(s decode.Setting) {
 		at, err := time.Parse(time.RFC3339Nano, s.Value.Text)
@@ -95,11 +100,11 @@
 	}
 }
 
-// watchChanges submits the plan changes of a file whenever its content differs from before, until ctx ends. A file
-// with a mistake in it, as one that is being written, changes nothing; of a valid one each change is accepted or
-// rejected independently of the others.
+// watchChanges submits the plan changes of a file whenever its content has changed, until ctx ends. A file
+// with a mistake, such as one that is still being written, changes nothing. In a valid file each change is
+// accepted or rejected independently of the others.
 func (g *Gateway) watchChanges(ctx context.Context, file string) {
-	var last string // content, or the error that was logged
+	var last string // last content that was processed, or last read error that was logged
 	for {
 		src, err := os.ReadFile(file)
 		switch {
@@ -118,7 +123,7 @@
 	}
 }
 
-// applyChanges submits the changes of a file that are not known yet.
+// applyChanges submits those changes of a file that the gateway does not know yet.
 func (g *Gateway) applyChanges(file string, src []byte) {
 	changes, places, err := ReadChanges(file, src)
 	if err != nil {
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// submitTimeout is how long an operator waits for a change to be durable.
+	// submitTimeout is how long Submit waits for a change to become durable.
 	submitTimeout = 5 * time.Second
 
-	maxChangeBytes           = 64 << 10 // of the body of POST /changes
+	maxChangeBytes           = 64 << 10 // size of the body of POST /changes
 	controlReadHeaderTimeout = 5 * time.Second
 	controlWriteTimeout      = 10 * time.Second
 )
@@ -30,7 +30,7 @@
 	errStopped = errors.New("the gateway has stopped")
 )
 
-// newControlServer returns the server of the control API.
+// newControlServer returns the HTTP server of the control API.
 func (g *Gateway) newControlServer() *http.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /state", g.getState)
@@ -46,8 +46,9 @@
 	}
 }
 
-// Submit submits a plan change and waits until it is durable here. The error of a change that is rejected is a
-// *quotaplan.Error; with any other error the change may still be accepted later.
+// Submit submits a plan change, waits until it is durable on this gateway, and returns it as it was accepted.
+// If the change is rejected, the error is a *quotaplan.Error. After any other error the change may still be
+// accepted later.
 func (g *Gateway) Submit(c quotaplan.Change) (quotaplan.Change, error) {
 	replies := make(chan quotaplan.Reply, 1)
 	submit := func() { g.loop.plans.submit(c, func(r quotaplan.Reply) { replies <- r }) }
@@ -119,7 +120,8 @@
 	json.NewEncoder(w).Encode(g.planHistory(r.URL.Query().Get("member")))
 }
 
-// planHistory returns the plan changes that concern a member, or with an empty name all.
+// planHistory returns the plan changes that concern a member and the member's plan in force. An empty name
+// selects all changes and all members.
 func (g *Gateway) planHistory(member string) History {
 	h := History{Plans: map[string]PlanTerms{}}
 	g.loop.Do(func() {
--- a/internal/gateway/controlclient.go
+++ b/internal/gateway/controlclient.go
@@ -15,11 +15,12 @@
 	"winghatch/internal/quotaplan"
 )
 
-// controlTimeout leaves a gateway the time that it waits for a change to be durable.
+// controlTimeout bounds a request to the control API. It exceeds submitTimeout, the time that the gateway may
+// wait for a change to become durable.
 const controlTimeout = submitTimeout + 5*time.Second
 
-// SubmitChange submits a plan change to the control API at addr, host and port, and returns it as it was accepted. The
-// error of a rejected change has the gateway's own text.
+// SubmitChange submits a plan change to the control API at addr (host and port) and returns the change as it
+// was accepted. If the gateway rejects the change, the error consists of the gateway's own text.
 func SubmitChange(addr string, secret credentials.Secret, c quotaplan.Change) (quotaplan.Change, error) {
 	body, err := json.Marshal(newChangeJSON(&c))
 	if err != nil {
@@ -37,7 +38,8 @@
 	return accepted.change()
 }
 
-// FetchHistory reads from the control API at addr the plan changes that concern a member, or with an empty name all.
+// FetchHistory reads the plan changes that concern a member from the control API at addr (host and port). An
+// empty member selects all changes.
 func FetchHistory(addr, member string) (History, error) {
 	query := url.Values{"member": {member}}.Encode()
 	req, err := http.NewRequest(http.MethodGet, "http://"+addr+"/changes?"+query, nil)
@@ -49,7 +51,8 @@
 	return h, err
 }
 
-// do sends a request and decodes the response into out. The error of a response that is not 200 has its text alone.
+// do sends a request and decodes the JSON response into out. If the status is not 200, the error consists of
+// the response body.
 func do(req *http.Request, out any) error {
 	client := http.Client{Timeout: controlTimeout}
 	res, err := client.Do(req)
--- a/internal/gateway/drainoutbox.go
+++ b/internal/gateway/drainoutbox.go
@@ -12,23 +12,24 @@
 	"winghatch/internal/usage/sender"
 )
 
-// drainSyncTimeout is how long draining waits for the records of its own incarnation to become durable.
+// drainSyncTimeout is how long DrainOutbox waits until the records that it appends itself are durable.
 const drainSyncTimeout = 10 * time.Second
 
-// DrainResult is what draining an outbox found and delivered.
+// DrainResult reports what DrainOutbox found in the log and what it delivered.
 type DrainResult struct {
 	Incarnation uint64
-	Records     uint64 // in the log
+	Records     uint64 // number of the last durable record in the log
 	Outbox      outbox.Counts
 	Delivery    outbox.DeliveryCounts
-	Gaps        int // in the log
+	Gaps        int // gaps in the record numbers of the log
 	TornBytes   int64
 	LostRecords uint64
 }
 
-// DrainOutbox delivers what the outbox of a gateway that does not run still holds, such as one that will never come
-// back. Attempts that its last incarnation left open are exported at their estimates. It returns once the receiver
-// has everything, or with an error that wraps that of ctx and has the receiver's last answer.
+// DrainOutbox delivers the records that remain in the outbox of a gateway that is not running, such as one
+// that will never be started again. Attempts that its last incarnation left unsettled are exported at their
+// estimated units. DrainOutbox returns once the receiver has acknowledged everything. If ctx ends before
+// that, the error wraps the error of ctx and includes the last answer of the receiver.
 func DrainOutbox(ctx context.Context, f *config.Fleet, rank int, log *slog.Logger) (DrainResult, error) {
 	if rank < 0 || rank >= len(f.Gateways) {
 		return DrainResult{}, fmt.Errorf("rank: %d, want 0 to %d", rank, len(f.Gateways)-1)
@@ -46,7 +47,8 @@
 		Log:         log,
 	}
 	maxDeadLetters := maxDeadLetterBytes(o.Export)
-	o.Export.MaxLogBytes = 0 // the records of this incarnation are written even if the log is full
+	// No bound: the records of this incarnation are written even if the log is full.
+	o.Export.MaxLogBytes = 0
 	onFailure := func(err error) {
 		if err != nil {
 			log.Error("Failed to write the outbox log", "err", err)
@@ -80,7 +82,8 @@
 		LostRecords: s.LostRecords.Load(),
 	}
 	if err := ctx.Err(); err != nil {
-		return result, fmt.Errorf("the receiver has not all yet: %w (last answer: %d %s)", err,
+		return result, fmt.Errorf(
+			"the receiver has not all yet: %w (last answer: %d %s)", err,
 			result.Delivery.LastStatus, result.Delivery.LastReason)
 	}
 	return result, nil
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -17,74 +17,84 @@
 )
 
 const (
-	// handOverTimeout is how long a draining gateway offers its reserved units to others.
+	// handOverTimeout is how long a draining gateway offers its reserved units to other gateways.
 	handOverTimeout = 500 * time.Millisecond
-	// sessionCloseTimeout is how long it waits for the last answers to be written and the sessions to close.
+	// sessionCloseTimeout is how long a draining gateway waits for the last answers to be written and the
+	// sessions to close.
 	sessionCloseTimeout = time.Second
-	// drainPollInterval is how often it looks whether open requests and sessions have ended.
+	// drainPollInterval is the interval at which a draining gateway checks for open requests and sessions.
 	drainPollInterval = 2 * time.Millisecond
 )
 
-// clockOrigin is what the clock shows at the start of the process. It is not 0, so that the start of a server some time
-// before the gateway's own has a time of its own: to the core 0 means long ago.
+// clockOrigin is the reading of the clock at the start of the process. It is not 0 because a server may have
+// started before the gateway: its start time must still be positive, as the core takes a start time of 0 to
+// mean long ago.
 const clockOrigin = 24 * time.Hour
 
 // Clock is the monotonic clock of a process.
 type Clock struct{ startedAt time.Time }
 
-// NewClock starts a clock.
+// NewClock returns a clock that reads clockOrigin, one day, at the time of the call.
 func NewClock() Clock { return Clock{time.Now()} }
 
-// Now returns the time since the clock's origin, which is a day before NewClock.
+// Now returns the time since the origin of the clock, which lies one day before the call to NewClock.
 func (c Clock) Now() time.Duration { return clockOrigin + time.Since(c.startedAt) }
 
-// unixNanos is the wall clock of what is written to disk: nanoseconds of Unix time.
+// unixNanos returns the wall-clock time in nanoseconds of Unix time. It is used for times that are written to
+// disk.
 func unixNanos() int64 { return time.Now().UnixNano() }
 
-// Options are what a gateway needs beside the fleet's settings.
+// Options configures a gateway beyond the settings of its fleet.
 type Options struct {
-	Rank      int
-	Seed      int64        // of random choices; 0: from the time
-	Recording io.Writer    // of the core's events and actions; nil: nothing is recorded
-	Log       *slog.Logger // nil: nothing is logged
-
-	// For tests.
-	FS        wal.FS // nil: the disk
-	Core      Core   // nil: that of package decide
+	// Rank is the index of the gateway in the settings of the fleet.
+	Rank int
+
+	// Seed is the seed of random choices; 0 means that it is derived from the start time.
+	Seed int64
+	// Recording receives the events and actions of the core; nil disables recording.
+	Recording io.Writer
+	// Log receives log lines; nil discards them.
+	Log *slog.Logger
+
+	// The fields below are for tests.
+	FS        wal.FS // nil means the disk
+	Core      Core   // nil means the core of package decide
 	TestHooks TestHooks
 }
 
-// Gateway is a running gateway. Start starts its goroutines, Stop ends them in the order that is documented there.
+// Gateway is a running gateway. Start starts its goroutines; Stop ends them in the order that it documents.
 type Gateway struct {
 	fleet       *config.Fleet
 	rank        int
 	log         *slog.Logger
 	clock       Clock
-	incarnation int64 // nanoseconds of Unix time at the start
+	incarnation int64 // start time in nanoseconds of Unix time
 
 	loop     *Loop
 	frontend *frontendws.Server
 	upstream *upstreamws.Pool
-	peers    *gossip.Transport // nil: without gossip
-	control  *http.Server      // nil: without a state address
+	peers    *gossip.Transport // nil if gossip is disabled
+	control  *http.Server      // nil if no state address is configured
 
-	remoteWriter     *remotewrite.Writer // nil: metrics are not sent
+	remoteWriter     *remotewrite.Writer // nil if metrics are not sent by remote write
 	stopRemoteWriter context.CancelFunc
 	remoteWriterDone chan struct{}
 
-	stop context.CancelFunc // ends the goroutines that take a context
-	wg   sync.WaitGroup     // of all goroutines that run started
+	stop context.CancelFunc // cancels the context of the goroutines that take one
+	wg   sync.WaitGroup     // counts the goroutines started by spawn
 }
 
-// Drain ends a gateway gracefully: it takes no new requests, waits until all open ones have their final answer, which
-// their deadlines bound, and stops.
+// Drain shuts the gateway down gracefully: it accepts no new requests, waits until every open request has its
+// final answer, and stops the gateway. The wait is bounded by the longest deadline of a class plus
+// Safety.AnswerSlack.
 func (g *Gateway) Drain() {
 	g.frontend.Drain()
 	var longest time.Duration
 	for _, class := range g.fleet.Decide.Classes {
 		longest = max(longest, class.Deadline)
 	}
-	waitUntil(longest+g.fleet.Decide.Safety.AnswerSlack, func() bool { return g.loop.OpenRequests.Load() <= 0 })
+	waitUntil(longest+g.fleet.Decide.Safety.AnswerSlack,
+		func() bool { return g.loop.OpenRequests.Load() <= 0 })
 	// Reserved units that no other gateway takes stay on disk for the next incarnation.
 	handedOver := make(chan struct{})
 	if g.loop.Do(func() { g.loop.plans.handOver(handedOver) }) {
@@ -93,7 +103,7 @@
 		case <-time.After(handOverTimeout):
 		}
 	}
-	// The last samples are gathered from the loop's state, so this has to precede Stop.
+	// The remote writer gathers its last samples from the loop, so it must finish before Stop.
 	if g.remoteWriter != nil {
 		g.stopRemoteWriter()
 		<-g.remoteWriterDone
@@ -102,6 +112,7 @@
 	g.Stop()
 }
 
+// waitUntil polls done until it returns true or the timeout has passed.
 func waitUntil(timeout time.Duration, done func() bool) {
 	deadline := time.Now().Add(timeout)
 	for !done() && time.Now().Before(deadline) {
@@ -109,9 +120,9 @@
 	}
 }
 
-// Stop ends everything at once, what brings inputs before what handles them: the goroutines with a context, the front
-// end, gossip, the control API, the loop, the connections to servers; then it waits for all goroutines and closes the
-// logs, which only they write to.
+// Stop ends the gateway at once. It stops the sources of input before the components that handle the input:
+// the goroutines with a context, the front end, gossip, the control API, the loop, and the connections to
+// servers. It then waits for all goroutines and closes the logs, which only these goroutines write to.
 func (g *Gateway) Stop() {
 	g.stop()
 	g.frontend.Close()
@@ -127,7 +138,7 @@
 	g.closeLogs()
 }
 
-// closeLogs closes what the loop writes to, as far as Start opened it.
+// closeLogs closes the logs and the tracer of the loop, as far as Start has opened them.
 func (g *Gateway) closeLogs() {
 	l := g.loop
 	if l == nil {
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -1,25 +1,26 @@
-// Package gateway is the runtime of a gateway: an event loop that owns the decision core of package decide, the
-// requests in flight and the timers.
+// Package gateway is the runtime of a gateway: an event loop that owns the decision core of package decide,
+// the requests in flight and the timers.
 //
 // # The loop
 //
-// One goroutine runs Loop.Run. It alone touches the core, the open requests, the timers, the quota plans and the
-// usage outbox, so none of them has a lock. All other goroutines (sockets, logs, the delivery worker) post inputs to
-// the loop's queue, which never blocks them. In one turn the loop reads the clock once, takes all inputs in their
-// order, fires the timers that are due, and sleeps until an input arrives or the next timer is due. An input becomes
-// an event of the core; the core's actions are carried out in their order before the next input is taken. What an
-// action brings about at once, such as the end of an attempt that can't be dispatched, goes through the queue like
+// One goroutine runs Loop.Run. Only this goroutine accesses the core, the open requests, the timers, the
+// quota plans and the usage outbox, so none of them needs a lock. All other goroutines, such as those of
+// sockets, logs and the delivery worker, post inputs to the queue of the loop, which never blocks them. In
+// each turn the loop reads the clock once, handles all queued inputs in order, fires the timers that are due,
+// and sleeps until an input arrives or the next timer is due. An input becomes an event of the core. The
+// resulting actions of the core are carried out in order before the next input is handled. An immediate
+// result of an action, such as the end of an attempt that can't be dispatched, goes through the queue like
 // any other input.
 //
-// Nothing that the loop does may block: disks and sockets are reached through queues of their own.
+// Code that runs in the loop must not block: disks and sockets are accessed through queues of their own.
 //
-// The package holds no threshold and makes no choice about requests; these are in package decide.
+// This package defines no thresholds and makes no decisions about requests; both belong to package decide.
 //
 // # Gateways
 //
-// Start runs a whole gateway with WebSocket front end, gossip, control API, plan changes, usage export, metrics and
-// tracing as the settings name them. Package platform composes a Loop with its own front end instead; its loop has no
-// plans, usage, metrics or tracer.
+// Start runs a complete gateway with a WebSocket front end and, depending on the settings, gossip, control
+// API, plan changes, usage export, metrics and tracing. Package platform instead combines a Loop with a front
+// end of its own; that loop has no plans, usage export, metrics or tracer.
 package gateway
 
 import (
@@ -35,73 +36,79 @@
 	"winghatch/internal/recording"
 )
 
-// Core decides; *decide.Gateway is the one in use, measurements put one that decides nothing in its place. It is called
-// by the loop's goroutine only.
+// Core makes the decisions about requests. Gateways use *decide.Gateway; measurements replace it with a core
+// that decides nothing. Only the goroutine of the loop calls its methods.
 type Core interface {
 	Handle(now time.Duration, ev decide.Event) []decide.Action
 	Status() decide.Status
 }
 
-// TestHooks break a gateway on purpose, so that tests can check whether package invariant finds it. Nothing else
-// sets them.
+// TestHooks are hooks that make a gateway misbehave on purpose, so that tests can check whether package
+// invariant detects it. Nothing else sets them. A nil hook changes nothing.
 type TestHooks struct {
-	Event    func(decide.Event) decide.Event // replaces an event; a nil result keeps it from the core
-	Actions  func(decide.Event, []decide.Action) []decide.Action
+	// Event replaces an event before the core handles it; a nil result drops the event.
+	Event func(decide.Event) decide.Event
+	// Actions replaces the actions that the core returned for an event.
+	Actions func(decide.Event, []decide.Action) []decide.Action
+	// Response replaces the call to done that delivers a final answer.
 	Response func(f frontend.Response, done func(frontend.Response))
 }
 
-// Counters may be read by any goroutine.
+// Counters counts requests and attempts since the start. Any goroutine may read it.
 type Counters struct {
-	OpenRequests  atomic.Int64 // without a final answer, at the front end or in the loop
+	OpenRequests  atomic.Int64 // requests without a final answer, at the front end or in the loop
 	Served        atomic.Int64
 	Rejected      atomic.Int64
 	Failed        atomic.Int64
-	Abandoned     atomic.Int64 // requests whose client left before the final answer
+	Abandoned     atomic.Int64 // requests whose client disconnected before the final answer
 	Attempts      atomic.Int64 // dispatched attempts
-	LateResponses atomic.Int64 // ends of attempts that had ended already
+	LateResponses atomic.Int64 // results of attempts that had already ended
 }
 
-// Loop owns the core, the requests in flight and the timers; see the package comment. Run is its goroutine, which Stop
-// ends. Methods that are exported may be called from any goroutine, all others from the loop's own.
+// Loop owns the core, the requests in flight and the timers; see the package comment. Run is the body of its
+// goroutine, which Stop ends. Exported methods may be called from any goroutine, all others only from the
+// goroutine of the loop.
 type Loop struct {
 	Counters
 	cfg   decide.Config
 	core  Core
 	clock func() time.Duration // monotonic
 	log   *slog.Logger
-	debug bool // log takes debug lines
+	debug bool // whether log emits debug lines
 
 	upstream Upstream
-	peers    Peers             // nil: there are none
-	recorder *recording.Writer // nil: events are not recorded, or writing them failed
+	peers    Peers             // nil if there are no other gateways
+	recorder *recording.Writer // nil if events are not recorded or writing them has failed
 	hooks    TestHooks
 
-	// Before Run; nil or false where the settings do not ask for it.
-	plans          *quotaPlans
-	usage          *usageOutbox
-	metrics        *metrics.Set
-	totals         *aggregate.Aggregator // set if metrics is
-	tracer         *requestTracer
-	hasQuotaOwners bool // the core asks quota owners, as gossip has no room for all customers
+	// The fields below are set before Run; they are nil or false if the settings do not enable the feature.
+	plans   *quotaPlans
+	usage   *usageOutbox
+	metrics *metrics.Set
+	totals  *aggregate.Aggregator // set if and only if metrics is set
+	tracer  *requestTracer
+	// hasQuotaOwners reports that the core asks quota owners, because gossip has no capacity for all
+	// customers.
+	hasQuotaOwners bool
 
 	queue           *queue
 	timers          timers
-	requests        map[string]*openRequest // by id
+	requests        map[string]*openRequest // by request ID
 	maxOpenRequests int64
 
-	now         time.Duration    // of the clock, as of the start of the turn
-	turns       int64            // since Run
-	rejections  map[string]int64 // rejected requests by reason
-	outcomes    map[string]int64 // ended attempts by outcome
-	timerLag    time.Duration    // see LoopSummary
+	now         time.Duration    // reading of clock at the start of the turn
+	turns       int64            // number of turns since Run was called
+	rejections  map[string]int64 // number of rejected requests by reason
+	outcomes    map[string]int64 // number of ended attempts by outcome
+	timerLag    time.Duration    // see LoopSummary.TimerLag
 	longestTurn time.Duration
 
 	stopping chan struct{} // closed by Stop
 	stopped  chan struct{} // closed by Run
 }
 
-// NewLoop returns a loop that Run starts. clock is monotonic and shared with the front end. peers and recorder may be
-// nil.
+// NewLoop returns a loop; Run starts it. clock is monotonic and shared with the front end. peers and recorder
+// may be nil.
 func NewLoop(cfg decide.Config, core Core, clock func() time.Duration, upstream Upstream, peers Peers,
 	recorder *recording.Writer, log *slog.Logger) *Loop {
 	return &Loop{
@@ -122,11 +129,13 @@
 	}
 }
 
-// SetMaxOpenRequests bounds the requests that are open at once. It is called before Run.
+// SetMaxOpenRequests limits the number of requests that are open at the same time. It must be called before
+// Run. Without it the limit is 0 and Reserve rejects every request.
 func (l *Loop) SetMaxOpenRequests(requests int) { l.maxOpenRequests = int64(requests) }
 
-// Do runs f in the loop and returns after it. It returns false if the loop has ended, in which case f may not have run.
-// It must not be called from the loop's own goroutine, which would wait for itself.
+// Do runs f in the goroutine of the loop and waits until f has returned. It returns false if the loop has
+// ended, in which case f may not have run. The goroutine of the loop must not call Do, as it would wait for
+// itself.
 func (l *Loop) Do(f func()) bool {
 	done := make(chan struct{})
 	l.queue.post(funcCall{func() { f(); close(done) }})
@@ -138,12 +147,12 @@
 	}
 }
 
-// UpdateEndpoints gives an endpoint list or a watch event to the core and returns once the core has handled it:
-// discovery that sends without pause waits for the loop and can't fill its queue.
+// UpdateEndpoints passes an endpoint list or a watch event to the core and returns once the core has handled
+// it. A discovery service that sends without pause therefore waits for the loop and can't fill its queue.
 func (l *Loop) UpdateEndpoints(ev decide.EndpointUpdate) { l.Do(func() { l.handleEvent(ev) }) }
 
-// Stop ends Run after the turn under way and waits for that. Requests in flight stay without an answer. It is called by
-// one goroutine at a time.
+// Stop ends Run after the current turn and waits until it has returned. Requests in flight get no answer.
+// Stop must not be called by two goroutines at the same time.
 func (l *Loop) Stop() {
 	select {
 	case <-l.stopping:
@@ -153,10 +162,10 @@
 	<-l.stopped
 }
 
-// maxSleep bounds how long the loop sleeps when nothing is due.
+// maxSleep is the longest time that the loop sleeps while nothing is due.
 const maxSleep = time.Hour
 
-// Run is the loop. It returns after Stop.
+// Run runs the loop in the calling goroutine. It returns after Stop is called.
 func (l *Loop) Run() {
 	defer close(l.stopped)
 	alarm := time.NewTimer(maxSleep)
@@ -174,8 +183,9 @@
 	}
 }
 
-// turn takes all inputs that wait, then fires the timers that are due. An attempt whose answer and time-out meet in one
-// turn counts as answered: the loop may have been late, the server was not.
+// turn handles all queued inputs, then fires the timers that are due. If the answer to an attempt and its
+// timeout are handled in the same turn, the attempt counts as answered: the loop may have been late, but the
+// server was not.
 func (l *Loop) turn() {
 	l.now = l.clock()
 	l.turns++
@@ -201,11 +211,11 @@
 	}
 }
 
-// minTickInterval is the least time between two turns for the periodic work of plans and totals: work that calls itself
-// due each time must not keep the loop from sleeping.
+// minTickInterval is the minimum time between two turns for the periodic work of plans and totals. It lets
+// the loop sleep even if that work reports itself due every time.
 const minTickInterval = time.Millisecond
 
-// sleepTime does the periodic work of plans and totals that is due and returns how long the loop may sleep.
+// sleepTime does the periodic work of plans and totals that is due, and returns how long the loop may sleep.
 func (l *Loop) sleepTime() time.Duration {
 	wait := maxSleep
 	if l.plans != nil {
@@ -224,7 +234,7 @@
 	return wait
 }
 
-// fireTimer gives the core its own timer, or ends an attempt that has timed out.
+// fireTimer reports a fired core timer to the core or, if a is not nil, ends an attempt that has timed out.
 func (l *Loop) fireTimer(token uint64, a *attempt) {
 	if a == nil {
 		l.handleEvent(decide.TimerFired{Token: token})
@@ -235,7 +245,8 @@
 	}
 }
 
-// handleEvent gives an event to the core, records both sides and carries the actions out.
+// handleEvent passes an event to the core, records the event and the resulting actions, and carries out the
+// actions.
 func (l *Loop) handleEvent(ev decide.Event) {
 	if l.hooks.Event != nil {
 		if ev = l.hooks.Event(ev); ev == nil {
@@ -256,6 +267,7 @@
 	}
 }
 
+// execute carries out an action of the core.
 func (l *Loop) execute(action decide.Action) {
 	switch action := action.(type) {
 	case decide.Send:
@@ -279,7 +291,7 @@
 	}
 }
 
-// flushRecording writes out what was recorded, so that a recording is complete up to the last idle moment.
+// flushRecording flushes the recording, so that it is complete up to the last idle moment of the loop.
 func (l *Loop) flushRecording() {
 	if l.recorder == nil {
 		return
@@ -289,6 +301,7 @@
 	}
 }
 
+// stopRecording logs a failed write and disables recording.
 func (l *Loop) stopRecording(err error) {
 	l.log.Error("Failed to write the recording, recording stopped", "err", err)
 	l.recorder = nil
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -12,10 +12,10 @@
 	"winghatch/internal/upstream"
 )
 
-// flushTimeout is how long a stopping gateway goes on sending samples and spans that wait.
+// flushTimeout is how long a stopping gateway continues to send queued samples and spans.
 const flushTimeout = 2 * time.Second
 
-// newMetrics returns the metrics of a gateway, whose gauges are read from its state.
+// newMetrics returns the metrics of the gateway. Their gauges are read from its state.
 func (g *Gateway) newMetrics() *metrics.Set {
 	o := metrics.Options{MaxMembers: g.fleet.Metrics.MaxMembers}
 	for _, class := range g.fleet.Decide.Classes {
@@ -27,7 +27,8 @@
 	return metrics.New(o, g.metricsView)
 }
 
-// newAggregator returns the aggregator of a gateway. Without peers it adds up its own counts only.
+// newAggregator returns the aggregator of the fleet's totals. Without peers it adds up only the counts of
+// this gateway.
 func (g *Gateway) newAggregator(seed int64) *aggregate.Aggregator {
 	s := aggregate.Settings{
 		Rank:           g.rank,
@@ -45,6 +46,7 @@
 	return aggregate.New(s)
 }
 
+// newRemoteWriter returns the remote writer that sends the metrics of the gateway.
 func (g *Gateway) newRemoteWriter() *remotewrite.Writer {
 	m := g.fleet.Metrics
 	return remotewrite.New(remotewrite.Options{
@@ -68,7 +70,7 @@
 	})
 }
 
-// metricsView returns what gauges are read from. It waits for the loop.
+// metricsView returns the values of the gauges. It waits for the loop.
 func (g *Gateway) metricsView() metrics.View {
 	s := g.State()
 	v := metrics.View{
@@ -121,7 +123,7 @@
 	return v
 }
 
-// serversByState counts servers by the values of the state label.
+// serversByState counts servers by the value of their state label.
 func serversByState(servers []decide.ServerStatus) map[string]int {
 	count := map[string]int{}
 	for _, server := range servers {
@@ -141,7 +143,7 @@
 	return count
 }
 
-// planTotals adds up the customers of each plan. The share is their mean.
+// planTotals adds up the status of the customers of each plan. Share is not the sum but the mean.
 func planTotals(customers []decide.CustomerStatus) map[string]metrics.PlanTotals {
 	totals := map[string]metrics.PlanTotals{}
 	count := map[string]float64{}
@@ -161,7 +163,7 @@
 	return totals
 }
 
-// countAttemptEnd notes how an attempt ended.
+// countAttemptEnd records the duration and outcome of an attempt that has ended.
 func (l *Loop) countAttemptEnd(a *attempt, result upstream.Result) {
 	a.duration, a.outcome = l.now-a.startedAt, outcomeNames[result.Outcome]
 	if l.metrics != nil {
@@ -169,7 +171,8 @@
 	}
 }
 
-// countRetry counts the next attempt of a request, if it is not the first, by how the one before ended.
+// countRetry counts the next attempt of a request by the outcome of the attempt before it. It must be called
+// before the next attempt is added; the first attempt is not a retry and is not counted.
 func (l *Loop) countRetry(r *openRequest) {
 	if l.metrics == nil || len(r.attempts) == 0 {
 		return
@@ -181,7 +184,7 @@
 	l.metrics.RetrySent(after)
 }
 
-// countResponse counts a request that is finished, here and for the totals of the fleet.
+// countResponse counts a finished request in the metrics of this gateway and in the totals of the fleet.
 func (l *Loop) countResponse(r *openRequest, outcome string, response frontend.Response) {
 	if l.metrics == nil {
 		return
--- a/internal/gateway/params.go
+++ b/internal/gateway/params.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// attemptParams encodes what a server gets with an attempt where the front end has no encoding of its own: the
-// params of a JSON-RPC request.
+// attemptParams encodes the params of the JSON-RPC request that carries an attempt to its server. It is used
+// if the front end does not encode attempts itself.
 func (r *openRequest) attemptParams(number int, timeLeft time.Duration) []byte {
-	const fieldBytes = 160 // about what all but the payload takes
+	const fieldBytes = 160 // approximate size of all fields except the payload
 	b := make([]byte, 0, fieldBytes+len(r.Payload))
 	b = append(b, `{"request":`...)
 	b = strconv.AppendQuote(b, r.ID)
@@ -38,9 +38,10 @@
 	return append(b, '}')
 }
 
+// appendJSONString appends s to dst as a JSON string.
 func appendJSONString(dst []byte, s string) []byte {
 	needsEscape := func(r rune) bool { return r < ' ' || r == '"' || r == '\\' || r > '~' }
-	if !strings.ContainsFunc(s, needsEscape) { // as nearly all names and keys
+	if !strings.ContainsFunc(s, needsEscape) { // true of nearly all names and keys
 		dst = append(dst, '"')
 		dst = append(dst, s...)
 		return append(dst, '"')
--- a/internal/gateway/peers.go
+++ b/internal/gateway/peers.go
@@ -6,33 +6,35 @@
 	"winghatch/internal/reservation"
 )
 
-// Peers carries messages to other gateways, by their ranks. Send does not block; a message may get lost.
+// Peers sends messages to other gateways, which are addressed by rank. Send does not block; messages may be
+// lost.
 type Peers interface{ Send(to int, text string) }
 
-// The first byte of a message between gateways is its channel. No message of the core begins with one of these.
+// Channels of messages between gateways. The first byte of a message is its channel. Messages of the core
+// never begin with one of these bytes.
 const (
-	channelPlans        = 0x01 // package quotaplan
-	channelReservations = 0x02 // package reservation
-	channelTotals       = 0x03 // package aggregate
+	channelPlans        = 0x01 // messages of package quotaplan
+	channelReservations = 0x02 // messages of package reservation
+	channelTotals       = 0x03 // messages of package aggregate
 )
 
-// The directions of grant messages in the metrics.
+// Directions of grant messages in the metrics.
 const (
 	directionIn  = "in"
 	directionOut = "out"
 )
 
-// ReceiveGossip posts a message of another gateway to the loop.
+// ReceiveGossip posts a message from another gateway to the loop. from is the rank of that gateway.
 func (l *Loop) ReceiveGossip(from int, text string) { l.queue.post(gossipMessage{from, text}) }
 
-// sendToPeer sends a message that is not the core's.
+// sendToPeer sends a message on one of the channels above to another gateway. It does nothing without peers.
 func (l *Loop) sendToPeer(to int, channel byte, data []byte) {
 	if l.peers != nil {
 		l.peers.Send(to, string(append([]byte{channel}, data...)))
 	}
 }
 
-// sendGossip sends a message of the core.
+// sendGossip sends a message of the core to another gateway. It does nothing without peers.
 func (l *Loop) sendGossip(action decide.SendGossip) {
 	if l.peers == nil {
 		return
@@ -43,7 +45,7 @@
 	l.peers.Send(action.To, action.Text)
 }
 
-// receiveFromPeer gives a message to the part of the loop whose channel it has.
+// receiveFromPeer passes a message from another gateway to the component that handles its channel.
 func (l *Loop) receiveFromPeer(from int, text string) {
 	channel := byte(0)
 	if len(text) > 0 {
@@ -66,7 +68,7 @@
 	}
 }
 
-// sendTotals sends what this gateway has counted to the gateways that add it up, if that is due.
+// sendTotals sends the counts of this gateway, if they are due, to the gateways that aggregate them.
 func (l *Loop) sendTotals() {
 	for _, message := range l.totals.Tick(l.now) {
 		l.sendToPeer(message.To, channelTotals, message.Data)
--- a/internal/gateway/planlog.go
+++ b/internal/gateway/planlog.go
@@ -10,32 +10,36 @@
 	"winghatch/internal/wal"
 )
 
-// Records of the plan log: a byte for the kind, then what the package named writes.
+// Kinds of records in the plan log. A record is one byte for the kind, followed by the encoding of the type
+// named.
 const (
 	recordOwnChange   = 1 // quotaplan.Change that this gateway accepted
-	recordPeerChange  = 2 // quotaplan.Change of another gateway
-	recordReservation = 3 // state of a reservation of reservation.Ledger
+	recordPeerChange  = 2 // quotaplan.Change that another gateway accepted
+	recordReservation = 3 // state of a reservation in reservation.Ledger
 )
 
 const (
-	// planSnapshotInterval is how many records the plan log grows by before a snapshot replaces them.
+	// planSnapshotInterval is the number of records by which the plan log grows before a snapshot replaces
+	// them.
 	planSnapshotInterval = 4096
-	// planSegmentBytes is the size of its segments.
+	// planSegmentBytes is the size of a segment of the plan log.
 	planSegmentBytes = 4 << 20
 )
 
-// planLogDir is the log's directory in that of the gateway's state. A log under another name would not be found.
+// planLogDir is the directory of the plan log within the state directory of a gateway. A log under another
+// name would not be found.
 const planLogDir = "book"
 
-// pendingRecord is a record that is not durable yet, and what waits for it: either a change or a state.
+// pendingRecord is a record that is not durable yet, with the plan change or the reservation state that waits
+// for it.
 type pendingRecord struct {
-	record           uint64
-	changeNumber     uint64 // of a change that this gateway accepted; 0: none
-	reservationState uint64 // number of a state of the ledger; 0: none
+	record           uint64 // number in the plan log
+	changeNumber     uint64 // number of a change that this gateway accepted; 0 if none waits
+	reservationState uint64 // number of a state of the ledger; 0 if none waits
 }
 
-// openLog opens the plan log and restores what it holds. The log's goroutines report to the loop, through its queue,
-// what has become durable and whether writing fails.
+// openLog opens the plan log and restores its records. The goroutines of the log report to the loop, through
+// its queue, which records have become durable and whether writing fails.
 func (p *quotaPlans) openLog(o PlanOptions) error {
 	options := wal.Options{
 		Mode:         wal.SyncAlways,
@@ -60,6 +64,7 @@
 	return nil
 }
 
+// restore restores the change or reservation in a record of the plan log.
 func (p *quotaPlans) restore(payload []byte) error {
 	if len(payload) == 0 {
 		return errors.New("a record without a kind")
@@ -79,7 +84,8 @@
 	return fmt.Errorf("a record of kind %d, want 1 to 3", kind)
 }
 
-// snapshot returns all records that still count, each with its length before it in 4 bytes, little-endian.
+// snapshot encodes all records that are still relevant. Each one is preceded by its length in 4 bytes,
+// little-endian.
 func (p *quotaPlans) snapshot() (out []byte) {
 	add := func(kind byte, data []byte) {
 		out = binary.LittleEndian.AppendUint32(out, uint32(len(data)+1))
@@ -99,7 +105,7 @@
 	return out
 }
 
-// restoreSnapshot takes what snapshot wrote.
+// restoreSnapshot restores the records that snapshot encoded.
 func (p *quotaPlans) restoreSnapshot(snapshot []byte) error {
 	for len(snapshot) > 0 {
 		if len(snapshot) < 4 {
@@ -119,6 +125,7 @@
 
 var errSnapshotTruncated = errors.New("the snapshot is truncated")
 
+// persistChange appends a plan change to the plan log.
 func (p *quotaPlans) persistChange(action quotaplan.Persist) {
 	kind, pending := byte(recordPeerChange), pendingRecord{}
 	if action.Own {
@@ -127,7 +134,8 @@
 	p.persist(kind, action.Change.Append(nil), pending)
 }
 
-// persist appends a record. Without a log it counts as durable at once, as an input of its own.
+// persist appends a record to the plan log. Without a log the record counts as durable at once, which is
+// reported through the queue as a separate input.
 func (p *quotaPlans) persist(kind byte, data []byte, pending pendingRecord) {
 	if p.log == nil {
 		p.lastRecord++
@@ -142,8 +150,9 @@
 		if pending.changeNumber != 0 {
 			p.loop.queue.post(changeNotPersisted{pending.changeNumber, err.Error()})
 		}
-		// A state of a reservation that is not persisted must have no effect, nor may any later one: that a number is
-		// persisted means that all before it are. Until the next restart fewer reserved units can be used, never more.
+		// A reservation state that is not persisted must have no effect, and neither may any later one: that
+		// a state is persisted implies that all earlier ones are. Until the next restart fewer reserved units
+		// can be used, never more.
 		if pending.reservationState != 0 && p.firstUnpersisted == 0 {
 			p.firstUnpersisted = pending.reservationState
 		}
@@ -153,8 +162,8 @@
 	p.pending = append(p.pending, pending)
 }
 
-// recordsDurable is called when all records up to a number are durable. It informs the replica and the ledger, and
-// takes a snapshot if the log has grown by enough.
+// recordsDurable handles the report that all records up to a number are durable. It informs the replica and
+// the ledger, and takes a snapshot if the log has grown by planSnapshotInterval records.
 func (p *quotaPlans) recordsDurable(record uint64) {
 	for len(p.pending) > 0 && p.pending[0].record <= record {
 		pending := p.pending[0]
@@ -178,7 +187,7 @@
 	})
 }
 
-// logStatusChanged is called when writing the log fails, or works again (nil).
+// logStatusChanged handles the report that writing the log fails or, if err is nil, works again.
 func (p *quotaPlans) logStatusChanged(err error) {
 	if err == nil {
 		p.failure = ""
@@ -189,7 +198,8 @@
 	p.logger.Error("Failed to write the plan log, changes and reservations wait", "err", err)
 }
 
-// close is called after the loop has ended.
+// close closes the plan log. It is called after the loop has ended, and does nothing if the log is closed
+// already.
 func (p *quotaPlans) close() {
 	if p.log == nil || p.closed {
 		return
--- a/internal/gateway/queue.go
+++ b/internal/gateway/queue.go
@@ -9,43 +9,50 @@
 	"winghatch/internal/upstream"
 )
 
-// loopInput is one of the types below.
+// loopInput is an input to the loop: a value of one of the types below.
 type loopInput any
 
 type (
-	requestReceived    struct{ request *frontend.Request }
+	// requestReceived is a new request from the front end.
+	requestReceived struct{ request *frontend.Request }
+	// clientDisconnected reports that the client of the request with this ID has disconnected.
 	clientDisconnected struct{ id string }
-	attemptResult      struct {
+	// attemptResult is the result of an attempt.
+	attemptResult struct {
 		attempt *attempt
 		result  upstream.Result
 	}
+	// gossipMessage is a message from another gateway.
 	gossipMessage struct {
-		from int // rank
+		from int // rank of the sender
 		text string
 	}
-	// funcCall is a function that another goroutine wants run in the loop.
+	// funcCall is a function that another goroutine runs in the loop.
 	funcCall struct{ run func() }
 
-	// planRecordsDurable: the plan log has made all records up to this number durable.
+	// planRecordsDurable reports that all records of the plan log up to this number are durable.
 	planRecordsDurable struct{ record uint64 }
-	// planLogStatus: writing the plan log failed, or works again (nil).
-	planLogStatus      struct{ err error }
+	// planLogStatus reports that writing the plan log fails or, if err is nil, works again.
+	planLogStatus struct{ err error }
+	// changeNotPersisted reports that the plan change of this number could not be appended to the plan log.
 	changeNotPersisted struct {
 		number uint64
 		reason string
 	}
-	// reservationReleased: units were drawn for a request that had ended meanwhile.
+	// reservationReleased reports that units were drawn for a request that had already ended.
 	reservationReleased struct{ id string }
 
-	// outboxRecordsDurable: the outbox log has made all records up to this number durable.
+	// outboxRecordsDurable reports that all records of the outbox log up to this number are durable.
 	outboxRecordsDurable struct{ record uint64 }
-	// outboxLogStatus: writing the outbox log failed, or works again (nil).
-	outboxLogStatus    struct{ err error }
+	// outboxLogStatus reports that writing the outbox log fails or, if err is nil, works again.
+	outboxLogStatus struct{ err error }
+	// outboxSnapshotDone reports that a snapshot of the outbox log was written or, if err is not nil, failed.
 	outboxSnapshotDone struct{ err error }
-	// usageAcknowledged: the usage receiver has all records up to this number.
+	// usageAcknowledged reports that the usage receiver has acknowledged all records up to this number.
 	usageAcknowledged struct{ record uint64 }
 )
 
+// handleInput passes an input to the method that handles its type.
 func (l *Loop) handleInput(in loopInput) {
 	switch in := in.(type) {
 	case requestReceived:
@@ -77,14 +84,15 @@
 	}
 }
 
-// queue passes inputs of other goroutines to the loop, in order. Posting never blocks, so no socket waits for another
-// one. It has no bound of its own, its sources have: requests are bounded by the cap on open ones, results by the
-// attempts in flight, gossip by its rate limit; discovery waits until an update is handled.
+// queue passes inputs from other goroutines to the loop, in order. Posting never blocks, so no socket waits
+// for another one. The queue itself is unbounded, but its sources are bounded: requests by the cap on open
+// requests, results by the attempts in flight, gossip by its rate limit, and discovery because it waits until
+// an update is handled.
 type queue struct {
 	mu    sync.Mutex
 	items []loopInput
-	spare []loopInput   // the slice that the last take returned
-	wake  chan struct{} // has an element after an item was posted to the empty queue
+	spare []loopInput   // slice returned by the last take, reused by the next one
+	wake  chan struct{} // receives an element when an input is posted to the empty queue
 }
 
 func newQueue() *queue { return &queue{wake: make(chan struct{}, 1)} }
@@ -102,7 +110,7 @@
 	}
 }
 
-// take returns all inputs that wait. The slice is valid until the next call.
+// take removes and returns all queued inputs. The slice is valid until the next call.
 func (q *queue) take() []loopInput {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/gateway/quotaplans.go
+++ b/internal/gateway/quotaplans.go
@@ -13,12 +13,12 @@
 	"winghatch/internal/wal"
 )
 
-// maxPlansLogged is how many members' plans one change logs a line each for; a change of a plan concerns all members
-// on it.
+// maxPlansLogged is the number of members whose new plans are logged individually for one event; a change to
+// the terms of a plan concerns every member on it. If there are more, their total is logged too.
 const maxPlansLogged = 20
 
-// quotaPlans carries out what the replica of plan changes and the ledger of reservations ask for. The loop owns it.
-// Nothing counts before its record in the plan log is durable.
+// quotaPlans carries out the actions of the replica of plan changes and of the ledger of reservations. It is
+// owned by the loop. A change or reservation takes effect only after its record in the plan log is durable.
 type quotaPlans struct {
 	loop         *Loop
 	replica      *quotaplan.Replica
@@ -30,27 +30,31 @@
 	reservationsTickAt quotaplan.Instant
 	replies            map[uint64]func(quotaplan.Reply) // by token
 	lastToken          uint64
-	handedOver         chan struct{} // of a gateway that drains; nil: it does not, or others have all its units
+	// handedOver is closed once other gateways have taken all reserved units of this one. It is nil unless
+	// the gateway is draining and still has such units.
+	handedOver chan struct{}
 
-	log              *wal.Log // nil: nothing is persisted
-	pending          []pendingRecord
+	log              *wal.Log        // nil if nothing is persisted
+	pending          []pendingRecord // in the order of their numbers
 	lastRecord       uint64
-	snapshotAt       uint64 // lastRecord at the last snapshot
-	firstUnpersisted uint64 // first state of a reservation that the log did not take; 0: none
-	failure          string // why the log can't be written
+	snapshotAt       uint64 // lastRecord at the time of the last snapshot
+	firstUnpersisted uint64 // first reservation state that the log rejected; 0 if none
+	failure          string // why the log can't be written; empty if it can
 	closed           bool
 }
 
-// PlanOptions configure the plan changes and reservations of a gateway.
+// PlanOptions configures the plan changes and reservations of a gateway.
 type PlanOptions struct {
 	Plans        quotaplan.Settings
 	Reservations reservation.Settings
-	Dir          string       // of the log; empty: nothing is persisted
-	FS           wal.FS       // nil: the disk
+	Dir          string       // directory of the plan log; empty if nothing is persisted
+	FS           wal.FS       // nil means the disk
 	WallClock    func() int64 // nanoseconds of Unix time
 	Log          *slog.Logger
 }
 
+// newPlanOptions returns the options that follow from the settings of the fleet. Dir, FS, WallClock and Log
+// remain to be set.
 func newPlanOptions(f *config.Fleet, rank int, incarnation uint64, seed int64) PlanOptions {
 	maxUnits := max(1, f.Decide.MaxUnits)
 	o := PlanOptions{
@@ -78,7 +82,7 @@
 	return o
 }
 
-// openPlans recovers plan changes and reservations from the plan log.
+// openPlans restores the plan changes and reservations in the plan log.
 func openPlans(l *Loop, o PlanOptions) (*quotaPlans, error) {
 	never := quotaplan.Instant{Mono: math.MaxInt64, Wall: math.MaxInt64}
 	p := &quotaPlans{
@@ -99,14 +103,15 @@
 	return p, nil
 }
 
-// start gives the plans that were recovered to the core. It is the first input of the loop.
+// start passes the restored plans to the core. It runs as the first input of the loop.
 func (p *quotaPlans) start() { p.handlePlanEvent(quotaplan.Start{}) }
 
+// now returns the start of the current turn and the wall-clock time.
 func (p *quotaPlans) now() quotaplan.Instant {
 	return quotaplan.Instant{Mono: p.loop.now, Wall: p.wallClock()}
 }
 
-// tick does what is due and returns how long it may be until the next call.
+// tick does the work that is due and returns how long the next call may wait.
 func (p *quotaPlans) tick() time.Duration {
 	now := p.now()
 	isDue := func(at quotaplan.Instant) bool { return at.Mono <= now.Mono || at.Wall <= now.Wall }
@@ -119,26 +124,28 @@
 	wait := maxSleep
 	for _, at := range []quotaplan.Instant{p.replicaTickAt, p.reservationsTickAt} {
 		wait = min(wait, at.Mono-now.Mono)
-		if at.Wall < now.Wall+int64(maxSleep) { // the difference to a later one may overflow
+		if at.Wall < now.Wall+int64(maxSleep) { // the difference to a later time may overflow
 			wait = min(wait, time.Duration(at.Wall-now.Wall))
 		}
 	}
 	return max(wait, minTickInterval)
 }
 
-// submit submits a plan change. reply is called in the loop, once the change is durable or rejected.
+// submit submits a plan change. reply is called in the loop once the change is durable or rejected.
 func (p *quotaPlans) submit(c quotaplan.Change, reply func(quotaplan.Reply)) {
 	p.lastToken++
 	p.replies[p.lastToken] = reply
 	p.handlePlanEvent(quotaplan.Submit{Token: p.lastToken, Change: c})
 }
 
-// handOver offers the reserved units of this gateway to others. done is closed once they have all of them.
+// handOver offers the reserved units of this gateway to other gateways and closes done once they have taken
+// all of them.
 func (p *quotaPlans) handOver(done chan struct{}) {
 	p.handedOver = done
 	p.handleReservationEvent(reservation.Drain{})
 }
 
+// handlePlanEvent passes an event to the replica of plan changes and carries out the resulting actions.
 func (p *quotaPlans) handlePlanEvent(ev quotaplan.Event) {
 	applied := 0
 	defer func() {
@@ -180,9 +187,10 @@
 	}
 }
 
-// roundingError is less than any amount of reserved units that is worth waiting for, in units.
+// roundingError is an amount of reserved units that is too small to wait for.
 const roundingError = 1e-9
 
+// handleReservationEvent passes an event to the ledger of reservations and carries out the resulting actions.
 func (p *quotaPlans) handleReservationEvent(ev reservation.Event) {
 	for _, action := range p.reservations.Handle(p.now(), ev) {
 		switch action := action.(type) {
@@ -215,7 +223,7 @@
 	}
 }
 
-// reject ends a request that gets no reserved units.
+// reject rejects a request that gets no reserved units.
 func (p *quotaPlans) reject(action reservation.Reject) {
 	r := p.loop.requests[action.ID]
 	if r == nil || r.finished {
@@ -229,12 +237,13 @@
 	})
 }
 
-// ceilingSharer is a core that knows which gateways hold a customer's ceiling tokens.
+// ceilingSharer is a core that knows how a customer's ceiling tokens are distributed over the gateways.
 type ceilingSharer interface {
 	CeilingShares(customer string, first, spread int) []decide.CeilingShare
 }
 
-// ceilingShares returns which gateways hold a member's ceiling tokens; even shares for a core that does not know.
+// ceilingShares returns the fraction of a member's ceiling tokens that each gateway holds. If the core does
+// not know, the shares are equal.
 func (p *quotaPlans) ceilingShares(r quotaplan.Reservation) (shares []reservation.CeilingShare) {
 	core, ok := p.loop.core.(ceilingSharer)
 	if !ok {
@@ -251,8 +260,8 @@
 	return shares
 }
 
-// effectivePlan returns the name of the plan that a request is served under: a plan change may have replaced the one of
-// the settings.
+// effectivePlan returns the name of the plan that a request is served under. A plan change may have replaced
+// the plan in the settings.
 func (l *Loop) effectivePlan(r *openRequest) string {
 	if l.plans != nil {
 		if name := l.plans.replica.EffectivePlan(r.Customer).Name; name != "" {
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -13,32 +13,33 @@
 	"winghatch/internal/upstream"
 )
 
-// responseMargin is kept free before the deadline of a request that waits for reserved units, so that a rejection
-// reaches the client in time.
+// responseMargin is the time before the deadline at which a request stops waiting for reserved units, so that
+// its rejection reaches the client in time.
 const responseMargin = 5 * time.Millisecond
 
-// openRequest is a request that has no final answer yet, or attempts in flight. The loop owns it.
+// openRequest is a request that has no final answer yet or still has attempts in flight. It is owned by the
+// loop.
 type openRequest struct {
 	*frontend.Request
 	arrivedAt time.Duration
 	attempts  []*attempt
-	inFlight  int  // of attempts
-	finished  bool // it has its final answer, or its client left
+	inFlight  int  // number of attempts in flight
+	finished  bool // whether the request has its final answer or its client disconnected
 
-	awaitingReservation bool    // the core does not know it yet
-	reservedUsed        float64 // reserved units that ended attempts used
+	awaitingReservation bool    // whether it waits for reserved units; the core does not know it yet
+	reservedUsed        float64 // reserved units that its ended attempts used
 
-	trace   tracing.Context // set if the loop has a tracer
-	sampled bool            // its trace is exported
-	// Of the final answer, for the trace.
+	trace   tracing.Context // set only if the loop has a tracer
+	sampled bool            // whether the trace is exported
+	// Properties of the final answer, for the trace.
 	finishedAt    time.Duration
 	outcome       string
 	reason        string
 	responseUnits float64
 }
 
-// Reserve counts a request in. It returns false if the cap on open requests is reached; the queue's length is bounded
-// by that cap too.
+// Reserve adds a request to the open requests. It returns false if that would exceed the cap on open
+// requests, which also bounds the length of the queue.
 func (l *Loop) Reserve() bool {
 	if l.OpenRequests.Add(1) > l.maxOpenRequests {
 		l.OpenRequests.Add(-1)
@@ -47,14 +48,14 @@
 	return true
 }
 
-// Submit posts a request, which Reserve has counted, to the loop.
+// Submit posts a request to the loop. Reserve must have returned true for it.
 func (l *Loop) Submit(r *frontend.Request) { l.queue.post(requestReceived{r}) }
 
-// Disconnected reports to the loop that the client of a request left.
+// Disconnected reports to the loop that the client of a request has disconnected.
 func (l *Loop) Disconnected(id string) { l.queue.post(clientDisconnected{id}) }
 
-// FailOpenRequests answers every open request as failed and returns after that. It is called when the process is
-// about to be killed.
+// FailOpenRequests answers every open request as failed and returns once that is done. It is called when the
+// process is about to be killed.
 func (l *Loop) FailOpenRequests() {
 	l.Do(func() {
 		for _, id := range slices.Sorted(maps.Keys(l.requests)) {
@@ -66,6 +67,8 @@
 	})
 }
 
+// startRequest registers a new request and passes it to the core or, if it uses reserved units, to the ledger
+// of reservations first. It rejects the request if usage can't be recorded or there are no reservations.
 func (l *Loop) startRequest(received *frontend.Request) {
 	r := &openRequest{Request: received, arrivedAt: l.now}
 	l.requests[r.ID] = r
@@ -97,7 +100,8 @@
 	})
 }
 
-// admit gives a request to the core; a reserved one only once its units are drawn.
+// admit passes a request to the core. A request that uses reserved units is admitted only once these are
+// drawn.
 func (l *Loop) admit(r *openRequest) {
 	r.awaitingReservation = false
 	l.handleEvent(decide.Request{
@@ -115,7 +119,7 @@
 	})
 }
 
-// disconnect ends a request whose client left.
+// disconnect ends a request whose client has disconnected.
 func (l *Loop) disconnect(id string) {
 	r := l.requests[id]
 	if r == nil || r.finished {
@@ -129,7 +133,7 @@
 	l.abandonRequest(r)
 }
 
-// abandonRequest has the core give up what it still does for a finished request.
+// abandonRequest makes the core cancel the remaining work for a finished request.
 func (l *Loop) abandonRequest(r *openRequest) {
 	if !r.awaitingReservation {
 		l.handleEvent(decide.ClientDisconnected{ID: r.ID})
@@ -137,7 +141,8 @@
 	l.release(r)
 }
 
-// finish answers and releases a request; r may be nil, for one that is gone.
+// finish answers and releases a request. It does nothing if r is nil, which means that the request is no
+// longer known.
 func (l *Loop) finish(r *openRequest, response frontend.Response) {
 	if r == nil {
 		return
@@ -146,8 +151,8 @@
 	l.release(r)
 }
 
-// respond gives a request its one final answer. A second one is dropped and logged: the client would take it for the
-// answer to another request.
+// respond gives a request its only final answer. A second one is dropped and logged, because the client would
+// take it for the answer to another request.
 func (l *Loop) respond(r *openRequest, response frontend.Response) {
 	if r.finished {
 		l.log.Error("Dropped a second final answer", "request", r.ID, "kind", response.Kind.String())
@@ -167,8 +172,9 @@
 	l.sampleTrace(r, response.Kind.String(), response.Reason, response.Units)
 	l.countResponse(r, response.Kind.String(), response)
 	if l.debug {
-		l.log.Debug("Request finished", "request", r.ID, "member", r.Customer, "class", r.Class, "plan", r.Plan,
-			"retry", r.IsRetry, "kind", response.Kind.String(), "reason", response.Reason, "attempts", len(r.attempts),
+		l.log.Debug("Request finished", "request", r.ID, "member", r.Customer, "class", r.Class,
+			"plan", r.Plan, "retry", r.IsRetry, "kind", response.Kind.String(),
+			"reason", response.Reason, "attempts", len(r.attempts),
 			"duration", l.now-r.arrivedAt, "time_left", r.Deadline-r.arrivedAt, "units", r.Units)
 	}
 	if l.hooks.Response != nil {
@@ -178,7 +184,7 @@
 	r.Done(response)
 }
 
-// release forgets a finished request once none of its attempts is in flight.
+// release removes a finished request once none of its attempts is in flight.
 func (l *Loop) release(r *openRequest) {
 	if !r.finished || r.inFlight > 0 || l.requests[r.ID] != r {
 		return
@@ -190,12 +196,13 @@
 	}
 }
 
-// settleReserved notes how many reserved units an attempt used: what its answer reports, if the settings have answers
-// settle requests, or the estimate if it may have run.
+// settleReserved records how many reserved units an attempt used. For a successful attempt these are the
+// units that its answer reports, if the settings let answers settle requests, and otherwise the estimate. For
+// an attempt that failed but may have run, it is the estimate.
 func (r *openRequest) settleReserved(result upstream.Result, settledOnResponse bool) {
 	switch result.Outcome {
 	case decide.OutcomeRejected, decide.OutcomeConnectFailed, decide.OutcomeNotDispatched:
-		// It did not run.
+		// The attempt did not run and used no units.
 	case decide.OutcomeOK:
 		r.reservedUsed = r.Units
 		if settledOnResponse && result.ActualUnits > 0 {
--- a/internal/gateway/start.go
+++ b/internal/gateway/start.go
@@ -21,16 +21,18 @@
 	"winghatch/internal/wsconn"
 )
 
-// Of connections to servers. Their bounds are multiples of those of clients' connections: a response may be larger
-// than the largest request, and one connection carries the calls of many sessions.
+// Buffer size of connections to servers, and factors by which their limits exceed those of client
+// connections: a response may be larger than the largest request, and one connection carries the calls of
+// many sessions.
 const (
 	upstreamReadBuffer    = 16 << 10 // bytes
 	upstreamMessageFactor = 2
 	upstreamQueueFactor   = 8
 )
 
-// Start binds the sockets that the settings name, recovers what was persisted and runs a gateway. After an error
-// nothing of it is left behind. The error names the gateway's rank and the setting.
+// Start opens the configured sockets, restores the persisted state and runs a gateway. If it returns an
+// error, it has released everything that it opened. The error names the setting at fault and, unless the
+// settings themselves are invalid, the rank of the gateway.
 func Start(f *config.Fleet, o Options) (_ *Gateway, err error) {
 	cfg, err := f.DecideConfig(o.Rank)
 	if err != nil {
@@ -84,6 +86,7 @@
 	return g, nil
 }
 
+// newUpstream returns the pool of connections to servers.
 func newUpstream(cfg decide.Config, caps *config.ResourceLimits) *upstreamws.Pool {
 	return upstreamws.New(upstreamws.Options{
 		ConnectTimeout: cfg.Limits.ConnectTimeout,
@@ -100,13 +103,14 @@
 	})
 }
 
-// sockets are those that a gateway listens on.
+// sockets holds the sockets that a gateway listens on.
 type sockets struct {
 	requests net.Listener
-	gossip   net.PacketConn // nil: without gossip
-	control  net.Listener   // nil: without a state address
+	gossip   net.PacketConn // nil if gossip is disabled
+	control  net.Listener   // nil if no state address is configured
 }
 
+// close closes the sockets that are open.
 func (s *sockets) close() {
 	if s.requests != nil {
 		s.requests.Close()
@@ -119,7 +123,7 @@
 	}
 }
 
-// listen opens the sockets. After an error some may be open, which the caller closes.
+// listen opens the sockets. If it returns an error, some of them may be open, and the caller must close them.
 func (g *Gateway) listen(cfg decide.Config, s *sockets) (err error) {
 	me := g.fleet.Gateways[g.rank]
 	if s.requests, err = net.Listen("tcp", me.Listen); err != nil {
@@ -141,6 +145,7 @@
 	return nil
 }
 
+// openGossip sets up the transport of gossip on a socket.
 func (g *Gateway) openGossip(cfg decide.Config, socket net.PacketConn) (err error) {
 	var addresses []string
 	for _, gateway := range g.fleet.Gateways {
@@ -156,7 +161,7 @@
 	return err
 }
 
-// equipLoop gives the loop what the settings ask for. What it opens closeLogs closes.
+// equipLoop adds the configured features to the loop. closeLogs closes what it opens.
 func (g *Gateway) equipLoop(o Options) (err error) {
 	f, l := g.fleet, g.loop
 	incarnation := uint64(g.incarnation)
@@ -200,8 +205,9 @@
 	return nil
 }
 
-// run starts the goroutines of a gateway, the loop first and the front end last: no request comes before the core has
-// its plans and all else runs. Stop ends them, each either by the context or by closing what it serves.
+// run starts the goroutines of the gateway. The loop comes first and the front end last, so that no request
+// arrives before the core has its plans and everything else is running. Stop ends each goroutine by
+// cancelling its context or by closing what it serves.
 func (g *Gateway) run(s *sockets) {
 	ctx, stop := context.WithCancel(context.Background())
 	g.stop = stop
@@ -209,7 +215,7 @@
 	g.frontend = frontendws.New(g.fleet, g.rank, idPrefix, g.loop, g.clock.Now, g.log)
 
 	g.spawn(g.loop.Run)
-	g.loop.Do(g.loop.plans.start) // the core has the plans that were recovered before anything else comes
+	g.loop.Do(g.loop.plans.start) // the core must have the restored plans before any other input
 	if g.peers != nil {
 		g.spawn(func() { g.peers.Serve(g.loop.ReceiveGossip) })
 	}
@@ -243,7 +249,8 @@
 	}()
 }
 
-// spawnRemoteWriter starts the remote writer, which Drain stops before all others.
+// spawnRemoteWriter starts the remote writer with a context of its own, because Drain stops it before
+// everything else.
 func (g *Gateway) spawnRemoteWriter(ctx context.Context) {
 	ctx, g.stopRemoteWriter = context.WithCancel(ctx)
 	g.remoteWriterDone = make(chan struct{})
@@ -253,7 +260,7 @@
 	})
 }
 
-// watchEndpoints gives the endpoint list and its changes to the loop until ctx ends.
+// watchEndpoints passes the endpoint list and its changes to the loop until ctx ends.
 func (g *Gateway) watchEndpoints(ctx context.Context) {
 	discoveryws.Watch(ctx, discoveryws.Options{
 		Address:   g.fleet.EndpointList,
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -9,8 +9,8 @@
 	"winghatch/internal/usage/outbox"
 )
 
-// State is what operators read of a gateway at GET /state. Counts are since the start of the process. The JSON keys are
-// read by tools and scripts and never change; TestJSONKeys pins them.
+// State is the response to GET /state. All counts are since the start of the process. Tools and scripts read
+// the JSON keys, so the keys must not change; TestJSONKeys verifies them.
 type State struct {
 	Fleet              string            `json:"fleet"`
 	Rank               int               `json:"rank"`
@@ -18,46 +18,46 @@
 	Uptime             time.Duration     `json:"up_ns"`
 	Sessions           int               `json:"sessions"`
 	OpenRequests       int64             `json:"open"`
-	QueueLength        int               `json:"queue"` // of the loop's inputs
+	QueueLength        int               `json:"queue"` // inputs queued for the loop
 	LoopTurns          int64             `json:"turns"`
 	Served             int64             `json:"served"`
-	Rejected           map[string]int64  `json:"refused"`     // by reason
-	FrontendRejections map[string]int64  `json:"turned_away"` // by reason; these never reached the loop
+	Rejected           map[string]int64  `json:"refused"`     // requests rejected by the loop, by reason
+	FrontendRejections map[string]int64  `json:"turned_away"` // rejected by the front end, by reason
 	Failed             int64             `json:"failed"`
-	Abandoned          int64             `json:"gone"` // requests whose client left first
+	Abandoned          int64             `json:"gone"` // requests whose client disconnected first
 	Attempts           int64             `json:"attempts"`
-	Outcomes           map[string]int64  `json:"outcomes"` // of attempts
-	LateResponses      int64             `json:"late"`     // to attempts that had ended
+	Outcomes           map[string]int64  `json:"outcomes"` // ended attempts by outcome
+	LateResponses      int64             `json:"late"`     // results of attempts that had already ended
 	ServerConnections  int               `json:"node_connections"`
 	Datagrams          DatagramCounts    `json:"datagrams"`
-	CustomerNames      map[uint64]string `json:"names"` // by their keys in Core
+	CustomerNames      map[uint64]string `json:"names"` // member names by their customer keys in Core
 	Core               CoreState         `json:"core"`
 
-	PlanChanges    int                `json:"changes"`     // that are known here
-	PlanDigest     string             `json:"changes_sum"` // equal where the same changes are known
+	PlanChanges    int                `json:"changes"`     // number of plan changes known to this gateway
+	PlanDigest     string             `json:"changes_sum"` // equal on gateways that know the same changes
 	Reservations   []ReservationState `json:"reservations,omitempty"`
 	Usage          *UsageState        `json:"export,omitempty"`
-	PlanLogFailure string             `json:"book_log,omitempty"` // why the plan log can't be written
+	PlanLogFailure string             `json:"book_log,omitempty"` // why the plan log can't be written, if so
 }
 
 // UsageState is the state of the usage outbox.
 type UsageState struct {
 	Incarnation  uint64                `json:"life"`
-	OpenAttempts int                   `json:"open"` // without a settlement in the log
+	OpenAttempts int                   `json:"open"` // attempts without a settlement in the log
 	Records      uint64                `json:"records"`
-	Acknowledged uint64                `json:"acked"` // the receiver has all records up to this one
-	Bytes        int64                 `json:"bytes"` // of the log
+	Acknowledged uint64                `json:"acked"` // number of the last acknowledged record
+	Bytes        int64                 `json:"bytes"` // size of the log
 	MaxBytes     int64                 `json:"bound"`
-	Rejecting    bool                  `json:"refusing"` // requests are rejected, as their use can't be recorded
+	Rejecting    bool                  `json:"refusing"` // requests are rejected: usage can't be recorded
 	Failure      string                `json:"failure,omitempty"`
 	Outbox       outbox.Counts         `json:"desk"`
 	Delivery     outbox.DeliveryCounts `json:"ship"`
 	LostRecords  uint64                `json:"lost_records"`
-	Gaps         int                   `json:"holes"`      // in the log, as of the start
-	TornBytes    int64                 `json:"torn_bytes"` // at the log's end, as of the start
+	Gaps         int                   `json:"holes"`      // in the log at the start
+	TornBytes    int64                 `json:"torn_bytes"` // incomplete, at the end of the log at the start
 }
 
-// State returns the state as of now. It waits for the loop.
+// State returns the current state of the gateway. It waits for the loop.
 func (g *Gateway) State() State {
 	s := State{
 		Fleet:              g.fleet.Name,
@@ -88,7 +88,7 @@
 	return s
 }
 
-// addTo adds what the loop owns.
+// addTo sets the fields of s that the loop owns.
 func (l *Loop) addTo(s *State) {
 	s.QueueLength = l.queue.len()
 	s.LoopTurns = l.turns
@@ -104,6 +104,7 @@
 	maps.Copy(s.Outcomes, l.outcomes)
 }
 
+// state returns the state of the usage outbox for operators.
 func (u *usageOutbox) state() *UsageState {
 	return &UsageState{
 		Incarnation:  u.outbox.Incarnation(),
@@ -122,18 +123,22 @@
 	}
 }
 
-// LoopSummary is what package platform logs of a loop now and then.
+// LoopSummary is the summary of a loop that package platform logs periodically.
 type LoopSummary struct {
-	Rejected     map[string]int64 // by reason, since the start
-	Outcomes     map[string]int64 // of attempts, since the start
-	Pressure     float64
-	RetryBudget  float64
-	OpenRequests int           // with a final answer too, while attempts are in flight
-	TimerLag     time.Duration // how late a timer was at most: the process was not scheduled, or busy
-	LongestTurn  time.Duration // of the loop
+	Rejected    map[string]int64 // rejected requests by reason, since the start
+	Outcomes    map[string]int64 // ended attempts by outcome, since the start
+	Pressure    float64
+	RetryBudget float64
+	// OpenRequests counts the requests without a final answer and those with attempts in flight.
+	OpenRequests int
+	// TimerLag is the longest delay of a timer since the last summary. A large value means that the process
+	// was busy or not scheduled.
+	TimerLag time.Duration
+	// LongestTurn is the duration of the longest turn of the loop since the last summary.
+	LongestTurn time.Duration
 }
 
-// Summary returns a summary. TimerLag and LongestTurn are since the last one.
+// Summary returns a summary and resets TimerLag and LongestTurn.
 func (l *Loop) Summary() (s LoopSummary) {
 	l.Do(func() {
 		status := l.core.Status()
--- a/internal/gateway/statejson.go
+++ b/internal/gateway/statejson.go
@@ -9,18 +9,18 @@
 	"winghatch/internal/reservation"
 )
 
-// The types below give structs of other packages their keys in the JSON of the state. The keys never change, as tools
-// of other versions and scripts read them; TestJSONKeys pins them.
+// The types below define the JSON keys of structs of other packages within the state. Scripts and tools of
+// other versions read these keys, so the keys must not change; TestJSONKeys verifies them.
 
-// DatagramCounts counts the datagrams to and from other gateways by what became of them.
+// DatagramCounts counts the datagrams exchanged with other gateways by the way in which they were handled.
 type DatagramCounts struct {
 	Sent       int64 `json:"Sent"`
-	Unsent     int64 `json:"Unsent"` // too long, or the system did not take them at once
+	Unsent     int64 `json:"Unsent"` // not sent: too long, unknown receiver, or refused by the socket
 	Taken      int64 `json:"Taken"`
-	Forged     int64 `json:"Forged"`     // not made with the fleet's secret
-	Foreign    int64 `json:"Foreign"`    // of another fleet, or for another gateway
-	Repeated   int64 `json:"Repeated"`   // seen before
-	OverIntake int64 `json:"OverIntake"` // over the rate limit
+	Forged     int64 `json:"Forged"`     // malformed, or hashed with another secret
+	Foreign    int64 `json:"Foreign"`    // from another fleet or an unknown sender, or for another gateway
+	Repeated   int64 `json:"Repeated"`   // received before, too old, or of an earlier incarnation
+	OverIntake int64 `json:"OverIntake"` // received above the rate limit
 }
 
 func datagramCounts(c gossip.Counts) DatagramCounts {
@@ -35,31 +35,31 @@
 	}
 }
 
-// ReservationState is a reservation as a gateway has it. Units are those of the member's quota; a token is a unit that
-// may be used at this gateway.
+// ReservationState is a reservation as one gateway knows it. Units are units of the member's quota; a token
+// is a unit that may be used at this gateway.
 type ReservationState struct {
 	ID           uint64  `json:"ID"`
-	Number       uint64  `json:"Number"` // of the plan change that made it
+	Number       uint64  `json:"Number"` // number of the plan change that made the reservation
 	Member       string  `json:"Member"`
-	Units        float64 `json:"Units"` // as first made
+	Units        float64 `json:"Units"` // units as originally reserved
 	From         int64   `json:"From"`  // start of the window, nanoseconds of Unix time
 	To           int64   `json:"To"`    // end of the window, nanoseconds of Unix time
-	Rate         float64 `json:"Rate"`  // units a second over all gateways; 0: no bound
-	Burst        float64 `json:"Burst"` // units at once, with a Rate
+	Rate         float64 `json:"Rate"`  // units per second over all gateways; 0 means no bound
+	Burst        float64 `json:"Burst"` // units that may be used at once; applies if Rate is set
 	Ceiling      bool    `json:"Ceiling"`
 	FirstGateway int     `json:"First"`
 	GatewayCount int     `json:"Spread"`
-	MadeHere     bool    `json:"Mine"` // by this gateway in this or an earlier incarnation
+	MadeHere     bool    `json:"Mine"` // accepted by this gateway, in this or an earlier incarnation
 
-	Open        bool    `json:"Open"` // the window is
+	Open        bool    `json:"Open"` // whether the window is open
 	Ended       bool    `json:"Ended"`
-	HeldTokens  float64 `json:"Free"`    // persisted at this gateway, not drawn
-	DrawnTokens float64 `json:"Drawn"`   // drawn from them, for requests; a crash loses them
-	InFlight    int     `json:"Out"`     // requests
-	Waiting     int     `json:"Waiting"` // requests
-	UsedUnits   float64 `json:"Spent"`   // here, in this incarnation
-	GivenUnits  float64 `json:"Given"`   // to other gateways
-	CeilingRoom float64 `json:"Room"`    // under the member's ceiling; 0 where there is none
+	HeldTokens  float64 `json:"Free"`    // persisted at this gateway and not drawn
+	DrawnTokens float64 `json:"Drawn"`   // drawn from the held tokens for requests; lost in a crash
+	InFlight    int     `json:"Out"`     // requests in flight
+	Waiting     int     `json:"Waiting"` // requests waiting for tokens
+	UsedUnits   float64 `json:"Spent"`   // units used here in this incarnation
+	GivenUnits  float64 `json:"Given"`   // units given to other gateways in this incarnation
+	CeilingRoom float64 `json:"Room"`    // units left under the member's ceiling; 0 if there is no ceiling
 }
 
 func reservationState(v reservation.View) ReservationState {
@@ -88,9 +88,9 @@
 	}
 }
 
-// CoreState is the status of the core in the state that operators ask for. Its JSON keeps the keys that the state
-// always had; the types below have the fields of their counterparts in package decide, in the same order, under those
-// keys.
+// CoreState is the status of the core in the response to GET /state. The JSON types below mirror the structs
+// of package decide, with the same fields in the same order, and keep the JSON keys independent of the field
+// names there.
 type CoreState struct{ decide.Status }
 
 type coreStateJSON struct {
@@ -137,7 +137,7 @@
 	QueueLength int           `json:"Queue"`
 }
 
-// convertAll converts each element and keeps nil as nil.
+// convertAll converts each element of a slice. It returns nil for nil.
 func convertAll[From, To any](from []From, convert func(From) To) []To {
 	if from == nil {
 		return nil
@@ -149,7 +149,7 @@
 	return to
 }
 
-// MarshalJSON writes the status under the keys of the state.
+// MarshalJSON encodes the status under the keys of the state.
 func (s CoreState) MarshalJSON() ([]byte, error) {
 	server := func(s decide.ServerStatus) serverStateJSON { return serverStateJSON(s) }
 	customer := func(c decide.CustomerStatus) customerStateJSON { return customerStateJSON(c) }
@@ -167,7 +167,7 @@
 	})
 }
 
-// UnmarshalJSON reads what MarshalJSON writes.
+// UnmarshalJSON decodes the output of MarshalJSON.
 func (s *CoreState) UnmarshalJSON(raw []byte) error {
 	var v coreStateJSON
 	if err := json.Unmarshal(raw, &v); err != nil {
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// timers holds the core's timers, which are never cancelled, and the time-outs of attempts, which are cancelled when
-// the attempt ends: one that stayed until it was due would hold the request and its payload in memory for as long.
-// Timers that are due at the same time fire in the order in which they were set. The loop owns them.
+// timers holds the timers of the core, which are never cancelled, and the timeouts of attempts. A timeout is
+// cancelled when its attempt ends; otherwise it would keep the request and its payload in memory until it is
+// due. Timers that are due at the same time fire in the order in which they were set. timers is owned by the
+// loop.
 type timers struct {
 	coreTimers    coreTimerHeap
 	attemptTimers attemptTimerHeap
-	sequence      uint64 // of the last timer that was set
+	sequence      uint64 // sequence number of the last timer that was set
 }
 
 type coreTimer struct {
@@ -20,25 +21,28 @@
 	token    uint64
 }
 
+// setTimer sets a timer of the core, which popDue returns by its token.
 func (t *timers) setTimer(at time.Duration, token uint64) {
 	t.sequence++
 	heap.Push(&t.coreTimers, coreTimer{at, t.sequence, token})
 }
 
+// setTimeout sets the timeout of an attempt.
 func (t *timers) setTimeout(a *attempt, at time.Duration) {
 	t.sequence++
 	a.timeoutAt, a.timerSequence = at, t.sequence
 	heap.Push(&t.attemptTimers, a)
 }
 
-// cancelTimeout takes an attempt's time-out back, if it is still set.
+// cancelTimeout cancels the timeout of an attempt. It does nothing if the timeout is not set.
 func (t *timers) cancelTimeout(a *attempt) {
 	if a.heapIndex > 0 {
 		heap.Remove(&t.attemptTimers, a.heapIndex-1)
 	}
 }
 
-// popDue takes the next timer that is due: the core's token, or an attempt whose time-out it is.
+// popDue removes and returns the next timer that is due: either the token of a core timer, with a nil
+// attempt, or the attempt that timed out. It returns false if no timer is due.
 func (t *timers) popDue(now time.Duration) (token uint64, a *attempt, ok bool) {
 	coreDue := len(t.coreTimers) > 0 && t.coreTimers[0].at <= now
 	attemptDue := len(t.attemptTimers) > 0 && t.attemptTimers[0].timeoutAt <= now
@@ -51,7 +55,7 @@
 	return 0, nil, false
 }
 
-// next returns when the next timer is due.
+// next returns when the next timer is due, and false if no timer is set.
 func (t *timers) next() (at time.Duration, ok bool) {
 	if len(t.coreTimers) > 0 {
 		at, ok = t.coreTimers[0].at, true
@@ -62,6 +66,7 @@
 	return at, ok
 }
 
+// timesOutBefore reports whether the timeout of the attempt fires before the core timer c.
 func (a *attempt) timesOutBefore(c coreTimer) bool {
 	if a.timeoutAt != c.at {
 		return a.timeoutAt < c.at
@@ -69,7 +74,7 @@
 	return a.timerSequence < c.sequence
 }
 
-// coreTimerHeap implements heap.Interface.
+// coreTimerHeap implements heap.Interface, ordered by due time and sequence.
 type coreTimerHeap []coreTimer
 
 func (h coreTimerHeap) Len() int { return len(h) }
@@ -92,7 +97,8 @@
 	return last
 }
 
-// attemptTimerHeap implements heap.Interface. It keeps in each attempt its place in the heap, from 1; 0 means none.
+// attemptTimerHeap implements heap.Interface, ordered by due time and sequence. It maintains the heapIndex of
+// each attempt.
 type attemptTimerHeap []*attempt
 
 func (h attemptTimerHeap) Len() int { return len(h) }
--- a/internal/gateway/tracing.go
+++ b/internal/gateway/tracing.go
@@ -11,20 +11,23 @@
 	"winghatch/internal/tracing"
 )
 
-// tracerStream separates the tracer's random numbers from others that are drawn with the same seed.
+// tracerStream is the stream of the tracer's random numbers, which separates them from others drawn with the
+// same seed.
 const tracerStream = 7
 
-// requestTracer draws span ids and decides at the end of a request whether its trace is exported. The loop owns it; the
-// exporter sends in goroutines of its own, which close ends.
+// requestTracer generates span IDs and decides at the end of a request whether its trace is exported. It is
+// owned by the loop. The exporter sends in goroutines of its own, which close ends.
 type requestTracer struct {
 	exporter   *tracing.Exporter
 	sampler    tracing.Sampler
 	random     *rand.Rand
-	wallBase   time.Time                // wall clock where the loop's clock is 0
-	objectives map[string]time.Duration // latency objectives by class
+	wallBase   time.Time                // wall-clock time at which the loop's clock reads 0
+	objectives map[string]time.Duration // latency objectives by class name
 }
 
-func openTracer(f *config.Fleet, rank int, now time.Duration, seed int64, log *slog.Logger) (*requestTracer, error) {
+// openTracer returns the tracer of a gateway. now is the current reading of the loop's clock.
+func openTracer(f *config.Fleet, rank int, now time.Duration, seed int64, log *slog.Logger) (
+	*requestTracer, error) {
 	exporter, err := tracing.New(context.Background(), tracing.Options{
 		URL:     f.Tracing.URL,
 		Fleet:   f.Name,
@@ -49,17 +52,18 @@
 	return t, nil
 }
 
-// wallTime converts a time of the loop's clock.
+// wallTime converts a reading of the loop's clock to wall-clock time.
 func (t *requestTracer) wallTime(at time.Duration) time.Time { return t.wallBase.Add(at) }
 
-// close sends the spans that wait, for flushTimeout at most; the rest is lost. It is called after the loop has ended.
+// close sends the queued spans for at most flushTimeout and drops the rest. It is called after the loop has
+// ended.
 func (t *requestTracer) close() {
 	ctx, stop := context.WithTimeout(context.Background(), flushTimeout)
 	defer stop()
 	t.exporter.Close(ctx)
 }
 
-// sampleTrace notes the final answer of a request and decides whether its trace is exported.
+// sampleTrace records the final answer of a request and decides whether its trace is exported.
 func (l *Loop) sampleTrace(r *openRequest, outcome, reason string, units float64) {
 	r.finishedAt, r.outcome, r.reason, r.responseUnits = l.now, outcome, reason, units
 	if l.tracer == nil {
@@ -72,7 +76,7 @@
 	r.sampled = l.tracer.sampler.Sample(l.now, failed, r.trace.Sampled, r.trace.ID())
 }
 
-// exportTrace exports the trace of a sampled request, none of whose attempts is in flight.
+// exportTrace exports the trace of a request if it is sampled. None of its attempts may be in flight.
 func (l *Loop) exportTrace(r *openRequest) {
 	t := l.tracer
 	if t == nil || !r.sampled {
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -12,21 +12,22 @@
 	"winghatch/internal/wal"
 )
 
-// reasonUncovered is the reason of rejections while the outbox log takes no intents.
+// reasonUncovered is the reason of rejections while the outbox log accepts no intents.
 const reasonUncovered = "export"
 
 const (
-	// outboxSnapshotInterval is how many records the outbox log grows by before a snapshot replaces them.
+	// outboxSnapshotInterval is the number of records by which the outbox log grows before a snapshot
+	// replaces them.
 	outboxSnapshotInterval = 50000
-	// settlementReserve and settlementReservePerAttempt are the bytes below the log's bound that are kept free for the
-	// settlements of attempts in flight.
+	// settlementReserve and settlementReservePerAttempt are the bytes below the bound of the log that are
+	// kept free for the settlements of attempts in flight.
 	settlementReserve           = 512 << 10
 	settlementReservePerAttempt = 1 << 10
 )
 
-// usageOutbox carries out what the outbox of usage asks for: no byte of an attempt is sent before its intent is
-// durable, and its settlement follows its end. The loop owns it. The goroutine of run and those of the log report to
-// the loop through its queue what they did.
+// usageOutbox carries out the actions of the outbox of usage: no byte of an attempt is sent before its intent
+// is durable, and its settlement is recorded when it ends. It is owned by the loop. The goroutines of run and
+// of the log report to the loop through its queue.
 type usageOutbox struct {
 	loop      *Loop
 	outbox    *outbox.Outbox
@@ -34,23 +35,24 @@
 	sender    *sender.Sender
 	wallClock func() int64 // nanoseconds of Unix time
 	logger    *slog.Logger
-	maxBytes  int64 // of the log
+	maxBytes  int64 // bound on the size of the log
 
-	attempts map[outbox.ID]*attempt // not settled
+	attempts map[outbox.ID]*attempt // attempts that are not settled
 	lastID   outbox.ID
 
-	retainFrom       atomic.Uint64 // first record that is still needed; read by the log
-	snapshotAt       uint64        // last record at the last snapshot
-	snapshotRepeated bool          // the last snapshot holds what the one before it held
-	failure          string        // why the log can't be written
+	// retainFrom is the number of the first record that is still needed. The goroutines of the log read it.
+	retainFrom       atomic.Uint64
+	snapshotAt       uint64 // number of the last record in the last snapshot
+	snapshotRepeated bool   // whether the last snapshot retains the same records as the one before
+	failure          string // why the log can't be written; empty if it can
 	closed           bool
 
-	// Of the recovery, for operators.
+	// Damage found when the log was opened, for operators.
 	gaps      int
 	tornBytes int64
 }
 
-// openUsageOutbox recovers the outbox of a loop.
+// openUsageOutbox restores the outbox of a loop from its log.
 func openUsageOutbox(l *Loop, o OutboxOptions) (*usageOutbox, error) {
 	u := &usageOutbox{
 		loop:      l,
@@ -74,22 +76,27 @@
 	return u, nil
 }
 
-// run is the delivery worker: it sends to the usage receiver until ctx ends.
+// run sends usage to the receiver until ctx ends. It is the delivery worker.
 func (u *usageOutbox) run(ctx context.Context) { u.sender.Run(ctx) }
 
-// hasRoom reports whether the log has room for another intent beside the settlements that are owed.
+// hasRoom reports whether the log has room for another intent in addition to the settlements of the attempts
+// in flight.
 func (u *usageOutbox) hasRoom() bool {
 	reserved := settlementReserve + settlementReservePerAttempt*int64(u.outbox.Unsettled())
 	return u.log.Size()+reserved < u.maxBytes
 }
 
-// rejecting reports whether requests are rejected at once, as the intents of their attempts could not be written.
+// rejecting reports whether new requests are rejected because the intents of their attempts could not be
+// written.
 func (u *usageOutbox) rejecting() bool { return u.outbox.Rejecting(u.hasRoom()) }
 
+// handle passes an event to the outbox and carries out the resulting actions.
 func (u *usageOutbox) handle(ev outbox.Event) {
 	runOutboxActions(u.outbox, u.log, u.logger, u.outbox.Handle(ev), u.execute)
 }
 
+// execute carries out an action other than an append to the log: it sends or denies an attempt that waits for
+// its intent.
 func (u *usageOutbox) execute(action outbox.Action) {
 	switch action := action.(type) {
 	case outbox.Release:
@@ -100,13 +107,13 @@
 	case outbox.Deny:
 		if a := u.attempts[action.ID]; a != nil && a.awaitingIntent {
 			a.awaitingIntent, a.denied = false, true
-			// No byte of it was sent.
+			// No byte of the attempt was sent.
 			u.loop.queue.post(attemptResult{a, upstream.Result{Outcome: decide.OutcomeConnectFailed}})
 		}
 	}
 }
 
-// recordIntent holds an attempt back until its intent is durable.
+// recordIntent records the intent of an attempt and holds the attempt back until the intent is durable.
 func (u *usageOutbox) recordIntent(a *attempt) {
 	u.lastID++
 	a.usageID, a.awaitingIntent = u.lastID, true
@@ -128,7 +135,7 @@
 	})
 }
 
-// settle records what an attempt that has ended used.
+// settle records the units that an ended attempt used.
 func (u *usageOutbox) settle(a *attempt, result upstream.Result) {
 	delete(u.attempts, a.usageID)
 	settle := outbox.Settle{ID: a.usageID, UsedUnits: a.request.Units, WallTime: u.wallClock()}
@@ -148,7 +155,7 @@
 	u.handle(settle)
 }
 
-// recordsDurable is called when all records up to a number are durable.
+// recordsDurable handles the report that all records up to a number are durable.
 func (u *usageOutbox) recordsDurable(record uint64) {
 	u.handle(outbox.Durable{Record: record})
 	u.sender.NotifyRecords()
@@ -158,7 +165,7 @@
 	}
 }
 
-// logStatusChanged is called when writing the log fails, or works again (nil).
+// logStatusChanged handles the report that writing the log fails or, if err is nil, works again.
 func (u *usageOutbox) logStatusChanged(err error) {
 	if err != nil {
 		u.failure = err.Error()
@@ -170,7 +177,8 @@
 	u.handle(outbox.LogStatus{Failure: u.failure})
 }
 
-// acknowledged is called when the receiver has all records up to a number.
+// acknowledged handles the report that the receiver has acknowledged all records up to a number. It takes a
+// snapshot if that lets the log remove many records, or any if the log has no room.
 func (u *usageOutbox) acknowledged(record uint64) {
 	u.handle(outbox.Acknowledged{Record: record})
 	removable := record + 1 - u.retainFrom.Load()
@@ -180,8 +188,8 @@
 	}
 }
 
-// snapshot has the log write the outbox's state, after which it may remove the records that neither the state nor the
-// receiver needs.
+// snapshot makes the log write the state of the outbox. The log may then remove the records that neither the
+// state nor the receiver needs.
 func (u *usageOutbox) snapshot() {
 	last := u.log.NextNumber() - 1
 	if last == 0 {
@@ -189,16 +197,17 @@
 	}
 	state, retainFrom := u.outbox.Snapshot(), u.outbox.LastAcknowledged()+1
 	if !u.log.SnapshotAsync(last, state, func(err error) { u.loop.queue.post(outboxSnapshotDone{err}) }) {
-		return // one is being written
+		return // another snapshot is being written
 	}
 	u.retainFrom.Store(retainFrom)
 	u.snapshotAt = last
 }
 
-// snapshotDone takes another snapshot where room is still short, for two reasons. More may have been acknowledged
-// meanwhile, and if the receiver has everything no further acknowledgement comes that would bring one. And the log
-// keeps what the last snapshot but one needs, in case the last one is damaged; a second one of the same state frees
-// that. Without this a gateway could reject requests for ever though the receiver has all.
+// snapshotDone takes another snapshot if the log is still more than half full, for two reasons. First, more
+// records may have been acknowledged in the meantime; if the receiver has everything, no further
+// acknowledgement arrives to trigger a snapshot. Second, the log keeps the records that the last snapshot but
+// one needs, in case the last one is damaged; a second snapshot of the same state frees them. Without this a
+// gateway could reject requests forever although the receiver has everything.
 func (u *usageOutbox) snapshotDone(err error) {
 	if err != nil {
 		u.logger.Error("Failed to write a snapshot of the outbox log", "err", err)
@@ -214,7 +223,8 @@
 	}
 }
 
-// close is called after the loop and run have ended.
+// close closes the outbox log. It is called after the loop and run have ended, and does nothing if the log is
+// closed already.
 func (u *usageOutbox) close() {
 	if u.closed {
 		return
--- a/internal/gateway/usagelog.go
+++ b/internal/gateway/usagelog.go
@@ -12,36 +12,36 @@
 )
 
 const (
-	// outboxSegments is how many segments a full log has, within the bounds on a segment.
+	// outboxSegments is the number of segments of a full log, within the bounds on the size of a segment.
 	outboxSegments        = 16
 	minOutboxSegmentBytes = 256 << 10
 	maxOutboxSegmentBytes = 16 << 20
 
-	// deadLetterDivisor is the inverse of the part of the log's bound that the file of dead letters may take.
+	// deadLetterDivisor determines the bound on the dead-letter file: the bound of the log divided by it.
 	deadLetterDivisor = 8
 )
 
-// Names in the directory of a gateway's state. A log under another name would not be found, and operators' scripts
-// know the file.
+// Names in the state directory of a gateway. A log under another name would not be found, and operators'
+// scripts know the name of the dead-letter file.
 const (
 	outboxLogDir   = "use"
 	deadLetterFile = "use-set-aside.jsonl"
 )
 
-// OutboxOptions configure the outbox of a gateway.
+// OutboxOptions configures the outbox of a gateway.
 type OutboxOptions struct {
 	Export      config.UsageExport
 	Fleet       string
 	Gateway     int    // rank
-	Dir         string // of the gateway's state; the log is a directory in it
-	FS          wal.FS // nil: the disk
+	Dir         string // state directory of the gateway, which contains the directory of the log
+	FS          wal.FS // nil means the disk
 	Incarnation uint64
 	WallClock   func() int64 // nanoseconds of Unix time
 	Log         *slog.Logger
 }
 
-// OpenOutbox recovers an outbox from its log and starts an incarnation. retainFrom, onDurable and onFailure are the
-// log's options of these names; they may be nil.
+// OpenOutbox restores an outbox from its log and starts a new incarnation. retainFrom, onDurable and
+// onFailure are the options of wal.Open with these names; each may be nil.
 func OpenOutbox(o OutboxOptions, retainFrom func() uint64, onDurable func(uint64), onFailure func(error)) (
 	*outbox.Outbox, *wal.Log, *wal.Recovery, error) {
 	box := outbox.New(outbox.Settings{Policy: o.Export.OnUnwritable, Incarnation: o.Incarnation})
@@ -63,7 +63,9 @@
 		return box.RestoreSnapshot(recovery.Snapshot)
 	}
 	restoreRecord := func(r wal.Record) error { return box.Restore(r.Number, r.Payload) }
-	log, recovery, err := wal.Open(filepath.Join(o.Dir, outboxLogDir), options, restoreSnapshot, restoreRecord)
+	log, recovery, err := wal.Open(
+		filepath.Join(o.Dir, outboxLogDir), options, restoreSnapshot, restoreRecord)
+
 	if err != nil {
 		return nil, nil, nil, err
 	}
@@ -75,8 +77,8 @@
 	return box, log, recovery, nil
 }
 
-// runOutboxActions appends records of an outbox to its log and gives the outbox the result of each before the next
-// action is looked at. execute carries out all other actions.
+// runOutboxActions carries out the actions of an outbox. It appends records to the log and reports each
+// result to the outbox before it looks at the next action. All other actions are passed to execute.
 func runOutboxActions(box *outbox.Outbox, log *wal.Log, logger *slog.Logger, actions []outbox.Action,
 	execute func(outbox.Action)) {
 	for len(actions) > 0 {
@@ -91,7 +93,7 @@
 		appended := outbox.Appended{ID: record.ID, Record: number}
 		if err != nil {
 			appended.Failure = err.Error()
-			if !errors.Is(err, wal.ErrFull) { // which the state shows, and every rejected request
+			if !errors.Is(err, wal.ErrFull) { // a full log shows in the state and in every rejection
 				logger.Warn("Failed to append to the outbox log", "err", err)
 			}
 		}
@@ -101,7 +103,7 @@
 	}
 }
 
-// senderOptions are the options of a delivery worker but for what it calls back.
+// senderOptions returns the options of a delivery worker, without its callback OnAcknowledged.
 func senderOptions(o OutboxOptions, log *wal.Log, box *outbox.Outbox) sender.Options {
 	return sender.Options{
 		Log:                log,
@@ -118,8 +120,10 @@
 	}
 }
 
-// DeadLetterFile is the file of events that the usage receiver does not accept, in a gateway's state directory.
+// DeadLetterFile returns the path of the file in a gateway's state directory that holds the events that the
+// usage receiver rejected.
 func DeadLetterFile(dir string) string { return filepath.Join(dir, deadLetterFile) }
 
-// maxDeadLetterBytes bounds that file: a receiver that accepts nothing must not have everything put there.
+// maxDeadLetterBytes returns the bound on the size of the dead-letter file. Without it a receiver that
+// rejects everything would move all events into that file.
 func maxDeadLetterBytes(e config.UsageExport) int64 { return int64(e.MaxLogBytes) / deadLetterDivisor }
