--- a/internal/gateway/controlclient.go
+++ b/internal/gateway/controlclient.go
@@ -62,13 +62,13 @@
 	defer res.Body.Close()
 	raw, err := io.ReadAll(res.Body)
 	if err != nil {
-		return fmt.Errorf("read the response of %s: %w", req.URL, err)
+		return fmt.Errorf("control API: read response of %s: %w", req.URL, err)
 	}
 	if res.StatusCode != http.StatusOK {
 		return errors.New(strings.TrimSpace(string(raw)))
 	}
 	if err := json.Unmarshal(raw, out); err != nil {
-		return fmt.Errorf("decode the response of %s: %w", req.URL, err)
+		return fmt.Errorf("control API: decode response of %s: %w", req.URL, err)
 	}
 	return nil
 }
--- a/internal/gateway/drainoutbox.go
+++ b/internal/gateway/drainoutbox.go
@@ -32,10 +32,10 @@
 // that, the error wraps the error of ctx and includes the last answer of the receiver.
 func DrainOutbox(ctx context.Context, f *config.Fleet, rank int, log *slog.Logger) (DrainResult, error) {
 	if rank < 0 || rank >= len(f.Gateways) {
-		return DrainResult{}, fmt.Errorf("rank: %d, want 0 to %d", rank, len(f.Gateways)-1)
+		return DrainResult{}, fmt.Errorf("drain outbox: rank: %d, want 0 to %d", rank, len(f.Gateways)-1)
 	}
 	if f.StateDirPattern == "" || f.UsageExport.URL == "" {
-		return DrainResult{}, errors.New("kept and export: the settings name none")
+		return DrainResult{}, errors.New("drain outbox: settings: kept and export are required")
 	}
 	o := OutboxOptions{
 		Export:      f.UsageExport,
@@ -51,16 +51,16 @@
 	o.Export.MaxLogBytes = 0
 	onFailure := func(err error) {
 		if err != nil {
-			log.Error("Failed to write the outbox log", "err", err)
+			log.Error("Failed to write outbox log", "err", err)
 		}
 	}
 	box, l, recovery, err := OpenOutbox(o, nil, nil, onFailure)
 	if err != nil {
-		return DrainResult{}, fmt.Errorf("gateway %d: open the outbox log: %w", rank, err)
+		return DrainResult{}, fmt.Errorf("gateway %d: open outbox log: %w", rank, err)
 	}
 	defer l.Close()
 	if err := l.Sync(drainSyncTimeout); err != nil {
-		return DrainResult{}, fmt.Errorf("gateway %d: sync the outbox log: %w", rank, err)
+		return DrainResult{}, fmt.Errorf("gateway %d: sync outbox log: %w", rank, err)
 	}
 	options := senderOptions(o, l, box)
 	options.MaxDeadLetterBytes = maxDeadLetters
@@ -83,7 +83,7 @@
 	}
 	if err := ctx.Err(); err != nil {
 		return result, fmt.Errorf(
-			"the receiver has not all yet: %w (last answer: %d %s)", err,
+			"drain outbox: receiver has not acknowledged all records: %w (last answer: %d %s)", err,
 			result.Delivery.LastStatus, result.Delivery.LastReason)
 	}
 	return result, nil
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -287,7 +287,7 @@
 	case decide.SendGossip:
 		l.sendGossip(action)
 	default:
-		l.log.Error("Unexpected action of the core, ignored", "action", action)
+		l.log.Error("Ignored unexpected action of the core", "action", action)
 	}
 }
 
@@ -303,6 +303,6 @@
 
 // stopRecording logs a failed write and disables recording.
 func (l *Loop) stopRecording(err error) {
-	l.log.Error("Failed to write the recording, recording stopped", "err", err)
+	l.log.Error("Failed to write recording; recording stopped", "err", err)
 	l.recorder = nil
 }
--- a/internal/gateway/planlog.go
+++ b/internal/gateway/planlog.go
@@ -67,7 +67,7 @@
 // restore restores the change or reservation in a record of the plan log.
 func (p *quotaPlans) restore(payload []byte) error {
 	if len(payload) == 0 {
-		return errors.New("a record without a kind")
+		return errors.New("kind: missing, want 1 to 3")
 	}
 	kind, data := payload[0], payload[1:]
 	switch kind {
@@ -81,7 +81,7 @@
 	case recordReservation:
 		return p.reservations.Restore(data)
 	}
-	return fmt.Errorf("a record of kind %d, want 1 to 3", kind)
+	return fmt.Errorf("kind: %d, want 1 to 3", kind)
 }
 
 // snapshot encodes all records that are still relevant. Each one is preceded by its length in 4 bytes,
@@ -123,7 +123,7 @@
 	return nil
 }
 
-var errSnapshotTruncated = errors.New("the snapshot is truncated")
+var errSnapshotTruncated = errors.New("snapshot: truncated record")
 
 // persistChange appends a plan change to the plan log.
 func (p *quotaPlans) persistChange(action quotaplan.Persist) {
@@ -146,7 +146,7 @@
 	}
 	number, err := p.log.Append(append([]byte{kind}, data...))
 	if err != nil {
-		p.logger.Error("Failed to append to the plan log", "err", err)
+		p.logger.Error("Failed to append to plan log", "err", err)
 		if pending.changeNumber != 0 {
 			p.loop.queue.post(changeNotPersisted{pending.changeNumber, err.Error()})
 		}
@@ -182,7 +182,7 @@
 	p.snapshotAt = p.lastRecord
 	p.log.SnapshotAsync(p.lastRecord, p.snapshot(), func(err error) {
 		if err != nil {
-			p.logger.Error("Failed to write a snapshot of the plan log", "err", err)
+			p.logger.Error("Failed to write snapshot of plan log", "err", err)
 		}
 	})
 }
@@ -191,11 +191,11 @@
 func (p *quotaPlans) logStatusChanged(err error) {
 	if err == nil {
 		p.failure = ""
-		p.logger.Info("The plan log can be written again")
+		p.logger.Info("Plan log can be written again")
 		return
 	}
 	p.failure = err.Error()
-	p.logger.Error("Failed to write the plan log, changes and reservations wait", "err", err)
+	p.logger.Error("Failed to write plan log; plan changes and reservations are on hold", "err", err)
 }
 
 // close closes the plan log. It is called after the loop has ended, and does nothing if the log is closed
@@ -206,6 +206,6 @@
 	}
 	p.closed = true
 	if err := p.log.Close(); err != nil {
-		p.logger.Error("Failed to close the plan log", "err", err)
+		p.logger.Error("Failed to close plan log", "err", err)
 	}
 }
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -155,7 +155,7 @@
 // take it for the answer to another request.
 func (l *Loop) respond(r *openRequest, response frontend.Response) {
 	if r.finished {
-		l.log.Error("Dropped a second final answer", "request", r.ID, "kind", response.Kind.String())
+		l.log.Error("Dropped second final answer", "request", r.ID, "kind", response.Kind.String())
 		return
 	}
 	r.finished = true
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -169,10 +169,10 @@
 func (u *usageOutbox) logStatusChanged(err error) {
 	if err != nil {
 		u.failure = err.Error()
-		u.logger.Error("Failed to write the outbox log", "err", err)
+		u.logger.Error("Failed to write outbox log", "err", err)
 	} else {
 		u.failure = ""
-		u.logger.Info("The outbox log can be written again")
+		u.logger.Info("Outbox log can be written again")
 	}
 	u.handle(outbox.LogStatus{Failure: u.failure})
 }
@@ -210,7 +210,7 @@
 // gateway could reject requests forever although the receiver has everything.
 func (u *usageOutbox) snapshotDone(err error) {
 	if err != nil {
-		u.logger.Error("Failed to write a snapshot of the outbox log", "err", err)
+		u.logger.Error("Failed to write snapshot of outbox log", "err", err)
 		return
 	}
 	if u.log.Size() <= u.maxBytes/2 {
@@ -231,6 +231,6 @@
 	}
 	u.closed = true
 	if err := u.log.Close(); err != nil {
-		u.logger.Error("Failed to close the outbox log", "err", err)
+		u.logger.Error("Failed to close outbox log", "err", err)
 	}
 }
--- a/internal/gateway/usagelog.go
+++ b/internal/gateway/usagelog.go
@@ -72,7 +72,7 @@
 	recovery.Report(o.Log, "usage", o.Dir)
 	runOutboxActions(box, log, o.Log, box.Start(o.WallClock()), func(outbox.Action) {})
 	if n := box.Counts.Orphans; n > 0 {
-		o.Log.Warn("Attempts of a former incarnation are exported at their estimates", "attempts", n)
+		o.Log.Warn("Exporting unsettled attempts of earlier incarnations at their estimates", "attempts", n)
 	}
 	return box, log, recovery, nil
 }
@@ -94,7 +94,7 @@
 		if err != nil {
 			appended.Failure = err.Error()
 			if !errors.Is(err, wal.ErrFull) { // a full log shows in the state and in every rejection
-				logger.Warn("Failed to append to the outbox log", "err", err)
+				logger.Warn("Failed to append to outbox log", "err", err)
 			}
 		}
 		if record.ID != 0 {
