--- a/internal/gateway/attempts_test.go
+++ b/internal/gateway/attempts_test.go
@@ -13,7 +13,7 @@
 	"winghatch/internal/upstream"
 )
 
-// holdingUpstream hands the calls that it is given to the test.
+// holdingUpstream passes the calls that it receives to the test instead of sending them.
 type holdingUpstream struct{ sent chan *upstream.Call }
 
 func (h *holdingUpstream) Send(c *upstream.Call) { h.sent <- c }
@@ -21,9 +21,11 @@
 	return c.Abandon()
 }
 
-var noWriteBound atomic.Bool // of the attempts of sendingCore
+// noWriteBound removes the write bound from the attempts of sendingCore.
+var noWriteBound atomic.Bool
 
-// sendingCore forwards each request once. The attempt has to be written within 200 ms, unless noWriteBound is set.
+// sendingCore dispatches one attempt for each request. The attempt must be written within 200 ms unless
+// noWriteBound is set.
 type sendingCore struct{}
 
 func (sendingCore) Handle(now time.Duration, ev decide.Event) []decide.Action {
@@ -38,10 +40,12 @@
 }
 func (sendingCore) Status() decide.Status { return decide.Status{} }
 
-// TestAttemptsAreFormedAtTheirWrite has the time pass between the decision for an attempt and its write, as
-// connecting takes: the server gets the time that is left then, and nothing is written after the bound of the
-// attempt, without time left, or for a client that has gone.
-func TestAttemptsAreFormedAtTheirWrite(t *testing.T) {
+// TestAttemptParamsAreBuiltAtWrite guards against servers that are told a remaining time that has passed,
+// and against attempts that are written too late. Both can happen because connecting takes time between the
+// decision for an attempt and its write. The test advances the clock in between: the server must be told the
+// time that is left at the write, and nothing may be written after the write bound, without time left, or for
+// a client that has disconnected.
+func TestAttemptParamsAreBuiltAtWrite(t *testing.T) {
 	var now atomic.Int64
 	now.Store(int64(time.Hour))
 	h := &holdingUpstream{sent: make(chan *upstream.Call, 10)}
@@ -67,27 +71,27 @@
 	c := submit("a")
 	now.Add(int64(150 * time.Millisecond))
 	if got := c.BuildParams(); !bytes.Equal(got, []byte("250")) || c.Cancelled() {
-		t.Errorf("written 150 ms after its decision its timeout is %s ms, cancelled %t, want 250 and false",
+		t.Errorf("150 ms after the decision the timeout is %s ms, cancelled %t, want 250 and false",
 			got, c.Cancelled())
 	}
 	now.Add(int64(50 * time.Millisecond))
 	if !c.Cancelled() {
-		t.Error("it may be written after its bound")
+		t.Error("attempt is not cancelled after its write bound")
 	}
 	noWriteBound.Store(true)
 	c = submit("c")
 	if now.Add(int64(399 * time.Millisecond)); c.Cancelled() || string(c.BuildParams()) != "1" {
-		t.Errorf("with a millisecond left its timeout is %s, cancelled %t, want 1 and false",
+		t.Errorf("with 1 ms left the timeout is %s ms, cancelled %t, want 1 and false",
 			c.BuildParams(), c.Cancelled())
 	}
 	if now.Add(1); !c.Cancelled() {
-		t.Error("it may be written with less time left than can be passed on")
+		t.Error("attempt is not cancelled with less than 1 ms left")
 	}
 	c = submit("b")
 	if c.Cancelled() {
-		t.Error("a new one is late")
+		t.Error("new attempt is cancelled")
 	}
 	if clientGone.Store(true); !c.Cancelled() {
-		t.Error("it may be written for a client that has gone")
+		t.Error("attempt is not cancelled after its client disconnected")
 	}
 }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -11,68 +11,70 @@
 	"winghatch/internal/websocket"
 )
 
-// TestDrainOnSignal drains a gateway with requests open: each has its answer, new ones are rejected, and sessions are
-// closed with the code for going away.
-func TestDrainOnSignal(t *testing.T) {
+// TestDrainAnswersOpenRequests guards against a drain that loses open requests, accepts new ones or breaks
+// sessions. It drains a gateway while requests are open: each must be answered, a new request must be
+// rejected, and sessions must be closed with code 1001, going away.
+func TestDrainAnswersOpenRequests(t *testing.T) {
 	g := newTestGateway(t, 2, nil)
-	for _, n := range g.servers {
-		n.SetFault(func(x *backend.Fault) { x.Slowdown = 150 })
+	for _, server := range g.servers {
+		server.SetFault(func(fault *backend.Fault) { fault.Slowdown = 150 })
 	}
 	c := g.dial(g.key)
 	idle := g.dial(g.key)
 	for i := range 10 {
 		c.send(rpcCall(i, "folio", `{}`))
 	}
-	eventually(t, "ten are open", func() bool { return g.gateway.State().OpenRequests == 10 })
+	eventually(t, "ten requests are open", func() bool { return g.gateway.State().OpenRequests == 10 })
 	done := make(chan struct{})
 	go func() { g.gateway.Drain(); close(done) }()
-	eventually(t, "it drains", func() bool { return !listens(g.fleet.Gateways[0].Listen) })
+	eventually(t, "the gateway stops listening", func() bool { return !listens(g.fleet.Gateways[0].Listen) })
 	c.send(rpcCall("new", "look", `{}`))
-	served, refused := 0, 0
+	served, rejected := 0, 0
 	for range 11 {
 		switch s := c.read(); {
 		case strings.Contains(s, `"result"`):
 			served++
 		case strings.Contains(s, `"reason":"draining"`):
-			refused++
+			rejected++
 		}
 	}
-	if served != 10 || refused != 1 {
-		t.Errorf("%d served, %d refused", served, refused)
+	if served != 10 || rejected != 1 {
+		t.Errorf("%d served and %d rejected, want 10 and 1", served, rejected)
 	}
-	for _, x := range []*client{c, idle} {
-		if m, err := x.reader.Next(); err != nil || m.Opcode != websocket.Close || m.Data[1] != 0xe9 {
-			t.Errorf("%v %v, want a close frame with 1001", m, err)
+	for _, session := range []*client{c, idle} {
+		if m, err := session.reader.Next(); err != nil || m.Opcode != websocket.Close || m.Data[1] != 0xe9 {
+			t.Errorf("session ended with %v, %v, want a close frame with code 1001", m, err)
 		}
-		x.conn.Close()
+		session.conn.Close()
 	}
 	<-done
 }
 
-// TestStartsFromKeptList kills a gateway and starts it while discovery is away: it serves by the list that it cached,
-// with all servers in slow start. A bucket whose past is unknown counts as half full, the tokens under a ceiling as
-// used up.
-func TestStartsFromKeptList(t *testing.T) {
-	kept := filepath.Join(t.TempDir(), "list-%d")
+// TestStartFromCachedEndpointList guards against a gateway that can't start without discovery, and against a
+// restart that refills quotas. It kills a gateway and starts it while discovery is down: the gateway must
+// serve from the endpoint list that it cached, with all servers in slow start. A bucket of unknown history
+// must count as half full, and the tokens under a ceiling as used up.
+func TestStartFromCachedEndpointList(t *testing.T) {
+	cachePattern := filepath.Join(t.TempDir(), "list-%d")
 	g := newTestGateway(t, 1, func(f *config.Fleet) {
-		f.EndpointListPattern = kept
+		f.EndpointListPattern = cachePattern
 		f.Decide.Plans[1].Rate, f.Decide.Plans[1].Burst = 0.001, 40
-		p := f.Decide.Plans[1]
-		p.Name, p.CeilingRate, p.CeilingBurst = "roofed", 0.001, 40
-		f.Decide.Plans = append(f.Decide.Plans, p)
-		m := f.Members[1]
-		m.Name, m.Plan = "roofed", "roofed"
-		m.Keys = nil
-		m.Keys = append(m.Keys, f.Secret.MemberKeyHasher().Sum([]byte("roofed")))
-		f.Members = append(f.Members, m)
+		plan := f.Decide.Plans[1]
+		plan.Name, plan.CeilingRate, plan.CeilingBurst = "roofed", 0.001, 40
+		f.Decide.Plans = append(f.Decide.Plans, plan)
+		member := f.Members[1]
+		member.Name, member.Plan = "roofed", "roofed"
+		member.Keys = nil
+		member.Keys = append(member.Keys, f.Secret.MemberKeyHasher().Sum([]byte("roofed")))
+		f.Members = append(f.Members, member)
 	})
 	eventually(t, "the list is cached", func() bool {
-		u, err := discoveryws.LoadList(strings.ReplaceAll(kept, "%d", "0"))
+		u, err := discoveryws.LoadList(strings.ReplaceAll(cachePattern, "%d", "0"))
 		return err == nil && len(u.Endpoints) == 1
 	})
 	g.gateway.Stop()
 	g.discovery.Stop()
-	p := spawn(t, g.fleet, 0)
+	cmd := spawn(t, g.fleet, 0)
 	served := func(key string) (n int) {
 		c := g.dial(key)
 		for i := range 60 {
@@ -83,29 +85,29 @@
 		}
 		return n
 	}
-	eventually(t, "the cached list is taken", func() bool { return served(g.key) > 0 })
+	eventually(t, "the gateway serves from the cached list", func() bool { return served(g.key) > 0 })
 	if n := served("poor"); n < 15 || n > 21 {
-		t.Errorf("after a start %d of 60 are served, want half the mark of 40", n)
+		t.Errorf("after a start %d of 60 are served, want about half of the high-water mark of 40", n)
 	}
 	if n := served("roofed"); n > 1 {
-		t.Errorf("after a start %d are served under a ceiling, want none", n)
+		t.Errorf("after a start %d of 60 are served under a ceiling, want none", n)
 	}
-	p.Process.Kill()
-	p.Wait()
+	cmd.Process.Kill()
+	cmd.Wait()
 	spawn(t, g.fleet, 0)
 	if n := served("poor"); n > 21 {
-		t.Errorf("after another start %d are served, want half the mark at most", n)
+		t.Errorf("after a second start %d of 60 are served, want at most half of the high-water mark", n)
 	}
 }
 
-// TestStateWithoutNodes reads the state of a gateway that knows no server: the pressure, which is over their number,
-// must not be a number that JSON can't hold.
-func TestStateWithoutNodes(t *testing.T) {
+// TestStateWithoutServers guards against a state that can't be encoded. The pressure is a ratio to the number
+// of servers, so with no known server it could become infinite or NaN, which JSON can't represent.
+func TestStateWithoutServers(t *testing.T) {
 	g := newTestGateway(t, 0, func(f *config.Fleet) {
 		f.Gateways[0].StateAddress = freePort(t)
 		f.Metrics.Enabled = true
 	})
 	if s := stateOf(g.fleet, 0); !strings.Contains(s, `"Mesh":true`) {
-		t.Errorf("%q", s)
+		t.Errorf("state is %q, want the status of the core", s)
 	}
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -32,7 +32,8 @@
 	"winghatch/internal/websocket"
 )
 
-// TestMain is also the program of a gateway, for tests that stop or kill its process.
+// TestMain runs the tests. With the argument "gateway" it runs a gateway instead, for tests that stop or kill
+// the process of a gateway.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 4 && os.Args[1] == "gateway" {
 		f, err := config.Load(os.Args[2])
@@ -45,28 +46,28 @@
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
-		sigs := make(chan os.Signal, 1)
-		signal.Notify(sigs, syscall.SIGTERM)
-		<-sigs
+		signals := make(chan os.Signal, 1)
+		signal.Notify(signals, syscall.SIGTERM)
+		<-signals
 		g.Drain()
 		os.Exit(0)
 	}
 	os.Exit(m.Run())
 }
 
-// testGateway is a gateway with a discovery service and servers, in this process, on real sockets.
+// testGateway is a gateway in this process, with a discovery service and servers, on real sockets.
 type testGateway struct {
 	t         testing.TB
 	fleet     *config.Fleet
 	discovery *discovery.Server
 	servers   []*backend.Server
 	gateway   *Gateway
-	key       string // of member m
+	key       string // key of member m
 	recording bytes.Buffer
 }
 
-// freePort returns an address whose port stays free until the test binds it. One that the kernel gave out and took back
-// may be given to an outgoing connection before.
+// freePort returns an address whose port is reserved until the test binds it. A port that the kernel assigned
+// and released could be given to an outgoing connection before that.
 func freePort(t testing.TB) string {
 	var r ports.Reservation
 	addr, err := r.Addr()
@@ -77,7 +78,8 @@
 	return addr
 }
 
-// newTestGateway starts a gateway; change may change its settings before.
+// newTestGateway starts a gateway with the given number of servers. If change is not nil, it changes the
+// settings first.
 func newTestGateway(t testing.TB, servers int, change func(*config.Fleet)) *testGateway {
 	t.Helper()
 	g := &testGateway{t: t, key: credentials.NewMemberKey()}
@@ -116,24 +118,26 @@
 	if g.gateway, err = Start(f, Options{Seed: 1, Recording: &g.recording}); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the list is taken", func() bool { return len(g.gateway.State().Core.Servers) == servers })
+	eventually(t, "the gateway has the endpoint list",
+		func() bool { return len(g.gateway.State().Core.Servers) == servers })
 	t.Cleanup(func() {
 		g.gateway.Stop()
 		g.discovery.Stop()
-		for _, n := range g.servers {
-			n.Stop()
+		for _, server := range g.servers {
+			server.Stop()
 		}
 	})
 	return g
 }
 
+// addServer starts a server and announces it through discovery.
 func (g *testGateway) addServer(f *config.Fleet) {
 	classes := map[string]backend.Class{}
-	for _, k := range f.Decide.Classes {
-		classes[k.Name] = backend.Class{
+	for _, class := range f.Decide.Classes {
+		classes[class.Name] = backend.Class{
 			MeanWork:     time.Millisecond,
-			Deduplicates: k.Idempotency == decide.IdempotentByKey,
-			DedupWindow:  k.DedupWindow,
+			Deduplicates: class.Idempotency == decide.IdempotentByKey,
+			DedupWindow:  class.DedupWindow,
 		}
 	}
 	server, err := backend.Start(backend.Options{
@@ -152,7 +156,7 @@
 
 var eventually = await.Until
 
-// completed returns how many attempts the servers have run.
+// completed returns the number of attempts that the servers have run.
 func (g *testGateway) completed() (n int) {
 	for _, server := range g.servers {
 		n += server.Completed()
@@ -160,20 +164,21 @@
 	return n
 }
 
-// setErrorShare has the servers answer a share of all attempts with an error.
+// setErrorShare makes the servers answer a share of all attempts with an error.
 func (g *testGateway) setErrorShare(share float64) {
 	for _, server := range g.servers {
 		server.SetFault(func(f *backend.Fault) { f.ErrorShare = share })
 	}
 }
 
-// client is a WebSocket client that can break the protocol.
+// client is a WebSocket client that can violate the protocol.
 type client struct {
 	t      testing.TB
 	conn   net.Conn
 	reader *websocket.Reader
 }
 
+// dial opens a session with a member key.
 func (g *testGateway) dial(key string) *client {
 	g.t.Helper()
 	conn, err := net.Dial("tcp", g.fleet.Gateways[0].Listen)
@@ -196,10 +201,12 @@
 	return &client{g.t, conn, websocket.NewReader(reader, websocket.Client, 1<<20)}
 }
 
+// frame encodes a WebSocket message in one masked frame.
 func frame(op websocket.Opcode, s string) []byte {
 	return websocket.AppendFrame(nil, true, op, []byte(s), &[4]byte{7, 1, 8, 2})
 }
 
+// send sends messages, each as a text frame, in one write.
 func (c *client) send(msgs ...string) {
 	var b []byte
 	for _, m := range msgs {
@@ -210,6 +217,7 @@
 	}
 }
 
+// read returns the next message.
 func (c *client) read() string {
 	c.t.Helper()
 	m, err := c.reader.Next()
@@ -219,7 +227,7 @@
 	return string(m.Data)
 }
 
-// serve sends n requests one after the other. It returns how many were served, and the last answer.
+// serve sends n requests one after the other. It returns how many of them were served, and the last answer.
 func (c *client) serve(n int, params string) (served int, last string) {
 	for i := range n {
 		c.send(rpcCall(i, "look", params))
@@ -230,11 +238,13 @@
 	return served, last
 }
 
+// rpcCall encodes a JSON-RPC request.
 func rpcCall(id any, method string, params string) string {
 	raw, _ := json.Marshal(id)
 	return fmt.Sprintf(`{"jsonrpc":"2.0","method":"%s","params":%s,"id":%s}`, method, params, raw)
 }
 
+// rejections returns the number of requests that the loop has rejected.
 func rejections(s State) (n int64) {
 	for _, v := range s.Rejected {
 		n += v
@@ -242,6 +252,7 @@
 	return n
 }
 
+// listens reports whether addr accepts connections.
 func listens(addr string) bool {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -251,7 +262,8 @@
 	return true
 }
 
-// stateOf reads the state of a gateway from its control API; empty if it does not answer.
+// stateOf reads the state of a gateway from its control API. It returns an empty string if the gateway does
+// not answer.
 func stateOf(f *config.Fleet, rank int) string {
 	res, err := http.Get("http://" + f.Gateways[rank].StateAddress + "/state")
 	if err != nil {
@@ -262,7 +274,7 @@
 	return string(raw)
 }
 
-// spawn starts a gateway as a process of its own and waits until it listens.
+// spawn starts a gateway in a process of its own and waits until it listens.
 func spawn(t testing.TB, f *config.Fleet, rank int) *exec.Cmd {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "fleet.kdl")
@@ -279,8 +291,8 @@
 	return cmd
 }
 
-// testFleet is three gateways as processes of their own, with a state directory each. Their discovery service and
-// servers are in this process.
+// testFleet is three gateways, each in a process of its own with a state directory. Their discovery service
+// and servers run in this process.
 type testFleet struct {
 	*testGateway
 	processes []*os.Process
@@ -309,7 +321,7 @@
 			change(f)
 		}
 	})
-	g.gateway.Stop() // rank 0 ran in this process; it is started like the others
+	g.gateway.Stop() // rank 0 ran in this process; like the others it is started in its own
 	fleet := &testFleet{g, make([]*os.Process, 3)}
 	for i := range 3 {
 		fleet.start(i)
@@ -319,7 +331,7 @@
 
 func (fleet *testFleet) start(i int) {
 	fleet.processes[i] = spawn(fleet.t, fleet.fleet, i).Process
-	eventually(fleet.t, "it has the list", func() bool {
+	eventually(fleet.t, "the gateway has the endpoint list", func() bool {
 		return strings.Contains(stateOf(fleet.fleet, i), fleet.servers[3].Addr())
 	})
 }
@@ -356,7 +368,7 @@
 	})
 }
 
-// dialAt connects to the gateway of a rank.
+// dialAt opens a session with the gateway of rank i.
 func (fleet *testFleet) dialAt(i int, key string) *client {
 	f := *fleet.fleet
 	f.Gateways = f.Gateways[i:]
@@ -365,11 +377,11 @@
 	return b.dial(key)
 }
 
-// faultyDisk is the disk, which may refuse to write or to create files.
+// faultyDisk is the disk with failures that can be switched on.
 type faultyDisk struct {
 	wal.Disk
-	failWrites atomic.Bool // ENOSPC
-	readOnly   atomic.Bool // EROFS when a file is created
+	failWrites atomic.Bool // writes fail with ENOSPC
+	readOnly   atomic.Bool // creating a file fails with EROFS
 }
 
 type faultyFile struct {
--- a/internal/gateway/jsonkeys_test.go
+++ b/internal/gateway/jsonkeys_test.go
@@ -10,8 +10,9 @@
 	"testing"
 )
 
-// TestJSONKeys pins the keys of what operators read and send as JSON, in their order. Tools of other versions and
-// scripts read these keys, so a renamed field must keep its key; a new key is added to the file by hand.
+// TestJSONKeys guards against renamed, reordered or lost keys in the JSON that operators read and send. Tools
+// of other versions and scripts depend on these keys, so a renamed field must keep its key. New keys are
+// added to the files in testdata by hand.
 func TestJSONKeys(t *testing.T) {
 	for _, test := range []struct {
 		file  string
@@ -32,21 +33,21 @@
 				t.Fatal(err)
 			}
 			if got := strings.Join(keyPaths(t, raw), "\n") + "\n"; got != string(want) {
-				t.Errorf("keys are\n%s, want\n%s", got, want)
+				t.Errorf("keys are\n%s\nwant\n%s", got, want)
 			}
-			// A field that a hand-written conversion forgets comes back empty.
+			// A field that a hand-written conversion omits is decoded as empty.
 			back := reflect.New(reflect.TypeOf(test.value).Elem())
 			if err := json.Unmarshal(raw, back.Interface()); err != nil {
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(back.Interface(), test.value) {
-				t.Errorf("read back as\n%+v, want\n%+v", back.Elem(), reflect.ValueOf(test.value).Elem())
+				t.Errorf("decoded as\n%+v\nwant\n%+v", back.Elem(), reflect.ValueOf(test.value).Elem())
 			}
 		})
 	}
 }
 
-// fill sets every field to a value that is not zero, one element in each slice and map.
+// fill sets every field to a value other than zero, and every slice and map to one element.
 func fill(t *testing.T, v reflect.Value) {
 	t.Helper()
 	switch v.Kind() {
@@ -81,7 +82,7 @@
 	}
 }
 
-// keyPaths returns the keys of a JSON text, each with those around it, in their order.
+// keyPaths returns the keys of a JSON text in their order, each with the path of the keys that enclose it.
 func keyPaths(t *testing.T, raw []byte) (paths []string) {
 	t.Helper()
 	dec := json.NewDecoder(bytes.NewReader(raw))
--- a/internal/gateway/loop_test.go
+++ b/internal/gateway/loop_test.go
@@ -16,60 +16,65 @@
 	"winghatch/internal/testbed/backend"
 )
 
-// TestStopped stops a gateway by SIGSTOP and continues it: requests that came meanwhile are judged by their age,
-// which the client's own clock tells. Those that can't be in time are rejected at once and never run; those that came
-// last are served.
-func TestStopped(t *testing.T) {
+// TestSuspendedGatewayRejectsStaleRequests guards against work on requests that are already too late after
+// the process was suspended. It suspends a gateway by SIGSTOP and resumes it. Requests that arrived in
+// between must be judged by their age according to the client's own clock: those that can't meet their
+// deadline must be rejected at once and never run, and the most recent ones must be served.
+func TestSuspendedGatewayRejectsStaleRequests(t *testing.T) {
 	g := newTestGateway(t, 1, func(f *config.Fleet) { f.Gateways[0].StateAddress = freePort(t) })
 	g.gateway.Stop()
-	p := spawn(t, g.fleet, 0)
-	eventually(t, "it has the list", func() bool { return strings.Contains(stateOf(g.fleet, 0), g.servers[0].Addr()) })
+	cmd := spawn(t, g.fleet, 0)
+	eventually(t, "the gateway has the endpoint list",
+		func() bool { return strings.Contains(stateOf(g.fleet, 0), g.servers[0].Addr()) })
 	c := g.dial(g.key)
-	began := time.Now()
+	start := time.Now()
 	send := func(id int, class string) {
-		c.send(rpcCall(id, class, fmt.Sprintf(`{"at_ms":%g}`, float64(time.Since(began))/1e6)))
+		c.send(rpcCall(id, class, fmt.Sprintf(`{"at_ms":%g}`, float64(time.Since(start))/1e6)))
 	}
-	for i := range 20 { // the session learns how long a request is under way
+	for i := range 20 { // lets the session learn the transit time of requests
 		send(i, "look")
 		if s := c.read(); !strings.Contains(s, `"result"`) {
 			t.Fatal(s)
 		}
 	}
 	ran := g.servers[0].Completed()
-	p.Process.Signal(syscall.SIGSTOP)
-	eventually(t, "it is stopped", func() bool {
-		raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Process.Pid))
+	cmd.Process.Signal(syscall.SIGSTOP)
+	eventually(t, "the process is suspended", func() bool {
+		raw, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", cmd.Process.Pid))
 		f := strings.Fields(string(raw[strings.LastIndexByte(string(raw), ')')+1:]))
 		return len(f) > 0 && f[0] == "T"
 	})
 	for i := range 10 {
 		send(100+i, "quick")
 	}
-	time.Sleep(400 * time.Millisecond) // twice the class's deadline: what was sent so far can't be in time
+	// Twice the deadline of the class: no request sent so far can be answered in time.
+	time.Sleep(400 * time.Millisecond)
 	for i := range 10 {
 		send(200+i, "look")
 	}
-	p.Process.Signal(syscall.SIGCONT)
-	old, late := 0, 0
+	cmd.Process.Signal(syscall.SIGCONT)
+	staleRejected, recentServed := 0, 0
 	for range 20 {
 		s := c.read()
 		switch stale := strings.Contains(s, `"id":10`); {
 		case stale && strings.Contains(s, `"message":"refused"`):
-			old++
+			staleRejected++
 		case stale:
-			t.Errorf("a call of 400 ms of age: %s", s)
+			t.Errorf("request that is 400 ms old is answered %s", s)
 		case strings.Contains(s, `"result"`):
-			late++
+			recentServed++
 		}
 	}
-	if got := g.servers[0].Completed() - ran; old != 10 || late == 0 || got > 10 {
-		t.Errorf("%d old calls refused, want 10; %d of the last 10 served, want some; %d ran, want 10 at most",
-			old, late, got)
+	if got := g.servers[0].Completed() - ran; staleRejected != 10 || recentServed == 0 || got > 10 {
+		t.Errorf("%d stale requests rejected, want 10; %d of the last 10 served; %d ran, want at most 10",
+			staleRejected, recentServed, got)
 	}
 }
 
-// TestTape records a gateway under load, with failing servers, and replays the recording: the core does the same again.
-func TestTape(t *testing.T) {
+// TestRecordingReplay guards against a core that is not deterministic and against incomplete recordings. It
+// records a gateway under load, with failing servers, and replays the recording: the core must return the
+// same actions again.
+func TestRecordingReplay(t *testing.T) {
 	g := newTestGateway(t, 3, nil)
 	var wg sync.WaitGroup
 	for range 4 {
@@ -86,18 +91,19 @@
 		}()
 	}
 	g.servers[0].CloseConnections()
-	g.servers[1].SetFault(func(x *backend.Fault) { x.ErrorShare = 0.5 })
+	g.servers[1].SetFault(func(fault *backend.Fault) { fault.ErrorShare = 0.5 })
 	wg.Wait()
 	g.gateway.Stop()
-	n, err := recording.Replay(&g.recording)
-	if err != nil || n.Truncated != nil || n.ByKind["Request"] != 800 {
-		t.Errorf("%+v, %v", n, err)
+	summary, err := recording.Replay(&g.recording)
+	if err != nil || summary.Truncated != nil || summary.ByKind["Request"] != 800 {
+		t.Errorf("replay returned %+v, %v, want 800 requests", summary, err)
 	}
 }
 
-// TestBadList sends endpoint lists that are old, repeat an endpoint, have a malformed one or leave out versions: none
-// changes anything, and the valid change behind them does.
-func TestBadList(t *testing.T) {
+// TestInvalidEndpointUpdatesAreIgnored guards against invalid endpoint updates that remove servers. It sends
+// updates that are old, repeat an endpoint, contain a malformed endpoint or skip versions: none may change
+// anything, and the valid update after them must be applied.
+func TestInvalidEndpointUpdatesAreIgnored(t *testing.T) {
 	g := newTestGateway(t, 2, nil)
 	v := g.discovery.Version()
 	gone := discoveryws.Endpoint{Address: g.servers[0].Addr(), State: "gone"}
@@ -112,10 +118,12 @@
 	}
 	third := discoveryws.Endpoint{Address: "127.0.0.1:9", State: "draining"}
 	g.discovery.Update(third)
-	eventually(t, "the change behind them is taken", func() bool { return len(g.gateway.State().Core.Servers) == 3 })
+	eventually(t, "the valid update is applied",
+		func() bool { return len(g.gateway.State().Core.Servers) == 3 })
 	for _, s := range g.gateway.State().Core.Servers {
 		if s.ID != third.Address && s.State != decide.Serving {
-			t.Errorf("%+v", s)
+			t.Errorf("server is %+v, want it to be serving", s)
+
 		}
 	}
 }
--- a/internal/gateway/quotaplans_test.go
+++ b/internal/gateway/quotaplans_test.go
@@ -15,9 +15,10 @@
 	"winghatch/internal/quotaplan"
 )
 
-// TestPlanChanges submits plan changes to three gateways: all apply them without a restart, invalid ones and those
-// without the fleet's secret are rejected. One gateway is killed and knows the changes from its disk and the others;
-// another loses its disk and learns all from the others.
+// TestPlanChanges guards against plan changes that do not reach every gateway or are lost with one. It
+// submits changes to three gateways: all must apply them without a restart, and invalid changes and those
+// without the secret of the fleet must be rejected. One gateway is killed and must know the changes from its
+// disk and its peers; another loses its disk and must learn them from its peers.
 func TestPlanChanges(t *testing.T) {
 	fleet := newTestFleet(t, nil)
 	err := fleet.submit(0, quotaplan.Change{Number: 1, Kind: quotaplan.Move, Member: "poor", Plan: "big"})
@@ -27,7 +28,7 @@
 	fleet.awaitChanges(1)
 	err = fleet.submit(1, quotaplan.Change{Number: 1, Kind: quotaplan.Move, Member: "m", Plan: "none"})
 	if err == nil || !strings.Contains(err.Error(), "change 1: number: seen before: change 1: member poor") {
-		t.Errorf("%v", err)
+		t.Errorf("a number in use is answered %v, want a rejection", err)
 	}
 	for _, test := range []struct {
 		change quotaplan.Change
@@ -43,21 +44,22 @@
 		},
 	} {
 		if err := fleet.submit(2, test.change); err == nil || !strings.Contains(err.Error(), test.want) {
-			t.Errorf("%v, want %s", err, test.want)
+			t.Errorf("error is %v, want it to contain %s", err, test.want)
 		}
 	}
 	_, err = SubmitChange(fleet.fleet.Gateways[0].StateAddress, credentials.NewSecret(),
 		quotaplan.Change{Number: 9, Kind: quotaplan.Move, Member: "m", Plan: "none"})
 	if err == nil || !strings.Contains(err.Error(), macHeader) {
-		t.Errorf("a change under another secret: %v", err)
+		t.Errorf("change with another secret is answered %v, want an error about the MAC header", err)
 	}
-	// In service at a gateway that was not asked, without a restart, and on a session that was open before.
+	// The plan is in force at a gateway that did not receive the request, without a restart, and on a session
+	// that was opened before the change.
 	c := fleet.dialAt(2, "poor")
 	if n, last := c.serve(12, `{}`); n < 8 {
 		t.Errorf("%d of 12 served on the larger plan: %s", n, last)
 	}
 	n := len(fleet.history(0, "").Entries)
-	// Rank 1 is killed, and a change comes while it is away.
+	// Kill rank 1 and submit a change while it is down.
 	fleet.processes[1].Signal(syscall.SIGKILL)
 	err = fleet.submit(0, quotaplan.Change{Number: 2, Kind: quotaplan.Move, Member: "poor", Plan: "none"})
 	if err != nil {
@@ -69,18 +71,20 @@
 	fleet.start(1)
 	fleet.awaitChanges(n + 1)
 	fleet.processes[2].Signal(syscall.SIGKILL)
-	eventually(t, "it is gone", func() bool { return !listens(fleet.fleet.Gateways[2].Listen) })
+	eventually(t, "rank 2 no longer listens", func() bool { return !listens(fleet.fleet.Gateways[2].Listen) })
 	os.RemoveAll(fleet.fleet.StateDir(2))
 	fleet.start(2)
 	fleet.awaitChanges(n + 1)
 	if p := fleet.history(2, "poor").Plans["poor"]; p.Name != "none" || p.Rate != 3 {
-		t.Errorf("%+v at a gateway with a new disk", p)
+		t.Errorf("plan at a gateway with a new disk is %+v, want none with a rate of 3", p)
 	}
 }
 
-// TestReservation uses reserved units at all gateways, while the member's ordinary use is at its high-water mark and
-// one gateway is killed and started: no more units can be used than were reserved, and the kill loses few.
-func TestReservation(t *testing.T) {
+// TestReservationAcrossGateways guards against reserved units that are used twice or lost. It uses reserved
+// units at all gateways while the ordinary use of the member is at its high-water mark, and kills and
+// restarts one gateway: no more units may be usable than were reserved, and the kill may lose only the units
+// drawn at that gateway.
+func TestReservationAcrossGateways(t *testing.T) {
 	fleet := newTestFleet(t, nil)
 	now := time.Now()
 	const units = 40.0
@@ -90,16 +94,16 @@
 	fleet.awaitChanges(1)
 	err := fleet.reserve(1, 6, 500, now.Add(time.Second), now.Add(31*time.Second))
 	if err == nil || !strings.Contains(err.Error(), "room for") {
-		t.Errorf("%v, want the room that there is", err)
+		t.Errorf("reservation above the capacity is answered %v, want the room that is left", err)
 	}
-	cs := []*client{fleet.dialAt(0, "poor"), fleet.dialAt(1, "poor"), fleet.dialAt(2, "poor")}
-	for _, c := range cs {
-		c.serve(10, `{}`) // ordinary use to its mark
+	clients := []*client{fleet.dialAt(0, "poor"), fleet.dialAt(1, "poor"), fleet.dialAt(2, "poor")}
+	for _, c := range clients {
+		c.serve(10, `{}`) // ordinary use up to the high-water mark
 	}
-	if n, _ := cs[2].serve(5, `{}`); n > 2 {
-		t.Errorf("%d ordinary calls of 5 served over the mark", n)
+	if n, _ := clients[2].serve(5, `{}`); n > 2 {
+		t.Errorf("%d of 5 ordinary requests served above the high-water mark, want at most 2", n)
 	}
-	eventually(t, "the window is open everywhere", func() bool {
+	eventually(t, "the window is open at all gateways", func() bool {
 		return fleet.reservationOpen(0) && fleet.reservationOpen(1) && fleet.reservationOpen(2)
 	})
 	used := 0.0
@@ -108,36 +112,37 @@
 		used += 2 * float64(got)
 		return last
 	}
-	if last := spend(cs[0], 3); used != 6 {
-		t.Fatalf("%v used: %s", used, last)
+	if last := spend(clients[0], 3); used != 6 {
+		t.Fatalf("%v reserved units used, want 6; last answer %s", used, last)
 	}
-	// A kill loses at most the tokens that were drawn, 16 units, and makes none anew.
+	// A kill loses at most the tokens that were drawn, 16 units, and creates none.
 	fleet.processes[0].Signal(syscall.SIGKILL)
-	spend(cs[1], 4)
+	spend(clients[1], 4)
 	fleet.start(0)
-	cs[0] = fleet.dialAt(0, "poor")
+	clients[0] = fleet.dialAt(0, "poor")
 	var last string
 	for i := range 3 {
-		last = spend(cs[i], 15)
+		last = spend(clients[i], 15)
 	}
 	if used > units || used < units-16 {
-		t.Errorf("%v units used of %v", used, units)
+		t.Errorf("%v units used, want at most %v and at most 16 fewer", used, units)
 	}
 	if !strings.Contains(last, `"reason":"reserve_s`) || !strings.Contains(last, `retry_after_ms`) {
-		t.Errorf("%s, want it to be spent", last)
+		t.Errorf("last answer is %s, want a rejection because the reservation is spent", last)
 	}
 	_, last = fleet.dialAt(1, fleet.key).serve(1, `{"reserved":true}`)
 	if !strings.Contains(last, `"reason":"reserve_none"`) {
-		t.Errorf("a member without a reservation: %s", last)
+		t.Errorf("member without a reservation is answered %s, want reserve_none", last)
 	}
 	fleet.submit(2, quotaplan.Change{Number: 7, Kind: quotaplan.Cancel, Target: 5})
 	fleet.awaitChanges(2)
-	if _, last := cs[2].serve(1, `{"reserved":true}`); !strings.Contains(last, `"reason":"reserve_none"`) {
-		t.Errorf("after it was cancelled: %s", last)
+	if _, last := clients[2].serve(1, `{"reserved":true}`); !strings.Contains(
+		last, `"reason":"reserve_none"`) {
+		t.Errorf("after the cancellation a reserved request is answered %s, want reserve_none", last)
 	}
 }
 
-// reserve submits a reservation of member poor.
+// reserve submits a reservation for member poor to a gateway.
 func (fleet *testFleet) reserve(rank int, number uint64, units float64, from, to time.Time) error {
 	return fleet.submit(rank, quotaplan.Change{
 		Number: number,
@@ -149,15 +154,16 @@
 	})
 }
 
-// reservationOpen reports whether a gateway has one reservation, whose window is open.
+// reservationOpen reports whether a gateway has exactly one reservation and its window is open.
 func (fleet *testFleet) reservationOpen(rank int) bool {
 	s := fleet.state(rank)
 	return len(s.Reservations) == 1 && s.Reservations[0].Open
 }
 
-// TestBookLogFails makes writes to the plan log fail: a plan change does not count and its submitter has no answer,
-// until the log can be written again.
-func TestBookLogFails(t *testing.T) {
+// TestPlanLogWriteFailure guards against plan changes that take effect although they are not durable. It
+// makes writes to the plan log fail: a change must not count and its submitter must get no answer until the
+// log can be written again.
+func TestPlanLogWriteFailure(t *testing.T) {
 	fs := &faultyDisk{}
 	g := newTestGateway(t, 1, nil)
 	g.gateway.Stop()
@@ -177,21 +183,22 @@
 		return strings.Contains(gw.State().PlanLogFailure, "no space")
 	})
 	if n := gw.State().PlanChanges; n != 0 {
-		t.Errorf("%d changes count", n)
+		t.Errorf("%d changes count while the log can't be written, want 0", n)
 	}
 	fs.failWrites.Store(false)
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	eventually(t, "it works again", func() bool {
+	eventually(t, "the log can be written again", func() bool {
 		s := gw.State()
 		return s.PlanLogFailure == "" && s.PlanChanges == 1
 	})
 }
 
-// TestMarkedCallsEnd has a client leave while its requests for reserved units wait, and while they run: no request is
-// left, and no unit is lost or made.
-func TestMarkedCallsEnd(t *testing.T) {
+// TestDisconnectReleasesReservedUnits guards against reserved units that are lost or created when a client
+// disconnects while its requests wait for reserved units or run. No request may be left, and the units must
+// still add up.
+func TestDisconnectReleasesReservedUnits(t *testing.T) {
 	g := newTestGateway(t, 1, nil)
 	now := time.Now().UnixNano()
 	_, err := g.gateway.Submit(quotaplan.Change{
@@ -205,23 +212,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "it is open", func() bool { r := g.gateway.State().Reservations; return len(r) == 1 && r[0].Open })
+	eventually(t, "the window is open",
+		func() bool { r := g.gateway.State().Reservations; return len(r) == 1 && r[0].Open })
 	c := g.dial(g.key)
 	for i := range 50 {
 		c.send(rpcCall(i, "look", `{"reserved":true,"units":2}`))
 	}
 	c.conn.Close()
-	eventually(t, "none is open", func() bool {
+	eventually(t, "no request is open", func() bool {
 		s := g.gateway.State()
 		return s.OpenRequests == 0 && s.Core.OpenRequests == 0 && s.Reservations[0].InFlight == 0
 	})
 	r := g.gateway.State().Reservations[0]
 	if sum := r.HeldTokens + r.DrawnTokens + r.UsedUnits; math.Abs(sum-1000) > 1e-6 || r.Waiting != 0 {
-		t.Errorf("%+v: %v units", r, sum)
+		t.Errorf("reservation is %+v with %v units, want 1000 and no waiting request", r, sum)
 	}
 	var e *quotaplan.Error
-	_, err = g.gateway.Submit(quotaplan.Change{Number: 1, Kind: quotaplan.Terms, Plan: "big", Terms: decide.Plan{}})
+	_, err = g.gateway.Submit(
+		quotaplan.Change{Number: 1, Kind: quotaplan.Terms, Plan: "big", Terms: decide.Plan{}})
 	if !errors.As(err, &e) {
-		t.Errorf("%v", err)
+		t.Errorf("a number in use is answered %v, want a *quotaplan.Error", err)
 	}
 }
--- a/internal/gateway/requests_test.go
+++ b/internal/gateway/requests_test.go
@@ -16,11 +16,12 @@
 	"winghatch/internal/websocket"
 )
 
-// TestAnswers sends valid and invalid messages, single and in batches, and compares what each is answered.
-func TestAnswers(t *testing.T) {
+// TestJSONRPCAnswers guards against wrong answers to valid and invalid JSON-RPC messages. It sends messages
+// singly and in batches and compares each answer.
+func TestJSONRPCAnswers(t *testing.T) {
 	g := newTestGateway(t, 2, nil)
 	c := g.dial(g.key)
-	for _, x := range [][2]string{
+	for _, test := range [][2]string{
 		{rpcCall(1, "look", `{}`), `"result":{"units":1,"body":{"node":`},
 		{rpcCall("a\"", "submit", `{"key":"k","units":3,"work":{"true_units":2}}`), `"units":2,`},
 		{rpcCall(nil, "look", `{}`), `"id":null`},
@@ -35,14 +36,16 @@
 		{`[]`, `"code":-32600`},
 		{`{"jsonrpc":"2.0","method":"look","id":1.50}`, `"id":1.50`},
 	} {
-		c.send(x[0])
-		if got := c.read(); !strings.Contains(got, x[1]) {
-			t.Errorf("%s\nis answered %s\nwant %s", x[0], got, x[1])
+		c.send(test[0])
+		if got := c.read(); !strings.Contains(got, test[1]) {
+			t.Errorf("%s\nis answered %s\nwant %s", test[0], got, test[1])
 		}
 	}
-	// A batch has one answer, without the notification; a message of notifications has none.
-	c.send(`[`+rpcCall(1, "look", `{}`)+`,{"jsonrpc":"2.0","method":"look"},1,`+rpcCall(2, "nothing", `{}`)+`]`,
-		`{"jsonrpc":"2.0","method":"look"}`, `[{"jsonrpc":"2.0","method":"nothing"}]`, rpcCall("last", "look", `{}`))
+	// A batch gets one answer, which omits the notification. A message of notifications only gets no answer.
+	c.send(
+		`[`+rpcCall(1, "look", `{}`)+`,{"jsonrpc":"2.0","method":"look"},1,`+rpcCall(2, "nothing", `{}`)+`]`,
+		`{"jsonrpc":"2.0","method":"look"}`, `[{"jsonrpc":"2.0","method":"nothing"}]`,
+		rpcCall("last", "look", `{}`))
 	var answers []string
 	for range 2 {
 		answers = append(answers, c.read())
@@ -55,49 +58,50 @@
 		}
 	}
 	if len(batch) != 3 || !strings.Contains(all, `"last"`) {
-		t.Errorf("batch is answered %s", all)
+		t.Errorf("batch is answered %s, want an array of 3 answers", all)
 	}
 	poor := g.dial("poor")
 	poor.send(rpcCall(1, "look", `{}`), rpcCall(2, "look", `{}`), rpcCall(3, "look", `{}`))
-	refused := 0
+	rejected := 0
 	for range 3 {
 		const overMark = `"code":-32001,"message":"refused","data":{"reason":"over_mark","retry_after_ms":`
 		if s := poor.read(); strings.Contains(s, overMark) {
-			refused++
+			rejected++
 		}
 	}
-	if refused < 2 {
-		t.Errorf("%d calls over the mark were refused", refused)
+	if rejected < 2 {
+		t.Errorf("%d of 3 requests above the high-water mark are rejected, want at least 2", rejected)
 	}
 }
 
-// TestOpenID sends a request with the id of one that is open: the open one keeps its one answer, and the error for the
-// other can't be taken for it.
-func TestOpenID(t *testing.T) {
+// TestDuplicateOpenRequestID guards against an answer that a client assigns to the wrong request. It sends a
+// request with the ID of one that is open: the open one must keep its single answer, and the error for the
+// other must not be mistakable for it.
+func TestDuplicateOpenRequestID(t *testing.T) {
 	g := newTestGateway(t, 1, nil)
-	g.servers[0].SetFault(func(x *backend.Fault) { x.Slowdown = 100 })
+	g.servers[0].SetFault(func(fault *backend.Fault) { fault.Slowdown = 100 })
 	c := g.dial(g.key)
 	c.send(rpcCall("x", "folio", `{}`), `{"jsonrpc":"2.0","method":"folio","id":"\u0078"}`)
 	first, second := c.read(), c.read()
 	if !strings.Contains(first, `-32600`) || !strings.Contains(first, `"data":{"id":"x"}},"id":null`) ||
 		!strings.Contains(second, `"id":"x"`) {
-		t.Errorf("%s\n%s", first, second)
+		t.Errorf("answers are\n%s\n%s\nwant an error with a null id, then the answer to x", first, second)
 	}
 }
 
-// TestClientsThatLeave has clients leave in every way with hundreds of requests open: no request, session, connection
-// or goroutine is left. There are many servers, as the core lets only a few requests wait at one that does not
-// answer.
-func TestClientsThatLeave(t *testing.T) {
+// TestDisconnectReleasesResources guards against leaks when clients disconnect. Clients disconnect in several
+// ways with hundreds of requests open: no request, session, connection or goroutine may be left. There are
+// many servers because the core lets only a few requests wait at a server that does not answer.
+func TestDisconnectReleasesResources(t *testing.T) {
 	g := newTestGateway(t, 100, func(f *config.Fleet) { f.Caps.EndpointIdleTimeout = 20 * time.Millisecond })
-	for _, n := range g.servers {
-		n.SetFault(func(x *backend.Fault) { x.Unresponsive = true })
+	for _, server := range g.servers {
+		server.SetFault(func(fault *backend.Fault) { fault.Unresponsive = true })
 	}
 	goroutines := 0
 	for _, departure := range append(departures, departures[0]) {
 		leaveWithOpenRequests(t, g, departure)
 		if goroutines == 0 {
-			eventually(t, "goroutines settle", func() bool {
+			eventually(t, "the number of goroutines is stable", func() bool {
 				n := runtime.NumGoroutine()
 				time.Sleep(20 * time.Millisecond)
 				goroutines = runtime.NumGoroutine()
@@ -105,10 +109,11 @@
 			})
 		}
 	}
-	eventually(t, "goroutines are as after the first", func() bool { return runtime.NumGoroutine() <= goroutines+5 })
+	eventually(t, "there are no more goroutines than after the first disconnect",
+		func() bool { return runtime.NumGoroutine() <= goroutines+5 })
 }
 
-// departure is a way in which a client leaves.
+// departure is a way in which a client disconnects.
 type departure struct {
 	name  string
 	leave func(c *client)
@@ -129,10 +134,11 @@
 	{"breaks the protocol", func(c *client) { c.conn.Write([]byte{0xff, 0xff}) }},
 }
 
-// leaveWithOpenRequests has a client send 500 requests and leave, and waits until nothing of it is left.
+// leaveWithOpenRequests makes a client send 500 requests and disconnect, and waits until all its resources
+// are released.
 func leaveWithOpenRequests(t *testing.T, g *testGateway, d departure) {
 	t.Helper()
-	eventually(t, "work that nobody waits for is forgotten", func() bool {
+	eventually(t, "the pressure of abandoned requests is gone", func() bool {
 		return g.gateway.State().Core.Pressure == 0
 	})
 	before := g.gateway.State()
@@ -143,7 +149,7 @@
 	}
 	c.send(msgs...)
 	open := int64(0)
-	eventually(t, "all 500 are in", func() bool {
+	eventually(t, "the loop has all 500 requests", func() bool {
 		l := g.gateway.loop
 		in := int64(0)
 		l.Do(func() {
@@ -156,29 +162,33 @@
 		return in == 500
 	})
 	if open < 200 {
-		t.Fatalf("only %d calls are open; refused %v", open, g.gateway.State().Rejected)
+		t.Fatalf("only %d requests are open, want at least 200; rejected %v", open,
+			g.gateway.State().Rejected)
 	}
 	d.leave(c)
-	eventually(t, d.name+": none is open", func() bool {
+	eventually(t, d.name+": no request is open", func() bool {
 		s := g.gateway.State()
 		return s.OpenRequests == 0 && s.Abandoned >= before.Abandoned+open
 	})
 	c.conn.Close()
-	eventually(t, d.name+": no session is left", func() bool { return g.gateway.frontend.SessionCount() == 0 })
-	eventually(t, d.name+": attempts that nobody waits for are given up", func() bool {
+	eventually(t, d.name+": no session is left",
+		func() bool { return g.gateway.frontend.SessionCount() == 0 })
+	eventually(t, d.name+": abandoned attempts have ended", func() bool {
 		n := 0
 		g.gateway.loop.Do(func() { n = len(g.gateway.loop.requests) })
 		return n == 0
 	})
-	// Connections to servers are closed when idle, so that what is left is not theirs.
-	eventually(t, d.name+": no connection is left", func() bool { return g.gateway.State().ServerConnections == 0 })
+	// Idle connections to servers are closed too, so any connection that remains is a leak.
+	eventually(t, d.name+": no connection is left",
+		func() bool { return g.gateway.State().ServerConnections == 0 })
 }
 
-// TestAnswerAndTimer has servers answer right at the deadline, many times: each request has one final answer, whichever
-// came first.
-func TestAnswerAndTimer(t *testing.T) {
+// TestAnswerAtDeadlineIsFinalOnce guards against a request that gets two final answers or none when the
+// answer of a server races with the deadline. Servers answer right at the deadline, many times: each request
+// must get exactly one final answer, whichever came first.
+func TestAnswerAtDeadlineIsFinalOnce(t *testing.T) {
 	g := newTestGateway(t, 1, nil)
-	g.servers[0].SetFault(func(x *backend.Fault) { x.Slowdown = 60 })
+	g.servers[0].SetFault(func(fault *backend.Fault) { fault.Slowdown = 60 })
 	c := g.dial(g.key)
 	const n = 400
 	for i := range n {
@@ -190,14 +200,15 @@
 		seen[s[strings.LastIndex(s, `"id":`):]]++
 	}
 	if len(seen) != n {
-		t.Errorf("%d ids were answered, want %d", len(seen), n)
+		t.Errorf("%d requests were answered, want %d", len(seen), n)
 	}
-	eventually(t, "none is open", func() bool { return g.gateway.State().OpenRequests == 0 })
+	eventually(t, "no request is open", func() bool { return g.gateway.State().OpenRequests == 0 })
 }
 
-// TestLoopHoldsBackSecondAnswer has the loop carry out actions of a core that answer one request three times: the
-// client gets one answer.
-func TestLoopHoldsBackSecondAnswer(t *testing.T) {
+// TestSecondFinalAnswerIsDropped guards against a second final answer, which a client would take for the
+// answer to another request. The loop carries out three answers to one request, as from a faulty core: the
+// client must get one.
+func TestSecondFinalAnswerIsDropped(t *testing.T) {
 	g := newTestGateway(t, 1, nil)
 	n := 0
 	g.gateway.loop.Do(func() {
@@ -209,6 +220,6 @@
 		g.gateway.loop.respond(o, frontend.Response{})
 	})
 	if n != 1 || g.gateway.loop.OpenRequests.Load() != 0 {
-		t.Errorf("%d answers", n)
+		t.Errorf("%d answers, want 1 and no open request", n)
 	}
 }
--- a/internal/gateway/sessions_test.go
+++ b/internal/gateway/sessions_test.go
@@ -17,9 +17,10 @@
 	"winghatch/internal/websocket"
 )
 
-// TestWhoIsKnown connects without a key, with a wrong one and with malformed headers, which are all unauthorized; and
-// without sending anything, which is cut off in time.
-func TestWhoIsKnown(t *testing.T) {
+// TestUnauthorizedHandshakes guards against sessions without a valid member key. It connects without a key,
+// with a wrong one and with malformed headers, which must all be answered as unauthorized. A client that
+// sends nothing must be disconnected after the handshake timeout.
+func TestUnauthorizedHandshakes(t *testing.T) {
 	g := newTestGateway(t, 1, func(f *config.Fleet) { f.Caps.HandshakeTimeout = 200 * time.Millisecond })
 	for _, auth := range []string{
 		"",
@@ -28,43 +29,47 @@
 		"Authorization: Basic " + g.key + "\r\n",
 		"Authorization: Bearer " + strings.Repeat("x", 5000) + "\r\n",
 	} {
-		nc, err := net.Dial("tcp", g.fleet.Gateways[0].Listen)
+		conn, err := net.Dial("tcp", g.fleet.Gateways[0].Listen)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(nc, "GET / HTTP/1.1\r\nHost: h\r\nUpgrade: websocket\r\nConnection: upgrade\r\n"+
+		fmt.Fprintf(conn, "GET / HTTP/1.1\r\nHost: h\r\nUpgrade: websocket\r\nConnection: upgrade\r\n"+
 			"Sec-WebSocket-Version: 13\r\nSec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\n"+
 			"Sec-WebSocket-Protocol: jsonrpc\r\n%s\r\n", auth)
-		raw, _ := io.ReadAll(nc)
-		nc.Close()
+		raw, _ := io.ReadAll(conn)
+		conn.Close()
 		if !strings.HasPrefix(string(raw), "HTTP/1.1 401 ") ||
 			!strings.Contains(string(raw), "WWW-Authenticate: Bearer") {
-			t.Errorf("%q is answered %q", auth, raw)
+			t.Errorf("%q is answered %q, want status 401", auth, raw)
 		}
 	}
-	quiet, _ := net.Dial("tcp", g.fleet.Gateways[0].Listen) // sends nothing, so it is cut off in time
+	// This client sends nothing and must be disconnected after the handshake timeout.
+	quiet, _ := net.Dial("tcp", g.fleet.Gateways[0].Listen)
 	defer quiet.Close()
 	io.ReadAll(quiet)
-	eventually(t, "no state is left", func() bool { return g.gateway.frontend.SessionCount() == 0 })
+	eventually(t, "no session is left", func() bool { return g.gateway.frontend.SessionCount() == 0 })
 }
 
-// TestFlood sends 10,000 requests without reading an answer: the session is closed at its bound, others are served.
-func TestFlood(t *testing.T) {
+// TestFloodingSessionIsClosed guards against a client that sends requests without reading answers and so
+// fills the memory or delays others. It sends 10,000 requests that way: its session must be closed at the
+// bound on queued bytes, and another session must be served.
+func TestFloodingSessionIsClosed(t *testing.T) {
 	g := newTestGateway(t, 2, func(f *config.Fleet) {
 		f.Caps.MaxQueuedBytes = 32 << 10
 		f.Caps.WriteTimeout = 300 * time.Millisecond
 	})
-	flood := g.dial(g.key)
-	flood.conn.(*net.TCPConn).SetReadBuffer(4 << 10)
+	flooder := g.dial(g.key)
+	flooder.conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 	pad := strings.Repeat("p", 1000)
 	var wg sync.WaitGroup
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
 		for i := range 10_000 {
-			// Each is answered with an error of some size. The write fails once the session is closed.
+			// Each message is answered with an error of about its own size. The write fails once the session
+			// is closed.
 			message := rpcCall(pad+fmt.Sprint(i), "nothing", `{}`)
-			if _, err := flood.conn.Write(frame(websocket.Text, message)); err != nil {
+			if _, err := flooder.conn.Write(frame(websocket.Text, message)); err != nil {
 				return
 			}
 		}
@@ -77,16 +82,18 @@
 		}
 	}
 	wg.Wait()
-	eventually(t, "the flooding session is cut", func() bool { return g.gateway.frontend.SessionCount() == 1 })
+	eventually(t, "the flooding session is closed",
+		func() bool { return g.gateway.frontend.SessionCount() == 1 })
 }
 
-// TestFloodMemory has many sessions flood and read nothing: the memory that they take is bounded by the caps.
-func TestFloodMemory(t *testing.T) {
+// TestFloodMemoryIsBounded guards against unbounded memory use by clients that do not read. Many sessions
+// send requests and read nothing: the memory that they take must stay within the caps.
+func TestFloodMemoryIsBounded(t *testing.T) {
 	const sessions, queue = 16, 64 << 10
 	g := newTestGateway(t, 1, func(f *config.Fleet) {
 		f.Caps.MaxQueuedBytes, f.Caps.MaxInFlightPerSession, f.Caps.WriteTimeout = queue, 50, 20*time.Second
 	})
-	heap := func() uint64 { // what the collector found alive, without what is made meanwhile and dropped
+	heap := func() uint64 { // bytes that the collector found alive, without garbage since its last run
 		runtime.GC()
 		m := []metrics.Sample{{Name: "/gc/heap/live:bytes"}}
 		metrics.Read(m)
@@ -108,65 +115,69 @@
 			done <- n
 		}()
 	}
-	most := uint64(0)
+	peak := uint64(0)
 	for left := sessions; left > 0; {
 		select {
 		case <-done:
 			left--
 		case <-time.After(10 * time.Millisecond):
-			most = max(most, heap())
+			peak = max(peak, heap())
 		}
 	}
-	// Of each session: its queue, its open calls with their work and ids, buffers, and as much for what the nodes'
-	// end of this process holds.
+	// Each session has its queue, its open requests with their payload and IDs, and buffers. The servers in
+	// this process hold as much again.
 	bound := uint64(sessions * 2 * (queue + 50*4<<10 + 64<<10))
-	if most > before+bound {
-		t.Errorf("%d KiB more heap under a flood of %d sessions, want %d at most", (most-before)>>10, sessions,
-			bound>>10)
+	if peak > before+bound {
+		t.Errorf("heap grew by %d KiB under a flood of %d sessions, want at most %d",
+			(peak-before)>>10, sessions, bound>>10)
 	}
 	if sent := sessions * 3000 * 1100; uint64(sent) < 2*bound {
-		t.Fatalf("the flood of %d bytes is too small to tell", sent)
+		t.Fatalf("flood of %d bytes is too small to test the bound", sent)
 	}
 }
 
-// TestCaps goes over the caps of a session, of the gateway, of sessions and of a message: what is over one is
-// rejected at once, and what a closed session held is free again.
-func TestCaps(t *testing.T) {
+// TestResourceCaps guards against caps that are not enforced or not released. It exceeds the caps on requests
+// of a session, requests of the gateway, sessions, and bytes of a message: the excess must be rejected at
+// once, and what a closed session held must be free again.
+func TestResourceCaps(t *testing.T) {
 	g := newTestGateway(t, 20, func(f *config.Fleet) {
-		f.Caps.MaxInFlight, f.Caps.MaxInFlightPerSession, f.Caps.MaxSessions, f.Caps.MaxMessageBytes = 15, 10, 2, 2000
+		f.Caps.MaxInFlight, f.Caps.MaxInFlightPerSession, f.Caps.MaxSessions, f.Caps.MaxMessageBytes =
+			15, 10, 2, 2000
 	})
-	for _, n := range g.servers {
-		n.SetFault(func(x *backend.Fault) { x.Unresponsive = true })
+	for _, server := range g.servers {
+		server.SetFault(func(fault *backend.Fault) { fault.Unresponsive = true })
 	}
-	one, two := g.dial(g.key), g.dial(g.key)
+	first, second := g.dial(g.key), g.dial(g.key)
 	for i := range 12 {
-		one.send(rpcCall(i, "folio", `{}`))
+		first.send(rpcCall(i, "folio", `{}`))
 	}
 	for range 2 {
-		if s := one.read(); !strings.Contains(s, `session_cap`) {
+		if s := first.read(); !strings.Contains(s, `session_cap`) {
 			t.Error(s)
 		}
 	}
 	for i := range 6 {
-		two.send(rpcCall(i, "folio", `{}`))
+		second.send(rpcCall(i, "folio", `{}`))
 	}
-	if s := two.read(); !strings.Contains(s, `open_cap`) {
+	if s := second.read(); !strings.Contains(s, `open_cap`) {
 		t.Error(s)
 	}
-	nc, _ := net.Dial("tcp", g.fleet.Gateways[0].Listen)
-	raw, _ := io.ReadAll(nc)
+	conn, _ := net.Dial("tcp", g.fleet.Gateways[0].Listen)
+	raw, _ := io.ReadAll(conn)
 	if !strings.HasPrefix(string(raw), "HTTP/1.1 503") {
-		t.Errorf("a third session is answered %q", raw)
+		t.Errorf("third session is answered %q, want status 503", raw)
 	}
-	two.send(`{"x":"` + strings.Repeat("x", 3000) + `"}`)
-	if m, err := two.reader.Next(); err != nil || m.Opcode != websocket.Close ||
+	second.send(`{"x":"` + strings.Repeat("x", 3000) + `"}`)
+	if m, err := second.reader.Next(); err != nil || m.Opcode != websocket.Close ||
 		int(m.Data[0])<<8|int(m.Data[1]) != websocket.CodeTooBig {
-		t.Errorf("%v %v, want a close frame with 1009", m, err)
+		t.Errorf("session ended with %v, %v, want a close frame with code 1009", m, err)
 	}
-	eventually(t, "one session's calls are left", func() bool { return g.gateway.State().OpenRequests == 10 })
+	eventually(t, "only the requests of the first session are open",
+		func() bool { return g.gateway.State().OpenRequests == 10 })
 }
 
-// TestManySessions connects 5,000 sessions at once, within the file descriptors of this process.
+// TestManySessions guards against a gateway that fails with many sessions. It connects 5,000 sessions at
+// once, or as many as the limit on file descriptors of this process allows.
 func TestManySessions(t *testing.T) {
 	n := sessionsThatFit(5000)
 	g := newTestGateway(t, 1, nil)
@@ -179,7 +190,7 @@
 		go func() { defer wg.Done(); clients[i] = g.dial(g.key); <-gate }()
 	}
 	wg.Wait()
-	eventually(t, "all are there", func() bool { return g.gateway.frontend.SessionCount() == n })
+	eventually(t, "all sessions are open", func() bool { return g.gateway.frontend.SessionCount() == n })
 	for _, i := range []int{0, n / 2, n - 1} {
 		clients[i].send(rpcCall(i, "look", `{}`))
 		if s := clients[i].read(); !strings.Contains(s, `"result"`) {
@@ -188,7 +199,8 @@
 	}
 }
 
-// sessionsThatFit returns n, or the number of sessions whose both ends fit under the limit on file descriptors.
+// sessionsThatFit returns n, or the number of sessions whose two ends fit under the limit on file descriptors
+// if that is lower.
 func sessionsThatFit(n int) int {
 	var r syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &r) != nil {
@@ -197,31 +209,32 @@
 	return min(n, (int(r.Cur)-200)/2)
 }
 
-// TestVanished has a client vanish without a close while its request is open: pings find it, its request is
-// abandoned, and the session of a client that answers pings stays.
-func TestVanished(t *testing.T) {
+// TestUnresponsiveClientIsDisconnected guards against sessions of clients that vanished without closing their
+// connection. A client stops reading while its request is open: pings must detect it and its request must be
+// abandoned, while the session of a client that answers pings stays open.
+func TestUnresponsiveClientIsDisconnected(t *testing.T) {
 	g := newTestGateway(t, 1, func(f *config.Fleet) { f.Caps.PingAfter = 50 * time.Millisecond })
-	gone, here := g.dial(g.key), g.dial(g.key)
-	g.servers[0].SetFault(func(x *backend.Fault) { x.Slowdown = 3000 })
-	gone.send(rpcCall(1, "folio", `{}`))
-	eventually(t, "its call is open", func() bool { return g.gateway.State().OpenRequests == 1 })
-	// here reads, and so answers pings; gone does neither from now on.
+	silent, responsive := g.dial(g.key), g.dial(g.key)
+	g.servers[0].SetFault(func(fault *backend.Fault) { fault.Slowdown = 3000 })
+	silent.send(rpcCall(1, "folio", `{}`))
+	eventually(t, "the request is open", func() bool { return g.gateway.State().OpenRequests == 1 })
+	// The responsive client reads and so answers pings; the silent one does neither from now on.
 	go func() {
 		for {
-			m, err := here.reader.Next()
+			m, err := responsive.reader.Next()
 			if err != nil {
 				return
 			}
 			if m.Opcode.IsControl() {
-				here.conn.Write(frame(0xA, string(m.Data)))
+				responsive.conn.Write(frame(0xA, string(m.Data)))
 			}
 		}
 	}()
-	eventually(t, "the silent session is cut", func() bool {
+	eventually(t, "the unresponsive session is closed", func() bool {
 		return g.gateway.State().FrontendRejections["silent"] == 1
 	})
-	eventually(t, "its call is called off", func() bool { return g.gateway.State().OpenRequests == 0 })
+	eventually(t, "the request is abandoned", func() bool { return g.gateway.State().OpenRequests == 0 })
 	if n := g.gateway.frontend.SessionCount(); n != 1 {
-		t.Errorf("%d sessions, want the one that answers", n)
+		t.Errorf("%d sessions, want only the one that answers pings", n)
 	}
 }
--- a/internal/gateway/storeddata_test.go
+++ b/internal/gateway/storeddata_test.go
@@ -16,10 +16,11 @@
 	"winghatch/internal/usage/outbox"
 )
 
-// What a gateway wrote to disk must stay readable by every later version: a state directory outlives an upgrade. The
-// files under testdata were written by the text of commit 49a4395 and are never written anew.
+// A state directory outlives an upgrade, so data that a gateway wrote to disk must remain readable by every
+// later version. The files in testdata were written by the code of commit 49a4395 and must never be
+// regenerated.
 
-// copyDir copies test data to where a log may be opened, as opening one writes to it.
+// copyDir copies test data to a temporary directory, because opening a log writes to its directory.
 func copyDir(t *testing.T, from string) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -38,9 +39,10 @@
 	return string(raw)
 }
 
-// TestReadsStoredUsage opens an outbox log with a snapshot, settled attempts, one that is open, a gap and an
-// acknowledgement, and compares the events that come of it with those that the former version sent.
-func TestReadsStoredUsage(t *testing.T) {
+// TestReadStoredUsageLog guards against usage that is lost or changed by an upgrade. It opens an outbox log
+// of an earlier version with a snapshot, settled attempts, an open one, a gap and an acknowledgement, and
+// compares the resulting events with those that the earlier version sent.
+func TestReadStoredUsageLog(t *testing.T) {
 	box, log, recovery, err := OpenOutbox(OutboxOptions{
 		Export:      config.UsageExport{OnUnwritable: outbox.PolicyServe, MaxLogBytes: 1 << 20},
 		Dir:         copyDir(t, "usage-log"),
@@ -52,12 +54,14 @@
 		t.Fatal(err)
 	}
 	defer log.Close()
-	if box.Incarnation() != 2000 || box.LastAcknowledged() != 4 || box.Counts.Orphans != 2 || recovery.Last != 13 ||
-		recovery.SnapshotRecord != 9 || len(recovery.Gaps) > 0 || recovery.TornBytes > 0 {
-		t.Errorf("%+v %+v acknowledged %d incarnation %d", recovery, box.Counts, box.LastAcknowledged(),
-			box.Incarnation())
+	if box.Incarnation() != 2000 || box.LastAcknowledged() != 4 || box.Counts.Orphans != 2 ||
+		recovery.Last != 13 || recovery.SnapshotRecord != 9 ||
+		len(recovery.Gaps) > 0 || recovery.TornBytes > 0 {
+
+		t.Errorf("recovery is %+v, counts are %+v, acknowledged %d, incarnation %d", recovery, box.Counts,
+			box.LastAcknowledged(), box.Incarnation())
 	}
-	if err := log.Sync(10 * time.Second); err != nil { // a cursor reads what is durable
+	if err := log.Sync(10 * time.Second); err != nil { // a cursor reads only durable records
 		t.Fatal(err)
 	}
 	cursor := log.NewCursor(1)
@@ -80,13 +84,14 @@
 		}
 	}
 	if want := readTestdata(t, "usage-events.txt"); got.String() != want {
-		t.Errorf("events are\n%s, want\n%s", got.String(), want)
+		t.Errorf("events are\n%s\nwant\n%s", got.String(), want)
 	}
 }
 
-// TestReadsStoredPlans opens a plan log with a move, new terms of a plan and a reservation that was used, and a
-// snapshot of the same.
-func TestReadsStoredPlans(t *testing.T) {
+// TestReadStoredPlanLog guards against plan changes and reservations that are lost or changed by an upgrade.
+// It opens a plan log of an earlier version with a move, new terms of a plan and a reservation in use, and a
+// snapshot with the same content.
+func TestReadStoredPlanLog(t *testing.T) {
 	const incarnation, first = 1796282050655553362, 1796282050656569102
 	want := []quotaplan.Change{
 		{Number: 1, Kind: quotaplan.Move, Member: "poor", Plan: "big", From: first, Stamp: first,
@@ -132,7 +137,7 @@
 			}
 			for i, c := range got {
 				if c != want[i] || !p.replica.Own(&c) {
-					t.Errorf("change %d is\n%+v, want\n%+v, and to be this gateway's own", i, c, want[i])
+					t.Errorf("change %d is\n%+v, want\n%+v, accepted by this gateway", i, c, want[i])
 				}
 			}
 			states := p.reservations.States()
@@ -146,7 +151,7 @@
 	}
 }
 
-// storedPlanOptions are those of the gateway that wrote the plan log, in a later incarnation.
+// storedPlanOptions returns the options of the gateway that wrote the plan log, for a later incarnation.
 func storedPlanOptions(incarnation uint64, wallTime int64) PlanOptions {
 	f := &config.Fleet{Gateways: make([]config.Gateway, 1)}
 	f.Decide.Plans = []decide.Plan{{Name: "big", Rate: 1e5, Burst: 2e5}, {Name: "none", Rate: 1e-4, Burst: 1}}
--- a/internal/gateway/timers_test.go
+++ b/internal/gateway/timers_test.go
@@ -8,34 +8,37 @@
 	"pgregory.net/rapid"
 )
 
-// TestTimers sets, cancels and takes timers in any order: each is due once, in the order of time and of setting, and a
-// cancelled one never.
-func TestTimers(t *testing.T) {
+// TestTimerOrder guards against timers that fire twice, out of order, or after they were cancelled. It sets,
+// cancels and pops timers in random order and compares the results with a sorted list: each timer must fire
+// once, ordered by due time and then by the order of setting, and a cancelled one never.
+func TestTimerOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type set struct {
-			at    time.Duration
-			no    int
-			token uint64
-			x     *attempt
+			at      time.Duration
+			number  int
+			token   uint64
+			attempt *attempt
 		}
-		var tm timers
+		var pending timers
 		var want []set
 		now := time.Duration(0)
-		for no := range rapid.IntRange(1, 60).Draw(t, "steps") {
+		for number := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				s := set{at: now + time.Duration(rapid.IntRange(0, 5).Draw(t, "at")), no: no, token: uint64(no + 1)}
-				tm.setTimer(s.at, s.token)
+				s := set{at: now + time.Duration(rapid.IntRange(0, 5).Draw(t, "at")), number: number,
+					token: uint64(number + 1)}
+				pending.setTimer(s.at, s.token)
 				want = append(want, s)
 			case 1:
-				s := set{at: now + time.Duration(rapid.IntRange(0, 5).Draw(t, "at")), no: no, x: &attempt{}}
-				tm.setTimeout(s.x, s.at)
+				s := set{at: now + time.Duration(rapid.IntRange(0, 5).Draw(t, "at")), number: number,
+					attempt: &attempt{}}
+				pending.setTimeout(s.attempt, s.at)
 				want = append(want, s)
 			case 2:
 				for i, s := range want {
-					if s.x != nil && rapid.Bool().Draw(t, "this one") {
-						tm.cancelTimeout(s.x)
-						tm.cancelTimeout(s.x)
+					if s.attempt != nil && rapid.Bool().Draw(t, "this one") {
+						pending.cancelTimeout(s.attempt)
+						pending.cancelTimeout(s.attempt)
 						want = slices.Delete(want, i, i+1)
 						break
 					}
@@ -46,22 +49,23 @@
 					if a.at != b.at {
 						return int(a.at - b.at)
 					}
-					return a.no - b.no
+					return a.number - b.number
 				})
 				for len(want) > 0 && want[0].at <= now {
-					token, x, ok := tm.popDue(now)
-					if !ok || token != want[0].token || x != want[0].x {
-						t.Fatalf("due at %v: %v %v %v, want %+v", now, token, x, ok, want[0])
+					token, a, ok := pending.popDue(now)
+					if !ok || token != want[0].token || a != want[0].attempt {
+						t.Fatalf("popDue(%v) returned %v, %v, %v, want %+v", now, token, a, ok, want[0])
 					}
 					want = want[1:]
 				}
-				if _, _, ok := tm.popDue(now); ok {
-					t.Fatal("one more is due")
+				if _, _, ok := pending.popDue(now); ok {
+					t.Fatal("popDue returned a timer that is not due")
 				}
 			}
 		}
-		if len(tm.coreTimers)+len(tm.attemptTimers) != len(want) {
-			t.Fatalf("%d and %d are set, want %d", len(tm.coreTimers), len(tm.attemptTimers), len(want))
+		if len(pending.coreTimers)+len(pending.attemptTimers) != len(want) {
+			t.Fatalf("%d core timers and %d timeouts are set, want %d in total",
+				len(pending.coreTimers), len(pending.attemptTimers), len(want))
 		}
 	})
 }
--- a/internal/gateway/tracing_test.go
+++ b/internal/gateway/tracing_test.go
@@ -11,75 +11,77 @@
 	"winghatch/internal/testbed/tracereceiver"
 )
 
-// The trace and span of the client in TestTraces.
+// Trace and span of the client in the test of traces.
 const clientTrace, clientSpan = "4bf92f3577b34da6a3ce929d0e0e4736", "00f067aa0ba902b7"
 
-// TestTraces follows a client's trace through a call with a failed attempt, finds the reason of a rejection in its span
-// and the trace of a histogram's exemplar, and holds nobody up while the receiver is away.
-func TestTraces(t *testing.T) {
-	recv, err := tracereceiver.Start("127.0.0.1:0")
+// TestTraceExport guards against traces that are incomplete, lost or slow down requests. It follows the trace
+// of a client through a request with a failed attempt, and checks the reason of a rejection in its span and
+// the trace of an exemplar of a histogram. Requests must not be delayed while the receiver is unavailable.
+func TestTraceExport(t *testing.T) {
+	receiver, err := tracereceiver.Start("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer recv.Stop()
-	meter, err := metricsreceiver.Start("127.0.0.1:0")
+	defer receiver.Stop()
+	metricsReceiver, err := metricsreceiver.Start("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer meter.Stop()
+	defer metricsReceiver.Stop()
 	g := newTestGateway(t, 2, func(f *config.Fleet) {
-		f.Tracing.URL, f.Tracing.Timeout = recv.URL(), time.Second
+		f.Tracing.URL, f.Tracing.Timeout = receiver.URL(), time.Second
 		f.Tracing.SampleFraction, f.Tracing.MaxPerSecond, f.Tracing.MaxSpans = 0, 100, 2048
-		f.Metrics.Enabled, f.Metrics.URL, f.Metrics.Interval = true, meter.URL(), 50*time.Millisecond
+		f.Metrics.Enabled, f.Metrics.URL, f.Metrics.Interval =
+			true, metricsReceiver.URL(), 50*time.Millisecond
 	})
 	c := g.dial(g.key)
-	if n, last := c.serve(20, `{}`); n != 20 { // in time and sampled by nobody, so not exported
+	if n, last := c.serve(20, `{}`); n != 20 { // in time and not sampled, so not exported
 		t.Fatal(last)
 	}
 	g.setErrorShare(1)
-	ctx := `{"traceparent":"00-` + clientTrace + `-` + clientSpan + `-01"}`
-	c.send(rpcCall("bad", "look", ctx))
+	params := `{"traceparent":"00-` + clientTrace + `-` + clientSpan + `-01"}`
+	c.send(rpcCall("bad", "look", params))
 	bad := c.read()
 	g.setErrorShare(0)
-	c.send(rpcCall("good", "look", ctx))
+	c.send(rpcCall("good", "look", params))
 	if s := c.read(); !strings.Contains(s, `"result"`) || strings.Contains(bad, `"result"`) {
 		t.Fatal(bad, s)
 	}
 	poor := g.dial("poor")
 	poor.serve(5, `{}`)
-	var refused tracereceiver.Span
-	eventually(t, "the spans are there", func() bool {
-		calls := 0
-		for _, s := range recv.Spans() {
+	var rejected tracereceiver.Span
+	eventually(t, "the receiver has the spans", func() bool {
+		requests := 0
+		for _, s := range receiver.Spans() {
 			if s.TraceID == clientTrace && s.Name == "look" {
-				calls++
+				requests++
 			}
 			if s.Attrs["winghatch.reason"] == "over_mark" {
-				refused = s
+				rejected = s
 			}
 		}
-		return calls == 2 && refused.TraceID != ""
+		return requests == 2 && rejected.TraceID != ""
 	})
-	checkSpans(t, recv.Spans())
-	eventually(t, "an exemplar joins the histogram to the trace", func() bool {
-		return slices.Contains(meter.ExemplarTraces(), clientTrace)
+	checkSpans(t, receiver.Spans())
+	eventually(t, "an exemplar of the histogram names the trace", func() bool {
+		return slices.Contains(metricsReceiver.ExemplarTraces(), clientTrace)
 	})
 
-	recv.SetStatus(503)
-	began := time.Now()
-	if n, last := c.serve(50, ctx); n != 50 {
+	receiver.SetStatus(503)
+	start := time.Now()
+	if n, last := c.serve(50, params); n != 50 {
 		t.Error(last)
 	}
-	if took := time.Since(began); took > 20*time.Second {
-		t.Errorf("50 calls took %v while the receiver was away", took)
+	if took := time.Since(start); took > 20*time.Second {
+		t.Errorf("50 requests took %v while the receiver was unavailable, want at most 20 s", took)
 	}
 }
 
-// checkSpans looks for a served request of the client's trace, with spans of attempts within its own, and for no
-// request that nobody sampled.
+// checkSpans checks that there is one served request of the client's trace, that the spans of attempts lie
+// within their requests, and that requests which were not sampled are not exported.
 func checkSpans(t *testing.T, spans []tracereceiver.Span) {
 	t.Helper()
-	attempts, good := 0, 0
+	attempts, served := 0, 0
 	byID := map[string]tracereceiver.Span{}
 	for _, s := range spans {
 		byID[s.ID] = s
@@ -87,28 +89,28 @@
 	for _, s := range spans {
 		if s.TraceID != clientTrace {
 			if s.Attrs["winghatch.outcome"] == "served" && s.Name == "look" {
-				t.Errorf("a request in time that nobody sampled is exported: %+v", s)
+				t.Errorf("request that was in time and not sampled is exported: %+v", s)
 			}
 			continue
 		}
 		switch s.Name {
 		case "look":
 			if s.ParentID != clientSpan || s.Attrs["winghatch.member"] != "m" {
-				t.Errorf("%+v", s)
+				t.Errorf("span %+v, want the client's span as its parent and member m", s)
 			}
 			if s.Attrs["winghatch.outcome"] == "served" {
-				good++
+				served++
 			}
 		case "attempt":
 			attempts++
 			p := byID[s.ParentID]
 			if p.Name != "look" || s.Start.Before(p.Start) || s.End.Before(s.Start) ||
 				s.Error != (s.Attrs["winghatch.outcome"] != "ok") {
-				t.Errorf("%+v under %+v", s, p)
+				t.Errorf("span of attempt %+v does not fit its parent %+v", s, p)
 			}
 		}
 	}
-	if good != 1 || attempts < 2 {
-		t.Errorf("%d served, %d attempts", good, attempts)
+	if served != 1 || attempts < 2 {
+		t.Errorf("%d served requests and %d attempts, want 1 and at least 2", served, attempts)
 	}
 }
