--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -53,9 +53,9 @@
 	usageID outbox.ID // ID in the usage outbox; 0 if the usage is not exported
 	// awaitingIntent is set while the call is held back because the intent of the attempt is not durable yet.
 	awaitingIntent bool
-	// denied is set if the intent can't be written: the call is never sent, and the result of the attempt is
-	// already in the queue.
-	denied bool
+	// intentDenied is set if the intent can't be written: the call is never sent, and the result of the
+	// attempt is already in the queue.
+	intentDenied bool
 
 	// The timeout of the attempt, maintained by timers.
 	timeoutAt     time.Duration
@@ -145,7 +145,7 @@
 	case a.awaitingIntent:
 		a.awaitingIntent = false
 		return upstream.Result{Outcome: decide.OutcomeConnectFailed}, true
-	case a.denied:
+	case a.intentDenied:
 		return upstream.Result{}, false
 	}
 	switch l.upstream.Abandon(a.call) {
--- a/internal/gateway/changejson.go
+++ b/internal/gateway/changejson.go
@@ -30,9 +30,9 @@
 
 // History holds the plan changes that a gateway knows.
 type History struct {
-	Changes int                  `json:"changes"`
-	Digest  string               `json:"sum"`    // equal on gateways that know the same changes
-	Plans   map[string]PlanTerms `json:"stands"` // plans in force, by member name
+	Changes int                  `json:"changes"` // number of plan changes
+	Digest  string               `json:"sum"`     // equal on gateways that know the same changes
+	Plans   map[string]PlanTerms `json:"stands"`  // plans in force, by member name
 	Entries []HistoryEntry       `json:"entries"`
 }
 
--- a/internal/gateway/changesfile.go
+++ b/internal/gateway/changesfile.go
@@ -16,14 +16,14 @@
 // changesPollInterval is the interval at which the file of plan changes is read.
 const changesPollInterval = 500 * time.Millisecond
 
-// Upper bounds of the numbers in the file. Integers up to maxNumber are exact in float64, which JSON readers
-// use.
+// Upper bounds of the numbers in the file. Integers up to maxChangeNumber are exact in float64, which JSON
+// readers use.
 const (
-	maxNumber      = 1 << 53   // number of a plan change
-	maxReservation = 1e12      // units
-	maxBurst       = 1e9       // units
-	maxOpenLimit   = 1<<31 - 1 // attempts in flight
-	maxPrice       = 1e9       // priority weight, dimensionless
+	maxChangeNumber   = 1 << 53   // number of a plan change
+	maxReservation    = 1e12      // units
+	maxBurst          = 1e9       // units
+	maxInFlightLimit  = 1<<31 - 1 // attempts in flight
+	maxPriorityWeight = 1e9       // priority weight, dimensionless
 )
 
 // ReadChanges parses src, the content of a file of plan changes, and returns the changes and the position of
@@ -35,38 +35,38 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	d := &decode.Decoder{File: file}
+	decoder := &decode.Decoder{File: file}
 	var changes []quotaplan.Change
-	var places []kdl.Pos
+	var positions []kdl.Pos
 	seen := map[uint64]bool{}
-	for _, n := range nodes {
-		if n.Name != "change" {
-			d.Fail(n.Pos, n.Name, "%q is not known, want nodes named \"change\"", n.Name)
+	for _, node := range nodes {
+		if node.Name != "change" {
+			decoder.Fail(node.Pos, node.Name, "%q is not known, want nodes named \"change\"", node.Name)
 			continue
 		}
-		c := readChange(d, n)
+		c := readChange(decoder, node)
 		if seen[c.Number] && c.Number > 0 {
-			d.Fail(n.Pos, "change.number", "%d, given before in this file", c.Number)
+			decoder.Fail(node.Pos, "change.number", "%d, given before in this file", c.Number)
 		}
 		seen[c.Number] = true
 		changes = append(changes, c)
-		places = append(places, n.Pos)
+		positions = append(positions, node.Pos)
 	}
-	return changes, places, d.Err()
+	return changes, positions, decoder.Err()
 }
 
 // readChange decodes one change node and reports mistakes to d.
-func readChange(d *decode.Decoder, n *kdl.Node) (c quotaplan.Change) {
-	d.Plain("change", n)
+func readChange(decoder *decode.Decoder, node *kdl.Node) (c quotaplan.Change) {
+	decoder.Plain("change", node)
 	kinds := map[string]quotaplan.Kind{}
 	for k := quotaplan.Move; k <= quotaplan.Shorten; k++ {
 		kinds[k.String()] = k
 	}
 	number, target := 0, 0
-	d.Block("change", n, decode.Fields{
-		"number":        decode.Int(&number, 1, maxNumber),
+	decoder.Block("change", node, decode.Fields{
+		"number":        decode.Int(&number, 1, maxChangeNumber),
 		"kind":          decode.Choice(&c.Kind, kinds),
-		"target":        decode.Int(&target, 1, maxNumber),
+		"target":        decode.Int(&target, 1, maxChangeNumber),
 		"member":        decode.String(&c.Member),
 		"plan":          decode.String(&c.Plan),
 		"from":          timeSetting(&c.From),
@@ -78,8 +78,8 @@
 		"ceiling-rate":  decode.Rate(&c.Terms.CeilingRate),
 		"ceiling-burst": decode.Number(&c.Terms.CeilingBurst, 0, maxBurst),
 		"ceiling-slack": decode.Number(&c.Terms.CeilingSlack, 0, maxBurst),
-		"max-open":      decode.Int(&c.Terms.MaxInFlight, 0, maxOpenLimit),
-		"price":         decode.Number(&c.Terms.PriorityWeight, 0, maxPrice),
+		"max-open":      decode.Int(&c.Terms.MaxInFlight, 0, maxInFlightLimit),
+		"price":         decode.Number(&c.Terms.PriorityWeight, 0, maxPriorityWeight),
 	}, nil, "number", "kind")
 	c.Number, c.Target, c.Terms.Name = uint64(number), uint64(target), c.Plan
 	if c.Kind != quotaplan.Terms {
@@ -104,15 +104,15 @@
 // with a mistake, such as one that is still being written, changes nothing. In a valid file each change is
 // accepted or rejected independently of the others.
 func (g *Gateway) watchChanges(ctx context.Context, file string) {
-	var last string // last content that was processed, or last read error that was logged
+	var lastSeen string // last content that was processed, or last read error that was logged
 	for {
 		src, err := os.ReadFile(file)
 		switch {
-		case err == nil && string(src) != last:
-			last = string(src)
+		case err == nil && string(src) != lastSeen:
+			lastSeen = string(src)
 			g.applyChanges(file, src)
-		case err != nil && !errors.Is(err, os.ErrNotExist) && err.Error() != last:
-			last = err.Error()
+		case err != nil && !errors.Is(err, os.ErrNotExist) && err.Error() != lastSeen:
+			lastSeen = err.Error()
 			g.log.Error("Failed to read the file of plan changes", "err", err)
 		}
 		select {
@@ -125,7 +125,7 @@
 
 // applyChanges submits those changes of a file that the gateway does not know yet.
 func (g *Gateway) applyChanges(file string, src []byte) {
-	changes, places, err := ReadChanges(file, src)
+	changes, positions, err := ReadChanges(file, src)
 	if err != nil {
 		g.log.Error("Invalid file of plan changes, ignored as a whole", "err", err)
 		return
@@ -137,8 +137,8 @@
 			continue
 		}
 		if _, err := g.Submit(c); err != nil {
-			at := fmt.Sprintf("%s:%d:%d", file, places[i].Line, places[i].Column)
-			g.log.Error("Plan change rejected", "at", at, "err", err)
+			position := fmt.Sprintf("%s:%d:%d", file, positions[i].Line, positions[i].Column)
+			g.log.Error("Plan change rejected", "at", position, "err", err)
 		}
 	}
 }
--- a/internal/gateway/controlclient.go
+++ b/internal/gateway/controlclient.go
@@ -32,7 +32,7 @@
 	}
 	req.Header.Set(macHeader, requestMAC(secret, body))
 	var accepted changeJSON
-	if err := do(req, &accepted); err != nil {
+	if err := doJSON(req, &accepted); err != nil {
 		return c, err
 	}
 	return accepted.change()
@@ -47,13 +47,13 @@
 		return History{}, err
 	}
 	var h History
-	err = do(req, &h)
+	err = doJSON(req, &h)
 	return h, err
 }
 
-// do sends a request and decodes the JSON response into out. If the status is not 200, the error consists of
-// the response body.
-func do(req *http.Request, out any) error {
+// doJSON sends a request and decodes the JSON response into out. If the status is not 200, the error consists
+// of the response body.
+func doJSON(req *http.Request, out any) error {
 	client := http.Client{Timeout: controlTimeout}
 	res, err := client.Do(req)
 	if err != nil {
--- a/internal/gateway/drainoutbox.go
+++ b/internal/gateway/drainoutbox.go
@@ -22,7 +22,9 @@
 	Outbox      outbox.Counts
 	Delivery    outbox.DeliveryCounts
 	Gaps        int // gaps in the record numbers of the log
-	TornBytes   int64
+	// TornBytes is the length in bytes of an incomplete end of the log, found when it was opened.
+	TornBytes int64
+	// LostRecords is the number of records that are missing from the log and were not exported.
 	LostRecords uint64
 }
 
@@ -54,27 +56,27 @@
 			log.Error("Failed to write outbox log", "err", err)
 		}
 	}
-	box, l, recovery, err := OpenOutbox(o, nil, nil, onFailure)
+	box, usageLog, recovery, err := OpenOutbox(o, nil, nil, onFailure)
 	if err != nil {
 		return DrainResult{}, fmt.Errorf("gateway %d: open outbox log: %w", rank, err)
 	}
-	defer l.Close()
-	if err := l.Sync(drainSyncTimeout); err != nil {
+	defer usageLog.Close()
+	if err := usageLog.Sync(drainSyncTimeout); err != nil {
 		return DrainResult{}, fmt.Errorf("gateway %d: sync outbox log: %w", rank, err)
 	}
-	options := senderOptions(o, l, box)
+	options := senderOptions(o, usageLog, box)
 	options.MaxDeadLetterBytes = maxDeadLetters
 	options.StopWhenIdle = true
 	options.OnAcknowledged = func(record uint64) {
 		for _, action := range box.Handle(outbox.Acknowledged{Record: record}) {
-			l.Append(action.(outbox.Append).Payload)
+			usageLog.Append(action.(outbox.Append).Payload)
 		}
 	}
 	s := sender.New(options)
 	s.Run(ctx)
 	result := DrainResult{
 		Incarnation: box.Incarnation(),
-		Records:     l.LastDurable(),
+		Records:     usageLog.LastDurable(),
 		Outbox:      box.Counts,
 		Delivery:    s.Counts(),
 		Gaps:        len(recovery.Gaps),
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -168,17 +168,17 @@
 // Run runs the loop in the calling goroutine. It returns after Stop is called.
 func (l *Loop) Run() {
 	defer close(l.stopped)
-	alarm := time.NewTimer(maxSleep)
-	defer alarm.Stop()
+	sleepTimer := time.NewTimer(maxSleep)
+	defer sleepTimer.Stop()
 	for {
 		l.turn()
-		alarm.Reset(l.sleepTime())
+		sleepTimer.Reset(l.sleepTime())
 		select {
 		case <-l.stopping:
 			l.flushRecording()
 			return
 		case <-l.queue.wake:
-		case <-alarm.C:
+		case <-sleepTimer.C:
 		}
 	}
 }
--- a/internal/gateway/metrics_test.go
+++ b/internal/gateway/metrics_test.go
@@ -118,8 +118,9 @@
 		t.Helper()
 		eventually(t, "both gateways have the total of the member", func() bool {
 			return receiver.Sum(
-				"winghatch_sum_units_total", `name="m"`, `replica="0"`) == 1.5*float64(served) && receiver.Sum(
-				"winghatch_sum_units_total", `name="m"`, `replica="1"`) == 1.5*float64(served)
+				"winghatch_sum_units_total", `name="m"`, `replica="0"`) == 1.5*float64(served) &&
+				receiver.Sum(
+					"winghatch_sum_units_total", `name="m"`, `replica="1"`) == 1.5*float64(served)
 		})
 		// Other gateways aggregate the class, and send their metrics at other times.
 		eventually(t, "one gateway has the total of the class", func() bool {
--- a/internal/gateway/queue.go
+++ b/internal/gateway/queue.go
@@ -100,9 +100,9 @@
 func (q *queue) post(in loopInput) {
 	q.mu.Lock()
 	q.items = append(q.items, in)
-	first := len(q.items) == 1
+	wasEmpty := len(q.items) == 1
 	q.mu.Unlock()
-	if first {
+	if wasEmpty {
 		select {
 		case q.wake <- struct{}{}:
 		default:
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -78,7 +78,7 @@
 	if l.usage != nil && l.usage.rejecting() {
 		l.finish(r, frontend.Response{
 			Kind:       frontend.Rejected,
-			Reason:     reasonUncovered,
+			Reason:     reasonUsageNotRecordable,
 			RetryAfter: l.cfg.Limits.MaxRetryAfter,
 		})
 		return
--- a/internal/gateway/start.go
+++ b/internal/gateway/start.go
@@ -79,7 +79,7 @@
 		peers = g.peers
 	}
 	g.loop = NewLoop(cfg, o.Core, g.clock.Now, g.upstream, peers, recorder, g.log)
-	if err := g.equipLoop(o); err != nil {
+	if err := g.configureLoop(o); err != nil {
 		return nil, err
 	}
 	g.run(&s)
@@ -125,20 +125,21 @@
 
 // listen opens the sockets. If it returns an error, some of them may be open, and the caller must close them.
 func (g *Gateway) listen(cfg decide.Config, s *sockets) (err error) {
-	me := g.fleet.Gateways[g.rank]
-	if s.requests, err = net.Listen("tcp", me.Listen); err != nil {
+	settings := g.fleet.Gateways[g.rank]
+	if s.requests, err = net.Listen("tcp", settings.Listen); err != nil {
 		return fmt.Errorf("gateway %d: listen: %w", g.rank, err)
 	}
 	if cfg.Limits.Gossip {
-		if s.gossip, err = net.ListenPacket("udp", cmp.Or(me.GossipBind, me.GossipAddress)); err != nil {
+		if s.gossip, err = net.ListenPacket(
+			"udp", cmp.Or(settings.GossipBind, settings.GossipAddress)); err != nil {
 			return fmt.Errorf("gateway %d: peer: %w", g.rank, err)
 		}
 		if err := g.openGossip(cfg, s.gossip); err != nil {
 			return fmt.Errorf("gateway %d: peer: %w", g.rank, err)
 		}
 	}
-	if me.StateAddress != "" {
-		if s.control, err = net.Listen("tcp", me.StateAddress); err != nil {
+	if settings.StateAddress != "" {
+		if s.control, err = net.Listen("tcp", settings.StateAddress); err != nil {
 			return fmt.Errorf("gateway %d: state: %w", g.rank, err)
 		}
 	}
@@ -161,8 +162,8 @@
 	return err
 }
 
-// equipLoop adds the configured features to the loop. closeLogs closes what it opens.
-func (g *Gateway) equipLoop(o Options) (err error) {
+// configureLoop adds the configured features to the loop. closeLogs closes what it opens.
+func (g *Gateway) configureLoop(o Options) (err error) {
 	f, l := g.fleet, g.loop
 	incarnation := uint64(g.incarnation)
 	plans := newPlanOptions(f, g.rank, incarnation, o.Seed)
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -42,19 +42,22 @@
 
 // UsageState is the state of the usage outbox.
 type UsageState struct {
-	Incarnation  uint64                `json:"life"`
-	OpenAttempts int                   `json:"open"` // attempts without a settlement in the log
-	Records      uint64                `json:"records"`
-	Acknowledged uint64                `json:"acked"` // number of the last acknowledged record
-	Bytes        int64                 `json:"bytes"` // size of the log
-	MaxBytes     int64                 `json:"bound"`
-	Rejecting    bool                  `json:"refusing"` // requests are rejected: usage can't be recorded
-	Failure      string                `json:"failure,omitempty"`
-	Outbox       outbox.Counts         `json:"desk"`
-	Delivery     outbox.DeliveryCounts `json:"ship"`
-	LostRecords  uint64                `json:"lost_records"`
-	Gaps         int                   `json:"holes"`      // in the log at the start
-	TornBytes    int64                 `json:"torn_bytes"` // incomplete, at the end of the log at the start
+	Incarnation  uint64 `json:"life"`
+	OpenAttempts int    `json:"open"` // attempts without a settlement in the log
+	Records      uint64 `json:"records"`
+	Acknowledged uint64 `json:"acked"` // number of the last acknowledged record
+	Bytes        int64  `json:"bytes"` // size of the log
+	MaxBytes     int64  `json:"bound"`
+	// Rejecting reports whether requests are rejected because their usage can't be recorded.
+	Rejecting   bool                  `json:"refusing"`
+	Failure     string                `json:"failure,omitempty"`
+	Outbox      outbox.Counts         `json:"desk"`
+	Delivery    outbox.DeliveryCounts `json:"ship"`
+	LostRecords uint64                `json:"lost_records"`
+	// Gaps is the number of gaps, and TornBytes the length in bytes of an incomplete end, that were found when
+	// the log was opened.
+	Gaps      int   `json:"holes"`
+	TornBytes int64 `json:"torn_bytes"`
 }
 
 // State returns the current state of the gateway. It waits for the loop.
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -12,8 +12,8 @@
 	"winghatch/internal/wal"
 )
 
-// reasonUncovered is the reason of rejections while the outbox log accepts no intents.
-const reasonUncovered = "export"
+// reasonUsageNotRecordable is the reason of rejections while the outbox log accepts no intents.
+const reasonUsageNotRecordable = "export"
 
 const (
 	// outboxSnapshotInterval is the number of records by which the outbox log grows before a snapshot
@@ -106,7 +106,7 @@
 		}
 	case outbox.Deny:
 		if a := u.attempts[action.ID]; a != nil && a.awaitingIntent {
-			a.awaitingIntent, a.denied = false, true
+			a.awaitingIntent, a.intentDenied = false, true
 			// No byte of the attempt was sent.
 			u.loop.queue.post(attemptResult{a, upstream.Result{Outcome: decide.OutcomeConnectFailed}})
 		}
