--- a/internal/gateway/attempts_test.go
+++ b/internal/gateway/attempts_test.go
@@ -40,8 +40,8 @@
 }
 func (sendingCore) Status() decide.Status { return decide.Status{} }
 
-// TestAttemptParamsAreBuiltAtWrite guards against servers that are told a remaining time that has passed,
-// and against attempts that are written too late. Both can happen because connecting takes time between the
+// TestAttemptParamsAreBuiltAtWrite guards against servers that are told an outdated remaining time, and
+// against attempts that are written too late. Both can happen because connecting takes time between the
 // decision for an attempt and its write. The test advances the clock in between: the server must be told the
 // time that is left at the write, and nothing may be written after the write bound, without time left, or for
 // a client that has disconnected.
--- a/internal/gateway/changesfile.go
+++ b/internal/gateway/changesfile.go
@@ -46,7 +46,7 @@
 		}
 		c := readChange(decoder, node)
 		if seen[c.Number] && c.Number > 0 {
-			decoder.Fail(node.Pos, "change.number", "%d, given before in this file", c.Number)
+			decoder.Fail(node.Pos, "change.number", "%d, want a number that is unique in this file", c.Number)
 		}
 		seen[c.Number] = true
 		changes = append(changes, c)
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -321,7 +321,8 @@
 			change(f)
 		}
 	})
-	g.gateway.Stop() // rank 0 ran in this process; like the others it is started in its own
+	// Rank 0 ran in this process so far. It is started in a process of its own, like the others.
+	g.gateway.Stop()
 	fleet := &testFleet{g, make([]*os.Process, 3)}
 	for i := range 3 {
 		fleet.start(i)
@@ -357,7 +358,7 @@
 // awaitChanges waits until all gateways know the same n plan changes.
 func (fleet *testFleet) awaitChanges(n int) {
 	fleet.t.Helper()
-	eventually(fleet.t, fmt.Sprintf("all know the same %d changes", n), func() bool {
+	eventually(fleet.t, fmt.Sprintf("all gateways know the same %d changes", n), func() bool {
 		a := fleet.state(0)
 		for i := 1; i < 3; i++ {
 			if b := fleet.state(i); b.PlanChanges != a.PlanChanges || b.PlanDigest != a.PlanDigest {
--- a/internal/gateway/quotaplans_test.go
+++ b/internal/gateway/quotaplans_test.go
@@ -56,7 +56,7 @@
 	// that was opened before the change.
 	c := fleet.dialAt(2, "poor")
 	if n, last := c.serve(12, `{}`); n < 8 {
-		t.Errorf("%d of 12 served on the larger plan: %s", n, last)
+		t.Errorf("%d of 12 served on the larger plan, want at least 8; last answer %s", n, last)
 	}
 	n := len(fleet.history(0, "").Entries)
 	// Kill rank 1 and submit a change while it is down.
@@ -66,7 +66,7 @@
 		t.Fatal(err)
 	}
 	if n, _ := c.serve(30, `{}`); n > 14 {
-		t.Errorf("%d of 30 served after the plan shrank", n)
+		t.Errorf("%d of 30 served after the change to the smaller plan, want at most 14", n)
 	}
 	fleet.start(1)
 	fleet.awaitChanges(n + 1)
--- a/internal/gateway/requests_test.go
+++ b/internal/gateway/requests_test.go
@@ -98,8 +98,8 @@
 		server.SetFault(func(fault *backend.Fault) { fault.Unresponsive = true })
 	}
 	goroutines := 0
-	for _, departure := range append(departures, departures[0]) {
-		leaveWithOpenRequests(t, g, departure)
+	for _, mode := range append(disconnectModes, disconnectModes[0]) {
+		disconnectWithOpenRequests(t, g, mode)
 		if goroutines == 0 {
 			eventually(t, "the number of goroutines is stable", func() bool {
 				n := runtime.NumGoroutine()
@@ -113,30 +113,30 @@
 		func() bool { return runtime.NumGoroutine() <= goroutines+5 })
 }
 
-// departure is a way in which a client disconnects.
-type departure struct {
-	name  string
-	leave func(c *client)
+// disconnectMode is a way in which a client disconnects.
+type disconnectMode struct {
+	name       string
+	disconnect func(c *client)
 }
 
-var departures = []departure{
-	{"vanishes", func(c *client) { c.conn.(*net.TCPConn).SetLinger(0); c.conn.Close() }},
-	{"closes in mid-message", func(c *client) {
+var disconnectModes = []disconnectMode{
+	{"resets the connection", func(c *client) { c.conn.(*net.TCPConn).SetLinger(0); c.conn.Close() }},
+	{"closes within a message", func(c *client) {
 		f := frame(websocket.Text, rpcCall(9, "look", `{}`))
 		c.conn.Write(f[:len(f)/2])
 		c.conn.Close()
 	}},
-	{"half-closes", func(c *client) { c.conn.(*net.TCPConn).CloseWrite() }},
-	{"sends a call with its close", func(c *client) {
+	{"closes its sending side", func(c *client) { c.conn.(*net.TCPConn).CloseWrite() }},
+	{"sends a request with its close frame", func(c *client) {
 		last := frame(websocket.Text, rpcCall("z", "folio", `{}`))
 		c.conn.Write(append(last, frame(websocket.Close, "\x03\xe8")...))
 	}},
-	{"breaks the protocol", func(c *client) { c.conn.Write([]byte{0xff, 0xff}) }},
+	{"violates the protocol", func(c *client) { c.conn.Write([]byte{0xff, 0xff}) }},
 }
 
-// leaveWithOpenRequests makes a client send 500 requests and disconnect, and waits until all its resources
-// are released.
-func leaveWithOpenRequests(t *testing.T, g *testGateway, d departure) {
+// disconnectWithOpenRequests makes a client send 500 requests and disconnect, and waits until all its
+// resources are released.
+func disconnectWithOpenRequests(t *testing.T, g *testGateway, d disconnectMode) {
 	t.Helper()
 	eventually(t, "the pressure of abandoned requests is gone", func() bool {
 		return g.gateway.State().Core.Pressure == 0
@@ -165,7 +165,7 @@
 		t.Fatalf("only %d requests are open, want at least 200; rejected %v", open,
 			g.gateway.State().Rejected)
 	}
-	d.leave(c)
+	d.disconnect(c)
 	eventually(t, d.name+": no request is open", func() bool {
 		s := g.gateway.State()
 		return s.OpenRequests == 0 && s.Abandoned >= before.Abandoned+open
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -54,8 +54,8 @@
 	Outbox      outbox.Counts         `json:"desk"`
 	Delivery    outbox.DeliveryCounts `json:"ship"`
 	LostRecords uint64                `json:"lost_records"`
-	// Gaps is the number of gaps, and TornBytes the length in bytes of an incomplete end, that were found when
-	// the log was opened.
+	// Gaps is the number of gaps, and TornBytes the length in bytes of an incomplete end, that were found
+	// when the log was opened.
 	Gaps      int   `json:"holes"`
 	TornBytes int64 `json:"torn_bytes"`
 }
--- a/internal/gateway/storeddata_test.go
+++ b/internal/gateway/storeddata_test.go
@@ -145,7 +145,7 @@
 				t.Errorf("reservations are %x, want %s", states, wantState)
 			}
 			if written := hex.EncodeToString(p.snapshot()) + "\n"; written != snapshot {
-				t.Errorf("the snapshot is written as %s, want %s", written, snapshot)
+				t.Errorf("snapshot is %s, want %s", written, snapshot)
 			}
 		})
 	}
