--- a/cmd/winghatch/main_test.go
+++ b/cmd/winghatch/main_test.go
@@ -105,14 +105,14 @@
 	}
 	raw, _ := os.ReadFile(tape)
 	os.WriteFile(tape, raw[:len(raw)-3], 0o600)
-	if out, code := run(t, "replay", tape); code != 0 || !strings.Contains(out, "cut inside a record") {
+	if out, code := run(t, "replay", tape); code != 0 || !strings.Contains(out, "truncated inside a record") {
 		t.Errorf("%d %s", code, out)
 	}
 	// With another seed the core decides otherwise.
 	lines := strings.SplitAfterN(string(raw), "\n", 2)
 	other, _ := os.ReadFile(filepath.Join(rec, "gateway-1.1.tape"))
 	os.WriteFile(tape, []byte(strings.SplitAfterN(string(other), "\n", 2)[0]+lines[1]), 0o600)
-	if out, code := run(t, "replay", tape); code != 1 || !strings.Contains(out, "this core does") {
+	if out, code := run(t, "replay", tape); code != 1 || !strings.Contains(out, "replayed actions") {
 		t.Errorf("%d %.200s", code, out)
 	}
 	traffic := filepath.Join(rec, "traffic.jsonl")
--- a/decide/harness_test.go
+++ b/decide/harness_test.go
@@ -9,7 +9,7 @@
 
 const ms = time.Millisecond
 
-// testConfig has a class of each kind of idempotency and a plan of each kind of limit.
+// testConfig has a class for each kind of idempotency and a plan for each kind of limit.
 func testConfig() Config {
 	return Config{
 		Gateways:          3,
@@ -19,17 +19,21 @@
 		SettledOnResponse: true,
 		Classes: []Class{
 			testClass(Class{Name: "get", Idempotency: Idempotent, PriorityWeight: 1}),
-			testClass(Class{Name: "put", Idempotency: IdempotentByKey, DedupScope: DedupInCell, PriorityWeight: 2}),
-			testClass(Class{Name: "putall", Idempotency: IdempotentByKey, DedupScope: DedupInFleet, PriorityWeight: 2}),
+			testClass(Class{Name: "put", Idempotency: IdempotentByKey, DedupScope: DedupInCell,
+				PriorityWeight: 2}),
+			testClass(Class{Name: "putall", Idempotency: IdempotentByKey, DedupScope: DedupInFleet,
+				PriorityWeight: 2}),
 			testClass(Class{Name: "pay", Idempotency: NotIdempotent, PriorityWeight: 2}),
 		},
 		Plans: []Plan{
 			{Name: "wide", Rate: 1000, Burst: 3000, PriorityWeight: 1},
 			{Name: "small", Rate: 3, Burst: 12, PriorityWeight: 1},
-			{Name: "hard", Rate: 30, Burst: 60, CeilingRate: 30, CeilingBurst: 60, CeilingSlack: 6, PriorityWeight: 1},
+			{Name: "hard", Rate: 30, Burst: 60, CeilingRate: 30, CeilingBurst: 60, CeilingSlack: 6,
+				PriorityWeight: 1},
 			{Name: "open", MaxInFlight: 3, PriorityWeight: 1},
 		},
-		Limits: Limits{MaxAttempts: 3, Cancel: true, Gossip: true, RetryAfter: true, MaxRetryAfter: time.Second},
+		Limits: Limits{MaxAttempts: 3, Cancel: true, Gossip: true, RetryAfter: true,
+			MaxRetryAfter: time.Second},
 		Safety: Safety{
 			AnswerSlack:       16 * ms,
 			SlowStartCapacity: 0.2,
@@ -40,7 +44,7 @@
 	}
 }
 
-// testClass gives a class the times that all classes of testConfig have.
+// testClass sets the durations that all classes of testConfig share.
 func testClass(k Class) Class {
 	k.LatencyObjective, k.Deadline = time.Second, 4*time.Second
 	if k.Idempotency == IdempotentByKey {
@@ -49,7 +53,7 @@
 	return k
 }
 
-// harness drives one gateway by hand, at a time that only the test moves.
+// harness drives a single gateway at a time that only the test advances.
 type harness struct {
 	t   *testing.T
 	g   *Gateway
@@ -57,6 +61,8 @@
 	n   int
 }
 
+// newHarness returns a gateway with the configuration of testConfig, changed by edit, and with three
+// servers unless others are given.
 func newHarness(t *testing.T, edit func(*Config), servers ...Server) *harness {
 	t.Helper()
 	cfg := testConfig()
@@ -75,10 +81,10 @@
 	return h
 }
 
-// handle hands an event to the gateway at the present time.
+// handle passes an event to the gateway at the current time.
 func (h *harness) handle(ev Event) []Action { return h.g.Handle(h.now, ev) }
 
-// request sends a request of a new ID, with two seconds to its deadline.
+// request sends a request with a new ID and a deadline in two seconds.
 func (h *harness) request(class, plan, customer string, units float64) (string, []Action) {
 	h.n++
 	id := fmt.Sprint("q", h.n)
@@ -86,7 +92,7 @@
 		Deadline: h.now + 2*time.Second, GatewayCount: 3})
 }
 
-// actionsOf returns the actions of one type.
+// actionsOf returns the actions of type A.
 func actionsOf[A Action](acts []Action) (out []A) {
 	for _, a := range acts {
 		if x, ok := a.(A); ok {
@@ -107,7 +113,7 @@
 	return id, s[0]
 }
 
-// serve sends a request, responds to it at once if it is forwarded, and reports whether it was.
+// serve sends a request, answers it at once if it is forwarded, and reports whether it was forwarded.
 func (h *harness) serve(class, plan, customer string, units float64) bool {
 	id, acts := h.request(class, plan, customer, units)
 	s := actionsOf[Send](acts)
@@ -117,25 +123,25 @@
 	return len(s) == 1
 }
 
-// endAttempt ends an attempt with the outcome; OutcomeOK is the final answer.
+// endAttempt ends an attempt with the outcome. A response with OutcomeOK is the final answer.
 func (h *harness) endAttempt(id string, n int, server string, o Outcome) []Action {
 	return h.handle(AttemptEnded{ID: id, Attempt: n, Server: server, Outcome: o, Duration: 20 * ms,
 		RequestDone: o == OutcomeOK})
 }
 
-// newScaledHarness has a gateway whose classes take so many times the usual time.
-func newScaledHarness(t *testing.T, by float64) *harness {
+// newScaledHarness returns a harness whose class objectives and deadlines are multiplied by a factor.
+func newScaledHarness(t *testing.T, scale float64) *harness {
 	t.Helper()
 	return newHarness(t, func(c *Config) {
 		for i := range c.Classes {
 			k := &c.Classes[i]
-			k.LatencyObjective = time.Duration(by * float64(k.LatencyObjective))
-			k.Deadline = time.Duration(by * float64(k.Deadline))
+			k.LatencyObjective = time.Duration(scale * float64(k.LatencyObjective))
+			k.Deadline = time.Duration(scale * float64(k.Deadline))
 		}
 	})
 }
 
-// poisson draws how many events of a Poisson process come in a time in which the mean is given.
+// poisson draws the number of events of a Poisson process in an interval with the given mean number.
 func poisson(rng *rand.Rand, mean float64) (n int) {
 	for p := rng.ExpFloat64(); p < mean; p += rng.ExpFloat64() {
 		n++
@@ -145,10 +151,10 @@
 
 func (h *harness) customerOf(name string) *customer { return h.g.customers.byKey[hashKey(name)] }
 
-// singleGateway makes the fleet one gateway.
+// singleGateway reduces the fleet to one gateway.
 func singleGateway(c *Config) { c.Gateways, c.Limits.Gossip = 1, false }
 
-// planNamed returns the test's plan of that name, edited.
+// planNamed returns the plan of testConfig with the name, changed by edit unless that is nil.
 func planNamed(name string, edit func(*Plan)) Plan {
 	for _, p := range testConfig().Plans {
 		if p.Name == name {
@@ -161,7 +167,8 @@
 	panic(name)
 }
 
-// fillQuota has requests of a customer on the small plan served until one is rejected, and counts them.
+// fillQuota sends requests of a customer on the small plan until one is rejected, and returns the number
+// served.
 func (h *harness) fillQuota(customer string) (n int) {
 	for i := 0; i < 5000 && h.serve("get", "small", customer, 1); i++ {
 		n++
@@ -169,7 +176,7 @@
 	return n
 }
 
-// newSparseHarness has a gateway that sends each of its many servers too little to know them.
+// newSparseHarness returns a harness with so many servers that observations of each one are sparse.
 func newSparseHarness(t *testing.T, edit func(*Config)) *harness {
 	t.Helper()
 	var servers []Server
@@ -177,14 +184,14 @@
 		servers = append(servers, Server{ID: fmt.Sprint("s", i), Zone: "a"})
 	}
 	return newHarness(t, func(c *Config) {
-		c.Limits.Gossip = false // the quota does not matter here
+		c.Limits.Gossip = false // quotas are irrelevant here
 		if edit != nil {
 			edit(c)
 		}
 	}, servers...)
 }
 
-// fireOverdueTimer fires the one timer that the actions set, at its time.
+// fireOverdueTimer fires the single timer that the actions set, at its time.
 func (h *harness) fireOverdueTimer(acts []Action) []Action {
 	h.t.Helper()
 	timers := actionsOf[SetTimer](acts)
--- a/decide/selection.go
+++ b/decide/selection.go
@@ -1,35 +1,38 @@
 package decide
 
 const (
-	// maxCandidates is how many eligible servers, from a random one on, are compared for a request.
+	// maxCandidates is the largest number of eligible servers that are compared for a request. The search
+	// starts at a random server.
 	maxCandidates = 16
 
-	// crossZoneFactor is the factor on the cost of a server in another zone.
-	crossZoneFactor = 1.03
+	// crossZoneCostFactor multiplies the cost of a server in another zone.
+	crossZoneCostFactor = 1.03
 
-	// failedBeforeFactor is the factor on the cost of the server that failed the request before.
-	failedBeforeFactor = 3
+	// lastFailedCostFactor multiplies the cost of the server whose attempt for the request has failed or is
+	// overdue.
+	lastFailedCostFactor = 3
 
-	// costNoise is by what part at most a cost is raised at random, so that gateways do not agree on one
-	// server.
+	// costNoise is the largest fraction by which a cost is raised at random, so that gateways do not all
+	// select the same server.
 	costNoise = 0.02
 
-	// minSuccessRatio bounds by how much failures raise a server's cost.
+	// minSuccessRatio bounds the factor by which failures raise the cost of a server.
 	minSuccessRatio = 0.2
 )
 
-// eligible reports whether a request may go to a server by its state, its slow start and the rule on
-// repeats.
+// eligible reports whether a server may receive a request, given the state of the server, its slow start
+// and the idempotency of the request.
 func (g *Gateway) eligible(s *endpoint, r *request) bool {
-	return s.State == Serving && !g.heldBySlowStart(s) && g.mayRepeatAt(r, s)
+	return s.State == Serving && !g.blockedBySlowStart(s) && g.mayResendTo(r, s)
 }
 
-// selectEndpoint returns the candidate of the least cost and its expected latency in seconds, or nil.
-// Candidates that fail the class much more than the best one are left out: they are ejected. The
-// comparison is with the best, so that a fault which all servers share ejects none.
+// selectEndpoint returns the candidate with the lowest cost and its expected latency in seconds, or nil if
+// there is none. Candidates whose failure ratio for the class is much higher than that of the best
+// candidate are ejected. They are compared with the best candidate so that a fault that all servers share
+// ejects none of them.
 //
-// failedBefore is the server that failed the request before, or nil.
-func (g *Gateway) selectEndpoint(r *request, failedBefore *endpoint) (*endpoint, float64) {
+// lastFailed is the server whose attempt for this request has failed or is overdue, or nil.
+func (g *Gateway) selectEndpoint(r *request, lastFailed *endpoint) (*endpoint, float64) {
 	var found [maxCandidates]*endpoint
 	candidates, leastFailures := g.candidates(r, found[:0])
 	var best *endpoint
@@ -40,8 +43,8 @@
 			continue
 		}
 		cost := g.endpointCost(r, s, failures)
-		if s == failedBefore {
-			cost *= failedBeforeFactor
+		if s == lastFailed {
+			cost *= lastFailedCostFactor
 		}
 		if best == nil || cost < leastCost {
 			best, leastCost = s, cost
@@ -53,14 +56,14 @@
 	return best, g.expectedLatency(best, r.class)
 }
 
-// candidates appends eligible servers to found until it is full, and returns the least failure ratio of
-// them.
+// candidates appends eligible servers to found until its capacity is reached, and returns them with the
+// lowest failure ratio among them.
 func (g *Gateway) candidates(r *request, found []*endpoint) ([]*endpoint, float64) {
 	all := g.endpoints.sorted
 	leastFailures := 1.0
-	from := g.rng.Intn(max(1, len(all)))
+	start := g.rng.Intn(max(1, len(all)))
 	for i := 0; i < len(all) && len(found) < cap(found); i++ {
-		s := all[(from+i)%len(all)]
+		s := all[(start+i)%len(all)]
 		if g.eligible(s, r) {
 			found = append(found, s)
 			leastFailures = min(leastFailures, g.failureRatio(s, r.class))
@@ -69,17 +72,19 @@
 	return found, leastFailures
 }
 
-// endpointCost is the expected latency with the failures, the zone and chance taken in. Where evidence is
-// too scarce to know the load of a server the cost is drawn at random, so that each server is chosen with
-// a chance in proportion to the inverse of its cost. Otherwise all gateways would choose the same few
-// servers, and with even chances they would jam the slow ones.
+// endpointCost returns the expected latency of a server, increased for failures and another zone and by
+// random noise. Where observations are too sparse to know the load of a server, the cost is drawn from an
+// exponential distribution, so that each server is selected with a probability inversely proportional to
+// its cost. Otherwise all gateways would select the same few servers; and if they selected servers with
+// equal probability, they would overload the slow ones.
 func (g *Gateway) endpointCost(r *request, s *endpoint, failures float64) float64 {
 	cost := g.expectedLatency(s, r.class) / max(minSuccessRatio, 1-failures) * (1 + costNoise*g.rng.Float64())
-	if g.evidenceScarcity() == 1 {
-		cost *= g.rng.ExpFloat64() // the least of such draws is each one's with a chance of 1/cost
+	if g.observationSparsity() == 1 {
+		// The probability that a server has the lowest draw is proportional to 1/cost.
+		cost *= g.rng.ExpFloat64()
 	}
 	if s.Zone != g.cfg.Zone {
-		cost *= crossZoneFactor
+		cost *= crossZoneCostFactor
 	}
 	return cost
 }
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -50,7 +50,7 @@
 	outcome  string        // a value of outcomeNames; empty until the attempt has ended
 	span     trace.SpanID
 
-	usageID outbox.ID // ID in the usage outbox; 0 if the usage is not exported
+	usageID outbox.AttemptID // ID in the usage outbox; 0 if the usage is not exported
 	// awaitingIntent is set while the call is held back because the intent of the attempt is not durable yet.
 	awaitingIntent bool
 	// intentDenied is set if the intent can't be written: the call is never sent, and the result of the
--- a/internal/gateway/loop_test.go
+++ b/internal/gateway/loop_test.go
@@ -123,7 +123,6 @@
 	for _, s := range g.gateway.State().Core.Servers {
 		if s.ID != third.Address && s.State != decide.Serving {
 			t.Errorf("server is %+v, want it to be serving", s)
-
 		}
 	}
 }
--- a/internal/gateway/storeddata_test.go
+++ b/internal/gateway/storeddata_test.go
@@ -55,9 +55,8 @@
 	}
 	defer log.Close()
 	if box.Incarnation() != 2000 || box.LastAcknowledged() != 4 || box.Counts.Orphans != 2 ||
-		recovery.Last != 13 || recovery.SnapshotRecord != 9 ||
+		recovery.LastRecord != 13 || recovery.SnapshotRecord != 9 ||
 		len(recovery.Gaps) > 0 || recovery.TornBytes > 0 {
-
 		t.Errorf("recovery is %+v, counts are %+v, acknowledged %d, incarnation %d", recovery, box.Counts,
 			box.LastAcknowledged(), box.Incarnation())
 	}
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -37,8 +37,8 @@
 	logger    *slog.Logger
 	maxBytes  int64 // bound on the size of the log
 
-	attempts map[outbox.ID]*attempt // attempts that are not settled
-	lastID   outbox.ID
+	attempts map[outbox.AttemptID]*attempt // attempts that are not settled
+	lastID   outbox.AttemptID
 
 	// retainFrom is the number of the first record that is still needed. The goroutines of the log read it.
 	retainFrom       atomic.Uint64
@@ -59,7 +59,7 @@
 		wallClock: o.WallClock,
 		logger:    o.Log,
 		maxBytes:  int64(o.Export.MaxLogBytes),
-		attempts:  map[outbox.ID]*attempt{},
+		attempts:  map[outbox.AttemptID]*attempt{},
 	}
 	onDurable := func(record uint64) { l.queue.post(outboxRecordsDurable{record}) }
 	onFailure := func(err error) { l.queue.post(outboxLogStatus{err}) }
@@ -88,7 +88,7 @@
 
 // rejecting reports whether new requests are rejected because the intents of their attempts could not be
 // written.
-func (u *usageOutbox) rejecting() bool { return u.outbox.Rejecting(u.hasRoom()) }
+func (u *usageOutbox) rejecting() bool { return u.outbox.RejectsRequests(u.hasRoom()) }
 
 // handle passes an event to the outbox and carries out the resulting actions.
 func (u *usageOutbox) handle(ev outbox.Event) {
@@ -120,8 +120,8 @@
 	u.attempts[a.usageID] = a
 	r := a.request
 	u.handle(outbox.RecordIntent{
-		ID:      a.usageID,
-		HasRoom: u.hasRoom(),
+		ID:          a.usageID,
+		LogHasSpace: u.hasRoom(),
 		Attempt: outbox.Attempt{
 			Request:  r.ID,
 			Number:   a.number,
--- a/internal/gateway/usage_test.go
+++ b/internal/gateway/usage_test.go
@@ -311,6 +311,5 @@
 	if err == nil || !strings.Contains(err.Error(), "gateway 0: kept:") ||
 		!strings.Contains(err.Error(), "/dev/null") {
 		t.Errorf("error is %v, want it to name gateway 0, kept and /dev/null", err)
-
 	}
 }
