--- a/internal/gateway/changesfile.go
+++ b/internal/gateway/changesfile.go
@@ -13,56 +13,60 @@
 	"winghatch/internal/quotaplan"
 )
 
-// changesPollInterval is how often the file of plan changes is read.
+// changesPollInterval is the interval at which the file of plan changes is read.
 const changesPollInterval = 500 * time.Millisecond
 
-// Bounds of numbers in the file. Integers up to maxNumber are exact in float64, which JSON readers use.
+// Upper bounds of the numbers in the file. Integers up to maxChangeNumber are exact in float64, which JSON
+// readers use.
 const (
-	maxNumber      = 1 << 53   // of a plan change
-	maxReservation = 1e12      // units
-	maxBurst       = 1e9       // units
-	maxOpenLimit   = 1<<31 - 1 // attempts in flight
-	maxPrice       = 1e9       // priority weight, without unit
+	maxChangeNumber   = 1 << 53   // number of a plan change
+	maxReservation    = 1e12      // units
+	maxBurst          = 1e9       // units
+	maxInFlightLimit  = 1<<31 - 1 // attempts in flight
+	maxPriorityWeight = 1e9       // priority weight, dimensionless
 )
 
-// ReadChanges reads a file of plan changes: KDL nodes named "change" with the fields of one each, times in RFC 3339. It
-// returns the place of each change. The error lists all mistakes with their places.
+// ReadChanges parses src, the content of a file of plan changes, and returns the changes and the position of
+// each one in the file. The file consists of KDL nodes named "change"; each holds the fields of one change,
+// with times in RFC 3339. The error lists all mistakes with their positions. file is the name used in these
+// positions.
 func ReadChanges(file string, src []byte) ([]quotaplan.Change, []kdl.Pos, error) {
 	nodes, err := decode.Parse(file, src)
 	if err != nil {
 		return nil, nil, err
 	}
-	d := &decode.Decoder{File: file}
+	decoder := &decode.Decoder{File: file}
 	var changes []quotaplan.Change
-	var places []kdl.Pos
+	var positions []kdl.Pos
 	seen := map[uint64]bool{}
-	for _, n := range nodes {
-		if n.Name != "change" {
-			d.Fail(n.Pos, n.Name, "%q is not known, want nodes named \"change\"", n.Name)
+	for _, node := range nodes {
+		if node.Name != "change" {
+			decoder.Fail(node.Pos, node.Name, "%q is not known, want nodes named \"change\"", node.Name)
 			continue
 		}
-		c := readChange(d, n)
+		c := readChange(decoder, node)
 		if seen[c.Number] && c.Number > 0 {
-			d.Fail(n.Pos, "change.number", "%d, given before in this file", c.Number)
+			decoder.Fail(node.Pos, "change.number", "%d, want a number that is unique in this file", c.Number)
 		}
 		seen[c.Number] = true
 		changes = append(changes, c)
-		places = append(places, n.Pos)
+		positions = append(positions, node.Pos)
 	}
-	return changes, places, d.Err()
+	return changes, positions, decoder.Err()
 }
 
-func readChange(d *decode.Decoder, n *kdl.Node) (c quotaplan.Change) {
-	d.Plain("change", n)
+// readChange decodes one change node and reports mistakes to d.
+func readChange(decoder *decode.Decoder, node *kdl.Node) (c quotaplan.Change) {
+	decoder.Plain("change", node)
 	kinds := map[string]quotaplan.Kind{}
 	for k := quotaplan.Move; k <= quotaplan.Shorten; k++ {
 		kinds[k.String()] = k
 	}
 	number, target := 0, 0
-	d.Block("change", n, decode.Fields{
-		"number":        decode.Int(&number, 1, maxNumber),
+	decoder.Block("change", node, decode.Fields{
+		"number":        decode.Int(&number, 1, maxChangeNumber),
 		"kind":          decode.Choice(&c.Kind, kinds),
-		"target":        decode.Int(&target, 1, maxNumber),
+		"target":        decode.Int(&target, 1, maxChangeNumber),
 		"member":        decode.String(&c.Member),
 		"plan":          decode.String(&c.Plan),
 		"from":          timeSetting(&c.From),
@@ -74,8 +78,8 @@
 		"ceiling-rate":  decode.Rate(&c.Terms.CeilingRate),
 		"ceiling-burst": decode.Number(&c.Terms.CeilingBurst, 0, maxBurst),
 		"ceiling-slack": decode.Number(&c.Terms.CeilingSlack, 0, maxBurst),
-		"max-open":      decode.Int(&c.Terms.MaxInFlight, 0, maxOpenLimit),
-		"price":         decode.Number(&c.Terms.PriorityWeight, 0, maxPrice),
+		"max-open":      decode.Int(&c.Terms.MaxInFlight, 0, maxInFlightLimit),
+		"price":         decode.Number(&c.Terms.PriorityWeight, 0, maxPriorityWeight),
 	}, nil, "number", "kind")
 	c.Number, c.Target, c.Terms.Name = uint64(number), uint64(target), c.Plan
 	if c.Kind != quotaplan.Terms {
@@ -84,6 +88,7 @@
 	return c
 }
 
+// timeSetting returns a decoder of an RFC 3339 time that stores nanoseconds of Unix time in to.
 func timeSetting(to *int64) func(decode.Setting) {
 	return func(s decode.Setting) {
 		at, err := time.Parse(time.RFC3339Nano, s.Value.Text)
@@ -95,19 +100,19 @@
 	}
 }
 
-// watchChanges submits the plan changes of a file whenever its content differs from before, until ctx ends. A file
-// with a mistake in it, as one that is being written, changes nothing; of a valid one each change is accepted or
-// rejected independently of the others.
+// watchChanges submits the plan changes of a file whenever its content has changed, until ctx ends. A file
+// with a mistake, such as one that is still being written, changes nothing. In a valid file each change is
+// accepted or rejected independently of the others.
 func (g *Gateway) watchChanges(ctx context.Context, file string) {
-	var last string // content, or the error that was logged
+	var lastSeen string // last content that was processed, or last read error that was logged
 	for {
 		src, err := os.ReadFile(file)
 		switch {
-		case err == nil && string(src) != last:
-			last = string(src)
+		case err == nil && string(src) != lastSeen:
+			lastSeen = string(src)
 			g.applyChanges(file, src)
-		case err != nil && !errors.Is(err, os.ErrNotExist) && err.Error() != last:
-			last = err.Error()
+		case err != nil && !errors.Is(err, os.ErrNotExist) && err.Error() != lastSeen:
+			lastSeen = err.Error()
 			g.log.Error("Failed to read the file of plan changes", "err", err)
 		}
 		select {
@@ -118,9 +123,9 @@
 	}
 }
 
-// applyChanges submits the changes of a file that are not known yet.
+// applyChanges submits those changes of a file that the gateway does not know yet.
 func (g *Gateway) applyChanges(file string, src []byte) {
-	changes, places, err := ReadChanges(file, src)
+	changes, positions, err := ReadChanges(file, src)
 	if err != nil {
 		g.log.Error("Invalid file of plan changes, ignored as a whole", "err", err)
 		return
@@ -132,8 +137,8 @@
 			continue
 		}
 		if _, err := g.Submit(c); err != nil {
-			at := fmt.Sprintf("%s:%d:%d", file, places[i].Line, places[i].Column)
-			g.log.Error("Plan change rejected", "at", at, "err", err)
+			position := fmt.Sprintf("%s:%d:%d", file, positions[i].Line, positions[i].Column)
+			g.log.Error("Plan change rejected", "at", position, "err", err)
 		}
 	}
 }
--- a/internal/gateway/controlclient.go
+++ b/internal/gateway/controlclient.go
@@ -15,11 +15,12 @@
 	"winghatch/internal/quotaplan"
 )
 
-// controlTimeout leaves a gateway the time that it waits for a change to be durable.
+// controlTimeout bounds a request to the control API. It exceeds submitTimeout, the time that the gateway may
+// wait for a change to become durable.
 const controlTimeout = submitTimeout + 5*time.Second
 
-// SubmitChange submits a plan change to the control API at addr, host and port, and returns it as it was accepted. The
-// error of a rejected change has the gateway's own text.
+// SubmitChange submits a plan change to the control API at addr (host and port) and returns the change as it
+// was accepted. If the gateway rejects the change, the error consists of the gateway's own text.
 func SubmitChange(addr string, secret credentials.Secret, c quotaplan.Change) (quotaplan.Change, error) {
 	body, err := json.Marshal(newChangeJSON(&c))
 	if err != nil {
@@ -31,13 +32,14 @@
 	}
 	req.Header.Set(macHeader, requestMAC(secret, body))
 	var accepted changeJSON
-	if err := do(req, &accepted); err != nil {
+	if err := doJSON(req, &accepted); err != nil {
 		return c, err
 	}
 	return accepted.change()
 }
 
-// FetchHistory reads from the control API at addr the plan changes that concern a member, or with an empty name all.
+// FetchHistory reads the plan changes that concern a member from the control API at addr (host and port). An
+// empty member selects all changes.
 func FetchHistory(addr, member string) (History, error) {
 	query := url.Values{"member": {member}}.Encode()
 	req, err := http.NewRequest(http.MethodGet, "http://"+addr+"/changes?"+query, nil)
@@ -45,12 +47,13 @@
 		return History{}, err
 	}
 	var h History
-	err = do(req, &h)
+	err = doJSON(req, &h)
 	return h, err
 }
 
-// do sends a request and decodes the response into out. The error of a response that is not 200 has its text alone.
-func do(req *http.Request, out any) error {
+// doJSON sends a request and decodes the JSON response into out. If the status is not 200, the error consists
+// of the response body.
+func doJSON(req *http.Request, out any) error {
 	client := http.Client{Timeout: controlTimeout}
 	res, err := client.Do(req)
 	if err != nil {
@@ -59,13 +62,13 @@
 	defer res.Body.Close()
 	raw, err := io.ReadAll(res.Body)
 	if err != nil {
-		return fmt.Errorf("read the response of %s: %w", req.URL, err)
+		return fmt.Errorf("control API: read response of %s: %w", req.URL, err)
 	}
 	if res.StatusCode != http.StatusOK {
 		return errors.New(strings.TrimSpace(string(raw)))
 	}
 	if err := json.Unmarshal(raw, out); err != nil {
-		return fmt.Errorf("decode the response of %s: %w", req.URL, err)
+		return fmt.Errorf("control API: decode response of %s: %w", req.URL, err)
 	}
 	return nil
 }
