--- a/internal/frontend/connlimit/connlimit.go
+++ b/internal/frontend/connlimit/connlimit.go
@@ -1,11 +1,12 @@
-// Package connlimit decides which client connections stay when descriptors run short, and which have timed out. It
-// does no I/O and reads no clock: the same calls in the same order always close the same connections. Times are spans
-// since any fixed moment, of a monotonic clock.
+// Package connlimit limits the number of client connections. It selects the connections to evict at the limit
+// and those that have timed out. It does no I/O and reads no clock, so the same sequence of calls always
+// closes the same connections. Callers pass times as readings of a monotonic clock with any fixed origin.
 //
-// A connection counts from Accept to Remove. It is silent until its first byte, reading until a request is complete,
-// active while one is open, and idle between two. At the limit a new connection evicts another one: silent ones
-// first, then idle ones, then reading ones, of each the one that has been so longest; active ones never. A connection
-// whose socket holds unread bytes is not evicted: they may be a complete request.
+// A connection counts against the limit from Accept to Remove. It is silent until its first byte arrives,
+// reading until a request is complete, active while a request is open, and idle between two requests. At the
+// limit, a new connection evicts a silent one, else an idle one, else a reading one, and within each state
+// the one whose timeout started first. Active connections are never evicted. A connection whose socket holds
+// unread bytes is not evicted either, because the bytes may be a complete request.
 package connlimit
 
 import (
@@ -14,26 +15,27 @@
 )
 
 const (
-	// requestTimeout is the time for a connection's first request, from Accept on, and for each further one, from its
-	// first byte on. Clients send a request at once; one that sends slowly or not at all holds a connection that others
-	// need. It is short enough for such a client to be disconnected within three seconds, the sweep included.
+	// requestTimeout is the time in which a request must be complete. It starts at Accept for the first
+	// request and at the first byte for later ones. Clients usually send a whole request at once; a client
+	// that sends slowly or not at all occupies a connection that others need. The timeout is short enough to
+	// disconnect such a client within three seconds, including the interval between two sweeps.
 	requestTimeout = 2 * time.Second
-	// requestGrace is added to requestTimeout while unread bytes wait in the socket, as the process may have been
-	// stalled. It is bounded, so that a client that sends without end is disconnected too.
+	// requestGrace extends requestTimeout while the socket holds unread bytes, because the process may have
+	// been stalled. It is bounded so that a client that never stops sending is disconnected too.
 	requestGrace = 400 * time.Millisecond
-	// idleTimeout is the time between two requests, while there is room: a new connection costs both sides more than
-	// an idle one.
+	// idleTimeout is the time a connection may stay idle while there is room. It is long because a new
+	// connection costs both sides more than an idle one.
 	idleTimeout = 10 * time.Second
-	// tightIdleTimeout takes the place of idleTimeout while more than tightShare of the limit is in use, so that new
+	// tightIdleTimeout replaces idleTimeout while more than tightShare of the limit is in use, so that new
 	// connections find room without an eviction.
 	tightIdleTimeout = 2 * time.Second
 	tightShare       = 0.75
 )
 
-// ID names a connection.
+// ID identifies a connection. The caller must not use an ID for two connections.
 type ID uint64
 
-// state is a connection's, in the order in which connections are evicted.
+// state is the state of a connection. Connections in a state with a lower value are evicted first.
 type state int
 
 const (
@@ -43,22 +45,22 @@
 	active
 )
 
-// entry is a connection.
+// entry is the record of one connection.
 type entry struct {
 	id    ID
 	state state
-	since time.Duration // its timeout runs from here
-	elem  *list.Element // in the queue of its state; nil while active
+	since time.Duration // start of the timeout of the current state
+	elem  *list.Element // element in the queue of the current state; nil while active
 }
 
-// Limiter holds the connections of one gateway. It is not safe for concurrent use.
+// Limiter tracks the client connections of one gateway. It is not safe for concurrent use.
 type Limiter struct {
 	maxConns int
 	entries  map[ID]*entry
-	queues   [active]*list.List // silent, idle and reading connections, ordered by since
+	queues   [active]*list.List // silent, idle and reading connections, each queue ordered by since
 }
 
-// New returns a limiter of maxConns connections.
+// New returns a limiter that holds at most maxConns connections.
 func New(maxConns int) *Limiter {
 	l := &Limiter{maxConns: maxConns, entries: map[ID]*entry{}}
 	for st := range l.queues {
@@ -67,12 +69,12 @@
 	return l
 }
 
-// Len is how many connections are held.
+// Len returns the number of connections held.
 func (l *Limiter) Len() int { return len(l.entries) }
 
-// Accept adds a new connection. At the limit another one is removed for it, which the caller has to close. ok is
-// false if none may be: the new connection is not added and has to be closed. unread reports whether a connection's
-// socket holds unread bytes.
+// Accept adds a new connection. At the limit it first removes another connection, which it returns as evicted
+// with evicts set and which the caller must close. If no connection can be evicted, ok is false and the
+// caller must close the new connection. unread reports whether the socket of a connection holds unread bytes.
 func (l *Limiter) Accept(now time.Duration, id ID, unread func(ID) bool) (evicted ID, evicts, ok bool) {
 	if len(l.entries) >= l.maxConns {
 		if evicted, evicts = l.victim(unread); !evicts {
@@ -86,7 +88,7 @@
 	return evicted, evicts, true
 }
 
-// victim finds the connection to evict first.
+// victim returns the connection to evict. ok is false if no connection can be evicted.
 func (l *Limiter) victim(unread func(ID) bool) (id ID, ok bool) {
 	for _, queue := range l.queues {
 		for elem := queue.Front(); elem != nil; elem = elem.Next() {
@@ -98,7 +100,7 @@
 	return 0, false
 }
 
-// Remove removes a connection, if it is held.
+// Remove removes a connection. It has no effect if the connection is not held.
 func (l *Limiter) Remove(id ID) {
 	if e := l.entries[id]; e != nil {
 		l.dequeue(e)
@@ -106,7 +108,8 @@
 	}
 }
 
-// MarkReading says that the first byte of a request arrived. The time for a first request runs from Accept.
+// MarkReading records that the first byte of a request has arrived. The timeout of a connection's first
+// request still starts at Accept.
 func (l *Limiter) MarkReading(now time.Duration, id ID) {
 	if e := l.entries[id]; e != nil && e.state == silent {
 		now = e.since
@@ -114,16 +117,20 @@
 	l.setState(id, reading, now)
 }
 
-// MarkActive says that a request is complete.
+// MarkActive records that a request is complete.
 func (l *Limiter) MarkActive(now time.Duration, id ID) { l.setState(id, active, now) }
 
-// MarkIdle says that its response is written.
+// MarkIdle records that the response to the open request has been written.
 func (l *Limiter) MarkIdle(now time.Duration, id ID) { l.setState(id, idle, now) }
 
-// Expired removes the connections that have timed out and returns them, for the caller to close. unread is as in
-// Accept.
+// Expired removes the connections that have timed out and returns them. The caller must close them. unread
+// reports whether the socket of a connection holds unread bytes.
 func (l *Limiter) Expired(now time.Duration, unread func(ID) bool) (expired []ID) {
-	timeouts := [active]time.Duration{silent: requestTimeout, idle: l.currentIdleTimeout(), reading: requestTimeout}
+	timeouts := [active]time.Duration{
+		silent:  requestTimeout,
+		idle:    l.currentIdleTimeout(),
+		reading: requestTimeout,
+	}
 	for st, timeout := range timeouts {
 		var next *list.Element
 		for elem := l.queues[st].Front(); elem != nil; elem = next {
@@ -133,7 +140,8 @@
 			if overdue < 0 {
 				break
 			}
-			// Unread bytes are the next request of an idle connection, or may complete a request.
+			// Unread bytes are the next request of an idle connection, or may complete the request of another
+			// one.
 			if unread(e.id) && (e.state == idle || overdue < requestGrace) {
 				continue
 			}
@@ -144,6 +152,7 @@
 	return expired
 }
 
+// currentIdleTimeout returns the idle timeout for the current number of connections.
 func (l *Limiter) currentIdleTimeout() time.Duration {
 	if float64(len(l.entries)) > tightShare*float64(l.maxConns) {
 		return tightIdleTimeout
@@ -151,6 +160,8 @@
 	return idleTimeout
 }
 
+// setState moves a connection to a state that it entered at since. It has no effect if the connection is not
+// held or already in that state.
 func (l *Limiter) setState(id ID, st state, since time.Duration) {
 	e := l.entries[id]
 	if e == nil || e.state == st {
@@ -163,7 +174,7 @@
 	}
 }
 
-// enqueue puts a connection into the queue of its state, by since.
+// enqueue inserts a connection into the queue of its state, which stays ordered by since.
 func (l *Limiter) enqueue(e *entry) {
 	queue := l.queues[e.state]
 	before := queue.Back()
@@ -177,6 +188,7 @@
 	e.elem = queue.InsertAfter(e, before)
 }
 
+// dequeue removes a connection from the queue of its state. It has no effect on an active connection.
 func (l *Limiter) dequeue(e *entry) {
 	if e.elem != nil {
 		l.queues[e.state].Remove(e.elem)
--- a/internal/frontend/connlimit/connlimit_test.go
+++ b/internal/frontend/connlimit/connlimit_test.go
@@ -9,8 +9,8 @@
 
 func none(ID) bool { return false }
 
-// Clients connect and send nothing until the limit is reached. A new connection takes the place of one without an
-// open request, never of one with a request.
+// Clients connect and send nothing until the limit is reached. A new connection takes the place of one
+// without an open request, never of one with a request.
 func TestSilentOnesGiveWayToNewOnes(t *testing.T) {
 	l := New(4)
 	for id := ID(1); id <= 4; id++ {
@@ -51,8 +51,8 @@
 	}
 }
 
-// At the limit silent connections are evicted first, then idle ones, then reading ones. One with unread bytes may
-// hold a complete request and must not be evicted.
+// At the limit silent connections are evicted first, then idle ones, then reading ones. One with unread bytes
+// may hold a complete request and must not be evicted.
 func TestTheOrderInWhichConnectionsGiveWay(t *testing.T) {
 	l := New(4)
 	for id := ID(1); id <= 4; id++ {
@@ -80,8 +80,8 @@
 	}
 }
 
-// The process was held up while a request arrived, and its connection times out before it is read. Unread bytes keep
-// an idle connection open for as long as they wait, any other one for the grace.
+// The process was held up while a request arrived, and its connection times out before it is read. Unread
+// bytes keep an idle connection open for as long as they wait, any other one for the grace.
 func TestUnreadBytesPutOffTimeouts(t *testing.T) {
 	all := func(ID) bool { return true }
 	l := New(100)
@@ -105,8 +105,8 @@
 	}
 }
 
-// For any calls in any order: the limit holds, no active connection is closed, none with unread bytes is evicted, and
-// the same calls have the same results.
+// For any calls in any order: the limit holds, no active connection is closed, none with unread bytes is
+// evicted, and the same calls have the same results.
 func TestConnectionsModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.IntRange(1, 6).Draw(t, "most")
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -1,6 +1,7 @@
-// Package frontend has what the frontends share: a client's message becomes a Request, and each Request gets one
-// final Response. Each of its sub-packages http and websocket implements one protocol, connlimit the limit on
-// connections. A frontend knows no quotas and selects no server.
+// Package frontend defines the types that all frontends share. A frontend turns each client message into a
+// [Request] and sends the client one final [Response] to it. The sub-packages http and websocket each
+// implement one protocol; connlimit limits the number of client connections. Frontends neither check quotas
+// nor select servers.
 package frontend
 
 import (
@@ -8,60 +9,61 @@
 	"time"
 )
 
-// Kind is the kind of a final response.
+// Kind classifies a final response.
 type Kind int
 
-// The kinds of final response.
+// Kinds of final responses.
 const (
-	Served   Kind = iota // a server's response
-	Rejected             // the request had no effect: it is safe to repeat
+	Served   Kind = iota // the response of a server
+	Rejected             // the request had no effect, so a retry is safe
 	Failed               // the request may have had an effect
 )
 
-// String is the kind in logs, metrics and traces.
+// String returns the name of the kind in logs, metrics and traces.
 func (k Kind) String() string { return [...]string{"served", "refused", "failed"}[k] }
 
-// Response is the one final response to a Request.
+// Response is the only final response to a [Request].
 type Response struct {
 	Kind       Kind
-	Body       json.RawMessage // of a served one
-	Units      float64         // charged to a served one
-	RetryAfter time.Duration   // of a rejected one: the client may retry after this; 0: nothing is advised
-	Reason     string          // of a rejected one, for operators
+	Body       json.RawMessage // body of a served response
+	Units      float64         // units charged for a served response
+	RetryAfter time.Duration   // wait that a rejection suggests before a retry; 0: no suggestion
+	Reason     string          // cause of a rejection, for operators
 }
 
-// Request is a client's request as the gateway's loop takes it.
+// Request is a client request in the form that the gateway's loop processes.
 type Request struct {
-	ID             string // made by the frontend, never used twice
+	ID             string // unique among all requests; assigned by the frontend
 	Class          string
 	Plan           string
 	Customer       string
-	IdempotencyKey string          // by which servers recognise a repeat; empty: none
-	Units          float64         // of the customer's quota; an estimate where responses report the actual ones
-	Deadline       time.Duration   // on the gateway's clock
-	FirstGateway   int             // the number of the first gateway that serves the customer
-	GatewayCount   int             // how many serve it, from FirstGateway on
-	IsRetry        bool            // the client sent it before
-	Mutates        bool            // the client or its class says that it has an effect; no decision uses it
-	Reserved       bool            // it uses units that were reserved for its customer
-	TraceParent    string          // W3C Trace Context; empty: none was given
-	Payload        json.RawMessage // what servers get, where they speak JSON-RPC
-	// EncodeAttempt returns the bytes of an attempt whose deadline is left from now. Nil: attempts are JSON-RPC,
-	// which the gateway encodes itself.
+	IdempotencyKey string          // key by which servers detect duplicates; empty: none
+	Units          float64         // units to charge; an estimate if responses report the actual units
+	Deadline       time.Duration   // reading of the gateway's clock by which the client needs the response
+	FirstGateway   int             // rank of the first gateway that serves the customer
+	GatewayCount   int             // number of gateways that serve the customer, starting with FirstGateway
+	IsRetry        bool            // whether the client has sent the request before
+	Mutates        bool            // whether the client or the class declares an effect; informational only
+	Reserved       bool            // whether the request uses units that were reserved for its customer
+	TraceParent    string          // W3C Trace Context; empty: none
+	Payload        json.RawMessage // content for servers that use JSON-RPC
+	// EncodeAttempt returns the bytes of the attempt with the given number, which has the remaining time
+	// left. If it is nil, the gateway encodes attempts as JSON-RPC.
 	EncodeAttempt func(attempt int, left time.Duration) []byte
-	// Done is called at most once, from the loop, with the final response. It must not block. It is not called for a
-	// request whose client has disconnected.
+	// Done receives the final response. The loop calls it at most once, and not at all if the client has
+	// disconnected. It must not block.
 	Done func(Response)
-	// ClientGone reports whether the client has disconnected, also where Disconnected still waits in the loop's
-	// queue. Nil: it is not known.
+	// ClientGone reports whether the client has disconnected, even if the event from Core.Disconnected is
+	// still in the loop's queue. Nil means that this is unknown.
 	ClientGone func() bool
 }
 
-// Core takes requests from frontends; the gateway's loop implements it.
+// Core receives requests from frontends. The gateway's loop implements it.
 type Core interface {
-	// Reserve counts a request in, or reports false at the limit on open requests. After true, Submit must follow.
+	// Reserve counts one more open request and returns true. At the limit on open requests it returns false.
+	// The caller must call Submit after each true.
 	Reserve() bool
-	// Submit passes a request on. Its Done is called later, by the loop.
+	// Submit hands a request to the loop, which calls the request's Done later.
 	Submit(*Request)
 	// Disconnected reports that the client of an open request has disconnected. The request gets no response.
 	Disconnected(id string)
--- a/internal/frontend/http/close.go
+++ b/internal/frontend/http/close.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	lingerTimeout  = 300 * time.Millisecond // for a client to read the last response and close
-	maxLingerBytes = 256 << 10              // read and dropped meanwhile
+	lingerTimeout  = 300 * time.Millisecond // time for the client to read the last response and close
+	maxLingerBytes = 256 << 10              // bytes read and dropped during this time
 )
 
-// closeInactive ends a connection without an open request. Where a byte of a request has arrived, the client gets a
-// response: the request's last byte may be on its way, and a request that ends without one counts as lost. s.mu is
-// held.
+// closeInactive ends a connection without an open request. If a byte of a request has arrived, it first
+// writes a response with the given status and reason: the last byte of the request may be in transit, and a
+// request that ends without a response counts as lost. The caller holds Server.mu.
 func (c *conn) closeInactive(status int, reason string) {
 	if c.phase == closing {
 		return
@@ -27,8 +27,8 @@
 	c.writeResponse(appendResponse(nil, status, "", reason+"\n", true), c.halfClose)
 }
 
-// halfClose shuts the writing side after what was written. The reader drops what still arrives, and closes. s.mu is
-// held.
+// halfClose closes the writing side of the connection after the bytes already written. The reader then drops
+// what still arrives and closes the connection. The caller holds Server.mu.
 func (c *conn) halfClose() {
 	if c.writeShut {
 		return
@@ -42,8 +42,8 @@
 	c.nc.SetReadDeadline(time.Now().Add(lingerTimeout))
 }
 
-// evictLingering ends the connections that have lingered longest until the total is within maxConns; unlockAndClose
-// closes them. Server.mu is held.
+// evictLingering ends lingering connections, the oldest first, until the number of all connections is within
+// maxConns. unlockAndClose closes them. The caller holds Server.mu.
 func (s *Server) evictLingering() {
 	for s.lingering.Len() > 0 && s.lingering.Len()+s.limit.Len() > s.maxConns {
 		longest := s.lingering.Front().Value.(*conn)
@@ -53,7 +53,7 @@
 	}
 }
 
-// stopLingering takes a connection out of the lingering ones, if it is one; Server.mu is held.
+// stopLingering removes a connection from Server.lingering if it is listed there. The caller holds Server.mu.
 func (c *conn) stopLingering() {
 	if c.lingerElem != nil {
 		c.server.lingering.Remove(c.lingerElem)
@@ -61,13 +61,14 @@
 	}
 }
 
-// abort ends a connection in both directions. The reader, or unlockAndClose, closes it; Server.mu is held.
+// abort shuts down a connection in both directions. The reader or unlockAndClose closes it later. The caller
+// holds Server.mu.
 func (c *conn) abort() {
 	c.raw.Control(func(fd uintptr) { syscall.Shutdown(int(fd), syscall.SHUT_RDWR) })
 }
 
-// unlockAndClose unlocks s.mu and then closes the connections that were evicted meanwhile. A Close with the lock held
-// would wait for a reader's step under way, which may itself wait for the lock: a deadlock.
+// unlockAndClose unlocks Server.mu and then closes the evicted connections in Server.toClose. A Close under
+// the lock could deadlock: it waits for a read in progress, which may itself wait for the lock.
 func (s *Server) unlockAndClose() {
 	toClose := s.toClose
 	s.toClose = nil
@@ -77,8 +78,8 @@
 	}
 }
 
-// finish ends a connection that reads no more requests: it waits for responses that are being written, half-closes,
-// lingers and closes.
+// finish ends a connection whose reader takes no more requests. It waits for responses that are being
+// written, half-closes the connection, lingers and closes it.
 func (c *conn) finish() {
 	s := c.server
 	c.disconnect()
@@ -90,15 +91,15 @@
 	lingers := c.lingerElem != nil && !c.clientGone && !s.closed
 	s.unlockAndClose()
 	if lingers {
-		// Up to the client's close, the read deadline or the bound.
+		// Returns when the client closes, the read deadline passes or maxLingerBytes have been read.
 		io.CopyN(io.Discard, c, maxLingerBytes)
 	}
 	c.nc.Close()
 	c.unregister()
 }
 
-// disconnect reports to the core that the open request's client has gone, if one is open. The core gives it no
-// response, so its X-Txn is released here.
+// disconnect tells the core that the client of the open request, if there is one, has disconnected. Because
+// the core sends no response to such a request, its X-Txn is released here.
 func (c *conn) disconnect() {
 	s := c.server
 	s.mu.Lock()
@@ -114,7 +115,7 @@
 	}
 }
 
-// unregister releases what a closed connection held.
+// unregister removes a closed connection from the server and releases the body bytes that it reserved.
 func (c *conn) unregister() {
 	s := c.server
 	s.mu.Lock()
--- a/internal/frontend/http/close_test.go
+++ b/internal/frontend/http/close_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// A request was half read when the gateway stopped. Its client may have written it completely, so it is owed a
-// response.
+// A request was half read when the gateway stopped. Its client may have written it completely, so it is owed
+// a response.
 func TestARequestUnderWayWhenTheGatewayStopsIsRefused(t *testing.T) {
 	core, s, addr := startServer(t, 10)
 	whole := requestText("POST /api", "X-Txn: t2") + "abc"
@@ -58,8 +58,8 @@
 	}
 }
 
-// The gateway stops while one request is open and another one waits behind it. Both get their responses, and the last
-// one ends the connection.
+// The gateway stops while one request is open and another one waits behind it. Both get their responses, and
+// the last one ends the connection.
 func TestARequestBehindAnotherWhenTheGatewayStopsIsAnswered(t *testing.T) {
 	core, s, addr := startServer(t, 10)
 	c := dial(t, addr).send(requestText("POST /api") + "abc" + requestText("POST /api", "X-Txn: t2") + "abc")
@@ -76,8 +76,8 @@
 	}
 }
 
-// A close over unread bytes resets the connection, and the part of a response that the client has not received is
-// lost.
+// A close over unread bytes resets the connection, and the part of a response that the client has not
+// received is lost.
 func TestTheTailOfTheLastAnswerIsNotLost(t *testing.T) {
 	core, _, addr := startServer(t, 10)
 	nc, err := (&net.Dialer{}).Dial("tcp", addr)
@@ -96,8 +96,8 @@
 	}
 }
 
-// A request arrives as its connection's idle timeout passes, or as the gateway stops. Unread in the socket it keeps
-// the connection open; one that arrives after the half-close is no request.
+// A request arrives as its connection's idle timeout passes, or as the gateway stops. Unread in the socket it
+// keeps the connection open; one that arrives after the half-close is no request.
 func TestTheIdleTimeoutCrossesARequest(t *testing.T) {
 	for _, end := range []struct {
 		name string
@@ -148,8 +148,8 @@
 	}
 }
 
-// Many connections are ended at once. All linger as long as new ones leave room; then those that have lingered
-// longest are closed, and the number of connections stays bounded.
+// Many connections are ended at once. All linger as long as new ones leave room; then those that have
+// lingered longest are closed, and the number of connections stays bounded.
 func TestLingeringIsBounded(t *testing.T) {
 	const maxConns, serving = 20, 15
 	_, s, addr := startServer(t, maxConns)
--- a/internal/frontend/http/conn.go
+++ b/internal/frontend/http/conn.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	maxHeadBytes    = 8 << 10 // of one request
-	maxBodyBytes    = 1 << 20 // of one request
-	readBufferBytes = 4 << 10 // also the longest line of a head
+	maxHeadBytes    = 8 << 10 // largest head of a request
+	maxBodyBytes    = 1 << 20 // largest body of a request
+	readBufferBytes = 4 << 10 // size of the read buffer, which also bounds the length of a line of the head
 )
 
 // phase is the state of a connection. setPhase passes each change to package connlimit.
 type phase int
 
 const (
-	reading phase = iota // its request is not complete; a new connection begins here
+	reading phase = iota // waiting for a complete request; the first phase of a connection
 	active               // a request is open, or a response is being written
 	idle                 // between two requests
-	closing              // it is half-closed, or about to be: nothing that arrives is a request
+	closing              // half-closed or about to be: bytes that arrive are dropped
 )
 
-// conn is one client's connection. Its reader (run) owns the descriptor and closes it.
+// conn is the connection of one client. Its reader goroutine (run) owns the descriptor and closes it.
 type conn struct {
 	server *Server
 	id     connlimit.ID
@@ -40,27 +40,30 @@
 	raw    syscall.RawConn
 	reader *http1.Reader
 
-	// Server.mu guards these.
-	phase        phase
-	requestBegun bool          // a byte of the request being read was read; while one is open, of the next one
-	requestID    string        // the core's id of the open request; empty: none is open
-	txn          string        // its X-Txn
-	deadline     time.Duration // of the open request, or of the last one
-	lastResponse bool          // the connection ends with the open request's response
-	clientGone   bool          // the client has closed, or the connection broke
-	writeShut    bool          // its writing side is shut
-	lingerElem   *list.Element // in Server.lingering; nil unless it lingers
-	bodyBytes    int64         // the open request's part of Server.bodyBytes
+	// Guarded by Server.mu:
+	phase phase
+	// requestBegun says whether a byte of the request being read, or while a request is open of the next one,
+	// has been read.
+	requestBegun bool
+	requestID    string        // ID under which the core knows the open request; empty: no request is open
+	txn          string        // X-Txn of the open request
+	deadline     time.Duration // deadline of the open or else of the last request, on the server's clock
+	lastResponse bool          // whether the connection ends with the open request's response
+	clientGone   bool          // whether the client has closed the connection or it broke
+	writeShut    bool          // whether the writing side is closed
+	lingerElem   *list.Element // element in Server.lingering; nil unless the connection lingers
+	bodyBytes    int64         // part of Server.bodyBytes that the open request's body reserves
 	pipeline     pipeline
 
-	pendingWrites sync.WaitGroup // responses that wait for room in the socket's buffer
+	pendingWrites sync.WaitGroup // running goroutines of writeRemainder
 
-	// These belong to the reader: when the bytes arrived that Read returned last, and when the socket was last read.
-	arrivedAt    time.Duration
-	readAt       time.Duration
+	// Used only by the reader goroutine:
+	arrivedAt    time.Duration // time at which the bytes last returned by Read were read from the socket
+	readAt       time.Duration // time of the last read from the socket
 	socketReader *socket.Reader
 }
 
+// newConn returns a connection whose reader is not running yet.
 func newConn(s *Server, id connlimit.ID, nc *net.TCPConn, raw syscall.RawConn) *conn {
 	c := &conn{server: s, id: id, nc: nc, raw: raw, pipeline: pipeline{resume: make(chan struct{}, 1)}}
 	c.socketReader = socket.NewReader(raw, &s.mu, c.noteRead)
@@ -69,7 +72,8 @@
 	return c
 }
 
-// run reads requests, one after the other's response, until the connection ends.
+// run processes requests one at a time until the connection ends. It takes the next request only after the
+// response to the one before it is written.
 func (c *conn) run() {
 	defer c.server.wg.Done()
 	defer c.finish()
@@ -88,7 +92,7 @@
 	}
 }
 
-// setPhase changes the phase; Server.mu is held.
+// setPhase changes the phase and reports the change to the limiter. The caller holds Server.mu.
 func (c *conn) setPhase(p phase) {
 	c.phase = p
 	limit, now := c.server.limit, c.server.clock()
@@ -104,14 +108,15 @@
 	}
 }
 
-// isClosing reports whether nothing that arrives is a request any more.
+// isClosing reports whether the connection takes no more requests.
 func (c *conn) isClosing() bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	return c.phase == closing
 }
 
-// handleRequest takes one request whose head was read. False: the connection ends.
+// handleRequest reads the body of a request, validates the request and submits it to the core. It returns
+// false if the connection ends.
 func (c *conn) handleRequest(q *http1.Request) bool {
 	s := c.server
 	if q.Method == http.MethodGet && q.Target == "/health/ready" && q.BodyLength == 0 {
@@ -149,9 +154,10 @@
 	return true
 }
 
-// openRequest makes a request the connection's open one, or returns why it can't be. A request that was read after
-// the connection's half-close is dropped without a response: its client has seen the end and sends it again
-// elsewhere. Served here as well, it would run twice.
+// openRequest makes a request the open request of the connection, or returns the reason why it is rejected.
+// last says that the client wants the connection to end with the response. A request that was read after the
+// half-close of the connection is dropped without a response: its client has seen the end of the connection
+// and retries elsewhere, so the request would run twice if it were served here as well.
 func (c *conn) openRequest(request *frontend.Request, txn string, last bool) error {
 	s := c.server
 	s.mu.Lock()
--- a/internal/frontend/http/helper_test.go
+++ b/internal/frontend/http/helper_test.go
@@ -44,7 +44,8 @@
 
 var startedAt = time.Now()
 
-// startServer runs a server for the test's time, with plan team and a class of each idempotency: get, put and pay.
+// startServer runs a server for the test's time, with plan team and a class of each idempotency: get, put and
+// pay.
 func startServer(t *testing.T, maxConns int) (*fakeCore, *Server, string) {
 	t.Helper()
 	cfg := &decide.Config{
@@ -112,8 +113,8 @@
 	return res.StatusCode, string(body), res.Header
 }
 
-// requestText is the head of a valid request, with changes: "Name: value" replaces a field or adds one, "Name"
-// removes it.
+// requestText is the head of a valid request, with changes: "Name: value" replaces a field or adds one,
+// "Name" removes it.
 func requestText(first string, changes ...string) string {
 	fields := []string{"Host: s", "X-Txn: t1", "X-Lane: put", "X-Plan: team", "X-Customer: 00000000b4d65521",
 		"X-Remaining-Ms: 480", "Idempotency-Key: k1", "Content-Length: 3", "X-Quota: units=2,spread=3,first=1"}
@@ -143,7 +144,8 @@
 	return c
 }
 
-// dialUnread returns a connection whose reader does not run, so that what arrives stays unread, and the client's end.
+// dialUnread returns a connection whose reader does not run, so that what arrives stays unread, and the
+// client's end.
 func dialUnread(t *testing.T, s *Server) (*conn, net.Conn) {
 	t.Helper()
 	nc, in := tcpserver.Connect(t)
--- a/internal/frontend/http/pipeline.go
+++ b/internal/frontend/http/pipeline.go
@@ -10,37 +10,43 @@
 )
 
 const (
-	maxPipelinedBytes = 128 << 10 // kept of what arrives while a request is open
-	maxDroppedBytes   = 64 << 20  // read and dropped beyond that, to see when the client closes
-	pipelineReadBytes = 16 << 10  // of one read
-	// peekInterval is how often the socket of a client whose bytes are not read any more is checked for its end.
+	// maxPipelinedBytes bounds the bytes that are buffered while a request is open.
+	maxPipelinedBytes = 128 << 10
+	// maxDroppedBytes bounds the bytes that are read and dropped after that buffer is full. They are read to
+	// detect when the client closes the connection.
+	maxDroppedBytes   = 64 << 20
+	pipelineReadBytes = 16 << 10 // size of one read
+	// peekInterval is the interval between two checks whether a client whose bytes are no longer read has
+	// closed the connection.
 	peekInterval = 50 * time.Millisecond
 )
 
-// pipeline is what a client sent while its request was open, and the state of the reader meanwhile. Server.mu guards
-// it.
+// pipeline holds the bytes that a client sent while its request was open, and the state of the reader during
+// that time. Server.mu guards it.
 type pipeline struct {
 	chunks       []chunk
-	bytes        int // in chunks
-	overflowed   bool
-	droppedBytes int // read after the overflow
+	bytes        int  // total size of chunks
+	overflowed   bool // whether bytes were dropped because the buffer was full
+	droppedBytes int  // number of bytes dropped since the overflow
 
-	// The reader waits in one of two ways: in a read, from which finishResponse wakes it by a deadline, or, once it
-	// reads no more, on resume.
+	// The reader waits for the response in one of two ways. If watching is set, it is blocked in a read, and
+	// finishResponse wakes it by setting a read deadline. If paused is set, it no longer reads, and
+	// finishResponse wakes it through resume.
 	watching bool
-	woken    bool // a deadline was set to wake it, which the reader takes back
+	woken    bool // whether a read deadline was set to wake the reader; the reader removes the deadline
 	paused   bool
-	resume   chan struct{} // has room for one
+	resume   chan struct{} // has a capacity of 1, so that finishResponse does not block
 }
 
-// chunk is what one read brought. The time of a request runs from the arrival of its last byte, also while it waits
-// for the response to another one.
+// chunk holds the bytes of one read. The remaining time of a request runs from the arrival of its last byte,
+// even while it waits for the response to an earlier request.
 type chunk struct {
 	bytes     []byte
 	arrivedAt time.Duration
 }
 
-// take moves pipelined bytes of one arrival to b; ok is false if there are none.
+// take moves bytes of the first chunk to b and returns their number and arrival time. ok is false if there
+// are no pipelined bytes.
 func (p *pipeline) take(b []byte) (n int, arrivedAt time.Duration, ok bool) {
 	if len(p.chunks) == 0 {
 		return 0, 0, false
@@ -56,12 +62,12 @@
 	return n, arrivedAt, true
 }
 
-// hasPipelined reports whether bytes behind the current request were read; Server.mu is held.
+// hasPipelined reports whether bytes after the current request have been read. The caller holds Server.mu.
 func (c *conn) hasPipelined() bool { return c.reader.Buffered() > 0 || c.pipeline.bytes > 0 }
 
-// awaitResponse returns once the connection may take its next request. While one is open, the reader waits for the
-// client's end: bytes that arrive meanwhile must not hide it, so they are read and buffered. False: the connection
-// ends.
+// awaitResponse waits until the connection can process its next request. It returns false if the connection
+// ends. While a request is open, the reader must notice when the client closes the connection. It therefore
+// reads and buffers bytes that arrive in front of the close.
 func (c *conn) awaitResponse() bool {
 	s := c.server
 	s.mu.Lock()
@@ -94,7 +100,8 @@
 	return c.phase != closing
 }
 
-// restoreReadDeadline takes back the deadline by which finishResponse woke the reader; Server.mu is held.
+// restoreReadDeadline removes the read deadline that finishResponse set to wake the reader. A closing
+// connection gets the deadline for lingering instead. The caller holds Server.mu.
 func (c *conn) restoreReadDeadline() {
 	if !c.pipeline.woken {
 		return
@@ -107,9 +114,10 @@
 	c.nc.SetReadDeadline(deadline)
 }
 
-// readPipelined reads what arrives behind the open request, until finishResponse wakes it. What does not fit is
-// dropped, and nothing after it is a request: the connection ends behind the requests that were buffered. False: the
-// client has disconnected. Server.mu is held, but not while it waits.
+// readPipelined reads once from the socket while a request is open and buffers the bytes. It returns true
+// without bytes when finishResponse wakes it, and false if the client has disconnected. If the bytes do not
+// fit, it drops them and all later ones, and the connection ends after the requests already buffered. The
+// caller holds Server.mu, which is released during the read.
 func (c *conn) readPipelined(buf []byte) bool {
 	s, p := c.server, &c.pipeline
 	p.watching = true
@@ -131,9 +139,9 @@
 	return true
 }
 
-// awaitWithoutReading waits for the open request's response while it only looks at the socket: a client that sends
-// without end must not cost more reads. False: the client has disconnected. Server.mu is held, but not while it
-// waits.
+// awaitWithoutReading waits for the response to the open request and only peeks at the socket, so that a
+// client that never stops sending causes no more reads. It returns false if the client has disconnected. The
+// caller holds Server.mu, which is released during the wait.
 func (c *conn) awaitWithoutReading() bool {
 	s := c.server
 	c.pipeline.paused = true
--- a/internal/frontend/http/pipeline_test.go
+++ b/internal/frontend/http/pipeline_test.go
@@ -11,7 +11,8 @@
 	"winghatch/internal/frontend"
 )
 
-// A client pipelines requests. Each waits for the response to the one before it, and all are answered in order.
+// A client pipelines requests. Each waits for the response to the one before it, and all are answered in
+// order.
 func TestRequestsBehindAnother(t *testing.T) {
 	core, _, addr := startServer(t, 10)
 	second := requestText("POST /api", "X-Txn: t2") + "abc"
@@ -31,8 +32,8 @@
 	}
 }
 
-// A client pipelines requests and closes. The bytes in front of its close must not hide it: else attempts go on for
-// nobody.
+// A client pipelines requests and closes. The bytes in front of its close must not hide it: else attempts go
+// on for nobody.
 func TestAClientThatLeavesBehindOtherRequestsHasGone(t *testing.T) {
 	for _, behind := range []int{1, 5, 40, 2000} { // within the reader's buffer, within what is kept, and beyond
 		core, s, addr := startServer(t, 10)
@@ -72,8 +73,8 @@
 	}
 }
 
-// A client closes and sends its request again. The core gives the first no response; its X-Txn must be free all the
-// same, and a late response must not touch the second.
+// A client closes and sends its request again. The core gives the first no response; its X-Txn must be free
+// all the same, and a late response must not touch the second.
 func TestAClientThatClosesHasGone(t *testing.T) {
 	core, s, addr := startServer(t, 10)
 	c := dial(t, addr).send(requestText("POST /api") + "abc")
@@ -97,8 +98,8 @@
 	}
 }
 
-// The reader may not have run since the client closed. What is asked as an attempt is written has to look at the
-// socket.
+// The reader may not have run since the client closed. What is asked as an attempt is written has to look at
+// the socket.
 func TestLeftLooksAtTheSocket(t *testing.T) {
 	core, _, addr := startServer(t, 10)
 	for _, leave := range []func(nc *net.TCPConn){
@@ -123,7 +124,8 @@
 	}
 }
 
-// The process was held up, and a client sent bytes and closed meanwhile. Its close must be seen behind unread bytes.
+// The process was held up, and a client sent bytes and closed meanwhile. Its close must be seen behind unread
+// bytes.
 func TestLeftLooksBehindUnreadBytes(t *testing.T) {
 	_, s, _ := startServer(t, 10)
 	for _, leave := range []func(nc *net.TCPConn){
--- a/internal/frontend/http/read.go
+++ b/internal/frontend/http/read.go
@@ -6,7 +6,8 @@
 	"winghatch/internal/socket"
 )
 
-// Read returns pipelined bytes first, then reads from the socket, for the http1.Reader.
+// Read implements io.Reader for the connection's http1.Reader. It returns pipelined bytes first, then reads
+// from the socket. After an overflow of the pipeline it returns io.EOF instead of reading from the socket.
 func (c *conn) Read(b []byte) (int, error) {
 	s := c.server
 	s.mu.Lock()
@@ -26,8 +27,9 @@
 	return n, err
 }
 
-// noteRead is called by socketReader after each read of n bytes; Server.mu is held. Bytes are so either still in the
-// socket, where Peek sees them, or the connection is known to be reading a request.
+// noteRead records a read of n bytes; n is 0 at the end of the stream. socketReader calls it after each read,
+// while Server.mu is still held. Under the lock, bytes are therefore either still in the socket, where Peek
+// finds them, or the connection is already marked as reading a request.
 func (c *conn) noteRead(n int) {
 	if n == 0 {
 		c.clientGone = true
@@ -40,14 +42,14 @@
 	c.readAt = c.server.clock()
 }
 
-// hasUnread reports whether the socket holds unread bytes; Server.mu is held.
+// hasUnread reports whether the socket holds unread bytes. The caller holds Server.mu.
 func (c *conn) hasUnread() bool {
 	unread, _ := socket.Peek(c.raw)
 	return unread
 }
 
-// clientLeft reports whether the client of a request has disconnected, or the request is not open any more. It looks
-// at the socket too: when an attempt is written, the reader may not have run since the client closed.
+// clientLeft reports whether the client of a request has disconnected or the request is no longer open. It
+// also checks the socket, because the reader may not have run since the client closed the connection.
 func (c *conn) clientLeft(requestID string) bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
@@ -58,8 +60,9 @@
 	return c.clientGone
 }
 
-// reserveBody counts bytes of a body against Server.maxBodyBytes and reports whether they fit: hundreds of large
-// bodies at once must not exceed the memory limit of the process.
+// reserveBody reserves n bytes of Server.maxBodyBytes for the body of a request and reports whether they were
+// available. Without this bound, hundreds of large bodies at once would exceed the memory limit of the
+// process.
 func (c *conn) reserveBody(n int) bool {
 	s := c.server
 	s.mu.Lock()
--- a/internal/frontend/http/request.go
+++ b/internal/frontend/http/request.go
@@ -13,25 +13,25 @@
 	"winghatch/internal/http1"
 )
 
-// Bounds of fields, which are checked before the core keeps anything of a request.
+// Bounds of header fields. They are checked before the core stores anything about a request.
 const (
-	maxTxnBytes      = 64  // lengths are in bytes
-	maxNameBytes     = 128 // of a class, a plan or an idempotency key
-	maxQuotaBytes    = 256
-	maxNumberBytes   = 12
-	customerIDBytes  = 16      // hex digits
-	customerIDsBelow = 1 << 33 // the customer's number
+	maxTxnBytes      = 64      // longest X-Txn
+	maxNameBytes     = 128     // longest class, plan or idempotency key
+	maxQuotaBytes    = 256     // longest X-Quota
+	maxNumberBytes   = 12      // longest number
+	customerIDBytes  = 16      // length of X-Customer, in hex digits
+	customerIDsBelow = 1 << 33 // exclusive upper bound of the customer number
 )
 
-// Rules is what the settings say of requests: which classes and plans there are, and the bounds of X-Quota.
+// Rules validates requests. It holds the classes and plans of the configuration and the bounds of X-Quota.
 type Rules struct {
 	classes  map[string]decide.Class
 	plans    map[string]bool
 	gateways int
-	maxUnits float64 // of one request; 0: any number
+	maxUnits float64 // largest number of units of a request; 0: no limit
 }
 
-// NewRules takes the rules from the settings.
+// NewRules returns the rules for a configuration.
 func NewRules(c *decide.Config) *Rules {
 	r := &Rules{
 		classes:  map[string]decide.Class{},
@@ -48,24 +48,26 @@
 	return r
 }
 
-// requestError is an error that is answered with a status and its text.
+// requestError returns an *http1.Error. The client gets its status and text as the response.
 func requestError(status int, format string, args ...any) error {
 	return &http1.Error{Status: status, Reason: fmt.Sprintf(format, args...)}
 }
 
+// badRequest returns an *http1.Error with status 400.
 func badRequest(format string, args ...any) error {
 	return requestError(http.StatusBadRequest, format, args...)
 }
 
-// parsedRequest is the part of a valid request that is forwarded to servers.
+// parsedRequest holds the parts of a valid request that are forwarded to servers.
 type parsedRequest struct {
 	txn, method, target, idempotencyKey, contentType string
 	body                                             []byte
 }
 
-// parse checks a complete request against the rules, before the core has it: an invalid one must neither charge a
-// quota nor make the core keep state for a customer. Errors are *http1.Error. arrivedAt is when the request's last
-// byte arrived, from which its remaining time runs.
+// parse validates a complete request and converts it for the core and for servers. It runs before the core
+// receives the request, because an invalid request must neither charge a quota nor make the core keep state
+// for a customer. The remaining time of the request starts at arrivedAt, when its last byte arrived. Errors
+// are of type *http1.Error.
 func (r *Rules) parse(q *http1.Request, body []byte, arrivedAt time.Duration) (
 	*frontend.Request, *parsedRequest, error) {
 	parsed := &parsedRequest{method: q.Method, target: q.Target, body: body}
@@ -112,7 +114,8 @@
 	return request, parsed, parsed.checkClass(q, &class)
 }
 
-// singleField reads a field that must occur once, of visible ASCII characters and of bounded length.
+// singleField returns the value of a header field. The field must occur exactly once and consist of 1 to
+// maxBytes visible ASCII characters.
 func singleField(q *http1.Request, name string, maxBytes int) (string, error) {
 	value, n := q.Get(name)
 	if n != 1 {
@@ -124,8 +127,10 @@
 	return value, nil
 }
 
+// isInvisible reports whether c is anything but a visible ASCII character.
 func isInvisible(c rune) bool { return c <= ' ' || c > '~' }
 
+// parseCustomer returns the customer ID of X-Customer, which has 16 lower-case hex digits.
 func parseCustomer(q *http1.Request) (string, error) {
 	id, err := singleField(q, "X-Customer", customerIDBytes)
 	if err != nil {
@@ -138,7 +143,8 @@
 	return id, nil
 }
 
-// parseRemaining reads the time that the client has left, which is bounded by its class's deadline.
+// parseRemaining returns the client's remaining time from X-Remaining-Ms. It must not exceed the deadline of
+// the class.
 func parseRemaining(q *http1.Request, deadline time.Duration) (time.Duration, error) {
 	text, err := singleField(q, "X-Remaining-Ms", maxNumberBytes)
 	if err != nil {
@@ -151,7 +157,8 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// checkClass checks method, body and idempotency key against what the class asks for.
+// checkClass checks that method, body and idempotency key match the class, and stores the idempotency key and
+// the content type.
 func (p *parsedRequest) checkClass(q *http1.Request, class *decide.Class) error {
 	if contentType, n := q.Get("Content-Type"); n == 1 {
 		p.contentType = contentType
@@ -178,7 +185,7 @@
 	return err
 }
 
-// parseDigits parses a whole number of a few digits, without sign or exponent.
+// parseDigits parses a whole number of at most maxNumberBytes digits, without sign or exponent.
 func parseDigits(s string) (float64, bool) {
 	if s == "" || len(s) > maxNumberBytes {
 		return 0, false
@@ -192,7 +199,7 @@
 	return n, err == nil
 }
 
-// parseDecimal parses digits with an optional fraction.
+// parseDecimal parses a decimal number with an optional fraction, without sign or exponent.
 func parseDecimal(s string) (float64, bool) {
 	whole, fraction, hasPoint := strings.Cut(s, ".")
 	if !hasPoint {
@@ -208,7 +215,7 @@
 	return n, err == nil
 }
 
-// parseQuota parses X-Quota, such as "units=2,spread=3,first=1". Other names in it are ignored.
+// parseQuota parses X-Quota, for example "units=2,spread=3,first=1". It ignores other names.
 func (r *Rules) parseQuota(q *http1.Request) (units float64, gatewayCount, firstGateway int, err error) {
 	text, err := singleField(q, "X-Quota", maxQuotaBytes)
 	if err != nil {
@@ -252,9 +259,10 @@
 	return units, int(spread), int(first), nil
 }
 
-// encode returns the bytes of an attempt: what the client sent is forwarded unchanged, with the time that is left.
+// encode returns the bytes of an attempt. They contain the client's request unchanged except for the
+// remaining time, which is replaced by left.
 func (p *parsedRequest) encode(left time.Duration) []byte {
-	const fieldBytes = 192 // about what the names and the fixed fields take
+	const fieldBytes = 192 // approximate size of the field names and fixed fields
 	b := make([]byte, 0, fieldBytes+len(p.target)+len(p.txn)+len(p.idempotencyKey)+len(p.body))
 	b = append(b, p.method...)
 	b = append(b, ' ')
@@ -275,7 +283,7 @@
 	return append(b, p.body...)
 }
 
-// appendField appends the end of the line before and a field without its end.
+// appendField appends the line end of the previous line and a field without a line end.
 func appendField(b []byte, name, value string) []byte {
 	b = append(b, "\r\n"...)
 	b = append(b, name...)
@@ -283,6 +291,7 @@
 	return append(b, value...)
 }
 
+// appendNumberField appends a field with a decimal number in the same form as appendField.
 func appendNumberField(b []byte, name string, value int64) []byte {
 	b = appendField(b, name, "")
 	return strconv.AppendInt(b, value, 10)
--- a/internal/frontend/http/request_test.go
+++ b/internal/frontend/http/request_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// An invalid request must neither charge a quota nor make state for a customer: it never reaches the core, and the
-// client can read why.
+// An invalid request must neither charge a quota nor make state for a customer: it never reaches the core,
+// and the client can read why.
 func TestRequestsThatCantBeUsed(t *testing.T) {
 	core, _, addr := startServer(t, 100)
 	for _, c := range []struct {
@@ -122,8 +122,8 @@
 	<-core.submitted // it is free again
 }
 
-// A request waits behind another one of its connection. Its remaining time runs from its last byte, not from when it
-// is parsed: else its server gets more time than the client has left.
+// A request waits behind another one of its connection. Its remaining time runs from its last byte, not from
+// when it is parsed: else its server gets more time than the client has left.
 func TestARequestBehindAnotherHasRunItsTime(t *testing.T) {
 	const waits = 300 * time.Millisecond
 	core, s, addr := startServer(t, 10)
--- a/internal/frontend/http/response.go
+++ b/internal/frontend/http/response.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	// writeTimeout is the least time that a client has to take a response that its socket's buffer did not.
+	// writeTimeout is the minimum time for a client to read the part of a response that did not fit into the
+	// socket buffer.
 	writeTimeout = 2 * time.Second
-	// responseGrace is for how long after its request's deadline a response is still being written.
+	// responseGrace is the time after a request's deadline during which its response is still written.
 	responseGrace = 500 * time.Millisecond
 )
 
-// rejectRequest answers a request that cannot be used and ends the connection. An error that is no http1.Error means
-// that the connection broke; it gets no response.
+// rejectRequest sends the response for an invalid request and ends the connection. Any error other than an
+// *http1.Error means that the connection broke, so there is no response.
 func (c *conn) rejectRequest(err error) {
 	var rejected *http1.Error
 	if !errors.As(err, &rejected) {
@@ -40,8 +41,9 @@
 	}
 }
 
-// serveHealth answers the platform's health check: 200 where the gateway can serve, else 503. False: the connection
-// ends.
+// serveHealth responds to the platform's health check with 200 if the gateway can serve requests, else with
+// 503. last says that the client wants the connection to end with the response. serveHealth returns false if
+// the connection is closing.
 func (c *conn) serveHealth(last bool) bool {
 	s := c.server
 	ready := s.ready()
@@ -56,33 +58,35 @@
 	}
 	last = last || s.stopping
 	c.lastResponse, c.requestBegun = last, false
-	c.setPhase(active) // until it is written
+	c.setPhase(active) // until the response is written
 	c.writeResponse(appendResponse(nil, status, "", "", last), c.finishResponse)
 	return true
 }
 
-// respond writes the one response to a request. The loop calls it, so it must not wait for the client. The
-// connection's reader takes the next request only once the response is written completely.
+// respond writes the final response to a request. The loop calls it, so it must not wait for the client. The
+// connection's reader processes the next request only after the response is completely written.
 func (c *conn) respond(requestID string, response frontend.Response) {
 	s := c.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c.requestID != requestID { // its client has disconnected, and its X-Txn may be another request's by now
+	if c.requestID != requestID { // the client has disconnected, and another request may use the X-Txn by now
 		return
 	}
 	delete(s.openTxns, c.txn)
 	c.requestID, c.txn = "", ""
-	// While draining, a request that was read behind this one still gets its response on this connection.
+	// While draining, a request that was already read after this one still gets its response on this
+	// connection.
 	c.lastResponse = c.lastResponse || s.draining && !c.requestBegun
 	c.writeResponse(encodeResponse(response, c.lastResponse), c.finishResponse)
 }
 
-// finishResponse ends the request whose response is written, and wakes the reader; Server.mu is held.
+// finishResponse completes the request whose response has been written and wakes the reader. The caller holds
+// Server.mu.
 func (c *conn) finishResponse() {
 	c.server.bodyBytes -= c.bodyBytes
 	c.bodyBytes = 0
 	switch {
-	case c.clientGone: // the reader ends the connection
+	case c.clientGone: // the reader closes the connection
 		c.setPhase(closing)
 	case c.lastResponse:
 		c.halfClose()
@@ -99,9 +103,9 @@
 	}
 }
 
-// writeResponse writes a response without waiting and calls done, under the lock, once it is written or cannot be.
-// What the socket's buffer does not take is written by a goroutine of its own, within a bounded time. Server.mu is
-// held.
+// writeResponse writes a response without blocking. It calls done with Server.mu held as soon as the response
+// is written or the write has failed. If the socket buffer is full, a separate goroutine writes the remainder
+// within a bounded time. The caller holds Server.mu.
 func (c *conn) writeResponse(b []byte, done func()) {
 	n, err := socket.WriteNow(c.raw, b)
 	if n == len(b) {
@@ -115,11 +119,13 @@
 	}
 	c.server.wg.Add(1)
 	c.pendingWrites.Add(1)
-	// The client is owed the response until its request's deadline and a grace have passed.
+	// The client may still need the response until its request's deadline and responseGrace have passed.
 	timeout := max(writeTimeout, c.deadline+responseGrace-c.server.clock())
 	go c.writeRemainder(b[n:], timeout, done)
 }
 
+// writeRemainder writes the part of a response that did not fit into the socket buffer, then calls done with
+// Server.mu held. If the write fails or times out, it aborts the connection.
 func (c *conn) writeRemainder(b []byte, timeout time.Duration, done func()) {
 	defer c.server.wg.Done()
 	defer c.pendingWrites.Done()
@@ -132,15 +138,16 @@
 	done()
 }
 
-// writeInterim writes an interim response. The connection's own goroutine calls it, which may wait for room.
+// writeInterim writes an interim response and waits until the socket buffer has taken it, at most
+// writeTimeout. Only the connection's own goroutine calls it.
 func (c *conn) writeInterim(b []byte) {
 	if !c.isClosing() {
 		socket.WriteAll(c.nc, b, writeTimeout)
 	}
 }
 
-// encodeResponse encodes a final response. 429 promises that a retry is safe and may say when to make it; a request
-// that failed gets 502, which promises nothing.
+// encodeResponse encodes a final response. A rejected request gets 429, which promises that a retry is safe
+// and may suggest a wait before it. A failed request gets 502, which makes no such promise.
 func encodeResponse(r frontend.Response, last bool) []byte {
 	switch r.Kind {
 	case frontend.Served:
@@ -156,10 +163,11 @@
 	return appendResponse(nil, http.StatusBadGateway, "", "", last)
 }
 
-// responseHeadBytes is about the size of a response's head.
+// responseHeadBytes is the approximate size of the head of a response.
 const responseHeadBytes = 96
 
-// reasonPhrases are those of RFC 9110 and 6585; net/http has older ones for 413 and 414.
+// reasonPhrases maps status codes to the reason phrases of RFC 9110 and RFC 6585. net/http has older phrases
+// for 413 and 414.
 var reasonPhrases = map[int]string{
 	200: "OK",
 	400: "Bad Request",
@@ -179,7 +187,8 @@
 	505: "HTTP Version Not Supported",
 }
 
-// appendResponse appends a response; last adds that the connection ends with it, retryAfter is left out if empty.
+// appendResponse appends an encoded response to b. If last is set, the response has "Connection: close". An
+// empty retryAfter omits the field Retry-After.
 func appendResponse(b []byte, status int, retryAfter, body string, last bool) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
--- a/internal/frontend/http/response_test.go
+++ b/internal/frontend/http/response_test.go
@@ -9,8 +9,8 @@
 	"winghatch/internal/frontend"
 )
 
-// A client does not read its response. It must neither hold up the loop, which serves all others, nor keep its
-// connection for good.
+// A client does not read its response. It must neither hold up the loop, which serves all others, nor keep
+// its connection for good.
 func TestAClientThatDoesNotRead(t *testing.T) {
 	core, s, addr := startServer(t, 10)
 	c := dial(t, addr)
--- a/internal/frontend/http/server.go
+++ b/internal/frontend/http/server.go
@@ -1,14 +1,20 @@
-// Package http is the frontend in HTTP/1.1. One goroutine a connection reads requests and submits them to the core;
-// the loop itself writes a response, without waiting, as soon as it is final. The package knows no quotas. Which
-// connections stay when descriptors run short is decided by package connlimit.
+// Package http implements the HTTP/1.1 frontend. For each connection, one goroutine reads requests and
+// submits them to the core. The gateway's loop writes each final response itself, without blocking. The
+// package does not check quotas. Package connlimit decides which connections to keep at the connection limit.
 //
-// The gateway ends a client's connection by a half-close and a lingering close (RFC 9112, section 9.6): it shuts its
-// writing side, from then on takes no request, reads and drops what still arrives within bounds, and closes. A close
-// over unread bytes would reset the connection, and the reset may overtake a response.
+// The gateway ends a client connection with a half-close and a lingering close (RFC 9112, section 9.6). It
+// closes its writing side, takes no further request, reads and drops a bounded amount of what still arrives,
+// and then closes the connection. A close with bytes still unread would reset the connection, and the client
+// could receive the reset before it has read the response.
 //
-// Files: server.go accepts connections and stops, conn.go has the life of a connection, read.go reads of its socket,
-// pipeline.go bytes that come while a request is open, close.go the end, request.go the check of a request,
-// response.go the writing of a response.
+// Files:
+//   - server.go accepts connections and shuts the server down
+//   - conn.go runs a connection
+//   - read.go reads from its socket
+//   - pipeline.go buffers bytes that arrive while a request is open
+//   - close.go ends a connection
+//   - request.go validates requests
+//   - response.go writes responses
 package http
 
 import (
@@ -29,39 +35,43 @@
 )
 
 const (
-	acceptRetryPause = 10 * time.Millisecond // after an accept that failed, so that a lasting error takes no core
-	sweepInterval    = 200 * time.Millisecond
-	// lingerDivisor is the inverse of the part of Options.MaxConns that is kept for lingering connections.
+	// acceptRetryPause is the pause after a failed accept. It keeps a persistent error from using a whole
+	// core.
+	acceptRetryPause = 10 * time.Millisecond
+	sweepInterval    = 200 * time.Millisecond // interval between two searches for expired connections
+	// lingerDivisor says which part of Options.MaxConns is reserved for lingering connections: one in
+	// lingerDivisor.
 	lingerDivisor = 4
 )
 
-// reasonStopping is the text for a client whose request arrives while the gateway stops.
+// reasonStopping is the reason in the response to a request that arrives during a shutdown.
 const reasonStopping = "the gateway stops"
 
-// Options are the limits of a Server.
+// Options holds the limits of a [Server].
 type Options struct {
-	// MaxConns bounds the connections held at once. A quarter of them, one at least, is left to connections that
-	// linger after their half-close; the others are evicted in the order of package connlimit. Less than 2 counts as
-	// 2.
+	// MaxConns limits the number of connections held at once. A quarter of it, but at least one connection,
+	// is reserved for connections that linger after their half-close. When the rest is in use, package
+	// connlimit selects the connections to evict. Values below 2 count as 2.
 	MaxConns int
-	// MaxBodyBytes bounds the request bodies and pipelined bytes held at once, over all connections. A request
-	// without room is refused with 503. Zero: no bound.
+	// MaxBodyBytes limits the total size of the request bodies and pipelined bytes held for all connections.
+	// A request whose body exceeds it is rejected with status 503. 0 means no limit.
 	MaxBodyBytes int64
 }
 
-// Counters are the frontend's figures for operators. Conns is a gauge, the others only grow.
+// Counters holds the frontend's statistics for operators. Conns is a gauge; all others are monotonic
+// counters.
 type Counters struct {
-	Conns        atomic.Int64 // connections held, lingering ones included
-	Accepted     atomic.Int64 // connections
+	Conns        atomic.Int64 // connections held, including lingering ones
+	Accepted     atomic.Int64 // connections accepted
 	TimedOut     atomic.Int64 // connections ended by a request or idle timeout
 	Evicted      atomic.Int64 // connections ended to make room for a new one
-	RefusedConns atomic.Int64 // new connections closed as none could be evicted
-	BadRequests  atomic.Int64 // requests refused before the core had them
+	RefusedConns atomic.Int64 // new connections closed because no other one could be evicted
+	BadRequests  atomic.Int64 // requests rejected before they reached the core
 	Requests     atomic.Int64 // requests submitted to the core
 }
 
-// Server is the frontend. Make it with New, start it with Serve; stop it with Drain, StopAccepting, CloseInactive and
-// Close, in this order.
+// Server is the HTTP/1.1 frontend. [New] creates it and Serve starts it. For a graceful shutdown, call Drain,
+// StopAccepting, CloseInactive and Close in this order.
 type Server struct {
 	Counters
 	rules    *Rules
@@ -71,28 +81,29 @@
 	ready    func() bool
 	maxConns int
 
-	// mu guards the fields from here on, and those of connections that say so. One lock for all makes a read, the
-	// choice of a connection to close and the write of a response exclude each other: else a request could be read
-	// between the look at its connection and the connection's end, and be lost. No system call under it waits.
+	// mu guards the fields below and those of connections that are marked as guarded by it. A single lock
+	// makes reads, the selection of connections to close and the writing of responses mutually exclusive.
+	// Otherwise a request could be read after its connection was found inactive but before the connection is
+	// closed, and would be lost. System calls made under mu do not block.
 	mu           sync.Mutex
-	limit        *connlimit.Limiter // of connections that do not linger
+	limit        *connlimit.Limiter // tracks all connections that are not closing
 	conns        map[connlimit.ID]*conn
 	openTxns     map[string]struct{} // X-Txn of open requests
 	lastID       connlimit.ID
-	lingering    *list.List // of *conn; those that are half-closed and not closed yet, the longest first
-	toClose      []*conn    // connections that unlockAndClose is to close
-	bodyBytes    int64      // held: bodies of open requests and pipelined bytes
-	maxBodyBytes int64      // 0: no bound
-	draining     bool       // responses end their connections
-	stopping     bool       // no request is taken any more
+	lingering    *list.List // *conn values that are half-closed but not yet closed, the oldest first
+	toClose      []*conn    // connections for unlockAndClose to close
+	bodyBytes    int64      // size of all bodies of open requests and all pipelined bytes
+	maxBodyBytes int64      // limit on bodyBytes; 0: no limit
+	draining     bool       // whether responses to requests end their connections
+	stopping     bool       // whether new requests are rejected
 	closed       bool
 
-	wg   sync.WaitGroup // a connection's reader, and the writer of a remainder
-	quit chan struct{}  // closed by Close; ends the sweep
+	wg   sync.WaitGroup // readers of connections and goroutines of writeRemainder
+	quit chan struct{}  // closed by Close to end the sweep
 }
 
-// New returns a server. clock is the gateway's monotonic clock; ready reports whether the gateway can serve, for the
-// health check.
+// New returns a server that submits requests to core. clock returns the reading of the gateway's monotonic
+// clock. ready reports whether the gateway can serve requests; the health check uses it.
 func New(rules *Rules, core frontend.Core, o Options, clock func() time.Duration, ready func() bool,
 	log *slog.Logger) *Server {
 	maxConns := max(2, o.MaxConns)
@@ -112,9 +123,9 @@
 	}
 }
 
-// Serve accepts connections until the listener is closed. It also returns once the listener's deadline has passed and
-// its backlog is empty, so that what the kernel has accepted by then is served. The sweep that it starts ends with
-// Close.
+// Serve accepts connections until the listener is closed. After the listener's deadline has passed, it serves
+// the connections that are still in the kernel's backlog and then returns. It also starts the sweep for
+// expired connections, which ends with Close.
 func (s *Server) Serve(ln *net.TCPListener) {
 	go s.sweep()
 	for {
@@ -130,13 +141,14 @@
 			}
 			ln.SetDeadline(time.Now().Add(acceptRetryPause))
 		default:
-			s.log.Warn("Accept failed, retrying", "err", err) // such as EMFILE; the sweep frees descriptors
+			// For example EMFILE; the sweep frees descriptors.
+			s.log.Warn("Accept failed, retrying", "err", err)
 			time.Sleep(acceptRetryPause)
 		}
 	}
 }
 
-// accept takes a new connection, or closes it if there is no room.
+// accept starts a new connection, or closes it if there is no room.
 func (s *Server) accept(nc *net.TCPConn) {
 	raw, err := nc.SyscallConn()
 	if err != nil {
@@ -149,8 +161,8 @@
 	}
 }
 
-// admit registers a new connection and starts its reader. At the limit another connection is evicted for it; false:
-// none may be.
+// admit registers a new connection and starts its reader. At the limit it evicts another connection. It
+// returns false if no connection can be evicted or the server is closed.
 func (s *Server) admit(nc *net.TCPConn, raw syscall.RawConn) bool {
 	s.mu.Lock()
 	defer s.unlockAndClose()
@@ -177,15 +189,15 @@
 	return true
 }
 
-// unread reports whether a connection's socket holds unread bytes; Server.mu is held.
+// unread reports whether the socket of a connection holds unread bytes. The caller holds mu.
 func (s *Server) unread(id connlimit.ID) bool { return s.conns[id].hasUnread() }
 
-// hasBodyRoom reports whether n more bytes may be held; Server.mu is held.
+// hasBodyRoom reports whether n more bytes fit within maxBodyBytes. The caller holds mu.
 func (s *Server) hasBodyRoom(n int) bool {
 	return s.maxBodyBytes == 0 || s.bodyBytes+int64(n) <= s.maxBodyBytes
 }
 
-// sweep ends connections whose timeout has passed, until Close.
+// sweep periodically ends connections that have timed out, until Close.
 func (s *Server) sweep() {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -199,6 +211,7 @@
 	}
 }
 
+// closeExpired ends the connections that have timed out at now.
 func (s *Server) closeExpired(now time.Duration) {
 	s.mu.Lock()
 	defer s.unlockAndClose()
@@ -208,15 +221,18 @@
 	}
 }
 
-// Drain makes every further response say that its connection ends with it.
+// Drain makes connections end with their next response to a request, which announces this with "Connection:
+// close". A connection on which a further request has already been read ends after that one. The health check
+// responds with 503 from then on.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	s.draining = true
 	s.mu.Unlock()
 }
 
-// StopAccepting ends idle connections and takes no further request. A request of which a byte was read is refused, so
-// that it has a response before the process ends; one that arrives later finds its connection half-closed.
+// StopAccepting ends idle connections and rejects further requests. A request that has partly arrived gets a
+// 503, so that it has a response before the process ends. A request that arrives later finds its connection
+// half-closed.
 func (s *Server) StopAccepting() {
 	s.mu.Lock()
 	defer s.unlockAndClose()
@@ -229,8 +245,8 @@
 	}
 }
 
-// CloseInactive ends every connection without an open request, also where one is half read: the process is about to
-// end.
+// CloseInactive ends every connection without an open request, even if a request has partly arrived. It is
+// meant for the time just before the process exits.
 func (s *Server) CloseInactive() {
 	s.mu.Lock()
 	defer s.unlockAndClose()
@@ -241,7 +257,7 @@
 	}
 }
 
-// Close ends all connections at once and waits for their goroutines.
+// Close aborts all connections immediately and waits for their goroutines to end.
 func (s *Server) Close() {
 	s.mu.Lock()
 	if !s.closed {
--- a/internal/frontend/http/server_test.go
+++ b/internal/frontend/http/server_test.go
@@ -30,7 +30,8 @@
 	}
 }
 
-// Hundreds of clients connect and send nothing. They must take no connection from clients that do, and are closed.
+// Hundreds of clients connect and send nothing. They must take no connection from clients that do, and are
+// closed.
 func TestSilentConnectionsLeaveRoom(t *testing.T) {
 	core, s, addr := startServer(t, 20)
 	var silent []*client
--- a/internal/frontend/websocket/clockskew.go
+++ b/internal/frontend/websocket/clockskew.go
@@ -5,19 +5,22 @@
 	"time"
 )
 
-// maxAgeMs bounds the age of a call, whatever times a client gives, so that it stays within a time.Duration.
+// maxAgeMs bounds the estimated age of a call in milliseconds, so that it fits into a time.Duration whatever
+// times a client sends.
 const maxAgeMs = 60_000
 
-// clockSkew estimates how old a call is when it is read, by the client's own clock of any origin: a gateway that was
-// suspended, or a slow network, leaves calls unread while their time runs. The quickest call of the session counts as
-// of no age. A client's clock that steps back makes the estimate begin anew.
+// clockSkew estimates the age of each call of a session at the time when the gateway reads it. Calls age
+// unread while the gateway is suspended or the network is slow. The estimate uses the client's clock, whose
+// origin is unknown, so the call that arrived fastest counts as having age 0. If the client's clock steps
+// back, the estimate starts over.
 type clockSkew struct {
 	known       bool
-	leastOffset float64 // ms; the least difference of the gateway's clock and the client's
-	lastAt      float64 // ms; by the client's clock
+	leastOffset float64 // smallest difference between the gateway's and the client's clock, in milliseconds
+	lastAt      float64 // time of the last call by the client's clock, in milliseconds
 }
 
-// age is the age at now of a call made at atMs by the client's clock; 0 if the client gives no time.
+// age returns the age at now of a call that the client made at atMs by its own clock. It returns 0 if atMs is
+// nil or not finite.
 func (s *clockSkew) age(now time.Duration, atMs *float64) time.Duration {
 	if atMs == nil || math.IsNaN(*atMs) || math.IsInf(*atMs, 0) {
 		return 0
--- a/internal/frontend/websocket/clockskew_test.go
+++ b/internal/frontend/websocket/clockskew_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A gateway was suspended while calls waited unread, and took them for new: servers got more time than clients had
-// left.
+// A gateway was suspended while calls waited unread, and took them for new: servers got more time than
+// clients had left.
 func TestSkew(t *testing.T) {
 	var s clockSkew
 	at := func(ms float64) *float64 { return &ms }
--- a/internal/frontend/websocket/params.go
+++ b/internal/frontend/websocket/params.go
@@ -13,25 +13,26 @@
 )
 
 const (
-	maxKeyBytes = 128 // of an idempotency key
-	// maxDeadlineMs keeps a deadline in nanoseconds within an int64; the class's deadline is shorter in any case.
+	maxKeyBytes = 128 // longest idempotency key
+	// maxDeadlineMs keeps a deadline in nanoseconds within an int64. It never takes effect otherwise, because
+	// the deadline of the class is shorter.
 	maxDeadlineMs = 1e12
 )
 
-// callParams is what a client says of a call. A nil number was not given.
+// callParams holds the params of a call. A number is nil if the client did not send it.
 type callParams struct {
 	Units       *float64
-	DeadlineMs  *float64 // the time left
-	AtMs        *float64 // when the call was made, by the client's own clock of any origin
-	Key         string   // idempotency key
+	DeadlineMs  *float64 // remaining time in milliseconds
+	AtMs        *float64 // time of the call in milliseconds, by the client's clock with an unknown origin
+	Key         string   // idempotency key; empty: none
 	IsRetry     bool
 	Mutates     bool
 	Reserved    bool
 	TraceParent string
-	Work        json.RawMessage
+	Work        json.RawMessage // copied from the message; the payload for servers
 }
 
-// parse reads the params object. Errors name the field and are sent to the client.
+// parse decodes the params object. Errors name the field and are sent to the client.
 func (p *callParams) parse(raw json.RawMessage) error {
 	if len(raw) > 0 && raw[0] != '{' {
 		return errors.New("params: an array, want an object")
@@ -39,7 +40,7 @@
 	return jsonrpc.ForEachMember(raw, p.parseField)
 }
 
-// parseField reads one field; value is valid until the next message only.
+// parseField decodes one field. It copies what it keeps of value, which is only valid until the next message.
 func (p *callParams) parseField(name string, value json.RawMessage) error {
 	var to any
 	switch name {
@@ -75,15 +76,15 @@
 	return nil
 }
 
-// isPlainString reports whether a JSON value is a string without escapes, which needs no decoder.
+// isPlainString reports whether a JSON value is a string without escapes. Such a string needs no decoder.
 func isPlainString(value json.RawMessage) bool {
 	return value[0] == '"' && !bytes.ContainsRune(value, '\\')
 }
 
-// parseNumber reads a number; null leaves it unset.
+// parseNumber decodes a number. null leaves it unset.
 func parseNumber(to **float64, name string, value json.RawMessage) error {
 	x, err := strconv.ParseFloat(string(value), 64)
-	isNumber := err == nil && value[0] != 'n' // ParseFloat takes nan, too
+	isNumber := err == nil && value[0] != 'n' // ParseFloat also accepts nan
 	if isNumber {
 		*to = &x
 		return nil
@@ -94,7 +95,8 @@
 	return fmt.Errorf("params.%s: %.40s, want a number", name, value)
 }
 
-// validate checks the params of a call of a class. Errors name the field and are sent to the client.
+// validate checks the params of a call of the given class. maxUnits limits the units; 0 means no limit.
+// Errors name the field and are sent to the client.
 func (p *callParams) validate(class *decide.Class, maxUnits float64) error {
 	if err := checkNotNegative("units", p.Units); err != nil {
 		return err
@@ -113,7 +115,7 @@
 	return nil
 }
 
-// checkNotNegative checks that a number, if given, is finite and 0 or more.
+// checkNotNegative returns an error if a number is set and is infinite or less than 0.
 func checkNotNegative(field string, x *float64) error {
 	if x == nil || *x >= 0 && !math.IsInf(*x, 0) {
 		return nil
--- a/internal/frontend/websocket/response.go
+++ b/internal/frontend/websocket/response.go
@@ -7,7 +7,7 @@
 	"winghatch/internal/jsonrpc"
 )
 
-// appendResponse appends a final response as a JSON-RPC response.
+// appendResponse appends a final response, encoded as a JSON-RPC response to the call with the given ID.
 func appendResponse(dst []byte, id jsonrpc.ID, r frontend.Response) []byte {
 	switch r.Kind {
 	case frontend.Served:
@@ -18,7 +18,7 @@
 		}
 		return jsonrpc.AppendResult(dst, id, append(result, '}'))
 	case frontend.Rejected:
-		data := []byte(`{"reason":"` + r.Reason + `"`) // reasons are constants without characters to escape
+		data := []byte(`{"reason":"` + r.Reason + `"`) // reasons are constants that need no escaping
 		if r.RetryAfter > 0 {
 			data = append(data, `,"retry_after_ms":`...)
 			data = strconv.AppendInt(data, r.RetryAfter.Milliseconds(), 10)
--- a/internal/frontend/websocket/server.go
+++ b/internal/frontend/websocket/server.go
@@ -1,9 +1,13 @@
-// Package websocket is the frontend in WebSocket (RFC 6455): each session carries JSON-RPC 2.0, one call a request,
-// with its class as the method. A client proves who it is by a key at the handshake. The package knows no quotas.
+// Package websocket implements the WebSocket frontend (RFC 6455). Each session carries JSON-RPC 2.0: a call
+// is a request, and its method is the class. Clients authenticate with a key in the handshake. The package
+// does not check quotas.
 //
-// Files: server.go accepts connections and does handshakes, session.go has the calls of one connection, params.go
-// what a client says of a call, response.go the encoding of responses, clockskew.go the age of a call by its client's
-// clock.
+// Files:
+//   - server.go accepts connections and performs handshakes
+//   - session.go processes the calls of a connection
+//   - params.go decodes and validates the params of a call
+//   - response.go encodes responses
+//   - clockskew.go estimates the age of a call from its client's clock
 package websocket
 
 import (
@@ -30,22 +34,24 @@
 )
 
 const (
-	// protocol is the WebSocket subprotocol that clients have to offer.
+	// protocol is the WebSocket subprotocol that clients must offer.
 	protocol = "jsonrpc"
 
-	minAcceptPause = time.Millisecond // after an accept that failed; doubles up to the maximum
+	// The pause after a failed accept starts at minAcceptPause and doubles up to maxAcceptPause.
+	minAcceptPause = time.Millisecond
 	maxAcceptPause = time.Second
 
-	limitWriteTimeout = time.Second // of the response to a connection beyond the limit
-	// A client whose handshake was rejected may still send: to close over unread bytes would reset the connection,
-	// and the reset may overtake the response. So that much is read for so long.
+	limitWriteTimeout = time.Second // timeout of the response to a connection beyond the limit
+	// After a rejected handshake, the server reads at most rejectLingerBytes for at most rejectLingerTimeout.
+	// The client may still be sending, a close with bytes still unread would reset the connection, and the
+	// client could receive the reset before it has read the response.
 	rejectLingerTimeout = 100 * time.Millisecond
 	rejectLingerBytes   = 64 << 10
 
 	closeReason = "this gateway stops"
 )
 
-// Reasons for which the frontend rejects a call or a connection, as operators see them.
+// Reasons for which the frontend rejects a call or a connection. They are visible to operators.
 const (
 	reasonSessionLimit     = "sessions_cap"
 	reasonClosed           = "closed"
@@ -53,36 +59,39 @@
 	reasonInFlightLimit    = "session_cap"
 	reasonOpenRequestLimit = "open_cap"
 	reasonUnresponsive     = "silent"
-	reasonHandshakePrefix  = "handshake_" // the HTTP status follows
+	reasonHandshakePrefix  = "handshake_" // followed by the HTTP status
 )
 
-// Server is the frontend. Make it with New, start it with Serve; stop it with Drain and Close.
+// Server is the WebSocket frontend. [New] creates it and Serve starts it. For a graceful shutdown, call Drain
+// and then Close.
 type Server struct {
 	core               frontend.Core
 	clock              func() time.Duration
 	log                *slog.Logger
 	limits             config.ResourceLimits
 	rank, gatewayCount int
-	maxUnits           float64       // of one request; 0: any number
-	retryAfter         time.Duration // sent with rejections of the frontend; 0: none
+	maxUnits           float64       // largest number of units of a request; 0: no limit
+	retryAfter         time.Duration // wait before a retry that the frontend's rejections suggest; 0: none
 	classes            map[string]*decide.Class
 	members            []config.Member
-	keys               *credentials.MemberIndex // of members, by their place
+	keys               *credentials.MemberIndex // maps keys to indices in members
 	idPrefix           string
 	lastID             atomic.Uint64
 
 	draining atomic.Bool
 
+	// mu guards the fields below, except wg.
 	mu         sync.Mutex
-	ln         net.Listener          // nil until Serve
-	conns      map[net.Conn]*session // nil during the handshake
-	rejections map[string]int64      // by reason
+	ln         net.Listener          // nil until Serve is called
+	conns      map[net.Conn]*session // the session is nil during the handshake
+	rejections map[string]int64      // number of rejections by reason
 
-	wg sync.WaitGroup // a goroutine each connection, from admit to removeSession
+	wg sync.WaitGroup // counts connections from admit to removeSession
 }
 
-// New returns a server for one gateway of a fleet. idPrefix begins the ids of its requests and must differ between
-// two starts of a gateway. clock is the gateway's monotonic clock.
+// New returns a server for the gateway with the given rank in the fleet. idPrefix is the prefix of its
+// request IDs and must be different after each start of a gateway. clock returns the reading of the gateway's
+// monotonic clock.
 func New(f *config.Fleet, rank int, idPrefix string, core frontend.Core, clock func() time.Duration,
 	log *slog.Logger) *Server {
 	s := &Server{
@@ -115,34 +124,38 @@
 	return s
 }
 
+// nextID returns a new request ID.
 func (s *Server) nextID() string { return s.idPrefix + strconv.FormatUint(s.lastID.Add(1), 36) }
 
+// countRejection counts a rejection by the frontend.
 func (s *Server) countRejection(reason string) {
 	s.mu.Lock()
 	s.rejections[reason]++
 	s.mu.Unlock()
 }
 
-// Rejections is how many calls and handshakes the frontend itself rejected, by reason. The core's are not among them.
+// Rejections returns the numbers of calls and connections that the frontend itself has rejected, by reason.
+// They do not include the core's rejections.
 func (s *Server) Rejections() map[string]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.rejections)
 }
 
-// SessionCount is how many connections are held, those in their handshake included.
+// SessionCount returns the number of open connections, including those in their handshake.
 func (s *Server) SessionCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// Serve accepts connections until Drain or Close. Each has a goroutine of its own, for which Close waits.
+// Serve accepts connections until Drain or Close is called. Each connection has its own goroutine, and Close
+// waits for all of them.
 func (s *Server) Serve(ln net.Listener) {
 	s.mu.Lock()
 	s.ln = ln
 	s.mu.Unlock()
-	if s.draining.Load() { // Drain or Close came first and knew no listener to close
+	if s.draining.Load() { // Drain or Close was called before ln was set and did not close it
 		ln.Close()
 		return
 	}
@@ -152,7 +165,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // such as no more file descriptors
+		if err != nil { // for example EMFILE
 			s.log.Warn("Accept failed, retrying", "err", err)
 			time.Sleep(pause)
 			pause = min(2*pause, maxAcceptPause)
@@ -167,7 +180,7 @@
 	}
 }
 
-// admit registers a connection; false: there are too many, or the gateway drains.
+// admit registers a connection. It returns false at the limit on sessions and while the gateway drains.
 func (s *Server) admit(nc net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,8 +192,8 @@
 	return true
 }
 
-// rejectConn answers a connection beyond the limit, or of a gateway that drains. Serve calls it and accepts no other
-// connection meanwhile, so the write is bounded.
+// rejectConn responds with 503 to a connection that was not admitted and closes it. The write has a timeout,
+// because Serve accepts no other connection until rejectConn returns.
 func (s *Server) rejectConn(nc net.Conn) {
 	s.countRejection(reasonSessionLimit)
 	nc.SetWriteDeadline(time.Now().Add(limitWriteTimeout))
@@ -189,8 +202,9 @@
 	nc.Close()
 }
 
-// serveSession does the handshake and then reads in another goroutine: the stack that the handshake has grown would
-// else be held for as long as an idle session lasts.
+// serveSession performs the handshake and then starts another goroutine to read messages. The stack of the
+// current goroutine has grown during the handshake and would otherwise be kept for the lifetime of the
+// session, even while it is idle.
 func (s *Server) serveSession(nc net.Conn) {
 	c := s.handshake(nc)
 	if c == nil {
@@ -201,7 +215,7 @@
 	s.mu.Lock()
 	s.conns[nc] = c
 	s.mu.Unlock()
-	if s.draining.Load() { // Drain may have come before the session was registered
+	if s.draining.Load() { // Drain may have been called before the session was registered
 		c.ws.Close(websocket.CodeGoingAway, closeReason)
 	}
 	go func() {
@@ -210,6 +224,7 @@
 	}()
 }
 
+// removeSession removes a connection that has ended.
 func (s *Server) removeSession(nc net.Conn) {
 	s.mu.Lock()
 	delete(s.conns, nc)
@@ -217,8 +232,8 @@
 	s.wg.Done()
 }
 
-// handshake does the handshake within its timeout and returns nil if it fails. Until it is done a client costs a
-// goroutine and a small buffer.
+// handshake performs the handshake within its timeout. It returns nil if the handshake fails. Until it
+// succeeds, a client uses only a goroutine and a small buffer.
 func (s *Server) handshake(nc net.Conn) *session {
 	c := &session{server: s}
 	check := func(u *websocket.Upgrade) (err error) {
@@ -247,7 +262,8 @@
 	return nil
 }
 
-// authenticate finds the member whose key the client presents. An error is a *websocket.HandshakeError.
+// authenticate returns the member whose key the client presents. It also checks that the client offers the
+// subprotocol and that this gateway serves the member. Errors are of type *websocket.HandshakeError.
 func (s *Server) authenticate(u *websocket.Upgrade) (*config.Member, error) {
 	scheme, key, _ := strings.Cut(u.Header["authorization"], " ")
 	i, ok := 0, false
@@ -278,13 +294,14 @@
 	return member, nil
 }
 
-// PingIdle ends sessions whose client vanished without closing, until the context ends. Their requests end as those
-// of any client that disconnects.
+// PingIdle ends sessions whose client has vanished without closing the connection. It returns when the
+// context ends. The requests of such a session end like those of any client that disconnects.
 func (s *Server) PingIdle(ctx context.Context) {
 	onEnd := func() { s.countRejection(reasonUnresponsive) }
 	wsconn.PingIdle(ctx, s.limits.PingAfter, s.openConns, onEnd)
 }
 
+// openConns returns the connections that have completed their handshake.
 func (s *Server) openConns() (open []*wsconn.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -296,7 +313,8 @@
 	return open
 }
 
-// Drain takes no new session and no new call, and closes each session after its last response.
+// Drain stops accepting sessions and calls, and closes each session after its last open call has its
+// response.
 func (s *Server) Drain() {
 	s.draining.Store(true)
 	s.mu.Lock()
@@ -311,7 +329,7 @@
 	}
 }
 
-// Close ends all connections at once and waits for their goroutines.
+// Close closes all connections immediately and waits for their goroutines to end.
 func (s *Server) Close() {
 	s.draining.Store(true)
 	s.mu.Lock()
--- a/internal/frontend/websocket/server_test.go
+++ b/internal/frontend/websocket/server_test.go
@@ -9,7 +9,8 @@
 	"winghatch/internal/config"
 )
 
-// A signal came while the process started, and Serve began after Drain or Close. It has to return and accept nothing.
+// A signal came while the process started, and Serve began after Drain or Close. It has to return and accept
+// nothing.
 func TestServeAfterClose(t *testing.T) {
 	for _, stop := range []func(*Server){(*Server).Close, (*Server).Drain} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/frontend/websocket/session.go
+++ b/internal/frontend/websocket/session.go
@@ -14,21 +14,22 @@
 	"winghatch/internal/wsconn"
 )
 
-// session is one client's connection. A goroutine reads its calls; the loop writes the responses, which wait in the
-// connection's queue.
+// session is the connection of one client after the handshake. Its own goroutine reads calls. The gateway's
+// loop puts responses into the connection's write queue.
 type session struct {
 	server *Server
 	ws     *wsconn.Conn
 	member *config.Member
-	skew   clockSkew // the reader's own
+	skew   clockSkew // used only by readLoop
 
-	mu            sync.Mutex
-	calls         map[jsonrpc.ID]string // open calls: the request's ID by the client's
-	notifications map[string]bool       // open notifications, by the request's ID
-	closed        bool
+	mu            sync.Mutex            // guards the fields below
+	calls         map[jsonrpc.ID]string // request IDs of open calls, by the client's call ID
+	notifications map[string]bool       // request IDs of open notifications
+	closed        bool                  // whether the connection has ended
 }
 
-// readLoop reads until the connection ends; then the client's open requests end without a response.
+// readLoop processes messages until the connection ends. It then reports the disconnection to the core for
+// each open request, which gets no response.
 func (c *session) readLoop() {
 	for {
 		data, err := c.ws.Read()
@@ -57,27 +58,30 @@
 	return c.openCount() == 0
 }
 
-// openCount is how many calls and notifications are open; c.mu is held.
+// openCount returns the number of open calls and notifications. The caller holds mu.
 func (c *session) openCount() int { return len(c.calls) + len(c.notifications) }
 
-// answerFunc sends the answer to one item of a message; nil means that it has none, as a notification.
+// answerFunc sends the answer to one item of a message. It is called with nil for an item without an answer,
+// such as a notification.
 type answerFunc func(answer []byte)
 
-// send is the answerFunc of a message that is no batch. A write that fails ends the reader.
+// send is the answerFunc of a message that is not a batch. A failed write ends the connection and thereby
+// readLoop.
 func (c *session) send(answer []byte) {
 	if answer != nil {
 		c.ws.Send(answer)
 	}
 }
 
-// batchAnswer gathers the answers to the items of a batch; the last one sends them all.
+// batchAnswer collects the answers to the items of a batch and sends them all after the last one.
 type batchAnswer struct {
 	mu        sync.Mutex
-	remaining int // items without an answer
+	remaining int // number of items not answered yet
 	answers   [][]byte
 	send      answerFunc
 }
 
+// add is the answerFunc of the items of a batch.
 func (b *batchAnswer) add(answer []byte) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -92,6 +96,7 @@
 	b.send(append(batch, ']'))
 }
 
+// handleMessage processes one message, which is a single item or a batch.
 func (c *session) handleMessage(data []byte) {
 	items, isBatch, malformed := jsonrpc.Parse(data, c.server.limits.MaxBatch)
 	if malformed != nil {
@@ -109,13 +114,13 @@
 	}
 }
 
-// handleItem starts the call of one item, or answers why it can't.
+// handleItem starts the call of one item, or answers with the reason why it is invalid.
 func (c *session) handleItem(now time.Duration, item *jsonrpc.Message, answer answerFunc) {
 	if item.Invalid {
 		answer(jsonrpc.AppendError(nil, item.ID, item.Err))
 		return
 	}
-	if item.Method == "" { // a response: the gateway makes no calls to clients
+	if item.Method == "" { // a response, which is ignored because the gateway makes no calls to clients
 		answer(nil)
 		return
 	}
@@ -143,7 +148,8 @@
 	c.startCall(c.newRequest(now, class, &params), item, answer)
 }
 
-// newRequest makes a request of a call. Its time began when the client made it, as far as that is known.
+// newRequest returns the request for a call. Its remaining time starts when the client made the call, if the
+// client says when that was.
 func (c *session) newRequest(now time.Duration, class *decide.Class, p *callParams) *frontend.Request {
 	request := &frontend.Request{
 		ID:             c.server.nextID(),
@@ -171,14 +177,16 @@
 	return request
 }
 
-// startCall submits a request, or rejects it. A rejected one was not submitted, so a retry is safe.
+// startCall submits a request to the core, or rejects it. A retry after a rejection is safe, because the
+// request was not submitted.
 func (c *session) startCall(request *frontend.Request, item *jsonrpc.Message, answer answerFunc) {
 	id, isNotification := item.ID, item.IsNotification()
 	request.Done = func(r frontend.Response) { c.finishCall(request.ID, id, isNotification, r, answer) }
 	c.mu.Lock()
 	if !isNotification && c.calls[id] != "" {
 		c.mu.Unlock()
-		// An answer with this ID belongs to the open call, so the error has none and names it beside.
+		// An answer with this ID would belong to the open call, so the error has a null ID and names the ID
+		// in its data.
 		data, _ := json.Marshal(map[string]json.RawMessage{"id": json.RawMessage(id)})
 		answer(jsonrpc.AppendError(nil, jsonrpc.NullID, &jsonrpc.Error{
 			Code:    jsonrpc.CodeInvalidRequest,
@@ -202,7 +210,8 @@
 	answer(appendResponse(nil, id, rejected))
 }
 
-// register makes a request open, or returns the reason why it is rejected; c.mu is held.
+// register records a request as open and returns an empty string, or returns the reason why it is rejected.
+// The caller holds mu.
 func (c *session) register(requestID string, id jsonrpc.ID, isNotification bool) (reason string) {
 	switch {
 	case c.closed:
@@ -228,7 +237,8 @@
 	return ""
 }
 
-// finishCall answers a call; the loop calls it. While the gateway drains, the last answer closes the session.
+// finishCall answers a call. The gateway's loop calls it. While the gateway drains, the answer to the last
+// open call closes the session.
 func (c *session) finishCall(requestID string, id jsonrpc.ID, isNotification bool, r frontend.Response,
 	answer answerFunc) {
 	c.mu.Lock()
--- a/internal/platform/clock_test.go
+++ b/internal/platform/clock_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// coldServerShare has a server join whose boot time is off by so much from this machine's wall clock. It returns how
-// many requests the server gets in its first seconds, and how many it and the warm one get together.
+// coldServerShare has a server join whose boot time is off by so much from this machine's wall clock. It
+// returns how many requests the server gets in its first seconds, and how many it and the warm one get
+// together.
 func coldServerShare(t *testing.T, off time.Duration) (cold, all int) {
 	t.Helper()
 	g, _ := startGateway(t)
@@ -40,8 +41,8 @@
 	return joins.since(at), joins.since(at) + warm.since(at)
 }
 
-// The wall clock was stepped, and a server that joined got its full share while cold, or nothing at all. Slow start
-// has to run in real time, whatever the wall clock shows.
+// The wall clock was stepped, and a server that joined got its full share while cold, or nothing at all. Slow
+// start has to run in real time, whatever the wall clock shows.
 func TestSlowStartDoesNotGoByTheWallClock(t *testing.T) {
 	for _, off := range []time.Duration{0, -time.Hour, time.Hour, -5 * time.Second, 5 * time.Second} {
 		t.Run(off.String(), func(t *testing.T) {
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -1,10 +1,17 @@
-// Package platform runs one gateway of the platform (winghatch serve): it reads the configuration file, starts the
-// frontend, the pool of server connections, the discovery watch and the gossip transport around the gateway's loop,
-// keeps the process within its limits and follows the platform's signals. It makes no decision on requests.
+// Package platform runs a gateway on the platform ("winghatch serve"). It reads the configuration file,
+// connects the gateway's loop to the frontend, the pool of server connections, the discovery watch and the
+// gossip transport, keeps the process within its limits and handles the platform's signals. It makes no
+// decisions about requests.
 //
-// Files: config.go reads the configuration, gateway.go starts and stops a gateway, limits.go divides descriptors and
-// memory, signals.go and reload.go follow signals, drain.go is the graceful shutdown, status.go the status line,
-// listen.go binds addresses, logwriter.go writes the log.
+// Files:
+//   - config.go reads the configuration
+//   - gateway.go starts and stops a gateway
+//   - limits.go divides file descriptors and memory
+//   - signals.go and reload.go handle signals
+//   - drain.go implements the graceful shutdown
+//   - status.go logs the status line
+//   - listen.go binds addresses
+//   - logwriter.go writes the log
 package platform
 
 import (
@@ -19,27 +26,27 @@
 	"winghatch/internal/platform/settings"
 )
 
-// Config is a checked configuration.
+// Config is a validated configuration.
 type Config struct {
-	Name      string // of this gateway, for the log
+	Name      string // name of this gateway, for the log
 	Listen    string // host:port for clients
 	Discovery string // host:port of discovery
-	Seed      int64  // of the core's random numbers
+	Seed      int64  // seed of the core's random numbers
 
-	// The limits of the process; 0: not limited. Cores is for the log alone.
-	Cores    float64
-	MemoryMB int
-	Sockets  int // file descriptors
+	// Limits of the process; 0 means not set.
+	Cores    float64 // CPU cores; only logged
+	MemoryMB int     // memory in MiB
+	Sockets  int     // file descriptors
 
-	PeerListen string   // host:port for gossip; empty without peers
-	Peers      []string // addresses of all gateways, this one's included, by rank
+	PeerListen string   // host:port for gossip; used only if there is gossip
+	Peers      []string // gossip addresses of all gateways including this one, by rank
 
-	LastKnown        discoveryhttp.List // the endpoint list when the file was written, maybe long out of date
+	LastKnown        discoveryhttp.List // endpoint list when the file was written; may be long out of date
 	Decide           decide.Config
 	ConnectionLimits settings.ConnectionLimits
 }
 
-// configFile is the file as it is written.
+// configFile is the JSON form of the configuration file.
 type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -56,8 +63,8 @@
 	Settings   json.RawMessage    `json:"settings"`
 }
 
-// Load reads and checks the file. Errors name file, field and value; one that is an fs.PathError means that the file
-// could not be read.
+// Load reads and validates the configuration file. It returns an *fs.PathError if the file cannot be read.
+// Other errors name the file and, if a field is invalid, the field with its value.
 func Load(file string) (*Config, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -70,6 +77,7 @@
 	return c, nil
 }
 
+// parse decodes and validates the contents of a configuration file. Errors name the field.
 func parse(raw []byte) (*Config, error) {
 	var f configFile
 	if err := json.Unmarshal(raw, &f); err != nil {
@@ -117,6 +125,7 @@
 	return c, nil
 }
 
+// checkAddress returns an error if value is not host:port.
 func checkAddress(field, value string) error {
 	if _, _, err := net.SplitHostPort(value); err != nil {
 		return fmt.Errorf("field %q is %q, want host:port", field, value)
@@ -124,6 +133,7 @@
 	return nil
 }
 
+// checkLimits checks the limits of the process.
 func (c *Config) checkLimits() error {
 	switch {
 	case c.Cores < 0:
@@ -136,7 +146,7 @@
 	return nil
 }
 
-// parseSeed parses hex digits; an empty text is 0.
+// parseSeed parses hex digits. An empty text gives 0.
 func parseSeed(text string) (int64, error) {
 	if text == "" {
 		return 0, nil
@@ -148,9 +158,10 @@
 	return int64(seed), nil
 }
 
-// hasGossip reports whether there are other gateways with which this one exchanges gossip.
+// hasGossip reports whether gossip is enabled and there are other gateways to exchange it with.
 func (c *Config) hasGossip() bool { return c.Decide.Limits.Gossip && c.Decide.Gateways > 1 }
 
+// checkPeers checks the gossip addresses if gossip is used.
 func (c *Config) checkPeers() error {
 	if !c.hasGossip() {
 		return nil
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -14,7 +14,8 @@
 		`"seed":"1f","settings":` + settings + `}`
 }
 
-// An operator has to find the field: a configuration that cannot be used gives an error that names it with its value.
+// An operator has to find the field: a configuration that cannot be used gives an error that names it with
+// its value.
 func TestConfigurationsThatCantBeUsed(t *testing.T) {
 	whole := configText(settingsText)
 	if _, err := parse([]byte(whole)); err != nil {
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// Discovery answers late, or its connections come up late. A drain has to be known 6 s after discovery had it all the
-// same.
+// Discovery answers late, or its connections come up late. A drain has to be known 6 s after discovery had it
+// all the same.
 func TestADrainToldByASlowDiscovery(t *testing.T) {
 	const knownAfter = 6 * time.Second
 	for _, c := range []struct {
@@ -77,8 +77,8 @@
 	}
 }
 
-// A SIGHUP names a discovery that is slow, and the process is held up. A drain that it lists has to be known 4 s
-// after the signal.
+// A SIGHUP names a discovery that is slow, and the process is held up. A drain that it lists has to be known
+// 4 s after the signal.
 func TestADrainToldBySlowDiscoveryBehindASignal(t *testing.T) {
 	t.Parallel()
 	d := newDrainTest(t)
@@ -91,8 +91,8 @@
 	d.expectDrained(signaledAt.Add(4 * time.Second))
 }
 
-// Discovery is silent for long and never answers the calls of that time. Once it answers new calls, a drain has to be
-// known within 6 s, without a signal.
+// Discovery is silent for long and never answers the calls of that time. Once it answers new calls, a drain
+// has to be known within 6 s, without a signal.
 func TestADrainToldBehindALongSilence(t *testing.T) {
 	t.Parallel()
 	d := newDrainTest(t)
--- a/internal/platform/drain.go
+++ b/internal/platform/drain.go
@@ -2,22 +2,29 @@
 
 import "time"
 
-// The platform ends a process by SIGTERM, and by SIGKILL no earlier than a class's longest deadline and killGrace
-// later. Of the deadline, maxKillDeadline counts at most.
+// The platform ends a process with SIGTERM and later SIGKILL. Between the two it waits at least for the
+// longest deadline of any class, but not more than maxKillDeadline, plus killGrace.
 const (
 	killGrace       = 700 * time.Millisecond
 	maxKillDeadline = 3 * time.Second
 )
 
-// The steps of a graceful shutdown, from SIGTERM or up to the earliest SIGKILL.
+// Timing of a graceful shutdown.
 const (
-	acceptGrace       = 700 * time.Millisecond // after SIGTERM connections are accepted: clients still find the gateway
-	answerMargin      = 250 * time.Millisecond // before the kill all is answered; the process may be suspended meanwhile
-	exitMargin        = 50 * time.Millisecond  // before the kill the process exits
-	drainPollInterval = 5 * time.Millisecond   // between two looks whether requests and connections have ended
+	// acceptGrace is the time after SIGTERM during which connections are accepted, because clients still find
+	// the gateway.
+	acceptGrace = 700 * time.Millisecond
+	// answerMargin is the time before the earliest SIGKILL at which all requests must be answered. It leaves
+	// room for a suspension of the process.
+	answerMargin = 250 * time.Millisecond
+	// exitMargin is the time before the earliest SIGKILL at which the process stops waiting and exits.
+	exitMargin = 50 * time.Millisecond
+	// drainPollInterval is the interval between two checks whether all requests and connections have ended.
+	drainPollInterval = 5 * time.Millisecond
 )
 
-// killAt is the earliest time at which a process that got SIGTERM may be killed.
+// killAt returns the earliest time at which the platform may send SIGKILL to a process that got SIGTERM at
+// terminated.
 func (g *Gateway) killAt(terminated time.Time) time.Time {
 	longest := time.Duration(0)
 	for _, class := range g.cfg.Decide.Classes {
@@ -26,13 +33,15 @@
 	return terminated.Add(min(longest, maxKillDeadline) + killGrace)
 }
 
-// Drain is the graceful shutdown after a SIGTERM at the time given: it accepts for a while, answers all requests that
-// it has read before the process may be killed, and stops.
+// Drain shuts the gateway down gracefully after a SIGTERM at the given time. It accepts connections for
+// acceptGrace after SIGTERM, answers all requests that it has read before the process may be killed, and
+// stops the gateway.
 func (g *Gateway) Drain(terminated time.Time) {
 	kill := g.killAt(terminated)
 	g.frontend.Drain()
 	time.Sleep(time.Until(terminated.Add(acceptGrace)))
-	// By a deadline, not by Close: Serve first takes what waits in the backlog, which a Close would reset.
+	// A deadline makes Serve accept the connections in the kernel's backlog before it returns. Close would
+	// reset them.
 	g.ln.SetDeadline(time.Now())
 	<-g.acceptDone
 	g.ln.Close()
@@ -44,7 +53,8 @@
 	g.Stop()
 }
 
-// awaitIdle returns once all requests are answered and all clients' connections closed, or at the deadline.
+// awaitIdle waits until all requests are answered and all client connections are closed, at most until the
+// deadline.
 func (g *Gateway) awaitIdle(deadline time.Time) {
 	for time.Now().Before(deadline) {
 		if g.loop.OpenRequests.Load() == 0 && g.frontend.Conns.Load() == 0 {
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// A gateway is replaced while clients send requests. Open requests are answered, new connections are accepted for a
-// while, a SIGHUP does no harm, and the process exits before it may be killed.
+// A gateway is replaced while clients send requests. Open requests are answered, new connections are accepted
+// for a while, a SIGHUP does no harm, and the process exits before it may be killed.
 func TestStop(t *testing.T) {
 	g, _ := startGateway(t)
 	got := make(chan string, 2)
@@ -38,9 +38,9 @@
 	g.expectExit(4 * time.Second)
 }
 
-// Two clients have idle connections at SIGTERM. One goes on sending until a response says that its connection ends,
-// the other one sends just as the gateway ends it. Nothing that is read after the end may reach a server, as its
-// client sends it again elsewhere.
+// Two clients have idle connections at SIGTERM. One goes on sending until a response says that its connection
+// ends, the other one sends just as the gateway ends it. Nothing that is read after the end may reach a
+// server, as its client sends it again elsewhere.
 func TestStopCrossesRequests(t *testing.T) {
 	g, _ := startGateway(t)
 	idle, busy := g.dial(), g.dial()
@@ -75,8 +75,9 @@
 // lateWorthText gives a late response worth: requests then stay open for as long as their clients wait.
 const lateWorthText = `"LateWorth":1,"Importance":1`
 
-// Servers hang while the gateway is replaced. SIGKILL comes no earlier than the longest deadline, 3 s at most, and
-// 0.7 s after SIGTERM. By then each request has to have its response, also where its own deadline is later.
+// Servers hang while the gateway is replaced. SIGKILL comes no earlier than the longest deadline, 3 s at
+// most, and 0.7 s after SIGTERM. By then each request has to have its response, also where its own deadline
+// is later.
 func TestAStopAnswersAllBeforeTheKill(t *testing.T) {
 	for _, c := range []struct {
 		deadlineNs  string
@@ -122,8 +123,8 @@
 	}
 }
 
-// The process is held up as it stops listening, and connections wait in the kernel's backlog. A close of the listener
-// would reset them; they are served or refused.
+// The process is held up as it stops listening, and connections wait in the kernel's backlog. A close of the
+// listener would reset them; they are served or refused.
 func TestAStopAnswersTheBacklog(t *testing.T) {
 	g, _ := startGateway(t)
 	g.respondAtOnce()
--- a/internal/platform/fault_test.go
+++ b/internal/platform/fault_test.go
@@ -15,8 +15,8 @@
 	"winghatch/internal/socket"
 )
 
-// failSystemCalls makes every third system call on this process's sockets fail for a moment, with ENOBUFS and ENOMEM
-// by turns, and every fifth write short.
+// failSystemCalls makes every third system call on this process's sockets fail for a moment, with ENOBUFS and
+// ENOMEM by turns, and every fifth write short.
 func failSystemCalls() {
 	var n atomic.Int64
 	fail := func() error {
@@ -53,8 +53,8 @@
 	}
 }
 
-// System calls fail for a moment, for want of buffers or memory. No request may be lost to that: each is served, on a
-// connection that stays.
+// System calls fail for a moment, for want of buffers or memory. No request may be lost to that: each is
+// served, on a connection that stays.
 func TestCallsThatFailForAMomentLoseNoRequest(t *testing.T) {
 	g, _ := startGateway(t, envFaults+"=1")
 	g.respondAtOnce()
@@ -87,7 +87,8 @@
 	}
 }
 
-// refuseSystemCalls sets a seccomp filter on this process: the calls that the platform refuses end with ENOSYS.
+// refuseSystemCalls sets a seccomp filter on this process: the calls that the platform refuses end with
+// ENOSYS.
 func refuseSystemCalls() error {
 	const offNr, offArg = 0, 16 // of struct seccomp_data: the call, its first argument
 	load := func(off uint32) unix.SockFilter {
@@ -127,8 +128,8 @@
 	return nil
 }
 
-// The platform refuses fork, exec, io_uring, splice and sendfile. The gateway has to serve without, through a reload
-// and a stop.
+// The platform refuses fork, exec, io_uring, splice and sendfile. The gateway has to serve without, through a
+// reload and a stop.
 func TestServesWhereCallsAreRefused(t *testing.T) {
 	g, queries := startGateway(t, envRefuse+"=1")
 	g.responses <- "hello"
--- a/internal/platform/gateway.go
+++ b/internal/platform/gateway.go
@@ -20,20 +20,22 @@
 )
 
 const (
-	// defaultIdleTimeout is the servers' idle timeout where the settings have none.
+	// defaultIdleTimeout is the idle timeout of servers if the settings contain none.
 	defaultIdleTimeout = 30 * time.Second
-	// idleTimeoutShare of the servers' idle timeout is the pool's: where both sides close at once, an attempt that is
-	// being written would be lost.
+	// idleTimeoutShare is the idle timeout of the connection pool as a fraction of the servers' idle timeout.
+	// It is less than 1 because an attempt is lost if the server closes the connection while the attempt is
+	// being written.
 	idleTimeoutShare = 0.75
-	// defaultDialTimeout is the time for a connection to a server where the settings have none.
+	// defaultDialTimeout is the time to connect to a server if the settings contain none.
 	defaultDialTimeout = time.Second
-	// readyWithoutList is for how long a gateway waits for discovery before it serves by the last known list.
+	// readyWithoutList is the time that a gateway waits for discovery before it serves with the last known
+	// list.
 	readyWithoutList = 2 * time.Second
-	// unlimitedRequests is the limit on open requests where the settings have none.
+	// unlimitedRequests is the limit on open requests if the settings contain none.
 	unlimitedRequests = 1 << 20
 )
 
-// Gateway is a running gateway of the platform. Start makes one; Drain or Stop ends it.
+// Gateway is a running gateway of the platform. [Start] creates it. Drain or Stop ends it.
 type Gateway struct {
 	cfg       *Config
 	log       *slog.Logger
@@ -46,15 +48,17 @@
 	gossip   *plain.Transport // nil without peers
 	watch    *discoveryhttp.Watch
 
-	listReceived atomic.Bool   // discovery has answered
-	acceptDone   chan struct{} // closed once the frontend accepts no more
+	listReceived atomic.Bool   // whether discovery has returned a list
+	acceptDone   chan struct{} // closed when the frontend no longer accepts connections
 
-	// wg has the goroutines that spawn starts; Stop ends them, by stop or by closing what they serve, and waits.
+	// wg counts the goroutines started by spawn. Stop ends them by calling stop or by closing what they
+	// serve, and waits for them.
 	wg   sync.WaitGroup
 	stop context.CancelFunc
 }
 
-// Start binds the configured addresses and runs a gateway on them. On an error nothing is left running.
+// Start binds the configured addresses and runs a gateway on them. If it returns an error, nothing keeps
+// running.
 func Start(c *Config, log *slog.Logger) (*Gateway, error) {
 	g := &Gateway{cfg: c, log: log, startedAt: time.Now(), acceptDone: make(chan struct{})}
 	clock := gateway.NewClock()
@@ -79,15 +83,17 @@
 	list := &endpointList{gateway: g, clock: clock, starts: newStartTimes(c)}
 	g.watch = discoveryhttp.New(c.Discovery, discoveryhttp.Options{Log: log, OnList: list.receive})
 	g.frontend = frontendhttp.New(frontendhttp.NewRules(&c.Decide), g.loop,
-		frontendhttp.Options{MaxConns: c.maxClientConns(), MaxBodyBytes: c.maxBodyBytes()}, clock.Now, g.Ready, log)
+		frontendhttp.Options{MaxConns: c.maxClientConns(), MaxBodyBytes: c.maxBodyBytes()},
+		clock.Now, g.Ready, log)
 	g.run(list)
-	log.Info("Gateway started", "name", c.Name, "listen", g.ln.Addr().String(), "servers", len(c.LastKnown.Targets),
-		"classes", classSummaries(c), "max_retry_after", c.Decide.Limits.MaxRetryAfter,
-		"cores", c.Cores, "memory_mb", c.MemoryMB, "sockets", c.Sockets)
+	log.Info("Gateway started", "name", c.Name, "listen", g.ln.Addr().String(),
+		"servers", len(c.LastKnown.Targets), "classes", classSummaries(c),
+		"max_retry_after", c.Decide.Limits.MaxRetryAfter, "cores", c.Cores, "memory_mb", c.MemoryMB, "sockets", c.Sockets)
 	return g, nil
 }
 
-// run starts the goroutines, the loop first: it has to have the last known list before the first request.
+// run starts the goroutines. The loop starts first, because it must have the last known list before the first
+// request arrives.
 func (g *Gateway) run(list *endpointList) {
 	ctx, stop := context.WithCancel(context.Background())
 	g.stop = stop
@@ -107,6 +113,7 @@
 // spawn runs f in a goroutine that Stop waits for.
 func (g *Gateway) spawn(f func()) { g.wg.Go(f) }
 
+// listenGossip returns the transport for gossip with the other gateways.
 func listenGossip(c *Config, log *slog.Logger) (*plain.Transport, error) {
 	conn, err := listenPeers(c.PeerListen, log)
 	if err != nil {
@@ -120,6 +127,7 @@
 	return transport, nil
 }
 
+// newPool returns the pool of connections to servers.
 func newPool(c *Config) *upstreamhttp.Pool {
 	serverIdleTimeout := cmp.Or(c.ConnectionLimits.IdleTimeout, defaultIdleTimeout)
 	return upstreamhttp.New(upstreamhttp.Options{
@@ -133,8 +141,8 @@
 	})
 }
 
-// Ready reports whether requests can be served: discovery has answered, or waiting for it took too long and the last
-// known list is used.
+// Ready reports whether the gateway can serve requests. This is the case after the first response of
+// discovery, or after readyWithoutList if the last known list is not empty.
 func (g *Gateway) Ready() bool {
 	if g.listReceived.Load() {
 		return true
@@ -142,14 +150,16 @@
 	return len(g.cfg.LastKnown.Targets) > 0 && time.Since(g.startedAt) > readyWithoutList
 }
 
-// SetDiscovery follows the endpoint list at another address; the same address is asked at once for what is new.
+// SetDiscovery switches the discovery watch to the given address. If the address is unchanged, the watch
+// immediately asks it for changes.
 func (g *Gateway) SetDiscovery(addr string) {
 	g.log.Info("Following another discovery address", "to", addr)
 	g.watch.SetAddr(addr)
 }
 
-// Stop ends everything at once, in an order in which nothing is left that another part waits for: no new request, no
-// gossip, then the loop, then the connections of its attempts. Drain is the graceful way.
+// Stop ends the gateway immediately; Drain ends it gracefully. The order prevents any part from waiting for
+// one that has already stopped: first the frontend, then gossip, then the loop, and last the connections that
+// carry its attempts.
 func (g *Gateway) Stop() {
 	g.stop()
 	g.ln.Close()
@@ -162,18 +172,20 @@
 	g.wg.Wait()
 }
 
-// endpointList passes the lists of discovery on to the pool and to the loop.
+// endpointList passes endpoint lists from discovery to the pool and the loop.
 type endpointList struct {
 	gateway *Gateway
 	clock   gateway.Clock
 	starts  *discoveryhttp.StartTimes
 }
 
+// newStartTimes returns the tracker of server start times, which determines the slow start of each server.
 func newStartTimes(c *Config) *discoveryhttp.StartTimes {
 	return discoveryhttp.NewStartTimes(c.Decide.Safety.SlowStartDuration, time.Now)
 }
 
-// receive takes a list from the watch; silence is the time since discovery last answered before it.
+// receive handles a list from the discovery watch. silence is the time between the previous response of
+// discovery and this one.
 func (e *endpointList) receive(list *discoveryhttp.List, silence time.Duration) {
 	kind := decide.DeltaUpdate
 	if list.Full {
@@ -183,8 +195,9 @@
 	e.gateway.listReceived.Store(true)
 }
 
-// apply updates the pool before the loop, and not through the loop's queue: from then on nothing is written to a
-// server that drains, whatever the loop sends until it has taken the update.
+// apply updates the pool and then the loop. The pool is updated directly instead of through the loop's queue,
+// so that nothing is written to a draining server even if the loop sends to it before it has processed the
+// update.
 func (e *endpointList) apply(list *discoveryhttp.List, kind decide.UpdateKind, silence time.Duration) {
 	e.gateway.pool.Update(list.Servers(), kind != decide.DeltaUpdate)
 	e.gateway.loop.UpdateEndpoints(e.starts.Update(list, kind, e.clock.Now(), silence))
--- a/internal/platform/gateway_test.go
+++ b/internal/platform/gateway_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// What clients get from a gateway: a server's response, a refusal beyond the quota, an error for an unknown class.
+// What clients get from a gateway: a server's response, a refusal beyond the quota, an error for an unknown
+// class.
 func TestAGatewayOfThePlatform(t *testing.T) {
 	g, _ := startGateway(t)
 	g.responses <- "hello"
@@ -64,7 +65,8 @@
 	}
 }
 
-// A gateway is restarted while discovery is down. It must be ready within ten seconds, by the list that it held last.
+// A gateway is restarted while discovery is down. It must be ready within ten seconds, by the list that it
+// held last.
 func TestReadyWhileDiscoveryIsDown(t *testing.T) {
 	for _, discovery := range []string{"127.0.0.1:1", startSilent(t)} { // refuses connections; accepts and is silent
 		servers := (&scriptedServer{behavior: func(int) string { return "ok" }}).start(t)
@@ -119,8 +121,8 @@
 	}
 }
 
-// The process is held up as the request timeout passes, and the last byte of requests arrives meanwhile. They are
-// complete and have to be answered.
+// The process is held up as the request timeout passes, and the last byte of requests arrives meanwhile. They
+// are complete and have to be answered.
 func TestARequestThatIsWholeAsItsTimeEndsIsAnswered(t *testing.T) {
 	g, _ := startGateway(t)
 	g.respondAtOnce()
@@ -143,7 +145,8 @@
 	}
 }
 
-// A client stops in the middle of its request. It gets a 408, not just a close: its last byte may be on the way.
+// A client stops in the middle of its request. It gets a 408, not just a close: its last byte may be on the
+// way.
 func TestARequestThatIsNeverWholeIsAnswered(t *testing.T) {
 	g, _ := startGateway(t)
 	var clients []*client
@@ -162,8 +165,8 @@
 	}
 }
 
-// Silent connections arrive in the moment in which requests become complete, and the limit is reached. They must not
-// evict a connection with a request.
+// Silent connections arrive in the moment in which requests become complete, and the limit is reached. They
+// must not evict a connection with a request.
 func TestSilentConnectionsTakeNoSeatFromARequest(t *testing.T) {
 	g, _ := startGateway(t)
 	g.respondAtOnce()
--- a/internal/platform/large_test.go
+++ b/internal/platform/large_test.go
@@ -47,9 +47,9 @@
 	return resourceUse{time.Duration(ru.Utime.Nano() + ru.Stime.Nano()), ru.Maxrss, bytes >> 10}
 }
 
-// A large fleet must fit into the same limits: sixteen times the servers may cost 1.4 times the CPU, 20 ms and 30 ms
-// for each thousand; 1.5 times the memory, 8 MB and 4 MB for each thousand; twice the bytes of lists, 64 KB and 500
-// KB for each thousand.
+// A large fleet must fit into the same limits: sixteen times the servers may cost 1.4 times the CPU, 20 ms
+// and 30 ms for each thousand; 1.5 times the memory, 8 MB and 4 MB for each thousand; twice the bytes of
+// lists, 64 KB and 500 KB for each thousand.
 func TestWhatALargeFleetCosts(t *testing.T) {
 	const smallFleet, largeFleet = 200, 3200
 	small, big := measureFollowing(t, smallFleet), measureFollowing(t, largeFleet)
--- a/internal/platform/limits.go
+++ b/internal/platform/limits.go
@@ -6,48 +6,55 @@
 	"runtime/debug"
 )
 
-// Descriptors. Of the limit, reservedSockets are the process's own and cannot be taken by clients or servers; the
-// rest is divided between both.
+// File descriptors. Some descriptors of the limit are reserved for the process itself. The rest is divided
+// between connections of clients and connections to servers.
 const (
-	minSockets      = 64   // the least that a configuration may say
-	defaultSockets  = 1024 // where it says nothing
-	reservedSockets = 24   // listener, gossip, discovery, the runtime's, files
-	clientShare     = 0.5  // of the rest; the other part is for servers
+	minSockets      = 64   // smallest limit that a configuration may set
+	defaultSockets  = 1024 // limit if the configuration sets none
+	reservedSockets = 24   // descriptors for listener, gossip, discovery, the Go runtime and files
+	clientShare     = 0.5  // fraction of the rest that client connections may use
 )
 
 // Memory.
 const (
-	defaultMemoryMB = 64 // where the configuration says nothing
-	// memoryTargetShare of the limit is the runtime's soft limit: goroutine stacks, socket buffers and the binary's
-	// pages count against the process's limit too.
+	defaultMemoryMB = 64 // limit in MiB if the configuration sets none
+	// memoryTargetShare is the fraction of the memory limit that becomes the soft limit of the Go runtime.
+	// The rest is for goroutine stacks, socket buffers and the pages of the binary, which count against the
+	// memory limit too.
 	memoryTargetShare = 0.6
-	bodyMemoryShare   = 0.1 // of the limit, for request bodies, and as much for response bodies
-	maxResponseBytes  = 1 << 20
+	// bodyMemoryShare is the fraction of the memory limit that request bodies may use, and also the fraction
+	// that response bodies may use.
+	bodyMemoryShare  = 0.1
+	maxResponseBytes = 1 << 20 // largest body of a response
 )
 
-// gcPercent lets the heap grow to five times the live data between two collections; the soft memory limit ends that
-// earlier where it would be too much. Fewer collections leave more of a small CPU share for requests.
+// gcPercent lets the heap grow to five times the live data between two garbage collections. The soft memory
+// limit triggers a collection earlier if needed. Fewer collections leave more of a small CPU share for
+// requests.
 const gcPercent = 400
 
-// ApplyLimits makes the Go runtime keep within the limits of the configuration.
+// ApplyLimits configures the Go runtime to stay within the limits of the configuration.
 func ApplyLimits(c *Config) {
-	runtime.GOMAXPROCS(1) // the process has a part of one core: more threads would only wait for each other
+	runtime.GOMAXPROCS(1) // with only a share of one core, more threads would just wait for each other
 	debug.SetGCPercent(gcPercent)
 	if c.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(memoryTargetShare * float64(c.MemoryMB) * (1 << 20)))
 	}
 }
 
-// maxClientConns and maxServerConns divide the descriptors that are not reserved.
+// maxClientConns returns the limit on connections of clients.
 func (c *Config) maxClientConns() int { return int(clientShare * c.unreservedSockets()) }
 
+// maxServerConns returns the limit on connections to servers.
 func (c *Config) maxServerConns() int { return int((1 - clientShare) * c.unreservedSockets()) }
 
+// unreservedSockets returns the number of descriptors that connections may use.
 func (c *Config) unreservedSockets() float64 {
 	return float64(cmp.Or(c.Sockets, defaultSockets) - reservedSockets)
 }
 
-// maxBodyBytes bounds all bodies of one direction together.
+// maxBodyBytes returns the limit on the total size of all request bodies, which also applies to all response
+// bodies.
 func (c *Config) maxBodyBytes() int64 {
 	return int64(bodyMemoryShare * float64(cmp.Or(c.MemoryMB, defaultMemoryMB)) * (1 << 20))
 }
--- a/internal/platform/limits_test.go
+++ b/internal/platform/limits_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Idle clients take every descriptor that they can while discovery moves. The watch, servers and the health check
-// must get theirs all the same, and the process stays within its limit.
+// Idle clients take every descriptor that they can while discovery moves. The watch, servers and the health
+// check must get theirs all the same, and the process stays within its limit.
 func TestDescriptorsLeaveRoom(t *testing.T) {
 	g, _ := startGateway(t)
 	const sockets = 256 // of the test's configuration
--- a/internal/platform/listen.go
+++ b/internal/platform/listen.go
@@ -8,13 +8,14 @@
 	"time"
 )
 
-// A bind may fail for a moment: the former process may still hold the address, or the machine be out of buffers.
+// A bind may fail temporarily, because the previous process still holds the address or the machine is out of
+// buffers.
 const (
-	bindTimeout    = 5 * time.Second
-	bindRetryPause = 20 * time.Millisecond
+	bindTimeout    = 5 * time.Second       // time after which a failed bind is final
+	bindRetryPause = 20 * time.Millisecond // pause between two attempts to bind
 )
 
-// retryBind calls bind until it succeeds, for bindTimeout at most.
+// retryBind calls bind until it succeeds or bindTimeout has passed, and returns the last result.
 func retryBind[T any](log *slog.Logger, bind func() (T, error)) (T, error) {
 	deadline := time.Now().Add(bindTimeout)
 	for attempt := 0; ; attempt++ {
@@ -29,9 +30,9 @@
 	}
 }
 
-// listen binds the address for clients.
+// listen binds the TCP address for clients.
 func listen(addr string, log *slog.Logger) (*net.TCPListener, error) {
-	config := net.ListenConfig{KeepAlive: -1} // no probes: package connlimit times silent clients out
+	config := net.ListenConfig{KeepAlive: -1} // no probes, because package connlimit times silent clients out
 	ln, err := retryBind(log, func() (net.Listener, error) {
 		return config.Listen(context.Background(), "tcp", addr)
 	})
@@ -41,7 +42,7 @@
 	return ln.(*net.TCPListener), nil
 }
 
-// listenPeers binds the address for gossip.
+// listenPeers binds the UDP address for gossip.
 func listenPeers(addr string, log *slog.Logger) (*net.UDPConn, error) {
 	udpAddr, err := net.ResolveUDPAddr("udp", addr)
 	if err != nil {
--- a/internal/platform/logwriter.go
+++ b/internal/platform/logwriter.go
@@ -8,26 +8,28 @@
 )
 
 const (
-	logQueueLines   = 512                    // that wait to be written
-	logFlushTimeout = 100 * time.Millisecond // for lines that wait at the end
+	logQueueLines   = 512                    // largest number of lines waiting to be written
+	logFlushTimeout = 100 * time.Millisecond // time for Close to write the waiting lines
 )
 
-// LogWriter writes a log without waiting for its reader. The reader of standard error may have exited or be stopped;
-// a request must not wait for it. Lines that find the queue full are dropped and counted in a line of their own.
+// LogWriter is an io.Writer for logs that never blocks its caller. The reader of standard error may have
+// exited or may be stopped, and requests must not wait for it. Lines are dropped while the queue is full; a
+// line of its own then reports their number.
 type LogWriter struct {
-	lines   chan []byte // nil is the end
-	dropped atomic.Int64
-	done    chan struct{} // closed behind the last line
+	lines   chan []byte   // queue of lines; nil marks the end
+	dropped atomic.Int64  // number of lines dropped since the last report
+	done    chan struct{} // closed after the last line is written
 }
 
-// NewLogWriter returns a writer to out; each Write is a line. Its goroutine runs until Close, or until the process
-// ends where out blocks for good.
+// NewLogWriter returns a writer that forwards lines to out. Each call of Write must pass one line. The
+// writer's goroutine ends with Close. If out blocks forever, the goroutine remains until the process exits.
 func NewLogWriter(out io.Writer) *LogWriter {
 	l := &LogWriter{lines: make(chan []byte, logQueueLines), done: make(chan struct{})}
 	go l.run(out)
 	return l
 }
 
+// run writes queued lines to out until Close.
 func (l *LogWriter) run(out io.Writer) {
 	for line := range l.lines {
 		if line == nil {
@@ -41,7 +43,7 @@
 	}
 }
 
-// Write queues a line. It never fails.
+// Write queues a copy of a line, or drops the line if the queue is full. It never returns an error.
 func (l *LogWriter) Write(line []byte) (int, error) {
 	select {
 	case l.lines <- append([]byte(nil), line...):
@@ -51,7 +53,8 @@
 	return len(line), nil
 }
 
-// Close writes the lines that wait, for logFlushTimeout at most. Later lines are lost.
+// Close waits until the queued lines are written, at most logFlushTimeout. Lines passed to Write afterwards
+// are lost.
 func (l *LogWriter) Close() {
 	timeout := time.After(logFlushTimeout)
 	select {
--- a/internal/platform/logwriter_test.go
+++ b/internal/platform/logwriter_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// The reader of standard error is gone, or stands still. The gateway was ended by SIGPIPE, or stood still at its
-// stop; it has to serve on.
+// The reader of standard error is gone, or stands still. The gateway was ended by SIGPIPE, or stood still at
+// its stop; it has to serve on.
 func TestALogThatNobodyReads(t *testing.T) {
 	for _, gone := range []bool{true, false} {
 		t.Run(fmt.Sprint("gone ", gone), func(t *testing.T) { playUnreadLog(t, gone) })
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	reloadPollInterval = 100 * time.Millisecond // between two checks of the file
-	reloadWindow       = 4 * time.Second        // for so long after a signal a change of the file is followed
+	reloadPollInterval = 100 * time.Millisecond // interval between two checks of the file
+	reloadWindow       = 4 * time.Second        // time after a signal in which changes of the file are loaded
 )
 
-// reload reads the configuration file and follows its discovery address, the only field that is reloaded. A file that
-// cannot be used changes nothing.
+// reload loads the configuration file and switches to its discovery address, which is the only field that is
+// reloaded. If the file is invalid or cannot be read, nothing changes.
 func (g *Gateway) reload(r *reloader) {
 	c, err := r.load()
 	if err != nil {
@@ -23,21 +23,23 @@
 	g.SetDiscovery(c.Discovery)
 }
 
-// reloader decides when the configuration file is read again. The file may be written while its signal comes, or
-// after: until it can be used, and for reloadWindow after each signal, it is read again whenever it has changed.
+// reloader decides when to load the configuration file again. The file may still be written when the signal
+// to reload it arrives, or only after that. It is therefore loaded again whenever it has changed, for
+// reloadWindow after each signal and for as long as the last load has failed.
 type reloader struct {
 	file   string
-	until  time.Time // the window's end
-	failed bool      // the file could not be used
+	until  time.Time // end of reloadWindow after the last signal
+	failed bool      // whether the last load failed
 
-	// The file as of the last read.
+	// Attributes of the file at the last load.
 	modTime time.Time
-	size    int64
+	size    int64 // -1 if the file could not be read
 }
 
+// signaled starts reloadWindow.
 func (r *reloader) signaled(now time.Time) { r.until = now.Add(reloadWindow) }
 
-// due reports whether the file is to be read again.
+// due reports whether the file must be loaded again.
 func (r *reloader) due(now time.Time) bool {
 	if !r.failed && now.After(r.until) {
 		return false
@@ -46,15 +48,17 @@
 	return err == nil && (info.Size() != r.size || !info.ModTime().Equal(r.modTime))
 }
 
+// load loads the file and records its attributes for due.
 func (r *reloader) load() (*Config, error) {
 	r.size, r.modTime = 0, time.Time{}
-	// Before the read, so that what is written after it shows as a change.
+	// The attributes are taken before the file is read, so that a write after the read is found as a change.
 	if info, err := os.Stat(r.file); err == nil {
 		r.size, r.modTime = info.Size(), info.ModTime()
 	}
 	c, err := Load(r.file)
 	r.failed = err != nil
-	// No descriptor was free, or the file is being replaced: nothing was read, so the next check has to find a change.
+	// The file was not read, because no descriptor was free or the file is being replaced. A size of -1 makes
+	// the next check find a change.
 	if unread := new(fs.PathError); errors.As(err, &unread) {
 		r.size = -1
 	}
--- a/internal/platform/reload_test.go
+++ b/internal/platform/reload_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// An operator writes a broken configuration, then one with a dead address, then a good one with several SIGHUPs. The
-// gateway serves on and follows the last one.
+// An operator writes a broken configuration, then one with a dead address, then a good one with several
+// SIGHUPs. The gateway serves on and follows the last one.
 func TestReload(t *testing.T) {
 	g, _ := startGateway(t)
 	if err := os.WriteFile(g.configPath, []byte(`{"listen":"x"`), 0o600); err != nil {
@@ -35,8 +35,8 @@
 	}
 }
 
-// The configuration was half written when its signal came, and was never followed. It has to be followed once it is
-// complete, without another signal, and SIGTERM works meanwhile.
+// The configuration was half written when its signal came, and was never followed. It has to be followed once
+// it is complete, without another signal, and SIGTERM works meanwhile.
 func TestAConfigurationThatIsWholeAfterItsSignal(t *testing.T) {
 	g, _ := startGateway(t)
 	queries := make(chan string, 1000)
--- a/internal/platform/settings/document.go
+++ b/internal/platform/settings/document.go
@@ -6,11 +6,11 @@
 	"winghatch/decide"
 )
 
-// document is the settings object. Its fields have the keys of the platform; times are nanoseconds. Keys that are
-// not named here are ignored.
+// document is the settings object of the platform. Field names are the keys of the platform, and times are in
+// nanoseconds. Keys without a field are ignored.
 //
-// Some keys are named though no decision depends on them: a value of the wrong type in one of the platform's keys stops
-// the start all the same, as it shows a configuration that was made for something else.
+// Some fields are decoded only to check their type. A value of the wrong type under any of the platform's
+// keys makes the start fail, because it shows that the configuration was written for another program.
 type document struct {
 	Rank, Instances int
 	Zone            string
@@ -20,7 +20,7 @@
 	Limits          limits
 	Safety          safety
 
-	// Not read.
+	// Decoded only to check their type.
 	MembershipMode string
 	Prices         struct{ CrossZone, Waste, Probe, Peer, LateFail float64 }
 	Telemetry      struct{ How string }
@@ -46,7 +46,7 @@
 	PeerIntake, UnitsTop float64
 	MeterNs              int64
 
-	// Not read.
+	// Decoded only to check their type.
 	HasCounter   bool
 	CounterPrice float64
 	CountWaitNs  int64
@@ -57,17 +57,18 @@
 	ParallelTries, MayCancel, Peers, RetryAfter   bool
 	MaxRetryAfterNs, ConnectTimeoutNs, ConnIdleNs int64
 
-	Probes bool // not read
+	Probes bool // decoded only to check its type
 }
 
 type safety struct {
 	AnswerSlackNs, DrainGraceNs, ColdNs, FallNs int64
 	ColdFrom, FallMultiple                      float64
 
-	AskWithinNs int64 // not read
+	AskWithinNs int64 // decoded only to check its type
 }
 
-// The values of a class's Effect and Group. A class without a Group has the smallest.
+// Values of the keys Effect and Group of a class. A class without a Group has the smallest deduplication
+// scope.
 var (
 	effects = map[string]decide.Idempotency{
 		"safe":   decide.Idempotent,
@@ -82,7 +83,7 @@
 	}
 )
 
-// config converts all but the classes and the plans.
+// config converts all settings except the classes and plans.
 func (d *document) config() decide.Config {
 	return decide.Config{
 		Rank:              d.Rank,
@@ -120,7 +121,8 @@
 	}
 }
 
-// convert needs the converted Effect and Group, since their values may be unknown.
+// convert returns the class for package decide. The caller converts Effect and Group and passes the results,
+// because their values may be unknown.
 func (k *class) convert(effect decide.Idempotency, group decide.DedupScope) decide.Class {
 	return decide.Class{
 		Name:             k.Name,
--- a/internal/platform/settings/key.go
+++ b/internal/platform/settings/key.go
@@ -9,7 +9,8 @@
 	"winghatch/decide"
 )
 
-// keyOf has the platform's key of each field of decide.Config that Validate can refuse, without the number of a class or plan.
+// keyOf maps each field of decide.Config that Validate can reject to the platform's key. In both, "[]" stands
+// for the index of a class or plan.
 var keyOf = map[string]string{
 	"Rank":                       "Rank",
 	"Gateways":                   "Instances",
@@ -37,7 +38,8 @@
 
 var index = regexp.MustCompile(`\[\d+\]`)
 
-// Validate checks a configuration that Parse returned. Its error names the platform's key.
+// Validate checks a configuration that [Parse] returned. Errors name the platform's key instead of the field
+// of [decide.Config].
 func Validate(c *decide.Config) error {
 	err := c.Validate()
 	var setting *decide.SettingError
--- a/internal/platform/settings/key_test.go
+++ b/internal/platform/settings/key_test.go
@@ -9,8 +9,8 @@
 	"winghatch/decide"
 )
 
-// TestErrorsNameThePlatformsKeys breaks each setting that the core refuses: operators search their configuration for the key that the
-// error names, and the core's own names do not stand there.
+// TestErrorsNameThePlatformsKeys breaks each setting that the core refuses: operators search their
+// configuration for the key that the error names, and the core's own names do not stand there.
 func TestErrorsNameThePlatformsKeys(t *testing.T) {
 	valid := func() decide.Config {
 		return decide.Config{
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -1,7 +1,7 @@
-// Package settings reads the settings object of the platform as the configuration of package decide. The
-// configuration file of winghatch serve and the simulator's wire both contain that object.
+// Package settings converts the settings object of the platform to the configuration of package decide. The
+// configuration file of "winghatch serve" and the simulator protocol both contain this object.
 //
-// This is the one place that maps the platform's keys to the names of this program.
+// No other package maps the platform's keys to the names that this program uses.
 package settings
 
 import (
@@ -13,14 +13,14 @@
 	"winghatch/decide"
 )
 
-// ConnectionLimits are settings for connections, which no decision depends on.
+// ConnectionLimits holds settings for connections. Package decide does not use them.
 type ConnectionLimits struct {
-	MaxOpenRequests int           // requests open at once; 0: not set
-	IdleTimeout     time.Duration // after which servers close idle connections; 0: not set
+	MaxOpenRequests int           // largest number of open requests; 0: not set
+	IdleTimeout     time.Duration // time after which servers close idle connections; 0: not set
 }
 
-// Parse reads the settings object. An error names the key. The configuration still has to pass
-// [Validate].
+// Parse decodes the settings object. Errors name the key. The caller must pass the returned configuration to
+// [Validate] before using it.
 func Parse(raw json.RawMessage) (decide.Config, ConnectionLimits, error) {
 	var d document
 	if err := json.Unmarshal(raw, &d); err != nil {
@@ -38,7 +38,8 @@
 	return cfg, connections, err
 }
 
-// FieldError returns an error of encoding/json with the key at which a value did not fit, or the error as it is.
+// FieldError returns an error that names the key if err reports a JSON value of the wrong type. It returns
+// any other error unchanged.
 func FieldError(err error) error {
 	var t *json.UnmarshalTypeError
 	if errors.As(err, &t) {
@@ -47,7 +48,7 @@
 	return err
 }
 
-// check refuses times that connections can't work with. Other numbers are checked by Validate.
+// check rejects negative timeouts of connections. Validate checks the other numbers.
 func (l *limits) check() error {
 	if l.ConnIdleNs < 0 {
 		return fmt.Errorf("Limits.ConnIdleNs is %d, want 0 or more", l.ConnIdleNs)
@@ -58,6 +59,7 @@
 	return nil
 }
 
+// convertClasses checks and converts the classes. Errors name the key.
 func convertClasses(classes []class) (converted []decide.Class, err error) {
 	seen := map[string]bool{}
 	for i, k := range classes {
@@ -83,6 +85,7 @@
 	return converted, nil
 }
 
+// convertTiers converts the tiers of service to plans. It returns an error if two have the same name.
 func convertTiers(tiers []tier) (converted []decide.Plan, err error) {
 	seen := map[string]bool{}
 	for i, t := range tiers {
@@ -95,8 +98,8 @@
 	return converted, nil
 }
 
-// LoadReportField is the name in [decide.LoadReport] of a figure that servers report under a name of the wire. A
-// name that is not known is kept.
+// LoadReportField returns the name in [decide.LoadReport] of a figure that servers report under the given
+// name. It returns unknown names unchanged.
 func LoadReportField(wire string) string {
 	switch wire {
 	case "outstanding":
--- a/internal/platform/settings/settings_test.go
+++ b/internal/platform/settings/settings_test.go
@@ -10,8 +10,9 @@
 	"winghatch/decide"
 )
 
-// object has each key that is read with a value of its own, so that none can take the place of another, and keys that
-// are not read: MembershipMode, HasCounter, CounterPrice, CountWaitNs, Probes, AskWithinNs, Prices, Telemetry, Unknown.
+// object has each key that is read with a value of its own, so that none can take the place of another, and
+// keys that are not read: MembershipMode, HasCounter, CounterPrice, CountWaitNs, Probes, AskWithinNs, Prices,
+// Telemetry, Unknown.
 const object = `{"Rank":1,"Instances":3,"Zone":"a","MembershipMode":"subscribe","Unknown":{"x":1},
 "Classes":[{"Name":"get","Effect":"keyed","Group":"zone","AimNs":1,"GiveUpNs":2,"WindowNs":3,"AimStretch":4,
  "Importance":5,"LateWorth":6,"Stream":true}],
--- a/internal/platform/settings_test.go
+++ b/internal/platform/settings_test.go
@@ -17,8 +17,8 @@
 // receivedAttempt is one attempt as a server received it.
 type receivedAttempt struct{ method, key string }
 
-// scriptedServer is a server that records attempts and responds by a script: behavior gets the attempt's number of
-// its X-Txn, from 1 on, and returns ok, slow, reset, away (refused before execution) or error.
+// scriptedServer is a server that records attempts and responds by a script: behavior gets the attempt's
+// number of its X-Txn, from 1 on, and returns ok, slow, reset, away (refused before execution) or error.
 type scriptedServer struct {
 	behavior func(attempt int) string
 	mu       sync.Mutex
@@ -157,10 +157,10 @@
 	}, maxAttempts
 }
 
-// Under any valid settings: method and key are those of the class's effect, whatever its name is; what may have run
-// goes out again only as its effect allows; there are no more attempts than allowed; each request has one response in
-// time, which was made for it. Deduplication windows are checked where attempts are written, in upstream/http and
-// gateway.
+// Under any valid settings: method and key are those of the class's effect, whatever its name is; what may
+// have run goes out again only as its effect allows; there are no more attempts than allowed; each request
+// has one response in time, which was made for it. Deduplication windows are checked where attempts are
+// written, in upstream/http and gateway.
 func TestServesUnderSettingsOfOthers(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		classes := drawClasses(rt)
@@ -216,7 +216,8 @@
 	return http.MethodPost
 }
 
-// sendAndCheck sends a request of a class, checks that its response is in time and its own, and returns the status.
+// sendAndCheck sends a request of a class, checks that its response is in time and its own, and returns the
+// status.
 func sendAndCheck(t *rapid.T, client *http.Client, addr, txn string, class *drawnClass) (status int) {
 	t.Helper()
 	body := ""
--- a/internal/platform/signals.go
+++ b/internal/platform/signals.go
@@ -7,12 +7,14 @@
 	"time"
 )
 
-// Signals are the platform's. Each kind has a channel of its own, so that a series of one cannot crowd out the other;
-// signals of one kind that come while one waits are one.
+// Signals receives the signals of the platform. Signals to stop and to reload have separate channels, so that
+// many signals of one kind cannot crowd out the other kind. Signals that arrive while one of the same kind is
+// pending are merged with it.
 type Signals struct{ stop, reload chan os.Signal }
 
-// Notify receives the process's signals from now on. It has to come first in the process, or a signal may end it
-// without a graceful shutdown. SIGPIPE is ignored: a log whose reader has exited must not end the process.
+// Notify starts receiving signals. It must be called first in the process, because a signal that arrives
+// earlier ends the process without a graceful shutdown. Notify makes the process ignore SIGPIPE, because it
+// must not end when the reader of its log exits.
 func Notify() Signals {
 	signal.Ignore(syscall.SIGPIPE)
 	s := Signals{stop: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
@@ -21,8 +23,8 @@
 	return s
 }
 
-// Wait follows signals until the gateway has stopped: SIGHUP reads the configuration file again, SIGTERM and SIGINT
-// shut down gracefully.
+// Wait handles signals until the gateway has stopped. SIGHUP reloads the configuration file; SIGTERM and
+// SIGINT shut the gateway down gracefully.
 func (g *Gateway) Wait(file string, s Signals) {
 	r := reloader{file: file}
 	poll := time.NewTicker(reloadPollInterval)
@@ -43,6 +45,7 @@
 	}
 }
 
+// shutDown logs the status and shuts the gateway down gracefully.
 func (g *Gateway) shutDown(terminated time.Time) {
 	g.log.Info("Shutting down, answering open requests")
 	g.LogStatus()
--- a/internal/platform/soak_test.go
+++ b/internal/platform/soak_test.go
@@ -18,8 +18,8 @@
 	"time"
 )
 
-// The soak injects seeded faults into a gateway process's surroundings, and checks what clients and servers saw
-// against the platform's rules. SOAK_SEEDS is the number of seeds, SOAK_FROM the first one.
+// The soak injects seeded faults into a gateway process's surroundings, and checks what clients and servers
+// saw against the platform's rules. SOAK_SEEDS is the number of seeds, SOAK_FROM the first one.
 const (
 	soakSeeds    = 6
 	soakDuration = 5 * time.Second // of the faults of one seed
--- a/internal/platform/status.go
+++ b/internal/platform/status.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-const statusInterval = 5 * time.Second
+const statusInterval = 5 * time.Second // interval between two status lines
 
-// logStatusPeriodically logs the status line until the context ends.
+// logStatusPeriodically logs the status line every statusInterval until the context ends.
 func (g *Gateway) logStatusPeriodically(ctx context.Context) {
 	ticker := time.NewTicker(statusInterval)
 	defer ticker.Stop()
@@ -24,7 +24,7 @@
 	}
 }
 
-// LogStatus logs a line of figures for operators. docs/platform.md says what to look at when.
+// LogStatus logs a line of statistics for operators. docs/platform.md explains how to use them.
 func (g *Gateway) LogStatus() {
 	var attrs []any
 	attrs = append(attrs, g.processStatus()...)
@@ -34,6 +34,7 @@
 	g.log.Info("Status", attrs...)
 }
 
+// processStatus returns the log attributes about the process.
 func (g *Gateway) processStatus() []any {
 	var usage syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
@@ -50,6 +51,7 @@
 	}
 }
 
+// requestStatus returns the log attributes about requests.
 func (g *Gateway) requestStatus() []any {
 	summary := g.loop.Summary()
 	return []any{
@@ -69,6 +71,7 @@
 	}
 }
 
+// clientConnStatus returns the log attributes about connections of clients.
 func (g *Gateway) clientConnStatus() []any {
 	c := &g.frontend.Counters
 	return []any{
@@ -81,6 +84,7 @@
 	}
 }
 
+// serverConnStatus returns the log attributes about connections to servers.
 func (g *Gateway) serverConnStatus() []any {
 	c := &g.pool.Counters
 	return []any{
@@ -93,10 +97,12 @@
 	}
 }
 
-// classSummaries has each class with its latency objective and deadline, which differ from deployment to deployment.
+// classSummaries returns the name, latency objective and deadline of each class for the log. Deployments
+// differ in them.
 func classSummaries(c *Config) (summaries []string) {
 	for _, class := range c.Decide.Classes {
-		summaries = append(summaries, fmt.Sprintf("%s %v/%v", class.Name, class.LatencyObjective, class.Deadline))
+		summaries = append(summaries,
+			fmt.Sprintf("%s %v/%v", class.Name, class.LatencyObjective, class.Deadline))
 	}
 	return summaries
 }
--- a/internal/platform/testgateway_test.go
+++ b/internal/platform/testgateway_test.go
@@ -32,8 +32,8 @@
 	log        *os.File
 }
 
-// startGateway starts a gateway with settingsText and waits until it is ready. The channel gets the queries that its
-// discovery is asked.
+// startGateway starts a gateway with settingsText and waits until it is ready. The channel gets the queries
+// that its discovery is asked.
 func startGateway(t *testing.T, env ...string) (*testGateway, chan string) {
 	t.Helper()
 	return startGatewayWith(t, settingsText, env...)
@@ -147,8 +147,8 @@
 	return strings.Contains(string(log), text)
 }
 
-// holdUp stops the process, runs f, and lets the process go on after atLeast: as on a machine that does not schedule
-// it.
+// holdUp stops the process, runs f, and lets the process go on after atLeast: as on a machine that does not
+// schedule it.
 func (g *testGateway) holdUp(atLeast time.Duration, f func()) {
 	g.t.Helper()
 	g.signal(syscall.SIGSTOP)
@@ -237,8 +237,8 @@
 	return &client{t, nc, bufio.NewReader(nc)}
 }
 
-// get sends a GET and returns the status of the response and whether the connection ends with it; status 0 means that
-// it ended before.
+// get sends a GET and returns the status of the response and whether the connection ends with it; status 0
+// means that it ended before.
 func (c *client) get(txn string) (status int, last bool) {
 	fmt.Fprintf(c.nc, "GET /api HTTP/1.1\r\nHost: s\r\n%s\r\n", requestFields(txn, "get", "team"))
 	response, err := http.ReadResponse(c.r, nil)
--- a/internal/platform/testservers_test.go
+++ b/internal/platform/testservers_test.go
@@ -115,8 +115,8 @@
 	d.changed = make(chan struct{})
 }
 
-// since returns what is newer than a version, and a channel that is closed at the next change if there is nothing. 0
-// asks for the full list.
+// since returns what is newer than a version, and a channel that is closed at the next change if there is
+// nothing. 0 asks for the full list.
 func (d *fakeDiscovery) since(from int) ([]byte, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
