--- a/internal/frontend/connlimit/connlimit.go
+++ b/internal/frontend/connlimit/connlimit.go
@@ -26,10 +26,10 @@
 	// idleTimeout is the time a connection may stay idle while there is room. It is long because a new
 	// connection costs both sides more than an idle one.
 	idleTimeout = 10 * time.Second
-	// tightIdleTimeout replaces idleTimeout while more than tightShare of the limit is in use, so that new
-	// connections find room without an eviction.
-	tightIdleTimeout = 2 * time.Second
-	tightShare       = 0.75
+	// reducedIdleTimeout replaces idleTimeout while more than the fraction reducedIdleUsage of the limit is
+	// in use, so that new connections find room without an eviction.
+	reducedIdleTimeout = 2 * time.Second
+	reducedIdleUsage   = 0.75
 )
 
 // ID identifies a connection. The caller must not use an ID for two connections.
@@ -73,11 +73,11 @@
 func (l *Limiter) Len() int { return len(l.entries) }
 
 // Accept adds a new connection. At the limit it first removes another connection, which it returns as evicted
-// with evicts set and which the caller must close. If no connection can be evicted, ok is false and the
+// with didEvict set and which the caller must close. If no connection can be evicted, ok is false and the
 // caller must close the new connection. unread reports whether the socket of a connection holds unread bytes.
-func (l *Limiter) Accept(now time.Duration, id ID, unread func(ID) bool) (evicted ID, evicts, ok bool) {
+func (l *Limiter) Accept(now time.Duration, id ID, unread func(ID) bool) (evicted ID, didEvict, ok bool) {
 	if len(l.entries) >= l.maxConns {
-		if evicted, evicts = l.victim(unread); !evicts {
+		if evicted, didEvict = l.victim(unread); !didEvict {
 			return 0, false, false
 		}
 		l.Remove(evicted)
@@ -85,7 +85,7 @@
 	e := &entry{id: id, since: now}
 	l.entries[id] = e
 	l.enqueue(e)
-	return evicted, evicts, true
+	return evicted, didEvict, true
 }
 
 // victim returns the connection to evict. ok is false if no connection can be evicted.
@@ -154,22 +154,22 @@
 
 // currentIdleTimeout returns the idle timeout for the current number of connections.
 func (l *Limiter) currentIdleTimeout() time.Duration {
-	if float64(len(l.entries)) > tightShare*float64(l.maxConns) {
-		return tightIdleTimeout
+	if float64(len(l.entries)) > reducedIdleUsage*float64(l.maxConns) {
+		return reducedIdleTimeout
 	}
 	return idleTimeout
 }
 
 // setState moves a connection to a state that it entered at since. It has no effect if the connection is not
 // held or already in that state.
-func (l *Limiter) setState(id ID, st state, since time.Duration) {
+func (l *Limiter) setState(id ID, newState state, since time.Duration) {
 	e := l.entries[id]
-	if e == nil || e.state == st {
+	if e == nil || e.state == newState {
 		return
 	}
 	l.dequeue(e)
-	e.state, e.since = st, since
-	if st != active {
+	e.state, e.since = newState, since
+	if newState != active {
 		l.enqueue(e)
 	}
 }
@@ -177,15 +177,15 @@
 // enqueue inserts a connection into the queue of its state, which stays ordered by since.
 func (l *Limiter) enqueue(e *entry) {
 	queue := l.queues[e.state]
-	before := queue.Back()
-	for before != nil && before.Value.(*entry).since > e.since {
-		before = before.Prev()
+	predecessor := queue.Back()
+	for predecessor != nil && predecessor.Value.(*entry).since > e.since {
+		predecessor = predecessor.Prev()
 	}
-	if before == nil {
+	if predecessor == nil {
 		e.elem = queue.PushFront(e)
 		return
 	}
-	e.elem = queue.InsertAfter(e, before)
+	e.elem = queue.InsertAfter(e, predecessor)
 }
 
 // dequeue removes a connection from the queue of its state. It has no effect on an active connection.
--- a/internal/frontend/http/close.go
+++ b/internal/frontend/http/close.go
@@ -18,9 +18,9 @@
 	if c.phase == closing {
 		return
 	}
-	requesting := c.phase == reading && (c.requestBegun || c.hasUnread())
+	isPartialRequest := c.phase == reading && (c.requestStarted || c.hasUnread())
 	c.setPhase(closing)
-	if !requesting {
+	if !isPartialRequest {
 		c.halfClose()
 		return
 	}
@@ -30,10 +30,10 @@
 // halfClose closes the writing side of the connection after the bytes already written. The reader then drops
 // what still arrives and closes the connection. The caller holds Server.mu.
 func (c *conn) halfClose() {
-	if c.writeShut {
+	if c.writeClosed {
 		return
 	}
-	c.writeShut = true
+	c.writeClosed = true
 	c.setPhase(closing)
 	s := c.server
 	c.lingerElem = s.lingering.PushBack(c)
@@ -46,10 +46,10 @@
 // maxConns. unlockAndClose closes them. The caller holds Server.mu.
 func (s *Server) evictLingering() {
 	for s.lingering.Len() > 0 && s.lingering.Len()+s.limit.Len() > s.maxConns {
-		longest := s.lingering.Front().Value.(*conn)
-		longest.stopLingering()
-		longest.abort()
-		s.toClose = append(s.toClose, longest)
+		oldest := s.lingering.Front().Value.(*conn)
+		oldest.stopLingering()
+		oldest.abort()
+		s.toClose = append(s.toClose, oldest)
 	}
 }
 
--- a/internal/frontend/http/close_test.go
+++ b/internal/frontend/http/close_test.go
@@ -10,35 +10,36 @@
 	"winghatch/internal/frontend"
 )
 
-// A client sends a request just as the gateway ends its connection, sees the end, and sends the request again
-// elsewhere. Served here too, it would run twice.
-func TestARequestBehindTheShutdownIsNotSentOn(t *testing.T) {
+// Guards against requests that run twice. A client sends a request just as the gateway ends its connection,
+// sees the end of the connection and sends the request again elsewhere. If this gateway forwarded it too, it
+// would run twice.
+func TestRequestAfterHalfCloseIsNotForwarded(t *testing.T) {
 	core, s, addr := startServer(t, 10)
 	c := dialIdle(t, core, addr)
 	s.Drain()
 	s.StopAccepting()
 	if status, _, _ := c.read(); status != 0 {
-		t.Fatalf("%d, want the end of the connection", status)
+		t.Fatalf("idle connection: got status %d, want the end of the connection", status)
 	}
 	c.send(requestText("POST /api", "X-Txn: t2") + "abc")
 	waitUntil(t, "the connection is closed", func() bool { return s.Conns.Load() == 0 })
 	if n := core.count(); n != 1 {
-		t.Errorf("%d requests were sent on, want 1", n)
+		t.Errorf("core received %d requests, want 1", n)
 	}
 }
 
-// A request was half read when the gateway stopped. Its client may have written it completely, so it is owed
-// a response.
-func TestARequestUnderWayWhenTheGatewayStopsIsRefused(t *testing.T) {
+// Guards against lost requests. A request is partly read when the gateway stops. Its client may have written
+// it completely, so it needs a response.
+func TestPartialRequestAtShutdownIsRejected(t *testing.T) {
 	core, s, addr := startServer(t, 10)
 	whole := requestText("POST /api", "X-Txn: t2") + "abc"
-	half, quiet := dialIdle(t, core, addr).send(whole[:40]), dial(t, addr)
-	waitUntil(t, "half a head was read", func() bool {
+	partial, silent := dialIdle(t, core, addr).send(whole[:40]), dial(t, addr)
+	waitUntil(t, "part of a head is read", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		n := 0
 		for _, c := range s.conns {
-			if c.requestBegun && c.phase == reading {
+			if c.requestStarted && c.phase == reading {
 				n++
 			}
 		}
@@ -46,21 +47,23 @@
 	})
 	s.Drain()
 	s.StopAccepting()
-	half.send(whole[40:])
-	if status, _, h := half.read(); status != 503 || h.Get("Connection") != "close" {
-		t.Errorf("%d, Connection %q, want 503 and close", status, h.Get("Connection"))
+	partial.send(whole[40:])
+	if status, _, h := partial.read(); status != 503 || h.Get("Connection") != "close" {
+		t.Errorf("partial request: got status %d, Connection %q, want 503 and close",
+			status, h.Get("Connection"))
 	}
-	if status, _, _ := quiet.read(); status != 0 {
-		t.Errorf("one that never asked: %d, want the end of the connection", status)
+	if status, _, _ := silent.read(); status != 0 {
+		t.Errorf("silent connection: got status %d, want the end of the connection", status)
 	}
 	if n := core.count(); n != 1 {
-		t.Errorf("%d requests were sent on, want 1", n)
+		t.Errorf("core received %d requests, want 1", n)
 	}
 }
 
-// The gateway stops while one request is open and another one waits behind it. Both get their responses, and
-// the last one ends the connection.
-func TestARequestBehindAnotherWhenTheGatewayStopsIsAnswered(t *testing.T) {
+// Guards against the loss of a pipelined request. The gateway stops while one request is open and another one
+// waits after it on the same connection. Both must get their responses, and the second response must end the
+// connection.
+func TestPipelinedRequestAtShutdownIsAnswered(t *testing.T) {
 	core, s, addr := startServer(t, 10)
 	c := dial(t, addr).send(requestText("POST /api") + "abc" + requestText("POST /api", "X-Txn: t2") + "abc")
 	first := <-core.submitted
@@ -71,14 +74,15 @@
 		}
 		call.Done(frontend.Response{Kind: frontend.Served, Body: []byte("x")})
 		if status, _, h := c.read(); status != 200 || (h.Get("Connection") == "close") != (i == 1) {
-			t.Errorf("answer %d: %d, Connection %q, want 200 and close with the last", i, status, h.Get("Connection"))
+			t.Errorf("response %d: got status %d, Connection %q, want 200 and close only in the second",
+				i, status, h.Get("Connection"))
 		}
 	}
 }
 
-// A close over unread bytes resets the connection, and the part of a response that the client has not
-// received is lost.
-func TestTheTailOfTheLastAnswerIsNotLost(t *testing.T) {
+// Guards against truncated responses. Closing a connection with unread bytes resets it, and the part of a
+// response that the client has not received yet is lost.
+func TestLastResponseIsComplete(t *testing.T) {
 	core, _, addr := startServer(t, 10)
 	nc, err := (&net.Dialer{}).Dial("tcp", addr)
 	if err != nil {
@@ -92,13 +96,15 @@
 	nc.SetDeadline(time.Now().Add(20 * time.Second))
 	all, err := io.ReadAll(nc)
 	if err != nil || len(all) < 1<<20 {
-		t.Errorf("%d bytes and %v, want the whole answer and its end", len(all), err)
+		t.Errorf("read %d bytes and error %v, want the whole response and the end of the connection",
+			len(all), err)
 	}
 }
 
-// A request arrives as its connection's idle timeout passes, or as the gateway stops. Unread in the socket it
-// keeps the connection open; one that arrives after the half-close is no request.
-func TestTheIdleTimeoutCrossesARequest(t *testing.T) {
+// Guards against requests that are lost or run twice because they arrive while their idle connection is being
+// closed, either after the idle timeout or during a shutdown. A request that is unread in the socket must
+// keep the connection open. A request that arrives after the half-close must be dropped.
+func TestRequestArrivesDuringIdleClose(t *testing.T) {
 	for _, end := range []struct {
 		name string
 		do   func(s *Server, now time.Duration)
@@ -109,16 +115,16 @@
 		core, s, _ := startServer(t, 10)
 		c, nc := dialUnread(t, s)
 		io.WriteString(nc, requestText("POST /api")+"abc")
-		waitUntil(t, "the request has come", func() bool { return c.hasUnread() })
+		waitUntil(t, "the request has arrived", func() bool { return c.hasUnread() })
 		end.do(s, s.clock()+time.Hour)
 		if c.phase == closing {
-			t.Fatalf("%s: a connection was shut over an unread request", end.name)
+			t.Fatalf("%s: the connection was closed with an unread request", end.name)
 		}
 		s.wg.Add(1)
 		go c.run()
 		if end.name == "stop" {
 			if b, _ := io.ReadAll(nc); !strings.HasPrefix(string(b), "HTTP/1.1 503 ") {
-				t.Errorf("%s: answer %.40q, want 503", end.name, b)
+				t.Errorf("%s: got response %.40q, want 503", end.name, b)
 			}
 			continue
 		}
@@ -127,14 +133,14 @@
 		c, nc = dialUnread(t, s)
 		end.do(s, s.clock()+2*time.Hour)
 		if c.phase != closing {
-			t.Fatalf("%s: an idle connection was not shut", end.name)
+			t.Fatalf("%s: the idle connection was not closed", end.name)
 		}
 		io.WriteString(nc, requestText("POST /api", "X-Txn: t2")+"abc")
-		waitUntil(t, "the request has come", func() bool { return c.hasUnread() })
+		waitUntil(t, "the request has arrived", func() bool { return c.hasUnread() })
 		s.wg.Add(1)
 		go c.run()
 		if b, err := io.ReadAll(nc); len(b) > 0 || err != nil {
-			t.Errorf("%s: %.40q and %v behind the end, want a clean end", end.name, b, err)
+			t.Errorf("%s: read %.40q and error %v after the half-close, want a clean end", end.name, b, err)
 		}
 		nc.Close()
 		waitUntil(t, "the connection is closed", func() bool {
@@ -143,18 +149,19 @@
 			return s.conns[c.id] == nil
 		})
 		if n := core.count(); n != 1 {
-			t.Errorf("%s: %d requests were sent on, want 1", end.name, n)
+			t.Errorf("%s: core received %d requests, want 1", end.name, n)
 		}
 	}
 }
 
-// Many connections are ended at once. All linger as long as new ones leave room; then those that have
-// lingered longest are closed, and the number of connections stays bounded.
-func TestLingeringIsBounded(t *testing.T) {
-	const maxConns, serving = 20, 15
+// Guards against lingering connections that exceed the limit when many connections are ended at once. They
+// may linger as long as new connections leave room. After that, those that have lingered longest must be
+// closed.
+func TestLingeringConnectionsAreBounded(t *testing.T) {
+	const maxConns, openConns = 20, 15
 	_, s, addr := startServer(t, maxConns)
 	dialAll := func() (all []*client) {
-		for range serving {
+		for range openConns {
 			all = append(all, dial(t, addr))
 		}
 		return all
@@ -165,33 +172,34 @@
 		return s.lingering.Len(), s.limit.Len()
 	}
 	first := dialAll()
-	waitUntil(t, "all are held", func() bool { return s.Conns.Load() == serving })
+	waitUntil(t, "all first connections are held", func() bool { return s.Conns.Load() == openConns })
 	s.mu.Lock()
 	for _, c := range s.conns {
 		c.closeInactive(503, "")
 	}
-	if n := s.lingering.Len(); n != serving {
-		t.Errorf("%d linger, want all %d", n, serving)
+	if n := s.lingering.Len(); n != openConns {
+		t.Errorf("%d connections linger, want all %d", n, openConns)
 	}
 	s.unlockAndClose()
 	second := dialAll()
-	waitUntil(t, "the second are held", func() bool {
+	waitUntil(t, "all second connections are held", func() bool {
 		lingering, held := counts()
 		if lingering+held > maxConns {
-			t.Errorf("%d linger and %d are held, want %d at most in sum", lingering, held, maxConns)
+			t.Errorf("%d lingering and %d other connections, want at most %d in total",
+				lingering, held, maxConns)
 		}
-		return held == serving
+		return held == openConns
 	})
 	for _, c := range first {
 		if status, _, _ := c.read(); status != 0 {
-			t.Errorf("%d, want the end of the connection", status)
+			t.Errorf("first connection: got status %d, want the end of the connection", status)
 		}
 	}
 	for _, c := range second {
 		c.nc.Close()
 	}
-	waitUntil(t, "all are closed", func() bool { return s.Conns.Load() == 0 })
+	waitUntil(t, "all connections are closed", func() bool { return s.Conns.Load() == 0 })
 	if lingering, held := counts(); lingering != 0 || held != 0 {
-		t.Errorf("%d linger and %d are held, want none", lingering, held)
+		t.Errorf("%d lingering and %d other connections after the end, want none", lingering, held)
 	}
 }
--- a/internal/frontend/http/conn.go
+++ b/internal/frontend/http/conn.go
@@ -42,18 +42,18 @@
 
 	// Guarded by Server.mu:
 	phase phase
-	// requestBegun says whether a byte of the request being read, or while a request is open of the next one,
-	// has been read.
-	requestBegun bool
-	requestID    string        // ID under which the core knows the open request; empty: no request is open
-	txn          string        // X-Txn of the open request
-	deadline     time.Duration // deadline of the open or else of the last request, on the server's clock
-	lastResponse bool          // whether the connection ends with the open request's response
-	clientGone   bool          // whether the client has closed the connection or it broke
-	writeShut    bool          // whether the writing side is closed
-	lingerElem   *list.Element // element in Server.lingering; nil unless the connection lingers
-	bodyBytes    int64         // part of Server.bodyBytes that the open request's body reserves
-	pipeline     pipeline
+	// requestStarted says whether a byte of the request being read, or while a request is open of the next
+	// one, has been read.
+	requestStarted     bool
+	requestID          string        // ID of the open request in the core; empty: no request is open
+	txn                string        // X-Txn of the open request
+	deadline           time.Duration // deadline of the open or last request, by the server's clock
+	closeAfterResponse bool          // whether the connection ends with the open request's response
+	clientGone         bool          // whether the client has closed the connection or it broke
+	writeClosed        bool          // whether the writing side is closed
+	lingerElem         *list.Element // element in Server.lingering; nil unless the connection lingers
+	bodyBytes          int64         // part of Server.bodyBytes that the open request's body reserves
+	pipeline           pipeline
 
 	pendingWrites sync.WaitGroup // running goroutines of writeRemainder
 
@@ -117,26 +117,27 @@
 
 // handleRequest reads the body of a request, validates the request and submits it to the core. It returns
 // false if the connection ends.
-func (c *conn) handleRequest(q *http1.Request) bool {
+func (c *conn) handleRequest(httpRequest *http1.Request) bool {
 	s := c.server
-	if q.Method == http.MethodGet && q.Target == "/health/ready" && q.BodyLength == 0 {
-		return c.serveHealth(q.Close)
+	if httpRequest.Method == http.MethodGet && httpRequest.Target == "/health/ready" &&
+		httpRequest.BodyLength == 0 {
+		return c.serveHealth(httpRequest.Close)
 	}
-	if q.Method == http.MethodPost && q.BodyLength == 0 {
-		if _, n := q.Get("Content-Length"); n == 0 {
+	if httpRequest.Method == http.MethodPost && httpRequest.BodyLength == 0 {
+		if _, n := httpRequest.Get("Content-Length"); n == 0 {
 			c.rejectRequest(requestError(http.StatusLengthRequired, "POST without a length"))
 			return false
 		}
 	}
-	if q.ExpectContinue && c.reader.Buffered() == 0 {
+	if httpRequest.ExpectContinue && c.reader.Buffered() == 0 {
 		c.writeInterim([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
-	body, err := c.reader.ReadBody(q.BodyLength)
+	body, err := c.reader.ReadBody(httpRequest.BodyLength)
 	if err != nil {
 		c.rejectRequest(err)
 		return false
 	}
-	request, parsed, err := s.rules.parse(q, body, c.arrivedAt)
+	request, parsed, err := s.rules.parse(httpRequest, body, c.arrivedAt)
 	if err != nil {
 		c.rejectRequest(err)
 		return false
@@ -144,8 +145,8 @@
 	request.ID = strconv.FormatUint(uint64(c.id), 36) + "-" + parsed.txn
 	request.EncodeAttempt = func(_ int, left time.Duration) []byte { return parsed.encode(left) }
 	request.Done = func(r frontend.Response) { c.respond(request.ID, r) }
-	request.ClientGone = func() bool { return c.clientLeft(request.ID) }
-	if err := c.openRequest(request, parsed.txn, q.Close); err != nil {
+	request.ClientGone = func() bool { return c.checkClientGone(request.ID) }
+	if err := c.openRequest(request, parsed.txn, httpRequest.Close); err != nil {
 		c.rejectRequest(err)
 		return false
 	}
@@ -155,10 +156,10 @@
 }
 
 // openRequest makes a request the open request of the connection, or returns the reason why it is rejected.
-// last says that the client wants the connection to end with the response. A request that was read after the
-// half-close of the connection is dropped without a response: its client has seen the end of the connection
-// and retries elsewhere, so the request would run twice if it were served here as well.
-func (c *conn) openRequest(request *frontend.Request, txn string, last bool) error {
+// closeAfter says that the client wants the connection to end with the response. A request that was read
+// after the half-close of the connection is dropped without a response: its client has seen the end of the
+// connection and retries elsewhere, so the request would run twice if it were served here as well.
+func (c *conn) openRequest(request *frontend.Request, txn string, closeAfter bool) error {
 	s := c.server
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -175,8 +176,8 @@
 	}
 	s.openTxns[txn] = struct{}{}
 	c.requestID, c.txn, c.deadline = request.ID, txn, request.Deadline
-	c.lastResponse = last || c.lastResponse
-	c.requestBegun = c.hasPipelined()
+	c.closeAfterResponse = closeAfter || c.closeAfterResponse
+	c.requestStarted = c.hasPipelined()
 	c.setPhase(active)
 	return nil
 }
--- a/internal/frontend/http/helper_test.go
+++ b/internal/frontend/http/helper_test.go
@@ -16,7 +16,7 @@
 	"winghatch/internal/testbed/tcpserver"
 )
 
-// fakeCore is a core without decisions: the test answers what is submitted.
+// fakeCore is a frontend.Core that records requests. The tests respond to them.
 type fakeCore struct {
 	mu           sync.Mutex
 	requests     []*frontend.Request
@@ -35,7 +35,7 @@
 
 func (c *fakeCore) Disconnected(id string) { c.disconnected <- id }
 
-// count is how many requests were submitted.
+// count returns the number of submitted requests.
 func (c *fakeCore) count() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -44,8 +44,8 @@
 
 var startedAt = time.Now()
 
-// startServer runs a server for the test's time, with plan team and a class of each idempotency: get, put and
-// pay.
+// startServer runs a server until the test ends. Its configuration has the plan team and a class for each
+// kind of idempotency: get, put and pay.
 func startServer(t *testing.T, maxConns int) (*fakeCore, *Server, string) {
 	t.Helper()
 	cfg := &decide.Config{
@@ -74,7 +74,7 @@
 	return core, s, ln.Addr().String()
 }
 
-// client is one connection of a client.
+// client is a client with one connection.
 type client struct {
 	t  *testing.T
 	nc net.Conn
@@ -97,7 +97,7 @@
 	return c
 }
 
-// read returns the status, body and head of a response; status 0 means that the connection ended.
+// read returns the status, body and header of a response. Status 0 means that the connection ended.
 func (c *client) read() (int, string, http.Header) {
 	res, err := http.ReadResponse(c.r, nil)
 	if err != nil {
@@ -108,16 +108,17 @@
 	}
 	body, err := io.ReadAll(res.Body)
 	if err != nil {
-		c.t.Errorf("a response that broke off: %v", err)
+		c.t.Errorf("read the body of a response: %v", err)
 	}
 	return res.StatusCode, string(body), res.Header
 }
 
-// requestText is the head of a valid request, with changes: "Name: value" replaces a field or adds one,
-// "Name" removes it.
+// requestText returns the head of a valid request with changes. The change "Name: value" replaces or adds a
+// field, and "Name" removes it.
 func requestText(first string, changes ...string) string {
-	fields := []string{"Host: s", "X-Txn: t1", "X-Lane: put", "X-Plan: team", "X-Customer: 00000000b4d65521",
-		"X-Remaining-Ms: 480", "Idempotency-Key: k1", "Content-Length: 3", "X-Quota: units=2,spread=3,first=1"}
+	fields := []string{"Host: s", "X-Txn: t1", "X-Lane: put", "X-Plan: team",
+		"X-Customer: 00000000b4d65521", "X-Remaining-Ms: 480", "Idempotency-Key: k1",
+		"Content-Length: 3", "X-Quota: units=2,spread=3,first=1"}
 	for _, change := range changes {
 		name, _, put := strings.Cut(change, ":")
 		for i, f := range fields {
@@ -133,19 +134,19 @@
 	return first + " HTTP/1.1\r\n" + strings.Join(fields, "\r\n") + "\r\n\r\n"
 }
 
-// dialIdle returns a client whose connection was served once and is idle.
+// dialIdle returns a client whose connection is idle after one served request.
 func dialIdle(t *testing.T, core *fakeCore, addr string) *client {
 	t.Helper()
 	c := dial(t, addr).send(requestText("POST /api") + "abc")
 	(<-core.submitted).Done(frontend.Response{Kind: frontend.Served, Body: []byte("x")})
 	if status, _, _ := c.read(); status != 200 {
-		t.Fatalf("%d, want 200", status)
+		t.Fatalf("first request: got status %d, want 200", status)
 	}
 	return c
 }
 
-// dialUnread returns a connection whose reader does not run, so that what arrives stays unread, and the
-// client's end.
+// dialUnread returns an idle connection whose reader does not run, so that arriving bytes stay unread. It
+// also returns the client's side of the connection.
 func dialUnread(t *testing.T, s *Server) (*conn, net.Conn) {
 	t.Helper()
 	nc, in := tcpserver.Connect(t)
@@ -163,12 +164,12 @@
 	return c, nc
 }
 
-// waitUntil waits for a condition, 10 s at most.
+// waitUntil waits for a condition. The test fails if the condition does not hold within 10 s.
 func waitUntil(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not within 10 s: %s", what)
+			t.Fatalf("condition not met within 10 s: %s", what)
 		}
 	}
 }
--- a/internal/frontend/http/pipeline.go
+++ b/internal/frontend/http/pipeline.go
@@ -26,16 +26,16 @@
 type pipeline struct {
 	chunks       []chunk
 	bytes        int  // total size of chunks
-	overflowed   bool // whether bytes were dropped because the buffer was full
+	overflowed   bool // whether bytes were dropped for lack of room
 	droppedBytes int  // number of bytes dropped since the overflow
 
 	// The reader waits for the response in one of two ways. If watching is set, it is blocked in a read, and
 	// finishResponse wakes it by setting a read deadline. If paused is set, it no longer reads, and
 	// finishResponse wakes it through resume.
-	watching bool
-	woken    bool // whether a read deadline was set to wake the reader; the reader removes the deadline
-	paused   bool
-	resume   chan struct{} // has a capacity of 1, so that finishResponse does not block
+	watching        bool
+	wakeDeadlineSet bool // whether a read deadline is set to wake the reader, which removes it
+	paused          bool
+	resume          chan struct{} // has a capacity of 1, so that finishResponse does not block
 }
 
 // chunk holds the bytes of one read. The remaining time of a request runs from the arrival of its last byte,
@@ -45,9 +45,9 @@
 	arrivedAt time.Duration
 }
 
-// take moves bytes of the first chunk to b and returns their number and arrival time. ok is false if there
+// consume moves bytes of the first chunk to b and returns their number and arrival time. ok is false if there
 // are no pipelined bytes.
-func (p *pipeline) take(b []byte) (n int, arrivedAt time.Duration, ok bool) {
+func (p *pipeline) consume(b []byte) (n int, arrivedAt time.Duration, ok bool) {
 	if len(p.chunks) == 0 {
 		return 0, 0, false
 	}
@@ -74,28 +74,28 @@
 	defer s.mu.Unlock()
 	var buf []byte
 	for c.phase == active {
-		clientStays := true
+		isConnected := true
 		switch {
 		case c.pipeline.droppedBytes > maxDroppedBytes:
-			clientStays = c.awaitWithoutReading()
+			isConnected = c.awaitWithoutReading()
 		case !c.hasPipelined():
 			s.mu.Unlock()
-			clientStays = c.reader.Wait() == nil
+			isConnected = c.reader.Wait() == nil
 			s.mu.Lock()
 		default:
 			if buf == nil {
 				buf = make([]byte, pipelineReadBytes)
 			}
-			clientStays = c.readPipelined(buf)
+			isConnected = c.readPipelined(buf)
 		}
-		if !clientStays {
+		if !isConnected {
 			return false
 		}
 	}
 	c.restoreReadDeadline()
 	if c.phase == idle && c.hasPipelined() {
 		c.setPhase(reading)
-		c.requestBegun = true
+		c.requestStarted = true
 	}
 	return c.phase != closing
 }
@@ -103,10 +103,10 @@
 // restoreReadDeadline removes the read deadline that finishResponse set to wake the reader. A closing
 // connection gets the deadline for lingering instead. The caller holds Server.mu.
 func (c *conn) restoreReadDeadline() {
-	if !c.pipeline.woken {
+	if !c.pipeline.wakeDeadlineSet {
 		return
 	}
-	c.pipeline.woken = false
+	c.pipeline.wakeDeadlineSet = false
 	deadline := time.Time{}
 	if c.phase == closing {
 		deadline = time.Now().Add(lingerTimeout)
--- a/internal/frontend/http/pipeline_test.go
+++ b/internal/frontend/http/pipeline_test.go
@@ -11,47 +11,48 @@
 	"winghatch/internal/frontend"
 )
 
-// A client pipelines requests. Each waits for the response to the one before it, and all are answered in
-// order.
-func TestRequestsBehindAnother(t *testing.T) {
+// Guards against responses in the wrong order. A client pipelines requests. Each must wait for the response
+// to the one before it, and all must be answered in order.
+func TestPipelinedRequestsAreServedInOrder(t *testing.T) {
 	core, _, addr := startServer(t, 10)
 	second := requestText("POST /api", "X-Txn: t2") + "abc"
 	c := dial(t, addr).send(requestText("POST /api") + "abc" + second + "noise\r\n\r\n")
 	first := <-core.submitted
 	select {
 	case <-core.submitted:
-		t.Fatal("two requests of one connection are open")
+		t.Fatal("the second request was submitted while the first was open")
 	case <-time.After(50 * time.Millisecond):
 	}
 	first.Done(frontend.Response{Kind: frontend.Served, Body: []byte("1")})
 	(<-core.submitted).Done(frontend.Response{Kind: frontend.Served, Body: []byte("2")})
 	for _, want := range []string{"200 1", "200 2", "400"} {
 		if status, body, _ := c.read(); !strings.HasPrefix(fmt.Sprint(status, " ", body), want) {
-			t.Errorf("%d %q, want %s", status, body, want)
+			t.Errorf("got status %d and body %q, want %s", status, body, want)
 		}
 	}
 }
 
-// A client pipelines requests and closes. The bytes in front of its close must not hide it: else attempts go
-// on for nobody.
-func TestAClientThatLeavesBehindOtherRequestsHasGone(t *testing.T) {
-	for _, behind := range []int{1, 5, 40, 2000} { // within the reader's buffer, within what is kept, and beyond
+// Guards against attempts for clients that have disconnected. A client pipelines requests and closes its
+// connection. The bytes in front of the close must not hide it.
+func TestDisconnectAfterPipelinedRequestsIsDetected(t *testing.T) {
+	// The numbers fit into the read buffer, fit into the pipeline, and exceed the pipeline.
+	for _, pipelined := range []int{1, 5, 40, 2000} {
 		core, s, addr := startServer(t, 10)
 		text := requestText("POST /api") + "abc"
-		for range behind {
+		for range pipelined {
 			text += requestText("POST /api", "X-Txn: t2") + "abc"
 		}
 		c := dial(t, addr)
 		sent := make(chan struct{})
-		go func() { // the server may end it half-way
+		go func() { // the server may end the connection before everything is sent
 			c.send(text)
 			close(sent)
 		}()
 		call := <-core.submitted
-		if behind < 1000 {
+		if pipelined < 1000 {
 			<-sent
 		}
-		waitUntil(t, "all that is kept was read", func() bool {
+		waitUntil(t, "the reader waits for more bytes or has stopped reading", func() bool {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			for _, c := range s.conns {
@@ -60,47 +61,49 @@
 			return false
 		})
 		if call.ClientGone() {
-			t.Errorf("%d behind it: it has gone before it left", behind)
+			t.Errorf("%d pipelined requests: ClientGone is true before the close", pipelined)
 		}
 		c.nc.Close()
 		if id := <-core.disconnected; id != call.ID {
-			t.Errorf("%d behind it: %q has gone, want %q", behind, id, call.ID)
+			t.Errorf("%d pipelined requests: disconnected request %q, want %q", pipelined, id, call.ID)
 		}
 		waitUntil(t, "the connection is closed", func() bool { return s.Conns.Load() == 0 })
 		if n := core.count(); n != 1 || !call.ClientGone() {
-			t.Errorf("%d behind it: %d requests were sent on, left %t, want 1 and true", behind, n, call.ClientGone())
+			t.Errorf("%d pipelined requests: core received %d, ClientGone %t, want 1 and true",
+				pipelined, n, call.ClientGone())
 		}
 	}
 }
 
-// A client closes and sends its request again. The core gives the first no response; its X-Txn must be free
-// all the same, and a late response must not touch the second.
-func TestAClientThatClosesHasGone(t *testing.T) {
+// Guards against an X-Txn that stays in use after its client has disconnected, and against a late response
+// that reaches another request. A client closes its connection and sends its request again with the same
+// X-Txn. The core sends no response to the first request.
+func TestDisconnectReleasesTxn(t *testing.T) {
 	core, s, addr := startServer(t, 10)
 	c := dial(t, addr).send(requestText("POST /api") + "abc")
 	call := <-core.submitted
 	c.nc.Close()
 	if id := <-core.disconnected; id != call.ID {
-		t.Errorf("%q has gone, want %q", id, call.ID)
+		t.Errorf("disconnected request %q, want %q", id, call.ID)
 	}
-	again := dial(t, addr).send(requestText("POST /api") + "abc")
+	retry := dial(t, addr).send(requestText("POST /api") + "abc")
 	second := <-core.submitted
-	call.Done(frontend.Response{Kind: frontend.Failed}) // crosses it: the id is the second's now
+	call.Done(frontend.Response{Kind: frontend.Failed}) // late: the X-Txn belongs to the second request now
 	if status, _, _ := dial(t, addr).send(requestText("POST /api") + "abc").read(); status != 409 {
-		t.Errorf("the id while the second is open: %d, want 409", status)
+		t.Errorf("same X-Txn while the second request is open: got status %d, want 409", status)
 	}
 	second.Done(frontend.Response{Kind: frontend.Failed})
-	again.read()
+	retry.read()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if n := len(s.openTxns); n != 0 {
-		t.Errorf("%d ids are held, want none", n)
+		t.Errorf("%d X-Txn values are in use after the end, want none", n)
 	}
 }
 
-// The reader may not have run since the client closed. What is asked as an attempt is written has to look at
-// the socket.
-func TestLeftLooksAtTheSocket(t *testing.T) {
+// Guards against attempts for clients that have disconnected. The reader may not have run since the client
+// closed its connection, so ClientGone must check the socket. It is called when an attempt is written.
+func TestClientGoneChecksSocket(t *testing.T) {
 	core, _, addr := startServer(t, 10)
 	for _, leave := range []func(nc *net.TCPConn){
 		func(nc *net.TCPConn) { nc.Close() },
@@ -110,23 +113,23 @@
 		c := dial(t, addr).send(requestText("POST /api") + "abc")
 		call := <-core.submitted
 		if call.ClientGone() {
-			t.Fatal("it has gone before it left")
+			t.Fatal("ClientGone is true before the client disconnects")
 		}
 		leave(c.nc.(*net.TCPConn))
-		waitUntil(t, "the client has gone", call.ClientGone)
+		waitUntil(t, "ClientGone is true", call.ClientGone)
 		<-core.disconnected
 	}
 	c := dialIdle(t, core, addr).send(requestText("POST /api", "X-Txn: t2") + "abc")
 	call := <-core.submitted
 	call.Done(frontend.Response{Kind: frontend.Failed})
 	if c.read(); !call.ClientGone() {
-		t.Error("a request that was answered still has a client")
+		t.Error("ClientGone is false after the response, want true")
 	}
 }
 
-// The process was held up, and a client sent bytes and closed meanwhile. Its close must be seen behind unread
-// bytes.
-func TestLeftLooksBehindUnreadBytes(t *testing.T) {
+// Guards against a close that is hidden by unread bytes. The process is suspended while a client sends bytes
+// and closes its connection.
+func TestClientGoneIsDetectedBehindUnreadBytes(t *testing.T) {
 	_, s, _ := startServer(t, 10)
 	for _, leave := range []func(nc *net.TCPConn){
 		func(nc *net.TCPConn) { nc.Close() },
@@ -139,15 +142,16 @@
 		c.setPhase(active)
 		s.mu.Unlock()
 		io.WriteString(nc, "GET /next")
-		waitUntil(t, "bytes wait", func() bool { return c.hasUnread() })
-		if c.clientLeft("x") {
-			t.Fatal("it has gone before it left")
+		waitUntil(t, "bytes are unread in the socket", func() bool { return c.hasUnread() })
+		if c.checkClientGone("x") {
+			t.Fatal("checkClientGone is true before the client disconnects")
 		}
 		leave(nc.(*net.TCPConn))
-		waitUntil(t, "the client has gone", func() bool { return c.clientLeft("x") })
+		waitUntil(t, "checkClientGone is true", func() bool { return c.checkClientGone("x") })
 	}
 }
 
+// reset closes a connection with a TCP reset.
 func reset(nc *net.TCPConn) {
 	nc.SetLinger(0)
 	nc.Close()
--- a/internal/frontend/http/read.go
+++ b/internal/frontend/http/read.go
@@ -11,7 +11,7 @@
 func (c *conn) Read(b []byte) (int, error) {
 	s := c.server
 	s.mu.Lock()
-	if n, arrivedAt, ok := c.pipeline.take(b); ok {
+	if n, arrivedAt, ok := c.pipeline.consume(b); ok {
 		c.arrivedAt = arrivedAt
 		s.bodyBytes -= int64(n)
 		s.mu.Unlock()
@@ -35,10 +35,10 @@
 		c.clientGone = true
 		return
 	}
-	if c.phase == idle || c.phase == reading && !c.requestBegun {
+	if c.phase == idle || c.phase == reading && !c.requestStarted {
 		c.setPhase(reading)
 	}
-	c.requestBegun = true
+	c.requestStarted = true
 	c.readAt = c.server.clock()
 }
 
@@ -48,9 +48,10 @@
 	return unread
 }
 
-// clientLeft reports whether the client of a request has disconnected or the request is no longer open. It
-// also checks the socket, because the reader may not have run since the client closed the connection.
-func (c *conn) clientLeft(requestID string) bool {
+// checkClientGone reports whether the client of a request has disconnected or the request is no longer open.
+// The gateway asks before it writes an attempt. The reader may not have run since the client closed the
+// connection, so checkClientGone also checks the socket.
+func (c *conn) checkClientGone(requestID string) bool {
 	c.server.mu.Lock()
 	defer c.server.mu.Unlock()
 	if c.clientGone || c.requestID != requestID {
--- a/internal/frontend/http/request.go
+++ b/internal/frontend/http/request.go
@@ -68,14 +68,14 @@
 // receives the request, because an invalid request must neither charge a quota nor make the core keep state
 // for a customer. The remaining time of the request starts at arrivedAt, when its last byte arrived. Errors
 // are of type *http1.Error.
-func (r *Rules) parse(q *http1.Request, body []byte, arrivedAt time.Duration) (
+func (r *Rules) parse(httpRequest *http1.Request, body []byte, arrivedAt time.Duration) (
 	*frontend.Request, *parsedRequest, error) {
-	parsed := &parsedRequest{method: q.Method, target: q.Target, body: body}
+	parsed := &parsedRequest{method: httpRequest.Method, target: httpRequest.Target, body: body}
 	var err error
-	if parsed.txn, err = singleField(q, "X-Txn", maxTxnBytes); err != nil {
+	if parsed.txn, err = singleField(httpRequest, "X-Txn", maxTxnBytes); err != nil {
 		return nil, nil, err
 	}
-	className, err := singleField(q, "X-Lane", maxNameBytes)
+	className, err := singleField(httpRequest, "X-Lane", maxNameBytes)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -83,18 +83,18 @@
 	if !ok {
 		return nil, nil, badRequest("X-Lane: no class %.40q", className)
 	}
-	plan, err := singleField(q, "X-Plan", maxNameBytes)
+	plan, err := singleField(httpRequest, "X-Plan", maxNameBytes)
 	if err != nil {
 		return nil, nil, err
 	}
 	if !r.plans[plan] {
 		return nil, nil, badRequest("X-Plan: no plan %.40q", plan)
 	}
-	customer, err := parseCustomer(q)
+	customer, err := parseCustomer(httpRequest)
 	if err != nil {
 		return nil, nil, err
 	}
-	remaining, err := parseRemaining(q, class.Deadline)
+	remaining, err := parseRemaining(httpRequest, class.Deadline)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -105,19 +105,20 @@
 		Deadline: arrivedAt + remaining,
 		Mutates:  class.Idempotency != decide.Idempotent,
 	}
-	if request.Units, request.GatewayCount, request.FirstGateway, err = r.parseQuota(q); err != nil {
+	if request.Units, request.GatewayCount, request.FirstGateway, err =
+		r.parseQuota(httpRequest); err != nil {
 		return nil, nil, err
 	}
-	if resent, n := q.Get("X-Resent"); n > 0 {
+	if resent, n := httpRequest.Get("X-Resent"); n > 0 {
 		request.IsRetry = resent == "1"
 	}
-	return request, parsed, parsed.checkClass(q, &class)
+	return request, parsed, parsed.checkClass(httpRequest, &class)
 }
 
 // singleField returns the value of a header field. The field must occur exactly once and consist of 1 to
 // maxBytes visible ASCII characters.
-func singleField(q *http1.Request, name string, maxBytes int) (string, error) {
-	value, n := q.Get(name)
+func singleField(httpRequest *http1.Request, name string, maxBytes int) (string, error) {
+	value, n := httpRequest.Get(name)
 	if n != 1 {
 		return "", badRequest("%d fields %s, want one", n, name)
 	}
@@ -131,8 +132,8 @@
 func isInvisible(c rune) bool { return c <= ' ' || c > '~' }
 
 // parseCustomer returns the customer ID of X-Customer, which has 16 lower-case hex digits.
-func parseCustomer(q *http1.Request) (string, error) {
-	id, err := singleField(q, "X-Customer", customerIDBytes)
+func parseCustomer(httpRequest *http1.Request) (string, error) {
+	id, err := singleField(httpRequest, "X-Customer", customerIDBytes)
 	if err != nil {
 		return "", err
 	}
@@ -145,22 +146,22 @@
 
 // parseRemaining returns the client's remaining time from X-Remaining-Ms. It must not exceed the deadline of
 // the class.
-func parseRemaining(q *http1.Request, deadline time.Duration) (time.Duration, error) {
-	text, err := singleField(q, "X-Remaining-Ms", maxNumberBytes)
+func parseRemaining(httpRequest *http1.Request, deadline time.Duration) (time.Duration, error) {
+	text, err := singleField(httpRequest, "X-Remaining-Ms", maxNumberBytes)
 	if err != nil {
 		return 0, err
 	}
 	ms, ok := parseDigits(text)
-	if most := math.Ceil(float64(deadline) / float64(time.Millisecond)); !ok || ms < 1 || ms > most {
-		return 0, badRequest("X-Remaining-Ms is %.40q, want a whole number of 1 to %g", text, most)
+	if maxMs := math.Ceil(float64(deadline) / float64(time.Millisecond)); !ok || ms < 1 || ms > maxMs {
+		return 0, badRequest("X-Remaining-Ms is %.40q, want a whole number of 1 to %g", text, maxMs)
 	}
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
 // checkClass checks that method, body and idempotency key match the class, and stores the idempotency key and
 // the content type.
-func (p *parsedRequest) checkClass(q *http1.Request, class *decide.Class) error {
-	if contentType, n := q.Get("Content-Type"); n == 1 {
+func (p *parsedRequest) checkClass(httpRequest *http1.Request, class *decide.Class) error {
+	if contentType, n := httpRequest.Get("Content-Type"); n == 1 {
 		p.contentType = contentType
 	}
 	want := http.MethodPost
@@ -175,13 +176,13 @@
 		return badRequest("a body of %d bytes with GET", len(p.body))
 	}
 	if class.Idempotency != decide.IdempotentByKey {
-		if _, n := q.Get("Idempotency-Key"); n > 0 {
+		if _, n := httpRequest.Get("Idempotency-Key"); n > 0 {
 			return badRequest("Idempotency-Key with class %q, which has none", class.Name)
 		}
 		return nil
 	}
 	var err error
-	p.idempotencyKey, err = singleField(q, "Idempotency-Key", maxNameBytes)
+	p.idempotencyKey, err = singleField(httpRequest, "Idempotency-Key", maxNameBytes)
 	return err
 }
 
@@ -216,8 +217,9 @@
 }
 
 // parseQuota parses X-Quota, for example "units=2,spread=3,first=1". It ignores other names.
-func (r *Rules) parseQuota(q *http1.Request) (units float64, gatewayCount, firstGateway int, err error) {
-	text, err := singleField(q, "X-Quota", maxQuotaBytes)
+func (r *Rules) parseQuota(httpRequest *http1.Request) (
+	units float64, gatewayCount, firstGateway int, err error) {
+	text, err := singleField(httpRequest, "X-Quota", maxQuotaBytes)
 	if err != nil {
 		return 0, 0, 0, err
 	}
@@ -236,7 +238,7 @@
 		default:
 			continue
 		}
-		if _, twice := values[name]; !ok || twice {
+		if _, isDuplicate := values[name]; !ok || isDuplicate {
 			return 0, 0, 0, badRequest("X-Quota: %s is %.40q, want one number", name, value)
 		}
 		values[name] = n
--- a/internal/frontend/http/request_test.go
+++ b/internal/frontend/http/request_test.go
@@ -8,26 +8,27 @@
 	"winghatch/internal/frontend"
 )
 
-// The core decides by what a request says, and the server gets what the client sent: both must be unchanged.
-func TestWhatACallIsMadeOf(t *testing.T) {
+// Guards against requests that change on their way. The core must receive all parameters of a request,
+// servers must receive what the client sent, and the client must receive the response unchanged.
+func TestRequestAndResponseEncoding(t *testing.T) {
 	core, _, addr := startServer(t, 10)
 	c := dial(t, addr).send(requestText("POST /api?x=1", "X-Resent: 1") + "abc")
 	r := <-core.submitted
-	if r.Class != "put" || r.Plan != "team" || r.Customer != "00000000b4d65521" || r.Units != 2 || r.GatewayCount != 3 ||
-		r.FirstGateway != 1 || !r.IsRetry || !r.Mutates {
-		t.Errorf("%+v", r)
+	if r.Class != "put" || r.Plan != "team" || r.Customer != "00000000b4d65521" || r.Units != 2 ||
+		r.GatewayCount != 3 || r.FirstGateway != 1 || !r.IsRetry || !r.Mutates {
+		t.Errorf("core received %+v, want the values of the request", r)
 	}
 	if left := r.Deadline - time.Since(startedAt); left > 480*time.Millisecond || left < -10*time.Second {
-		t.Errorf("deadline in %v, want 480 ms at most", left)
+		t.Errorf("deadline in %v, want at most 480 ms", left)
 	}
 	want := "POST /api?x=1 HTTP/1.1\r\nHost: service.internal\r\nX-Txn: t1\r\nX-Remaining-Ms: 200\r\n" +
 		"Idempotency-Key: k1\r\nContent-Length: 3\r\n\r\nabc"
 	if got := string(r.EncodeAttempt(0, 200*time.Millisecond)); got != want {
-		t.Errorf("goes on as %q, want %q", got, want)
+		t.Errorf("attempt is %q, want %q", got, want)
 	}
 	r.Done(frontend.Response{Kind: frontend.Served, Body: []byte("body")})
 	if status, body, _ := c.read(); status != 200 || body != "body" {
-		t.Errorf("answer %d %q, want 200 and the body unchanged", status, body)
+		t.Errorf("got status %d and body %q, want 200 and the unchanged body", status, body)
 	}
 	for _, want := range []struct {
 		response   frontend.Response
@@ -41,14 +42,15 @@
 		c.send(requestText("POST /api") + "abc")
 		(<-core.submitted).Done(want.response)
 		if status, _, h := c.read(); status != want.status || h.Get("Retry-After") != want.retryAfter {
-			t.Errorf("answer %d, Retry-After %q, want %d, %q", status, h.Get("Retry-After"), want.status, want.retryAfter)
+			t.Errorf("got status %d, Retry-After %q, want %d, %q",
+				status, h.Get("Retry-After"), want.status, want.retryAfter)
 		}
 	}
 }
 
-// An invalid request must neither charge a quota nor make state for a customer: it never reaches the core,
-// and the client can read why.
-func TestRequestsThatCantBeUsed(t *testing.T) {
+// Guards against invalid requests that charge a quota or make the core keep state for a customer. They must
+// not reach the core, and the client must get an error status.
+func TestInvalidRequestIsRejected(t *testing.T) {
 	core, _, addr := startServer(t, 100)
 	for _, c := range []struct {
 		text   string
@@ -98,64 +100,66 @@
 		{"POST /api HTTP/1.1\r\nX: " + strings.Repeat("a", 20000), 431},
 	} {
 		if status, body, _ := dial(t, addr).send(c.text + "abc").read(); status != c.status {
-			t.Errorf("%.300q: %d %q, want %d", c.text, status, body, c.status)
+			t.Errorf("%.300q: got status %d and body %q, want status %d", c.text, status, body, c.status)
 		}
 	}
 	if n := core.count(); n != 0 {
-		t.Errorf("the core heard of %d of them", n)
+		t.Errorf("core received %d invalid requests, want none", n)
 	}
 }
 
-// Two clients use the same X-Txn at once. The second is refused, the first is not touched.
-func TestAnIDThatIsOpenIsTurnedAway(t *testing.T) {
+// Guards against mixed-up requests when two clients use the same X-Txn at the same time. The second request
+// must be rejected, and the first must be served.
+func TestOpenTxnIsRejected(t *testing.T) {
 	core, _, addr := startServer(t, 10)
-	a := dial(t, addr).send(requestText("POST /api") + "abc")
+	firstClient := dial(t, addr).send(requestText("POST /api") + "abc")
 	first := <-core.submitted
 	if status, _, _ := dial(t, addr).send(requestText("POST /api") + "abc").read(); status != 409 {
-		t.Errorf("the same id: %d, want 409", status)
+		t.Errorf("second request with the same X-Txn: got status %d, want 409", status)
 	}
 	first.Done(frontend.Response{Kind: frontend.Served, Body: []byte("x")})
-	if status, _, _ := a.read(); status != 200 {
-		t.Errorf("the open request: %d, want 200", status)
+	if status, _, _ := firstClient.read(); status != 200 {
+		t.Errorf("first request: got status %d, want 200", status)
 	}
 	dial(t, addr).send(requestText("POST /api") + "abc")
-	<-core.submitted // it is free again
+	<-core.submitted // the X-Txn can be used again
 }
 
-// A request waits behind another one of its connection. Its remaining time runs from its last byte, not from
-// when it is parsed: else its server gets more time than the client has left.
-func TestARequestBehindAnotherHasRunItsTime(t *testing.T) {
-	const waits = 300 * time.Millisecond
+// Guards against servers that get more time than the client has left. A request waits for the response to an
+// earlier request on its connection. Its remaining time must run from the arrival of its last byte, not from
+// when it is parsed.
+func TestPipelinedRequestDeadlineRunsFromArrival(t *testing.T) {
+	const wait = 300 * time.Millisecond
 	core, s, addr := startServer(t, 10)
 	c := dial(t, addr).send(requestText("POST /api") + "abc")
 	first := <-core.submitted
 	c.send(requestText("POST /api", "X-Txn: t2") + "abc")
-	waitUntil(t, "the second was read ahead", func() bool {
+	waitUntil(t, "the second request is read", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for _, c := range s.conns {
-			return c.requestBegun && !c.hasUnread()
+			return c.requestStarted && !c.hasUnread()
 		}
 		return false
 	})
-	read := s.clock()
-	time.Sleep(waits)
+	readAt := s.clock()
+	time.Sleep(wait)
 	c.send(requestText("POST /api", "X-Txn: t3")[:20])
 	first.Done(frontend.Response{Kind: frontend.Served})
-	if left := (<-core.submitted).Deadline - read; left > 480*time.Millisecond {
-		t.Errorf("the second's time ends %v after it was read, want the 480 ms that it arrived with", left)
+	if left := (<-core.submitted).Deadline - readAt; left > 480*time.Millisecond {
+		t.Errorf("deadline of the second request is %v after it was read, want at most 480 ms", left)
 	}
 }
 
-// Hundreds of large bodies at once must not exceed the memory limit of the process.
-func TestBodiesAreBoundedInSum(t *testing.T) {
+// Guards against hundreds of large bodies at once that exceed the memory limit of the process.
+func TestTotalBodyBytesAreBounded(t *testing.T) {
 	core, s, addr := startServer(t, 40)
 	s.maxBodyBytes = 100 << 10
 	large := requestText("POST /api", "Content-Length: 81920") + strings.Repeat("a", 81920)
 	first := dial(t, addr).send(large)
 	call := <-core.submitted
 	if status, _, _ := dial(t, addr).send(strings.Replace(large, "t1", "t2", 1)).read(); status != 503 {
-		t.Errorf("a second large body: %d, want 503", status)
+		t.Errorf("second large body: got status %d, want 503", status)
 	}
 	call.Done(frontend.Response{Kind: frontend.Served})
 	first.read()
@@ -163,7 +167,7 @@
 	<-core.submitted
 	c.nc.Close()
 	<-core.disconnected
-	waitUntil(t, "its room is free", func() bool {
+	waitUntil(t, "the body's bytes are released", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.bodyBytes == 0
--- a/internal/frontend/http/response.go
+++ b/internal/frontend/http/response.go
@@ -22,14 +22,14 @@
 // rejectRequest sends the response for an invalid request and ends the connection. Any error other than an
 // *http1.Error means that the connection broke, so there is no response.
 func (c *conn) rejectRequest(err error) {
-	var rejected *http1.Error
-	if !errors.As(err, &rejected) {
+	var httpErr *http1.Error
+	if !errors.As(err, &httpErr) {
 		return
 	}
 	s := c.server
 	s.BadRequests.Add(1)
-	s.log.Debug("Request refused", "status", rejected.Status, "reason", rejected.Reason)
-	status := rejected.Status
+	s.log.Debug("Request refused", "status", httpErr.Status, "reason", httpErr.Reason)
+	status := httpErr.Status
 	if status < http.StatusBadRequest {
 		status = http.StatusBadRequest
 	}
@@ -37,14 +37,14 @@
 	defer s.unlockAndClose()
 	if c.phase != closing {
 		c.setPhase(closing)
-		c.writeResponse(appendResponse(nil, status, "", rejected.Reason+"\n", true), c.halfClose)
+		c.writeResponse(appendResponse(nil, status, "", httpErr.Reason+"\n", true), c.halfClose)
 	}
 }
 
 // serveHealth responds to the platform's health check with 200 if the gateway can serve requests, else with
-// 503. last says that the client wants the connection to end with the response. serveHealth returns false if
-// the connection is closing.
-func (c *conn) serveHealth(last bool) bool {
+// 503. closeAfter says that the client wants the connection to end with the response. serveHealth returns
+// false if the connection is closing.
+func (c *conn) serveHealth(closeAfter bool) bool {
 	s := c.server
 	ready := s.ready()
 	s.mu.Lock()
@@ -56,10 +56,10 @@
 	if s.draining || !ready {
 		status = http.StatusServiceUnavailable
 	}
-	last = last || s.stopping
-	c.lastResponse, c.requestBegun = last, false
+	closeAfter = closeAfter || s.stopping
+	c.closeAfterResponse, c.requestStarted = closeAfter, false
 	c.setPhase(active) // until the response is written
-	c.writeResponse(appendResponse(nil, status, "", "", last), c.finishResponse)
+	c.writeResponse(appendResponse(nil, status, "", "", closeAfter), c.finishResponse)
 	return true
 }
 
@@ -76,8 +76,8 @@
 	c.requestID, c.txn = "", ""
 	// While draining, a request that was already read after this one still gets its response on this
 	// connection.
-	c.lastResponse = c.lastResponse || s.draining && !c.requestBegun
-	c.writeResponse(encodeResponse(response, c.lastResponse), c.finishResponse)
+	c.closeAfterResponse = c.closeAfterResponse || s.draining && !c.requestStarted
+	c.writeResponse(encodeResponse(response, c.closeAfterResponse), c.finishResponse)
 }
 
 // finishResponse completes the request whose response has been written and wakes the reader. The caller holds
@@ -88,7 +88,7 @@
 	switch {
 	case c.clientGone: // the reader closes the connection
 		c.setPhase(closing)
-	case c.lastResponse:
+	case c.closeAfterResponse:
 		c.halfClose()
 	default:
 		c.setPhase(idle)
@@ -98,7 +98,7 @@
 		c.pipeline.resume <- struct{}{}
 	}
 	if c.pipeline.watching {
-		c.pipeline.woken = true
+		c.pipeline.wakeDeadlineSet = true
 		c.nc.SetReadDeadline(time.Now())
 	}
 }
@@ -113,7 +113,7 @@
 		return
 	}
 	if err != nil && !socket.IsTransient(err) {
-		c.lastResponse = true // the connection broke
+		c.closeAfterResponse = true // the connection broke
 		done()
 		return
 	}
@@ -148,19 +148,19 @@
 
 // encodeResponse encodes a final response. A rejected request gets 429, which promises that a retry is safe
 // and may suggest a wait before it. A failed request gets 502, which makes no such promise.
-func encodeResponse(r frontend.Response, last bool) []byte {
+func encodeResponse(r frontend.Response, closeAfter bool) []byte {
 	switch r.Kind {
 	case frontend.Served:
 		b := make([]byte, 0, responseHeadBytes+len(r.Body))
-		return appendResponse(b, http.StatusOK, "", string(r.Body), last)
+		return appendResponse(b, http.StatusOK, "", string(r.Body), closeAfter)
 	case frontend.Rejected:
 		retryAfter := ""
 		if r.RetryAfter > 0 {
 			retryAfter = strconv.FormatFloat(r.RetryAfter.Seconds(), 'f', 3, 64)
 		}
-		return appendResponse(nil, http.StatusTooManyRequests, retryAfter, "", last)
+		return appendResponse(nil, http.StatusTooManyRequests, retryAfter, "", closeAfter)
 	}
-	return appendResponse(nil, http.StatusBadGateway, "", "", last)
+	return appendResponse(nil, http.StatusBadGateway, "", "", closeAfter)
 }
 
 // responseHeadBytes is the approximate size of the head of a response.
@@ -187,9 +187,9 @@
 	505: "HTTP Version Not Supported",
 }
 
-// appendResponse appends an encoded response to b. If last is set, the response has "Connection: close". An
-// empty retryAfter omits the field Retry-After.
-func appendResponse(b []byte, status int, retryAfter, body string, last bool) []byte {
+// appendResponse appends an encoded response to b. If closeAfter is set, the response has "Connection:
+// close". An empty retryAfter omits the field Retry-After.
+func appendResponse(b []byte, status int, retryAfter, body string, closeAfter bool) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(b, ' ')
@@ -198,7 +198,7 @@
 		b = append(b, "\r\nRetry-After: "...)
 		b = append(b, retryAfter...)
 	}
-	if last {
+	if closeAfter {
 		b = append(b, "\r\nConnection: close"...)
 	}
 	b = append(b, "\r\nContent-Length: "...)
--- a/internal/frontend/http/response_test.go
+++ b/internal/frontend/http/response_test.go
@@ -9,9 +9,9 @@
 	"winghatch/internal/frontend"
 )
 
-// A client does not read its response. It must neither hold up the loop, which serves all others, nor keep
-// its connection for good.
-func TestAClientThatDoesNotRead(t *testing.T) {
+// Guards against a client that does not read its response. It must neither block the loop, which serves all
+// clients, nor keep its connection forever.
+func TestClientThatDoesNotReadIsDisconnected(t *testing.T) {
 	core, s, addr := startServer(t, 10)
 	c := dial(t, addr)
 	c.nc.(*net.TCPConn).SetReadBuffer(4096)
@@ -25,18 +25,19 @@
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the loop waits for a client")
+		t.Fatal("Done still blocks after 10 s")
 	}
-	for until := time.Now().Add(15 * time.Second); s.Conns.Load() > 0; time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(until) {
-			t.Fatal("the connection stays")
+	for end := time.Now().Add(15 * time.Second); s.Conns.Load() > 0; time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal("the connection is still open after 15 s")
 		}
 	}
 }
 
-// A client is slow to read. Its response is written until half a second after the request's deadline.
-func TestAClientThatReadsLateHasItsWholeAnswer(t *testing.T) {
-	const size = 32 << 20 // more than sockets hold
+// Guards against truncated responses for clients that read slowly. A response must be written until
+// responseGrace after the request's deadline, even if that takes longer than writeTimeout.
+func TestSlowClientGetsCompleteResponse(t *testing.T) {
+	const size = 32 << 20 // more than the socket buffers hold
 	_, s, _ := startServer(t, 10)
 	c, nc := dialUnread(t, s)
 	s.mu.Lock()
@@ -46,6 +47,6 @@
 	s.mu.Unlock()
 	time.Sleep(writeTimeout + 300*time.Millisecond)
 	if n, err := io.CopyN(io.Discard, nc, size); err != nil {
-		t.Errorf("%d bytes of %d: %v", n, size, err)
+		t.Errorf("read %d of %d bytes: %v", n, size, err)
 	}
 }
--- a/internal/frontend/http/server.go
+++ b/internal/frontend/http/server.go
@@ -238,7 +238,7 @@
 	defer s.unlockAndClose()
 	s.stopping = true
 	for _, c := range s.conns {
-		waiting := c.phase == idle || c.phase == reading && !c.requestBegun
+		waiting := c.phase == idle || c.phase == reading && !c.requestStarted
 		if waiting && !c.hasUnread() {
 			c.closeInactive(http.StatusServiceUnavailable, reasonStopping)
 		}
--- a/internal/frontend/http/server_test.go
+++ b/internal/frontend/http/server_test.go
@@ -7,52 +7,55 @@
 	"winghatch/internal/frontend"
 )
 
-// The platform routes no clients to a gateway that is not ready, and those connected go elsewhere after their
-// response.
-func TestReadyAndDrain(t *testing.T) {
+// Guards against clients that stay on a gateway that is shutting down. The health check must fail, so that
+// the platform routes no more clients to the gateway, and connected clients must be disconnected after their
+// next response.
+func TestHealthCheckAndDrain(t *testing.T) {
 	core, s, addr := startServer(t, 10)
-	ready := "GET /health/ready HTTP/1.1\r\nHost: s\r\n\r\n"
-	c := dial(t, addr).send(ready)
+	healthCheck := "GET /health/ready HTTP/1.1\r\nHost: s\r\n\r\n"
+	c := dial(t, addr).send(healthCheck)
 	if status, _, _ := c.read(); status != 200 {
-		t.Errorf("ready: %d, want 200", status)
+		t.Errorf("health check: got status %d, want 200", status)
 	}
 	s.Drain()
-	if status, _, _ := c.send(ready).read(); status != 503 {
-		t.Errorf("ready while stopping: %d, want 503", status)
+	if status, _, _ := c.send(healthCheck).read(); status != 503 {
+		t.Errorf("health check while draining: got status %d, want 503", status)
 	}
 	c = dial(t, addr).send(requestText("POST /api") + "abc")
 	(<-core.submitted).Done(frontend.Response{Kind: frontend.Served, Body: []byte("x")})
 	if status, _, h := c.read(); status != 200 || h.Get("Connection") != "close" {
-		t.Errorf("while stopping: %d, Connection %q, want 200 and close", status, h.Get("Connection"))
+		t.Errorf("while draining: got status %d, Connection %q, want 200 and close",
+			status, h.Get("Connection"))
 	}
 	if status, _, _ := c.read(); status != 0 {
-		t.Errorf("the connection goes on")
+		t.Errorf("the connection is still open after the response")
 	}
 }
 
-// Hundreds of clients connect and send nothing. They must take no connection from clients that do, and are
-// closed.
-func TestSilentConnectionsLeaveRoom(t *testing.T) {
+// Guards against hundreds of clients that connect and send nothing. They must not keep clients with requests
+// from being served, and their connections must be closed.
+func TestSilentConnectionsLeaveRoomForRequests(t *testing.T) {
 	core, s, addr := startServer(t, 20)
 	var silent []*client
-	at := time.Now()
+	startTime := time.Now()
 	for range 500 {
 		silent = append(silent, dial(t, addr))
 	}
 	c := dial(t, addr).send(requestText("POST /api") + "abc")
 	(<-core.submitted).Done(frontend.Response{Kind: frontend.Served, Body: []byte("x")})
 	if status, _, _ := c.read(); status != 200 {
-		t.Errorf("a usual client beside them: %d, want 200", status)
+		t.Errorf("client with a request: got status %d, want 200", status)
 	}
 	if n := s.Conns.Load(); n > 40 {
-		t.Errorf("%d connections are held, want about 20", n)
+		t.Errorf("%d connections are held, want at most 40 with a limit of 20", n)
 	}
 	for _, c := range silent {
 		if status, _, _ := c.read(); status >= 200 && status < 400 {
-			t.Errorf("a silent client was served")
+			t.Errorf("a silent client was served, want an error status or the end of the connection")
 		}
 	}
-	if took := time.Since(at); took > 10*time.Second { // two seconds and the sweep; the machine may be loaded
-		t.Errorf("the last silent connection was closed after %v", took)
+	// The request timeout and the sweep take little more than 2 s; the machine may be loaded.
+	if took := time.Since(startTime); took > 10*time.Second {
+		t.Errorf("the last silent connection was closed after %v, want at most 10 s", took)
 	}
 }
--- a/internal/frontend/websocket/clockskew.go
+++ b/internal/frontend/websocket/clockskew.go
@@ -14,9 +14,9 @@
 // origin is unknown, so the call that arrived fastest counts as having age 0. If the client's clock steps
 // back, the estimate starts over.
 type clockSkew struct {
-	known       bool
-	leastOffset float64 // smallest difference between the gateway's and the client's clock, in milliseconds
-	lastAt      float64 // time of the last call by the client's clock, in milliseconds
+	known      bool
+	minOffset  float64 // smallest difference between the gateway's and the client's clock, in milliseconds
+	lastCallMs float64 // time of the last call by the client's clock, in milliseconds
 }
 
 // age returns the age at now of a call that the client made at atMs by its own clock. It returns 0 if atMs is
@@ -26,9 +26,9 @@
 		return 0
 	}
 	offset := float64(now)/float64(time.Millisecond) - *atMs
-	if !s.known || *atMs < s.lastAt || offset < s.leastOffset {
-		s.known, s.leastOffset = true, offset
+	if !s.known || *atMs < s.lastCallMs || offset < s.minOffset {
+		s.known, s.minOffset = true, offset
 	}
-	s.lastAt = *atMs
-	return time.Duration(min(offset-s.leastOffset, maxAgeMs) * float64(time.Millisecond))
+	s.lastCallMs = *atMs
+	return time.Duration(min(offset-s.minOffset, maxAgeMs) * float64(time.Millisecond))
 }
--- a/internal/frontend/websocket/params.go
+++ b/internal/frontend/websocket/params.go
@@ -42,7 +42,7 @@
 
 // parseField decodes one field. It copies what it keeps of value, which is only valid until the next message.
 func (p *callParams) parseField(name string, value json.RawMessage) error {
-	var to any
+	var target any
 	switch name {
 	case "units":
 		return parseNumber(&p.Units, name, value)
@@ -58,19 +58,19 @@
 			p.Key = string(value[1 : len(value)-1])
 			return nil
 		}
-		to = &p.Key
+		target = &p.Key
 	case "again":
-		to = &p.IsRetry
+		target = &p.IsRetry
 	case "write":
-		to = &p.Mutates
+		target = &p.Mutates
 	case "reserved":
-		to = &p.Reserved
+		target = &p.Reserved
 	case "traceparent":
-		to = &p.TraceParent
+		target = &p.TraceParent
 	default:
 		return fmt.Errorf("params.%.40s: unknown field", name)
 	}
-	if err := json.Unmarshal(value, to); err != nil {
+	if err := json.Unmarshal(value, target); err != nil {
 		return fmt.Errorf("params.%s: %.40s: %w", name, value, err)
 	}
 	return nil
@@ -82,11 +82,11 @@
 }
 
 // parseNumber decodes a number. null leaves it unset.
-func parseNumber(to **float64, name string, value json.RawMessage) error {
-	x, err := strconv.ParseFloat(string(value), 64)
+func parseNumber(target **float64, name string, value json.RawMessage) error {
+	number, err := strconv.ParseFloat(string(value), 64)
 	isNumber := err == nil && value[0] != 'n' // ParseFloat also accepts nan
 	if isNumber {
-		*to = &x
+		*target = &number
 		return nil
 	}
 	if string(value) == "null" {
@@ -116,9 +116,9 @@
 }
 
 // checkNotNegative returns an error if a number is set and is infinite or less than 0.
-func checkNotNegative(field string, x *float64) error {
-	if x == nil || *x >= 0 && !math.IsInf(*x, 0) {
+func checkNotNegative(field string, number *float64) error {
+	if number == nil || *number >= 0 && !math.IsInf(*number, 0) {
 		return nil
 	}
-	return fmt.Errorf("params.%s: %v, want a number of 0 or more", field, *x)
+	return fmt.Errorf("params.%s: %v, want a number of 0 or more", field, *number)
 }
--- a/internal/frontend/websocket/server_test.go
+++ b/internal/frontend/websocket/server_test.go
@@ -27,7 +27,7 @@
 		select {
 		case <-done:
 		case <-time.After(10 * time.Second):
-			t.Fatal("it serves")
+			t.Fatal("Serve did not return within 10 s")
 		}
 	}
 }
--- a/internal/frontend/websocket/session.go
+++ b/internal/frontend/websocket/session.go
@@ -98,9 +98,9 @@
 
 // handleMessage processes one message, which is a single item or a batch.
 func (c *session) handleMessage(data []byte) {
-	items, isBatch, malformed := jsonrpc.Parse(data, c.server.limits.MaxBatch)
-	if malformed != nil {
-		c.send(jsonrpc.AppendError(nil, jsonrpc.NullID, malformed))
+	items, isBatch, parseErr := jsonrpc.Parse(data, c.server.limits.MaxBatch)
+	if parseErr != nil {
+		c.send(jsonrpc.AppendError(nil, jsonrpc.NullID, parseErr))
 		return
 	}
 	answer := c.send
