--- a/internal/platform/clock_test.go
+++ b/internal/platform/clock_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// coldServerShare has a server join whose boot time is off by so much from this machine's wall clock. It
-// returns how many requests the server gets in its first seconds, and how many it and the warm one get
-// together.
-func coldServerShare(t *testing.T, off time.Duration) (cold, all int) {
+// coldServerShare adds a server whose reported start time differs by clockOffset from the wall clock of this
+// machine. It returns the number of requests that this cold server receives in its first seconds, and the
+// number that it and the warm server receive together.
+func coldServerShare(t *testing.T, clockOffset time.Duration) (cold, all int) {
 	t.Helper()
 	g, _ := startGateway(t)
-	warm, joins := startCounting(t), startCounting(t)
+	warmServer, coldServer := startCountingServer(t), startCountingServer(t)
 	d := newDiscovery()
-	d.set(target("warm", warm.addr, "ready", 0))
+	d.set(target("warm", warmServer.addr, "ready", 0))
 	g.writeConfig(d.serve(t))
 	g.signal(syscall.SIGHUP)
 	c := g.dial()
@@ -26,30 +26,31 @@
 	}
 	g.waitUntil("the list is followed", func() bool {
 		send()
-		return warm.since(time.Time{}) > 0
+		return warmServer.since(time.Time{}) > 0
 	})
-	for range 400 { // a warm server's usual load
+	for range 400 { // the usual load of the warm server
 		send()
 		time.Sleep(5 * time.Millisecond)
 	}
-	at := time.Now()
-	d.set(target("joins", joins.addr, "ready", at.Add(off).UnixMilli()))
+	addedAt := time.Now()
+	d.set(target("joins", coldServer.addr, "ready", addedAt.Add(clockOffset).UnixMilli()))
 	for range 400 {
 		send()
 		time.Sleep(5 * time.Millisecond)
 	}
-	return joins.since(at), joins.since(at) + warm.since(at)
+	return coldServer.since(addedAt), coldServer.since(addedAt) + warmServer.since(addedAt)
 }
 
-// The wall clock was stepped, and a server that joined got its full share while cold, or nothing at all. Slow
-// start has to run in real time, whatever the wall clock shows.
-func TestSlowStartDoesNotGoByTheWallClock(t *testing.T) {
-	for _, off := range []time.Duration{0, -time.Hour, time.Hour, -5 * time.Second, 5 * time.Second} {
-		t.Run(off.String(), func(t *testing.T) {
+// Guards against a slow start that follows the wall clock. After a step of the wall clock, a new server
+// received its full share of requests while it was cold, or no requests at all.
+func TestSlowStartIgnoresWallClock(t *testing.T) {
+	for _, clockOffset := range []time.Duration{0, -time.Hour, time.Hour, -5 * time.Second, 5 * time.Second} {
+		t.Run(clockOffset.String(), func(t *testing.T) {
 			t.Parallel()
-			cold, all := coldServerShare(t, off)
+			cold, all := coldServerShare(t, clockOffset)
 			if cold == 0 || cold*3 > all {
-				t.Errorf("a cold server gets %d of %d requests, want some and less than a third", cold, all)
+				t.Errorf("the cold server received %d of %d requests, want at least 1 and at most a third",
+					cold, all)
 			}
 		})
 	}
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -8,15 +8,15 @@
 	"testing"
 )
 
-// configText is a configuration file with settings.
+// configText returns a valid configuration file with the given settings.
 func configText(settings string) string {
-	return `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","limits":{"cores":1,"memory_mb":64,"sockets":256},` +
-		`"seed":"1f","settings":` + settings + `}`
+	return `{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2",` +
+		`"limits":{"cores":1,"memory_mb":64,"sockets":256},"seed":"1f","settings":` + settings + `}`
 }
 
-// An operator has to find the field: a configuration that cannot be used gives an error that names it with
-// its value.
-func TestConfigurationsThatCantBeUsed(t *testing.T) {
+// Guards against errors that do not lead operators to the faulty field. The error of an invalid configuration
+// must name the field and its value.
+func TestConfigurationErrorsNameField(t *testing.T) {
 	whole := configText(settingsText)
 	if _, err := parse([]byte(whole)); err != nil {
 		t.Fatal(err)
@@ -37,20 +37,21 @@
 	} {
 		text := strings.Replace(whole, c.from, c.to, 1)
 		if text == whole || !json.Valid([]byte(text)) {
-			t.Fatalf("%s is not in the configuration", c.from)
+			t.Fatalf("%s is not in the configuration, or its replacement is not valid JSON", c.from)
 		}
 		if _, err := parse([]byte(text)); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: error %v, want one that says %s", c.to, err, c.want)
+			t.Errorf("%s: got error %v, want one that contains %s", c.to, err, c.want)
 		}
 	}
 	_, err := Load(filepath.Join(t.TempDir(), "none.json"))
 	if err == nil || !strings.Contains(err.Error(), "none.json") {
-		t.Errorf("a missing file: %v, want an error that names it", err)
+		t.Errorf("missing file: got error %v, want one that contains none.json", err)
 	}
 }
 
-// Settings that the core cannot work with must stop the start, with file, field and value.
-func TestSettingsOfOthersThatCantBeUsed(t *testing.T) {
+// Guards against a start with settings that the gateway cannot use. The error must name the file, the field
+// and its value.
+func TestSettingsErrorsNameFileAndField(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{`"GiveUpNs":4000000000,"Importance":1,"WindowNs":0`, `"GiveUpNs":0,"Importance":1,"WindowNs":0`,
 			`Classes[0].GiveUpNs is 0`},
@@ -63,12 +64,12 @@
 		file := filepath.Join(t.TempDir(), "config.json")
 		text := strings.Replace(settingsText, c.from, c.to, 1)
 		if text == settingsText {
-			t.Fatalf("%s is not in the settings", c.from)
+			t.Fatalf("the settings do not contain %s", c.from)
 		}
 		os.WriteFile(file, []byte(configText(text)), 0o600)
 		_, err := Load(file)
 		if err == nil || !strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), file) {
-			t.Errorf("%s: error %v, want one that names the file and %s", c.to, err, c.want)
+			t.Errorf("%s: got error %v, want one that contains the file name and %s", c.to, err, c.want)
 		}
 	}
 }
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -8,49 +8,52 @@
 	"time"
 )
 
-// drainTest is a gateway with a discovery that lists two servers, both of which serve; one is to drain.
+// drainTest is a gateway whose discovery lists two servers. Both receive requests until one of them drains.
 type drainTest struct {
 	*testGateway
-	stays, drains *countingServer
-	discovery     *fakeDiscovery
+	staying, draining *countingServer
+	discovery         *fakeDiscovery
 }
 
+// newDrainTest starts a drainTest and waits until both servers have received requests.
 func newDrainTest(t *testing.T) *drainTest {
 	t.Helper()
 	g, _ := startGateway(t)
-	d := &drainTest{g, startCounting(t), startCounting(t), newDiscovery()}
-	d.discovery.set(target("stays", d.stays.addr, "ready", 0), target("drains", d.drains.addr, "ready", 0))
+	d := &drainTest{g, startCountingServer(t), startCountingServer(t), newDiscovery()}
+	d.discovery.set(
+		target("stays", d.staying.addr, "ready", 0), target("drains", d.draining.addr, "ready", 0))
 	g.writeConfig(d.discovery.serve(t))
 	g.signal(syscall.SIGHUP)
 	c := g.dial()
-	g.waitUntil("both serve", func() bool {
+	g.waitUntil("both servers have received requests", func() bool {
 		c.get(fmt.Sprint("before", time.Now().UnixNano()))
-		return d.stays.since(time.Time{}) > 0 && d.drains.since(time.Time{}) > 0
+		return d.staying.since(time.Time{}) > 0 && d.draining.since(time.Time{}) > 0
 	})
 	return d
 }
 
-// drain makes discovery list the one server as draining.
-func (d *drainTest) drain() { d.discovery.set(target("drains", d.drains.addr, "draining", 0)) }
+// drain makes discovery list one server as draining.
+func (d *drainTest) drain() { d.discovery.set(target("drains", d.draining.addr, "draining", 0)) }
 
-// expectDrained sends 20 requests from the time on from which the drain has to be known.
-func (d *drainTest) expectDrained(known time.Time) {
+// expectDrained sends 20 requests after the given time, by which the gateway must know of the drain, and
+// expects that none of them reaches the draining server.
+func (d *drainTest) expectDrained(knownBy time.Time) {
 	d.t.Helper()
-	time.Sleep(time.Until(known))
+	time.Sleep(time.Until(knownBy))
 	c := d.dial()
 	for i := range 20 {
 		if status, _ := c.get(fmt.Sprint("after", i)); status != 200 {
-			d.t.Errorf("after the drain: %d, want 200", status)
+			d.t.Errorf("request after the drain: got status %d, want 200", status)
 		}
 	}
-	if n := d.drains.since(known); n > 0 {
-		d.t.Errorf("%d of 20 went to a server whose drain had to be known", n)
+	if n := d.draining.since(knownBy); n > 0 {
+		d.t.Errorf("%d of 20 requests reached the draining server, want none", n)
 	}
 }
 
-// Discovery answers late, or its connections come up late. A drain has to be known 6 s after discovery had it
-// all the same.
-func TestADrainToldByASlowDiscovery(t *testing.T) {
+// Guards against drains that become known too late because discovery responds slowly or its connections are
+// slow to open. The gateway must know of a drain 6 s after discovery lists it.
+func TestDrainWithSlowDiscovery(t *testing.T) {
 	const knownAfter = 6 * time.Second
 	for _, c := range []struct {
 		name                     string
@@ -68,8 +71,11 @@
 			f.responseDelay, f.openDelay = c.responseDelay, c.openDelay
 			before := len(f.queries)
 			f.mu.Unlock()
-			d.waitUntil("a call that is answered late is under way", func() bool { return f.queryCount() >= before+2 })
-			time.Sleep(1500 * time.Millisecond) // into the middle of a call, whose answer would come after its timeout
+			d.waitUntil("a query with a late response is in progress", func() bool {
+				return f.queryCount() >= before+2
+			})
+			// The drain is listed in the middle of a query whose response would arrive after its timeout.
+			time.Sleep(1500 * time.Millisecond)
 			drainedAt := time.Now()
 			d.drain()
 			d.expectDrained(drainedAt.Add(knownAfter))
@@ -77,23 +83,24 @@
 	}
 }
 
-// A SIGHUP names a discovery that is slow, and the process is held up. A drain that it lists has to be known
-// 4 s after the signal.
-func TestADrainToldBySlowDiscoveryBehindASignal(t *testing.T) {
+// Guards against drains that become known too late after a reload. A SIGHUP switches to a slow discovery
+// while the process is suspended. The gateway must know of a drain in its list 4 s after the signal.
+func TestDrainWithSlowDiscoveryAfterReload(t *testing.T) {
 	t.Parallel()
 	d := newDrainTest(t)
 	next := newDiscovery()
 	next.responseDelay, next.openDelay = 1300*time.Millisecond, 1100*time.Millisecond
-	next.set(target("stays", d.stays.addr, "ready", 0), target("drains", d.drains.addr, "draining", 0))
+	next.set(target("stays", d.staying.addr, "ready", 0), target("drains", d.draining.addr, "draining", 0))
 	d.writeConfig(next.serve(t))
 	signaledAt := time.Now()
-	d.holdUp(150*time.Millisecond, func() { d.signal(syscall.SIGHUP) })
+	d.suspend(150*time.Millisecond, func() { d.signal(syscall.SIGHUP) })
 	d.expectDrained(signaledAt.Add(4 * time.Second))
 }
 
-// Discovery is silent for long and never answers the calls of that time. Once it answers new calls, a drain
-// has to be known within 6 s, without a signal.
-func TestADrainToldBehindALongSilence(t *testing.T) {
+// Guards against a watch that waits forever for lost responses. Discovery does not respond for a long time,
+// and never responds to the queries of that time. Once it responds to new queries, the gateway must know of a
+// drain within 6 s without a signal.
+func TestDrainAfterDiscoverySilence(t *testing.T) {
 	t.Parallel()
 	d := newDrainTest(t)
 	setDelay := func(delay time.Duration) {
@@ -108,25 +115,27 @@
 	d.expectDrained(time.Now().Add(6 * time.Second))
 }
 
-// The largest fleet, 3,200 servers with the longest names, was not read where its list was indented deeply.
-func TestTheLargestListIsRead(t *testing.T) {
+// Guards against a size limit that is too small for the endpoint list. The list of the largest fleet, 3,200
+// servers with the longest names, was not read if it was deeply indented.
+func TestLargestEndpointListIsRead(t *testing.T) {
 	const servers = 3200
 	for _, indent := range []string{"", "  ", "        ", strings.Repeat("\t", 64)} {
 		t.Run(fmt.Sprintf("indent %d", len(indent)), func(t *testing.T) {
 			g, _ := startGateway(t)
-			serves := startCounting(t)
+			server := startCountingServer(t)
 			d := newDiscovery()
 			d.indent = indent
-			all := []map[string]any{target("serves", serves.addr, "ready", 0)}
+			targets := []map[string]any{target("serves", server.addr, "ready", 0)}
 			for i := range servers - 1 {
-				all = append(all, target(fmt.Sprintf("s%d-%s", i, strings.Repeat("x", 240)), serves.addr, "ready", 0))
+				targets = append(targets,
+					target(fmt.Sprintf("s%d-%s", i, strings.Repeat("x", 240)), server.addr, "ready", 0))
 			}
-			d.set(all...)
+			d.set(targets...)
 			g.writeConfig(d.serve(t))
 			g.signal(syscall.SIGHUP)
-			g.waitUntil("a server of the large list serves", func() bool {
+			g.waitUntil("a server of the large list receives a request", func() bool {
 				g.dial().get(fmt.Sprint("t", time.Now().UnixNano()))
-				return serves.since(time.Time{}) > 0
+				return server.since(time.Time{}) > 0
 			})
 		})
 	}
--- a/internal/platform/drain.go
+++ b/internal/platform/drain.go
@@ -23,23 +23,23 @@
 	drainPollInterval = 5 * time.Millisecond
 )
 
-// killAt returns the earliest time at which the platform may send SIGKILL to a process that got SIGTERM at
-// terminated.
-func (g *Gateway) killAt(terminated time.Time) time.Time {
+// earliestKill returns the earliest time at which the platform may send SIGKILL to a process that got SIGTERM
+// at terminatedAt.
+func (g *Gateway) earliestKill(terminatedAt time.Time) time.Time {
 	longest := time.Duration(0)
 	for _, class := range g.cfg.Decide.Classes {
 		longest = max(longest, class.Deadline)
 	}
-	return terminated.Add(min(longest, maxKillDeadline) + killGrace)
+	return terminatedAt.Add(min(longest, maxKillDeadline) + killGrace)
 }
 
 // Drain shuts the gateway down gracefully after a SIGTERM at the given time. It accepts connections for
 // acceptGrace after SIGTERM, answers all requests that it has read before the process may be killed, and
 // stops the gateway.
-func (g *Gateway) Drain(terminated time.Time) {
-	kill := g.killAt(terminated)
+func (g *Gateway) Drain(terminatedAt time.Time) {
+	kill := g.earliestKill(terminatedAt)
 	g.frontend.Drain()
-	time.Sleep(time.Until(terminated.Add(acceptGrace)))
+	time.Sleep(time.Until(terminatedAt.Add(acceptGrace)))
 	// A deadline makes Serve accept the connections in the kernel's backlog before it returns. Close would
 	// reset them.
 	g.ln.SetDeadline(time.Now())
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -12,73 +12,74 @@
 	"time"
 )
 
-// A gateway is replaced while clients send requests. Open requests are answered, new connections are accepted
-// for a while, a SIGHUP does no harm, and the process exits before it may be killed.
-func TestStop(t *testing.T) {
+// Guards against requests that are lost when a gateway is replaced while clients send requests. After
+// SIGTERM, open requests must be answered, new connections must be accepted for a while, a SIGHUP must have
+// no effect, and the process must exit before it may be killed.
+func TestGracefulShutdown(t *testing.T) {
 	g, _ := startGateway(t)
-	got := make(chan string, 2)
+	results := make(chan string, 2)
 	send := func(txn string) {
 		status, body := g.request("GET /api", requestFields(txn, "get", "team"))
-		got <- fmt.Sprint(status, " ", body)
+		results <- fmt.Sprint(status, " ", body)
 	}
 	go send("open")
 	<-g.received
 	g.signal(syscall.SIGTERM)
-	g.waitUntil("it drains", func() bool { return g.readyStatus() == 503 })
+	g.waitUntil("the gateway drains", func() bool { return g.readyStatus() == 503 })
 	g.signal(syscall.SIGHUP)
 	go send("after")
 	<-g.received
 	g.responses <- "a"
 	g.responses <- "a"
 	for range 2 {
-		if s := <-got; s != "200 a" {
-			t.Errorf("answered %q, want 200 a", s)
+		if result := <-results; result != "200 a" {
+			t.Errorf("got status and body %q, want 200 a", result)
 		}
 	}
 	g.expectExit(4 * time.Second)
 }
 
-// Two clients have idle connections at SIGTERM. One goes on sending until a response says that its connection
-// ends, the other one sends just as the gateway ends it. Nothing that is read after the end may reach a
-// server, as its client sends it again elsewhere.
-func TestStopCrossesRequests(t *testing.T) {
+// Guards against requests that run twice. Two clients have idle connections at SIGTERM. One sends requests
+// until a response announces the end of its connection. The other one sends a request just as the gateway
+// ends its connection, and will send it again elsewhere. That request must not reach a server.
+func TestShutdownWithIdleConnections(t *testing.T) {
 	g, _ := startGateway(t)
 	idle, busy := g.dial(), g.dial()
 	for i, c := range []*client{idle, busy} {
 		g.responses <- "a"
 		if status, last := c.get(fmt.Sprint("first", i)); status != 200 || last {
-			t.Fatalf("%d, last %t, want 200 and a connection that stays", status, last)
+			t.Fatalf("first request: got status %d, connection ends %t, want 200 and false", status, last)
 		}
 		<-g.received
 	}
 	g.signal(syscall.SIGTERM)
-	g.waitUntil("it drains", func() bool { return g.readyStatus() == 503 })
+	g.waitUntil("the gateway drains", func() bool { return g.readyStatus() == 503 })
 	g.responses <- "a"
 	if status, last := busy.get("second"); status != 200 || !last {
-		t.Errorf("while stopping: %d, last %t, want 200 and the connection's end", status, last)
+		t.Errorf("while draining: got status %d, connection ends %t, want 200 and true", status, last)
 	}
 	<-g.received
 	if _, err := idle.r.ReadByte(); err != io.EOF {
-		t.Errorf("the idle connection: %v, want its end", err)
+		t.Errorf("read from the idle connection: got error %v, want EOF", err)
 	}
 	if status, _ := idle.get("behind"); status != 0 {
-		t.Errorf("behind the end: %d, want none", status)
+		t.Errorf("request after the end of the connection: got status %d, want no response", status)
 	}
 	g.expectExit(10 * time.Second)
 	select {
 	case txn := <-g.received:
-		t.Errorf("%s reached the server behind the shutdown", txn)
+		t.Errorf("request %s reached the server after the end of its connection", txn)
 	default:
 	}
 }
 
-// lateWorthText gives a late response worth: requests then stay open for as long as their clients wait.
+// lateWorthText gives late responses a value. Requests then stay open until their clients' deadlines.
 const lateWorthText = `"LateWorth":1,"Importance":1`
 
-// Servers hang while the gateway is replaced. SIGKILL comes no earlier than the longest deadline, 3 s at
-// most, and 0.7 s after SIGTERM. By then each request has to have its response, also where its own deadline
-// is later.
-func TestAStopAnswersAllBeforeTheKill(t *testing.T) {
+// Guards against requests that lose their response to SIGKILL. Servers hang while the gateway is replaced.
+// The earliest SIGKILL is the longest deadline, but at most 3 s, plus 0.7 s after SIGTERM. By then each
+// request must have its response, even if its own deadline is later.
+func TestShutdownAnswersAllRequestsBeforeKill(t *testing.T) {
 	for _, c := range []struct {
 		deadlineNs  string
 		remainingMs int
@@ -95,7 +96,8 @@
 			g.neverRespond()
 			send := func(txn string) *client {
 				cl := g.dial()
-				io.WriteString(cl.nc, strings.Replace(postText(txn, "abc"), "3900", fmt.Sprint(c.remainingMs), 1))
+				io.WriteString(cl.nc,
+					strings.Replace(postText(txn, "abc"), "3900", fmt.Sprint(c.remainingMs), 1))
 				return cl
 			}
 			clients := []*client{send("before")}
@@ -106,33 +108,34 @@
 				time.Sleep(time.Until(terminated.Add(time.Duration(i) * 80 * time.Millisecond)))
 				clients = append(clients, send(fmt.Sprint("t", i)))
 			}
-			g.holdUp(150*time.Millisecond, func() {})
-			got := make(chan map[int]int)
-			go func() { got <- countStatuses(clients) }()
+			g.suspend(150*time.Millisecond, func() {})
+			counts := make(chan map[int]int)
+			go func() { counts <- countStatuses(clients) }()
 			select {
-			case count := <-got:
-				// Failed; or refused, by the core or as read after the 0.7 s in which requests are taken.
+			case count := <-counts:
+				// A request fails with 502, or is rejected with 429 by the core, or with 503 if it is read
+				// after the 0.7 s in which requests are accepted.
 				if count[502]+count[429]+count[503] != len(clients) || count[502] == 0 {
-					t.Errorf("answers by status %v, want 502, 429 or 503 for all", count)
+					t.Errorf("responses by status %v, want only 502, 429 and 503 and a 502", count)
 				}
 			case <-time.After(time.Until(terminated.Add(c.kill))):
-				t.Error("not all are answered when the kill may come")
+				t.Error("not all requests were answered before the earliest SIGKILL")
 			}
 			g.process.Process.Kill()
 		})
 	}
 }
 
-// The process is held up as it stops listening, and connections wait in the kernel's backlog. A close of the
-// listener would reset them; they are served or refused.
-func TestAStopAnswersTheBacklog(t *testing.T) {
+// Guards against reset connections. The process is suspended just before it stops listening, and connections
+// wait in the kernel's backlog. Closing the listener would reset them, but each must get a response.
+func TestShutdownServesBacklog(t *testing.T) {
 	g, _ := startGateway(t)
 	g.respondAtOnce()
 	terminated := time.Now()
 	g.signal(syscall.SIGTERM)
 	time.Sleep(time.Until(terminated.Add(350 * time.Millisecond)))
 	var clients []*client
-	g.holdUp(500*time.Millisecond, func() {
+	g.suspend(500*time.Millisecond, func() {
 		for i := range 30 {
 			c := g.dial()
 			io.WriteString(c.nc, postText(fmt.Sprint("t", i), "abc"))
@@ -140,13 +143,13 @@
 		}
 	})
 	if count := countStatuses(clients); count[0] > 0 {
-		t.Errorf("answers by status %v, want none closed without one", count)
+		t.Errorf("responses by status %v, want no connection without a response (status 0)", count)
 	}
 	g.expectExit(5 * time.Second)
 }
 
-// Silent clients, and clients that never finish a request, must not keep the process until the kill.
-func TestAStopEndsBesideClientsThatStay(t *testing.T) {
+// Guards against a shutdown that lasts until SIGKILL because clients are silent or never complete a request.
+func TestShutdownEndsWithIncompleteRequests(t *testing.T) {
 	g, _ := startGateway(t)
 	for i := range 10 {
 		c := g.dial()
@@ -155,7 +158,7 @@
 		}
 	}
 	g.signal(syscall.SIGTERM)
-	go func() { // connects, and begins a request, for as long as the gateway accepts
+	go func() { // opens connections with incomplete requests while the gateway accepts
 		for range 40 {
 			if nc, err := net.Dial("tcp", g.listen); err == nil {
 				defer nc.Close()
@@ -167,8 +170,9 @@
 	g.expectExit(3700 * time.Millisecond)
 }
 
-// SIGTERM comes at any moment while the process starts. It must end before the kill.
-func TestAStopWhileTheProcessStarts(t *testing.T) {
+// Guards against a SIGTERM that is lost because it arrives while the process starts. The process must exit
+// before the earliest SIGKILL.
+func TestSIGTERMDuringStart(t *testing.T) {
 	g, _ := startGateway(t)
 	g.kill()
 	for _, after := range []time.Duration{0, 2, 5, 10, 20, 40, 80} {
@@ -177,17 +181,17 @@
 		g.signal(syscall.SIGTERM)
 		select {
 		case err := <-g.exited:
-			// The signal itself ends it before the program's own code runs.
+			// Before the program's own code runs, the signal itself ends the process.
 			if err != nil && !wasTerminated(err) {
-				t.Errorf("a stop %v ms after the start: %v", int(after), err)
+				t.Errorf("SIGTERM %v ms after the start: the process ended with %v", int(after), err)
 			}
 		case <-time.After(3700 * time.Millisecond):
-			t.Fatalf("a stop %v ms after the start: the process goes on", int(after))
+			t.Fatalf("SIGTERM %v ms after the start: the process still runs after 3.7 s", int(after))
 		}
 	}
 }
 
-// wasTerminated reports whether SIGTERM itself ended a process.
+// wasTerminated reports whether err is from a process that was killed by SIGTERM.
 func wasTerminated(err error) bool {
 	var exit *exec.ExitError
 	return errors.As(err, &exit) && exit.Sys().(syscall.WaitStatus).Signal() == syscall.SIGTERM
--- a/internal/platform/fault_test.go
+++ b/internal/platform/fault_test.go
@@ -15,8 +15,8 @@
 	"winghatch/internal/socket"
 )
 
-// failSystemCalls makes every third system call on this process's sockets fail for a moment, with ENOBUFS and
-// ENOMEM by turns, and every fifth write short.
+// failSystemCalls makes every third system call on the sockets of this process fail, alternately with ENOBUFS
+// and ENOMEM, and makes every fifth write short.
 func failSystemCalls() {
 	var n atomic.Int64
 	fail := func() error {
@@ -53,9 +53,9 @@
 	}
 }
 
-// System calls fail for a moment, for want of buffers or memory. No request may be lost to that: each is
-// served, on a connection that stays.
-func TestCallsThatFailForAMomentLoseNoRequest(t *testing.T) {
+// Guards against requests that are lost when system calls fail temporarily for lack of buffers or memory.
+// Each request must be served, and its connection must stay open.
+func TestTransientSystemCallErrorsLoseNoRequest(t *testing.T) {
 	g, _ := startGateway(t, envFaults+"=1")
 	g.respondAtOnce()
 	for i := range 4 {
@@ -68,46 +68,48 @@
 			}
 			io.WriteString(c.nc, text)
 			if count := countStatuses([]*client{c}); count[200] != 1 {
-				t.Fatalf("request %d of connection %d: answers by status %v, want 200", j, i, count)
+				t.Fatalf("request %d of connection %d: responses by status %v, want 200", j, i, count)
 			}
 		}
 	}
 }
 
-// System calls fail for a moment. A request that cannot be used is still answered, and its connection ends.
-func TestCallsThatFailForAMomentHideNoError(t *testing.T) {
+// Guards against lost error responses when system calls fail temporarily. An invalid request must still get
+// its response, and its connection must end.
+func TestTransientSystemCallErrorsKeepErrorResponse(t *testing.T) {
 	g, _ := startGateway(t, envFaults+"=1")
 	for i := range 20 {
 		c := g.dial()
 		io.WriteString(c.nc, "POST /api HTTP/1.1\r\nHost: s\r\n"+
 			"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc")
 		if count := countStatuses([]*client{c}); count[400] != 1 {
-			t.Fatalf("connection %d: answers by status %v, want 400", i, count)
+			t.Fatalf("connection %d: responses by status %v, want 400", i, count)
 		}
 	}
 }
 
-// refuseSystemCalls sets a seccomp filter on this process: the calls that the platform refuses end with
-// ENOSYS.
+// refuseSystemCalls installs a seccomp filter in this process. The system calls that the platform refuses
+// then fail with ENOSYS.
 func refuseSystemCalls() error {
-	const offNr, offArg = 0, 16 // of struct seccomp_data: the call, its first argument
-	load := func(off uint32) unix.SockFilter {
-		return unix.SockFilter{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: off}
+	// Offsets in struct seccomp_data of the system call number and the first argument.
+	const numberOffset, argOffset = 0, 16
+	load := func(offset uint32) unix.SockFilter {
+		return unix.SockFilter{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS, K: offset}
 	}
 	jump := func(op uint16, k uint32, yes, no uint8) unix.SockFilter {
 		return unix.SockFilter{Code: unix.BPF_JMP | op | unix.BPF_K, Jt: yes, Jf: no, K: k}
 	}
 	ret := func(k uint32) unix.SockFilter { return unix.SockFilter{Code: unix.BPF_RET | unix.BPF_K, K: k} }
 	refused := ret(unix.SECCOMP_RET_ERRNO | uint32(unix.ENOSYS))
-	f := []unix.SockFilter{load(offNr)}
-	for _, nr := range []uint32{unix.SYS_FORK, unix.SYS_VFORK, unix.SYS_CLONE3, unix.SYS_EXECVE,
+	filter := []unix.SockFilter{load(numberOffset)}
+	for _, number := range []uint32{unix.SYS_FORK, unix.SYS_VFORK, unix.SYS_CLONE3, unix.SYS_EXECVE,
 		unix.SYS_IO_URING_SETUP, unix.SYS_SPLICE, unix.SYS_SENDFILE} {
-		f = append(f, jump(unix.BPF_JEQ, nr, 0, 1), refused)
+		filter = append(filter, jump(unix.BPF_JEQ, number, 0, 1), refused)
 	}
-	// A clone that makes no thread is a fork.
-	f = append(f,
+	// clone without CLONE_THREAD is a fork.
+	filter = append(filter,
 		jump(unix.BPF_JEQ, unix.SYS_CLONE, 0, 3),
-		load(offArg),
+		load(argOffset),
 		jump(unix.BPF_JSET, unix.CLONE_THREAD, 1, 0),
 		refused,
 		ret(unix.SECCOMP_RET_ALLOW))
@@ -116,29 +118,31 @@
 	if err := unix.Prctl(unix.PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0); err != nil {
 		return err
 	}
-	p := unix.SockFprog{Len: uint16(len(f)), Filter: &f[0]}
-	const tsync = 1 // for all threads
-	_, _, errno := unix.Syscall(unix.SYS_SECCOMP, unix.SECCOMP_SET_MODE_FILTER, tsync, uintptr(unsafe.Pointer(&p)))
+	program := unix.SockFprog{Len: uint16(len(filter)), Filter: &filter[0]}
+	const tsync = 1 // SECCOMP_FILTER_FLAG_TSYNC applies the filter to all threads
+	_, _, errno := unix.Syscall(unix.SYS_SECCOMP, unix.SECCOMP_SET_MODE_FILTER, tsync,
+		uintptr(unsafe.Pointer(&program)))
 	if errno != 0 {
-		return fmt.Errorf("seccomp: %w", errno)
+		return fmt.Errorf("install seccomp filter: %w", errno)
 	}
 	if _, _, errno := unix.Syscall(unix.SYS_FORK, 0, 0, 0); errno != unix.ENOSYS {
-		return fmt.Errorf("fork is not refused: %v", errno)
+		return fmt.Errorf("fork returned %v, want ENOSYS", errno)
 	}
 	return nil
 }
 
-// The platform refuses fork, exec, io_uring, splice and sendfile. The gateway has to serve without, through a
-// reload and a stop.
-func TestServesWhereCallsAreRefused(t *testing.T) {
+// Guards against dependencies on system calls that the platform refuses: fork, exec, io_uring, splice and
+// sendfile. The gateway must serve, reload and stop without them.
+func TestServesWithRefusedSystemCalls(t *testing.T) {
 	g, queries := startGateway(t, envRefuse+"=1")
 	g.responses <- "hello"
-	if status, body := g.request("GET /api", requestFields("t1", "get", "team")); status != 200 || body != "hello" {
-		t.Errorf("%d %q, want 200", status, body)
+	if status, body := g.request("GET /api", requestFields("t1", "get", "team")); status != 200 ||
+		body != "hello" {
+		t.Errorf("got status %d and body %q, want 200 and hello", status, body)
 	}
 	g.writeConfig(startDiscovery(t, g.serverAddr, queries))
 	g.signal(syscall.SIGHUP)
-	g.waitUntil("the list is followed elsewhere", func() bool {
+	g.waitUntil("the new discovery address is logged", func() bool {
 		return g.logContains("Following another discovery address")
 	})
 	g.signal(syscall.SIGTERM)
--- a/internal/platform/gateway.go
+++ b/internal/platform/gateway.go
@@ -28,11 +28,11 @@
 	idleTimeoutShare = 0.75
 	// defaultDialTimeout is the time to connect to a server if the settings contain none.
 	defaultDialTimeout = time.Second
-	// readyWithoutList is the time that a gateway waits for discovery before it serves with the last known
+	// maxDiscoveryWait is the time that a gateway waits for discovery before it serves with the last known
 	// list.
-	readyWithoutList = 2 * time.Second
-	// unlimitedRequests is the limit on open requests if the settings contain none.
-	unlimitedRequests = 1 << 20
+	maxDiscoveryWait = 2 * time.Second
+	// defaultMaxOpenRequests is the limit on open requests if the settings contain none.
+	defaultMaxOpenRequests = 1 << 20
 )
 
 // Gateway is a running gateway of the platform. [Start] creates it. Drain or Stop ends it.
@@ -79,8 +79,8 @@
 	}
 	g.pool = newPool(c)
 	g.loop = gateway.NewLoop(c.Decide, core, clock.Now, g.pool, peers, nil, log)
-	g.loop.SetMaxOpenRequests(cmp.Or(c.ConnectionLimits.MaxOpenRequests, unlimitedRequests))
-	list := &endpointList{gateway: g, clock: clock, starts: newStartTimes(c)}
+	g.loop.SetMaxOpenRequests(cmp.Or(c.ConnectionLimits.MaxOpenRequests, defaultMaxOpenRequests))
+	list := &endpointList{gateway: g, clock: clock, startTimes: newStartTimes(c)}
 	g.watch = discoveryhttp.New(c.Discovery, discoveryhttp.Options{Log: log, OnList: list.receive})
 	g.frontend = frontendhttp.New(frontendhttp.NewRules(&c.Decide), g.loop,
 		frontendhttp.Options{MaxConns: c.maxClientConns(), MaxBodyBytes: c.maxBodyBytes()},
@@ -88,7 +88,8 @@
 	g.run(list)
 	log.Info("Gateway started", "name", c.Name, "listen", g.ln.Addr().String(),
 		"servers", len(c.LastKnown.Targets), "classes", classSummaries(c),
-		"max_retry_after", c.Decide.Limits.MaxRetryAfter, "cores", c.Cores, "memory_mb", c.MemoryMB, "sockets", c.Sockets)
+		"max_retry_after", c.Decide.Limits.MaxRetryAfter,
+		"cores", c.Cores, "memory_mb", c.MemoryMB, "sockets", c.Sockets)
 	return g, nil
 }
 
@@ -142,12 +143,12 @@
 }
 
 // Ready reports whether the gateway can serve requests. This is the case after the first response of
-// discovery, or after readyWithoutList if the last known list is not empty.
+// discovery, or after maxDiscoveryWait if the last known list is not empty.
 func (g *Gateway) Ready() bool {
 	if g.listReceived.Load() {
 		return true
 	}
-	return len(g.cfg.LastKnown.Targets) > 0 && time.Since(g.startedAt) > readyWithoutList
+	return len(g.cfg.LastKnown.Targets) > 0 && time.Since(g.startedAt) > maxDiscoveryWait
 }
 
 // SetDiscovery switches the discovery watch to the given address. If the address is unchanged, the watch
@@ -174,9 +175,9 @@
 
 // endpointList passes endpoint lists from discovery to the pool and the loop.
 type endpointList struct {
-	gateway *Gateway
-	clock   gateway.Clock
-	starts  *discoveryhttp.StartTimes
+	gateway    *Gateway
+	clock      gateway.Clock
+	startTimes *discoveryhttp.StartTimes
 }
 
 // newStartTimes returns the tracker of server start times, which determines the slow start of each server.
@@ -200,5 +201,5 @@
 // update.
 func (e *endpointList) apply(list *discoveryhttp.List, kind decide.UpdateKind, silence time.Duration) {
 	e.gateway.pool.Update(list.Servers(), kind != decide.DeltaUpdate)
-	e.gateway.loop.UpdateEndpoints(e.starts.Update(list, kind, e.clock.Now(), silence))
+	e.gateway.loop.UpdateEndpoints(e.startTimes.Update(list, kind, e.clock.Now(), silence))
 }
--- a/internal/platform/gateway_test.go
+++ b/internal/platform/gateway_test.go
@@ -10,47 +10,50 @@
 	"time"
 )
 
-// What clients get from a gateway: a server's response, a refusal beyond the quota, an error for an unknown
-// class.
-func TestAGatewayOfThePlatform(t *testing.T) {
+// Guards against wrong responses to clients: a request must get the server's response, a request over the
+// quota a 429, and a request with an unknown class a 400.
+func TestGatewayResponses(t *testing.T) {
 	g, _ := startGateway(t)
 	g.responses <- "hello"
-	if status, body := g.request("GET /api", requestFields("t1", "get", "team")); status != 200 || body != "hello" {
-		t.Errorf("%d %q, want 200 and the server's body", status, body)
+	if status, body := g.request("GET /api", requestFields("t1", "get", "team")); status != 200 ||
+		body != "hello" {
+		t.Errorf("got status %d and body %q, want 200 and the server's body", status, body)
 	}
 	if txn := <-g.received; txn != "t1" {
-		t.Errorf("the server got %q, want t1", txn)
+		t.Errorf("the server received X-Txn %q, want t1", txn)
 	}
-	for range 3 { // beyond its quota from the second on
+	for range 3 { // over the quota from the second request on
 		if status, _ := g.request("GET /api", requestFields("t2", "get", "small")); status == 200 {
 			g.responses <- "x"
 		}
 	}
 	if status, _ := g.request("GET /api", requestFields("t3", "get", "small")); status != 429 {
-		t.Errorf("beyond its quota: %d, want 429", status)
+		t.Errorf("request over the quota: got status %d, want 429", status)
 	}
 	if status, _ := g.request("GET /api", requestFields("t4", "none", "team")); status != 400 {
-		t.Errorf("an unknown class: %d, want 400", status)
+		t.Errorf("request with an unknown class: got status %d, want 400", status)
 	}
 }
 
-// A process is killed with a request half read. Its successor gets the address and serves.
-func TestKillAndSuccessor(t *testing.T) {
+// Guards against an address that stays in use after a process was killed with a partly read request. The next
+// process must bind the address and serve.
+func TestRestartAfterKill(t *testing.T) {
 	g, _ := startGateway(t)
-	half := g.dial()
-	io.WriteString(half.nc, "GET /api HTTP/1.1\r\nHost: s\r\n")
+	partial := g.dial()
+	io.WriteString(partial.nc, "GET /api HTTP/1.1\r\nHost: s\r\n")
 	if err := g.kill(); err == nil {
-		t.Error("a killed process ended with 0")
+		t.Error("the killed process exited with status 0, want an error")
 	}
 	g.start()
 	g.responses <- "a"
 	if status, _ := g.dial().get("t1"); status != 200 {
-		t.Errorf("the successor: %d, want 200", status)
+		t.Errorf("after the restart: got status %d, want 200", status)
 	}
 }
 
-// Another process still holds the address at the start. The gateway gave up; it has to wait for it.
-func TestAStartWaitsForItsAddress(t *testing.T) {
+// Guards against a start that fails because another process still holds the address. The gateway gave up
+// immediately, but must wait for the address.
+func TestStartWaitsForListenAddress(t *testing.T) {
 	g, _ := startGateway(t)
 	g.kill()
 	held, err := net.Listen("tcp", g.listen)
@@ -61,14 +64,15 @@
 	g.start()
 	g.responses <- "a"
 	if status, _ := g.dial().get("t1"); status != 200 {
-		t.Errorf("%d, want 200", status)
+		t.Errorf("got status %d, want 200", status)
 	}
 }
 
-// A gateway is restarted while discovery is down. It must be ready within ten seconds, by the list that it
-// held last.
+// Guards against a gateway that never becomes ready because it is restarted while discovery is down. It must
+// be ready within ten seconds with the last known list.
 func TestReadyWhileDiscoveryIsDown(t *testing.T) {
-	for _, discovery := range []string{"127.0.0.1:1", startSilent(t)} { // refuses connections; accepts and is silent
+	// The first address refuses connections. The second one accepts them and never responds.
+	for _, discovery := range []string{"127.0.0.1:1", startSilentServer(t)} {
 		servers := (&scriptedServer{behavior: func(int) string { return "ok" }}).start(t)
 		known, err := json.Marshal(map[string]any{"rev": 1, "all": true, "targets": servers})
 		if err != nil {
@@ -83,17 +87,17 @@
 			}
 		}
 		if status, _ := dialClient(t, g.ln.Addr().String()).get("t1"); status != 200 {
-			t.Errorf("discovery at %s: %d, want 200", discovery, status)
+			t.Errorf("discovery at %s: got status %d, want 200", discovery, status)
 		}
 	}
 }
 
-// startInProcess runs a gateway in the test's own process until the test ends.
+// startInProcess runs a gateway in the process of the test until the test ends.
 func startInProcess(t testingT, config []byte) *Gateway {
 	t.Helper()
 	c, err := parse(config)
 	if err != nil {
-		t.Fatalf("a valid configuration is refused: %v\n%s", err, config)
+		t.Fatalf("parse a valid configuration: %v\n%s", err, config)
 	}
 	g, err := Start(c, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -103,8 +107,9 @@
 	return g
 }
 
-// A client pipelines 300 requests, and all behind the first were lost. Each has to be answered.
-func TestManyRequestsAtOnceAreAllAnswered(t *testing.T) {
+// Guards against lost pipelined requests. A client pipelines 300 requests, and all after the first were lost.
+// Each must be answered.
+func TestAllPipelinedRequestsAreAnswered(t *testing.T) {
 	const requests = 300
 	g, _ := startGateway(t)
 	g.respondAtOnce()
@@ -116,14 +121,14 @@
 	}()
 	for i := range requests {
 		if count := countStatuses([]*client{c}); count[200]+count[429] != 1 {
-			t.Fatalf("request %d of %d: answers by status %v, want 200 or 429", i, requests, count)
+			t.Fatalf("request %d of %d: responses by status %v, want 200 or 429", i, requests, count)
 		}
 	}
 }
 
-// The process is held up as the request timeout passes, and the last byte of requests arrives meanwhile. They
-// are complete and have to be answered.
-func TestARequestThatIsWholeAsItsTimeEndsIsAnswered(t *testing.T) {
+// Guards against the loss of complete requests. The process is suspended when the request timeout passes, and
+// the last bytes of requests arrive during that time. The requests are complete and must be answered.
+func TestRequestCompletedAtTimeoutIsAnswered(t *testing.T) {
 	g, _ := startGateway(t)
 	g.respondAtOnce()
 	var clients []*client
@@ -135,19 +140,19 @@
 		clients = append(clients, c)
 	}
 	time.Sleep(time.Until(connectedAt.Add(1880 * time.Millisecond)))
-	g.holdUp(300*time.Millisecond, func() {
+	g.suspend(300*time.Millisecond, func() {
 		for _, c := range clients {
 			io.WriteString(c.nc, "c")
 		}
 	})
 	if count := countStatuses(clients); count[0] > 0 {
-		t.Errorf("answers by status %v, want none closed without one", count)
+		t.Errorf("responses by status %v, want no connection without a response (status 0)", count)
 	}
 }
 
-// A client stops in the middle of its request. It gets a 408, not just a close: its last byte may be on the
-// way.
-func TestARequestThatIsNeverWholeIsAnswered(t *testing.T) {
+// Guards against a connection that is closed without a response when a client stops in the middle of a
+// request. The client must get a 408, because the last byte may be in transit.
+func TestIncompleteRequestGets408(t *testing.T) {
 	g, _ := startGateway(t)
 	var clients []*client
 	for i := range 5 {
@@ -158,16 +163,16 @@
 	}
 	sentAt := time.Now()
 	if count := countStatuses(clients); count[408] != len(clients) {
-		t.Errorf("answers by status %v, want 408 for all", count)
+		t.Errorf("responses by status %v, want 408 for all", count)
 	}
 	if took := time.Since(sentAt); took > 3*time.Second {
-		t.Errorf("answered after %v, want 3 s at most", took)
+		t.Errorf("responses after %v, want at most 3 s", took)
 	}
 }
 
-// Silent connections arrive in the moment in which requests become complete, and the limit is reached. They
-// must not evict a connection with a request.
-func TestSilentConnectionsTakeNoSeatFromARequest(t *testing.T) {
+// Guards against silent connections that evict connections with a request. They arrive at the moment when
+// requests become complete, and the limit on connections is reached.
+func TestSilentConnectionsDoNotEvictRequests(t *testing.T) {
 	g, _ := startGateway(t)
 	g.respondAtOnce()
 	var clients []*client
@@ -177,7 +182,7 @@
 		io.WriteString(c.nc, text[:40])
 		clients = append(clients, c)
 	}
-	g.holdUp(70*time.Millisecond, func() {
+	g.suspend(70*time.Millisecond, func() {
 		for i, c := range clients {
 			io.WriteString(c.nc, postText(fmt.Sprint("t", i), "abc")[40:])
 		}
@@ -187,8 +192,9 @@
 			}
 		}
 	})
-	// The core may refuse some of what comes at once with 429. None is closed for a silent connection.
+	// The core may reject some of the simultaneous requests with 429. No connection with a request may be
+	// closed.
 	if count := countStatuses(clients); count[200]+count[429] != len(clients) || count[200] == 0 {
-		t.Errorf("answers by status %v, want 200 or 429 for all", count)
+		t.Errorf("responses by status %v, want 200 or 429 for all and at least one 200", count)
 	}
 }
--- a/internal/platform/limits_test.go
+++ b/internal/platform/limits_test.go
@@ -10,11 +10,11 @@
 	"time"
 )
 
-// Idle clients take every descriptor that they can while discovery moves. The watch, servers and the health
-// check must get theirs all the same, and the process stays within its limit.
-func TestDescriptorsLeaveRoom(t *testing.T) {
+// Guards against idle clients that use up all descriptors. The discovery watch must still be able to connect
+// to a new address, requests and health checks must be served, and the process must stay within its limit.
+func TestIdleClientsLeaveDescriptorsFree(t *testing.T) {
 	g, _ := startGateway(t)
-	const sockets = 256 // of the test's configuration
+	const maxSockets = 256 // limit in the configuration of the test gateway
 	for range 400 {
 		nc, err := net.Dial("tcp", g.listen)
 		if err != nil {
@@ -22,8 +22,8 @@
 		}
 		t.Cleanup(func() { nc.Close() })
 		open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", g.process.Process.Pid))
-		if err != nil || len(open) > sockets {
-			t.Fatalf("%d descriptors, %v, want %d at most", len(open), err, sockets)
+		if err != nil || len(open) > maxSockets {
+			t.Fatalf("%d descriptors in use (error %v), want at most %d", len(open), err, maxSockets)
 		}
 	}
 	queries := make(chan string, 1000)
@@ -32,24 +32,25 @@
 	select {
 	case <-queries:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the new list is not asked")
+		t.Fatal("no query at the new discovery address within 20 s")
 	}
 	if status := g.readyStatus(); status != 200 {
-		t.Errorf("ready: %d, want 200", status)
+		t.Errorf("health check: got status %d, want 200", status)
 	}
 	g.responses <- "a"
 	if status, _ := g.dial().get("t1"); status != 200 {
-		t.Errorf("a usual client: %d, want 200", status)
+		t.Errorf("client with a request: got status %d, want 200", status)
 	}
 }
 
-// The process has no descriptor left, so accept, socket and connect fail. What clients have sent meanwhile is
-// answered once there are some again, and the new list is followed.
-func TestNoDescriptorsForAMoment(t *testing.T) {
+// Guards against a gateway that does not recover when it runs out of descriptors, so that accept, socket and
+// connect fail. Requests that clients sent during that time must be answered when descriptors are free again,
+// and the new discovery address must be used.
+func TestRecoversFromDescriptorExhaustion(t *testing.T) {
 	g, _ := startGateway(t, envDescriptors+"=40")
 	g.respondAtOnce()
 	var silent, clients []*client
-	for range 40 { // more than the process can hold
+	for range 40 { // more connections than the process has descriptors for
 		silent = append(silent, g.dial())
 	}
 	for i := range 5 {
@@ -62,17 +63,17 @@
 	g.signal(syscall.SIGHUP)
 	g.waitUntil("accept fails", func() bool { return g.logContains("too many open files") })
 	if count := countStatuses(clients); count[0] > 0 {
-		t.Errorf("answers by status %v, want none closed without one", count)
+		t.Errorf("responses by status %v, want no connection without a response (status 0)", count)
 	}
 	select {
 	case <-queries:
 	case <-time.After(5 * time.Second):
-		t.Error("the new list is not asked")
+		t.Error("no query at the new discovery address within 5 s")
 	}
 	countStatuses(silent[:1])
 	c := g.dial()
 	io.WriteString(c.nc, postText("last", "abc"))
 	if count := countStatuses([]*client{c}); count[200] != 1 {
-		t.Errorf("with descriptors again: answers by status %v, want 200", count)
+		t.Errorf("after the recovery: responses by status %v, want 200", count)
 	}
 }
--- a/internal/platform/logwriter_test.go
+++ b/internal/platform/logwriter_test.go
@@ -8,34 +8,36 @@
 	"time"
 )
 
-// The reader of standard error is gone, or stands still. The gateway was ended by SIGPIPE, or stood still at
-// its stop; it has to serve on.
-func TestALogThatNobodyReads(t *testing.T) {
-	for _, gone := range []bool{true, false} {
-		t.Run(fmt.Sprint("gone ", gone), func(t *testing.T) { playUnreadLog(t, gone) })
+// Guards against a gateway that depends on the reader of its log. If the reader of standard error exits, the
+// gateway was ended by SIGPIPE; if the reader stops reading, the gateway blocked during its shutdown. It must
+// continue to serve and exit normally.
+func TestUnreadLogDoesNotBlockGateway(t *testing.T) {
+	for _, closed := range []bool{true, false} {
+		t.Run(fmt.Sprint("closed ", closed), func(t *testing.T) { testUnreadLog(t, closed) })
 	}
 }
 
-func playUnreadLog(t *testing.T, gone bool) {
+// testUnreadLog runs a gateway whose log has a reader that is closed or does not read.
+func testUnreadLog(t *testing.T, closed bool) {
 	t.Helper()
 	g, queries := startGateway(t)
 	g.kill()
-	log, unread, err := os.Pipe()
+	reader, writer, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer unread.Close()
-	g.log = unread
-	if !gone { // the pipe is full
-		unread.SetWriteDeadline(time.Now().Add(200 * time.Millisecond))
+	defer writer.Close()
+	g.log = writer
+	if !closed { // fills the pipe
+		writer.SetWriteDeadline(time.Now().Add(200 * time.Millisecond))
 		for err == nil {
-			_, err = unread.Write(make([]byte, 4<<10))
+			_, err = writer.Write(make([]byte, 4<<10))
 		}
-		defer log.Close()
+		defer reader.Close()
 	}
 	g.start()
-	if gone {
-		log.Close()
+	if closed {
+		reader.Close()
 	}
 	for range 3 {
 		g.writeConfig("127.0.0.1:1") // each change is logged
@@ -47,7 +49,7 @@
 	}
 	g.responses <- "a"
 	if status, _ := g.dial().get("t1"); status != 200 {
-		t.Errorf("%d, want 200", status)
+		t.Errorf("got status %d, want 200", status)
 	}
 	g.signal(syscall.SIGTERM)
 	g.expectExit(5 * time.Second)
--- a/internal/platform/main_test.go
+++ b/internal/platform/main_test.go
@@ -9,16 +9,15 @@
 	"testing"
 )
 
-// The environment of a test's gateway process.
+// Environment variables of a gateway process that a test starts.
 const (
-	envConfig      = "PLATFORM_TEST_CONFIG"      // the configuration file; its presence makes the test binary a gateway
-	envRefuse      = "PLATFORM_TEST_REFUSE"      // refuseSystemCalls
-	envFaults      = "PLATFORM_TEST_FAULTS"      // failSystemCalls
-	envDescriptors = "PLATFORM_TEST_DESCRIPTORS" // limit on descriptors
+	envConfig      = "PLATFORM_TEST_CONFIG"      // path of the configuration file; if set, run a gateway
+	envRefuse      = "PLATFORM_TEST_REFUSE"      // if set, call refuseSystemCalls
+	envFaults      = "PLATFORM_TEST_FAULTS"      // if set, call failSystemCalls
+	envDescriptors = "PLATFORM_TEST_DESCRIPTORS" // limit on file descriptors
 )
 
-// TestMain makes the test binary the gateway's process where the environment says so: the same steps as the
-// command's.
+// TestMain runs a gateway instead of the tests if envConfig is set.
 func TestMain(m *testing.M) {
 	file := os.Getenv(envConfig)
 	if file == "" {
@@ -31,6 +30,7 @@
 	os.Exit(0)
 }
 
+// runGateway runs a gateway in the same steps as the command "winghatch serve".
 func runGateway(file string) error {
 	if os.Getenv(envRefuse) != "" {
 		if err := refuseSystemCalls(); err != nil {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// settingsText is a settings object with classes get and pay and plans team and small.
+// settingsText is a settings object with the classes get and pay and the plans team and small.
 const settingsText = `{
 "Classes":[
  {"Name":"get","Effect":"safe","AimNs":2000000000,"GiveUpNs":4000000000,"Importance":1,"WindowNs":0},
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -27,9 +27,9 @@
 // to reload it arrives, or only after that. It is therefore loaded again whenever it has changed, for
 // reloadWindow after each signal and for as long as the last load has failed.
 type reloader struct {
-	file   string
-	until  time.Time // end of reloadWindow after the last signal
-	failed bool      // whether the last load failed
+	file           string
+	windowEnd      time.Time // end of reloadWindow after the last signal
+	lastLoadFailed bool      // whether the last load failed
 
 	// Attributes of the file at the last load.
 	modTime time.Time
@@ -37,18 +37,18 @@
 }
 
 // signaled starts reloadWindow.
-func (r *reloader) signaled(now time.Time) { r.until = now.Add(reloadWindow) }
+func (r *reloader) signaled(now time.Time) { r.windowEnd = now.Add(reloadWindow) }
 
-// due reports whether the file must be loaded again.
-func (r *reloader) due(now time.Time) bool {
-	if !r.failed && now.After(r.until) {
+// needsLoad reports whether the file must be loaded again.
+func (r *reloader) needsLoad(now time.Time) bool {
+	if !r.lastLoadFailed && now.After(r.windowEnd) {
 		return false
 	}
 	info, err := os.Stat(r.file)
 	return err == nil && (info.Size() != r.size || !info.ModTime().Equal(r.modTime))
 }
 
-// load loads the file and records its attributes for due.
+// load loads the file and records its attributes for needsLoad.
 func (r *reloader) load() (*Config, error) {
 	r.size, r.modTime = 0, time.Time{}
 	// The attributes are taken before the file is read, so that a write after the read is found as a change.
@@ -56,10 +56,10 @@
 		r.size, r.modTime = info.Size(), info.ModTime()
 	}
 	c, err := Load(r.file)
-	r.failed = err != nil
+	r.lastLoadFailed = err != nil
 	// The file was not read, because no descriptor was free or the file is being replaced. A size of -1 makes
 	// the next check find a change.
-	if unread := new(fs.PathError); errors.As(err, &unread) {
+	if pathErr := new(fs.PathError); errors.As(err, &pathErr) {
 		r.size = -1
 	}
 	return c, err
--- a/internal/platform/reload_test.go
+++ b/internal/platform/reload_test.go
@@ -7,18 +7,23 @@
 	"time"
 )
 
-// An operator writes a broken configuration, then one with a dead address, then a good one with several
-// SIGHUPs. The gateway serves on and follows the last one.
+// Guards against reloads that stop the gateway or have no effect. An operator writes an invalid
+// configuration, then one with a discovery address that does not respond, then a valid one with several
+// SIGHUPs. The gateway must continue to serve and use the last configuration.
 func TestReload(t *testing.T) {
 	g, _ := startGateway(t)
 	if err := os.WriteFile(g.configPath, []byte(`{"listen":"x"`), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	g.signal(syscall.SIGHUP)
-	g.waitUntil("the bad file is logged", func() bool { return g.logContains("New configuration cannot be used") })
+	g.waitUntil("the invalid configuration is logged", func() bool {
+		return g.logContains("New configuration cannot be used")
+	})
 	g.writeConfig("127.0.0.1:1")
 	g.signal(syscall.SIGHUP)
-	g.waitUntil("the dead address is tried", func() bool { return g.logContains("Endpoint list cannot be followed") })
+	g.waitUntil("the failure of the discovery address is logged", func() bool {
+		return g.logContains("Endpoint list cannot be followed")
+	})
 	queries := make(chan string, 1000)
 	g.writeConfig(startDiscovery(t, g.serverAddr, queries))
 	for range 3 {
@@ -27,17 +32,19 @@
 	select {
 	case <-queries:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the new list is not asked")
+		t.Fatal("no query at the new discovery address within 20 s")
 	}
 	g.responses <- "still here"
-	if status, body := g.request("GET /api", requestFields("t1", "get", "team")); status != 200 || body != "still here" {
-		t.Errorf("%d %q, want 200", status, body)
+	if status, body := g.request("GET /api", requestFields("t1", "get", "team")); status != 200 ||
+		body != "still here" {
+		t.Errorf("got status %d and body %q, want 200 and still here", status, body)
 	}
 }
 
-// The configuration was half written when its signal came, and was never followed. It has to be followed once
-// it is complete, without another signal, and SIGTERM works meanwhile.
-func TestAConfigurationThatIsWholeAfterItsSignal(t *testing.T) {
+// Guards against a configuration that is never used because it was only partly written when SIGHUP arrived.
+// It must be used as soon as it is complete, without another signal. SIGTERM must have its effect even while
+// the configuration is incomplete.
+func TestConfigurationCompletedAfterSIGHUP(t *testing.T) {
 	g, _ := startGateway(t)
 	queries := make(chan string, 1000)
 	next := startDiscovery(t, g.serverAddr, queries)
@@ -52,7 +59,9 @@
 		}
 		g.writeConfig("127.0.0.1:1")
 		g.signal(syscall.SIGHUP)
-		g.waitUntil("the dead address is followed", func() bool { return g.logContains("to=127.0.0.1:1") })
+		g.waitUntil("the unreachable discovery address is used", func() bool {
+			return g.logContains("to=127.0.0.1:1")
+		})
 		os.WriteFile(g.configPath, whole[:len(whole)/2], 0o600)
 		g.signal(syscall.SIGHUP)
 		time.Sleep(wait)
@@ -60,7 +69,7 @@
 		select {
 		case <-queries:
 		case <-time.After(2 * time.Second):
-			t.Fatalf("whole after %v: the new list is not asked", wait)
+			t.Fatalf("configuration completed after %v: no query at the new discovery address", wait)
 		}
 	}
 	os.WriteFile(g.configPath, whole[:len(whole)/2], 0o600)
@@ -69,10 +78,10 @@
 	g.expectExit(5 * time.Second)
 }
 
-// A series of SIGHUPs must not hide a SIGTERM among them.
-func TestAStopBehindManyConfigurations(t *testing.T) {
+// Guards against a SIGTERM that is lost among many SIGHUPs.
+func TestSIGTERMAmongManySIGHUPs(t *testing.T) {
 	g, _ := startGateway(t)
-	g.holdUp(50*time.Millisecond, func() {
+	g.suspend(50*time.Millisecond, func() {
 		for range 500 {
 			g.signal(syscall.SIGHUP)
 		}
--- a/internal/platform/settings/document.go
+++ b/internal/platform/settings/document.go
@@ -70,12 +70,12 @@
 // Values of the keys Effect and Group of a class. A class without a Group has the smallest deduplication
 // scope.
 var (
-	effects = map[string]decide.Idempotency{
+	idempotencyByEffect = map[string]decide.Idempotency{
 		"safe":   decide.Idempotent,
 		"keyed":  decide.IdempotentByKey,
 		"unsafe": decide.NotIdempotent,
 	}
-	groups = map[string]decide.DedupScope{
+	dedupScopeByGroup = map[string]decide.DedupScope{
 		"all":  decide.DedupInFleet,
 		"zone": decide.DedupInZone,
 		"cell": decide.DedupInCell,
--- a/internal/platform/settings/key.go
+++ b/internal/platform/settings/key.go
@@ -9,9 +9,9 @@
 	"winghatch/decide"
 )
 
-// keyOf maps each field of decide.Config that Validate can reject to the platform's key. In both, "[]" stands
-// for the index of a class or plan.
-var keyOf = map[string]string{
+// keyByField maps each field of decide.Config that Validate can reject to the platform's key. In both, "[]"
+// stands for the index of a class or plan.
+var keyByField = map[string]string{
 	"Rank":                       "Rank",
 	"Gateways":                   "Instances",
 	"GossipCapacity":             "Extra.PeerIntake",
@@ -36,22 +36,22 @@
 	"Plans[].OverQuotaCost":      "TiersOfService[].ExcessCost",
 }
 
-var index = regexp.MustCompile(`\[\d+\]`)
+var indexPattern = regexp.MustCompile(`\[\d+\]`)
 
 // Validate checks a configuration that [Parse] returned. Errors name the platform's key instead of the field
 // of [decide.Config].
 func Validate(c *decide.Config) error {
 	err := c.Validate()
-	var setting *decide.SettingError
-	if !errors.As(err, &setting) {
+	var settingErr *decide.SettingError
+	if !errors.As(err, &settingErr) {
 		return err
 	}
-	key, ok := keyOf[index.ReplaceAllString(setting.Field, "[]")]
+	key, ok := keyByField[indexPattern.ReplaceAllString(settingErr.Field, "[]")]
 	if !ok {
 		return err
 	}
-	if number := index.FindString(setting.Field); number != "" {
+	if number := indexPattern.FindString(settingErr.Field); number != "" {
 		key = strings.Replace(key, "[]", number, 1)
 	}
-	return fmt.Errorf("%s %s", key, setting.Problem)
+	return fmt.Errorf("%s %s", key, settingErr.Problem)
 }
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -72,11 +72,11 @@
 			return converted, fmt.Errorf("Classes[%d].WindowNs is %d, want 0 or more", i, k.WindowNs)
 		}
 		seen[k.Name] = true
-		effect, ok := effects[k.Effect]
+		effect, ok := idempotencyByEffect[k.Effect]
 		if !ok {
 			return converted, fmt.Errorf("Classes[%d].Effect: unknown %q", i, k.Effect)
 		}
-		group, ok := groups[k.Group]
+		group, ok := dedupScopeByGroup[k.Group]
 		if !ok {
 			return converted, fmt.Errorf("Classes[%d].Group: unknown %q", i, k.Group)
 		}
@@ -100,8 +100,8 @@
 
 // LoadReportField returns the name in [decide.LoadReport] of a figure that servers report under the given
 // name. It returns unknown names unchanged.
-func LoadReportField(wire string) string {
-	switch wire {
+func LoadReportField(reported string) string {
+	switch reported {
 	case "outstanding":
 		return "inflight"
 	case "backlog":
@@ -113,5 +113,5 @@
 	case "throughput":
 		return "qps"
 	}
-	return wire
+	return reported
 }
--- a/internal/platform/settings/settings_test.go
+++ b/internal/platform/settings/settings_test.go
@@ -10,9 +10,9 @@
 	"winghatch/decide"
 )
 
-// object has each key that is read with a value of its own, so that none can take the place of another, and
-// keys that are not read: MembershipMode, HasCounter, CounterPrice, CountWaitNs, Probes, AskWithinNs, Prices,
-// Telemetry, Unknown.
+// object contains each used key with a distinct value, so that a mix-up of two keys shows. It also contains
+// keys that are not used: MembershipMode, HasCounter, CounterPrice, CountWaitNs, Probes, AskWithinNs, Prices,
+// Telemetry and Unknown.
 const object = `{"Rank":1,"Instances":3,"Zone":"a","MembershipMode":"subscribe","Unknown":{"x":1},
 "Classes":[{"Name":"get","Effect":"keyed","Group":"zone","AimNs":1,"GiveUpNs":2,"WindowNs":3,"AimStretch":4,
  "Importance":5,"LateWorth":6,"Stream":true}],
@@ -85,18 +85,21 @@
 	if !reflect.DeepEqual(cfg, want) {
 		t.Errorf("got %+v, want %+v", cfg, want)
 	}
-	if want := (ConnectionLimits{MaxOpenRequests: 22, IdleTimeout: 25 * time.Nanosecond}); connections != want {
-		t.Errorf("got %+v, want %+v", connections, want)
+	if want := (ConnectionLimits{
+		MaxOpenRequests: 22,
+		IdleTimeout:     25 * time.Nanosecond,
+	}); connections != want {
+		t.Errorf("got connection limits %+v, want %+v", connections, want)
 	}
 }
 
-// TestParseErrors: the error names the key.
+// Guards against errors that do not lead operators to the faulty setting: each error must name the key.
 func TestParseErrors(t *testing.T) {
 	const otherTier = `{"Name":"p"},`
 	for _, c := range []struct{ old, replacement, want string }{
 		{`"Zone":"a"`, `"Zone":1`, `field "Zone": can't take a number`},
 		{`"SendCap":21`, `"SendCap":"x"`, `field "Limits.SendCap": can't take a string`},
-		// Keys that no decision reads are checked for their type, too.
+		// Keys whose values are not used are checked for their type too.
 		{`"Probes":true`, `"Probes":1`, `field "Limits.Probes": can't take a number`},
 		{`"AskWithinNs":`, `"AskWithinNs":"x","_":`, `field "Safety.AskWithinNs": can't take a string`},
 		{`"Prices":`, `"Prices":{"Waste":"x"},"_":`, `field "Prices.Waste": can't take a string`},
@@ -109,15 +112,16 @@
 		{`"WindowNs":3`, `"WindowNs":-1`, "Classes[0].WindowNs is -1"},
 		{`"Effect":"keyed"`, `"Effect":"odd"`, `Classes[0].Effect: unknown "odd"`},
 		{`"Group":"zone"`, `"Group":"odd"`, `Classes[0].Group: unknown "odd"`},
-		{`"Classes":[`, `"Classes":[{"Name":"get","Effect":"safe","GiveUpNs":1},`, `Classes[1].Name is "get"`},
+		{`"Classes":[`, `"Classes":[{"Name":"get","Effect":"safe","GiveUpNs":1},`,
+			`Classes[1].Name is "get"`},
 		{`"TiersOfService":[`, `"TiersOfService":[` + otherTier, `TiersOfService[1].Name is "p"`},
 	} {
 		if !strings.Contains(object, c.old) {
-			t.Fatalf("the object has no %s", c.old)
+			t.Fatalf("the settings object does not contain %s", c.old)
 		}
 		_, _, err := Parse(json.RawMessage(strings.Replace(object, c.old, c.replacement, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: got error %v, want one with %q", c.replacement, err, c.want)
+			t.Errorf("%s: got error %v, want one that contains %q", c.replacement, err, c.want)
 		}
 	}
 }
--- a/internal/platform/settings_test.go
+++ b/internal/platform/settings_test.go
@@ -14,17 +14,19 @@
 	"pgregory.net/rapid"
 )
 
-// receivedAttempt is one attempt as a server received it.
+// receivedAttempt is an attempt that a server has received.
 type receivedAttempt struct{ method, key string }
 
-// scriptedServer is a server that records attempts and responds by a script: behavior gets the attempt's
-// number of its X-Txn, from 1 on, and returns ok, slow, reset, away (refused before execution) or error.
+// scriptedServer is a server that records attempts and responds to them as behavior says. behavior receives
+// the number of the attempt among those with the same X-Txn, starting at 1, and returns ok, slow, reset, away
+// (rejected before execution) or error.
 type scriptedServer struct {
 	behavior func(attempt int) string
 	mu       sync.Mutex
-	attempts map[string][]receivedAttempt // by X-Txn
+	attempts map[string][]receivedAttempt // attempts by X-Txn
 }
 
+// record records an attempt and returns its number.
 func (s *scriptedServer) record(r *http.Request) (attempt int) {
 	txn := r.Header.Get("X-Txn")
 	s.mu.Lock()
@@ -36,6 +38,7 @@
 	return len(s.attempts[txn])
 }
 
+// received returns the attempts with the given X-Txn.
 func (s *scriptedServer) received(txn string) []receivedAttempt {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,7 +70,7 @@
 	}
 }
 
-// start runs the server at two addresses and returns both as discovery lists them.
+// start runs the server at two addresses and returns the list entries of both.
 func (s *scriptedServer) start(t testingT) (targets []any) {
 	t.Helper()
 	for i := range 2 {
@@ -76,7 +79,7 @@
 	return targets
 }
 
-// startFixedDiscovery runs a discovery whose list never changes.
+// startFixedDiscovery runs a discovery whose list never changes and returns its address.
 func startFixedDiscovery(t testingT, targets []any) string {
 	t.Helper()
 	return serveHTTP(t, http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
@@ -88,7 +91,7 @@
 	}))
 }
 
-// drawnClass is a class of drawn settings; its fields are keys of the settings.
+// drawnClass is a class of randomly drawn settings. Field names are keys of the settings.
 type drawnClass struct {
 	Name, Effect, Group       string
 	AimNs, GiveUpNs, WindowNs int64
@@ -98,9 +101,10 @@
 
 func (c *drawnClass) deadline() time.Duration { return time.Duration(c.GiveUpNs) }
 
-// drawClasses draws one to three classes; deadlines leave time for a few attempts.
+// drawClasses draws one to three classes. The deadlines leave time for a few attempts.
 func drawClasses(t *rapid.T) (classes []drawnClass) {
-	names := rapid.Permutation([]string{"order-lookup", "folio-assign", "get", "Ä-1", "x.y_z"}).Draw(t, "names")
+	names := rapid.Permutation([]string{"order-lookup", "folio-assign", "get", "Ä-1", "x.y_z"}).
+		Draw(t, "names")
 	for i := range rapid.IntRange(1, 3).Draw(t, "classes") {
 		deadline := time.Duration(rapid.IntRange(200, 1500).Draw(t, "deadline")) * time.Millisecond
 		window := time.Duration(rapid.IntRange(20, 600).Draw(t, "window")) * time.Millisecond
@@ -122,14 +126,16 @@
 	return classes
 }
 
+// isVisible reports whether s consists of visible ASCII characters.
 func isVisible(s string) bool {
 	return !strings.ContainsFunc(s, func(c rune) bool { return c <= ' ' || c > '~' })
 }
 
-// drawSettings draws a settings object with these classes, and returns how many attempts it allows.
+// drawSettings draws a settings object with the given classes. It also returns the number of attempts that
+// the settings allow.
 func drawSettings(t *rapid.T, classes []drawnClass) (settings map[string]any, maxAttempts int) {
 	maxAttempts = rapid.IntRange(1, 5).Draw(t, "attempts")
-	hedging := rapid.Bool().Draw(t, "parallel")
+	hedging := rapid.Bool().Draw(t, "hedging")
 	return map[string]any{
 		"Classes":        classes,
 		"TiersOfService": []any{map[string]any{"Name": "p", "Refill": 1000, "MostAtOnce": 1000, "Pays": 1}},
@@ -157,17 +163,21 @@
 	}, maxAttempts
 }
 
-// Under any valid settings: method and key are those of the class's effect, whatever its name is; what may
-// have run goes out again only as its effect allows; there are no more attempts than allowed; each request
-// has one response in time, which was made for it. Deduplication windows are checked where attempts are
-// written, in upstream/http and gateway.
-func TestServesUnderSettingsOfOthers(t *testing.T) {
+// Guards against behavior that depends on particular settings. With any valid settings:
+//   - the method and the idempotency key of attempts match the effect of the class, whatever its name is
+//   - a request that may have run is sent again only if the effect allows it
+//   - there are no more attempts than the settings allow
+//   - each request gets one response in time, and the response belongs to it
+//
+// Deduplication windows are tested where attempts are written, in the packages upstream/http and gateway.
+func TestServesUnderRandomSettings(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		classes := drawClasses(rt)
 		settings, maxAttempts := drawSettings(rt, classes)
 		behaviors := map[int]string{}
 		for n := range 6 {
-			behaviors[n] = rapid.SampledFrom([]string{"ok", "ok", "reset", "away", "error", "slow"}).Draw(rt, "mood")
+			behaviors[n] = rapid.SampledFrom([]string{"ok", "ok", "reset", "away", "error", "slow"}).
+				Draw(rt, "behavior")
 		}
 		server := &scriptedServer{behavior: func(attempt int) string { return behaviors[attempt%6] }}
 		g := startWithSettings(rt, server, settings)
@@ -178,18 +188,19 @@
 			status := sendAndCheck(rt, client, g.ln.Addr().String(), txn, &class)
 			attempts := server.received(txn)
 			if len(attempts) > maxAttempts {
-				rt.Errorf("%s: %d attempts, want %d at most", txn, len(attempts), maxAttempts)
+				rt.Errorf("%s: %d attempts, want at most %d", txn, len(attempts), maxAttempts)
 			}
 			mayHaveRun := checkAttempts(rt, txn, &class, attempts, behaviors)
 			mustNotRepeat := class.Effect == "unsafe" || class.Effect == "keyed" && class.Group != "all"
 			if status == http.StatusTooManyRequests && mayHaveRun && mustNotRepeat {
-				rt.Errorf("%s of effect %s, group %s: a refusal promises that it did not run", txn, class.Effect, class.Group)
+				rt.Errorf("%s with effect %s, group %s: got status 429, which promises that it did not run",
+					txn, class.Effect, class.Group)
 			}
 		}
 	})
 }
 
-// startWithSettings runs a gateway with these settings over a server.
+// startWithSettings runs a gateway with the given settings and server.
 func startWithSettings(t testingT, server *scriptedServer, settings map[string]any) *Gateway {
 	t.Helper()
 	targets := server.start(t)
@@ -208,7 +219,7 @@
 	return startInProcess(t, config)
 }
 
-// method of a request of the class, as its effect asks for.
+// method returns the method that requests of the class must have.
 func (c *drawnClass) method() string {
 	if c.Effect == "safe" {
 		return http.MethodGet
@@ -216,8 +227,8 @@
 	return http.MethodPost
 }
 
-// sendAndCheck sends a request of a class, checks that its response is in time and its own, and returns the
-// status.
+// sendAndCheck sends a request of a class and returns the status of the response. It checks that the response
+// arrives in time and belongs to the request.
 func sendAndCheck(t *rapid.T, client *http.Client, addr, txn string, class *drawnClass) (status int) {
 	t.Helper()
 	body := ""
@@ -241,29 +252,32 @@
 	sentAt := time.Now()
 	response, err := client.Do(request)
 	if err != nil {
-		t.Fatalf("%s: no answer: %v", txn, err)
+		t.Fatalf("%s: no response: %v", txn, err)
 	}
 	text, _ := io.ReadAll(response.Body)
 	response.Body.Close()
-	if took := time.Since(sentAt); took > class.deadline()+5*time.Second { // far over: a loaded machine is no fault
-		t.Errorf("%s: answered after %v, its time is %v", txn, took, class.deadline())
+	// The margin of 5 s allows for a loaded machine.
+	if took := time.Since(sentAt); took > class.deadline()+5*time.Second {
+		t.Errorf("%s: response after %v, want it within the deadline of %v", txn, took, class.deadline())
 	}
 	if response.StatusCode == 200 && string(text) != "for "+txn && string(text) != "late "+txn {
-		t.Errorf("%s: served %q", txn, text)
+		t.Errorf("%s: got the body %q of another request", txn, text)
 	}
 	return response.StatusCode
 }
 
-// checkAttempts checks a request's attempts against its class and reports whether one of them may have run.
+// checkAttempts checks the attempts of a request against its class and reports whether one of them may have
+// run.
 func checkAttempts(t *rapid.T, txn string, class *drawnClass, attempts []receivedAttempt,
 	behaviors map[int]string) (mayHaveRun bool) {
 	t.Helper()
 	for n, attempt := range attempts {
 		if attempt.method != class.method() || (attempt.key != "") != (class.Effect == "keyed") {
-			t.Errorf("%s of effect %s: %s, key %q", txn, class.Effect, attempt.method, attempt.key)
+			t.Errorf("%s with effect %s: attempt has method %s and key %q", txn, class.Effect, attempt.method,
+				attempt.key)
 		}
 		if mayHaveRun && class.Effect == "unsafe" {
-			t.Errorf("%s, which must not run twice, went out again behind one that may have run", txn)
+			t.Errorf("%s must not run twice, but was sent again after an attempt that may have run", txn)
 		}
 		if behaviors[(n+1)%6] != "away" {
 			mayHaveRun = true
--- a/internal/platform/signals.go
+++ b/internal/platform/signals.go
@@ -38,7 +38,7 @@
 			r.signaled(time.Now())
 			g.reload(&r)
 		case now := <-poll.C:
-			if r.due(now) {
+			if r.needsLoad(now) {
 				g.reload(&r)
 			}
 		}
@@ -46,9 +46,9 @@
 }
 
 // shutDown logs the status and shuts the gateway down gracefully.
-func (g *Gateway) shutDown(terminated time.Time) {
+func (g *Gateway) shutDown(terminatedAt time.Time) {
 	g.log.Info("Shutting down, answering open requests")
 	g.LogStatus()
-	g.Drain(terminated)
+	g.Drain(terminatedAt)
 	g.log.Info("Gateway stopped")
 }
--- a/internal/platform/soak_test.go
+++ b/internal/platform/soak_test.go
@@ -18,19 +18,21 @@
 	"time"
 )
 
-// The soak injects seeded faults into a gateway process's surroundings, and checks what clients and servers
-// saw against the platform's rules. SOAK_SEEDS is the number of seeds, SOAK_FROM the first one.
+// The soak test injects seeded faults into the environment of a gateway process and checks the observations
+// of clients and servers against the rules of the platform. The environment variable SOAK_SEEDS sets the
+// number of seeds and SOAK_FROM the first seed.
 const (
-	soakSeeds    = 6
-	soakDuration = 5 * time.Second // of the faults of one seed
-	soakClients  = 8
-	soakKill     = 2200 * time.Millisecond // after SIGTERM: the longest deadline and 0.7 s
-	soakWindow   = 600 * time.Millisecond  // deduplication window of each class
-	maxHoldUp    = 150 * time.Millisecond
-	crossingTime = 50 * time.Millisecond  // by then what is on its way has arrived
-	machineSlack = 400 * time.Millisecond // what the machine may add to any time of the test
+	soakSeeds     = 6
+	soakDuration  = 5 * time.Second // time of fault injection per seed
+	soakClients   = 8
+	soakKill      = 2200 * time.Millisecond // time from SIGTERM to SIGKILL: the longest deadline plus 0.7 s
+	soakWindow    = 600 * time.Millisecond  // deduplication window of each class
+	maxSuspension = 150 * time.Millisecond
+	transitTime   = 50 * time.Millisecond  // time after which sent data has certainly arrived
+	machineSlack  = 400 * time.Millisecond // delay that a loaded machine may add to any duration of the test
 )
 
+// soakClass is a class of the soak test.
 type soakClass struct {
 	name, effect string
 	deadline     time.Duration
@@ -42,51 +44,52 @@
 	{"pay", "unsafe", 900 * time.Millisecond},
 }
 
-// soakSettings is settingsText with soakClasses.
+// soakSettings returns settingsText with soakClasses as its classes.
 func soakSettings() string {
 	var classes []string
 	for _, class := range soakClasses {
-		classes = append(classes, fmt.Sprintf(`{"Name":%q,"Effect":%q,"Group":"all","AimNs":%d,"GiveUpNs":%d,`+
-			`"WindowNs":%d,"LateWorth":1,"Importance":1}`,
+		classes = append(classes, fmt.Sprintf(`{"Name":%q,"Effect":%q,"Group":"all",`+
+			`"AimNs":%d,"GiveUpNs":%d,"WindowNs":%d,"LateWorth":1,"Importance":1}`,
 			class.name, class.effect, class.deadline/2, class.deadline, soakWindow))
 	}
 	rest := strings.Index(settingsText, `"TiersOfService"`)
 	return `{"Classes":[` + strings.Join(classes, ",") + `],` + settingsText[rest:]
 }
 
-// soakRequest is a request as its client saw it.
+// soakRequest is a request as its client observed it.
 type soakRequest struct {
-	class      soakClass
-	remaining  time.Duration
-	sentAt     time.Time // when its last byte was sent
-	leftAt     time.Time // when its client closed; zero: it stayed
-	status     int       // 0: no response
-	body       string
-	answeredAt time.Time
-	begun      bool // some of it was read long before its last byte
+	class          soakClass
+	remaining      time.Duration // remaining time that the client sent
+	sentAt         time.Time     // time at which the last byte was sent
+	disconnectedAt time.Time     // time at which the client closed the connection; zero: it did not
+	status         int           // status of the response; 0: no response
+	body           string
+	answeredAt     time.Time
+	partlyRead     bool // whether the gateway certainly read a part long before the last byte was sent
 }
 
-// soakAttempt is an attempt as a server saw it.
+// soakAttempt is an attempt as a server observed it.
 type soakAttempt struct {
 	server    string
 	at        time.Time
-	remaining time.Duration // the time left that the server was told
-	ran       bool
+	remaining time.Duration // remaining time that the server received
+	ran       bool          // whether the server executed the attempt
 }
 
+// soak is the state of the soak test for one seed.
 type soak struct {
 	*testGateway
-	rng       *rand.Rand // of the faults
+	rng       *rand.Rand // random numbers for the injected faults
 	discovery *fakeDiscovery
 	mu        sync.Mutex
-	requests  map[string]*soakRequest // by X-Txn
-	attempts  map[string][]soakAttempt
-	drained   map[string]time.Time // when a server's drain has to be known
+	requests  map[string]*soakRequest  // requests by X-Txn
+	attempts  map[string][]soakAttempt // attempts by X-Txn
+	drained   map[string]time.Time     // time by which the gateway must know of each server's drain
 	nextTxn   atomic.Int64
 	stopped   atomic.Bool
 }
 
-// serve runs a server whose responses fail as the seed says.
+// serve runs a server whose responses have faults that depend on the seed. It returns the server's address.
 func (s *soak) serve(name string, seed uint64) string {
 	ln := listenLocal(s.t)
 	var n atomic.Uint64
@@ -102,6 +105,7 @@
 	return ln.Addr().String()
 }
 
+// serveConn serves the requests of one connection.
 func (s *soak) serveConn(name string, nc net.Conn, rng *rand.Rand) {
 	defer nc.Close()
 	r := bufio.NewReader(nc)
@@ -134,24 +138,25 @@
 	}
 }
 
-// respondWithFault responds as fault says, of 0 to 99; false ends the connection.
+// respondWithFault responds with the fault that belongs to a number from 0 to 99. It returns false if the
+// connection ends.
 func respondWithFault(nc net.Conn, r *bufio.Reader, txn string, fault int, rng *rand.Rand) bool {
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(txn), txn)
 	switch {
-	case fault < 6: // refused before execution
+	case fault < 6: // rejected before execution
 		io.WriteString(nc, "HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
 	case fault < 12:
 		io.WriteString(nc, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
-	case fault < 18: // a reset
+	case fault < 18: // connection reset
 		nc.(*net.TCPConn).SetLinger(0)
 		return false
-	case fault < 22: // cut off
+	case fault < 22: // truncated response
 		io.WriteString(nc, whole[:len(whole)-1])
 		return false
-	case fault < 26: // without a length
+	case fault < 26: // response without a length
 		io.WriteString(nc, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+txn)
 		return false
-	case fault < 32: // a second response, late
+	case fault < 32: // late duplicate of the response
 		io.WriteString(nc, whole)
 		nc.SetReadDeadline(time.Now().Add(time.Duration(1+rng.IntN(15)) * time.Millisecond))
 		_, err := r.Peek(1)
@@ -159,7 +164,7 @@
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			io.WriteString(nc, whole)
 		}
-	case fault < 35: // it hangs
+	case fault < 35: // no response
 		r.Peek(1)
 	default:
 		io.WriteString(nc, whole)
@@ -167,7 +172,7 @@
 	return true
 }
 
-// runClient sends requests on connections of its own until the process has ended.
+// runClient sends requests on its own connections until the process has ended.
 func (s *soak) runClient(rng *rand.Rand) {
 	var c *client
 	for !s.stopped.Load() {
@@ -185,7 +190,7 @@
 		}
 		time.Sleep(time.Duration(rng.IntN(60)) * time.Millisecond)
 		if rng.IntN(40) == 0 {
-			time.Sleep(1900 * time.Millisecond) // idle for about as long as the gateway allows
+			time.Sleep(1900 * time.Millisecond) // nearly the idle timeout of the gateway
 		}
 	}
 	if c != nil {
@@ -193,7 +198,7 @@
 	}
 }
 
-// request sends one request and reads its response; false ends the connection.
+// request sends a request and reads its response. It returns false if the connection ends.
 func (s *soak) request(c *client, rng *rand.Rand) bool {
 	class := soakClasses[rng.IntN(len(soakClasses))]
 	txn := fmt.Sprint("t", s.nextTxn.Add(1))
@@ -209,7 +214,7 @@
 	_, err := io.WriteString(c.nc, text)
 	if rng.IntN(12) == 0 {
 		time.Sleep(time.Duration(rng.IntN(100)) * time.Millisecond)
-		request.leftAt = time.Now()
+		request.disconnectedAt = time.Now()
 		return false
 	}
 	if err != nil {
@@ -228,18 +233,19 @@
 	return !response.Close
 }
 
-// sendPart sends a part of a request and waits; it returns the rest.
+// sendPart sends the first part of a request, waits and returns the rest.
 func (r *soakRequest) sendPart(c *client, text string, rng *rand.Rand) string {
 	n := rng.IntN(len(text))
 	io.WriteString(c.nc, text[:n])
-	time.Sleep(crossingTime)
-	crossed := c.ended() // the gateway had ended the connection before it could read this
+	time.Sleep(transitTime)
+	ended := c.ended() // the gateway may have ended the connection before it could read the first part
 	wait := time.Duration(rng.IntN(600)) * time.Millisecond
 	time.Sleep(wait)
-	r.begun = n > 0 && !crossed && wait > maxHoldUp+machineSlack/2
+	r.partlyRead = n > 0 && !ended && wait > maxSuspension+machineSlack/2
 	return text[n:]
 }
 
+// text returns the encoded request.
 func (r *soakRequest) text(txn string) string {
 	remaining := fmt.Sprint(r.remaining.Milliseconds())
 	fields := strings.Replace(requestFields(txn, r.class.name, "team"), "3900", remaining, 1)
@@ -252,20 +258,21 @@
 	return "POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: 3\r\n" + fields + "\r\nabc"
 }
 
-// injectFaults plays the seed's faults; addrs are the servers by name, slow says that discovery is slow.
-func (s *soak) injectFaults(addrs map[string]string, slow bool) {
+// injectFaults injects the faults of the seed for soakDuration. addrs holds the addresses of the servers by
+// name. slowDiscovery says that discovery responds slowly.
+func (s *soak) injectFaults(addrs map[string]string, slowDiscovery bool) {
 	end := time.Now().Add(soakDuration)
 	for time.Now().Before(end) {
 		time.Sleep(time.Duration(100+s.rng.IntN(300)) * time.Millisecond)
 		switch s.rng.IntN(6) {
 		case 0, 1:
-			s.holdUp(time.Duration(s.rng.Int64N(int64(maxHoldUp))), func() {})
+			s.suspend(time.Duration(s.rng.Int64N(int64(maxSuspension))), func() {})
 		case 2:
 			for range 1 + s.rng.IntN(3) {
 				s.signal(syscall.SIGHUP)
 			}
 		case 3:
-			s.signalWithHalfAFile()
+			s.signalWithPartialFile()
 		case 4: // many silent connections
 			for range 60 {
 				if nc, err := net.Dial("tcp", s.listen); err == nil {
@@ -273,13 +280,13 @@
 				}
 			}
 		case 5:
-			s.drainServer(addrs, slow)
+			s.drainServer(addrs, slowDiscovery)
 		}
 	}
 }
 
-// signalWithHalfAFile signals while the configuration is half written.
-func (s *soak) signalWithHalfAFile() {
+// signalWithPartialFile sends SIGHUP while the configuration file is only partly written.
+func (s *soak) signalWithPartialFile() {
 	raw, err := os.ReadFile(s.configPath)
 	if err != nil {
 		return
@@ -290,86 +297,91 @@
 	os.WriteFile(s.configPath, raw, 0o600)
 }
 
-// drainServer lists the next server as draining, as long as two are left.
-func (s *soak) drainServer(addrs map[string]string, slow bool) {
+// drainServer lists the next server as draining unless only two servers are left.
+func (s *soak) drainServer(addrs map[string]string, slowDiscovery bool) {
 	if len(s.drained) >= len(addrs)-2 {
 		return
 	}
 	name := fmt.Sprint("s", len(s.drained))
 	s.discovery.set(target(name, addrs[name], "draining", 0))
-	known := time.Now()
-	if slow {
-		known = known.Add(6 * time.Second)
+	knownBy := time.Now()
+	if slowDiscovery {
+		knownBy = knownBy.Add(6 * time.Second)
 	}
-	s.drained[name] = known
+	s.drained[name] = knownBy
 }
 
-// check checks what clients and servers saw against the rules; terminated is when SIGTERM came.
-func (s *soak) check(terminated time.Time) {
+// check checks the observations of clients and servers against the rules. SIGTERM was sent at terminatedAt.
+func (s *soak) check(terminatedAt time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	count := map[string]int{}
 	for txn, r := range s.requests {
 		count[fmt.Sprint(r.status)]++
-		s.checkResponse(txn, r, terminated)
+		s.checkResponse(txn, r, terminatedAt)
 		s.checkAttempts(txn, r)
 	}
-	s.t.Logf("%d requests by status %v, %d servers drained", len(s.requests), count, len(s.drained))
+	s.t.Logf("%d requests, responses by status %v, %d servers drained",
+		len(s.requests), count, len(s.drained))
 	if count["200"] < len(s.requests)/4 {
-		s.t.Errorf("%d of %d requests were served, want a quarter", count["200"], len(s.requests))
+		s.t.Errorf("%d of %d requests were served, want at least a quarter", count["200"], len(s.requests))
 	}
 }
 
-func (s *soak) checkResponse(txn string, r *soakRequest, terminated time.Time) {
+// checkResponse checks the response to a request.
+func (s *soak) checkResponse(txn string, r *soakRequest, terminatedAt time.Time) {
 	if r.status == 200 && r.body != txn {
-		s.t.Errorf("%s was served %q", txn, r.body)
+		s.t.Errorf("%s got the body %q, want its X-Txn", txn, r.body)
 	}
-	unanswered := r.status == 0 && r.leftAt.IsZero()
+	unanswered := r.status == 0 && r.disconnectedAt.IsZero()
 	if unanswered && len(s.attempts[txn]) > 0 {
-		s.t.Errorf("%s (%s), sent %v to SIGTERM, was sent on and has no answer",
-			txn, r.class.name, terminated.Sub(r.sentAt))
+		s.t.Errorf("%s (%s), sent %v before SIGTERM, was forwarded but has no response",
+			txn, r.class.name, terminatedAt.Sub(r.sentAt))
 	}
-	if unanswered && r.begun {
-		s.t.Errorf("%s (%s), sent %v to SIGTERM, was read in part and has no answer",
-			txn, r.class.name, terminated.Sub(r.sentAt))
+	if unanswered && r.partlyRead {
+		s.t.Errorf("%s (%s), sent %v before SIGTERM, was partly read but has no response",
+			txn, r.class.name, terminatedAt.Sub(r.sentAt))
 	}
 	late := r.answeredAt.Sub(r.sentAt.Add(r.remaining))
 	if r.status > 0 && late > 500*time.Millisecond+machineSlack {
-		s.t.Errorf("%s was answered %v behind its time", txn, late)
+		s.t.Errorf("%s got its response %v after its deadline", txn, late)
 	}
 }
 
+// checkAttempts checks the attempts of a request.
 func (s *soak) checkAttempts(txn string, r *soakRequest) {
-	var firstRun time.Time // zero: none ran yet
+	var firstRun time.Time // time of the first executed attempt; zero: none yet
 	for _, attempt := range s.attempts[txn] {
 		left := r.sentAt.Add(r.remaining).Sub(attempt.at)
-		if attempt.remaining > left+maxHoldUp+machineSlack {
-			s.t.Errorf("%s: a server was told %v with %v left", txn, attempt.remaining, left)
+		if attempt.remaining > left+maxSuspension+machineSlack {
+			s.t.Errorf("%s: a server received a remaining time of %v, want %v", txn, attempt.remaining, left)
 		}
-		afterLeave := attempt.at.Sub(r.leftAt)
-		if !r.leftAt.IsZero() && afterLeave > 100*time.Millisecond+maxHoldUp+machineSlack {
-			s.t.Errorf("%s: an attempt began %v behind its client's end", txn, afterLeave)
+		afterDisconnect := attempt.at.Sub(r.disconnectedAt)
+		if !r.disconnectedAt.IsZero() && afterDisconnect > 100*time.Millisecond+maxSuspension+machineSlack {
+			s.t.Errorf("%s: an attempt began %v after its client disconnected", txn, afterDisconnect)
 		}
-		known, drained := s.drained[attempt.server]
-		if drained && attempt.at.Sub(known) > 1050*time.Millisecond+maxHoldUp+machineSlack {
-			s.t.Errorf("%s: went to %s %v behind its drain", txn, attempt.server, attempt.at.Sub(known))
+		knownBy, drained := s.drained[attempt.server]
+		if drained && attempt.at.Sub(knownBy) > 1050*time.Millisecond+maxSuspension+machineSlack {
+			s.t.Errorf("%s: an attempt reached draining server %s %v after the drain had to be known",
+				txn, attempt.server, attempt.at.Sub(knownBy))
 		}
 		afterRun := attempt.at.Sub(firstRun)
-		outsideWindow := r.class.effect == "keyed" && afterRun > soakWindow+maxHoldUp
+		outsideWindow := r.class.effect == "keyed" && afterRun > soakWindow+maxSuspension
 		if !firstRun.IsZero() && (r.class.effect == "unsafe" || outsideWindow) {
-			s.t.Errorf("%s (%s) was sent again %v behind an attempt that ran", txn, r.class.effect, afterRun)
+			s.t.Errorf("%s (%s) was sent again %v after an executed attempt", txn, r.class.effect, afterRun)
 		}
 		if attempt.ran && firstRun.IsZero() {
 			firstRun = attempt.at
 		}
 	}
 	if r.status == 429 && !firstRun.IsZero() && r.class.effect == "unsafe" {
-		s.t.Errorf("%s ran and was refused", txn)
+		s.t.Errorf("%s was executed, but its client got status 429", txn)
 	}
 }
 
-// Servers that fail in every way, clients that are slow, leave or pipeline, hold-ups, signals and drains come
-// together, as on a bad day in production. Seeds make a run repeatable as far as the script goes.
+// Guards against faults that show only in combination: failing servers, clients that are slow or disconnect,
+// suspensions of the process, signals and drains, as they may come together in production. A seed determines
+// the injected faults, but not their exact timing.
 func TestSoak(t *testing.T) {
 	seeds, from := soakSeeds, 1
 	if n, err := strconv.Atoi(os.Getenv("SOAK_SEEDS")); err == nil {
@@ -379,11 +391,12 @@
 		from = n
 	}
 	for seed := from; seed < from+seeds; seed++ {
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { playSoak(t, uint64(seed)) })
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runSoak(t, uint64(seed)) })
 	}
 }
 
-func playSoak(t *testing.T, seed uint64) {
+// runSoak runs the soak test with one seed.
+func runSoak(t *testing.T, seed uint64) {
 	t.Helper()
 	g, _ := startGatewayWith(t, soakSettings())
 	s := &soak{
@@ -402,20 +415,20 @@
 		targets = append(targets, target(name, addrs[name], "ready", 0))
 	}
 	s.discovery.set(targets...)
-	slow := s.rng.IntN(2) == 0
-	if slow {
+	slowDiscovery := s.rng.IntN(2) == 0
+	if slowDiscovery {
 		s.discovery.responseDelay = time.Duration(s.rng.IntN(1300)) * time.Millisecond
 		s.discovery.openDelay = time.Duration(s.rng.IntN(1100)) * time.Millisecond
 	}
 	g.writeConfig(s.discovery.serve(t))
 	g.signal(syscall.SIGHUP)
-	g.waitUntil("the list is followed", func() bool { return s.discovery.queryCount() > 1 })
+	g.waitUntil("the list is received", func() bool { return s.discovery.queryCount() > 1 })
 	var clients sync.WaitGroup
 	for i := range soakClients {
 		clients.Go(func() { s.runClient(rand.New(rand.NewPCG(seed, uint64(i+1)))) })
 	}
-	s.injectFaults(addrs, slow)
-	terminated := time.Now()
+	s.injectFaults(addrs, slowDiscovery)
+	terminatedAt := time.Now()
 	for range 1 + s.rng.IntN(3) {
 		g.signal(syscall.SIGHUP)
 		g.signal(syscall.SIGTERM)
@@ -423,14 +436,14 @@
 	select {
 	case err := <-g.exited:
 		if err != nil {
-			t.Errorf("the process ended with %v, want 0", err)
+			t.Errorf("the process ended with %v, want exit status 0", err)
 		}
-	case <-time.After(time.Until(terminated.Add(soakKill))):
+	case <-time.After(time.Until(terminatedAt.Add(soakKill))):
 		g.process.Process.Kill()
 	}
 	s.stopped.Store(true)
 	clients.Wait()
-	s.check(terminated)
+	s.check(terminatedAt)
 	if t.Failed() {
 		log, _ := os.ReadFile(g.log.Name())
 		t.Logf("log:\n%s", log)
--- a/internal/platform/testgateway_test.go
+++ b/internal/platform/testgateway_test.go
@@ -18,28 +18,28 @@
 	"winghatch/internal/testbed/ports"
 )
 
-// testGateway is a gateway in a process of its own, with one server and a discovery that lists it.
+// testGateway is a gateway that runs in its own process, with one server and a discovery that lists it.
 type testGateway struct {
 	t          *testing.T
 	configPath string
 	settings   string
-	listen     string // the gateway's address
+	listen     string // address for clients
 	serverAddr string
-	received   chan string // X-Txn of requests that reached the server
-	responses  chan string // bodies; the server waits for one before it responds
+	received   chan string // X-Txn of each request that the server has received
+	responses  chan string // response bodies; the server waits for one before each response
 	process    *exec.Cmd
-	exited     chan error
+	exited     chan error // receives the result of the process when it exits
 	log        *os.File
 }
 
-// startGateway starts a gateway with settingsText and waits until it is ready. The channel gets the queries
-// that its discovery is asked.
+// startGateway starts a gateway with settingsText and waits until it is ready. The returned channel receives
+// the queries that its discovery gets.
 func startGateway(t *testing.T, env ...string) (*testGateway, chan string) {
 	t.Helper()
 	return startGatewayWith(t, settingsText, env...)
 }
 
-// startGatewayWith starts a gateway with other settings.
+// startGatewayWith starts a gateway like startGateway, but with the given settings.
 func startGatewayWith(t *testing.T, settings string, env ...string) (*testGateway, chan string) {
 	t.Helper()
 	g := &testGateway{
@@ -67,7 +67,7 @@
 	return g, queries
 }
 
-// handle is the server's.
+// handle handles a request at the server.
 func (g *testGateway) handle(rw http.ResponseWriter, r *http.Request) {
 	g.received <- r.Header.Get("X-Txn")
 	select {
@@ -77,7 +77,7 @@
 	}
 }
 
-// writeConfig writes the configuration file with a discovery address.
+// writeConfig writes a configuration file with the given discovery address.
 func (g *testGateway) writeConfig(discovery string) {
 	g.t.Helper()
 	raw := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
@@ -89,14 +89,14 @@
 	}
 }
 
-// start starts the process and waits until it is ready.
+// start starts the process and waits until the gateway is ready.
 func (g *testGateway) start(env ...string) {
 	g.t.Helper()
 	g.spawn(env...)
-	g.waitUntil("ready", func() bool { return g.readyStatus() == 200 })
+	g.waitUntil("the gateway is ready", func() bool { return g.readyStatus() == 200 })
 }
 
-// spawn starts the process.
+// spawn starts the process without waiting until the gateway is ready.
 func (g *testGateway) spawn(env ...string) {
 	g.t.Helper()
 	process := exec.Command(os.Args[0])
@@ -112,44 +112,45 @@
 
 func (g *testGateway) signal(s os.Signal) { g.process.Process.Signal(s) }
 
-// kill kills the process and waits for its end.
+// kill sends SIGKILL to the process, waits until it has ended and returns its result.
 func (g *testGateway) kill() error {
 	g.process.Process.Kill()
 	return <-g.exited
 }
 
-// expectExit expects the process to exit with 0.
+// expectExit fails the test unless the process exits with status 0 within the given time.
 func (g *testGateway) expectExit(within time.Duration) {
 	g.t.Helper()
 	select {
 	case err := <-g.exited:
 		if err != nil {
-			g.t.Errorf("the process ended with %v, want 0", err)
+			g.t.Errorf("the process ended with %v, want exit status 0", err)
 		}
 	case <-time.After(within):
-		g.t.Errorf("the process did not end within %v", within)
+		g.t.Errorf("the process did not exit within %v", within)
 	}
 }
 
-// waitUntil waits for a condition, 20 s at most.
+// waitUntil waits for a condition. The test fails if the condition does not hold within 20 s.
 func (g *testGateway) waitUntil(what string, ok func() bool) {
 	g.t.Helper()
 	for end := time.Now().Add(20 * time.Second); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			text, _ := os.ReadFile(g.log.Name())
-			g.t.Fatalf("not within 20 s: %s\n%s", what, text)
+			g.t.Fatalf("condition not met within 20 s: %s\nlog:\n%s", what, text)
 		}
 	}
 }
 
+// logContains reports whether the log of the process contains text.
 func (g *testGateway) logContains(text string) bool {
 	log, _ := os.ReadFile(g.log.Name())
 	return strings.Contains(string(log), text)
 }
 
-// holdUp stops the process, runs f, and lets the process go on after atLeast: as on a machine that does not
-// schedule it.
-func (g *testGateway) holdUp(atLeast time.Duration, f func()) {
+// suspend stops the process, calls f and resumes the process after at least the given time. This has the same
+// effect as a machine that does not schedule the process.
+func (g *testGateway) suspend(atLeast time.Duration, f func()) {
 	g.t.Helper()
 	g.signal(syscall.SIGSTOP)
 	g.waitUntil("the process is stopped", func() bool {
@@ -158,13 +159,13 @@
 		fields := strings.Fields(text[strings.LastIndexByte(text, ')')+1:])
 		return len(fields) > 0 && fields[0] == "T"
 	})
-	heldAt := time.Now()
+	suspendedAt := time.Now()
 	f()
-	time.Sleep(atLeast - time.Since(heldAt))
+	time.Sleep(atLeast - time.Since(suspendedAt))
 	g.signal(syscall.SIGCONT)
 }
 
-// respondAtOnce makes the server respond to each request at once.
+// respondAtOnce makes the server respond to each request immediately.
 func (g *testGateway) respondAtOnce() {
 	g.neverRespond()
 	go func() {
@@ -178,7 +179,7 @@
 	}()
 }
 
-// neverRespond makes the server take any number of requests, without a response.
+// neverRespond makes the server accept any number of requests without responding to them.
 func (g *testGateway) neverRespond() {
 	go func() {
 		for {
@@ -191,15 +192,15 @@
 	}()
 }
 
-// request sends a request on a connection of its own; status 0 means that there was no response.
-func (g *testGateway) request(first, fields string) (status int, body string) {
+// request sends a request on a new connection and returns the response. Status 0 means that there was none.
+func (g *testGateway) request(methodAndTarget, fields string) (status int, body string) {
 	nc, err := net.Dial("tcp", g.listen)
 	if err != nil {
 		return 0, ""
 	}
 	defer nc.Close()
 	nc.SetDeadline(time.Now().Add(20 * time.Second))
-	fmt.Fprintf(nc, "%s HTTP/1.1\r\nHost: s\r\n%s\r\n", first, fields)
+	fmt.Fprintf(nc, "%s HTTP/1.1\r\nHost: s\r\n%s\r\n", methodAndTarget, fields)
 	response, err := http.ReadResponse(bufio.NewReader(nc), nil)
 	if err != nil {
 		return 0, ""
@@ -208,24 +209,26 @@
 	return response.StatusCode, string(raw)
 }
 
-// readyStatus is the status of the health check.
+// readyStatus returns the status of the health check.
 func (g *testGateway) readyStatus() int {
 	status, _ := g.request("GET /health/ready", "")
 	return status
 }
 
-// client is a connection that stays open.
+// client is a client with one connection.
 type client struct {
 	t  *testing.T
 	nc net.Conn
 	r  *bufio.Reader
 }
 
+// dial connects a client to the gateway.
 func (g *testGateway) dial() *client {
 	g.t.Helper()
 	return dialClient(g.t, g.listen)
 }
 
+// dialClient connects a client to a gateway at the given address.
 func dialClient(t *testing.T, addr string) *client {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
@@ -237,8 +240,8 @@
 	return &client{t, nc, bufio.NewReader(nc)}
 }
 
-// get sends a GET and returns the status of the response and whether the connection ends with it; status 0
-// means that it ended before.
+// get sends a GET request. It returns the status of the response and whether the connection ends with it.
+// Status 0 means that the connection ended without a response.
 func (c *client) get(txn string) (status int, last bool) {
 	fmt.Fprintf(c.nc, "GET /api HTTP/1.1\r\nHost: s\r\n%s\r\n", requestFields(txn, "get", "team"))
 	response, err := http.ReadResponse(c.r, nil)
@@ -259,18 +262,20 @@
 	return ended
 }
 
+// requestFields returns the header fields of a request of class lane.
 func requestFields(txn, lane, plan string) string {
 	return "X-Txn: " + txn + "\r\nX-Lane: " + lane + "\r\nX-Plan: " + plan +
 		"\r\nX-Customer: 00000000b4d65521\r\nX-Remaining-Ms: 3900\r\nX-Quota: units=1,spread=1,first=0\r\n"
 }
 
-// postText is a request of class pay, which must not run twice.
+// postText returns a request of class pay, which must not run twice.
 func postText(txn, body string) string {
 	return fmt.Sprintf("POST /api HTTP/1.1\r\nHost: s\r\nContent-Length: %d\r\n%s\r\n%s",
 		len(body), requestFields(txn, "pay", "team"), body)
 }
 
-// countStatuses reads one response on each connection and counts their statuses; 0 is an end without one.
+// countStatuses reads one response from each connection and counts the responses by status. Status 0 stands
+// for a connection that ended without a response.
 func countStatuses(clients []*client) map[int]int {
 	count := map[int]int{}
 	for _, c := range clients {
@@ -279,6 +284,7 @@
 	return count
 }
 
+// readStatus reads a response and returns its status, or 0 if the connection ends before the response does.
 func (c *client) readStatus() int {
 	response, err := http.ReadResponse(c.r, nil)
 	if err != nil {
--- a/internal/platform/testservers_test.go
+++ b/internal/platform/testservers_test.go
@@ -12,7 +12,8 @@
 	"time"
 )
 
-// startDiscovery runs a discovery that lists one server and has no changes. Queries are sent to a channel.
+// startDiscovery runs a discovery that lists one server and never changes. It sends the queries that it
+// receives to a channel and returns its address.
 func startDiscovery(t *testing.T, server string, queries chan<- string) string {
 	t.Helper()
 	mux := http.NewServeMux()
@@ -35,8 +36,9 @@
 	return serveHTTP(t, mux)
 }
 
-// startSilent runs a server that accepts connections and never responds.
-func startSilent(t *testing.T) string {
+// startSilentServer runs a server that accepts connections and never responds. It returns the server's
+// address.
+func startSilentServer(t *testing.T) string {
 	t.Helper()
 	ln := listenLocal(t)
 	go func() {
@@ -51,7 +53,7 @@
 	return ln.Addr().String()
 }
 
-// testingT is what stand-ins need of a test: *testing.T, or *rapid.T for one draw.
+// testingT contains the methods of a test that the helpers use. Both *testing.T and *rapid.T implement it.
 type testingT interface {
 	Helper()
 	Fatal(args ...any)
@@ -59,6 +61,7 @@
 	Cleanup(f func())
 }
 
+// listenLocal listens on a free port of the loopback interface until the test ends.
 func listenLocal(t testingT) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -79,54 +82,56 @@
 	return ln.Addr().String()
 }
 
-// fakeDiscovery is a discovery whose list the test changes.
+// fakeDiscovery is a discovery whose list is changed by the test.
 type fakeDiscovery struct {
 	mu            sync.Mutex
-	rev           int
-	targets       map[string]map[string]any // by uid
-	indent        string
-	changed       chan struct{} // closed at the next change
-	responseDelay time.Duration // of each response
-	openDelay     time.Duration // of the first read of a connection
+	rev           int                       // revision of the list
+	targets       map[string]map[string]any // servers by uid
+	indent        string                    // indentation of the JSON responses
+	changed       chan struct{}             // closed at the next change
+	responseDelay time.Duration             // delay of each response
+	openDelay     time.Duration             // delay of the first read from each connection
 	queries       []string
-	bytes         int // of all responses
+	bytes         int // total size of all responses
 }
 
+// newDiscovery returns a discovery with an empty list.
 func newDiscovery() *fakeDiscovery {
 	return &fakeDiscovery{rev: 41, targets: map[string]map[string]any{}, changed: make(chan struct{})}
 }
 
-// target is a server as discovery lists it.
-func target(uid, endpoint, state string, boot int64) map[string]any {
+// target returns the list entry of a server. bootMs is the server's start time in Unix milliseconds.
+func target(uid, endpoint, state string, bootMs int64) map[string]any {
 	return map[string]any{"uid": uid, "endpoint": endpoint, "az": "a", "model": "m", "pod_group": 1,
-		"state": state, "capacity_hint": 1.0, "boot_ms": boot}
+		"state": state, "capacity_hint": 1.0, "boot_ms": bootMs}
 }
 
-// set changes servers; those that are gone are left out of full lists.
+// set adds or changes servers. Full lists omit servers whose state is "gone".
 func (d *fakeDiscovery) set(targets ...map[string]any) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.rev++
-	for _, x := range targets {
-		x["rev"] = d.rev
-		d.targets[x["uid"].(string)] = x
+	for _, t := range targets {
+		t["rev"] = d.rev
+		d.targets[t["uid"].(string)] = t
 	}
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// since returns what is newer than a version, and a channel that is closed at the next change if there is
-// nothing. 0 asks for the full list.
+// since returns the encoded changes after a revision, or the full list for revision 0. If there are no
+// changes, it also returns a channel that is closed at the next change.
 func (d *fakeDiscovery) since(from int) ([]byte, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	list := []any{}
-	for _, x := range d.targets {
-		if x["rev"].(int) > from && (from > 0 || x["state"] != "gone") {
-			list = append(list, x)
+	for _, t := range d.targets {
+		if t["rev"].(int) > from && (from > 0 || t["state"] != "gone") {
+			list = append(list, t)
 		}
 	}
-	raw, _ := json.MarshalIndent(map[string]any{"rev": d.rev, "all": from == 0, "targets": list}, "", d.indent)
+	raw, _ := json.MarshalIndent(
+		map[string]any{"rev": d.rev, "all": from == 0, "targets": list}, "", d.indent)
 	if from > 0 && from == d.rev {
 		return raw, d.changed
 	}
@@ -135,15 +140,15 @@
 
 func (d *fakeDiscovery) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
-	late, lateOpen := d.responseDelay, d.openDelay
+	responseDelay, openDelay := d.responseDelay, d.openDelay
 	d.queries = append(d.queries, r.URL.RawQuery)
 	d.mu.Unlock()
 	from, _ := strconv.Atoi(r.URL.Query().Get("from"))
 	hold, _ := strconv.Atoi(r.URL.Query().Get("hold_ms"))
-	raw, news := d.since(from)
-	if news != nil {
+	raw, changed := d.since(from)
+	if changed != nil {
 		select {
-		case <-news:
+		case <-changed:
 			raw, _ = d.since(from)
 		case <-time.After(time.Duration(hold) * time.Millisecond):
 		case <-r.Context().Done():
@@ -151,12 +156,12 @@
 		}
 	}
 	select {
-	case <-time.After(late):
+	case <-time.After(responseDelay):
 	case <-r.Context().Done():
 		return
 	}
-	if lateOpen > 0 {
-		rw.Header().Set("Connection", "close") // so that the next call opens a connection
+	if openDelay > 0 {
+		rw.Header().Set("Connection", "close") // makes the next query open a connection
 	}
 	d.mu.Lock()
 	d.bytes += len(raw)
@@ -165,7 +170,7 @@
 	rw.Write(raw)
 }
 
-// slowListener delays the first read of each connection.
+// slowListener accepts connections whose first read is delayed by fakeDiscovery.openDelay.
 type slowListener struct {
 	net.Listener
 	d *fakeDiscovery
@@ -181,6 +186,7 @@
 	return &slowConn{Conn: nc, wait: l.d.openDelay}, nil
 }
 
+// slowConn is a connection whose first read is delayed.
 type slowConn struct {
 	net.Conn
 	wait time.Duration
@@ -192,7 +198,7 @@
 	return c.Conn.Read(b)
 }
 
-// serve runs the discovery and returns its address.
+// serve runs the discovery until the test ends and returns its address.
 func (d *fakeDiscovery) serve(t *testing.T) string {
 	t.Helper()
 	ln := listenLocal(t)
@@ -202,21 +208,22 @@
 	return ln.Addr().String()
 }
 
-// queryCount is how many calls were made.
+// queryCount returns the number of queries received.
 func (d *fakeDiscovery) queryCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.queries)
 }
 
-// countingServer responds at once and counts requests by when they came.
+// countingServer responds immediately and records when requests arrive.
 type countingServer struct {
-	mu   sync.Mutex
-	hits []time.Time
-	addr string
+	mu       sync.Mutex
+	arrivals []time.Time
+	addr     string
 }
 
-func startCounting(t *testing.T) *countingServer {
+// startCountingServer runs a countingServer until the test ends.
+func startCountingServer(t *testing.T) *countingServer {
 	t.Helper()
 	c := &countingServer{}
 	c.addr = serveHTTP(t, c)
@@ -225,17 +232,17 @@
 
 func (c *countingServer) ServeHTTP(rw http.ResponseWriter, _ *http.Request) {
 	c.mu.Lock()
-	c.hits = append(c.hits, time.Now())
+	c.arrivals = append(c.arrivals, time.Now())
 	c.mu.Unlock()
 	io.WriteString(rw, "a")
 }
 
-// since is how many requests came after a time.
-func (c *countingServer) since(at time.Time) (n int) {
+// since returns the number of requests that arrived after the given time.
+func (c *countingServer) since(start time.Time) (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, h := range c.hits {
-		if h.After(at) {
+	for _, arrival := range c.arrivals {
+		if arrival.After(start) {
 			n++
 		}
 	}
