--- a/internal/platform/fault_test.go
+++ b/internal/platform/fault_test.go
@@ -143,7 +143,7 @@
 	g.writeConfig(startDiscovery(t, g.serverAddr, queries))
 	g.signal(syscall.SIGHUP)
 	g.waitUntil("the new discovery address is logged", func() bool {
-		return g.logContains("Following another discovery address")
+		return g.logContains("Discovery address updated")
 	})
 	g.signal(syscall.SIGTERM)
 	g.expectExit(10 * time.Second)
--- a/internal/platform/gateway.go
+++ b/internal/platform/gateway.go
@@ -154,7 +154,7 @@
 // SetDiscovery switches the discovery watch to the given address. If the address is unchanged, the watch
 // immediately asks it for changes.
 func (g *Gateway) SetDiscovery(addr string) {
-	g.log.Info("Following another discovery address", "to", addr)
+	g.log.Info("Discovery address updated", "to", addr)
 	g.watch.SetAddr(addr)
 }
 
