--- a/internal/frontend/http/conn.go
+++ b/internal/frontend/http/conn.go
@@ -49,7 +49,7 @@
 	txn                string        // X-Txn of the open request
 	deadline           time.Duration // deadline of the open or last request, by the server's clock
 	closeAfterResponse bool          // whether the connection ends with the open request's response
-	clientGone         bool          // whether the client has closed the connection or it broke
+	clientGone         bool          // whether the connection was closed by the client or broke
 	writeClosed        bool          // whether the writing side is closed
 	lingerElem         *list.Element // element in Server.lingering; nil unless the connection lingers
 	bodyBytes          int64         // part of Server.bodyBytes that the open request's body reserves
--- a/internal/frontend/http/server.go
+++ b/internal/frontend/http/server.go
@@ -54,7 +54,7 @@
 	// connlimit selects the connections to evict. Values below 2 count as 2.
 	MaxConns int
 	// MaxBodyBytes limits the total size of the request bodies and pipelined bytes held for all connections.
-	// A request whose body exceeds it is rejected with status 503. 0 means no limit.
+	// A request whose body does not fit is rejected with status 503. 0 means no limit.
 	MaxBodyBytes int64
 }
 
@@ -81,10 +81,10 @@
 	ready    func() bool
 	maxConns int
 
-	// mu guards the fields below and those of connections that are marked as guarded by it. A single lock
-	// makes reads, the selection of connections to close and the writing of responses mutually exclusive.
-	// Otherwise a request could be read after its connection was found inactive but before the connection is
-	// closed, and would be lost. System calls made under mu do not block.
+	// mu guards the fields from here to closed and the fields of conn that are marked as guarded by it. A
+	// single lock makes reads, the selection of connections to close and the writing of responses mutually
+	// exclusive. Otherwise a request could be read after its connection was found inactive but before the
+	// connection is closed, and would be lost. System calls made under mu do not block.
 	mu           sync.Mutex
 	limit        *connlimit.Limiter // tracks all connections that are not closing
 	conns        map[connlimit.ID]*conn
--- a/internal/frontend/websocket/server.go
+++ b/internal/frontend/websocket/server.go
@@ -1,6 +1,6 @@
-// Package websocket implements the WebSocket frontend (RFC 6455). Each session carries JSON-RPC 2.0: a call
-// is a request, and its method is the class. Clients authenticate with a key in the handshake. The package
-// does not check quotas.
+// Package websocket implements the WebSocket frontend (RFC 6455). Each session carries JSON-RPC 2.0. Each call
+// becomes a request, and its method is the class of the request. Clients authenticate with a key in the
+// handshake. The package does not check quotas.
 //
 // Files:
 //   - server.go accepts connections and performs handshakes
@@ -90,7 +90,7 @@
 }
 
 // New returns a server for the gateway with the given rank in the fleet. idPrefix is the prefix of its
-// request IDs and must be different after each start of a gateway. clock returns the reading of the gateway's
+// request IDs and must differ between any two starts of a gateway. clock returns the reading of the gateway's
 // monotonic clock.
 func New(f *config.Fleet, rank int, idPrefix string, core frontend.Core, clock func() time.Duration,
 	log *slog.Logger) *Server {
@@ -155,7 +155,7 @@
 	s.mu.Lock()
 	s.ln = ln
 	s.mu.Unlock()
-	if s.draining.Load() { // Drain or Close was called before ln was set and did not close it
+	if s.draining.Load() { // Drain or Close was called before ln was set and could not close it
 		ln.Close()
 		return
 	}
--- a/internal/frontend/websocket/session.go
+++ b/internal/frontend/websocket/session.go
@@ -65,8 +65,8 @@
 // such as a notification.
 type answerFunc func(answer []byte)
 
-// send is the answerFunc of a message that is not a batch. A failed write ends the connection and thereby
-// readLoop.
+// send is the answerFunc of a message that is not a batch. It returns no error, because a failed write ends
+// the connection and thereby readLoop.
 func (c *session) send(answer []byte) {
 	if answer != nil {
 		c.ws.Send(answer)
--- a/internal/platform/drain_test.go
+++ b/internal/platform/drain_test.go
@@ -102,10 +102,10 @@
 			}
 			clients := []*client{send("before")}
 			time.Sleep(50 * time.Millisecond)
-			terminated := time.Now()
+			terminatedAt := time.Now()
 			g.signal(syscall.SIGTERM)
 			for i := range 8 {
-				time.Sleep(time.Until(terminated.Add(time.Duration(i) * 80 * time.Millisecond)))
+				time.Sleep(time.Until(terminatedAt.Add(time.Duration(i) * 80 * time.Millisecond)))
 				clients = append(clients, send(fmt.Sprint("t", i)))
 			}
 			g.suspend(150*time.Millisecond, func() {})
@@ -118,7 +118,7 @@
 				if count[502]+count[429]+count[503] != len(clients) || count[502] == 0 {
 					t.Errorf("responses by status %v, want only 502, 429 and 503 and a 502", count)
 				}
-			case <-time.After(time.Until(terminated.Add(c.kill))):
+			case <-time.After(time.Until(terminatedAt.Add(c.kill))):
 				t.Error("not all requests were answered before the earliest SIGKILL")
 			}
 			g.process.Process.Kill()
@@ -131,9 +131,9 @@
 func TestShutdownServesBacklog(t *testing.T) {
 	g, _ := startGateway(t)
 	g.respondAtOnce()
-	terminated := time.Now()
+	terminatedAt := time.Now()
 	g.signal(syscall.SIGTERM)
-	time.Sleep(time.Until(terminated.Add(350 * time.Millisecond)))
+	time.Sleep(time.Until(terminatedAt.Add(350 * time.Millisecond)))
 	var clients []*client
 	g.suspend(500*time.Millisecond, func() {
 		for i := range 30 {
--- a/internal/platform/gateway.go
+++ b/internal/platform/gateway.go
@@ -45,7 +45,7 @@
 	loop     *gateway.Loop
 	frontend *frontendhttp.Server
 	pool     *upstreamhttp.Pool
-	gossip   *plain.Transport // nil without peers
+	gossip   *plain.Transport // nil if there is no gossip
 	watch    *discoveryhttp.Watch
 
 	listReceived atomic.Bool   // whether discovery has returned a list
--- a/internal/platform/limits.go
+++ b/internal/platform/limits.go
@@ -33,7 +33,8 @@
 // requests.
 const gcPercent = 400
 
-// ApplyLimits configures the Go runtime to stay within the limits of the configuration.
+// ApplyLimits configures the Go runtime to stay within the limits of the configuration. If no memory limit is
+// set, it leaves the runtime's memory limit unchanged.
 func ApplyLimits(c *Config) {
 	runtime.GOMAXPROCS(1) // with only a share of one core, more threads would just wait for each other
 	debug.SetGCPercent(gcPercent)
--- a/internal/platform/logwriter_test.go
+++ b/internal/platform/logwriter_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Guards against a gateway that depends on the reader of its log. If the reader of standard error exits, the
-// gateway was ended by SIGPIPE; if the reader stops reading, the gateway blocked during its shutdown. It must
-// continue to serve and exit normally.
+// Guards against a gateway that depends on the reader of its log. The gateway was ended by SIGPIPE after the
+// reader of standard error had exited, and blocked during its shutdown after the reader had stopped reading.
+// It must continue to serve and exit normally.
 func TestUnreadLogDoesNotBlockGateway(t *testing.T) {
 	for _, closed := range []bool{true, false} {
 		t.Run(fmt.Sprint("closed ", closed), func(t *testing.T) { testUnreadLog(t, closed) })
--- a/internal/platform/reload_test.go
+++ b/internal/platform/reload_test.go
@@ -8,7 +8,7 @@
 )
 
 // Guards against reloads that stop the gateway or have no effect. An operator writes an invalid
-// configuration, then one with a discovery address that does not respond, then a valid one with several
+// configuration, then one with a discovery address that refuses connections, then a valid one with several
 // SIGHUPs. The gateway must continue to serve and use the last configuration.
 func TestReload(t *testing.T) {
 	g, _ := startGateway(t)
--- a/internal/platform/soak_test.go
+++ b/internal/platform/soak_test.go
@@ -38,6 +38,7 @@
 	deadline     time.Duration
 }
 
+// soakClasses contains one class for each effect.
 var soakClasses = []soakClass{
 	{"get", "safe", 1500 * time.Millisecond},
 	{"put", "keyed", 1200 * time.Millisecond},
