--- a/internal/httppost/post.go
+++ b/internal/httppost/post.go
@@ -1,5 +1,6 @@
-// Package httppost posts data that must not count as received before the receiver has read it: it sends
-// "Expect: 100-continue", and reports whether all of the body was sent before the answer came.
+// Package httppost sends HTTP POST requests whose data must not count as received before the receiver has
+// started to read it. It sends "Expect: 100-continue" and reports whether the whole body was sent before
+// the response arrived.
 package httppost
 
 import (
@@ -14,21 +15,24 @@
 )
 
 const (
-	// expectContinueTimeout is how long a receiver may take for its 100 Continue. Then the body is sent all the same:
-	// some receivers do not know the expectation.
+	// expectContinueTimeout is the maximum time to wait for 100 Continue. After it the body is sent anyway
+	// because some receivers do not support the Expect header.
 	expectContinueTimeout = time.Second
-	// idleConnTimeout is how long an unused connection is kept.
+	// idleConnTimeout is the time after which an idle connection is closed.
 	idleConnTimeout = 30 * time.Second
-	// maxReasonBytes is how much of an answer is part of Result.Reason.
+	// maxReasonBytes is the maximum number of bytes of a response body that Result.Reason contains.
 	maxReasonBytes = 512
-	// maxDiscardBytes is how much of an answer is read, beyond that, to use the connection again.
+	// maxDiscardBytes is the maximum number of further bytes of a response body that are read and
+	// discarded, so that the connection can be reused.
 	maxDiscardBytes = 64 << 10
-	// maxRetryAfterSeconds keeps a Retry-After within a Duration.
+	// maxRetryAfterSeconds limits the Retry-After value so that it does not overflow a time.Duration.
 	maxRetryAfterSeconds = 1 << 30
 )
 
-// Client returns a client whose requests end after a timeout, and which keeps so many unused connections to a host. It
-// follows no redirect: data must not go where no setting sends it.
+// Client returns an HTTP client for Post. timeout limits each request including reading the response; zero
+// means no timeout. idleConns is the maximum number of idle connections per host; zero means
+// http.DefaultMaxIdleConnsPerHost. The client does not follow redirects because data must only be sent to
+// the configured address.
 func Client(timeout time.Duration, idleConns int) http.Client {
 	return http.Client{
 		Timeout: timeout,
@@ -41,22 +45,28 @@
 	}
 }
 
-// Result is the answer to a Post.
+// Result is the result of Post.
 type Result struct {
-	Status     int // HTTP status; 0: there was no answer
-	Header     http.Header
-	RetryAfter time.Duration // 0: not given
-	BodySent   bool          // all of the body was sent before the answer came
-	Reason     string        // why it is no success; empty if it is one
+	// Status is the HTTP status. Zero means that there was no response.
+	Status int
+	// Header is the header of the response. It is nil if there was no response.
+	Header http.Header
+	// RetryAfter is the delay of the Retry-After header. Zero means that the header is missing or invalid,
+	// or that the date in it has passed.
+	RetryAfter time.Duration
+	// BodySent reports whether the whole body was sent before the response arrived.
+	BodySent bool
+	// Reason states why the post failed. It is empty if the status is below 300 and the body was sent.
+	Reason string
 }
 
-// trackedBody knows whether all of it was read.
+// trackedBody is a request body that records whether it was read to its end.
 type trackedBody struct {
 	bytes.Reader
 	done atomic.Bool
 }
 
-// Read reads what is to be sent.
+// Read implements io.Reader. The HTTP transport calls it to send the body.
 func (b *trackedBody) Read(p []byte) (int, error) {
 	n, err := b.Reader.Read(p)
 	if b.Len() == 0 {
@@ -65,11 +75,13 @@
 	return n, err
 }
 
-// Post sends a body with headers, to which it adds Expect.
+// Post sends content to url with the fields in header, which must not be nil. It adds the field Expect to
+// header.
 //
-// Without Expect the answer of a receiver that has not read the body would count: a small body fits into the sockets'
-// buffers, where one that was read can't be distinguished from one that was not. With it (RFC 9110 section 10.1.1) the
-// body is only sent once the receiver begins to read, or after expectContinueTimeout.
+// Without Expect, a response from a receiver that has not read the body would count as a success: a small
+// body fits into the socket buffers, so the sender cannot tell whether it was read. With Expect (RFC 9110
+// section 10.1.1), the body is only sent once the receiver starts to read it, or after
+// expectContinueTimeout.
 func Post(ctx context.Context, c *http.Client, url string, header http.Header, content []byte) Result {
 	body := &trackedBody{}
 	body.Reset(content)
@@ -102,8 +114,8 @@
 	return r
 }
 
-// parseRetryAfter reads the header of that name (RFC 9110 section 10.2.3), in seconds or as a date; 0: it is neither,
-// or the date is past.
+// parseRetryAfter parses the value of a Retry-After header (RFC 9110 section 10.2.3), which is a number of
+// seconds or a date. It returns zero if the value is neither, or if the date has passed.
 func parseRetryAfter(s string, now time.Time) time.Duration {
 	if n, err := strconv.Atoi(s); err == nil && n >= 0 {
 		return time.Duration(min(n, maxRetryAfterSeconds)) * time.Second
--- a/internal/remotewrite/convert.go
+++ b/internal/remotewrite/convert.go
@@ -10,15 +10,16 @@
 	dto "github.com/prometheus/client_model/go"
 )
 
-// converter makes the samples of a gathering. It keeps the series from one to the next.
+// converter converts gathered metric families to samples. It keeps the series from one gathering to the
+// next.
 type converter struct {
-	externalLabels []Label // added to each series
-	createdAt      int64   // Unix milliseconds, of counters and histograms
-	knownSeries    map[string]*Series
+	externalLabels []Label            // added to each series
+	createdAt      int64              // creation time of counters and histograms, in Unix milliseconds
+	knownSeries    map[string]*Series // all series seen so far, by seriesKey
 }
 
-// convert makes a sample of each metric, at a time in Unix milliseconds. Classic histograms and summaries become their
-// count and sum.
+// convert returns a sample of each metric with the timestamp at, in Unix milliseconds. Classic histograms
+// and summaries are sent as their count and sum only.
 func (c *converter) convert(families []*dto.MetricFamily, at int64) (out []*Sample) {
 	for _, f := range families {
 		for _, m := range f.Metric {
@@ -32,7 +33,7 @@
 				value("", writev2.Metadata_METRIC_TYPE_GAUGE, m.GetGauge().GetValue())
 			case dto.MetricType_HISTOGRAM:
 				h := m.GetHistogram()
-				if h.Schema == nil { // classic, as those of the Go runtime's collector
+				if h.Schema == nil { // a classic histogram, such as those of the Go runtime collector
 					value("_count", writev2.Metadata_METRIC_TYPE_HISTOGRAM, float64(h.GetSampleCount()))
 					value("_sum", writev2.Metadata_METRIC_TYPE_HISTOGRAM, h.GetSampleSum())
 					continue
@@ -50,7 +51,7 @@
 	return out
 }
 
-// series returns the series of a metric, the same one for each gathering.
+// series returns the series of a metric. It returns the same *Series in each gathering.
 func (c *converter) series(
 	f *dto.MetricFamily, m *dto.Metric, suffix string, kind writev2.Metadata_MetricType,
 ) *Series {
@@ -72,7 +73,7 @@
 	return s
 }
 
-// seriesKey joins a name and labels by a byte that is not in UTF-8.
+// seriesKey joins a name and labels into a unique key. The separator 0xff never occurs in UTF-8 text.
 func seriesKey(name string, labels []*dto.LabelPair) string {
 	var key strings.Builder
 	key.WriteString(name)
@@ -82,7 +83,8 @@
 	return key.String()
 }
 
-// newExemplars are a histogram's that are newer than those of the gathering before.
+// newExemplars returns the exemplars of a histogram that are newer than those of the previous gathering,
+// ordered by time.
 func (s *Series) newExemplars(h *dto.Histogram) (out []Exemplar) {
 	last := s.lastExemplar
 	for _, e := range h.Exemplars {
--- a/internal/remotewrite/decode.go
+++ b/internal/remotewrite/decode.go
@@ -10,7 +10,8 @@
 
 var errUnknownSymbol = errors.New("remotewrite: a label's symbol is not in the table")
 
-// DecodeV1 decodes a message of remote write 1.0: the labels of each series, and its samples or histograms.
+// DecodeV1 decodes an uncompressed message of remote write 1.0: the labels of each series, and its samples
+// or native histograms. It returns an error if the message is malformed.
 func DecodeV1(b []byte) (out []Sample, err error) {
 	err = eachField(b, func(field protowire.Number, series []byte) error {
 		if field != fieldSeries {
@@ -91,7 +92,8 @@
 	return nil
 }
 
-// DecodeV2 decodes a message of remote write 2.0.
+// DecodeV2 decodes an uncompressed message of remote write 2.0. It returns an error if the message is
+// malformed or refers to a symbol that is not in its symbol table.
 func DecodeV2(b []byte) (out []Sample, err error) {
 	var req writev2.Request
 	if err := proto.Unmarshal(b, &req); err != nil {
--- a/internal/remotewrite/encode.go
+++ b/internal/remotewrite/encode.go
@@ -6,8 +6,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Field numbers of remote write 1.0's prometheus.WriteRequest (prompb/remote.proto, types.proto). Samples and native
-// histograms have those of 2.0.
+// Protobuf field numbers of prometheus.WriteRequest in remote write 1.0 (prompb/remote.proto and
+// types.proto). The messages Sample and Histogram have the same fields as in 2.0, so the types of 2.0 are
+// used for them.
 const (
 	fieldSeries     = 1
 	fieldLabels     = 1
@@ -17,7 +18,7 @@
 	fieldValue      = 2
 )
 
-// encodeV1 encodes a message of remote write 1.0.
+// encodeV1 encodes samples as a message of remote write 1.0, uncompressed.
 func encodeV1(samples []*Sample) ([]byte, error) {
 	var message, series, label []byte
 	for _, s := range samples {
@@ -49,7 +50,7 @@
 	return protowire.AppendBytes(protowire.AppendTag(b, field, protowire.BytesType), v)
 }
 
-// encodeV2 encodes a message of remote write 2.0.
+// encodeV2 encodes samples as a message of remote write 2.0, uncompressed.
 func encodeV2(samples []*Sample) ([]byte, error) {
 	symbols := writev2.NewSymbolTable()
 	req := &writev2.Request{}
--- a/internal/remotewrite/queue/queue.go
+++ b/internal/remotewrite/queue/queue.go
@@ -1,9 +1,9 @@
-// Package queue decides which of a stream of samples are sent to a receiver, when they are retried and which are
-// dropped: bounded queues that drop the oldest first, batches, backoff with jitter, and halving to find the item that a
-// batch is rejected for.
+// Package queue decides which samples are sent to a receiver, when they are retried, and which are dropped.
+// A Queue is bounded and drops the oldest items first. It forms batches, backs off with jitter after
+// failures, and halves a rejected batch repeatedly to find the item that caused the rejection.
 //
-// A Queue is driven by its owner, who sends what Next returns and gives the answer to HandleResponse. The package does
-// no I/O, reads no clock and starts no goroutine; a Queue is not safe for concurrent use.
+// The owner of a Queue sends the batch that Next returns and passes the response to HandleResponse. The
+// package does no I/O, reads no clock and starts no goroutine. A Queue is not safe for concurrent use.
 package queue
 
 import (
@@ -14,69 +14,87 @@
 const (
 	minBackoff    = 50 * time.Millisecond
 	maxBackoff    = 10 * time.Second
-	maxRetryAfter = 2 * time.Minute // of what a receiver may ask for
+	maxRetryAfter = 2 * time.Minute // upper bound for the Retry-After of a receiver
 )
 
-// Item is a sample of one series. The items of a series go through one Queue, and so stay in order.
+// Item is a sample of one series. All items of a series must go through the same Queue, so that they are
+// sent in order.
 type Item struct {
-	EnqueuedAt time.Duration // on the owner's monotonic clock
-	Bytes      int           // of memory
-	Data       any
+	// EnqueuedAt is the time of the call to Enqueue on the monotonic clock of the owner.
+	EnqueuedAt time.Duration
+	// Bytes is the memory that the item uses.
+	Bytes int
+	// Data is the sample. The queue does not inspect it.
+	Data any
 }
 
-// Settings bound a queue.
+// Settings configure a Queue.
 type Settings struct {
-	MaxItems  int           // at least two batches
-	MaxBytes  int           // of all items; 0: no bound
-	BatchSize int           // items; at least 1
-	MaxAge    time.Duration // older items are dropped; 0: none
-	Seed      int64         // of the jitter
+	// MaxItems limits the number of items. It is raised to two batches if it is less.
+	MaxItems int
+	// MaxBytes limits the memory of all items. Zero means no limit.
+	MaxBytes int
+	// BatchSize is the maximum number of items in a batch. Values below 1 mean 1.
+	BatchSize int
+	// MaxAge is the age beyond which items are dropped. Zero means that items are kept regardless of age.
+	MaxAge time.Duration
+	// Seed initializes the random numbers for the jitter of the backoff.
+	Seed int64
 }
 
-// Counts are of items, where nothing else is said.
+// Counts are counters and current values of a Queue. Unless stated otherwise they are numbers of items.
+// Enqueued is the sum of Sent, Rejected, DroppedFull, DroppedExpired and Waiting.
 type Counts struct {
+	// Enqueued, Sent and Rejected are the numbers of items that were added, accepted by the receiver, and
+	// dropped because the receiver rejected them.
 	Enqueued, Sent, Rejected uint64
-	DroppedFull              uint64 // the oldest, as the queue was full
-	DroppedExpired           uint64 // older than MaxAge
-	Retries                  uint64 // of batches
-	Waiting                  int
-	WaitingBytes             int
-	Backoff                  time.Duration // current
+	// DroppedFull is the number of items that were dropped because the queue was full.
+	DroppedFull uint64
+	// DroppedExpired is the number of items that were dropped because they were older than MaxAge.
+	DroppedExpired uint64
+	// Retries is the number of batches that had to be retried after a backoff.
+	Retries uint64
+	// Waiting is the current number of items, including the batch in flight.
+	Waiting int
+	// WaitingBytes is the memory of the items in Waiting.
+	WaitingBytes int
+	// Backoff is the current backoff before jitter. It is zero after a batch was accepted or rejected.
+	Backoff time.Duration
 }
 
-// Queue is a bounded queue of one receiver.
+// Queue is a bounded queue of the items that wait to be sent to one receiver.
 type Queue struct {
 	settings Settings
 	random   *rand.Rand
 	items    []Item // the oldest first
-	bytes    int    // of items
-	inFlight int    // the first so many are in a batch that is being sent
+	bytes    int    // sum of Item.Bytes over items
+	inFlight int    // number of items, at the front, in the batch that is being sent
 
-	// A rejected batch is halved until it is one item, which is dropped.
-	batchSize int // as set, or less after a 413
-	splitSize int // size of the next batch; 0: batchSize
-	suspects  int // the first so many are of a rejected batch, and not known yet as good or bad
+	// A rejected batch is halved until the batch that is rejected has one item, which is dropped.
+	batchSize int // Settings.BatchSize, or less after the receiver responded with 413
+	splitSize int // maximum size of the next batch while a rejected batch is being split; 0 means batchSize
+	suspects  int // number of items, at the front, of a rejected batch that may have caused the rejection
 
 	backoff    time.Duration
-	backingOff bool // nothing is sent until Resume
+	backingOff bool // set between HandleResponse returning a wait and Resume
 	counts     Counts
 }
 
-// New returns an empty queue.
+// New returns an empty Queue.
 func New(s Settings) *Queue {
 	s.BatchSize = max(1, s.BatchSize)
 	s.MaxItems = max(s.MaxItems, 2*s.BatchSize)
 	return &Queue{settings: s, random: rand.New(rand.NewSource(s.Seed)), batchSize: s.BatchSize}
 }
 
-// Counts returns what became of items.
+// Counts returns the current counts.
 func (q *Queue) Counts() Counts {
 	c := q.counts
 	c.Waiting, c.WaitingBytes, c.Backoff = len(q.items), q.bytes, q.backoff
 	return c
 }
 
-// Enqueue adds items. Where there are too many the oldest are dropped, but for those in flight.
+// Enqueue adds items. While the queue exceeds a limit it drops the oldest items that are not in flight.
 func (q *Queue) Enqueue(items []Item) {
 	for _, it := range items {
 		q.counts.Enqueued++
@@ -95,7 +113,8 @@
 		q.settings.MaxBytes > 0 && q.bytes > q.settings.MaxBytes && len(q.items) > q.inFlight+1
 }
 
-// remove removes the item at an index, which is the front or right behind the batch in flight.
+// remove removes the item at index i, which must be the first item or the first item after the batch in
+// flight.
 func (q *Queue) remove(i int) {
 	q.bytes -= q.items[i].Bytes
 	if i == 0 {
@@ -103,7 +122,8 @@
 		q.items = q.items[1:]
 		return
 	}
-	// The few items in flight move up, not the many behind: a full queue removes one for each that is added.
+	// A full queue removes an item for each added one. Moving the few items in flight by one place is much
+	// cheaper than moving the many items after them.
 	copy(q.items[1:i+1], q.items[:i])
 	q.items[0] = Item{}
 	q.items = q.items[1:]
@@ -112,8 +132,9 @@
 	}
 }
 
-// Next returns the batch to send now, or nil: there is none, one is in flight, or the queue backs off. It is valid
-// until the next call of a method.
+// Next returns the batch to send now. It returns nil if the queue is empty, a batch is in flight, or the
+// queue is backing off. now is the time on the monotonic clock of the owner. The batch is valid until the
+// next call of a method.
 func (q *Queue) Next(now time.Duration) []Item {
 	if q.inFlight > 0 || q.backingOff {
 		return nil
@@ -134,8 +155,8 @@
 	return q.items[:n:n]
 }
 
-// HandleResponse takes the answer to the batch in flight. If wait is above 0 the queue backs off for that time, after
-// which its owner calls Resume.
+// HandleResponse handles the response to the batch in flight. If wait is positive, the queue backs off: the
+// owner must call Resume after that time.
 func (q *Queue) HandleResponse(r Response) (v Verdict, wait time.Duration) {
 	n := q.inFlight
 	q.inFlight = 0
@@ -156,15 +177,16 @@
 	case Retry:
 		return v, q.backOff(r.RetryAfter)
 	}
-	// The rest of a rejected batch is sent as one batch: most have one bad item at most.
+	// The rest of a rejected batch is sent as one batch because most rejected batches have only one bad
+	// item.
 	q.splitSize = q.suspects
 	return v, 0
 }
 
-// split halves a rejected batch of n items.
+// split prepares for sending the first half of a rejected batch of n items.
 func (q *Queue) split(n, status int) {
 	if status == statusEntityTooLarge {
-		q.batchSize = max(1, n/2) // all further batches, too
+		q.batchSize = max(1, n/2) // limits all later batches too
 	}
 	if q.suspects == 0 {
 		q.suspects = n
@@ -172,7 +194,8 @@
 	q.splitSize = n / 2
 }
 
-// backOff doubles the backoff and returns the time to wait: from half of it to all, or longer if the receiver asks.
+// backOff doubles the backoff and returns the time to wait: a random time between half of the backoff and
+// all of it, or retryAfter, up to maxRetryAfter, if that is longer.
 func (q *Queue) backOff(retryAfter time.Duration) time.Duration {
 	q.counts.Retries++
 	q.backoff = min(maxBackoff, max(minBackoff, 2*q.backoff))
@@ -188,5 +211,5 @@
 	q.suspects = max(0, q.suspects-n)
 }
 
-// Resume ends a backoff.
+// Resume ends a backoff, so that Next returns batches again.
 func (q *Queue) Resume() { q.backingOff = false }
--- a/internal/remotewrite/queue/response.go
+++ b/internal/remotewrite/queue/response.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// HTTP statuses that have a meaning of their own. Decisions do not import net/http.
+// HTTP statuses that classify handles individually. They are defined here because this package decides only
+// and does not import net/http.
 const (
 	statusEntityTooLarge       = 413
 	statusUnsupportedMediaType = 415
 	statusTooManyRequests      = 429
 )
 
-// Response is a receiver's answer to a batch.
+// Response describes the response of the receiver to a batch.
 type Response struct {
 	Status         int  // HTTP status; 0: there was no answer
 	BodySent       bool // all of the batch was sent before the answer came
@@ -18,20 +19,23 @@
 	RetryAfter     time.Duration
 }
 
-// Verdict is what a response means for a batch.
+// Verdict is the meaning of a response for the batch.
 type Verdict int
 
 // The verdicts.
 const (
-	Accepted  Verdict = iota // all items were taken
-	Retry                    // the batch may be accepted later
-	Rejected                 // an item of it never will be
-	Downgrade                // the receiver accepts remote write 1.0 only: the batch is sent again in that
+	Accepted  Verdict = iota // the receiver accepted all items
+	Retry                    // the receiver may accept the batch later
+	Rejected                 // the receiver will never accept at least one of the items
+	Downgrade                // the receiver supports only remote write 1.0; send the batch again as 1.0
 )
 
-// classify reads a response by the rules of remote write 1.0 and 2.0 ("Retries & Backoff", "Required Written Response
-// Headers"): 5xx and 429 are retried, other 4xx are not; a 415 to 2.0, or a 2xx that does not say what was written,
-// means that the receiver accepts 1.0 only. An answer that came before the batch was sent acknowledges nothing.
+// classify evaluates a response by the rules of the remote write specifications 1.0 and 2.0 (sections
+// "Retries & Backoff" and "Required Written Response Headers"). Statuses 5xx and 429 are retried, other 4xx
+// are not. A 415 for a 2.0 batch, or a 2xx without the headers that state what was written, means that the
+// receiver supports only 1.0. A 2xx that arrived before the whole batch was sent does not acknowledge the
+// batch, so the batch is retried. All other responses, such as redirects, and no response at all are
+// retried too.
 func classify(r Response) Verdict {
 	switch {
 	case r.Status >= 200 && r.Status < 300:
--- a/internal/remotewrite/series.go
+++ b/internal/remotewrite/series.go
@@ -6,52 +6,60 @@
 	writev2 "github.com/prometheus/client_golang/exp/api/remote/genproto/v2"
 )
 
-// Label is a name and a value.
+// Label is a label of a series or an exemplar.
 type Label struct{ Name, Value string }
 
-// Series is what samples belong to.
+// Series identifies a time series, and describes the metric that it belongs to.
 type Series struct {
-	Labels       []Label // sorted by name, __name__ among them
-	Type         writev2.Metadata_MetricType
-	Help         string
-	CreatedAt    int64  // Unix milliseconds at which a counter or histogram began; 0: unknown
-	hash         uint64 // chooses the shard
-	lastExemplar int64  // Unix milliseconds of the newest exemplar that was sent
+	// Labels holds all labels sorted by name, including the metric name as __name__.
+	Labels []Label
+	Type   writev2.Metadata_MetricType
+	Help   string
+	// CreatedAt is the time at which a counter or histogram started, in Unix milliseconds. Zero means
+	// unknown.
+	CreatedAt    int64
+	hash         uint64 // hash of seriesKey; selects the shard
+	lastExemplar int64  // timestamp of the newest exemplar in a sample, in Unix milliseconds
 }
 
-// Sample is a value, or a native histogram, of a series.
+// Sample is a value or a native histogram of a series.
 type Sample struct {
-	Series    *Series
-	Timestamp int64 // Unix milliseconds
-	Value     float64
-	Histogram *writev2.Histogram // nil: Value counts
-	Exemplars []Exemplar         // newer than the last that was sent
+	Series *Series
+	// Timestamp is the time of the sample in Unix milliseconds.
+	Timestamp int64
+	// Value is the value of the sample. It is not used if Histogram is set.
+	Value float64
+	// Histogram is a native histogram. Nil means that the sample is a value.
+	Histogram *writev2.Histogram
+	// Exemplars holds the exemplars that no earlier sample of the series contains. Only native histograms
+	// have exemplars.
+	Exemplars []Exemplar
 }
 
-// Exemplar joins a value to a trace.
+// Exemplar links an observed value to a trace by its labels.
 type Exemplar struct {
 	Labels    []Label
 	Value     float64
-	Timestamp int64 // Unix milliseconds
+	Timestamp int64 // in Unix milliseconds
 }
 
-// staleBits is Prometheus' bit pattern of a stale marker.
+// staleBits is the bit pattern of a Prometheus stale marker, a special NaN.
 const staleBits = 0x7ff0000000000002
 
-// staleNaN is the value of a stale marker, which ends a series.
+// staleNaN is the value of a stale marker, which tells the receiver that the series has ended.
 var staleNaN = math.Float64frombits(staleBits)
 
-// IsStale reports whether a value is a stale marker.
+// IsStale reports whether v is the value of a stale marker. Other NaN values are not stale markers.
 func IsStale(v float64) bool { return math.Float64bits(v) == staleBits }
 
-// Estimates of memory, in bytes.
+// Estimated memory usage in bytes.
 const (
 	sampleBytes    = 64
-	histogramBytes = 200
-	bucketBytes    = 16 // of a span or delta
+	histogramBytes = 200 // of a native histogram without its buckets
+	bucketBytes    = 16  // of each span and each delta
 )
 
-// memoryBytes estimates the memory that a sample takes.
+// memoryBytes returns the estimated memory usage of the sample in bytes.
 func (s *Sample) memoryBytes() int {
 	n := sampleBytes
 	if h := s.Histogram; h != nil {
--- a/internal/remotewrite/shard.go
+++ b/internal/remotewrite/shard.go
@@ -12,7 +12,7 @@
 	"winghatch/internal/remotewrite/queue"
 )
 
-// Headers of remote write.
+// HTTP headers of the remote write protocol and their values.
 const (
 	headerVersion           = "X-Prometheus-Remote-Write-Version"
 	headerSamplesWritten    = "X-Prometheus-Remote-Write-Samples-Written"
@@ -24,15 +24,16 @@
 	versionV2     = "2.0.0"
 )
 
-// shard sends the samples of some series, in order.
+// shard sends the samples of the series that are assigned to it by hash, one batch at a time, so that each
+// series stays in order.
 type shard struct {
 	writer *Writer
-	mu     sync.Mutex
+	mu     sync.Mutex // guards queue
 	queue  *queue.Queue
-	wake   chan struct{} // has an element after samples were queued, or once the writer is closing
+	wake   chan struct{} // receives an element when samples are enqueued or the writer closes
 }
 
-// notify makes the shard look at its queue.
+// notify wakes the goroutine in run so that it checks the queue. It never blocks.
 func (s *shard) notify() {
 	select {
 	case s.wake <- struct{}{}:
@@ -40,8 +41,8 @@
 	}
 }
 
-// run sends until the context ends, or until the queue is empty once the writer is closing. Writer.Run starts it and
-// waits for it.
+// run sends batches until the context ends or, once the writer is closing, until the queue is empty.
+// Writer.Run starts it in a goroutine and waits for it to return.
 func (s *shard) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		batch := s.nextBatch()
@@ -101,7 +102,8 @@
 	s.queue.Resume()
 }
 
-// send sends one batch in the version that the receiver accepts. The second result says why it was not accepted.
+// send sends one batch in the protocol version that the receiver accepts. The second result is the reason
+// why the batch was not accepted, or empty if it was.
 func (w *Writer) send(ctx context.Context, batch []*Sample) (queue.Response, string) {
 	versionOne := w.versionOne.Load()
 	encode, contentType, version := encodeV2, contentTypeV2, versionV2
@@ -110,7 +112,8 @@
 	}
 	raw, err := encode(batch)
 	if err != nil {
-		// A batch that can't be encoded is given up as if the receiver had rejected it.
+		// A batch that cannot be encoded never will be, so it is handled as if the receiver had rejected
+		// it.
 		return queue.Response{Status: http.StatusBadRequest}, err.Error()
 	}
 	header := http.Header{
--- a/internal/remotewrite/writer.go
+++ b/internal/remotewrite/writer.go
@@ -1,9 +1,10 @@
-// Package remotewrite sends a gateway's metrics by Prometheus remote write, 2.0 and 1.0.
+// Package remotewrite sends the metrics of a gateway to a receiver by Prometheus remote write 2.0 or 1.0.
 //
-// A Writer gathers at an interval and distributes the samples over shards, by series. Each shard has a goroutine that
-// sends its samples in order; package queue decides what is sent when, retried or dropped. The messages' types and
-// symbol table are those of the public client library (prometheus/client_golang/exp); its sender is not used, as it
-// retries in the goroutine that writes.
+// A Writer gathers metrics at an interval and distributes the samples over shards by series. Each shard has
+// a goroutine that sends its samples in order. Package queue decides when samples are sent, retried or
+// dropped. The message types and the symbol table come from the public client library
+// (prometheus/client_golang/exp). Its sender is not used because it retries in the goroutine that calls
+// Write.
 package remotewrite
 
 import (
@@ -22,35 +23,53 @@
 
 // Options configure a Writer.
 type Options struct {
-	URL            string
-	Interval       time.Duration // between gatherings
-	Timeout        time.Duration // of one batch
-	Shards         int           // at least 1
-	MaxSamples     int           // that wait, all shards together
-	MaxBytes       int           // of memory that they take; 0: no bound
-	BatchSize      int           // samples
-	MaxAge         time.Duration // older samples are dropped; 0: none
-	VersionOne     bool          // send remote write 1.0 from the start
-	ExternalLabels []Label       // added to each series
-	Gatherer       prometheus.Gatherer
-	Now            func() time.Time // wall clock; nil: time.Now
-	Log            *slog.Logger
-	Seed           int64 // of the backoff's jitter
+	// URL is the address of the receiver's remote write endpoint.
+	URL string
+	// Interval is the time between two gatherings. It must be positive.
+	Interval time.Duration
+	// Timeout limits one request, which sends one batch. Zero means no timeout.
+	Timeout time.Duration
+	// Shards is the number of shards. Values below 1 mean 1.
+	Shards int
+	// MaxSamples limits the waiting samples of all shards together. Each shard can hold at least two
+	// batches.
+	MaxSamples int
+	// MaxBytes limits the estimated memory of the waiting samples of all shards together. Zero means no
+	// limit.
+	MaxBytes int
+	// BatchSize is the maximum number of samples in a batch. Values below 1 mean 1.
+	BatchSize int
+	// MaxAge is the age beyond which waiting samples are dropped. Zero means that they are kept regardless
+	// of age.
+	MaxAge time.Duration
+	// VersionOne selects remote write 1.0 from the start. Otherwise the writer starts with 2.0 and falls
+	// back to 1.0 if the receiver does not support 2.0.
+	VersionOne bool
+	// ExternalLabels are added to each series.
+	ExternalLabels []Label
+	// Gatherer provides the metrics.
+	Gatherer prometheus.Gatherer
+	// Now returns the wall-clock time. Nil means time.Now.
+	Now func() time.Time
+	// Log receives errors of the Gatherer and rejections by the receiver. It must not be nil.
+	Log *slog.Logger
+	// Seed initializes the random numbers for the jitter of the backoff.
+	Seed int64
 }
 
-// Writer gathers metrics and sends them.
+// Writer gathers metrics and sends them to a receiver. Counts may be called concurrently with Run.
 type Writer struct {
 	options       Options
-	converter     converter // used by the goroutine in Run
+	converter     converter // only used by the goroutine that calls Run
 	shards        []*shard
 	client        http.Client
-	versionOne    atomic.Bool // the receiver accepts 1.0 only
-	closing       atomic.Bool // nothing more is gathered
-	startedAt     time.Time
-	lastTimestamp int64 // Unix milliseconds, of the last gathering
+	versionOne    atomic.Bool // send remote write 1.0: configured, or the receiver does not support 2.0
+	closing       atomic.Bool // the last samples have been enqueued
+	startedAt     time.Time   // origin of the times that are passed to the queues
+	lastTimestamp int64       // timestamp of the last samples, in Unix milliseconds
 }
 
-// New returns a writer. Run starts it.
+// New returns a Writer. It gathers and sends nothing until Run is called.
 func New(o Options) *Writer {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -71,7 +90,7 @@
 	return w
 }
 
-// Counts sums up what became of samples.
+// Counts returns the counts of all shards together. Backoff is the longest of all shards.
 func (w *Writer) Counts() (sum queue.Counts) {
 	for _, s := range w.shards {
 		s.mu.Lock()
@@ -120,9 +139,9 @@
 	w.client.CloseIdleConnections()
 }
 
-// gather puts a sample of each series into its shard, and if it is the last gathering a stale marker behind it.
-// Timestamps never go back, or the receiver would reject the samples: while the wall clock is behind the last one, each
-// gathering adds a millisecond.
+// gather enqueues a sample of each series and, in the last gathering, a stale marker after it. Timestamps
+// always increase because a receiver rejects samples that are older than the previous one: while the wall
+// clock is behind the last timestamp, each gathering adds one millisecond to it.
 func (w *Writer) gather(last bool) {
 	families, err := w.options.Gatherer.Gather()
 	if err != nil {
