--- a/internal/httppost/post.go
+++ b/internal/httppost/post.go
@@ -109,7 +109,7 @@
 	if res.StatusCode >= 300 {
 		r.Reason = fmt.Sprintf("%s: %s", res.Status, bytes.TrimSpace(text))
 	} else if !sent {
-		r.Reason = res.Status + ", before the body was taken"
+		r.Reason = res.Status + ": response arrived before the body was sent"
 	}
 	return r
 }
--- a/internal/httppost/post_test.go
+++ b/internal/httppost/post_test.go
@@ -28,25 +28,26 @@
 		{"Thu, 03 Dec 2026 06:59:30 GMT", 0},
 	} {
 		if got := parseRetryAfter(c.header, now); got != c.want {
-			t.Errorf("%q: %v, want %v", c.header, got, c.want)
+			t.Errorf("Retry-After %q parsed as %v, want %v", c.header, got, c.want)
 		}
 	}
 }
 
-// A receiver that answers 200 before it has read the body may lose it, so that answer must not count as a success. Nor
-// may a redirect be followed.
-func TestPost(t *testing.T) {
+// A receiver that responds with 200 before it has read the body may lose the data. Such a response must not
+// count as a success. Redirects must not be followed.
+func TestPostReportsResult(t *testing.T) {
 	read := func(r *http.Request) { io.Copy(io.Discard, r.Body) }
 	for _, c := range []struct {
 		name   string
-		answer http.HandlerFunc
+		handle http.HandlerFunc
 		status int
 		sent   bool
 		reason string
 	}{
 		{"accepted", func(_ http.ResponseWriter, r *http.Request) { read(r) }, 200, true, ""},
-		{"answered unread", func(http.ResponseWriter, *http.Request) {}, 200, false, "before the body was taken"},
-		{"refused", func(w http.ResponseWriter, r *http.Request) {
+		{"response before the body is read", func(http.ResponseWriter, *http.Request) {}, 200, false,
+			"response arrived before the body was sent"},
+		{"rejected", func(w http.ResponseWriter, r *http.Request) {
 			read(r)
 			http.Error(w, "the disk is full", http.StatusServiceUnavailable)
 		}, 503, true, "the disk is full"},
@@ -56,14 +57,14 @@
 		}, 307, true, "307"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			server := httptest.NewServer(c.answer)
+			server := httptest.NewServer(c.handle)
 			defer server.Close()
 			client := Client(10*time.Second, 1)
 			defer client.CloseIdleConnections()
 			r := Post(context.Background(), &client, server.URL, http.Header{}, []byte("a batch"))
 			wrongReason := !strings.Contains(r.Reason, c.reason) || (r.Reason == "") != (c.reason == "")
 			if r.Status != c.status || r.BodySent != c.sent || wrongReason {
-				t.Errorf("%+v, want status %d, sent %t, reason %q", r, c.status, c.sent, c.reason)
+				t.Errorf("got %+v, want status %d, sent %t, reason %q", r, c.status, c.sent, c.reason)
 			}
 		})
 	}
--- a/internal/remotewrite/decode.go
+++ b/internal/remotewrite/decode.go
@@ -8,12 +8,12 @@
 	"google.golang.org/protobuf/proto"
 )
 
-var errUnknownSymbol = errors.New("remotewrite: a label's symbol is not in the table")
+var errUnknownSymbol = errors.New("remotewrite: label reference is outside the symbol table")
 
 // DecodeV1 decodes an uncompressed message of remote write 1.0: the labels of each series, and its samples
 // or native histograms. It returns an error if the message is malformed.
 func DecodeV1(b []byte) (out []Sample, err error) {
-	err = eachField(b, func(field protowire.Number, series []byte) error {
+	err = forEachBytesField(b, func(field protowire.Number, series []byte) error {
 		if field != fieldSeries {
 			return nil
 		}
@@ -26,7 +26,7 @@
 
 func decodeSeriesV1(b []byte) (out []Sample, err error) {
 	s := &Series{}
-	err = eachField(b, func(field protowire.Number, v []byte) error {
+	err = forEachBytesField(b, func(field protowire.Number, v []byte) error {
 		switch field {
 		case fieldLabels:
 			l, err := decodeLabelV1(v)
@@ -53,7 +53,7 @@
 }
 
 func decodeLabelV1(b []byte) (l Label, err error) {
-	err = eachField(b, func(field protowire.Number, v []byte) error {
+	err = forEachBytesField(b, func(field protowire.Number, v []byte) error {
 		switch field {
 		case fieldName:
 			l.Name = string(v)
@@ -65,8 +65,9 @@
 	return l, err
 }
 
-// eachField calls take for each field of a message that holds bytes, and skips the others.
-func eachField(b []byte, take func(protowire.Number, []byte) error) error {
+// forEachBytesField calls f for each length-delimited field of a protobuf message and skips the other
+// fields. An error of f ends the iteration.
+func forEachBytesField(b []byte, f func(protowire.Number, []byte) error) error {
 	for len(b) > 0 {
 		field, kind, n := protowire.ConsumeTag(b)
 		if n < 0 {
@@ -84,7 +85,7 @@
 		if n < 0 {
 			return protowire.ParseError(n)
 		}
-		if err := take(field, v); err != nil {
+		if err := f(field, v); err != nil {
 			return err
 		}
 		b = b[n:]
@@ -104,12 +105,12 @@
 		if series.Metadata != nil {
 			s.Type = series.Metadata.Type
 		}
-		if s.Labels, err = lookUp(req.Symbols, series.LabelsRefs); err != nil {
+		if s.Labels, err = resolveLabels(req.Symbols, series.LabelsRefs); err != nil {
 			return nil, err
 		}
 		var exemplars []Exemplar
 		for _, e := range series.Exemplars {
-			labels, err := lookUp(req.Symbols, e.LabelsRefs)
+			labels, err := resolveLabels(req.Symbols, e.LabelsRefs)
 			if err != nil {
 				return nil, err
 			}
@@ -125,8 +126,9 @@
 	return out, nil
 }
 
-// lookUp returns the labels of references, which are names and values in turn.
-func lookUp(symbols []string, refs []uint32) (labels []Label, err error) {
+// resolveLabels returns the labels that refs refer to. refs are indexes into the symbol table that
+// alternate between names and values.
+func resolveLabels(symbols []string, refs []uint32) (labels []Label, err error) {
 	for i := 0; i+1 < len(refs); i += 2 {
 		name, value := int(refs[i]), int(refs[i+1])
 		if name >= len(symbols) || value >= len(symbols) {
--- a/internal/remotewrite/encode.go
+++ b/internal/remotewrite/encode.go
@@ -56,7 +56,10 @@
 	req := &writev2.Request{}
 	for _, s := range samples {
 		series := &writev2.TimeSeries{
-			Metadata:         &writev2.Metadata{Type: s.Series.Type, HelpRef: symbols.Symbolize(s.Series.Help)},
+			Metadata: &writev2.Metadata{
+				Type:    s.Series.Type,
+				HelpRef: symbols.Symbolize(s.Series.Help),
+			},
 			CreatedTimestamp: s.Series.CreatedAt,
 			LabelsRefs:       symbolize(&symbols, s.Series.Labels),
 		}
@@ -78,10 +81,11 @@
 	return proto.Marshal(req)
 }
 
-// symbolize returns the references of labels, names and values in turn.
-func symbolize(t *writev2.SymbolsTable, labels []Label) (refs []uint32) {
+// symbolize adds labels to the symbol table and returns their references, which alternate between names and
+// values.
+func symbolize(symbols *writev2.SymbolsTable, labels []Label) (refs []uint32) {
 	for _, l := range labels {
-		refs = append(refs, t.Symbolize(l.Name), t.Symbolize(l.Value))
+		refs = append(refs, symbols.Symbolize(l.Name), symbols.Symbolize(l.Value))
 	}
 	return refs
 }
--- a/internal/remotewrite/queue/queue.go
+++ b/internal/remotewrite/queue/queue.go
@@ -100,15 +100,15 @@
 		q.counts.Enqueued++
 		q.items = append(q.items, it)
 		q.bytes += it.Bytes
-		for q.overfull() {
+		for q.exceedsLimits() {
 			q.remove(q.inFlight)
 			q.counts.DroppedFull++
 		}
 	}
 }
 
-// overfull reports whether a bound is exceeded. The newest item is kept whatever its size.
-func (q *Queue) overfull() bool {
+// exceedsLimits reports whether a limit is exceeded. The newest item is kept regardless of its size.
+func (q *Queue) exceedsLimits() bool {
 	return len(q.items) > q.settings.MaxItems ||
 		q.settings.MaxBytes > 0 && q.bytes > q.settings.MaxBytes && len(q.items) > q.inFlight+1
 }
--- a/internal/remotewrite/queue/queue_test.go
+++ b/internal/remotewrite/queue/queue_test.go
@@ -110,9 +110,9 @@
 		{Response{Status: 415}, Rejected},
 		{Response{Status: 429, BodySent: true}, Retry},
 		{Response{Status: 500, BodySent: true}, Retry},
-		{Response{Status: 200, BodySent: true, VersionTwo: true}, Downgrade},
-		{Response{Status: 200, BodySent: true, VersionTwo: true, WrittenCounted: true}, Accepted},
-		{Response{Status: 415, VersionTwo: true}, Downgrade},
+		{Response{Status: 200, BodySent: true, SentV2: true}, Downgrade},
+		{Response{Status: 200, BodySent: true, SentV2: true, HasWrittenHeaders: true}, Accepted},
+		{Response{Status: 415, SentV2: true}, Downgrade},
 	} {
 		if got := classify(c.r); got != c.want {
 			t.Errorf("%+v: %v, want %v", c.r, got, c.want)
--- a/internal/remotewrite/queue/response.go
+++ b/internal/remotewrite/queue/response.go
@@ -12,11 +12,17 @@
 
 // Response describes the response of the receiver to a batch.
 type Response struct {
-	Status         int  // HTTP status; 0: there was no answer
-	BodySent       bool // all of the batch was sent before the answer came
-	VersionTwo     bool // the batch was of remote write 2.0
-	WrittenCounted bool // the answer has the headers that say what was written
-	RetryAfter     time.Duration
+	// Status is the HTTP status. Zero means that there was no response.
+	Status int
+	// BodySent reports whether the whole batch was sent before the response arrived.
+	BodySent bool
+	// SentV2 reports whether the batch was sent as remote write 2.0.
+	SentV2 bool
+	// HasWrittenHeaders reports whether the response has one of the headers of remote write 2.0 that state
+	// how many samples or histograms were written.
+	HasWrittenHeaders bool
+	// RetryAfter is the delay that the receiver asked for. Zero means that it asked for none.
+	RetryAfter time.Duration
 }
 
 // Verdict is the meaning of a response for the batch.
@@ -42,11 +48,11 @@
 		switch {
 		case !r.BodySent:
 			return Retry
-		case r.VersionTwo && !r.WrittenCounted:
+		case r.SentV2 && !r.HasWrittenHeaders:
 			return Downgrade
 		}
 		return Accepted
-	case r.VersionTwo && r.Status == statusUnsupportedMediaType:
+	case r.SentV2 && r.Status == statusUnsupportedMediaType:
 		return Downgrade
 	case r.Status == statusTooManyRequests || r.Status >= 500 || r.Status < 400:
 		return Retry
--- a/internal/remotewrite/shard.go
+++ b/internal/remotewrite/shard.go
@@ -83,7 +83,7 @@
 	switch v {
 	case queue.Downgrade:
 		if !s.writer.versionOne.Swap(true) {
-			log.Warn("Receiver accepts remote write 1.0 only", "reason", reason)
+			log.Warn("Receiver supports only remote write 1.0", "reason", reason)
 		}
 	case queue.Rejected:
 		log.Warn("Receiver rejected samples", "reason", reason, "count", samples)
@@ -124,10 +124,11 @@
 	}
 	res := httppost.Post(ctx, &w.client, w.options.URL, header, snappy.Encode(nil, raw))
 	return queue.Response{
-		Status:         res.Status,
-		BodySent:       res.BodySent,
-		VersionTwo:     !versionOne,
-		WrittenCounted: res.Header.Get(headerSamplesWritten) != "" || res.Header.Get(headerHistogramsWritten) != "",
-		RetryAfter:     res.RetryAfter,
+		Status:   res.Status,
+		BodySent: res.BodySent,
+		SentV2:   !versionOne,
+		HasWrittenHeaders: res.Header.Get(headerSamplesWritten) != "" ||
+			res.Header.Get(headerHistogramsWritten) != "",
+		RetryAfter: res.RetryAfter,
 	}, res.Reason
 }
--- a/internal/remotewrite/writer.go
+++ b/internal/remotewrite/writer.go
@@ -83,9 +83,15 @@
 	}
 	w.versionOne.Store(o.VersionOne)
 	for i := range shards {
-		settings := queue.Settings{MaxItems: o.MaxSamples / shards, MaxBytes: o.MaxBytes / shards, BatchSize: o.BatchSize,
-			MaxAge: o.MaxAge, Seed: o.Seed + int64(i)}
-		w.shards = append(w.shards, &shard{writer: w, wake: make(chan struct{}, 1), queue: queue.New(settings)})
+		settings := queue.Settings{
+			MaxItems:  o.MaxSamples / shards,
+			MaxBytes:  o.MaxBytes / shards,
+			BatchSize: o.BatchSize,
+			MaxAge:    o.MaxAge,
+			Seed:      o.Seed + int64(i),
+		}
+		w.shards = append(w.shards,
+			&shard{writer: w, wake: make(chan struct{}, 1), queue: queue.New(settings)})
 	}
 	return w
 }
@@ -109,14 +115,15 @@
 	return sum
 }
 
-// Run gathers and sends until the context ends. Then it gathers once more, marks all series as stale, and sends what
-// waits for at most the time of flush. It owns the goroutines of the shards, which have ended when it returns.
-func (w *Writer) Run(ctx context.Context, flush time.Duration) {
-	sending, stop := context.WithCancel(context.Background())
+// Run gathers and sends metrics until the context ends. Then it gathers once more, marks all series as
+// stale, and sends the waiting samples for at most flushTimeout. It starts the goroutines of the shards;
+// all of them have ended when it returns.
+func (w *Writer) Run(ctx context.Context, flushTimeout time.Duration) {
+	sendCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	var shards sync.WaitGroup
 	for _, s := range w.shards {
-		shards.Go(func() { s.run(sending) })
+		shards.Go(func() { s.run(sendCtx) })
 	}
 	ticker := time.NewTicker(w.options.Interval)
 	defer ticker.Stop()
@@ -133,9 +140,9 @@
 	for _, s := range w.shards {
 		s.notify()
 	}
-	alarm := time.AfterFunc(flush, stop)
+	flushTimer := time.AfterFunc(flushTimeout, stop)
 	shards.Wait()
-	alarm.Stop()
+	flushTimer.Stop()
 	w.client.CloseIdleConnections()
 }
 
@@ -155,11 +162,11 @@
 	}
 	at++
 	w.lastTimestamp = at
-	var stale []*Sample
+	var staleMarkers []*Sample
 	for _, s := range w.converter.knownSeries {
-		stale = append(stale, &Sample{Series: s, Timestamp: at, Value: staleNaN})
+		staleMarkers = append(staleMarkers, &Sample{Series: s, Timestamp: at, Value: staleNaN})
 	}
-	w.enqueue(stale)
+	w.enqueue(staleMarkers)
 }
 
 // enqueue distributes samples over the shards by their series.
