--- a/internal/remotewrite/writer_test.go
+++ b/internal/remotewrite/writer_test.go
@@ -18,8 +18,9 @@
 
 var eventually = await.Until
 
-// rig is a writer of a counter with twenty series and a histogram, and its receiver.
-type rig struct {
+// fixture is a running Writer with its receiver. The metrics are a counter with 20 series and a native
+// histogram.
+type fixture struct {
 	t     *testing.T
 	recv  *metricsreceiver.Receiver
 	w     *remotewrite.Writer
@@ -28,13 +29,15 @@
 	stop  func()
 }
 
-func newRig(t *testing.T, change func(*remotewrite.Options, *metricsreceiver.Fault)) *rig {
+// newFixture starts a Writer and a receiver. configure, if not nil, changes the options and the initial
+// fault of the receiver.
+func newFixture(t *testing.T, configure func(*remotewrite.Options, *metricsreceiver.Fault)) *fixture {
 	t.Helper()
 	recv, err := metricsreceiver.Start("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, recv: recv}
+	r := &fixture{t: t, recv: recv}
 	reg := prometheus.NewRegistry()
 	r.count = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "x_total", Help: "x"}, []string{"k"})
 	r.hist = prometheus.NewHistogram(prometheus.HistogramOpts{
@@ -57,8 +60,8 @@
 		Log:            slog.New(slog.DiscardHandler),
 	}
 	var fault metricsreceiver.Fault
-	if change != nil {
-		change(&o, &fault)
+	if configure != nil {
+		configure(&o, &fault)
 	}
 	recv.SetFault(func(x *metricsreceiver.Fault) { *x = fault })
 	r.w = remotewrite.New(o)
@@ -77,49 +80,60 @@
 	return r
 }
 
-// TestProtocols sends counters and native histograms in both protocols, and ends each series with a stale marker.
-func TestProtocols(t *testing.T) {
+// Counters and native histograms must arrive complete in both protocol versions, including the last values
+// before the writer stops. Without a final stale marker, a receiver would show the series of a stopped
+// gateway for minutes.
+func TestBothProtocolVersions(t *testing.T) {
 	for _, versionOne := range []bool{false, true} {
-		r := newRig(t, func(o *remotewrite.Options, _ *metricsreceiver.Fault) { o.VersionOne = versionOne })
+		r := newFixture(t, func(o *remotewrite.Options, _ *metricsreceiver.Fault) {
+			o.VersionOne = versionOne
+		})
 		for i := range 100 {
 			r.hist.Observe(float64(i))
 		}
-		eventually(t, "some rounds are there", func() bool { return len(r.recv.Points(`h_seconds{gateway="1"}`)) > 3 })
+		eventually(t, "several gatherings arrive", func() bool {
+			return len(r.recv.Points(`h_seconds{gateway="1"}`)) > 3
+		})
 		r.count.WithLabelValues("v7").Add(1000)
 		r.stop()
 		if n := len(r.recv.Names()); n != 21 {
-			t.Errorf("%d series: %v", n, r.recv.Names())
+			t.Errorf("%d series, want 21: %v", n, r.recv.Names())
 		}
 		ps := r.recv.Points(`x_total{gateway="1",k="v7"}`)
 		if n := len(ps); n < 3 || ps[n-2].Value != 1007 || !remotewrite.IsStale(ps[n-1].Value) {
-			t.Errorf("%v: the last value before a stale marker should be 1007", ps)
+			t.Errorf("points %v, want 1007 followed by a stale marker at the end", ps)
 		}
 		h := r.recv.Points(`h_seconds{gateway="1"}`)
 		if x := h[len(h)-2]; !x.IsHistogram || x.Count != 100 || x.Sum != 4950 {
-			t.Errorf("%+v", x)
+			t.Errorf("got %+v, want a histogram with count 100 and sum 4950", x)
 		}
 		want := map[bool]string{false: "2.0.0", true: "0.1.0"}[versionOne]
 		if r.recv.Batches[want] == 0 || len(r.recv.Batches) != 1 || r.recv.OutOfOrder > 0 {
-			t.Errorf("%v, %d unsorted", r.recv.Batches, r.recv.OutOfOrder)
+			t.Errorf("batches by version %v and %d samples out of order, want one version and none",
+				r.recv.Batches, r.recv.OutOfOrder)
 		}
 	}
 }
 
-// A receiver that speaks 1.0 only answers 415 to 2.0, or reads it as an empty message of 1.0 and answers 200.
-// TestFallsBack expects that samples are sent in 1.0 then.
-func TestFallsBack(t *testing.T) {
-	for _, blind := range []bool{false, true} {
-		r := newRig(t, func(_ *remotewrite.Options, x *metricsreceiver.Fault) { x.OnlyV1, x.MisreadsV2 = !blind, blind })
-		eventually(t, "it is sent in 1.0", func() bool { return r.recv.Sum("x_total") == 190 })
+// A receiver that supports only 1.0 responds with 415 to a 2.0 message, or misreads it as an empty 1.0
+// message and responds with 200, so that all samples would be lost. In both cases the writer must fall back
+// to 1.0.
+func TestFallbackToV1(t *testing.T) {
+	for _, misreads := range []bool{false, true} {
+		r := newFixture(t, func(_ *remotewrite.Options, x *metricsreceiver.Fault) {
+			x.OnlyV1, x.MisreadsV2 = !misreads, misreads
+		})
+		eventually(t, "the samples arrive as 1.0", func() bool { return r.recv.Sum("x_total") == 190 })
 		r.stop()
 		if r.recv.Batches["0.1.0"] == 0 || r.recv.Batches["2.0.0"] > 0 {
-			t.Errorf("%v", r.recv.Batches)
+			t.Errorf("accepted batches by version %v, want only 0.1.0", r.recv.Batches)
 		}
 	}
 }
 
-// TestReceiversFaults has a receiver fail in each way for a while. No sample may be lost or come out of order.
-func TestReceiversFaults(t *testing.T) {
+// A receiver that fails temporarily must not cause gaps in the metrics. For each kind of failure, no sample
+// may be lost or arrive out of order once the receiver works again.
+func TestReceiverFailuresLoseNoSamples(t *testing.T) {
 	for name, fault := range map[string]metricsreceiver.Fault{
 		"500":      {Status: 500},
 		"429":      {Status: 429, RetryAfter: "0"},
@@ -130,76 +144,80 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			r := newRig(t, func(_ *remotewrite.Options, x *metricsreceiver.Fault) { *x = fault })
-			eventually(t, "it is tried again", func() bool { return r.w.Counts().Retries >= 4 })
+			r := newFixture(t, func(_ *remotewrite.Options, x *metricsreceiver.Fault) { *x = fault })
+			eventually(t, "batches are retried", func() bool { return r.w.Counts().Retries >= 4 })
 			r.recv.SetFault(func(x *metricsreceiver.Fault) { *x = metricsreceiver.Fault{} })
-			eventually(t, "all is there", func() bool {
+			eventually(t, "all series arrive", func() bool {
 				c := r.w.Counts()
 				return c.Sent > 0 && c.Waiting < 50 && r.recv.Sum("x_total") == 190
 			})
 			r.stop()
 			c := r.w.Counts()
 			if c.DroppedFull+c.DroppedExpired+c.Rejected > 0 || c.Sent != c.Enqueued {
-				t.Errorf("%+v", c)
+				t.Errorf("counts %+v, want all samples sent", c)
 			}
-			// All points of a series are there, each gathering one, in order.
+			// Each gathering adds one point to each of the 21 series.
 			ps := r.recv.Points(`x_total{gateway="1",k="v3"}`)
 			if uint64(len(ps))*21 < c.Enqueued-21 {
-				t.Errorf("%d points of a series, %d samples in all", len(ps), c.Enqueued)
+				t.Errorf("%d points of one of 21 series, but %d samples in total", len(ps), c.Enqueued)
 			}
 			for i := 1; i < len(ps); i++ {
 				if ps[i].TimestampMs <= ps[i-1].TimestampMs {
-					t.Fatalf("%v", ps)
+					t.Fatalf("timestamps are not increasing: %v", ps)
 				}
 			}
 		})
 	}
 }
 
-// TestOneBadSeries has the receiver reject the samples of one series: these are given up, and no other; a 413 makes
-// batches smaller.
-func TestOneBadSeries(t *testing.T) {
-	r := newRig(t, func(_ *remotewrite.Options, x *metricsreceiver.Fault) { x.Reject, x.MaxSamples = `k="v13"`, 4 })
-	eventually(t, "all others are there", func() bool {
+// A receiver rejects a whole batch because of one bad sample. Only the samples of the bad series may be
+// dropped. The receiver also responds with 413 to batches of more than 4 samples, so the writer must send
+// smaller ones.
+func TestOnlyBadSeriesIsDropped(t *testing.T) {
+	r := newFixture(t, func(_ *remotewrite.Options, x *metricsreceiver.Fault) {
+		x.Reject, x.MaxSamples = `k="v13"`, 4
+	})
+	eventually(t, "all other series arrive", func() bool {
 		return r.recv.Sum("x_total") == 190-13 && r.w.Counts().Rejected > 0
 	})
 	r.stop()
 	for _, n := range r.recv.Names() {
 		if strings.Contains(n, "v13") {
-			t.Error(n)
+			t.Errorf("series %s was accepted, want it rejected", n)
 		}
 	}
 }
 
-// TestOutage has the receiver fail for long: the newest samples are kept within the bounds, and those dropped are
-// counted.
-func TestOutage(t *testing.T) {
-	r := newRig(t, func(o *remotewrite.Options, x *metricsreceiver.Fault) {
+// During a long outage of the receiver the queue must not grow without limit. The oldest samples must be
+// dropped and counted, and the newest must be sent after the outage.
+func TestLongOutageDropsOldestSamples(t *testing.T) {
+	r := newFixture(t, func(o *remotewrite.Options, x *metricsreceiver.Fault) {
 		o.MaxSamples, o.Interval, x.Status = 400, 2*time.Millisecond, 503
 	})
-	eventually(t, "old ones are dropped", func() bool { return r.w.Counts().DroppedFull > 1000 })
+	eventually(t, "old samples are dropped", func() bool { return r.w.Counts().DroppedFull > 1000 })
 	if c := r.w.Counts(); c.Waiting > 400 {
-		t.Errorf("%+v waits", c)
+		t.Errorf("counts %+v, want at most 400 waiting samples", c)
 	}
 	r.recv.SetFault(func(x *metricsreceiver.Fault) { x.Status = 0 })
-	eventually(t, "it comes again", func() bool { return r.recv.Sum("x_total") == 190 })
+	eventually(t, "the newest samples arrive", func() bool { return r.recv.Sum("x_total") == 190 })
 	r.stop()
 	if c := r.w.Counts(); c.Enqueued != c.Sent+c.DroppedFull+uint64(c.Waiting) || r.recv.OutOfOrder > 0 {
-		t.Errorf("%+v, %d unsorted", c, r.recv.OutOfOrder)
+		t.Errorf("counts %+v and %d samples out of order, want consistent counts and none",
+			c, r.recv.OutOfOrder)
 	}
 }
 
-// The wall clock is stepped back, and a receiver rejects samples older than the last. TestClockSteps expects timestamps
-// that never go back.
-func TestClockSteps(t *testing.T) {
-	var off atomic.Int64
-	r := newRig(t, func(o *remotewrite.Options, _ *metricsreceiver.Fault) {
-		o.Now = func() time.Time { return time.Now().Add(time.Duration(off.Load())) }
+// A receiver rejects samples that are older than the previous sample of their series, which happens when
+// the wall clock is set back. Timestamps must increase nevertheless.
+func TestTimestampsIncreaseWhenClockIsSetBack(t *testing.T) {
+	var offset atomic.Int64
+	r := newFixture(t, func(o *remotewrite.Options, _ *metricsreceiver.Fault) {
+		o.Now = func() time.Time { return time.Now().Add(time.Duration(offset.Load())) }
 	})
 	for _, d := range []time.Duration{-time.Hour, time.Minute, -2 * time.Hour} {
 		n := len(r.recv.Points(`x_total{gateway="1",k="v3"}`))
-		off.Store(int64(d))
-		eventually(t, "some more are there", func() bool {
+		offset.Store(int64(d))
+		eventually(t, "more samples arrive", func() bool {
 			return len(r.recv.Points(`x_total{gateway="1",k="v3"}`)) > n+2
 		})
 	}
@@ -209,8 +227,9 @@
 	}
 }
 
-// TestStopWithAFullQueue stops while the receiver fails: Run returns after the time to flush, whatever waits.
-func TestStopWithAFullQueue(t *testing.T) {
+// A receiver that keeps failing must not delay the shutdown of a gateway. Run must return after the flush
+// timeout even if samples are still waiting.
+func TestRunReturnsWithFullQueue(t *testing.T) {
 	recv, err := metricsreceiver.Start("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -219,8 +238,16 @@
 	recv.SetFault(func(x *metricsreceiver.Fault) { x.Status = 503 })
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(prometheus.NewGauge(prometheus.GaugeOpts{Name: "g", Help: "g"}))
-	w := remotewrite.New(remotewrite.Options{URL: recv.URL(), Interval: time.Millisecond, Timeout: time.Second, Shards: 1,
-		MaxSamples: 100, BatchSize: 10, Gatherer: reg, Log: slog.New(slog.DiscardHandler)})
+	w := remotewrite.New(remotewrite.Options{
+		URL:        recv.URL(),
+		Interval:   time.Millisecond,
+		Timeout:    time.Second,
+		Shards:     1,
+		MaxSamples: 100,
+		BatchSize:  10,
+		Gatherer:   reg,
+		Log:        slog.New(slog.DiscardHandler),
+	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { w.Run(ctx, 50*time.Millisecond); close(done) }()
@@ -229,11 +256,11 @@
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Fatal("it does not end")
+		t.Fatal("Run did not return within 20 s")
 	}
 }
 
-// FuzzDecode decodes any message.
+// The decoders must not panic on any message.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte{0x0a, 0x02, 0x0a, 0x00})
 	f.Fuzz(func(_ *testing.T, b []byte) {
