--- a/internal/frontend/http/close_test.go
+++ b/internal/frontend/http/close_test.go
@@ -32,8 +32,8 @@
 // it completely, so it needs a response.
 func TestPartialRequestAtShutdownIsRejected(t *testing.T) {
 	core, s, addr := startServer(t, 10)
-	whole := requestText("POST /api", "X-Txn: t2") + "abc"
-	partial, silent := dialIdle(t, core, addr).send(whole[:40]), dial(t, addr)
+	fullRequest := requestText("POST /api", "X-Txn: t2") + "abc"
+	partial, silent := dialIdle(t, core, addr).send(fullRequest[:40]), dial(t, addr)
 	waitUntil(t, "part of a head is read", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -47,7 +47,7 @@
 	})
 	s.Drain()
 	s.StopAccepting()
-	partial.send(whole[40:])
+	partial.send(fullRequest[40:])
 	if status, _, h := partial.read(); status != 503 || h.Get("Connection") != "close" {
 		t.Errorf("partial request: got status %d, Connection %q, want 503 and close",
 			status, h.Get("Connection"))
--- a/internal/frontend/http/request.go
+++ b/internal/frontend/http/request.go
@@ -202,11 +202,11 @@
 
 // parseDecimal parses a decimal number with an optional fraction, without sign or exponent.
 func parseDecimal(s string) (float64, bool) {
-	whole, fraction, hasPoint := strings.Cut(s, ".")
+	integer, fraction, hasPoint := strings.Cut(s, ".")
 	if !hasPoint {
 		return parseDigits(s)
 	}
-	if _, ok := parseDigits(whole); !ok {
+	if _, ok := parseDigits(integer); !ok {
 		return 0, false
 	}
 	if _, ok := parseDigits(fraction); !ok {
--- a/internal/frontend/websocket/server.go
+++ b/internal/frontend/websocket/server.go
@@ -1,5 +1,5 @@
-// Package websocket implements the WebSocket frontend (RFC 6455). Each session carries JSON-RPC 2.0. Each call
-// becomes a request, and its method is the class of the request. Clients authenticate with a key in the
+// Package websocket implements the WebSocket frontend (RFC 6455). Each session carries JSON-RPC 2.0. Each
+// call becomes a request, and its method is the class of the request. Clients authenticate with a key in the
 // handshake. The package does not check quotas.
 //
 // Files:
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -17,8 +17,8 @@
 // Guards against errors that do not lead operators to the faulty field. The error of an invalid configuration
 // must name the field and its value.
 func TestConfigurationErrorsNameField(t *testing.T) {
-	whole := configText(settingsText)
-	if _, err := parse([]byte(whole)); err != nil {
+	validConfig := configText(settingsText)
+	if _, err := parse([]byte(validConfig)); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ from, to, want string }{
@@ -35,8 +35,8 @@
 		{`"seed":"1f"`, `"known":{"rev":1,"all":true,"targets":[{"uid":"a","endpoint":"h:1","state":"odd"}]}`,
 			`targets[0].state is "odd"`},
 	} {
-		text := strings.Replace(whole, c.from, c.to, 1)
-		if text == whole || !json.Valid([]byte(text)) {
+		text := strings.Replace(validConfig, c.from, c.to, 1)
+		if text == validConfig || !json.Valid([]byte(text)) {
 			t.Fatalf("%s is not in the configuration, or its replacement is not valid JSON", c.from)
 		}
 		if _, err := parse([]byte(text)); err == nil || !strings.Contains(err.Error(), c.want) {
--- a/internal/platform/reload_test.go
+++ b/internal/platform/reload_test.go
@@ -49,7 +49,7 @@
 	queries := make(chan string, 1000)
 	next := startDiscovery(t, g.serverAddr, queries)
 	g.writeConfig(next)
-	whole, err := os.ReadFile(g.configPath)
+	complete, err := os.ReadFile(g.configPath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,17 +62,17 @@
 		g.waitUntil("the unreachable discovery address is used", func() bool {
 			return g.logContains("to=127.0.0.1:1")
 		})
-		os.WriteFile(g.configPath, whole[:len(whole)/2], 0o600)
+		os.WriteFile(g.configPath, complete[:len(complete)/2], 0o600)
 		g.signal(syscall.SIGHUP)
 		time.Sleep(wait)
-		os.WriteFile(g.configPath, whole, 0o600)
+		os.WriteFile(g.configPath, complete, 0o600)
 		select {
 		case <-queries:
 		case <-time.After(2 * time.Second):
 			t.Fatalf("configuration completed after %v: no query at the new discovery address", wait)
 		}
 	}
-	os.WriteFile(g.configPath, whole[:len(whole)/2], 0o600)
+	os.WriteFile(g.configPath, complete[:len(complete)/2], 0o600)
 	g.signal(syscall.SIGHUP)
 	g.signal(syscall.SIGTERM)
 	g.expectExit(5 * time.Second)
--- a/internal/platform/soak_test.go
+++ b/internal/platform/soak_test.go
@@ -142,7 +142,7 @@
 // respondWithFault responds with the fault that belongs to a number from 0 to 99. It returns false if the
 // connection ends.
 func respondWithFault(nc net.Conn, r *bufio.Reader, txn string, fault int, rng *rand.Rand) bool {
-	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(txn), txn)
+	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(txn), txn)
 	switch {
 	case fault < 6: // rejected before execution
 		io.WriteString(nc, "HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
@@ -152,23 +152,23 @@
 		nc.(*net.TCPConn).SetLinger(0)
 		return false
 	case fault < 22: // truncated response
-		io.WriteString(nc, whole[:len(whole)-1])
+		io.WriteString(nc, response[:len(response)-1])
 		return false
 	case fault < 26: // response without a length
 		io.WriteString(nc, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+txn)
 		return false
 	case fault < 32: // late duplicate of the response
-		io.WriteString(nc, whole)
+		io.WriteString(nc, response)
 		nc.SetReadDeadline(time.Now().Add(time.Duration(1+rng.IntN(15)) * time.Millisecond))
 		_, err := r.Peek(1)
 		nc.SetReadDeadline(time.Time{})
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			io.WriteString(nc, whole)
+			io.WriteString(nc, response)
 		}
 	case fault < 35: // no response
 		r.Peek(1)
 	default:
-		io.WriteString(nc, whole)
+		io.WriteString(nc, response)
 	}
 	return true
 }
