--- a/internal/config/blocks.go
+++ b/internal/config/blocks.go
@@ -17,9 +17,10 @@
 )
 
 const (
-	maxInteger = math.MaxInt32 // bounds numbers that have no bound of their own
-	// minLogBytes is the smallest bound on the usage export's log. It is a multiple of the log's smallest segment and of
-	// the reserve for settlements in package gateway.
+	// maxInteger is the upper bound of numbers that have no bound of their own.
+	maxInteger = math.MaxInt32
+	// minLogBytes is the smallest valid UsageExport.MaxLogBytes. It is a multiple of the log's smallest
+	// segment and of the space that package gateway reserves for settlements.
 	minLogBytes = 4 << 20
 )
 
@@ -70,7 +71,8 @@
 	return func(s decode.Setting) {
 		raw, err := hex.DecodeString(s.Value.Text)
 		if err != nil || len(raw) != len(to) {
-			d.Fail(s.Value.Pos, s.Field, "%d characters, want %d hexadecimal ones (winghatch key secret makes them)",
+			d.Fail(s.Value.Pos, s.Field,
+				"%d characters, want %d hexadecimal ones (winghatch key secret makes them)",
 				len(s.Value.Text), 2*len(to))
 			return
 		}
@@ -78,6 +80,7 @@
 	}
 }
 
+// The names of these values in documents.
 var (
 	idempotencies = map[string]decide.Idempotency{
 		"safe": decide.Idempotent, "keyed": decide.IdempotentByKey, "unsafe": decide.NotIdempotent}
@@ -283,11 +286,12 @@
 	}, nil)
 }
 
-// httpURL reads a URL of http or https.
+// httpURL reads a URL with the scheme http or https.
 func httpURL(to *string) func(decode.Setting) {
 	return func(s decode.Setting) {
 		u, err := url.Parse(s.Value.Text)
-		if s.Value.Kind != kdl.String || err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
+		if s.Value.Kind != kdl.String || err != nil || u.Scheme != "http" && u.Scheme != "https" ||
+			u.Host == "" {
 			s.Reject(`a URL such as "http://127.0.0.1:8090/use"`)
 			return
 		}
--- a/internal/config/decode/decode.go
+++ b/internal/config/decode/decode.go
@@ -1,5 +1,6 @@
-// Package decode reads settings out of KDL nodes. Each field may be given once; an unknown one is reported with the
-// nearest known name; all errors of a file are gathered with their places.
+// Package decode reads settings from KDL nodes. A field may be given only once. An unknown field is reported
+// with the known name that is most similar to it. Decoding does not stop at an error: all errors of a file
+// are collected with their positions.
 package decode
 
 import (
@@ -12,23 +13,23 @@
 	"winghatch/internal/config/kdl"
 )
 
-// Error says which field is invalid, where, and what is valid.
+// Error describes an invalid field.
 type Error struct {
 	File  string
 	Pos   kdl.Pos
-	Field string // path of the field, as "plan small.rate"
-	Text  string // the value, and what is valid
+	Field string // path of the field, such as "plan small.rate"
+	Text  string // the invalid value and which values are valid
 }
 
-// Error is the text for operators.
+// Error returns the file, line, column, field and text.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s:%d:%d: %s: %s", e.File, e.Pos.Line, e.Pos.Column, e.Field, e.Text)
 }
 
-// Errors are all errors of a file, in the order of its text.
+// Errors holds all errors of a file, sorted by position.
 type Errors []*Error
 
-// Error has a line for each error.
+// Error returns one line per error.
 func (e Errors) Error() string {
 	lines := make([]string, len(e))
 	for i, err := range e {
@@ -37,8 +38,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Parse reads a document; file is only named in errors. An error of its form is Errors of one, with the field
-// "document".
+// Parse parses a KDL document. file is the file name used in errors; it is not opened. A syntax error is
+// returned as Errors with one element, whose field is "document".
 func Parse(file string, src []byte) ([]*kdl.Node, error) {
 	nodes, err := kdl.Parse(file, src)
 	var e *kdl.Error
@@ -48,13 +49,13 @@
 	return nodes, err
 }
 
-// Decoder reads nodes into settings and gathers the errors.
+// Decoder reads settings from nodes and collects the errors.
 type Decoder struct {
-	File   string
-	Errors Errors
+	File   string // file name used in errors
+	Errors Errors // errors so far, in the order in which they were added
 }
 
-// Err returns all errors in the order of the text, or nil.
+// Err sorts the errors by position and returns them as an Errors, or nil if there are none.
 func (d *Decoder) Err() error {
 	if len(d.Errors) == 0 {
 		return nil
@@ -68,36 +69,38 @@
 	return d.Errors
 }
 
-// Has reports whether a field has an error.
+// Has reports whether an error was added for the given field.
 func (d *Decoder) Has(field string) bool {
 	return slices.ContainsFunc(d.Errors, func(e *Error) bool { return e.Field == field })
 }
 
-// Fail adds an error.
+// Fail adds an error for a field. The format and its arguments make up the error's text.
 func (d *Decoder) Fail(p kdl.Pos, field, format string, args ...any) {
 	d.Errors = append(d.Errors, &Error{d.File, p, field, fmt.Sprintf(format, args...)})
 }
 
-// Setting is a field as the document has it: a property, or a node of one value.
+// Setting is a field that a document sets, either by a property or by a node with one argument.
 type Setting struct {
 	d     *Decoder
-	Field string
+	Field string // path of the field, such as "plan small.rate"
 	Value kdl.Value
 }
 
-// Reject adds the error that the value is not one of those wanted.
+// Reject adds an error with the value and a description of the valid values.
 func (s Setting) Reject(want string) { s.d.Fail(s.Value.Pos, s.Field, "%s, want %s", s.Value, want) }
 
-// NewSetting makes a setting of a value that is neither a property nor a node of its own.
+// NewSetting returns a Setting for a value that is neither a property nor the only argument of a node.
 func NewSetting(d *Decoder, field string, v kdl.Value) Setting { return Setting{d, field, v} }
 
-// Fields are the settings that a block may have: by name, what reads one.
+// Fields maps the name of each setting that a block may contain to the function that reads it.
 type Fields map[string]func(Setting)
 
-// Blocks are the blocks that a block may have: by name, what reads one, at a path.
+// Blocks maps the name of each block that a block may contain to the function that reads it. The argument at
+// is the path of the inner block.
 type Blocks map[string]func(at string, n *kdl.Node)
 
-// Block reads a node's properties and children. Each setting may be given once; those that are required must be.
+// Block reads the properties and children of n, whose path is at. It adds an error for each setting that is
+// unknown or given twice, and for each required setting that is missing. Blocks may be repeated.
 func (d *Decoder) Block(at string, n *kdl.Node, f Fields, b Blocks, required ...string) {
 	seen := map[string]kdl.Pos{}
 	take := func(p kdl.Pos, name string, v kdl.Value) {
@@ -123,7 +126,8 @@
 			continue
 		}
 		if _, ok := f[c.Name]; ok && (len(c.Args) != 1 || len(c.Props) > 0 || len(c.Children) > 0) {
-			d.Fail(c.Pos, join(at, c.Name), "%d values, want one and nothing else", len(c.Args))
+			d.Fail(c.Pos, join(at, c.Name), "%d values, want one and nothing else",
+				len(c.Args))
 			seen[c.Name] = c.Pos
 			continue
 		}
@@ -140,6 +144,7 @@
 	}
 }
 
+// join returns the path of a field in the block at path at. The path of the outermost block is "".
 func join(at, name string) string {
 	if at == "" {
 		return name
@@ -147,7 +152,9 @@
 	return at + "." + name
 }
 
-// unknown adds the error of a name that is not known, with the nearest known one if it is near enough.
+// unknown adds an error for an unknown name. The error suggests the known name with the smallest edit
+// distance, unless that distance is more than half the length of name plus one. Then it lists all known
+// names.
 func (d *Decoder) unknown(p kdl.Pos, at, name string, f Fields, b Blocks) {
 	nearest, distance := "", len(name)/2+2
 	for _, known := range names(f, b) {
@@ -162,7 +169,8 @@
 	d.Fail(p, join(at, name), "%q is not known, want one of %s", name, strings.Join(names(f, b), ", "))
 }
 
-// editDistance is the number of insertions, deletions and replacements of bytes that make a of b.
+// editDistance returns the Levenshtein distance of a and b: the smallest number of insertions, deletions and
+// replacements of single bytes that turn one into the other.
 func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
@@ -183,7 +191,8 @@
 	return row[len(b)]
 }
 
-// Named reads the name that a block has as its only argument. Names are added to seen, and must not be in it.
+// Named returns the name of a block, which must be its only argument. It adds the name to seen, and an error
+// if seen already contains it. Without a valid name, it adds an error and returns "".
 func (d *Decoder) Named(at string, n *kdl.Node, seen map[string]bool) string {
 	if len(n.Args) != 1 || n.Args[0].Kind != kdl.String || n.Args[0].Text == "" {
 		d.Fail(n.Pos, at, "%d values, want one name", len(n.Args))
@@ -197,19 +206,19 @@
 	return name
 }
 
-// Plain adds an error if a node has arguments.
+// Plain adds an error if n has arguments.
 func (d *Decoder) Plain(at string, n *kdl.Node) {
 	if len(n.Args) > 0 {
 		d.Fail(n.Args[0].Pos, at, "%s, want no value here", n.Args[0])
 	}
 }
 
-// SortedKeys returns the keys of a map in order.
+// SortedKeys returns the keys of m in ascending order.
 func SortedKeys[T any](m map[string]T) []string {
 	return slices.Sorted(maps.Keys(m))
 }
 
-// names are the names that a block may have, in order.
+// names returns the names of all settings and blocks that a block may contain, in ascending order.
 func names(f Fields, b Blocks) []string {
 	out := append(SortedKeys(f), SortedKeys(b)...)
 	slices.Sort(out)
--- a/internal/config/decode/values.go
+++ b/internal/config/decode/values.go
@@ -11,7 +11,7 @@
 	"winghatch/internal/config/kdl"
 )
 
-// String reads a string that is not empty.
+// String returns a function that reads a non-empty string.
 func String(to *string) func(Setting) {
 	return func(s Setting) {
 		if s.Value.Kind != kdl.String || s.Value.Text == "" {
@@ -22,7 +22,7 @@
 	}
 }
 
-// Bool reads #true or #false.
+// Bool returns a function that reads #true or #false.
 func Bool(to *bool) func(Setting) {
 	return func(s Setting) {
 		if s.Value.Kind != kdl.Bool {
@@ -37,7 +37,7 @@
 	return v.Kind == kdl.Number && !math.IsNaN(v.Num) && !math.IsInf(v.Num, 0)
 }
 
-// Number reads a finite number within bounds, both included.
+// Number returns a function that reads a finite number from lowest to highest, both included.
 func Number(to *float64, lowest, highest float64) func(Setting) {
 	return func(s Setting) {
 		if !isFinite(s.Value) || s.Value.Num < lowest || s.Value.Num > highest {
@@ -48,10 +48,11 @@
 	}
 }
 
-// Int reads an integer within bounds, both included.
+// Int returns a function that reads an integer from lowest to highest, both included.
 func Int(to *int, lowest, highest int) func(Setting) {
 	return func(s Setting) {
-		if v := s.Value.Num; !isFinite(s.Value) || v != math.Trunc(v) || v < float64(lowest) || v > float64(highest) {
+		if v := s.Value.Num; !isFinite(s.Value) || v != math.Trunc(v) ||
+			v < float64(lowest) || v > float64(highest) {
 			s.Reject(describeRange("a whole number", float64(lowest), float64(highest)))
 			return
 		}
@@ -59,6 +60,8 @@
 	}
 }
 
+// describeRange describes the valid values for an error. An upper bound of math.MaxInt32 or more counts as no
+// bound.
 func describeRange(what string, lowest, highest float64) string {
 	if highest >= math.MaxInt32 {
 		return fmt.Sprintf("%s of %v or more", what, lowest)
@@ -66,10 +69,10 @@
 	return fmt.Sprintf("%s from %v to %v", what, lowest, highest)
 }
 
-// maxDuration is the longest duration in settings.
+// maxDuration is the longest valid duration of a setting.
 const maxDuration = 24 * time.Hour
 
-// Duration reads a duration such as "500ms", of at least a shortest one.
+// Duration returns a function that reads a duration such as "500ms", from shortest to maxDuration.
 func Duration(to *time.Duration, shortest time.Duration) func(Setting) {
 	return func(s Setting) {
 		v, err := time.ParseDuration(s.Value.Text)
@@ -81,10 +84,10 @@
 	}
 }
 
-// perSecond is how often a second something happens that happens once in a unit of time.
+// perSecond maps a unit of time to the factor that converts a rate per unit to a rate per second.
 var perSecond = map[string]float64{"ms": 1000, "s": 1, "min": 1. / 60, "h": 1. / 3600}
 
-// Rate reads a rate such as "12/s" or "90/min", as one a second.
+// Rate returns a function that reads a rate such as "12/s" or "90/min" and stores it as a rate per second.
 func Rate(to *float64) func(Setting) {
 	return func(s Setting) {
 		n, unit, ok := strings.Cut(s.Value.Text, "/")
@@ -100,7 +103,8 @@
 
 var sizeUnits = map[string]int{"KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
 
-// Size reads bytes, as "64KiB" or an integer.
+// Size returns a function that reads a positive number of bytes, given as an integer or with a unit, such as
+// "64KiB".
 func Size(to *int) func(Setting) {
 	return func(s Setting) {
 		n, unit := s.Value.Text, 1
@@ -118,7 +122,7 @@
 	}
 }
 
-// Choice reads one of the names of a map, as its value.
+// Choice returns a function that reads one of the keys of from and stores the value of that key.
 func Choice[T any](to *T, from map[string]T) func(Setting) {
 	return func(s Setting) {
 		v, ok := from[s.Value.Text]
@@ -130,7 +134,7 @@
 	}
 }
 
-// Address reads an address, host:port.
+// Address returns a function that reads an address of the form host:port. The host must not be empty.
 func Address(to *string) func(Setting) {
 	return func(s Setting) {
 		host, port, err := net.SplitHostPort(s.Value.Text)
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -13,21 +13,25 @@
 	"winghatch/internal/wal"
 )
 
-// rankPlaceholder is replaced by a gateway's rank in the patterns of files and directories.
+// rankPlaceholder is replaced by the gateway's rank in patterns of file and directory names.
 const rankPlaceholder = "%d"
 
-// Fleet is all settings that the gateways of a fleet share.
+// Fleet holds the settings that all gateways of a fleet share.
 type Fleet struct {
 	Name     string
-	Secret   credentials.Secret // of the keyed hashes of members' keys, datagrams and operators' requests
-	Decide   decide.Config
-	Gateways []Gateway // by rank
+	Secret   credentials.Secret // keys the hashes of member keys, datagrams and operator requests
+	Decide   decide.Config      // Rank and Zone are not set; see DecideConfig
+	Gateways []Gateway          // indexed by rank
 	Members  []Member
 
-	EndpointList        string  // address of the endpoint list, host:port; empty: none
-	EndpointListPattern string  // file that caches the last list, with %d for the rank; empty: none
-	StateDirPattern     string  // directory of what must outlive a process, with %d for the rank; empty: none
-	CapacityPerSecond   float64 // units that the fleet can serve, for reservations; 0: not stated
+	EndpointList string // host:port of the server of the endpoint list; empty: there is no list
+	// EndpointListPattern is the file that caches the last endpoint list, with %d for the rank. Empty means
+	// that the list is not cached.
+	EndpointListPattern string
+	// StateDirPattern is the directory of the state that must survive a restart, with %d for the rank. Empty
+	// means that no state is stored.
+	StateDirPattern   string
+	CapacityPerSecond float64 // units per second that the fleet can serve, for reservations; 0: not stated
 
 	Caps        ResourceLimits
 	UsageExport UsageExport
@@ -35,93 +39,94 @@
 	Tracing     Tracing
 	Log         Log
 
-	// Settings that a document may have and that nothing reads: they are checked and written back.
+	// EndpointListMaxAge and Prices are validated and written back, but nothing uses them.
 	EndpointListMaxAge time.Duration
 	Prices             Prices
 }
 
-// Prices are costs in the value of a response, each for one unit of what it names.
+// Prices holds costs as multiples of the value of a response. Each applies to one unit of the named quantity.
 type Prices struct {
 	CrossZone, Waste, HealthCheck, Gossip, LateFailure, Counter float64
 }
 
-// Metrics say whether metrics are collected, and where they are sent.
+// Metrics configures the collection of metrics and their export by remote write.
 type Metrics struct {
 	Enabled    bool
-	URL        string // of a remote write receiver; empty: they are shown at the state address only
-	Interval   time.Duration
-	Timeout    time.Duration // of a batch
+	URL        string        // remote write receiver; empty: metrics are served only at the state address
+	Interval   time.Duration // time between two gatherings
+	Timeout    time.Duration // time limit for sending a batch
 	MaxAge     time.Duration // older samples are dropped
-	MaxSamples int           // that wait
-	MaxBytes   int           // of memory that they take
-	BatchSize  int           // samples
-	Shards     int
-	MaxMembers int  // that have series of their own
-	VersionOne bool // send remote write 1.0
+	MaxSamples int           // samples that may wait to be sent
+	MaxBytes   int           // memory that waiting samples may use
+	BatchSize  int           // samples per batch
+	Shards     int           // number of shards that send batches
+	MaxMembers int           // members that have series of their own
+	VersionOne bool          // whether remote write 1.0 is sent instead of 2.0
 }
 
-// Tracing says which requests are traced, and where traces are sent.
+// Tracing configures the sampling of requests and the export of their traces.
 type Tracing struct {
-	URL            string  // of an OTLP receiver; empty: nothing is traced
-	SampleFraction float64 // of the requests that were served in time, 0 to 1
-	MaxPerSecond   float64 // traces of requests that were rejected, failed or late
-	MaxSpans       int     // that wait
-	Timeout        time.Duration
+	URL            string        // OTLP receiver; empty: requests are not traced
+	SampleFraction float64       // fraction of the requests served in time that is sampled, from 0 to 1
+	MaxPerSecond   float64       // traces per second of requests that were rejected, failed or late
+	MaxSpans       int           // spans that may wait to be sent
+	Timeout        time.Duration // time limit for a request to the receiver
 }
 
-// UsageExport says where usage is reported, and how durably.
+// UsageExport configures the export of usage events and the durability of their log.
 type UsageExport struct {
-	URL          string // of the receiver; empty: nothing is exported
-	Durability   wal.SyncMode
-	SyncInterval time.Duration // of wal.SyncInterval
-	MaxLogBytes  int           // of disk
-	BatchSize    int           // events
-	Timeout      time.Duration // of a batch
-	OnUnwritable outbox.Policy // what becomes of requests while the log can't be written
+	URL          string        // receiver of usage events; empty: usage is not exported
+	Durability   wal.SyncMode  // when a record counts as durable
+	SyncInterval time.Duration // time between two syncs if Durability is wal.SyncInterval
+	MaxLogBytes  int           // disk space that the log may use
+	BatchSize    int           // events per batch
+	Timeout      time.Duration // time limit for sending a batch
+	OnUnwritable outbox.Policy // what happens to attempts while the log cannot be written
 }
 
-// Gateway is the addresses and files of one gateway. Addresses are host:port.
+// Gateway holds the addresses and files of one gateway. Addresses are host:port.
 type Gateway struct {
 	Zone          string
-	Listen        string // clients connect to it
-	GossipAddress string // peers send their datagrams to it; empty if the fleet has no gossip
-	GossipBind    string // the gateway receives them here; empty: at GossipAddress
-	StateAddress  string // operators ask here; empty: nowhere
-	ChangesFile   string // file of plan changes that is watched; empty: none
+	Listen        string // address to which clients connect
+	GossipAddress string // address to which peers send datagrams; empty if the fleet has no gossip
+	GossipBind    string // address at which the gateway receives datagrams; empty: GossipAddress
+	StateAddress  string // address of the operators' interface; empty: there is none
+	ChangesFile   string // file of plan changes that the gateway watches; empty: none
 }
 
-// Member is a customer.
+// Member configures a customer.
 type Member struct {
 	Name, Plan string
-	First      int                  // rank of the first gateway that it uses
-	Spread     int                  // how many gateways it uses, from First on, modulo the fleet's
-	Keys       []credentials.Digest // of the keys that it presents
+	First      int                  // rank of the first gateway that the member uses
+	Spread     int                  // number of gateways from First on, wrapping around to rank 0
+	Keys       []credentials.Digest // digests of the keys that the member may present
 }
 
-// ResourceLimits bound what a gateway holds for clients, peers and endpoints.
+// ResourceLimits bounds the resources that a gateway uses for clients, peers and endpoints.
 type ResourceLimits struct {
-	MaxSessions           int // of clients
-	MaxInFlight           int // requests of all sessions
-	MaxInFlightPerSession int // requests
-	MaxBatch              int // requests in one message
-	MaxMessageBytes       int
-	MaxFrameBytes         int           // of one frame of a message
-	MaxQueuedBytes        int           // that wait to be written to one connection
-	HandshakeTimeout      time.Duration // of a connection
-	WriteTimeout          time.Duration // of one write
-	PingAfter             time.Duration // silence of a connection
-	MaxConnsPerEndpoint   int
-	MaxRequestsPerConn    int           // at once, to an endpoint
-	EndpointIdleTimeout   time.Duration // of a connection without requests
+	MaxSessions           int           // client sessions
+	MaxInFlight           int           // requests in flight, over all sessions
+	MaxInFlightPerSession int           // requests in flight in one session
+	MaxBatch              int           // requests in one message
+	MaxMessageBytes       int           // size of a message
+	MaxFrameBytes         int           // size of one frame of a message
+	MaxQueuedBytes        int           // bytes that may wait to be written to one connection
+	HandshakeTimeout      time.Duration // time limit for the handshake of a connection
+	WriteTimeout          time.Duration // time limit for one write
+	PingAfter             time.Duration // time without received data after which a connection is pinged
+	MaxConnsPerEndpoint   int           // connections to one endpoint
+	MaxRequestsPerConn    int           // concurrent requests on one connection to an endpoint
+	EndpointIdleTimeout   time.Duration // time without requests after which a connection is closed
 }
 
-// Log is the form of log lines.
+// Log configures the log output.
 type Log struct {
-	JSON  bool
-	Level string // debug, info, warn or error
+	JSON  bool   // JSON lines instead of plain text
+	Level string // lowest level that is logged: debug, info, warn or error
 }
 
-// DecideConfig returns the settings of the decisions at one gateway.
+// DecideConfig returns the decide.Config of the gateway with the given rank. It returns an error if there is
+// no such gateway or if the settings are invalid.
 func (f *Fleet) DecideConfig(rank int) (decide.Config, error) {
 	c := f.Decide
 	if rank < 0 || rank >= len(f.Gateways) {
@@ -136,12 +141,13 @@
 	return c, err
 }
 
-// StateDir is the directory of what must outlive a process of one gateway; empty: there is none.
+// StateDir returns the directory of the state that the gateway with the given rank keeps over restarts. It is
+// empty if StateDirPattern is empty.
 func (f *Fleet) StateDir(rank int) string {
 	return strings.ReplaceAll(f.StateDirPattern, rankPlaceholder, strconv.Itoa(rank))
 }
 
-// defaults is a fleet with the settings that a document may leave out.
+// defaults returns a Fleet with the values of optional settings.
 func defaults() *Fleet {
 	f := &Fleet{
 		Caps: ResourceLimits{
--- a/internal/config/format.go
+++ b/internal/config/format.go
@@ -11,7 +11,7 @@
 	"winghatch/decide"
 )
 
-// Format writes a fleet as a document that Parse reads back to the same fleet.
+// Format returns f as a KDL document. Parse of that document returns an equal Fleet.
 func Format(f *Fleet) []byte {
 	w := &writer{}
 	c := &f.Decide
@@ -46,10 +46,11 @@
 	return w.buffer.Bytes()
 }
 
-// indent is that of one level of blocks.
+// indent is the indentation of one block level.
 const indent = "    "
 
-// writer writes blocks and settings.
+// writer writes blocks and settings to a buffer. Each method named after a type of value writes one setting;
+// each named after a block writes that block.
 type writer struct {
 	buffer bytes.Buffer
 	depth  int
@@ -71,7 +72,7 @@
 
 func (w *writer) set(name, value string) { w.line(name + " " + value) }
 
-// text writes a string, or nothing if it is empty.
+// text writes a string setting. It writes nothing if the string is empty.
 func (w *writer) text(name, v string) {
 	if v != "" {
 		w.set(name, quote(v))
@@ -248,7 +249,7 @@
 	w.close()
 }
 
-// nameOf is the name of a value in documents.
+// nameOf returns the name of a value in documents, or "" if it has none.
 func nameOf[T comparable](names map[string]T, value T) string {
 	for name, v := range names {
 		if v == value {
@@ -258,8 +259,8 @@
 	return ""
 }
 
-// quote writes a string as KDL has it. Only those characters are escaped that must be: quotes, backslashes, and control
-// and format characters, which a document may not have or no editor shows.
+// quote returns s as a quoted KDL string. It escapes quotes, backslashes, and control and format characters;
+// a document must not contain the latter two, or editors do not show them.
 func quote(s string) string {
 	var b strings.Builder
 	b.WriteByte('"')
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -1,8 +1,9 @@
-// Package config reads the settings of a fleet of gateways from a KDL document into a checked Fleet, and writes a
-// Fleet as a document. The gateway, the checker and the replayer all use Load, so what one accepts all accept.
+// Package config reads the settings of a fleet of gateways from a KDL document, validates them and returns
+// them as a Fleet. It also writes a Fleet as a document. The gateway, the checker and the replayer all call
+// Load, so a document that one of them accepts is accepted by all.
 //
-// Names of fields in documents are the users'; the names of fields of Fleet are those of the code. They are mapped in
-// this package only: in the blocks' functions on reading, in Format on writing.
+// The field names in documents differ from those of the Go structs. Only this package maps one to the other:
+// the decoder methods do so for reading, Format for writing.
 package config
 
 import (
@@ -15,7 +16,8 @@
 	"winghatch/internal/credentials"
 )
 
-// Load reads a file. Errors of its content are decode.Errors.
+// Load reads and validates the settings in file. If the content is invalid, the error is a decode.Errors that
+// lists all problems. Otherwise, an error is that of reading the file.
 func Load(file string) (*Fleet, error) {
 	src, err := os.ReadFile(file)
 	if err != nil {
@@ -24,7 +26,8 @@
 	return Parse(file, src)
 }
 
-// Parse reads a document; file is only named in errors. The error is decode.Errors with all that is wrong.
+// Parse reads and validates the settings in src. file is the file name used in errors; it is not opened. The
+// error, if any, is a decode.Errors that lists all problems.
 func Parse(file string, src []byte) (*Fleet, error) {
 	nodes, err := decode.Parse(file, src)
 	if err != nil {
@@ -56,8 +59,8 @@
 	return f, nil
 }
 
-// Draft reads a fleet node that may lack addresses, keys and the secret, as that of a scenario does. Errors are added
-// to d.
+// Draft reads a fleet node without requiring gateways, addresses, member keys, the state directory or the
+// secret, because a scenario's fleet lacks them. It adds errors to d.
 func Draft(d *decode.Decoder, n *kdl.Node) *Fleet {
 	f := defaults()
 	x := &decoder{Decoder: *d, draft: true}
@@ -66,24 +69,25 @@
 	return f
 }
 
-// decoder reads the blocks of a fleet.
+// decoder reads a fleet node and its blocks.
 type decoder struct {
 	decode.Decoder
-	draft bool // the fleet may lack what the caller fills in
+	draft bool // fields that Draft's caller sets later are optional
 
-	// Seen so far.
+	// Names and members read so far.
 	zones, classNames, planNames, memberNames map[string]bool
 	members                                   []memberBlock
 }
 
-// memberBlock is a member and its place, which is checked once all plans and gateways are known.
+// memberBlock is a member and the position of its block. Members are checked after all plans and gateways are
+// read.
 type memberBlock struct {
-	at     string
+	at     string // path of the block in errors, such as "member a"
 	pos    kdl.Pos
 	member Member
 }
 
-// required returns the names of fields that must be given; none of a draft.
+// required returns names as the required fields of a block. A draft has no required fields.
 func (d *decoder) required(names ...string) []string {
 	if d.draft {
 		return nil
@@ -106,7 +110,7 @@
 	d.checkGossip(f, n)
 }
 
-// checkMembers adds the members to the fleet.
+// checkMembers checks the plan, gateways and keys of each member and adds the members to the fleet.
 func (d *decoder) checkMembers(f *Fleet) {
 	owners := map[credentials.Digest]string{}
 	for _, b := range d.members {
@@ -135,8 +139,10 @@
 	if f.UsageExport.URL != "" && f.StateDirPattern == "" && !d.draft {
 		d.Fail(n.Pos, "kept", "missing, export is given and has its log there")
 	}
-	if f.StateDirPattern != "" && !strings.Contains(f.StateDirPattern, rankPlaceholder) && len(f.Gateways) > 1 {
-		d.Fail(n.Pos, "kept", "%q, want %%d in it, which stands for the rank: each gateway has its own", f.StateDirPattern)
+	if f.StateDirPattern != "" && !strings.Contains(f.StateDirPattern, rankPlaceholder) &&
+		len(f.Gateways) > 1 {
+		d.Fail(n.Pos, "kept", "%q, want %%d in it, which stands for the rank: each gateway has its own",
+			f.StateDirPattern)
 	}
 }
 
@@ -146,7 +152,8 @@
 	}
 	for i, g := range f.Gateways {
 		if g.GossipAddress == "" && !d.draft {
-			d.Fail(n.Pos, fmt.Sprintf("gateway[%d].peer", i), "missing, limits.peers is #true")
+			d.Fail(n.Pos, fmt.Sprintf("gateway[%d].peer", i),
+				"missing, limits.peers is #true")
 		}
 	}
 	if f.Decide.GossipCapacity == 0 && !d.Has("intake") {
@@ -154,7 +161,7 @@
 	}
 }
 
-// listNames lists the names of a set for an error.
+// listNames returns the names of a set, sorted and separated by commas, for an error message.
 func listNames(set map[string]bool) string {
 	if len(set) == 0 {
 		return "none (none is given)"
