--- a/internal/config/blocks.go
+++ b/internal/config/blocks.go
@@ -72,7 +72,7 @@
 		raw, err := hex.DecodeString(s.Value.Text)
 		if err != nil || len(raw) != len(to) {
 			d.Fail(s.Value.Pos, s.Field,
-				"%d characters, want %d hexadecimal ones (winghatch key secret makes them)",
+				"%d characters, want %d hexadecimal digits from \"winghatch key secret\"",
 				len(s.Value.Text), 2*len(to))
 			return
 		}
@@ -107,9 +107,9 @@
 	}, nil, "effect", "aim", "deadline")
 	switch {
 	case c.Idempotency == decide.IdempotentByKey && c.DedupWindow == 0:
-		d.Fail(n.Pos, at+".window", "missing, the effect is keyed")
+		d.Fail(n.Pos, at+".window", "missing, required because the effect is keyed")
 	case c.Idempotency != decide.IdempotentByKey && (c.DedupWindow > 0 || scopeGiven):
-		d.Fail(n.Pos, at+".effect", "not keyed, yet window or group is given")
+		d.Fail(n.Pos, at+".effect", "not keyed, but window or group is given")
 	case c.Deadline > 0 && c.Deadline < c.LatencyObjective:
 		d.Fail(n.Pos, at+".deadline", "%v, want the aim of %v or more", c.Deadline, c.LatencyObjective)
 	}
@@ -174,7 +174,7 @@
 		},
 	}, "plan")
 	if len(m.Keys) == 0 && !d.draft {
-		d.Fail(n.Pos, at+".key", "missing, want one or more (winghatch key new makes them)")
+		d.Fail(n.Pos, at+".key", "missing, want one or more digests from \"winghatch key new\"")
 	}
 	return m
 }
--- a/internal/config/decode/decode.go
+++ b/internal/config/decode/decode.go
@@ -106,7 +106,7 @@
 	take := func(p kdl.Pos, name string, v kdl.Value) {
 		field := join(at, name)
 		if _, twice := seen[name]; twice {
-			d.Fail(p, field, "%s, given before at line %d", v, seen[name].Line)
+			d.Fail(p, field, "%s, already given at line %d", v, seen[name].Line)
 			return
 		}
 		seen[name] = p
@@ -126,7 +126,7 @@
 			continue
 		}
 		if _, ok := f[c.Name]; ok && (len(c.Args) != 1 || len(c.Props) > 0 || len(c.Children) > 0) {
-			d.Fail(c.Pos, join(at, c.Name), "%d values, want one and nothing else",
+			d.Fail(c.Pos, join(at, c.Name), "%d values, want exactly one and no properties or children",
 				len(c.Args))
 			seen[c.Name] = c.Pos
 			continue
@@ -200,7 +200,7 @@
 	}
 	name := n.Args[0].Text
 	if seen[name] {
-		d.Fail(n.Args[0].Pos, at, "%q, the name is given before", name)
+		d.Fail(n.Args[0].Pos, at, "%q, the name is already used", name)
 	}
 	seen[name] = true
 	return name
--- a/internal/config/decode/decode_test.go
+++ b/internal/config/decode/decode_test.go
@@ -24,7 +24,7 @@
 		want    string // part of the error
 	}{
 		{"string", String(&text), func() any { return text },
-			map[string]any{`"a"`: "a", `word`: "word"}, []string{`""`, `1`, `#null`}, "a string with something in it"},
+			map[string]any{`"a"`: "a", `word`: "word"}, []string{`""`, `1`, `#null`}, "a string that is not empty"},
 		{"bool", Bool(&flag), func() any { return flag },
 			map[string]any{`#true`: true, `#false`: false}, []string{`"true"`, `1`}, "#true or #false"},
 		{"number", Number(&number, 0.5, 2), func() any { return number },
@@ -78,8 +78,8 @@
 	for _, c := range []struct{ in, want string }{
 		{`b x=1`, ""},
 		{`b y=1`, `f:1:1: b.x: missing` + "\n" + `f:1:3: b.y: "y" is not known, the nearest known name is "x"`},
-		{`b x=1 { x 2 }`, `f:1:9: b.x: 2, given before at line 1`},
-		{`b { x 1 2 }`, `f:1:5: b.x: 2 values, want one and nothing else`},
+		{`b x=1 { x 2 }`, `f:1:9: b.x: 2, already given at line 1`},
+		{`b { x 1 2 }`, `f:1:5: b.x: 2 values, want exactly one and no properties or children`},
 		{`b x=1 { unrelated 1 }`, `f:1:9: b.unrelated: "unrelated" is not known, want one of inner, x`},
 		{`b x=1 { inner 7 }`, `f:1:15: b.inner: 7, want no value here`},
 	} {
--- a/internal/config/decode/values.go
+++ b/internal/config/decode/values.go
@@ -15,7 +15,7 @@
 func String(to *string) func(Setting) {
 	return func(s Setting) {
 		if s.Value.Kind != kdl.String || s.Value.Text == "" {
-			s.Reject("a string with something in it")
+			s.Reject("a string that is not empty")
 			return
 		}
 		*to = s.Value.Text
@@ -94,7 +94,7 @@
 		v, err := strconv.ParseFloat(n, 64)
 		per := perSecond[unit]
 		if s.Value.Kind != kdl.String || !ok || err != nil || per == 0 || !(v >= 0) || math.IsInf(v*per, 0) {
-			s.Reject(`a rate such as "12/s", not below 0, per ms, s, min or h`)
+			s.Reject(`a rate such as "12/s", at least 0, per ms, s, min or h`)
 			return
 		}
 		*to = v * per
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -136,7 +136,7 @@
 	err := c.Validate()
 	var setting *decide.SettingError
 	if errors.As(err, &setting) && setting.Field == "Safety.OverloadWindow" {
-		return c, fmt.Errorf("safety.fall-window %s, as cold-for is given", setting.Problem)
+		return c, fmt.Errorf("safety.fall-window %s because cold-for is given", setting.Problem)
 	}
 	return c, err
 }
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -40,7 +40,7 @@
 		if n.Name != "fleet" {
 			d.Fail(n.Pos, n.Name, "%q is not known, want one node named \"fleet\"", n.Name)
 		} else if found++; found > 1 {
-			d.Fail(n.Pos, "fleet", "given before, want one")
+			d.Fail(n.Pos, "fleet", "already given, want one")
 		} else {
 			d.fleet(f, n)
 		}
@@ -127,7 +127,7 @@
 		}
 		for _, k := range m.Keys {
 			if owner := owners[k]; owner != "" {
-				d.Fail(b.pos, b.at+".key", "%s, the key of %s", k, owner)
+				d.Fail(b.pos, b.at+".key", "%s, already the key of member %s", k, owner)
 			}
 			owners[k] = m.Name
 		}
@@ -137,11 +137,11 @@
 
 func (d *decoder) checkStateDir(f *Fleet, n *kdl.Node) {
 	if f.UsageExport.URL != "" && f.StateDirPattern == "" && !d.draft {
-		d.Fail(n.Pos, "kept", "missing, export is given and has its log there")
+		d.Fail(n.Pos, "kept", "missing, required because the log of export is there")
 	}
 	if f.StateDirPattern != "" && !strings.Contains(f.StateDirPattern, rankPlaceholder) &&
 		len(f.Gateways) > 1 {
-		d.Fail(n.Pos, "kept", "%q, want %%d in it, which stands for the rank: each gateway has its own",
+		d.Fail(n.Pos, "kept", "%q, want a pattern with %%d for the rank: each gateway has its own",
 			f.StateDirPattern)
 	}
 }
@@ -153,11 +153,11 @@
 	for i, g := range f.Gateways {
 		if g.GossipAddress == "" && !d.draft {
 			d.Fail(n.Pos, fmt.Sprintf("gateway[%d].peer", i),
-				"missing, limits.peers is #true")
+				"missing, required because limits.peers is #true")
 		}
 	}
 	if f.Decide.GossipCapacity == 0 && !d.Has("intake") {
-		d.Fail(n.Pos, "intake", "missing, limits.peers is #true")
+		d.Fail(n.Pos, "intake", "missing, required because limits.peers is #true")
 	}
 }
 
