--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -19,7 +19,8 @@
 
 var digest = credentials.Secret{}.MemberKeyHasher().Sum([]byte("k")).String()
 
-func good() string {
+// validDocument returns a valid document that TestInvalidDocument changes.
+func validDocument() string {
 	return `fleet "t" {
     secret "` + secret + `"
     list "127.0.0.1:7000"
@@ -39,9 +40,10 @@
 `
 }
 
-// TestGood reads a document, and the one that Format writes of it.
-func TestGood(t *testing.T) {
-	f, err := Parse("f", []byte(good()))
+// Settings must be read into the right fields and units, and Format must write a document that reads back as
+// an equal Fleet.
+func TestDocumentIsReadAndWritten(t *testing.T) {
+	f, err := Parse("f", []byte(validDocument()))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,12 +54,13 @@
 	}
 	back, err := Parse("f", Format(f))
 	if err != nil || !reflect.DeepEqual(f, back) {
-		t.Errorf("written and read back: %v\n%+v\n%+v", err, f, back)
+		t.Errorf("read back from Format: error %v\nwant %+v\ngot  %+v", err, f, back)
 	}
 }
 
-// TestBad changes one thing of a good document and expects an error with place, field and value.
-func TestBad(t *testing.T) {
+// An invalid setting must be rejected, with an error that gives its position, field and value. Each case
+// makes one change to a valid document: the text to replace, its replacement, and part of the expected error.
+func TestInvalidDocument(t *testing.T) {
 	for _, c := range [][3]string{
 		{`intake "40/s"`, `intake "-1/s"`, `f:4:12: intake: "-1/s", want a rate`},
 		{`intake "40/s"`, `intake "40/day"`, `want a rate`},
@@ -67,7 +70,8 @@
 		{`aim "1s"; deadline "4s"`, `aim "5s"; deadline "4s"`, `want the aim of 5s or more`},
 		{`aim "1s"; deadline "4s"`, `aim 1; deadline "4s"`, `class look.aim: 1, want a duration`},
 		{`aim "1s"; deadline "4s"`, `aim "-1s"; deadline "4s"`, `want a duration`},
-		{`aim "1s"; deadline "4s"`, `ain "1s"; deadline "4s"`, `"ain" is not known, the nearest known name is "aim"`},
+		{`aim "1s"; deadline "4s"`, `ain "1s"; deadline "4s"`,
+			`"ain" is not known, the nearest known name is "aim"`},
 		{`effect=safe`, `effect=saef`, `want one of keyed, safe, unsafe`},
 		{`effect=safe`, `effect=safe window="1s"`, `not keyed, but window`},
 		{`window="1.5s"`, ``, `window: missing, required because the effect is keyed`},
@@ -98,28 +102,31 @@
 		{`fleet "t"`, `flet "t"`, `"flet" is not known`},
 		{"}\n}\n", "}\n", `f:`},
 	} {
-		in := strings.Replace(good(), c[0], c[1], 1)
-		if in == good() {
-			t.Fatalf("%q does not stand in the document", c[0])
+		in := strings.Replace(validDocument(), c[0], c[1], 1)
+		if in == validDocument() {
+			t.Fatalf("the valid document does not contain %q", c[0])
 		}
 		if _, err := Parse("f", []byte(in)); err == nil || !strings.Contains(err.Error(), c[2]) {
-			t.Errorf("%q for %q:\n%v\nwant %q", c[1], c[0], err, c[2])
+			t.Errorf("%q in place of %q: got error %v, want one with %q", c[1], c[0], err, c[2])
 		}
 	}
 }
 
-// TestAllErrors expects all errors at once, in the order of the text.
-func TestAllErrors(t *testing.T) {
-	in := strings.NewReplacer(`"40/s"`, `"x"`, `worth 2`, `worth x`, `open=100`, `open=0`).Replace(good())
+// If only the first error of a document were reported, an operator would need one run per error. All errors
+// must be returned together, sorted by position.
+func TestAllErrorsAreReported(t *testing.T) {
+	in := strings.NewReplacer(`"40/s"`, `"x"`, `worth 2`, `worth x`, `open=100`, `open=0`).
+		Replace(validDocument())
 	_, err := Parse("f", []byte(in))
 	errs, ok := err.(decode.Errors)
 	if !ok || len(errs) != 3 || errs[0].Pos.Line != 4 || errs[1].Pos.Line != 7 || errs[2].Pos.Line != 12 {
-		t.Errorf("%v", err)
+		t.Errorf("got errors %v, want one each at lines 4, 7 and 12", err)
 	}
 }
 
-// TestAnyFleet writes random fleets and reads them back.
-func TestAnyFleet(t *testing.T) {
+// Names that need escapes and numbers that need all their digits must not change when a fleet is written and
+// read back. The test does so with random fleets.
+func TestRandomFleetRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := defaults()
 		name := rapid.StringN(1, 8, -1)
@@ -150,14 +157,15 @@
 			Keys: []credentials.Digest{f.Secret.MemberKeyHasher().Sum(nil)}}}
 		back, err := Parse("f", Format(f))
 		if err != nil || !reflect.DeepEqual(f, back) {
-			t.Fatalf("%v\n%s\n%+v\n%+v", err, Format(f), f, back)
+			t.Fatalf("read back: error %v\n%s\nwant %+v\ngot  %+v", err, Format(f), f, back)
 		}
 	})
 }
 
-// TestFormatWritesWhatWasRead reads a document that has every block, with values that are no defaults, in the form that
-// Format gives it. It is written again byte for byte, also the settings that nothing reads.
-func TestFormatWritesWhatWasRead(t *testing.T) {
+// If Format left out a setting, a written document would have its default instead. The test reads a document
+// in the form of Format that sets every block to values other than the defaults, including settings that
+// nothing uses. Format must return the same bytes.
+func TestFormatWritesEverySetting(t *testing.T) {
 	want, err := os.ReadFile("testdata/every-block.kdl")
 	if err != nil {
 		t.Fatal(err)
@@ -167,6 +175,6 @@
 		t.Fatal(err)
 	}
 	if got := Format(f); !bytes.Equal(got, want) {
-		t.Errorf("written again:\n%s\nwant:\n%s", got, want)
+		t.Errorf("got\n%s\nwant\n%s", got, want)
 	}
 }
