--- a/internal/config/blocks.go
+++ b/internal/config/blocks.go
@@ -45,16 +45,16 @@
 func (d *decoder) fleetBlocks(f *Fleet) decode.Blocks {
 	c := &f.Decide
 	return decode.Blocks{
-		"zone": func(at string, n *kdl.Node) { d.Named(at, n, d.zones) },
+		"zone": func(at string, n *kdl.Node) { d.BlockName(at, n, d.zones) },
 		"class": func(at string, n *kdl.Node) {
-			c.Classes = append(c.Classes, d.class(d.Named(at, n, d.classNames), n))
+			c.Classes = append(c.Classes, d.class(d.BlockName(at, n, d.classNames), n))
 		},
 		"plan": func(at string, n *kdl.Node) {
-			c.Plans = append(c.Plans, d.plan(d.Named(at, n, d.planNames), n))
+			c.Plans = append(c.Plans, d.plan(d.BlockName(at, n, d.planNames), n))
 		},
 		"gateway": func(at string, n *kdl.Node) { f.Gateways = append(f.Gateways, d.gateway(at, n)) },
 		"member": func(at string, n *kdl.Node) {
-			name := d.Named(at, n, d.memberNames)
+			name := d.BlockName(at, n, d.memberNames)
 			d.members = append(d.members, memberBlock{"member " + name, n.Pos, d.member(name, n)})
 		},
 		"limits":   func(at string, n *kdl.Node) { d.limits(at, n, &c.Limits) },
@@ -137,7 +137,7 @@
 }
 
 func (d *decoder) gateway(at string, n *kdl.Node) (g Gateway) {
-	d.Plain(at, n)
+	d.RejectArguments(at, n)
 	d.Block(at, n, decode.Fields{
 		"listen":    decode.Address(&g.Listen),
 		"peer":      decode.Address(&g.GossipAddress),
@@ -180,7 +180,7 @@
 }
 
 func (d *decoder) limits(at string, n *kdl.Node, l *decide.Limits) {
-	d.Plain(at, n)
+	d.RejectArguments(at, n)
 	d.Block(at, n, decode.Fields{
 		"attempts":        decode.Int(&l.MaxAttempts, 1, 100),
 		"parallel":        decode.Bool(&l.Hedging),
@@ -194,7 +194,7 @@
 
 func (d *decoder) safety(at string, n *kdl.Node, f *Fleet) {
 	s := &f.Decide.Safety
-	d.Plain(at, n)
+	d.RejectArguments(at, n)
 	d.Block(at, n, decode.Fields{
 		"answer-slack":  decode.Duration(&s.AnswerSlack, 0),
 		"drain-grace":   decode.Duration(&s.DrainGrace, 0),
@@ -207,7 +207,7 @@
 }
 
 func (d *decoder) prices(at string, n *kdl.Node, p *Prices) {
-	d.Plain(at, n)
+	d.RejectArguments(at, n)
 	d.Block(at, n, decode.Fields{
 		"cross-zone": decode.Number(&p.CrossZone, 0, maxInteger),
 		"waste":      decode.Number(&p.Waste, 0, maxInteger),
@@ -219,7 +219,7 @@
 }
 
 func (d *decoder) usageExport(at string, n *kdl.Node, e *UsageExport) {
-	d.Plain(at, n)
+	d.RejectArguments(at, n)
 	modes := map[string]wal.SyncMode{}
 	for _, m := range []wal.SyncMode{wal.SyncAlways, wal.SyncInterval, wal.SyncNever} {
 		modes[m.String()] = m
@@ -240,7 +240,7 @@
 }
 
 func (d *decoder) metrics(at string, n *kdl.Node, m *Metrics) {
-	d.Plain(at, n)
+	d.RejectArguments(at, n)
 	m.Enabled = true
 	d.Block(at, n, decode.Fields{
 		"to":       httpURL(&m.URL),
@@ -257,7 +257,7 @@
 }
 
 func (d *decoder) tracing(at string, n *kdl.Node, t *Tracing) {
-	d.Plain(at, n)
+	d.RejectArguments(at, n)
 	d.Block(at, n, decode.Fields{
 		"to":      httpURL(&t.URL),
 		"share":   decode.Number(&t.SampleFraction, 0, 1),
@@ -268,7 +268,7 @@
 }
 
 func (d *decoder) resourceLimits(at string, n *kdl.Node, l *ResourceLimits) {
-	d.Plain(at, n)
+	d.RejectArguments(at, n)
 	d.Block(at, n, decode.Fields{
 		"sessions":         decode.Int(&l.MaxSessions, 1, maxInteger),
 		"open":             decode.Int(&l.MaxInFlight, 1, maxInteger),
--- a/internal/config/decode/decode.go
+++ b/internal/config/decode/decode.go
@@ -69,8 +69,8 @@
 	return d.Errors
 }
 
-// Has reports whether an error was added for the given field.
-func (d *Decoder) Has(field string) bool {
+// HasError reports whether an error was added for the given field.
+func (d *Decoder) HasError(field string) bool {
 	return slices.ContainsFunc(d.Errors, func(e *Error) bool { return e.Field == field })
 }
 
@@ -191,9 +191,9 @@
 	return row[len(b)]
 }
 
-// Named returns the name of a block, which must be its only argument. It adds the name to seen, and an error
-// if seen already contains it. Without a valid name, it adds an error and returns "".
-func (d *Decoder) Named(at string, n *kdl.Node, seen map[string]bool) string {
+// BlockName returns the name of a block, which must be its only argument. It adds the name to seen, and an
+// error if seen already contains it. Without a valid name, it adds an error and returns "".
+func (d *Decoder) BlockName(at string, n *kdl.Node, seen map[string]bool) string {
 	if len(n.Args) != 1 || n.Args[0].Kind != kdl.String || n.Args[0].Text == "" {
 		d.Fail(n.Pos, at, "%d values, want one name", len(n.Args))
 		return ""
@@ -206,8 +206,8 @@
 	return name
 }
 
-// Plain adds an error if n has arguments.
-func (d *Decoder) Plain(at string, n *kdl.Node) {
+// RejectArguments adds an error if n has arguments.
+func (d *Decoder) RejectArguments(at string, n *kdl.Node) {
 	if len(n.Args) > 0 {
 		d.Fail(n.Args[0].Pos, at, "%s, want no value here", n.Args[0])
 	}
--- a/internal/config/decode/decode_test.go
+++ b/internal/config/decode/decode_test.go
@@ -95,7 +95,7 @@
 		}
 		var x float64
 		d := &Decoder{File: "f"}
-		d.Block("b", nodes[0], Fields{"x": Number(&x, 0, 9)}, Blocks{"inner": d.Plain}, "x")
+		d.Block("b", nodes[0], Fields{"x": Number(&x, 0, 9)}, Blocks{"inner": d.RejectArguments}, "x")
 		got := ""
 		if err := d.Err(); err != nil {
 			got = err.Error()
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -59,9 +59,9 @@
 	return f, nil
 }
 
-// Draft reads a fleet node without requiring gateways, addresses, member keys, the state directory or the
-// secret, because a scenario's fleet lacks them. It adds errors to d.
-func Draft(d *decode.Decoder, n *kdl.Node) *Fleet {
+// ParseDraft reads a fleet node without requiring gateways, addresses, member keys, the state directory or
+// the secret, because a scenario's fleet lacks them. It adds errors to d.
+func ParseDraft(d *decode.Decoder, n *kdl.Node) *Fleet {
 	f := defaults()
 	x := &decoder{Decoder: *d, draft: true}
 	x.fleet(f, n)
@@ -72,7 +72,7 @@
 // decoder reads a fleet node and its blocks.
 type decoder struct {
 	decode.Decoder
-	draft bool // fields that Draft's caller sets later are optional
+	draft bool // fields that ParseDraft's caller sets later are optional
 
 	// Names and members read so far.
 	zones, classNames, planNames, memberNames map[string]bool
@@ -99,7 +99,7 @@
 	for _, names := range []*map[string]bool{&d.zones, &d.classNames, &d.planNames, &d.memberNames} {
 		*names = map[string]bool{}
 	}
-	f.Name = d.Named("fleet", n, map[string]bool{})
+	f.Name = d.BlockName("fleet", n, map[string]bool{})
 	d.Block("", n, d.fleetFields(f), d.fleetBlocks(f), d.required("secret")...)
 	f.Decide.Gateways = len(f.Gateways)
 	if len(f.Gateways) == 0 && !d.draft {
@@ -156,7 +156,7 @@
 				"missing, required because limits.peers is #true")
 		}
 	}
-	if f.Decide.GossipCapacity == 0 && !d.Has("intake") {
+	if f.Decide.GossipCapacity == 0 && !d.HasError("intake") {
 		d.Fail(n.Pos, "intake", "missing, required because limits.peers is #true")
 	}
 }
--- a/internal/gateway/changesfile.go
+++ b/internal/gateway/changesfile.go
@@ -53,7 +53,7 @@
 }
 
 func readChange(d *decode.Decoder, n *kdl.Node) (c quotaplan.Change) {
-	d.Plain("change", n)
+	d.RejectArguments("change", n)
 	kinds := map[string]quotaplan.Kind{}
 	for k := quotaplan.Move; k <= quotaplan.Shorten; k++ {
 		kinds[k.String()] = k
--- a/internal/gateway/tracing.go
+++ b/internal/gateway/tracing.go
@@ -26,12 +26,12 @@
 
 func openTracer(f *config.Fleet, rank int, now time.Duration, seed int64, log *slog.Logger) (*requestTracer, error) {
 	exporter, err := tracing.New(context.Background(), tracing.Options{
-		URL:     f.Tracing.URL,
-		Fleet:   f.Name,
-		Gateway: rank,
-		Queue:   f.Tracing.MaxSpans,
-		Timeout: f.Tracing.Timeout,
-		Log:     log,
+		URL:            f.Tracing.URL,
+		Fleet:          f.Name,
+		Gateway:        rank,
+		MaxQueuedSpans: f.Tracing.MaxSpans,
+		Timeout:        f.Tracing.Timeout,
+		Log:            log,
 	})
 	if err != nil {
 		return nil, err
@@ -69,7 +69,7 @@
 	failed := outcome == metrics.OutcomeRejected ||
 		outcome == metrics.OutcomeFailed ||
 		outcome == metrics.OutcomeServed && late
-	r.sampled = l.tracer.sampler.Sample(l.now, failed, r.trace.Sampled, r.trace.ID())
+	r.sampled = l.tracer.sampler.Sample(l.now, failed, r.trace.Sampled, r.trace.SamplingKey())
 }
 
 // exportTrace exports the trace of a sampled request, none of whose attempts is in flight.
@@ -80,7 +80,7 @@
 	}
 	request := tracing.Request{
 		Context:       r.trace,
-		Request:       r.ID,
+		RequestID:     r.ID,
 		Class:         r.Class,
 		Member:        r.Customer,
 		Plan:          l.effectivePlan(r),
--- a/internal/scenario/parse.go
+++ b/internal/scenario/parse.go
@@ -63,7 +63,7 @@
 
 func (p *parser) parse(n *kdl.Node) {
 	s := p.script
-	s.Name = p.d.Named("day", n, map[string]bool{})
+	s.Name = p.d.BlockName("day", n, map[string]bool{})
 	p.d.Block("", n, decode.Fields{
 		"length":   decode.Duration(&s.Length, minLength),
 		"seed":     decode.Int(&s.Seed, 0, math.MaxInt32),
@@ -92,7 +92,7 @@
 // parseOwn reads fleet, servers and load of a script that has its own.
 func (p *parser) parseOwn() {
 	s := p.script
-	s.Fleet = config.Draft(p.d, p.fleet)
+	s.Fleet = config.ParseDraft(p.d, p.fleet)
 	p.addClasses()
 	for i, group := range p.groups {
 		s.Servers = append(s.Servers, p.serverGroup(fmt.Sprintf("nodes[%d]", i), group))
--- a/internal/tracing/context.go
+++ b/internal/tracing/context.go
@@ -69,5 +69,5 @@
 	return "00-" + c.Trace.String() + "-" + span.String() + "-" + flags
 }
 
-// ID returns the part of the trace's id that the sampler decides by.
-func (c Context) ID() uint64 { return binary.BigEndian.Uint64(c.Trace[8:]) }
+// SamplingKey returns the part of the trace's id that the sampler decides by.
+func (c Context) SamplingKey() uint64 { return binary.BigEndian.Uint64(c.Trace[8:]) }
--- a/internal/tracing/exporter.go
+++ b/internal/tracing/exporter.go
@@ -31,7 +31,7 @@
 // Request is a request that is finished.
 type Request struct {
 	Context
-	Request       string // id
+	RequestID     string // id
 	Class         string
 	Member        string
 	Plan          string
@@ -56,12 +56,12 @@
 
 // Options configure an exporter.
 type Options struct {
-	URL     string // of an OTLP receiver, http://host:port/v1/traces
-	Fleet   string
-	Gateway int           // rank
-	Queue   int           // spans that wait at most; more are dropped
-	Timeout time.Duration // of a request to the receiver
-	Log     *slog.Logger  // nil: failures are not logged
+	URL            string // of an OTLP receiver, http://host:port/v1/traces
+	Fleet          string
+	Gateway        int           // rank
+	MaxQueuedSpans int           // spans that wait at most; more are dropped
+	Timeout        time.Duration // of a request to the receiver
+	Log            *slog.Logger  // nil: failures are not logged
 }
 
 // Exporter sends traces, in goroutines of the OpenTelemetry library that Close ends.
@@ -82,7 +82,7 @@
 		}))
 	}
 	provider := sdk.NewTracerProvider(
-		sdk.WithBatcher(client, sdk.WithMaxQueueSize(o.Queue), sdk.WithBatchTimeout(batchTimeout)),
+		sdk.WithBatcher(client, sdk.WithMaxQueueSize(o.MaxQueuedSpans), sdk.WithBatchTimeout(batchTimeout)),
 		sdk.WithIDGenerator(contextIDs{}),
 		sdk.WithSampler(sdk.AlwaysSample()), // the sampling is Sampler's
 		sdk.WithResource(resource.NewSchemaless(
@@ -112,7 +112,7 @@
 		trace.WithTimestamp(r.Start),
 		trace.WithSpanKind(trace.SpanKindServer),
 		trace.WithAttributes(
-			attribute.String("winghatch.request", r.Request),
+			attribute.String("winghatch.request", r.RequestID),
 			attribute.String("winghatch.member", r.Member),
 			attribute.String("winghatch.plan", r.Plan),
 			attribute.String("winghatch.outcome", r.Outcome),
--- a/internal/tracing/sampler.go
+++ b/internal/tracing/sampler.go
@@ -15,7 +15,7 @@
 }
 
 // Sample decides on a request that is finished now. failed: it was rejected, failed or late. requested: its client
-// samples the trace. id is Context.ID.
+// samples the trace. id is Context.SamplingKey.
 func (s *Sampler) Sample(now time.Duration, failed, requested bool, id uint64) bool {
 	if !failed {
 		return requested || fraction(id) < s.Ratio
