--- a/internal/config/kdl/build.go
+++ b/internal/config/kdl/build.go
@@ -10,20 +10,20 @@
 // builder makes nodes of the syntax tree and keeps the first error.
 type builder struct {
 	file  string
-	first *Error
+	firstError *Error
 }
 
 func (b *builder) fail(p lexer.Position, format string, args ...any) {
-	if b.first == nil {
-		b.first = &Error{b.file, position(p), fmt.Sprintf(format, args...)}
+	if b.firstError == nil {
+		b.firstError = &Error{b.file, position(p), fmt.Sprintf(format, args...)}
 	}
 }
 
 func (b *builder) err() error {
-	if b.first == nil {
+	if b.firstError == nil {
 		return nil
 	}
-	return b.first
+	return b.firstError
 }
 
 func position(p lexer.Position) Pos { return Pos{p.Line, p.Column} }
@@ -84,7 +84,7 @@
 		return out
 	}
 	if w := v.Text.Word; w != nil {
-		if num, ok, err := number(*w); ok {
+		if num, ok, err := parseNumber(*w); ok {
 			if err != nil {
 				b.fail(v.Pos, "%v", err)
 			}
--- a/internal/config/kdl/grammar.go
+++ b/internal/config/kdl/grammar.go
@@ -10,9 +10,9 @@
 	newline = `(?:\r\n|[\r\n\x{85}\x{0B}\x{0C}\x{2028}\x{2029}])`
 	space   = `[\t \x{A0}\x{1680}\x{2000}-\x{200A}\x{202F}\x{205F}\x{3000}]`
 	// What an identifier may not hold.
-	notIdent = `\\/(){};\[\]"#=\t \x{A0}\x{1680}\x{2000}-\x{200A}\x{202F}\x{205F}\x{3000}` +
+	nonIdentChars = `\\/(){};\[\]"#=\t \x{A0}\x{1680}\x{2000}-\x{200A}\x{202F}\x{205F}\x{3000}` +
 		`\r\n\x{85}\x{0B}\x{0C}\x{2028}\x{2029}`
-	ident = `[^` + notIdent + `]+`
+	ident = `[^` + nonIdentChars + `]+`
 )
 
 var lex = lexer.MustStateful(lexer.Rules{
@@ -93,7 +93,7 @@
 	Quoted *string `parser:"  @Quoted"`
 	Multi  *string `parser:"| @Multi"`
 	Raw    *string `parser:"| @(Raw1 | Raw2 | Raw3)"`
-	RawM   *string `parser:"| @(RawMulti1 | RawMulti2 | RawMulti3)"`
+	RawMulti   *string `parser:"| @(RawMulti1 | RawMulti2 | RawMulti3)"`
 	Word   *string `parser:"| @Word"`
 }
 
--- a/internal/config/kdl/kdl.go
+++ b/internal/config/kdl/kdl.go
@@ -84,10 +84,10 @@
 
 // Parse reads a document; file is only named in errors. The error is an *Error.
 func Parse(file string, src []byte) ([]*Node, error) {
-	if at, c := forbidden(src); at >= 0 {
+	if at, c := findForbidden(src); at >= 0 {
 		return nil, &Error{file, positionOf(src, at), fmt.Sprintf("character %U is not allowed", c)}
 	}
-	if d := depth(src); d > maxDepth {
+	if d := nestingBound(src); d > maxDepth {
 		return nil, &Error{file, Pos{1, 1}, fmt.Sprintf("nodes lie %d deep, %d at most", d, maxDepth)}
 	}
 	doc, err := parser.ParseBytes(file, src)
@@ -110,9 +110,9 @@
 	return Pos{line + 1, utf8.RuneCountInString(before[strings.LastIndexByte(before, '\n')+1:]) + 1}
 }
 
-// forbidden finds a character that is not allowed in a document (specification section 3.19); at is below 0: there is
+// findForbidden finds a character that is not allowed in a document (specification section 3.19); at is below 0: there is
 // none.
-func forbidden(src []byte) (at int, c rune) {
+func findForbidden(src []byte) (at int, c rune) {
 	for i := 0; i < len(src); {
 		c, n := utf8.DecodeRune(src[i:])
 		if c == utf8.RuneError && n <= 1 || c <= 0x08 || c >= 0x0E && c <= 0x1F || c == 0x7F ||
@@ -125,9 +125,9 @@
 	return -1, 0
 }
 
-// depth is an upper bound of the nesting of nodes and comments. It is computed before parsing, as the parser's
+// nestingBound is an upper bound of the nesting of nodes and comments. It is computed before parsing, as the parser's
 // recursion could exhaust the stack. Braces in strings and comments count too.
-func depth(src []byte) int {
+func nestingBound(src []byte) int {
 	deepest, d := 0, 0
 	for i, c := range src {
 		switch {
--- a/internal/config/kdl/kdl_test.go
+++ b/internal/config/kdl/kdl_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// one parses a node with one argument and returns that.
-func one(t *testing.T, in string) Value {
+// parseArgument parses a node with parseArgument argument and returns that.
+func parseArgument(t *testing.T, in string) Value {
 	t.Helper()
 	nodes, err := Parse("f", []byte("n "+in))
 	if err != nil || len(nodes) != 1 || len(nodes[0].Args) != 1 {
@@ -33,7 +33,7 @@
 		"#\"\"\"\n  a\\n\n  \"\"\"#":    `a\n`,
 		`""`:                            "",
 	} {
-		if v := one(t, in); v.Kind != String || v.Text != want {
+		if v := parseArgument(t, in); v.Kind != String || v.Text != want {
 			t.Errorf("%s is %q, want %q", in, v.Text, want)
 		}
 	}
@@ -43,7 +43,7 @@
 func TestNumbers(t *testing.T) {
 	for in, want := range map[string]float64{"0": 0, "-1": -1, "+1_000": 1000, "1.5e-3": .0015, "0xFf": 255, "0o17": 15,
 		"0b101": 5, "1e3": 1000, "#inf": math.Inf(1), "#-inf": math.Inf(-1)} {
-		if v := one(t, in); v.Kind != Number || v.Num != want {
+		if v := parseArgument(t, in); v.Kind != Number || v.Num != want {
 			t.Errorf("%s is %v, want %v", in, v.Num, want)
 		}
 	}
@@ -109,7 +109,7 @@
 		var b strings.Builder
 		for _, c := range s {
 			if c == '"' || c == '\\' || c < ' ' || c >= 0x7f {
-				b.WriteString(`\u{` + strings.ToLower(hex(c)) + `}`)
+				b.WriteString(`\u{` + strings.ToLower(hexDigits(c)) + `}`)
 			} else {
 				b.WriteRune(c)
 			}
@@ -121,11 +121,11 @@
 	})
 }
 
-func hex(c rune) string {
-	const d = "0123456789abcdef"
+func hexDigits(c rune) string {
+	const digits = "0123456789abcdef"
 	s := ""
 	for v := uint32(c); v > 0 || s == ""; v >>= 4 {
-		s = string(d[v&15]) + s
+		s = string(digits[v&15]) + s
 	}
 	return s
 }
--- a/internal/config/kdl/number.go
+++ b/internal/config/kdl/number.go
@@ -8,8 +8,8 @@
 	"strings"
 )
 
-// number reads a number; ok is false for a text that does not begin as one (specification section 3.14).
-func number(word string) (v float64, ok bool, err error) {
+// parseNumber reads a parseNumber; ok is false for a text that does not begin as one (specification section 3.14).
+func parseNumber(word string) (v float64, ok bool, err error) {
 	body := strings.TrimLeft(word, "+-")
 	signs := len(word) - len(body)
 	if signs <= 1 && len(body) > 1 && body[0] == '.' && isDigit(body[1]) {
@@ -19,9 +19,9 @@
 		return 0, false, nil
 	}
 	if len(body) > 2 && body[0] == '0' && strings.IndexByte("xob", body[1]) >= 0 {
-		v, ok = basedInteger(body)
+		v, ok = parsePrefixedInteger(body)
 	} else {
-		v, ok = decimal(body)
+		v, ok = parseDecimal(body)
 	}
 	if !ok {
 		return 0, true, fmt.Errorf("number %q is malformed", word)
@@ -34,8 +34,8 @@
 
 func isDigit(c byte) bool { return c >= '0' && c <= '9' }
 
-// basedInteger reads an integer with one of the prefixes 0x, 0o and 0b.
-func basedInteger(body string) (v float64, ok bool) {
+// parsePrefixedInteger reads an integer with one of the prefixes 0x, 0o and 0b.
+func parsePrefixedInteger(body string) (v float64, ok bool) {
 	base := map[byte]int{'x': 16, 'o': 8, 'b': 2}[body[1]]
 	digits := strings.ReplaceAll(body, "_", "")[2:]
 	n, ok := new(big.Int).SetString(digits, base)
@@ -46,8 +46,8 @@
 	return v, true
 }
 
-// decimal reads a decimal number. One that is too large is infinite.
-func decimal(body string) (v float64, ok bool) {
+// parseDecimal reads a parseDecimal number. One that is too large is infinite.
+func parseDecimal(body string) (v float64, ok bool) {
 	const maxParts = 3 // integer, fraction and exponent
 	isSeparator := func(c rune) bool { return strings.ContainsRune(".eE+-", c) }
 	for i, part := range strings.FieldsFunc(body, isSeparator) {
--- a/internal/config/kdl/text.go
+++ b/internal/config/kdl/text.go
@@ -13,7 +13,7 @@
 	switch {
 	case t.Word != nil:
 		w := *t.Word
-		if _, isNum, _ := number(w); isNum {
+		if _, isNum, _ := parseNumber(w); isNum {
 			b.fail(t.Pos, "%q is a number where a name is wanted", w)
 		}
 		switch w {
@@ -31,7 +31,7 @@
 		s := *t.Multi
 		return b.unescape(t.Pos, b.dedent(t.Pos, s[3:len(s)-3], true))
 	default:
-		s := strings.Trim(*t.RawM, "#")
+		s := strings.Trim(*t.RawMulti, "#")
 		return b.dedent(t.Pos, s[3:len(s)-3], false)
 	}
 }
@@ -40,7 +40,7 @@
 // first where escapes count, since it may hold line ends.
 func (b *builder) dedent(p lexer.Position, s string, escapes bool) string {
 	if escapes {
-		s = dropEscapedSpace(s)
+		s = removeEscapedSpace(s)
 	}
 	s = newlines.Replace(s)
 	lines := strings.Split(s, "\n")
@@ -77,8 +77,8 @@
 
 func isNewline(c rune) bool { return strings.ContainsRune("\r\n\u0085\v\f\u2028\u2029", c) }
 
-// dropEscapedSpace removes white space behind a backslash, and the backslash.
-func dropEscapedSpace(s string) string {
+// removeEscapedSpace removes white space behind a backslash, and the backslash.
+func removeEscapedSpace(s string) string {
 	var b strings.Builder
 	for i := 0; i < len(s); i++ {
 		if s[i] != '\\' || i+1 == len(s) {
@@ -106,7 +106,7 @@
 // unescape replaces the escapes of a string (specification section 3.11.1).
 func (b *builder) unescape(p lexer.Position, s string) string {
 	var out strings.Builder
-	s = dropEscapedSpace(s)
+	s = removeEscapedSpace(s)
 	for i := 0; i < len(s); i++ {
 		if s[i] != '\\' {
 			out.WriteByte(s[i])
