--- a/internal/config/kdl/build.go
+++ b/internal/config/kdl/build.go
@@ -7,12 +7,13 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// builder makes nodes of the syntax tree and keeps the first error.
+// builder converts the syntax tree to nodes. It keeps the first error.
 type builder struct {
-	file  string
+	file       string
 	firstError *Error
 }
 
+// fail records an error at p, unless one was recorded before.
 func (b *builder) fail(p lexer.Position, format string, args ...any) {
 	if b.firstError == nil {
 		b.firstError = &Error{b.file, position(p), fmt.Sprintf(format, args...)}
@@ -28,7 +29,8 @@
 
 func position(p lexer.Position) Pos { return Pos{p.Line, p.Column} }
 
-// nodes are those of a list that are not commented out by a slashdash.
+// nodes returns the nodes of a list. It leaves out nodes that a slashdash ("/-") comments out, but still
+// checks them for errors.
 func (b *builder) nodes(in []*entryNode) []*Node {
 	var out []*Node
 	for _, e := range in {
@@ -69,7 +71,7 @@
 	return n
 }
 
-// annotation is the text of a type annotation; empty: there is none.
+// annotation returns the text of a type annotation, or "" if there is none.
 func (b *builder) annotation(a *annotation) string {
 	if a == nil {
 		return ""
@@ -96,7 +98,7 @@
 	return out
 }
 
-// keyword sets the value of a keyword.
+// keyword sets the kind and value of out to those of a keyword such as #true.
 func (b *builder) keyword(v *value, out *Value) {
 	word := *v.Keyword
 	switch word {
--- a/internal/config/kdl/grammar.go
+++ b/internal/config/kdl/grammar.go
@@ -5,11 +5,12 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// Newline and white space of the specification (sections 3.17 and 3.18).
+// Character classes of the KDL specification as regular expressions.
 const (
+	// Newlines (section 3.18) and white space (section 3.17).
 	newline = `(?:\r\n|[\r\n\x{85}\x{0B}\x{0C}\x{2028}\x{2029}])`
 	space   = `[\t \x{A0}\x{1680}\x{2000}-\x{200A}\x{202F}\x{205F}\x{3000}]`
-	// What an identifier may not hold.
+	// nonIdentChars lists the characters that an identifier must not contain.
 	nonIdentChars = `\\/(){};\[\]"#=\t \x{A0}\x{1680}\x{2000}-\x{200A}\x{202F}\x{205F}\x{3000}` +
 		`\r\n\x{85}\x{0B}\x{0C}\x{2028}\x{2029}`
 	ident = `[^` + nonIdentChars + `]+`
@@ -21,7 +22,8 @@
 		{Name: "Slashdash", Pattern: `/-`},
 		{Name: "LineComment", Pattern: `//[^\r\n\x{85}\x{0B}\x{0C}\x{2028}\x{2029}]*`},
 		{Name: "comment", Pattern: `/\*`, Action: lexer.Push("Comment")},
-		{Name: "Continued", Pattern: `\\(?:` + space + `|/\*(?:[^*]|\*[^/])*\*/)*(?://[^\r\n]*)?(?:` + newline + `|$)`},
+		{Name: "Continued",
+			Pattern: `\\(?:` + space + `|/\*(?:[^*]|\*[^/])*\*/)*(?://[^\r\n]*)?(?:` + newline + `|$)`},
 		{Name: "Newline", Pattern: newline},
 		{Name: "space", Pattern: space + `+`},
 		{Name: "RawMulti3", Pattern: `###"""(?s:.*?)"""###`},
@@ -44,12 +46,16 @@
 	},
 })
 
-// The grammar, as participle reads it from the tags. Spaces do not matter to it.
+// The following types define the grammar: participle builds the parser from their struct tags. The parser
+// ignores white space.
+
+// document is a whole document.
 type document struct {
 	Nodes []*entryNode `parser:"BOM? (Newline | LineComment | ';' | @@)*"`
 }
 
-// A node needs no rule of its own for what ends it: the builder finds a value behind a block of children.
+// entryNode is a node with its arguments, properties and children. The grammar accepts entries after a block
+// of children; the builder reports them as errors.
 type entryNode struct {
 	Pos     lexer.Position
 	Dash    bool        `parser:"( @Slashdash (Newline | LineComment | Continued)* )?"`
@@ -58,10 +64,12 @@
 	Entries []*entry    `parser:"(Continued | @@)*"`
 }
 
+// annotation is a type annotation, such as "(t)".
 type annotation struct {
 	Name *text `parser:"'(' @@ ')'"`
 }
 
+// entry is a block of children, a property or an argument. Dash is true if a slashdash comments it out.
 type entry struct {
 	Pos      lexer.Position
 	Dash     bool      `parser:"( @Slashdash (Newline | LineComment | Continued)* )?"`
@@ -70,17 +78,20 @@
 	Value    *value    `parser:"| @@ )"`
 }
 
+// children is a block of child nodes.
 type children struct {
 	Open  string       `parser:"@'{'"`
 	Nodes []*entryNode `parser:"(Newline | LineComment | Continued | ';' | @@)* '}'"`
 }
 
+// prop is a property.
 type prop struct {
 	Pos   lexer.Position
 	Name  *text  `parser:"@@ '='"`
 	Value *value `parser:"@@"`
 }
 
+// value is a keyword, a string or a number. A number is parsed as a Word; the builder tells them apart.
 type value struct {
 	Pos     lexer.Position
 	Type    *annotation `parser:"@@?"`
@@ -88,14 +99,16 @@
 	Text    *text       `parser:"| @@ )"`
 }
 
+// text is an identifier or a string. Exactly one of the pointers is set.
 type text struct {
-	Pos    lexer.Position
-	Quoted *string `parser:"  @Quoted"`
-	Multi  *string `parser:"| @Multi"`
-	Raw    *string `parser:"| @(Raw1 | Raw2 | Raw3)"`
-	RawMulti   *string `parser:"| @(RawMulti1 | RawMulti2 | RawMulti3)"`
-	Word   *string `parser:"| @Word"`
+	Pos      lexer.Position
+	Quoted   *string `parser:"  @Quoted"`
+	Multi    *string `parser:"| @Multi"`
+	Raw      *string `parser:"| @(Raw1 | Raw2 | Raw3)"`
+	RawMulti *string `parser:"| @(RawMulti1 | RawMulti2 | RawMulti3)"`
+	Word     *string `parser:"| @Word"`
 }
 
 var parser = participle.MustBuild[document](participle.Lexer(lex),
-	participle.Elide("space", "comment", "commentOpen", "commentEnd", "commentText"), participle.UseLookahead(8))
+	participle.Elide("space", "comment", "commentOpen", "commentEnd", "commentText"),
+	participle.UseLookahead(8))
--- a/internal/config/kdl/kdl.go
+++ b/internal/config/kdl/kdl.go
@@ -1,6 +1,7 @@
-// Package kdl reads documents of the KDL document language, version 2 (kdl.dev/spec). Grammar and lexer are those of
-// the library participle. What a regular expression can't express of the language is done around them: forbidden
-// characters and depth before, escapes, indents and numbers after.
+// Package kdl parses documents of the KDL document language, version 2 (kdl.dev/spec). The lexer and parser
+// are those of the library participle. Rules that regular expressions cannot express are implemented
+// separately: forbidden characters and the nesting depth are checked before parsing; escapes, indentation and
+// numbers are handled after it.
 package kdl
 
 import (
@@ -13,28 +14,28 @@
 	"github.com/alecthomas/participle/v2"
 )
 
-// Pos is a position in a document. Lines and columns count from 1, columns in characters.
+// Pos is a position in a document. Lines and columns start at 1. Columns count characters, not bytes.
 type Pos struct{ Line, Column int }
 
-// Error says what is wrong in a document, and where.
+// Error describes a syntax error.
 type Error struct {
 	File string
 	Pos  Pos
 	Text string
 }
 
-// Error is the text for operators.
+// Error returns the file, line, column and text.
 func (e *Error) Error() string {
 	return fmt.Sprintf("%s:%d:%d: %s", e.File, e.Pos.Line, e.Pos.Column, e.Text)
 }
 
-// Node is a node of a document.
+// Node is a node of a document, with its arguments, properties and child nodes.
 type Node struct {
 	Pos      Pos
-	Type     string // annotation; may be empty
+	Type     string // type annotation; empty: none
 	Name     string
 	Args     []Value
-	Props    []Prop // in the order of the text; of equal names the last counts
+	Props    []Prop // in the order of the document; names may repeat, and KDL uses the last of equal names
 	Children []*Node
 }
 
@@ -48,7 +49,7 @@
 // Kind is the type of a value.
 type Kind int
 
-// The kinds of value.
+// The kinds of values.
 const (
 	Null Kind = iota
 	Bool
@@ -56,17 +57,18 @@
 	String
 )
 
-// Value is an argument or a property's value.
+// Value is an argument or the value of a property.
 type Value struct {
 	Pos  Pos
-	Type string // annotation; may be empty
+	Type string // type annotation; empty: none
 	Kind Kind
-	Text string  // of a String; of a Number as written
-	Num  float64 // of a Number
-	Bool bool    // of a Bool
+	Text string  // content of a String, or a Number as written in the document
+	Num  float64 // value of a Number, which may be infinite or NaN
+	Bool bool    // value of a Bool
 }
 
-// String is the value as a document could have it.
+// String returns the value as it is shown in errors: approximately in KDL syntax, but strings have Go's
+// escapes.
 func (v Value) String() string {
 	switch v.Kind {
 	case Null:
@@ -79,10 +81,11 @@
 	return strconv.Quote(v.Text)
 }
 
-// maxDepth is how deep nodes may be nested.
+// maxDepth is the largest accepted result of nestingBound.
 const maxDepth = 64
 
-// Parse reads a document; file is only named in errors. The error is an *Error.
+// Parse parses a document and returns its top-level nodes. file is the file name used in errors; it is not
+// opened. The error, if any, is an *Error.
 func Parse(file string, src []byte) ([]*Node, error) {
 	if at, c := findForbidden(src); at >= 0 {
 		return nil, &Error{file, positionOf(src, at), fmt.Sprintf("character %U is not allowed", c)}
@@ -103,15 +106,15 @@
 	return nodes, b.err()
 }
 
-// positionOf is the position of a byte.
+// positionOf returns the position of the byte at offset at.
 func positionOf(src []byte, at int) Pos {
 	before := string(src[:at])
 	line := strings.Count(before, "\n")
 	return Pos{line + 1, utf8.RuneCountInString(before[strings.LastIndexByte(before, '\n')+1:]) + 1}
 }
 
-// findForbidden finds a character that is not allowed in a document (specification section 3.19); at is below 0: there is
-// none.
+// findForbidden returns the offset and value of the first character that a document must not contain
+// (specification section 3.19). The offset is -1 if there is none.
 func findForbidden(src []byte) (at int, c rune) {
 	for i := 0; i < len(src); {
 		c, n := utf8.DecodeRune(src[i:])
@@ -125,8 +128,9 @@
 	return -1, 0
 }
 
-// nestingBound is an upper bound of the nesting of nodes and comments. It is computed before parsing, as the parser's
-// recursion could exhaust the stack. Braces in strings and comments count too.
+// nestingBound returns an upper bound of the nesting depth of nodes and comments. It is checked before
+// parsing because the recursion of the parser could exhaust the stack. It counts braces in strings and
+// comments too.
 func nestingBound(src []byte) int {
 	deepest, d := 0, 0
 	for i, c := range src {
--- a/internal/config/kdl/number.go
+++ b/internal/config/kdl/number.go
@@ -8,7 +8,8 @@
 	"strings"
 )
 
-// parseNumber reads a parseNumber; ok is false for a text that does not begin as one (specification section 3.14).
+// parseNumber parses a number (specification section 3.14). ok is false if word does not start like a number;
+// err is not nil if it does and is malformed.
 func parseNumber(word string) (v float64, ok bool, err error) {
 	body := strings.TrimLeft(word, "+-")
 	signs := len(word) - len(body)
@@ -34,7 +35,8 @@
 
 func isDigit(c byte) bool { return c >= '0' && c <= '9' }
 
-// parsePrefixedInteger reads an integer with one of the prefixes 0x, 0o and 0b.
+// parsePrefixedInteger parses an integer with one of the prefixes 0x, 0o and 0b. ok is false if it is
+// malformed.
 func parsePrefixedInteger(body string) (v float64, ok bool) {
 	base := map[byte]int{'x': 16, 'o': 8, 'b': 2}[body[1]]
 	digits := strings.ReplaceAll(body, "_", "")[2:]
@@ -46,7 +48,8 @@
 	return v, true
 }
 
-// parseDecimal reads a parseDecimal number. One that is too large is infinite.
+// parseDecimal parses a decimal number. A number that is too large for a float64 becomes infinite. ok is
+// false if the number is malformed.
 func parseDecimal(body string) (v float64, ok bool) {
 	const maxParts = 3 // integer, fraction and exponent
 	isSeparator := func(c rune) bool { return strings.ContainsRune(".eE+-", c) }
@@ -56,8 +59,8 @@
 		}
 	}
 	digits := strings.ReplaceAll(body, "_", "")
-	if strings.ContainsAny(digits, "xXpPnNiI") || strings.Contains(digits, ".e") || strings.Contains(digits, ".E") ||
-		strings.HasSuffix(digits, ".") {
+	if strings.ContainsAny(digits, "xXpPnNiI") || strings.Contains(digits, ".e") ||
+		strings.Contains(digits, ".E") || strings.HasSuffix(digits, ".") {
 		return 0, false
 	}
 	v, err := strconv.ParseFloat(digits, 64)
--- a/internal/config/kdl/text.go
+++ b/internal/config/kdl/text.go
@@ -8,7 +8,7 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// text is the string of an identifier or a string of any form.
+// text returns the content of an identifier or of a string in any of its forms.
 func (b *builder) text(t *text) string {
 	switch {
 	case t.Word != nil:
@@ -36,8 +36,9 @@
 	}
 }
 
-// dedent removes the last line's indent from each line (specification section 3.12). Escaped white space is removed
-// first where escapes count, since it may hold line ends.
+// dedent returns the content of a multi-line string: it removes the indentation of the last line from each
+// line (specification section 3.12). If escapes is true, it first removes escaped white space, which may
+// contain newlines.
 func (b *builder) dedent(p lexer.Position, s string, escapes bool) string {
 	if escapes {
 		s = removeEscapedSpace(s)
@@ -67,7 +68,7 @@
 	return strings.Join(body, "\n")
 }
 
-// newlines makes a line feed of each newline of the language.
+// newlines replaces each KDL newline by a line feed.
 var newlines = strings.NewReplacer("\r\n", "\n", "\r", "\n", "\u0085", "\n", "\v", "\n", "\f", "\n",
 	"\u2028", "\n", "\u2029", "\n")
 
@@ -77,7 +78,7 @@
 
 func isNewline(c rune) bool { return strings.ContainsRune("\r\n\u0085\v\f\u2028\u2029", c) }
 
-// removeEscapedSpace removes white space behind a backslash, and the backslash.
+// removeEscapedSpace removes each backslash that is followed by white space or newlines, together with these.
 func removeEscapedSpace(s string) string {
 	var b strings.Builder
 	for i := 0; i < len(s); i++ {
@@ -97,13 +98,15 @@
 	return b.String()
 }
 
-// Escapes of one character, and what they mean.
+// escapes lists the characters of the single-character escapes; unescaped lists their values in the same
+// order.
 const (
 	escapes   = `nrt\"bfs`
 	unescaped = "\n\r\t\\\"\b\f "
 )
 
-// unescape replaces the escapes of a string (specification section 3.11.1).
+// unescape replaces the escapes of a string by the characters that they stand for (specification section
+// 3.11.1).
 func (b *builder) unescape(p lexer.Position, s string) string {
 	var out strings.Builder
 	s = removeEscapedSpace(s)
