--- a/internal/config/kdl/build.go
+++ b/internal/config/kdl/build.go
@@ -52,11 +52,11 @@
 				continue
 			}
 			if hasBlock {
-				b.fail(x.Pos, "a second block of children")
+				b.fail(x.Pos, "second block of children, want one at most")
 			}
 			hasBlock, n.Children = true, children
 		case hasBlock:
-			b.fail(x.Pos, "a value after the block of children")
+			b.fail(x.Pos, "value after the block of children")
 		case x.Prop != nil:
 			p := Prop{position(x.Prop.Pos), b.text(x.Prop.Name), b.value(x.Prop.Value)}
 			if !x.Dash {
--- a/internal/config/kdl/kdl.go
+++ b/internal/config/kdl/kdl.go
@@ -91,7 +91,7 @@
 		return nil, &Error{file, positionOf(src, at), fmt.Sprintf("character %U is not allowed", c)}
 	}
 	if d := nestingBound(src); d > maxDepth {
-		return nil, &Error{file, Pos{1, 1}, fmt.Sprintf("nodes lie %d deep, %d at most", d, maxDepth)}
+		return nil, &Error{file, Pos{1, 1}, fmt.Sprintf("nodes nested %d deep, want at most %d", d, maxDepth)}
 	}
 	doc, err := parser.ParseBytes(file, src)
 	if err != nil {
--- a/internal/config/kdl/number.go
+++ b/internal/config/kdl/number.go
@@ -14,7 +14,7 @@
 	body := strings.TrimLeft(word, "+-")
 	signs := len(word) - len(body)
 	if signs <= 1 && len(body) > 1 && body[0] == '.' && isDigit(body[1]) {
-		return 0, true, fmt.Errorf("number %q has no digit before its point", word)
+		return 0, true, fmt.Errorf("number %q has no digit before its decimal point", word)
 	}
 	if signs > 1 || body == "" || !isDigit(body[0]) {
 		return 0, false, nil
--- a/internal/config/kdl/text.go
+++ b/internal/config/kdl/text.go
@@ -14,11 +14,11 @@
 	case t.Word != nil:
 		w := *t.Word
 		if _, isNum, _ := parseNumber(w); isNum {
-			b.fail(t.Pos, "%q is a number where a name is wanted", w)
+			b.fail(t.Pos, "%q is a number, want a name", w)
 		}
 		switch w {
 		case "true", "false", "null", "inf", "-inf", "nan":
-			b.fail(t.Pos, "%q must be written #%s, or in quotes as a string", w, w)
+			b.fail(t.Pos, "%q must be written as #%s, or in quotes as a string", w, w)
 		}
 		return w
 	case t.Quoted != nil:
@@ -46,12 +46,12 @@
 	s = newlines.Replace(s)
 	lines := strings.Split(s, "\n")
 	if len(lines) < 2 || lines[0] != "" {
-		b.fail(p, "a multi-line string must begin and end with a line of its own")
+		b.fail(p, "the opening quotes of a multi-line string must be followed by a newline")
 		return s
 	}
 	indent := lines[len(lines)-1]
 	if strings.TrimFunc(indent, isSpace) != "" {
-		b.fail(p, "the last line of a multi-line string holds more than its indent")
+		b.fail(p, "the last line of a multi-line string must contain only its indentation")
 		return s
 	}
 	body := lines[1 : len(lines)-1]
@@ -60,7 +60,7 @@
 		case strings.TrimFunc(l, isSpace) == "":
 			body[i] = ""
 		case !strings.HasPrefix(l, indent):
-			b.fail(p, "line %d of a multi-line string is not indented as its last one", i+1)
+			b.fail(p, "line %d of a multi-line string is not indented like its last line", i+1)
 		default:
 			body[i] = l[len(indent):]
 		}
@@ -130,7 +130,7 @@
 		}
 		v, err := strconv.ParseUint(s[i+2:i+end], 16, 32)
 		if err != nil || v > utf8.MaxRune || isSurrogate(v) {
-			b.fail(p, `escape \%s names no character`, s[i:i+end+1])
+			b.fail(p, `escape \%s is not a Unicode character`, s[i:i+end+1])
 			continue
 		}
 		out.WriteRune(rune(v))
