--- a/internal/config/kdl/kdl_test.go
+++ b/internal/config/kdl/kdl_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// parseArgument parses a node with parseArgument argument and returns that.
+// parseArgument parses a node with the argument in and returns the argument.
 func parseArgument(t *testing.T, in string) Value {
 	t.Helper()
 	nodes, err := Parse("f", []byte("n "+in))
@@ -18,8 +18,9 @@
 	return nodes[0].Args[0]
 }
 
-// TestStrings reads each form of a string.
-func TestStrings(t *testing.T) {
+// A setting must have the value that the KDL specification gives its text. The test parses each form of a
+// string: quoted, raw, multi-line and identifier.
+func TestStringForms(t *testing.T) {
 	for in, want := range map[string]string{
 		`"a\n\t\"\\\s\u{e9}"`:           "a\n\t\"\\ é",
 		"\"a\\  \n  b\"":                "ab",
@@ -34,23 +35,25 @@
 		`""`:                            "",
 	} {
 		if v := parseArgument(t, in); v.Kind != String || v.Text != want {
-			t.Errorf("%s is %q, want %q", in, v.Text, want)
+			t.Errorf("%s: got %q, want %q", in, v.Text, want)
 		}
 	}
 }
 
-// TestNumbers reads each form of a number.
-func TestNumbers(t *testing.T) {
-	for in, want := range map[string]float64{"0": 0, "-1": -1, "+1_000": 1000, "1.5e-3": .0015, "0xFf": 255, "0o17": 15,
-		"0b101": 5, "1e3": 1000, "#inf": math.Inf(1), "#-inf": math.Inf(-1)} {
+// A setting must have the value that the KDL specification gives its text. The test parses each form of a
+// number.
+func TestNumberForms(t *testing.T) {
+	for in, want := range map[string]float64{"0": 0, "-1": -1, "+1_000": 1000, "1.5e-3": .0015, "0xFf": 255,
+		"0o17": 15, "0b101": 5, "1e3": 1000, "#inf": math.Inf(1), "#-inf": math.Inf(-1)} {
 		if v := parseArgument(t, in); v.Kind != Number || v.Num != want {
-			t.Errorf("%s is %v, want %v", in, v.Num, want)
+			t.Errorf("%s: got %v, want %v", in, v.Num, want)
 		}
 	}
 }
 
-// TestDocument reads nodes with arguments, properties, children, annotations and comments of each kind.
-func TestDocument(t *testing.T) {
+// A value or node that is commented out must not take effect, and no comment may hide what follows it. The
+// test parses nodes with arguments, properties, children, type annotations and each kind of comment.
+func TestCommentsAndAnnotations(t *testing.T) {
 	nodes, err := Parse("f", []byte("\uFEFFa 1 x=#true /-2 /-y=3 \\ // on\n  #null {\n"+
 		"  /- gone {\n z\n }\n b; (t)c (u)1\n}\n/* x /* y */ z */ d /-{ e }\n/-\nf\n"))
 	if err != nil {
@@ -60,7 +63,8 @@
 		t.Fatalf("%+v", nodes)
 	}
 	a := nodes[0]
-	if len(a.Args) != 2 || a.Args[1].Kind != Null || len(a.Props) != 1 || !a.Props[0].Value.Bool || len(a.Children) != 2 {
+	if len(a.Args) != 2 || a.Args[1].Kind != Null || len(a.Props) != 1 || !a.Props[0].Value.Bool ||
+		len(a.Children) != 2 {
 		t.Errorf("%+v", a)
 	}
 	if c := a.Children[1]; c.Type != "t" || c.Args[0].Type != "u" || c.Pos.Line != 6 {
@@ -68,8 +72,9 @@
 	}
 }
 
-// TestErrors expects an error with its place for each malformed document.
-func TestErrors(t *testing.T) {
+// A malformed document must be rejected with an error that gives its position. Otherwise a typing error in
+// the settings would change their meaning, or deep nesting would exhaust the stack.
+func TestMalformedDocuments(t *testing.T) {
 	for in, want := range map[string]string{
 		"a {":                            "f:1",
 		"a }":                            "f:1:3",
@@ -97,13 +102,14 @@
 	} {
 		_, err := Parse("f", []byte(in))
 		if err == nil || !strings.Contains(err.Error(), want) || !strings.HasPrefix(err.Error(), "f:") {
-			t.Errorf("%.40q: %v, want %q", in, err, want)
+			t.Errorf("%.40q: got error %v, want one with %q", in, err, want)
 		}
 	}
 }
 
-// TestAnyString reads any string that is quoted as the language requires.
-func TestAnyString(t *testing.T) {
+// Any string must keep its value if it is quoted with the escapes that the KDL specification requires. The
+// test does so with random strings.
+func TestRandomStringRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := rapid.String().Draw(t, "s")
 		var b strings.Builder
@@ -116,11 +122,12 @@
 		}
 		nodes, err := Parse("f", []byte(`n "`+b.String()+`"`))
 		if err != nil || nodes[0].Args[0].Text != s {
-			t.Fatalf("%q: %v", s, err)
+			t.Fatalf("%q: error %v", s, err)
 		}
 	})
 }
 
+// hexDigits returns the hexadecimal digits of c.
 func hexDigits(c rune) string {
 	const digits = "0123456789abcdef"
 	s := ""
@@ -130,7 +137,8 @@
 	return s
 }
 
-// FuzzParse expects nodes with a place, or an error with one, of any document.
+// No document may crash the parser, and every error and every node must have a position. Otherwise an
+// operator could not find the fault in a file of settings.
 func FuzzParse(f *testing.F) {
 	for _, s := range []string{
 		"a 1 {\nb\n}",
@@ -146,11 +154,11 @@
 		}
 		nodes, err := Parse("f", in)
 		if e, ok := err.(*Error); err != nil && (!ok || e.Pos.Line < 1 || e.Pos.Column < 1) {
-			t.Fatalf("error without a place: %v", err)
+			t.Fatalf("error without a position: %v", err)
 		}
 		for _, n := range nodes {
 			if n.Pos.Line < 1 {
-				t.Fatalf("node without a place: %+v", n)
+				t.Fatalf("node without a position: %+v", n)
 			}
 		}
 	})
