--- a/internal/credentials/hash.go
+++ b/internal/credentials/hash.go
@@ -1,5 +1,6 @@
-// Package credentials has the keyed hashes of the program: of the keys that members present, of datagrams between
-// gateways, and of operators' requests. All use BLAKE3's keyed mode, under keys derived from the fleet's one secret.
+// Package credentials implements the keyed hashes that authenticate members, datagrams between gateways and
+// operator requests. All hashes use the keyed mode of BLAKE3, with keys that are derived from the one secret
+// of the fleet.
 package credentials
 
 import (
@@ -12,16 +13,17 @@
 	"lukechampine.com/blake3"
 )
 
-// Secret is a fleet's secret.
+// Secret is the secret that all gateways of a fleet share.
 type Secret [32]byte
 
-// NewSecret draws a random secret.
+// NewSecret returns a random secret.
 func NewSecret() (s Secret) {
 	rand.Read(s[:])
 	return s
 }
 
-// Contexts of key derivation. They are part of every hash: settings and running gateways have them.
+// Contexts of the key derivation. They must not change, because every hash depends on them: the settings
+// contain digests of member keys, and running gateways verify each other's datagrams.
 const (
 	derivationPrefix       = "winghatch 2026 "
 	memberKeyContext       = "member key"
@@ -29,25 +31,26 @@
 	operatorRequestContext = "operator request"
 )
 
-// derive returns the key of one use. A hash of one use is never valid in another.
+// derive returns the key for the use that context names. Each use has its own key, so a hash that was made
+// for one use is not valid for another.
 func (s Secret) derive(context string) (key [32]byte) {
 	blake3.DeriveKey(key[:], derivationPrefix+context, s[:])
 	return key
 }
 
-// Hasher hashes under one derived key. It is safe for concurrent use.
+// Hasher computes keyed hashes with one derived key. It is safe for concurrent use.
 type Hasher struct{ key [32]byte }
 
-// MemberKeyHasher hashes the keys of members.
+// MemberKeyHasher returns the Hasher for the keys that members present.
 func (s Secret) MemberKeyHasher() Hasher { return Hasher{s.derive(memberKeyContext)} }
 
-// DatagramHasher hashes datagrams between gateways.
+// DatagramHasher returns the Hasher for datagrams between gateways.
 func (s Secret) DatagramHasher() Hasher { return Hasher{s.derive(datagramContext)} }
 
-// OperatorRequestHasher hashes operators' requests to a gateway.
+// OperatorRequestHasher returns the Hasher for operator requests to a gateway.
 func (s Secret) OperatorRequestHasher() Hasher { return Hasher{s.derive(operatorRequestContext)} }
 
-// Sum is the keyed hash of data.
+// Sum returns the keyed hash of data.
 func (h Hasher) Sum(data []byte) (d Digest) {
 	w := blake3.New(len(d), h.key[:])
 	w.Write(data)
@@ -55,18 +58,19 @@
 	return d
 }
 
-// Equal compares two hashes in constant time, so that the time reveals nothing of them.
+// Equal reports whether two hashes are equal. It takes constant time for hashes of the same length, so the
+// time reveals nothing about their content.
 func Equal(a, b []byte) bool { return subtle.ConstantTimeCompare(a, b) == 1 }
 
-// Digest is a keyed hash. Of a member's key it is all that the settings hold.
+// Digest is a keyed hash. The settings contain the digests of member keys, but not the keys.
 type Digest [32]byte
 
 const digestPrefix = "blake3:"
 
-// String is the digest as settings write it.
+// String returns the digest in the form that settings use: "blake3:" and the hexadecimal digits.
 func (d Digest) String() string { return digestPrefix + hex.EncodeToString(d[:]) }
 
-// ParseDigest reads what String writes.
+// ParseDigest parses a digest in the form that String returns. Any other text is an error.
 func ParseDigest(s string) (d Digest, err error) {
 	digits, ok := strings.CutPrefix(s, digestPrefix)
 	raw, err := hex.DecodeString(digits)
--- a/internal/encoding/encoding.go
+++ b/internal/encoding/encoding.go
@@ -1,7 +1,8 @@
-// Package encoding writes and reads the fields of stored records and of messages between gateways.
+// Package encoding encodes and decodes the fields of stored records and of messages between gateways.
 //
-// Integers are varints of Go's encoding/binary, or 8 bytes; strings have their length before them as a varint; numbers
-// with a fraction are 8 bytes of IEEE 754. What has a fixed size is little-endian.
+// Integers are encoded as varints of package encoding/binary or as 8 bytes. A string is preceded by its
+// length in bytes, as a varint. Floating-point numbers are 8 bytes in IEEE 754 format. Fields of fixed size
+// are little-endian.
 package encoding
 
 import (
@@ -9,21 +10,22 @@
 	"math"
 )
 
-// AppendString appends a string and its length.
+// AppendString appends the length of s and s to b and returns the extended slice.
 func AppendString(b []byte, s string) []byte {
 	b = binary.AppendUvarint(b, uint64(len(s)))
 	return append(b, s...)
 }
 
-// AppendFloat64 appends a number with a fraction.
+// AppendFloat64 appends a floating-point number to b and returns the extended slice.
 func AppendFloat64(b []byte, v float64) []byte {
 	return binary.LittleEndian.AppendUint64(b, math.Float64bits(v))
 }
 
-// Reader reads fields off the front of Rest. Once a field is cut short or not valid the reader is Malformed, and all
-// fields that follow are zero, so a caller checks once, at the end.
+// Reader decodes fields from the start of Rest. After a field that is truncated or invalid, Malformed is true
+// and all further fields are zero. A caller therefore needs to check Malformed only once, after the last
+// field.
 type Reader struct {
-	Rest      []byte
+	Rest      []byte // bytes that have not been read; nil once Malformed is true
 	Malformed bool
 }
 
@@ -40,7 +42,7 @@
 	return v
 }
 
-// Uint64 reads an integer of 8 bytes.
+// Uint64 reads an unsigned integer of 8 bytes.
 func (r *Reader) Uint64() uint64 {
 	if len(r.Rest) < 8 {
 		r.fail()
@@ -51,7 +53,7 @@
 	return v
 }
 
-// Float64 reads a number with a fraction. NaN and the infinities are malformed.
+// Float64 reads a floating-point number. NaN and infinities are malformed.
 func (r *Reader) Float64() float64 {
 	v := math.Float64frombits(r.Uint64())
 	if math.IsNaN(v) || math.IsInf(v, 0) {
@@ -61,7 +63,7 @@
 	return v
 }
 
-// Uvarint reads an unsigned varint. One above limit is malformed.
+// Uvarint reads an unsigned varint. A value greater than limit is malformed.
 func (r *Reader) Uvarint(limit uint64) uint64 {
 	v, n := binary.Uvarint(r.Rest)
 	if n <= 0 || v > limit {
@@ -83,7 +85,7 @@
 	return v
 }
 
-// String reads a string. One of more than limit bytes is malformed.
+// String reads a string. A string of more than limit bytes is malformed.
 func (r *Reader) String(limit uint64) string {
 	n := r.Uvarint(limit)
 	if n > uint64(len(r.Rest)) {
