--- a/internal/metrics/collector.go
+++ b/internal/metrics/collector.go
@@ -8,7 +8,7 @@
 	"winghatch/internal/aggregate"
 )
 
-// Values of the state label of servers.
+// Values of the state label of the metric that counts servers.
 const (
 	ServerServing   = "serving"
 	ServerDraining  = "draining"
@@ -19,43 +19,44 @@
 
 var serverStates = []string{ServerServing, ServerDraining, ServerSlowStart, ServerEjected, ServerRemoved}
 
-// View is what gauges are read from.
+// View is a snapshot of a gateway's state, from which gauges and some counters are read.
 type View struct {
-	Sessions           int
-	OpenRequests       int
-	QueueLength        int // of the loop
-	LateResponses      int64
-	Pressure           float64 // work in flight over the cap on it
-	UnresponsiveOwners int     // quota owners that are not asked for now
-	Servers            map[string]int
-	Datagrams          map[string]int64 // to and from other gateways, by what became of them
-	FrontendRejections map[string]int64 // by reason
-	Plans              map[string]PlanTotals
-	Usage              *UsageBacklog // nil: use is not exported
-	PlanChanges        int
-	ReservedUnits      float64            // held at this gateway
-	RemoteWriteSamples map[string]float64 // by what became of them; nil: there is no remote write
-	RemoteWriteWaiting int                // samples
-	FleetTotals        []aggregate.FleetTotal
+	Sessions           int                    // open client sessions
+	OpenRequests       int                    // requests without a final answer
+	QueueLength        int                    // inputs that wait for the event loop
+	LateResponses      int64                  // responses to attempts that had already ended
+	Pressure           float64                // work in flight as a fraction of its cap
+	UnresponsiveOwners int                    // quota owners that are not asked because they did not respond
+	Servers            map[string]int         // number of servers by state
+	Datagrams          map[string]int64       // datagrams to and from other gateways, by result
+	FrontendRejections map[string]int64       // requests and handshakes rejected by the front end, by reason
+	Plans              map[string]PlanTotals  // totals by plan
+	Usage              *UsageBacklog          // nil: usage is not exported
+	PlanChanges        int                    // plan changes that this gateway knows
+	ReservedUnits      float64                // units of reservations held at this gateway
+	RemoteWriteSamples map[string]float64     // samples for remote write, by result; nil: remote write is off
+	RemoteWriteWaiting int                    // samples that wait to be sent by remote write
+	FleetTotals        []aggregate.FleetTotal // totals of all gateways, for the keys that this gateway owns
 }
 
-// PlanTotals is what the customers of a plan have at this gateway.
+// PlanTotals holds the totals of the customers of a plan at this gateway.
 type PlanTotals struct {
-	Level    float64 // units in their buckets
-	Headroom float64 // units up to their high-water marks
-	Share    float64 // mean share of rate and burst
+	Level    float64 // sum of the levels of their leaky buckets, in units
+	Headroom float64 // sum of the units between level and high-water mark
+	Share    float64 // mean share of rate and burst that this gateway has
 }
 
-// UsageBacklog is the outbox of usage.
+// UsageBacklog describes the outbox of usage records.
 type UsageBacklog struct {
-	Records           float64 // that the receiver is not known to have
-	Bytes             float64 // of the log
-	OpenAttempts      float64
-	UncoveredUnits    float64
-	UncoveredAttempts float64
-	Rejecting         bool
+	Records           float64 // records that the receiver has not acknowledged
+	Bytes             float64 // size of the outbox log
+	OpenAttempts      float64 // attempts without a settlement in the log
+	UncoveredUnits    float64 // units of attempts that were sent while the log could not be written
+	UncoveredAttempts float64 // attempts that were sent while the log could not be written
+	Rejecting         bool    // requests are rejected because their usage cannot be recorded
 }
 
+// newDesc returns the description of a metric; name lacks the common prefix.
 func newDesc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc(namePrefix+name, help, labels, nil)
 }
@@ -69,17 +70,21 @@
 	descUnresponsiveOwners = newDesc("homes_silent",
 		"Quota owners that are not asked for now, as they did not respond.")
 	descServers = newDesc("nodes",
-		"Servers by state; ejected: fails a class far more often than the best do; cold: in slow start.", "state")
+		"Servers by state; ejected: fails a class far more often than the best do; cold: in slow start.",
+		"state")
 	descDatagrams = newDesc("peer_datagrams_total",
 		"Datagrams to and from other gateways, by what became of them.", "result")
 	descFrontendRejections = newDesc("turned_away_total",
 		"Requests and handshakes that the front end rejected, by reason.", "reason")
 	descPlanLevel = newDesc("plan_level_units",
 		"Leaky-bucket levels of a plan's customers, at this gateway.", "plan")
-	descPlanHeadroom = newDesc("plan_room_units", "Units up to the high-water marks of these buckets.", "plan")
-	descPlanShare    = newDesc("plan_part_ratio",
+	descPlanHeadroom = newDesc("plan_room_units",
+		"Units up to the high-water marks of these buckets.",
+		"plan")
+	descPlanShare = newDesc("plan_part_ratio",
 		"Mean share of rate and burst that this gateway has of a plan's customers.", "plan")
-	descUsageRecords      = newDesc("export_owed_records", "Records that the usage receiver is not known to have.")
+	descUsageRecords = newDesc("export_owed_records",
+		"Records that the usage receiver is not known to have.")
 	descUsageBytes        = newDesc("export_log_bytes", "Bytes of the outbox log.")
 	descUsageOpenAttempts = newDesc("export_open_tries", "Attempts without a settlement in the log.")
 	descUncoveredUnits    = newDesc("export_uncovered_units_total",
@@ -103,29 +108,31 @@
 		"kind", "name", "replica")
 )
 
-// stateCollector implements prometheus.Collector on a view.
+// stateCollector implements prometheus.Collector for the metrics that are read from a View.
 type stateCollector struct {
 	view       func() View
 	maxMembers int
 
-	mu           sync.Mutex
-	namedMembers map[string]bool // whose totals have series of their own: the first ones that had any
+	mu sync.Mutex
+	// namedMembers are the members whose totals have series of their own: the first maxMembers members that
+	// had totals.
+	namedMembers map[string]bool
 }
 
 // Describe implements prometheus.Collector.
 func (c *stateCollector) Describe(descs chan<- *prometheus.Desc) {
 	for _, d := range []*prometheus.Desc{
-		descSessions, descOpenRequests, descPressure, descQueueLength, descLateResponses, descUnresponsiveOwners,
-		descServers, descDatagrams, descFrontendRejections, descPlanLevel, descPlanHeadroom, descPlanShare,
-		descUsageRecords, descUsageBytes, descUsageOpenAttempts, descUncoveredUnits, descUncoveredAttempts,
-		descUsageRejecting, descPlanChanges, descReservedUnits, descRemoteWriteWaiting, descRemoteWriteSamples,
-		descTotalRequests, descTotalUnits,
+		descSessions, descOpenRequests, descPressure, descQueueLength, descLateResponses,
+		descUnresponsiveOwners, descServers, descDatagrams, descFrontendRejections, descPlanLevel,
+		descPlanHeadroom, descPlanShare, descUsageRecords, descUsageBytes, descUsageOpenAttempts,
+		descUncoveredUnits, descUncoveredAttempts, descUsageRejecting, descPlanChanges, descReservedUnits,
+		descRemoteWriteWaiting, descRemoteWriteSamples, descTotalRequests, descTotalUnits,
 	} {
 		descs <- d
 	}
 }
 
-// sink takes the values of one gathering.
+// sink receives the metrics of one collection.
 type sink chan<- prometheus.Metric
 
 func (s sink) gauge(d *prometheus.Desc, value float64, labels ...string) {
@@ -186,7 +193,8 @@
 	s.gauge(descUsageRejecting, rejecting)
 }
 
-// fleetTotals adds up the members that share a label before it emits the series.
+// fleetTotals emits the totals of the fleet. It first adds up the members that share a label, because a
+// series may be emitted only once.
 func (c *stateCollector) fleetTotals(s sink, fleetTotals []aggregate.FleetTotal) {
 	type labels struct{ kind, name, replica string }
 	totals := map[labels]aggregate.Totals{}
@@ -213,8 +221,9 @@
 	}
 }
 
-// memberLabel returns the value of the name label of a member's totals. It never changes for a member: a total that
-// moved from one series to another would make a counter fall.
+// memberLabel returns the value of the name label for the totals of a member. The first maxMembers members
+// get their own name, all others share one. The value never changes for a member, because a counter would
+// decrease if a total moved from one series to another.
 func (c *stateCollector) memberLabel(member string) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,9 +1,10 @@
-// Package metrics is what a gateway counts and times for Prometheus: counters and native histograms that the event loop
-// feeds, and gauges that are read from the gateway's state when the registry is gathered.
+// Package metrics provides the Prometheus metrics of a gateway: counters and native histograms that the event
+// loop updates, and gauges that are read from the gateway's state when the registry is gathered.
 //
-// No label has values that a caller chooses: classes, plans and reasons are those of the settings and the program,
-// and the number of members with a series of their own is bounded. Names, labels and their fixed values never change;
-// TestNames pins them.
+// The number of series is bounded, because clients cannot choose label values: classes and plans come from
+// the settings, reasons are constants of the program, and only a limited number of members have series of
+// their own. Names of metrics, labels and fixed label values must never change; TestMetricNamesAreStable
+// checks them.
 package metrics
 
 import (
@@ -21,28 +22,30 @@
 	OutcomeAbandoned = "gone" // the client left before the final answer
 )
 
-// AttemptOK is the value of the outcome label of an attempt that was answered. All others are failures.
+// AttemptOK is the value of the outcome label of an attempt that received a response. All other values are
+// failures.
 const AttemptOK = "ok"
 
-// AfterOpen is the value of the after label of a retry while the attempt before it is in flight; else it is the
-// outcome of that attempt.
+// AfterOpen is the value of the after label of a retry that is sent while the previous attempt is still in
+// flight. Otherwise the value is the outcome of the previous attempt.
 const AfterOpen = "open"
 
 const (
-	// otherMember is the value of the member label that all members beyond the cap share.
+	// otherMember is the label value that all members share that have no series of their own.
 	otherMember = "_other"
-	// otherName is the value of the label for a class or plan that is not in the settings.
+	// otherName is the label value of all classes and plans that are not in the settings.
 	otherName = "other"
 )
 
-// Options bound the labels.
+// Options limits the label values.
 type Options struct {
-	Classes    []string
-	Plans      []string
-	MaxMembers int // with series of their own; the others share one, named "_other"
+	Classes    []string // classes of the settings; all others are counted as "other"
+	Plans      []string // plans of the settings; all others are counted as "other"
+	MaxMembers int      // members with series of their own; all others are counted as "_other"
 }
 
-// Set is the metrics of a gateway. Its methods are for the goroutine that owns it; the registry is for any.
+// Set holds the metrics of a gateway. Only the goroutine that owns a Set may call its methods. The registry
+// is safe for concurrent use.
 type Set struct {
 	Registry *prometheus.Registry
 
@@ -65,10 +68,11 @@
 	classes, plans  map[string]bool
 	maxMembers      int
 	members         map[string]memberCounters
-	overflowMembers map[string]bool // members beyond the cap
+	overflowMembers map[string]bool // members without series of their own
 }
 
-// Handles of series are kept by their labels, as the library hashes all labels to find one.
+// The following types are keys and values of maps of series. The maps avoid the lookup in the Prometheus
+// library, which hashes all label values.
 type (
 	requestLabels  struct{ class, plan, outcome string }
 	durationLabels struct{ class, outcome string }
@@ -80,7 +84,8 @@
 	memberCounters struct{ units, rejected prometheus.Counter }
 )
 
-// New returns a set. Its gauges are read from view, which is called for each gathering, by the goroutine that gathers.
+// New returns a Set with a new registry. Each gathering of the registry calls view, in the goroutine that
+// gathers, and reads the gauges from its result.
 func New(o Options, view func() View) *Set {
 	s := &Set{
 		Registry:          prometheus.NewRegistry(),
@@ -108,7 +113,7 @@
 	return s
 }
 
-// register creates and registers all metrics that the set counts itself.
+// register creates and registers the metrics that the methods of Set update.
 func (s *Set) register() {
 	s.requests = s.newCounter("calls_total", "Requests by their final answer; gone: the client left before it.",
 		"class", "plan", "outcome")
@@ -136,10 +141,11 @@
 		histogramOpts("loop_turn_duration_seconds", "Turns of the event loop."))
 	s.membersLeftOut = prometheus.NewGauge(prometheus.GaugeOpts{Name: namePrefix + "members_left_out",
 		Help: "Members whose use is counted under one name, as the cap on names is reached."})
-	s.Registry.MustRegister(s.requestDuration, s.attemptDuration, s.addedDuration, s.loopTurnDuration, s.membersLeftOut)
+	s.Registry.MustRegister(
+		s.requestDuration, s.attemptDuration, s.addedDuration, s.loopTurnDuration, s.membersLeftOut)
 }
 
-// namePrefix begins the names of all metrics.
+// namePrefix is the prefix of all metric names.
 const namePrefix = "winghatch_"
 
 func (s *Set) newCounter(name, help string, labels ...string) *prometheus.CounterVec {
@@ -149,15 +155,18 @@
 }
 
 const (
-	// histogramBucketFactor is the ratio of the bounds of a bucket: a quantile is known within a tenth.
+	// histogramBucketFactor is the largest ratio of the upper to the lower bound of a bucket. It limits the
+	// error of a quantile to a tenth.
 	histogramBucketFactor = 1.1
-	// maxHistogramBuckets keeps a series at a few hundred bytes, however long the tail of the distribution is.
+	// maxHistogramBuckets limits the size of a series to a few hundred bytes even if the distribution has a
+	// long tail.
 	maxHistogramBuckets = 160
-	// histogramResetInterval is the least time between two resets of a histogram that has more buckets than that.
+	// histogramResetInterval is the shortest time between two resets of a histogram that has more than
+	// maxHistogramBuckets buckets.
 	histogramResetInterval = time.Hour
 )
 
-// histogramOpts are those of a native histogram.
+// histogramOpts returns the options of a native histogram; name lacks the common prefix.
 func histogramOpts(name, help string) prometheus.HistogramOpts {
 	return prometheus.HistogramOpts{
 		Name:                            namePrefix + name,
@@ -168,18 +177,18 @@
 	}
 }
 
-// Request is a request that is finished.
+// Request describes a request that has ended.
 type Request struct {
 	Class, Plan, Member string
-	Outcome             string  // one of the constants
-	Reason              string  // of a rejected one
-	Units               float64 // of a served one
-	Duration            time.Duration
-	AttemptDuration     time.Duration // of the attempt that served it
-	TraceID             string        // of its trace, if that is exported
+	Outcome             string        // one of the Outcome constants
+	Reason              string        // reason of the rejection, if Outcome is OutcomeRejected
+	Units               float64       // units of the response, if Outcome is OutcomeServed
+	Duration            time.Duration // time from arrival to the final answer
+	AttemptDuration     time.Duration // duration of the attempt that served the request, if any
+	TraceID             string        // trace that is exported, used as exemplar; empty: none
 }
 
-// RequestEnded counts a request.
+// RequestEnded counts a request and its duration.
 func (s *Set) RequestEnded(r Request) {
 	class, plan := nameOrOther(s.classes, r.Class), nameOrOther(s.plans, r.Plan)
 	s.requestCounter(requestLabels{class, plan, r.Outcome}).Inc()
@@ -200,7 +209,7 @@
 	}
 }
 
-// AttemptEnded counts an attempt.
+// AttemptEnded counts an attempt and its duration.
 func (s *Set) AttemptEnded(class, outcome string, duration time.Duration) {
 	labels := attemptLabels{nameOrOther(s.classes, class), outcome}
 	handle, ok := s.attemptHandles[labels]
@@ -215,22 +224,23 @@
 	handle.duration.Observe(duration.Seconds())
 }
 
-// RetrySent counts an attempt beyond a request's first. after is AfterOpen or the outcome of the attempt before it.
+// RetrySent counts an attempt that is not the first of its request. after is AfterOpen or the outcome of the
+// previous attempt.
 func (s *Set) RetrySent(after string) { s.retries.WithLabelValues(after).Inc() }
 
-// LoopTurn times a turn of the event loop.
+// LoopTurn records the duration of a turn of the event loop.
 func (s *Set) LoopTurn(duration time.Duration) { s.loopTurnDuration.Observe(duration.Seconds()) }
 
-// grantMessageKinds are the values of the kind label by the first byte of a message between a gateway and a quota
-// owner.
+// grantMessageKinds maps the first byte of a message between a gateway and a quota owner to the value of its
+// kind label.
 var grantMessageKinds = map[byte]string{
 	'a': "ask",    // grant request
 	'r': "answer", // grant reply
 	'd': "settle", // release
 }
 
-// GrantMessage counts a message to or from another gateway, if it is one between a gateway and a quota owner.
-// direction is in or out.
+// GrantMessage counts a message between a gateway and a quota owner. It ignores other messages between
+// gateways. direction is "in" or "out".
 func (s *Set) GrantMessage(text, direction string) {
 	if len(text) == 0 {
 		return
@@ -258,7 +268,7 @@
 	return o
 }
 
-// member returns the counters of a member, or those that all members beyond the cap share.
+// member returns the counters of a member, or the shared counters if the member has no series of its own.
 func (s *Set) member(name string) memberCounters {
 	if m, ok := s.members[name]; ok {
 		return m
@@ -278,6 +288,7 @@
 	return m
 }
 
+// nameOrOther returns name if names contains it, and otherName if not.
 func nameOrOther(names map[string]bool, name string) string {
 	if names[name] {
 		return name
