--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -10,7 +10,7 @@
 	dto "github.com/prometheus/client_model/go"
 )
 
-// newFullSet returns a set whose view has something of all that may be absent.
+// newFullSet returns a set whose view contains every metric that may be absent.
 func newFullSet() *Set {
 	return New(Options{Classes: []string{"look"}, Plans: []string{"p"}, MaxMembers: 3}, func() View {
 		return View{
@@ -24,9 +24,10 @@
 	})
 }
 
-var servedRequest = Request{Class: "look", Plan: "p", Member: "m", Outcome: "served", Units: 2, Duration: time.Second,
-	AttemptDuration: time.Millisecond}
+var servedRequest = Request{Class: "look", Plan: "p", Member: "m", Outcome: "served", Units: 2,
+	Duration: time.Second, AttemptDuration: time.Millisecond}
 
+// gather returns all metric families of a set by name.
 func gather(t *testing.T, s *Set) map[string]*dto.MetricFamily {
 	t.Helper()
 	families, err := s.Registry.Gather()
@@ -40,8 +41,9 @@
 	return out
 }
 
-// TestLint has names, units and help texts checked by Prometheus' own linter.
-func TestLint(t *testing.T) {
+// Names, units and help texts that break the conventions of Prometheus confuse operators and tools. The test
+// checks all metrics with the Prometheus linter, and that the linter does find a bad name.
+func TestMetricsPassPromlint(t *testing.T) {
 	s := newFullSet()
 	s.RequestEnded(servedRequest)
 	s.RequestEnded(Request{Class: "look", Plan: "p", Member: "m", Outcome: "refused", Reason: "shed"})
@@ -65,23 +67,25 @@
 		t.Errorf("%s: %s", p.Metric, p.Text)
 	}
 	if n < 30 {
-		t.Errorf("%d families, want all", n)
+		t.Errorf("got %d metric families, want at least 30", n)
 	}
 	bad := New(Options{}, func() View { return View{} })
 	bad.Registry.MustRegister(counterNamed("winghatch_callsCount"))
 	var f []*dto.MetricFamily
 	f = append(f, gather(t, bad)["winghatch_callsCount"])
 	if p, _ := promlint.NewWithMetricFamilies(f).Lint(); len(p) == 0 {
-		t.Error("the linter finds nothing in a bad name")
+		t.Error("the linter accepted a bad metric name")
 	}
 }
 
-// TestLabelsAreBounded counts requests of 50,000 members, classes and plans: the series stay few and no unit is lost.
+// If every member, class and plan had series of its own, clients could exhaust the memory of the gateway and
+// of Prometheus. The test counts requests of 50,000 members, classes and plans: the number of series must
+// stay small and no unit may be lost.
 func TestLabelsAreBounded(t *testing.T) {
 	s := newFullSet()
 	for i := range 50000 {
-		s.RequestEnded(Request{Class: fmt.Sprint("c", i), Plan: fmt.Sprint("p", i), Member: fmt.Sprint("m", i),
-			Outcome: "served", Units: 1})
+		s.RequestEnded(Request{Class: fmt.Sprint("c", i), Plan: fmt.Sprint("p", i),
+			Member: fmt.Sprint("m", i), Outcome: "served", Units: 1})
 	}
 	f := gather(t, s)
 	series := 0
@@ -89,17 +93,18 @@
 		series += len(x.Metric)
 	}
 	if series > 150 {
-		t.Errorf("%d series", series)
+		t.Errorf("got %d series, want at most 150", series)
 	}
 	if got := f["winghatch_members_left_out"].Metric[0].GetGauge().GetValue(); got != 49997 {
-		t.Errorf("%v members left out, want 49997", got)
+		t.Errorf("got %v members without series of their own, want 49997", got)
 	}
 	sum := 0.0
 	for _, m := range f["winghatch_member_units_total"].Metric {
 		sum += m.GetCounter().GetValue()
 	}
 	if sum != 50000 || len(f["winghatch_member_units_total"].Metric) != 4 {
-		t.Errorf("%v units over %d names, want 50000 over 4", sum, len(f["winghatch_member_units_total"].Metric))
+		t.Errorf("got %v units in %d series, want 50000 in 4", sum,
+			len(f["winghatch_member_units_total"].Metric))
 	}
 }
 
@@ -107,7 +112,7 @@
 	return prometheus.NewCounter(prometheus.CounterOpts{Name: name})
 }
 
-func BenchmarkFinal(b *testing.B) {
+func BenchmarkRequestEnded(b *testing.B) {
 	s := newFullSet()
 	for b.Loop() {
 		s.RequestEnded(servedRequest)
--- a/internal/metrics/names_test.go
+++ b/internal/metrics/names_test.go
@@ -11,9 +11,10 @@
 	"winghatch/internal/aggregate"
 )
 
-// TestNames pins the names, types, labels and fixed label values of all metrics. Dashboards, alerts and stored series
-// know them, so they never change; a new one is added to the file by hand.
-func TestNames(t *testing.T) {
+// Dashboards, alerts and stored series refer to the names, types, labels and fixed label values of all
+// metrics, so a change would break them. The test compares all of these with testdata/names.txt. A new metric
+// is added to that file by hand.
+func TestMetricNamesAreStable(t *testing.T) {
 	s := New(Options{Classes: []string{"look"}, Plans: []string{"p"}, MaxMembers: 3}, func() View {
 		return View{
 			Servers:            map[string]int{"cold": 1},
@@ -38,7 +39,7 @@
 	var lines []string
 	for name, family := range gather(t, s) {
 		if !strings.HasPrefix(name, "winghatch_") {
-			continue // of the Go runtime and the process
+			continue // metric of the Go runtime or the process
 		}
 		for _, series := range family.Metric {
 			line := name + " " + strings.ToLower(family.GetType().String())
@@ -54,6 +55,6 @@
 		t.Fatal(err)
 	}
 	if got := strings.Join(lines, ""); got != string(want) {
-		t.Errorf("metrics are\n%s, want\n%s", got, want)
+		t.Errorf("got metrics\n%s\nwant\n%s", got, want)
 	}
 }
