--- a/internal/tracing/context.go
+++ b/internal/tracing/context.go
@@ -9,28 +9,30 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// Context is the place of a request in a trace.
+// Context identifies the trace and the span of a request.
 type Context struct {
 	Trace   trace.TraceID
-	Parent  trace.SpanID // the client's; zero: it gave none
-	Span    trace.SpanID // the request's own
-	Sampled bool         // by the client
+	Parent  trace.SpanID // span of the client; zero: the client sent none
+	Span    trace.SpanID // span of the request
+	Sampled bool         // whether the client samples the trace
 }
 
-// StartContext reads a client's traceparent (W3C Trace Context, section 3.2). Without one, or with one that is
-// malformed, it starts a trace of its own.
+// StartContext returns the context of a new request with the given traceparent header (W3C Trace Context,
+// section 3.2). If the header is empty or malformed, the request starts a new trace, whose id is drawn from
+// random.
 func StartContext(traceparent string, random *rand.Rand) Context {
 	c := Context{Span: NewSpanID(random)}
 	if c.parse(traceparent) {
 		return c
 	}
 	binary.BigEndian.PutUint64(c.Trace[:8], random.Uint64())
-	binary.BigEndian.PutUint64(c.Trace[8:], random.Uint64()|1) // an id of zeros would be invalid
+	binary.BigEndian.PutUint64(c.Trace[8:], random.Uint64()|1) // an id of zeros is invalid
 	return c
 }
 
-// parse takes the fields of a traceparent, if it is well formed: version, trace id, span id and flags in hexadecimal. A
-// later version may have more fields; version ff is invalid.
+// parse sets the trace, the parent and the sampled flag from a traceparent: version, trace id, span id and
+// flags, all in hexadecimal. If the traceparent is malformed, parse returns false and changes nothing. A
+// later version may have more fields. Version ff is invalid.
 func (c *Context) parse(traceparent string) bool {
 	fields := strings.Split(traceparent, "-")
 	if len(fields) < 4 || len(fields[0]) != 2 || fields[0] == "ff" ||
@@ -54,13 +56,14 @@
 	return true
 }
 
-// NewSpanID draws the id of a span. It is never zero, which would be invalid.
+// NewSpanID returns a random span id. It is never zero, because a zero id is invalid.
 func NewSpanID(random *rand.Rand) (id trace.SpanID) {
 	binary.BigEndian.PutUint64(id[:], random.Uint64()|1)
 	return id
 }
 
-// Traceparent returns what a server is sent with an attempt, whose span is given.
+// Traceparent returns the traceparent header that is sent to a server with an attempt. span is the span of
+// the attempt.
 func (c Context) Traceparent(span trace.SpanID) string {
 	flags := "00"
 	if c.Sampled {
@@ -69,5 +72,5 @@
 	return "00-" + c.Trace.String() + "-" + span.String() + "-" + flags
 }
 
-// SamplingKey returns the part of the trace's id that the sampler decides by.
+// SamplingKey returns the low 64 bits of the trace id, by which Sampler.Sample decides.
 func (c Context) SamplingKey() uint64 { return binary.BigEndian.Uint64(c.Trace[8:]) }
--- a/internal/tracing/exporter.go
+++ b/internal/tracing/exporter.go
@@ -1,7 +1,7 @@
-// Package tracing exports requests as OpenTelemetry traces: a span for the request, one for its wait for a quota
-// owner, one for each attempt. The spans are made when the request is finished, from times that the event loop has
-// anyway, so that a request that is not sampled costs two random numbers. The context is W3C Trace Context, taken
-// from clients and passed on to servers.
+// Package tracing exports requests as OpenTelemetry traces. A trace has a span for the request, one for the
+// wait for a quota owner, and one for each attempt. The spans are created after the request has ended, from
+// times that the event loop records in any case, so that a request that is not sampled costs only two random
+// numbers. The trace context (W3C Trace Context) is received from clients and sent on to servers.
 package tracing
 
 import (
@@ -19,60 +19,65 @@
 	"go.opentelemetry.io/otel/trace"
 )
 
-// batchTimeout is how long a span waits for others of its batch.
+// batchTimeout is the longest time that a span waits for its batch to fill.
 const batchTimeout = time.Second
 
-// Outcomes of a request and an attempt that have a meaning for the status of their spans.
+// Outcomes that determine the status of a span: a request with the outcome requestFailed and an attempt with
+// any outcome other than attemptOK get the status error.
 const (
 	requestFailed = "failed"
 	attemptOK     = "ok"
 )
 
-// Request is a request that is finished.
+// Request describes a request that has ended.
 type Request struct {
 	Context
-	RequestID     string // id
+	RequestID     string
 	Class         string
 	Member        string
 	Plan          string
 	Outcome       string
-	Reason        string // of a rejected one
-	Units         float64
-	Reserved      bool
-	Start, End    time.Time
+	Reason        string    // reason of the rejection; empty: the request was not rejected
+	Units         float64   // units of the response
+	Reserved      bool      // whether the request used a reservation
+	Start, End    time.Time // arrival and final answer
 	FirstAttempt  time.Time // start of the first attempt; zero: there was none
-	HasQuotaOwner bool      // it waited for a quota owner before its first attempt
+	HasQuotaOwner bool      // whether the time before the first attempt is a wait for a quota owner
 	Attempts      []Attempt
 }
 
-// Attempt is an attempt of a request.
+// Attempt describes an attempt of a request.
 type Attempt struct {
 	Span            trace.SpanID
 	Server          string
 	Outcome         string
-	PreviousOutcome string // of the attempt before; empty: it was the first
+	PreviousOutcome string // outcome of the previous attempt; empty: this is the first attempt
 	Start, End      time.Time
 }
 
-// Options configure an exporter.
+// Options configures an Exporter.
 type Options struct {
-	URL            string // of an OTLP receiver, http://host:port/v1/traces
-	Fleet          string
-	Gateway        int           // rank
-	MaxQueuedSpans int           // spans that wait at most; more are dropped
-	Timeout        time.Duration // of a request to the receiver
-	Log            *slog.Logger  // nil: failures are not logged
+	URL            string        // OTLP receiver, such as http://host:port/v1/traces
+	Fleet          string        // name of the fleet
+	Gateway        int           // rank of the gateway
+	MaxQueuedSpans int           // spans that may wait to be sent; further spans are dropped
+	Timeout        time.Duration // time limit for a request to the receiver
+	Log            *slog.Logger  // logs failures; nil: the library's error handler is not changed
 }
 
-// Exporter sends traces, in goroutines of the OpenTelemetry library that Close ends.
+// Exporter sends traces to an OTLP receiver. The OpenTelemetry library sends them in its own goroutines,
+// which run until Close.
 type Exporter struct {
 	provider *sdk.TracerProvider
 	tracer   trace.Tracer
 }
 
-// New returns an exporter. Its Export never blocks: spans that don't fit into the queue are dropped.
+// New returns an Exporter. Its Export method never blocks: spans that do not fit into the queue are dropped.
+// If o.Log is not nil, New sets the error handler of the OpenTelemetry library for the whole process. An
+// error means that the client of the receiver could not be created.
 func New(ctx context.Context, o Options) (*Exporter, error) {
-	client, err := otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(o.URL), otlptracehttp.WithTimeout(o.Timeout))
+	client, err := otlptracehttp.New(ctx,
+		otlptracehttp.WithEndpointURL(o.URL), otlptracehttp.WithTimeout(o.Timeout))
 	if err != nil {
 		return nil, err
 	}
@@ -84,7 +89,7 @@
 	provider := sdk.NewTracerProvider(
 		sdk.WithBatcher(client, sdk.WithMaxQueueSize(o.MaxQueuedSpans), sdk.WithBatchTimeout(batchTimeout)),
 		sdk.WithIDGenerator(contextIDs{}),
-		sdk.WithSampler(sdk.AlwaysSample()), // the sampling is Sampler's
+		sdk.WithSampler(sdk.AlwaysSample()), // Sampler has already selected the requests
 		sdk.WithResource(resource.NewSchemaless(
 			attribute.String("service.name", "winghatch"),
 			attribute.String("service.namespace", o.Fleet),
@@ -94,10 +99,10 @@
 	return &Exporter{provider, provider.Tracer("winghatch/gateway")}, nil
 }
 
-// Close sends the spans that wait until ctx ends, and ends the exporter's goroutines.
+// Close sends the spans that wait, until ctx ends at the latest, and stops the goroutines of the exporter.
 func (e *Exporter) Close(ctx context.Context) error { return e.provider.Shutdown(ctx) }
 
-// Export makes the spans of a request.
+// Export queues the spans of a request.
 func (e *Exporter) Export(r Request) {
 	ctx := context.Background()
 	if r.Parent.IsValid() {
@@ -135,19 +140,21 @@
 	span.End(trace.WithTimestamp(r.End))
 }
 
-// waitSpanName is the name of the span of the wait for a quota owner. Searches and dashboards know it, so it never
-// changes.
+// waitSpanName is the name of the span of the wait for a quota owner. It must not change, because searches
+// and dashboards use it.
 const waitSpanName = "wait at home"
 
-// exportWait makes the span of the wait for a quota owner. Its id is made from the request's, as none was drawn for it.
+// exportWait queues the span of the wait for a quota owner. The span id is derived from that of the request,
+// because no random id was drawn for it.
 func (e *Exporter) exportWait(ctx context.Context, r *Request) {
-	const idMask = 0x5bd1e995 // any that is not 0
+	const idMask = 0x5bd1e995 // any value except 0, so that the two ids differ
 	var id trace.SpanID
 	binary.BigEndian.PutUint64(id[:], binary.BigEndian.Uint64(r.Span[:])^idMask)
 	_, span := e.tracer.Start(withIDs(ctx, r.Trace, id), waitSpanName, trace.WithTimestamp(r.Start))
 	span.End(trace.WithTimestamp(r.FirstAttempt))
 }
 
+// exportAttempt queues the span of an attempt. number counts the attempts of the request from 0.
 func (e *Exporter) exportAttempt(ctx context.Context, traceID trace.TraceID, number int, a *Attempt) {
 	_, span := e.tracer.Start(withIDs(ctx, traceID, a.Span), "attempt",
 		trace.WithTimestamp(a.Start),
@@ -166,7 +173,8 @@
 	span.End(trace.WithTimestamp(a.End))
 }
 
-// contextIDs gives spans the ids that withIDs put into the context: servers got them before the spans are made.
+// contextIDs implements sdk.IDGenerator. It returns the ids that withIDs stored in the context. The library
+// must not generate its own, because servers received the ids before the spans are created.
 type contextIDs struct{}
 
 type (
@@ -177,6 +185,7 @@
 	}
 )
 
+// withIDs returns a context with the ids of the next span to be started.
 func withIDs(ctx context.Context, traceID trace.TraceID, spanID trace.SpanID) context.Context {
 	return context.WithValue(ctx, idsKey{}, spanIDs{traceID, spanID})
 }
--- a/internal/tracing/sampler.go
+++ b/internal/tracing/sampler.go
@@ -2,23 +2,29 @@
 
 import "time"
 
-// Sampler decides which requests are exported as traces, when they are finished and it is known what became of them:
-// of those that were rejected, failed or late all, up to a rate; of the others a ratio by the trace's id, so that all
-// services of a trace decide alike. It has no clock and no random source, and is not safe for concurrent use.
+// Sampler decides which requests are exported as traces. It decides when a request has ended, because the
+// decision depends on the outcome:
+//   - Requests that were rejected, failed or late are all sampled, up to a rate.
+//   - Of the other requests, a fraction is sampled. The decision depends only on the trace id, so that all
+//     services of a trace decide alike.
+//
+// A Sampler uses no clock and no random source. It is not safe for concurrent use.
 type Sampler struct {
-	Ratio   float64 // of requests that were served in time, from 0 to 1
-	MaxRate float64 // of all others, traces a second; those of a second at once
+	Ratio   float64 // fraction of the requests served in time that is sampled, from 0 to 1
+	MaxRate float64 // traces per second of all other requests; also the burst, but at least 1 trace
 
-	tokens    float64 // traces
-	updatedAt time.Duration
-	started   bool
+	// tokens is the content of a token bucket that limits the rate; a trace takes one token.
+	tokens    float64
+	updatedAt time.Duration // time at which tokens was computed
+	started   bool          // the bucket has been filled for the first time
 }
 
-// Sample decides on a request that is finished now. failed: it was rejected, failed or late. requested: its client
-// samples the trace. id is Context.SamplingKey.
-func (s *Sampler) Sample(now time.Duration, failed, requested bool, id uint64) bool {
+// Sample reports whether a request that ended at now is exported. failed says that the request was rejected,
+// failed or late. clientSampled says that the client samples the trace; such a request is always exported. id
+// is the Context.SamplingKey of the request.
+func (s *Sampler) Sample(now time.Duration, failed, clientSampled bool, id uint64) bool {
 	if !failed {
-		return requested || fraction(id) < s.Ratio
+		return clientSampled || fraction(id) < s.Ratio
 	}
 	if !s.started {
 		s.started, s.tokens, s.updatedAt = true, s.MaxRate, now
@@ -26,11 +32,11 @@
 	s.tokens = min(max(s.MaxRate, 1), s.tokens+s.MaxRate*(now-s.updatedAt).Seconds())
 	s.updatedAt = now
 	if s.tokens < 1 {
-		return requested
+		return clientSampled
 	}
 	s.tokens--
 	return true
 }
 
-// fraction maps an id to a number from 0 to 1, by as many bits as a float64 holds.
+// fraction maps an id to a number of at least 0 and less than 1. It uses the 53 bits that a float64 can hold.
 func fraction(id uint64) float64 { return float64(id>>11) / (1 << 53) }
