--- a/internal/config/blocks.go
+++ b/internal/config/blocks.go
@@ -24,6 +24,7 @@
 	minLogBytes = 4 << 20
 )
 
+// fleetFields returns the functions that read the settings of the fleet node into f.
 func (d *decoder) fleetFields(f *Fleet) decode.Fields {
 	c := &f.Decide
 	levels := map[string]string{"debug": "debug", "info": "info", "warn": "warn", "error": "error"}
@@ -42,6 +43,7 @@
 	}
 }
 
+// fleetBlocks returns the functions that read the blocks of the fleet node into f.
 func (d *decoder) fleetBlocks(f *Fleet) decode.Blocks {
 	c := &f.Decide
 	return decode.Blocks{
@@ -80,7 +82,7 @@
 	}
 }
 
-// The names of these values in documents.
+// The names in documents of the values of enumerated settings.
 var (
 	idempotencies = map[string]decide.Idempotency{
 		"safe": decide.Idempotent, "keyed": decide.IdempotentByKey, "unsafe": decide.NotIdempotent}
--- a/internal/config/decode/decode.go
+++ b/internal/config/decode/decode.go
@@ -153,8 +153,7 @@
 }
 
 // unknown adds an error for an unknown name. The error suggests the known name with the smallest edit
-// distance, unless that distance is more than half the length of name plus one. Then it lists all known
-// names.
+// distance. If that distance is more than len(name)/2 + 1, the error lists all known names instead.
 func (d *Decoder) unknown(p kdl.Pos, at, name string, f Fields, b Blocks) {
 	nearest, distance := "", len(name)/2+2
 	for _, known := range names(f, b) {
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -19,12 +19,12 @@
 // Fleet holds the settings that all gateways of a fleet share.
 type Fleet struct {
 	Name     string
-	Secret   credentials.Secret // keys the hashes of member keys, datagrams and operator requests
+	Secret   credentials.Secret // key of the hashes of member keys, datagrams and operator requests
 	Decide   decide.Config      // Rank and Zone are not set; see DecideConfig
 	Gateways []Gateway          // indexed by rank
 	Members  []Member
 
-	EndpointList string // host:port of the server of the endpoint list; empty: there is no list
+	EndpointList string // address from which the endpoint list is read, host:port; empty: there is no list
 	// EndpointListPattern is the file that caches the last endpoint list, with %d for the rank. Empty means
 	// that the list is not cached.
 	EndpointListPattern string
@@ -141,13 +141,13 @@
 	return c, err
 }
 
-// StateDir returns the directory of the state that the gateway with the given rank keeps over restarts. It is
-// empty if StateDirPattern is empty.
+// StateDir returns the directory of the state that the gateway with the given rank keeps across restarts. It
+// is empty if StateDirPattern is empty.
 func (f *Fleet) StateDir(rank int) string {
 	return strings.ReplaceAll(f.StateDirPattern, rankPlaceholder, strconv.Itoa(rank))
 }
 
-// defaults returns a Fleet with the values of optional settings.
+// defaults returns a Fleet whose optional settings have their default values.
 func defaults() *Fleet {
 	f := &Fleet{
 		Caps: ResourceLimits{
--- a/internal/config/kdl/grammar.go
+++ b/internal/config/kdl/grammar.go
@@ -16,6 +16,8 @@
 	ident = `[^` + nonIdentChars + `]+`
 )
 
+// lex splits a document into tokens. The parser ignores the tokens whose names start with a lower-case
+// letter: white space and block comments.
 var lex = lexer.MustStateful(lexer.Rules{
 	"Root": {
 		{Name: "BOM", Pattern: `\x{FEFF}`},
@@ -46,8 +48,7 @@
 	},
 })
 
-// The following types define the grammar: participle builds the parser from their struct tags. The parser
-// ignores white space.
+// The following types define the grammar: participle builds the parser from their struct tags.
 
 // document is a whole document.
 type document struct {
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -16,8 +16,8 @@
 	"winghatch/internal/credentials"
 )
 
-// Load reads and validates the settings in file. If the content is invalid, the error is a decode.Errors that
-// lists all problems. Otherwise, an error is that of reading the file.
+// Load reads and validates the settings in file. It returns the error of os.ReadFile if the file cannot be
+// read, and the error of Parse if the content is invalid.
 func Load(file string) (*Fleet, error) {
 	src, err := os.ReadFile(file)
 	if err != nil {
@@ -27,7 +27,8 @@
 }
 
 // Parse reads and validates the settings in src. file is the file name used in errors; it is not opened. The
-// error, if any, is a decode.Errors that lists all problems.
+// error, if any, is a decode.Errors. It contains all invalid fields, or only the first error if the document
+// is not valid KDL.
 func Parse(file string, src []byte) (*Fleet, error) {
 	nodes, err := decode.Parse(file, src)
 	if err != nil {
--- a/internal/credentials/hash.go
+++ b/internal/credentials/hash.go
@@ -70,7 +70,8 @@
 // String returns the digest in the form that settings use: "blake3:" and the hexadecimal digits.
 func (d Digest) String() string { return digestPrefix + hex.EncodeToString(d[:]) }
 
-// ParseDigest parses a digest in the form that String returns. Any other text is an error.
+// ParseDigest parses a digest in the form that String returns; the hexadecimal digits may also be in upper
+// case. It returns an error for any other text.
 func ParseDigest(s string) (d Digest, err error) {
 	digits, ok := strings.CutPrefix(s, digestPrefix)
 	raw, err := hex.DecodeString(digits)
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -31,7 +31,7 @@
 const AfterOpen = "open"
 
 const (
-	// otherMember is the label value that all members share that have no series of their own.
+	// otherMember is the label value of all members without series of their own.
 	otherMember = "_other"
 	// otherName is the label value of all classes and plans that are not in the settings.
 	otherName = "other"
