--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -40,8 +40,9 @@
 `
 }
 
-// Settings must be read into the right fields and units, and Format must write a document that reads back as
-// an equal Fleet.
+// A setting that is read into the wrong field or unit, or that Format writes differently from what was read,
+// changes the behavior of a gateway unnoticed. The test checks settings of several kinds, and that the output
+// of Format reads back as an equal Fleet.
 func TestDocumentIsReadAndWritten(t *testing.T) {
 	f, err := Parse("f", []byte(validDocument()))
 	if err != nil {
@@ -50,7 +51,7 @@
 	if f.Decide.Plans[0].Rate != 1.5 || f.Decide.Classes[1].DedupScope != decide.DedupInZone ||
 		f.Decide.Classes[1].DedupWindow != 1500*time.Millisecond ||
 		f.Caps.MaxMessageBytes != 64<<10 || f.Members[0].First != 1 {
-		t.Errorf("%+v", f)
+		t.Errorf("got fleet %+v", f)
 	}
 	back, err := Parse("f", Format(f))
 	if err != nil || !reflect.DeepEqual(f, back) {
--- a/internal/config/kdl/kdl_test.go
+++ b/internal/config/kdl/kdl_test.go
@@ -13,7 +13,7 @@
 	t.Helper()
 	nodes, err := Parse("f", []byte("n "+in))
 	if err != nil || len(nodes) != 1 || len(nodes[0].Args) != 1 {
-		t.Fatalf("%s: %v, %v", in, nodes, err)
+		t.Fatalf("%s: got nodes %v, error %v; want one argument", in, nodes, err)
 	}
 	return nodes[0].Args[0]
 }
@@ -60,15 +60,15 @@
 		t.Fatal(err)
 	}
 	if len(nodes) != 2 || nodes[1].Name != "d" || len(nodes[1].Children) != 0 {
-		t.Fatalf("%+v", nodes)
+		t.Fatalf("got nodes %+v", nodes)
 	}
 	a := nodes[0]
 	if len(a.Args) != 2 || a.Args[1].Kind != Null || len(a.Props) != 1 || !a.Props[0].Value.Bool ||
 		len(a.Children) != 2 {
-		t.Errorf("%+v", a)
+		t.Errorf("got node %+v", a)
 	}
 	if c := a.Children[1]; c.Type != "t" || c.Args[0].Type != "u" || c.Pos.Line != 6 {
-		t.Errorf("%+v", c)
+		t.Errorf("got child %+v", c)
 	}
 }
 
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -165,7 +165,7 @@
 // listNames returns the names of a set, sorted and separated by commas, for an error message.
 func listNames(set map[string]bool) string {
 	if len(set) == 0 {
-		return "none (none is given)"
+		return "(none defined)"
 	}
 	return strings.Join(decode.SortedKeys(set), ", ")
 }
