--- a/internal/config/blocks.go
+++ b/internal/config/blocks.go
@@ -17,12 +17,14 @@
 )
 
 const (
-	maxInteger = math.MaxInt32 // bounds numbers that have no bound of their own
-	// minLogBytes is the smallest bound on the usage export's log. It is a multiple of the log's smallest segment and of
-	// the reserve for settlements in package gateway.
+	// maxInteger is the upper bound of numbers that have no bound of their own.
+	maxInteger = math.MaxInt32
+	// minLogBytes is the smallest valid UsageExport.MaxLogBytes. It is a multiple of the log's smallest
+	// segment and of the space that package gateway reserves for settlements.
 	minLogBytes = 4 << 20
 )
 
+// fleetFields returns the functions that read the settings of the fleet node into f.
 func (d *decoder) fleetFields(f *Fleet) decode.Fields {
 	c := &f.Decide
 	levels := map[string]string{"debug": "debug", "info": "info", "warn": "warn", "error": "error"}
@@ -41,19 +43,20 @@
 	}
 }
 
+// fleetBlocks returns the functions that read the blocks of the fleet node into f.
 func (d *decoder) fleetBlocks(f *Fleet) decode.Blocks {
 	c := &f.Decide
 	return decode.Blocks{
-		"zone": func(at string, n *kdl.Node) { d.Named(at, n, d.zones) },
+		"zone": func(at string, n *kdl.Node) { d.BlockName(at, n, d.zones) },
 		"class": func(at string, n *kdl.Node) {
-			c.Classes = append(c.Classes, d.class(d.Named(at, n, d.classNames), n))
+			c.Classes = append(c.Classes, d.class(d.BlockName(at, n, d.classNames), n))
 		},
 		"plan": func(at string, n *kdl.Node) {
-			c.Plans = append(c.Plans, d.plan(d.Named(at, n, d.planNames), n))
+			c.Plans = append(c.Plans, d.plan(d.BlockName(at, n, d.planNames), n))
 		},
 		"gateway": func(at string, n *kdl.Node) { f.Gateways = append(f.Gateways, d.gateway(at, n)) },
 		"member": func(at string, n *kdl.Node) {
-			name := d.Named(at, n, d.memberNames)
+			name := d.BlockName(at, n, d.memberNames)
 			d.members = append(d.members, memberBlock{"member " + name, n.Pos, d.member(name, n)})
 		},
 		"limits":   func(at string, n *kdl.Node) { d.limits(at, n, &c.Limits) },
@@ -70,7 +73,8 @@
 	return func(s decode.Setting) {
 		raw, err := hex.DecodeString(s.Value.Text)
 		if err != nil || len(raw) != len(to) {
-			d.Fail(s.Value.Pos, s.Field, "%d characters, want %d hexadecimal ones (winghatch key secret makes them)",
+			d.Fail(s.Value.Pos, s.Field,
+				"%d characters, want %d hexadecimal digits from \"winghatch key secret\"",
 				len(s.Value.Text), 2*len(to))
 			return
 		}
@@ -78,6 +82,7 @@
 	}
 }
 
+// The names in documents of the values of enumerated settings.
 var (
 	idempotencies = map[string]decide.Idempotency{
 		"safe": decide.Idempotent, "keyed": decide.IdempotentByKey, "unsafe": decide.NotIdempotent}
@@ -104,9 +109,9 @@
 	}, nil, "effect", "aim", "deadline")
 	switch {
 	case c.Idempotency == decide.IdempotentByKey && c.DedupWindow == 0:
-		d.Fail(n.Pos, at+".window", "missing, the effect is keyed")
+		d.Fail(n.Pos, at+".window", "missing, required because the effect is keyed")
 	case c.Idempotency != decide.IdempotentByKey && (c.DedupWindow > 0 || scopeGiven):
-		d.Fail(n.Pos, at+".effect", "not keyed, yet window or group is given")
+		d.Fail(n.Pos, at+".effect", "not keyed, but window or group is given")
 	case c.Deadline > 0 && c.Deadline < c.LatencyObjective:
 		d.Fail(n.Pos, at+".deadline", "%v, want the aim of %v or more", c.Deadline, c.LatencyObjective)
 	}
@@ -134,7 +139,7 @@
 }
 
 func (d *decoder) gateway(at string, n *kdl.Node) (g Gateway) {
-	d.Plain(at, n)
+	d.RejectArguments(at, n)
 	d.Block(at, n, decode.Fields{
 		"listen":    decode.Address(&g.Listen),
 		"peer":      decode.Address(&g.GossipAddress),
@@ -171,13 +176,13 @@
 		},
 	}, "plan")
 	if len(m.Keys) == 0 && !d.draft {
-		d.Fail(n.Pos, at+".key", "missing, want one or more (winghatch key new makes them)")
+		d.Fail(n.Pos, at+".key", "missing, want one or more digests from \"winghatch key new\"")
 	}
 	return m
 }
 
 func (d *decoder) limits(at string, n *kdl.Node, l *decide.Limits) {
-	d.Plain(at, n)
+	d.RejectArguments(at, n)
 	d.Block(at, n, decode.Fields{
 		"attempts":        decode.Int(&l.MaxAttempts, 1, 100),
 		"parallel":        decode.Bool(&l.Hedging),
@@ -191,7 +196,7 @@
 
 func (d *decoder) safety(at string, n *kdl.Node, f *Fleet) {
 	s := &f.Decide.Safety
-	d.Plain(at, n)
+	d.RejectArguments(at, n)
 	d.Block(at, n, decode.Fields{
 		"answer-slack":  decode.Duration(&s.AnswerSlack, 0),
 		"drain-grace":   decode.Duration(&s.DrainGrace, 0),
@@ -204,7 +209,7 @@
 }
 
 func (d *decoder) prices(at string, n *kdl.Node, p *Prices) {
-	d.Plain(at, n)
+	d.RejectArguments(at, n)
 	d.Block(at, n, decode.Fields{
 		"cross-zone": decode.Number(&p.CrossZone, 0, maxInteger),
 		"waste":      decode.Number(&p.Waste, 0, maxInteger),
@@ -216,7 +221,7 @@
 }
 
 func (d *decoder) usageExport(at string, n *kdl.Node, e *UsageExport) {
-	d.Plain(at, n)
+	d.RejectArguments(at, n)
 	modes := map[string]wal.SyncMode{}
 	for _, m := range []wal.SyncMode{wal.SyncAlways, wal.SyncInterval, wal.SyncNever} {
 		modes[m.String()] = m
@@ -237,7 +242,7 @@
 }
 
 func (d *decoder) metrics(at string, n *kdl.Node, m *Metrics) {
-	d.Plain(at, n)
+	d.RejectArguments(at, n)
 	m.Enabled = true
 	d.Block(at, n, decode.Fields{
 		"to":       httpURL(&m.URL),
@@ -254,7 +259,7 @@
 }
 
 func (d *decoder) tracing(at string, n *kdl.Node, t *Tracing) {
-	d.Plain(at, n)
+	d.RejectArguments(at, n)
 	d.Block(at, n, decode.Fields{
 		"to":      httpURL(&t.URL),
 		"share":   decode.Number(&t.SampleFraction, 0, 1),
@@ -265,7 +270,7 @@
 }
 
 func (d *decoder) resourceLimits(at string, n *kdl.Node, l *ResourceLimits) {
-	d.Plain(at, n)
+	d.RejectArguments(at, n)
 	d.Block(at, n, decode.Fields{
 		"sessions":         decode.Int(&l.MaxSessions, 1, maxInteger),
 		"open":             decode.Int(&l.MaxInFlight, 1, maxInteger),
@@ -283,11 +288,12 @@
 	}, nil)
 }
 
-// httpURL reads a URL of http or https.
+// httpURL reads a URL with the scheme http or https.
 func httpURL(to *string) func(decode.Setting) {
 	return func(s decode.Setting) {
 		u, err := url.Parse(s.Value.Text)
-		if s.Value.Kind != kdl.String || err != nil || u.Scheme != "http" && u.Scheme != "https" || u.Host == "" {
+		if s.Value.Kind != kdl.String || err != nil || u.Scheme != "http" && u.Scheme != "https" ||
+			u.Host == "" {
 			s.Reject(`a URL such as "http://127.0.0.1:8090/use"`)
 			return
 		}
--- a/internal/config/kdl/build.go
+++ b/internal/config/kdl/build.go
@@ -7,28 +7,30 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// builder makes nodes of the syntax tree and keeps the first error.
+// builder converts the syntax tree to nodes. It keeps the first error.
 type builder struct {
-	file  string
-	first *Error
+	file       string
+	firstError *Error
 }
 
+// fail records an error at p, unless one was recorded before.
 func (b *builder) fail(p lexer.Position, format string, args ...any) {
-	if b.first == nil {
-		b.first = &Error{b.file, position(p), fmt.Sprintf(format, args...)}
+	if b.firstError == nil {
+		b.firstError = &Error{b.file, position(p), fmt.Sprintf(format, args...)}
 	}
 }
 
 func (b *builder) err() error {
-	if b.first == nil {
+	if b.firstError == nil {
 		return nil
 	}
-	return b.first
+	return b.firstError
 }
 
 func position(p lexer.Position) Pos { return Pos{p.Line, p.Column} }
 
-// nodes are those of a list that are not commented out by a slashdash.
+// nodes returns the nodes of a list. It leaves out nodes that a slashdash ("/-") comments out, but still
+// checks them for errors.
 func (b *builder) nodes(in []*entryNode) []*Node {
 	var out []*Node
 	for _, e := range in {
@@ -50,11 +52,11 @@
 				continue
 			}
 			if hasBlock {
-				b.fail(x.Pos, "a second block of children")
+				b.fail(x.Pos, "second block of children, want one at most")
 			}
 			hasBlock, n.Children = true, children
 		case hasBlock:
-			b.fail(x.Pos, "a value after the block of children")
+			b.fail(x.Pos, "value after the block of children")
 		case x.Prop != nil:
 			p := Prop{position(x.Prop.Pos), b.text(x.Prop.Name), b.value(x.Prop.Value)}
 			if !x.Dash {
@@ -69,7 +71,7 @@
 	return n
 }
 
-// annotation is the text of a type annotation; empty: there is none.
+// annotation returns the text of a type annotation, or "" if there is none.
 func (b *builder) annotation(a *annotation) string {
 	if a == nil {
 		return ""
@@ -84,7 +86,7 @@
 		return out
 	}
 	if w := v.Text.Word; w != nil {
-		if num, ok, err := number(*w); ok {
+		if num, ok, err := parseNumber(*w); ok {
 			if err != nil {
 				b.fail(v.Pos, "%v", err)
 			}
@@ -96,7 +98,7 @@
 	return out
 }
 
-// keyword sets the value of a keyword.
+// keyword sets the kind and value of out to those of a keyword such as #true.
 func (b *builder) keyword(v *value, out *Value) {
 	word := *v.Keyword
 	switch word {
--- a/internal/config/kdl/text.go
+++ b/internal/config/kdl/text.go
@@ -8,17 +8,17 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// text is the string of an identifier or a string of any form.
+// text returns the content of an identifier or of a string in any of its forms.
 func (b *builder) text(t *text) string {
 	switch {
 	case t.Word != nil:
 		w := *t.Word
-		if _, isNum, _ := number(w); isNum {
-			b.fail(t.Pos, "%q is a number where a name is wanted", w)
+		if _, isNum, _ := parseNumber(w); isNum {
+			b.fail(t.Pos, "%q is a number, want a name", w)
 		}
 		switch w {
 		case "true", "false", "null", "inf", "-inf", "nan":
-			b.fail(t.Pos, "%q must be written #%s, or in quotes as a string", w, w)
+			b.fail(t.Pos, "%q must be written as #%s, or in quotes as a string", w, w)
 		}
 		return w
 	case t.Quoted != nil:
@@ -31,26 +31,27 @@
 		s := *t.Multi
 		return b.unescape(t.Pos, b.dedent(t.Pos, s[3:len(s)-3], true))
 	default:
-		s := strings.Trim(*t.RawM, "#")
+		s := strings.Trim(*t.RawMulti, "#")
 		return b.dedent(t.Pos, s[3:len(s)-3], false)
 	}
 }
 
-// dedent removes the last line's indent from each line (specification section 3.12). Escaped white space is removed
-// first where escapes count, since it may hold line ends.
+// dedent returns the content of a multi-line string: it removes the indentation of the last line from each
+// line (specification section 3.12). If escapes is true, it first removes escaped white space, which may
+// contain newlines.
 func (b *builder) dedent(p lexer.Position, s string, escapes bool) string {
 	if escapes {
-		s = dropEscapedSpace(s)
+		s = removeEscapedSpace(s)
 	}
 	s = newlines.Replace(s)
 	lines := strings.Split(s, "\n")
 	if len(lines) < 2 || lines[0] != "" {
-		b.fail(p, "a multi-line string must begin and end with a line of its own")
+		b.fail(p, "the opening quotes of a multi-line string must be followed by a newline")
 		return s
 	}
 	indent := lines[len(lines)-1]
 	if strings.TrimFunc(indent, isSpace) != "" {
-		b.fail(p, "the last line of a multi-line string holds more than its indent")
+		b.fail(p, "the last line of a multi-line string must contain only its indentation")
 		return s
 	}
 	body := lines[1 : len(lines)-1]
@@ -59,7 +60,7 @@
 		case strings.TrimFunc(l, isSpace) == "":
 			body[i] = ""
 		case !strings.HasPrefix(l, indent):
-			b.fail(p, "line %d of a multi-line string is not indented as its last one", i+1)
+			b.fail(p, "line %d of a multi-line string is not indented like its last line", i+1)
 		default:
 			body[i] = l[len(indent):]
 		}
@@ -67,7 +68,7 @@
 	return strings.Join(body, "\n")
 }
 
-// newlines makes a line feed of each newline of the language.
+// newlines replaces each KDL newline by a line feed.
 var newlines = strings.NewReplacer("\r\n", "\n", "\r", "\n", "\u0085", "\n", "\v", "\n", "\f", "\n",
 	"\u2028", "\n", "\u2029", "\n")
 
@@ -77,8 +78,8 @@
 
 func isNewline(c rune) bool { return strings.ContainsRune("\r\n\u0085\v\f\u2028\u2029", c) }
 
-// dropEscapedSpace removes white space behind a backslash, and the backslash.
-func dropEscapedSpace(s string) string {
+// removeEscapedSpace removes each backslash that is followed by white space or newlines, together with these.
+func removeEscapedSpace(s string) string {
 	var b strings.Builder
 	for i := 0; i < len(s); i++ {
 		if s[i] != '\\' || i+1 == len(s) {
@@ -97,16 +98,18 @@
 	return b.String()
 }
 
-// Escapes of one character, and what they mean.
+// escapes lists the characters of the single-character escapes; unescaped lists their values in the same
+// order.
 const (
 	escapes   = `nrt\"bfs`
 	unescaped = "\n\r\t\\\"\b\f "
 )
 
-// unescape replaces the escapes of a string (specification section 3.11.1).
+// unescape replaces the escapes of a string by the characters that they stand for (specification section
+// 3.11.1).
 func (b *builder) unescape(p lexer.Position, s string) string {
 	var out strings.Builder
-	s = dropEscapedSpace(s)
+	s = removeEscapedSpace(s)
 	for i := 0; i < len(s); i++ {
 		if s[i] != '\\' {
 			out.WriteByte(s[i])
@@ -127,7 +130,7 @@
 		}
 		v, err := strconv.ParseUint(s[i+2:i+end], 16, 32)
 		if err != nil || v > utf8.MaxRune || isSurrogate(v) {
-			b.fail(p, `escape \%s names no character`, s[i:i+end+1])
+			b.fail(p, `escape \%s is not a Unicode character`, s[i:i+end+1])
 			continue
 		}
 		out.WriteRune(rune(v))
--- a/internal/gateway/changesfile.go
+++ b/internal/gateway/changesfile.go
@@ -55,9 +55,9 @@
 	return changes, positions, decoder.Err()
 }
 
-// readChange decodes one change node and reports mistakes to d.
+// readChange decodes one change node and reports mistakes to decoder.
 func readChange(decoder *decode.Decoder, node *kdl.Node) (c quotaplan.Change) {
-	decoder.Plain("change", node)
+	decoder.RejectArguments("change", node)
 	kinds := map[string]quotaplan.Kind{}
 	for k := quotaplan.Move; k <= quotaplan.Shorten; k++ {
 		kinds[k.String()] = k
