--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -8,18 +8,22 @@
 	"strings"
 )
 
-// Lengths of a body beside those in bytes.
+// Body lengths with a special meaning. All other lengths are numbers of bytes.
 const (
-	chunkedLength   = -1
-	untilClose      = -2      // it ends with its connection
-	unlimitedLength = 1 << 40 // the limit of a body that is streamed; digits beyond it can't overflow an int
+	chunkedLength = -1 // the body is chunked
+	untilClose    = -2 // the body ends when the connection is closed
+	// unlimitedLength is the limit for the length of streamed bodies. Longer parsed lengths are reduced to
+	// it, so that further digits cannot overflow an int.
+	unlimitedLength = 1 << 40
 )
 
-// bodyStepBytes is how far a body grows at once: a length that is only announced must cost no memory.
+// bodyStepBytes is the number of bytes by which the buffer of a body grows at a time. A large announced
+// length must not allocate memory before the bytes arrive.
 const bodyStepBytes = 16 << 10
 
-// bodyLength is the length of the body that a head announces: chunkedLength, or 0 if it says nothing. The limit is in
-// bytes.
+// bodyLength returns the length in bytes of the body that the head announces, chunkedLength for a chunked
+// body, or zero if the head does not announce a body. It returns an *Error if the length exceeds limit, in
+// bytes, or if the fields are invalid or ambiguous.
 func (h *Head) bodyLength(limit int) (int, error) {
 	coding, codings := h.Get("Transfer-Encoding")
 	length, lengths := h.Get("Content-Length")
@@ -45,7 +49,8 @@
 	return n, nil
 }
 
-// parseLength parses a number of digits alone, in base 10 or 16. Beyond unlimitedLength it returns that.
+// parseLength parses a non-negative number that consists of digits only, in base 10 or 16. It returns
+// unlimitedLength for larger numbers.
 func parseLength(s string, base int) (int, error) {
 	if s == "" {
 		return 0, malformed(http.StatusBadRequest, "an empty length")
@@ -61,7 +66,9 @@
 	return n, nil
 }
 
-// ReadBody reads a body of so many bytes, or a chunked one if length is negative.
+// ReadBody reads a body of length bytes, or a chunked body if length is negative. It returns an *Error if
+// the body is larger than Limits.MaxBodyBytes or malformed, or if Limits.ReserveBody returns false, and
+// io.ErrUnexpectedEOF if the connection ends within the body.
 func (r *Reader) ReadBody(length int) ([]byte, error) {
 	if length < 0 {
 		return r.readChunked()
@@ -94,7 +101,8 @@
 	}
 }
 
-// readChunkSize reads the line before a chunk. 0 is the last chunk, whose trailers are read too, and dropped.
+// readChunkSize reads the line with the size of the next chunk and returns the size in bytes. After the
+// last chunk, which has size zero, it also reads the trailer fields and discards them.
 func (r *Reader) readChunkSize() (int, error) {
 	r.buf = r.buf[:0]
 	from, to, err := r.readLine()
@@ -120,6 +128,7 @@
 
 func (r *Reader) readChunkEnd() error {
 	var end [2]byte
+	// readChunkEnd reads the CR LF after the data of a chunk.
 	if _, err := io.ReadFull(r.r, end[:]); err != nil {
 		return unexpectedEOF(err)
 	}
@@ -129,7 +138,7 @@
 	return nil
 }
 
-// appendBody reads n further bytes of a body.
+// appendBody reads n bytes and appends them to body.
 func (r *Reader) appendBody(body []byte, n int) ([]byte, error) {
 	for n > 0 {
 		step := min(n, bodyStepBytes)
@@ -146,7 +155,8 @@
 	return body, nil
 }
 
-// unexpectedEOF turns an end within a message into io.ErrUnexpectedEOF.
+// unexpectedEOF returns io.ErrUnexpectedEOF if err is io.EOF, otherwise err. It is used where the
+// connection must not end.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -154,10 +164,10 @@
 	return err
 }
 
-// fixedBody streams a body of a known length.
+// fixedBody streams a body of known length. It implements io.Reader.
 type fixedBody struct {
 	r    io.Reader
-	left int // bytes
+	left int // number of bytes not read yet
 }
 
 func (f *fixedBody) Read(b []byte) (int, error) {
@@ -172,11 +182,11 @@
 	return n, nil
 }
 
-// chunkedBody streams a chunked body.
+// chunkedBody streams a chunked body. It implements io.Reader.
 type chunkedBody struct {
 	r    *Reader
-	left int // bytes of the current chunk
-	done bool
+	left int  // number of bytes of the current chunk not read yet
+	done bool // the last chunk and the trailer fields have been read
 }
 
 func (c *chunkedBody) Read(b []byte) (n int, err error) {
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -1,12 +1,15 @@
-// Package http1 is a strict codec of HTTP/1.1 messages (RFC 9112) on a bufio.Reader, for requests and responses.
+// Package http1 implements a strict parser for HTTP/1.1 requests and responses (RFC 9112) that reads from a
+// bufio.Reader.
 //
-// What two parsers could understand in two ways is an error, never a guess: a bare line feed, a folded line, a space
-// before a colon, two lengths, a length beside a transfer coding. Otherwise a client could hide a request in another
-// one's body (request smuggling). Heads and bodies are bounded. The package opens no socket.
+// A message that two parsers could interpret differently is rejected, for example one with a bare line
+// feed, a folded line, a space before a colon, two lengths, or both a length and a transfer coding.
+// Otherwise a client could hide a request in the body of another one (request smuggling). The sizes of
+// heads and bodies are limited. The package opens no sockets.
 //
-// A message that cannot be used gives an *Error; any other error is the connection's.
+// An invalid message results in an *Error. All other errors are errors of the connection.
 //
-// Files: reader.go lines and heads, request.go and response.go the two kinds of message, body.go bodies.
+// File reader.go parses lines and heads, request.go and response.go parse the two kinds of messages, and
+// body.go parses bodies.
 package http1
 
 import (
@@ -18,29 +21,30 @@
 	"strings"
 )
 
-// maxFields bounds the fields of a head; with its first line they are 64 lines.
+// maxFields is the maximum number of fields in a head, which then has 64 lines including the start line.
 const maxFields = 63
 
-// Limits bound a message.
+// Limits are the limits for one message.
 type Limits struct {
-	// MaxHeadBytes bounds the first line and the fields together, their line ends included.
+	// MaxHeadBytes is the maximum size of the start line and the fields together, including line ends.
 	MaxHeadBytes int
-	// MaxBodyBytes bounds a body.
+	// MaxBodyBytes is the maximum size of a body.
 	MaxBodyBytes int
-	// ReserveBody is called before a body grows by so many bytes; false ends the message with an Error. Nil: always
-	// true.
+	// ReserveBody is called before the buffer of a body grows by the given number of bytes. If it returns
+	// false, reading the message ends with an *Error with status 503. Nil means that there is no such
+	// limit.
 	ReserveBody func(bytes int) bool
 }
 
-// Field is one line of a head. Name is as received; names compare without case.
+// Field is a field line of a head. Name is spelled as received. Names are compared case-insensitively.
 type Field struct{ Name, Value string }
 
-// Head has the fields of a message.
+// Head contains the fields of a message in the order received.
 type Head struct {
 	Fields []Field
 }
 
-// Get returns the value of the first field of a name, and how many there are.
+// Get returns the value of the first field with the given name, and the number of fields with that name.
 func (h *Head) Get(name string) (value string, n int) {
 	for _, f := range h.Fields {
 		if !strings.EqualFold(f.Name, name) {
@@ -54,7 +58,8 @@
 	return value, n
 }
 
-// hasToken reports whether a field of comma-separated tokens holds one, without case (RFC 9110, section 5.6.1).
+// hasToken reports whether a field with the given name contains token in its comma-separated list (RFC
+// 9110, section 5.6.1). Names and tokens are compared case-insensitively.
 func (h *Head) hasToken(name, token string) bool {
 	for _, f := range h.Fields {
 		if !strings.EqualFold(f.Name, name) {
@@ -69,9 +74,11 @@
 	return false
 }
 
-// Error says why a message cannot be used.
+// Error reports that a message is invalid or exceeds a limit.
 type Error struct {
-	Status int // of the response to a client
+	// Status is the HTTP status with which a server responds to the message.
+	Status int
+	// Reason describes the fault. Servers send it to the client.
 	Reason string
 }
 
@@ -81,27 +88,30 @@
 	return &Error{status, fmt.Sprintf(format, args...)}
 }
 
-// Reader reads the messages of one connection, one after the other. It is not safe for concurrent use.
+// Reader reads the messages of one connection one after another. It is not safe for concurrent use.
 type Reader struct {
 	r      *bufio.Reader
 	limits Limits
-	buf    []byte // lines read so far, of a head or of a chunk's framing
+	buf    []byte // lines of the current head, chunk size line or trailer, without line ends
 }
 
-// NewReader returns a reader of r. Lines longer than r's buffer cannot be read.
+// NewReader returns a Reader that reads from r. A line that is longer than the buffer of r results in an
+// *Error with status 431.
 func NewReader(r *bufio.Reader, limits Limits) *Reader { return &Reader{r: r, limits: limits} }
 
-// Buffered is how many bytes were read that no message has taken.
+// Buffered returns the number of bytes that have been read from the connection but not consumed by a
+// message.
 func (r *Reader) Buffered() int { return r.r.Buffered() }
 
-// Wait returns once a byte has arrived, without taking it, or the connection's error.
+// Wait blocks until at least one byte can be read, and returns nil without consuming it. It returns an
+// error if the connection ends or fails first.
 func (r *Reader) Wait() error {
 	_, err := r.r.Peek(1)
 	return err
 }
 
-// readLine appends a line to r.buf without its end, which counts against the head's limit, and returns its place
-// there.
+// readLine appends the next line, without CR LF, to r.buf and returns its start and end index in r.buf. The
+// CR LF of the line counts towards MaxHeadBytes.
 func (r *Reader) readLine() (from, to int, err error) {
 	raw, err := r.r.ReadSlice('\n')
 	from = len(r.buf)
@@ -131,7 +141,7 @@
 // the connection ended before the first byte.
 func (r *Reader) readHead() (firstLine [3]string, h Head, err error) {
 	r.buf = r.buf[:0]
-	var ends [1 + maxFields]int // of the lines in r.buf
+	var ends [1 + maxFields]int // end index in r.buf of each line
 	n := 0
 	for {
 		from, to, err := r.readLine()
@@ -150,7 +160,7 @@
 	if n == 0 {
 		return firstLine, h, malformed(http.StatusBadRequest, "an empty first line")
 	}
-	text := string(r.buf) // one allocation for all names and values
+	text := string(r.buf) // all names and values share one allocation
 	first, rest, ok := strings.Cut(text[:ends[0]], " ")
 	if !ok {
 		return firstLine, h, malformed(http.StatusBadRequest, "a first line of one word")
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -5,21 +5,28 @@
 	"strings"
 )
 
-// maxTargetBytes bounds the target of a request.
+// maxTargetBytes is the maximum length of a request target.
 const maxTargetBytes = 2048
 
-// Request is a client's message without its body.
+// Request is the head of a request.
 type Request struct {
 	Head
+	// Method is the request method. Target is the path with the query, and begins with a slash.
 	Method, Target string
-	Version        string // HTTP/1.1 or HTTP/1.0
-	BodyLength     int    // in bytes, for ReadBody; negative: the body is chunked
-	Close          bool   // the client wants the connection to end with the response
-	ExpectContinue bool   // the client waits for 100 Continue before it sends the body
+	// Version is HTTP/1.1 or HTTP/1.0.
+	Version string
+	// BodyLength is the length of the body in bytes, to be passed to ReadBody. A negative value means that
+	// the body is chunked.
+	BodyLength int
+	// Close reports whether the connection must be closed after the response.
+	Close bool
+	// ExpectContinue reports whether the client waits for 100 Continue before it sends the body.
+	ExpectContinue bool
 }
 
-// ReadRequest reads the head of a request; ReadBody has to follow. io.EOF means that the connection ended between two
-// requests.
+// ReadRequest reads the head of a request. The caller must then read the body with ReadBody. The error is
+// an *Error if the head is invalid, io.EOF if the connection ended before the first byte of the request, or
+// another error of the connection.
 func (r *Reader) ReadRequest() (*Request, error) {
 	firstLine, head, err := r.readHead()
 	if err != nil {
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -6,18 +6,23 @@
 	"net/http"
 )
 
-// maxInterimResponses is how many responses of 1xx may precede the final one.
+// maxInterimResponses is the maximum number of interim responses (1xx) before the final response.
 const maxInterimResponses = 16
 
-// Response is a server's message.
+// Response is a response.
 type Response struct {
 	Head
+	// Status is the HTTP status, from 200 to 599.
 	Status int
-	Body   []byte // nil from StreamResponse
-	Close  bool   // the connection is of no further use
+	// Body is the complete body. It is nil in a response from StreamResponse.
+	Body []byte
+	// Close reports whether the connection must not be used for another request.
+	Close bool
 }
 
-// ReadResponse reads a complete response and skips interim ones before it.
+// ReadResponse reads a complete response. It skips interim responses (1xx) before it. The error is an
+// *Error if the response is invalid or exceeds a limit. Otherwise it is an error of the connection: io.EOF
+// if the connection ended before the first byte, io.ErrUnexpectedEOF if it ended later.
 func (r *Reader) ReadResponse() (*Response, error) {
 	p, length, err := r.readResponseHead(r.limits.MaxBodyBytes)
 	if err != nil {
@@ -31,8 +36,8 @@
 	return p, err
 }
 
-// StreamResponse reads the head of a response as ReadResponse does. Its body, of any length, has to be read from the
-// reader returned up to io.EOF before the next call.
+// StreamResponse reads the head of a response like ReadResponse. The length of the body is not limited. The
+// caller must read the body from the returned reader up to io.EOF before the next message can be read.
 func (r *Reader) StreamResponse() (*Response, io.Reader, error) {
 	p, length, err := r.readResponseHead(unlimitedLength)
 	switch {
@@ -46,8 +51,8 @@
 	return p, &fixedBody{r.r, length}, nil
 }
 
-// readResponseHead reads the head of a response whose body has up to maxBody bytes. The length of the body may also
-// be chunkedLength or untilClose.
+// readResponseHead reads the head of a response and returns the length of its body, which is at most
+// maxBody bytes, chunkedLength or untilClose.
 func (r *Reader) readResponseHead(maxBody int) (*Response, int, error) {
 	for range maxInterimResponses {
 		firstLine, head, err := r.readHead()
@@ -93,8 +98,8 @@
 	return untilClose, nil
 }
 
-// readUntilClose reads a body up to the end of the connection. A reset is no end: what precedes it is not
-// complete.
+// readUntilClose reads a body up to the end of the connection. After a connection reset the body may be
+// incomplete, so a reset is an error.
 func (r *Reader) readUntilClose() (body []byte, err error) {
 	for {
 		n := r.r.Buffered()
