--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -25,18 +25,18 @@
 // body, or zero if the head does not announce a body. It returns an *Error if the length exceeds limit, in
 // bytes, or if the fields are invalid or ambiguous.
 func (h *Head) bodyLength(limit int) (int, error) {
-	coding, codings := h.Get("Transfer-Encoding")
-	length, lengths := h.Get("Content-Length")
+	coding, codingCount := h.Get("Transfer-Encoding")
+	length, lengthCount := h.Get("Content-Length")
 	switch {
-	case codings > 0 && lengths > 0: // RFC 9112, section 6.3: it may hide a request from one of two parsers
-		return 0, malformed(http.StatusBadRequest, "both Content-Length and Transfer-Encoding")
-	case codings > 1 || codings == 1 && !strings.EqualFold(coding, "chunked"):
-		return 0, malformed(http.StatusNotImplemented, "transfer coding %.20q, want chunked alone", coding)
-	case codings == 1:
+	case codingCount > 0 && lengthCount > 0: // may be request smuggling (RFC 9112, section 6.3)
+		return 0, errorf(http.StatusBadRequest, "both Content-Length and Transfer-Encoding")
+	case codingCount > 1 || codingCount == 1 && !strings.EqualFold(coding, "chunked"):
+		return 0, errorf(http.StatusNotImplemented, "transfer coding %.20q, want chunked alone", coding)
+	case codingCount == 1:
 		return chunkedLength, nil
-	case lengths > 1:
-		return 0, malformed(http.StatusBadRequest, "%d fields Content-Length", lengths)
-	case lengths == 0:
+	case lengthCount > 1:
+		return 0, errorf(http.StatusBadRequest, "%d fields Content-Length", lengthCount)
+	case lengthCount == 0:
 		return 0, nil
 	}
 	n, err := parseLength(length, 10)
@@ -44,7 +44,8 @@
 		return 0, err
 	}
 	if n > limit {
-		return 0, malformed(http.StatusRequestEntityTooLarge, "a body of %.20s bytes, want %d at most", length, limit)
+		return 0, errorf(http.StatusRequestEntityTooLarge, "a body of %.20s bytes, want %d at most",
+			length, limit)
 	}
 	return n, nil
 }
@@ -53,13 +54,13 @@
 // unlimitedLength for larger numbers.
 func parseLength(s string, base int) (int, error) {
 	if s == "" {
-		return 0, malformed(http.StatusBadRequest, "an empty length")
+		return 0, errorf(http.StatusBadRequest, "an empty length")
 	}
 	n := 0
 	for i := range len(s) {
 		digit := strings.IndexByte("0123456789abcdef", s[i]|0x20)
 		if s[i] < '0' || digit < 0 || digit >= base {
-			return 0, malformed(http.StatusBadRequest, "length %.20q is no number", s)
+			return 0, errorf(http.StatusBadRequest, "length %.20q is no number", s)
 		}
 		n = min(n*base+digit, unlimitedLength)
 	}
@@ -74,7 +75,7 @@
 		return r.readChunked()
 	}
 	if length > r.limits.MaxBodyBytes {
-		return nil, malformed(http.StatusRequestEntityTooLarge, "a body of %d bytes, want %d at most",
+		return nil, errorf(http.StatusRequestEntityTooLarge, "a body of %d bytes, want %d at most",
 			length, r.limits.MaxBodyBytes)
 	}
 	return r.appendBody(nil, length)
@@ -90,7 +91,8 @@
 			return body, nil
 		}
 		if len(body)+n > r.limits.MaxBodyBytes {
-			return nil, malformed(http.StatusRequestEntityTooLarge, "a body of more than %d bytes", r.limits.MaxBodyBytes)
+			return nil, errorf(http.StatusRequestEntityTooLarge, "a body of more than %d bytes",
+				r.limits.MaxBodyBytes)
 		}
 		if body, err = r.appendBody(body, n); err != nil {
 			return nil, err
@@ -126,14 +128,14 @@
 	}
 }
 
+// readChunkEnd reads the CR LF after the data of a chunk.
 func (r *Reader) readChunkEnd() error {
 	var end [2]byte
-	// readChunkEnd reads the CR LF after the data of a chunk.
 	if _, err := io.ReadFull(r.r, end[:]); err != nil {
 		return unexpectedEOF(err)
 	}
 	if end != [2]byte{'\r', '\n'} {
-		return malformed(http.StatusBadRequest, "a chunk that is longer than its length")
+		return errorf(http.StatusBadRequest, "a chunk that is longer than its length")
 	}
 	return nil
 }
@@ -143,7 +145,8 @@
 	for n > 0 {
 		step := min(n, bodyStepBytes)
 		if r.limits.ReserveBody != nil && !r.limits.ReserveBody(step) {
-			return nil, malformed(http.StatusServiceUnavailable, "no room for a body of more than %d bytes", len(body))
+			return nil, errorf(http.StatusServiceUnavailable, "no room for a body of more than %d bytes",
+				len(body))
 		}
 		done := len(body)
 		body = slices.Grow(body, step)[:done+step]
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -84,7 +84,7 @@
 
 func (e *Error) Error() string { return "http1: " + e.Reason }
 
-func malformed(status int, format string, args ...any) error {
+func errorf(status int, format string, args ...any) error {
 	return &Error{status, fmt.Sprintf(format, args...)}
 }
 
@@ -116,7 +116,8 @@
 	raw, err := r.r.ReadSlice('\n')
 	from = len(r.buf)
 	if errors.Is(err, bufio.ErrBufferFull) || from+len(raw) > r.limits.MaxHeadBytes {
-		return 0, 0, malformed(http.StatusRequestHeaderFieldsTooLarge, "a head of more than %d bytes", r.limits.MaxHeadBytes)
+		return 0, 0, errorf(http.StatusRequestHeaderFieldsTooLarge, "a head of more than %d bytes",
+			r.limits.MaxHeadBytes)
 	}
 	if err != nil {
 		if errors.Is(err, io.EOF) && from+len(raw) > 0 {
@@ -125,52 +126,53 @@
 		return 0, 0, err
 	}
 	if len(raw) < 2 || raw[len(raw)-2] != '\r' {
-		return 0, 0, malformed(http.StatusBadRequest, "a line that ends without CR LF")
+		return 0, 0, errorf(http.StatusBadRequest, "a line that ends without CR LF")
 	}
 	raw = raw[:len(raw)-2]
 	for _, c := range raw {
 		if c < ' ' && c != '\t' || c == 0x7f {
-			return 0, 0, malformed(http.StatusBadRequest, "byte %#x in a head", c)
+			return 0, 0, errorf(http.StatusBadRequest, "byte %#x in a head", c)
 		}
 	}
 	r.buf = append(r.buf, raw...)
 	return from, len(r.buf), nil
 }
 
-// readHead reads a first line, as what precedes its first two spaces and the rest, and the fields. io.EOF means that
-// the connection ended before the first byte.
-func (r *Reader) readHead() (firstLine [3]string, h Head, err error) {
+// readHead reads the start line and the fields of a message. The start line is returned in three parts,
+// split at its first two spaces. The error is io.EOF if the connection ended before the first byte.
+func (r *Reader) readHead() (startLine [3]string, h Head, err error) {
 	r.buf = r.buf[:0]
 	var ends [1 + maxFields]int // end index in r.buf of each line
 	n := 0
 	for {
 		from, to, err := r.readLine()
 		if err != nil {
-			return firstLine, h, err
+			return startLine, h, err
 		}
 		if from == to {
 			break
 		}
 		if n == len(ends) {
-			return firstLine, h, malformed(http.StatusRequestHeaderFieldsTooLarge, "more than %d fields", maxFields)
+			return startLine, h, errorf(http.StatusRequestHeaderFieldsTooLarge, "more than %d fields",
+				maxFields)
 		}
 		ends[n] = to
 		n++
 	}
 	if n == 0 {
-		return firstLine, h, malformed(http.StatusBadRequest, "an empty first line")
+		return startLine, h, errorf(http.StatusBadRequest, "an empty first line")
 	}
 	text := string(r.buf) // all names and values share one allocation
 	first, rest, ok := strings.Cut(text[:ends[0]], " ")
 	if !ok {
-		return firstLine, h, malformed(http.StatusBadRequest, "a first line of one word")
+		return startLine, h, errorf(http.StatusBadRequest, "a first line of one word")
 	}
 	second, third, _ := strings.Cut(rest, " ")
 	h.Fields = make([]Field, 0, n-1)
 	for i := 1; i < n; i++ {
 		name, value, ok := strings.Cut(text[ends[i-1]:ends[i]], ":")
 		if !ok || !isToken(name) {
-			return firstLine, h, malformed(http.StatusBadRequest, "field %d has no name that can be read", i)
+			return startLine, h, errorf(http.StatusBadRequest, "field %d has no name that can be read", i)
 		}
 		h.Fields = append(h.Fields, Field{name, strings.Trim(value, " \t")})
 	}
@@ -178,10 +180,10 @@
 }
 
 // isToken reports whether s is a token (RFC 9110, section 5.6.2).
-func isToken(s string) bool { return s != "" && !strings.ContainsFunc(s, isNoTokenChar) }
+func isToken(s string) bool { return s != "" && !strings.ContainsFunc(s, isNonTokenChar) }
 
-// isNoTokenChar reports whether c is not a tchar (RFC 9110, section 5.6.2).
-func isNoTokenChar(c rune) bool {
+// isNonTokenChar reports whether c must not occur in a token (RFC 9110, section 5.6.2).
+func isNonTokenChar(c rune) bool {
 	switch {
 	case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c >= '0' && c <= '9':
 		return false
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -28,45 +28,47 @@
 // an *Error if the head is invalid, io.EOF if the connection ended before the first byte of the request, or
 // another error of the connection.
 func (r *Reader) ReadRequest() (*Request, error) {
-	firstLine, head, err := r.readHead()
+	startLine, head, err := r.readHead()
 	if err != nil {
 		return nil, err
 	}
-	q := &Request{Head: head, Method: firstLine[0], Target: firstLine[1], Version: firstLine[2]}
-	if err := q.checkFirstLine(); err != nil {
+	request := &Request{Head: head, Method: startLine[0], Target: startLine[1], Version: startLine[2]}
+	if err := request.validateStartLine(); err != nil {
 		return nil, err
 	}
-	if _, n := q.Get("Host"); n > 1 || n == 0 && q.Version == "HTTP/1.1" {
-		return nil, malformed(http.StatusBadRequest, "%d fields Host, want one", n)
+	if _, n := request.Get("Host"); n > 1 || n == 0 && request.Version == "HTTP/1.1" {
+		return nil, errorf(http.StatusBadRequest, "%d fields Host, want one", n)
 	}
-	if q.BodyLength, err = q.bodyLength(r.limits.MaxBodyBytes); err != nil {
+	if request.BodyLength, err = request.bodyLength(r.limits.MaxBodyBytes); err != nil {
 		return nil, err
 	}
-	if q.BodyLength < 0 && q.Version == "HTTP/1.0" {
-		return nil, malformed(http.StatusBadRequest, "a transfer coding in HTTP/1.0")
+	if request.BodyLength < 0 && request.Version == "HTTP/1.0" {
+		return nil, errorf(http.StatusBadRequest, "a transfer coding in HTTP/1.0")
 	}
-	q.Close = q.hasToken("Connection", "close") || q.Version == "HTTP/1.0"
-	if expectation, n := q.Get("Expect"); n > 0 {
+	request.Close = request.hasToken("Connection", "close") || request.Version == "HTTP/1.0"
+	if expectation, n := request.Get("Expect"); n > 0 {
 		if !strings.EqualFold(expectation, "100-continue") {
-			return nil, malformed(http.StatusExpectationFailed, "expectation %.20q", expectation)
+			return nil, errorf(http.StatusExpectationFailed, "expectation %.20q", expectation)
 		}
-		q.ExpectContinue = q.Version == "HTTP/1.1"
+		request.ExpectContinue = request.Version == "HTTP/1.1"
 	}
-	return q, nil
+	return request, nil
 }
 
-func (q *Request) checkFirstLine() error {
+// validateStartLine returns an *Error if the version, method or target is invalid.
+func (r *Request) validateStartLine() error {
 	switch {
-	case q.Version != "HTTP/1.1" && q.Version != "HTTP/1.0":
-		return malformed(http.StatusHTTPVersionNotSupported, "version %.20q, want HTTP/1.1", q.Version)
-	case !isToken(q.Method):
-		return malformed(http.StatusBadRequest, "method %.20q is no token", q.Method)
-	case !strings.HasPrefix(q.Target, "/") || strings.ContainsFunc(q.Target, isNoTargetChar):
-		return malformed(http.StatusBadRequest, "target %.20q, want a path", q.Target)
-	case len(q.Target) > maxTargetBytes:
-		return malformed(http.StatusRequestURITooLong, "a target of %d bytes", len(q.Target))
+	case r.Version != "HTTP/1.1" && r.Version != "HTTP/1.0":
+		return errorf(http.StatusHTTPVersionNotSupported, "version %.20q, want HTTP/1.1", r.Version)
+	case !isToken(r.Method):
+		return errorf(http.StatusBadRequest, "method %.20q is no token", r.Method)
+	case !strings.HasPrefix(r.Target, "/") || strings.ContainsFunc(r.Target, isInvalidTargetChar):
+		return errorf(http.StatusBadRequest, "target %.20q, want a path", r.Target)
+	case len(r.Target) > maxTargetBytes:
+		return errorf(http.StatusRequestURITooLong, "a target of %d bytes", len(r.Target))
 	}
 	return nil
 }
 
-func isNoTargetChar(c rune) bool { return c <= ' ' || c >= 0x7f || c == '#' }
+// isInvalidTargetChar reports whether c must not occur in a request target.
+func isInvalidTargetChar(c rune) bool { return c <= ' ' || c >= 0x7f || c == '#' }
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -24,76 +24,79 @@
 // *Error if the response is invalid or exceeds a limit. Otherwise it is an error of the connection: io.EOF
 // if the connection ended before the first byte, io.ErrUnexpectedEOF if it ended later.
 func (r *Reader) ReadResponse() (*Response, error) {
-	p, length, err := r.readResponseHead(r.limits.MaxBodyBytes)
+	response, length, err := r.readResponseHead(r.limits.MaxBodyBytes)
 	if err != nil {
 		return nil, err
 	}
 	if length == untilClose {
-		p.Body, err = r.readUntilClose()
+		response.Body, err = r.readUntilClose()
 	} else {
-		p.Body, err = r.ReadBody(length)
+		response.Body, err = r.ReadBody(length)
 	}
-	return p, err
+	return response, err
 }
 
 // StreamResponse reads the head of a response like ReadResponse. The length of the body is not limited. The
 // caller must read the body from the returned reader up to io.EOF before the next message can be read.
 func (r *Reader) StreamResponse() (*Response, io.Reader, error) {
-	p, length, err := r.readResponseHead(unlimitedLength)
+	response, length, err := r.readResponseHead(unlimitedLength)
 	switch {
 	case err != nil:
 		return nil, nil, err
 	case length == untilClose:
-		return p, r.r, nil
+		return response, r.r, nil
 	case length < 0:
-		return p, &chunkedBody{r: r}, nil
+		return response, &chunkedBody{r: r}, nil
 	}
-	return p, &fixedBody{r.r, length}, nil
+	return response, &fixedBody{r.r, length}, nil
 }
 
 // readResponseHead reads the head of a response and returns the length of its body, which is at most
 // maxBody bytes, chunkedLength or untilClose.
 func (r *Reader) readResponseHead(maxBody int) (*Response, int, error) {
 	for range maxInterimResponses {
-		firstLine, head, err := r.readHead()
+		startLine, head, err := r.readHead()
 		if err != nil {
 			return nil, 0, err
 		}
-		version, status := firstLine[0], firstLine[1]
+		version, status := startLine[0], startLine[1]
 		if version != "HTTP/1.1" && version != "HTTP/1.0" || len(status) != 3 {
-			return nil, 0, malformed(http.StatusBadGateway, "an answer that begins with %.20q", version+" "+status)
+			return nil, 0, errorf(http.StatusBadGateway,
+				"response begins with %.20q, want HTTP/1.1 and a status of three digits", version+" "+status)
 		}
-		p := &Response{Head: head}
-		if p.Status, err = parseLength(status, 10); err != nil {
+		response := &Response{Head: head}
+		if response.Status, err = parseLength(status, 10); err != nil {
 			return nil, 0, err
 		}
-		if p.Status < 100 || p.Status > 599 || p.Status == http.StatusSwitchingProtocols {
-			return nil, 0, malformed(http.StatusBadGateway, "status %d", p.Status)
+		if response.Status < 100 || response.Status > 599 ||
+			response.Status == http.StatusSwitchingProtocols {
+			return nil, 0, errorf(http.StatusBadGateway,
+				"response has status %d, want 100 to 599 except 101", response.Status)
 		}
-		if p.Status < 200 {
+		if response.Status < 200 {
 			continue
 		}
-		p.Close = head.hasToken("Connection", "close") || version == "HTTP/1.0"
-		length, err := p.responseBodyLength(maxBody)
-		return p, length, err
+		response.Close = head.hasToken("Connection", "close") || version == "HTTP/1.0"
+		length, err := response.responseBodyLength(maxBody)
+		return response, length, err
 	}
-	return nil, 0, malformed(http.StatusBadGateway, "more than %d answers of 1xx", maxInterimResponses)
+	return nil, 0, errorf(http.StatusBadGateway, "more than %d interim responses (1xx)", maxInterimResponses)
 }
 
-// responseBodyLength is the length of a response's body (RFC 9112, section 6.3). One without a length ends with the
-// connection, which is allowed only where the server says that it closes: else the end is indistinguishable from a
-// break.
-func (p *Response) responseBodyLength(maxBody int) (int, error) {
-	if p.Status == http.StatusNoContent || p.Status == http.StatusNotModified {
+// responseBodyLength returns the length of the body of a response (RFC 9112, section 6.3). A body without a
+// length ends when the connection is closed. This is only accepted if the server announced that it closes
+// the connection, because otherwise the end cannot be told from a broken connection.
+func (r *Response) responseBodyLength(maxBody int) (int, error) {
+	if r.Status == http.StatusNoContent || r.Status == http.StatusNotModified {
 		return 0, nil
 	}
-	_, lengths := p.Get("Content-Length")
-	_, codings := p.Get("Transfer-Encoding")
-	if lengths+codings > 0 {
-		return p.bodyLength(maxBody)
+	_, lengthCount := r.Get("Content-Length")
+	_, codingCount := r.Get("Transfer-Encoding")
+	if lengthCount+codingCount > 0 {
+		return r.bodyLength(maxBody)
 	}
-	if !p.Close {
-		return 0, malformed(http.StatusBadGateway, "an answer without a length")
+	if !r.Close {
+		return 0, errorf(http.StatusBadGateway, "response has neither a length nor Connection: close")
 	}
 	return untilClose, nil
 }
@@ -114,7 +117,8 @@
 			continue
 		}
 		if len(body)+n > r.limits.MaxBodyBytes {
-			return nil, malformed(http.StatusBadGateway, "a body of more than %d bytes", r.limits.MaxBodyBytes)
+			return nil, errorf(http.StatusBadGateway, "response body of more than %d bytes",
+				r.limits.MaxBodyBytes)
 		}
 		if body, err = r.appendBody(body, n); err != nil {
 			return nil, err
