--- a/internal/frontend/http/conn.go
+++ b/internal/frontend/http/conn.go
@@ -74,7 +74,7 @@
 	defer c.server.wg.Done()
 	defer c.finish()
 	for {
-		if c.reader.Wait() != nil || c.isClosing() {
+		if c.reader.WaitReadable() != nil || c.isClosing() {
 			return
 		}
 		request, err := c.reader.ReadRequest()
--- a/internal/frontend/http/pipeline.go
+++ b/internal/frontend/http/pipeline.go
@@ -74,7 +74,7 @@
 			clientStays = c.awaitWithoutReading()
 		case !c.hasPipelined():
 			s.mu.Unlock()
-			clientStays = c.reader.Wait() == nil
+			clientStays = c.reader.WaitReadable() == nil
 			s.mu.Lock()
 		default:
 			if buf == nil {
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -56,7 +56,7 @@
 		MaxBytes:   m.MaxBytes,
 		BatchSize:  m.BatchSize,
 		MaxAge:     m.MaxAge,
-		VersionOne: m.VersionOne,
+		ForceV1:    m.VersionOne,
 		Gatherer:   g.loop.metrics.Registry,
 		Log:        g.log,
 		Seed:       g.incarnation,
--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -103,9 +103,9 @@
 // message.
 func (r *Reader) Buffered() int { return r.r.Buffered() }
 
-// Wait blocks until at least one byte can be read, and returns nil without consuming it. It returns an
-// error if the connection ends or fails first.
-func (r *Reader) Wait() error {
+// WaitReadable blocks until at least one byte can be read, and returns nil without consuming it. It returns
+// an error if the connection ends or fails first.
+func (r *Reader) WaitReadable() error {
 	_, err := r.r.Peek(1)
 	return err
 }
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -107,7 +107,7 @@
 	for {
 		n := r.r.Buffered()
 		if n == 0 {
-			err := r.Wait()
+			err := r.WaitReadable()
 			if errors.Is(err, io.EOF) {
 				return body, nil
 			}
--- a/internal/httppost/post.go
+++ b/internal/httppost/post.go
@@ -29,11 +29,11 @@
 	maxRetryAfterSeconds = 1 << 30
 )
 
-// Client returns an HTTP client for Post. timeout limits each request including reading the response; zero
-// means no timeout. idleConns is the maximum number of idle connections per host; zero means
+// NewClient returns an HTTP client for Post. timeout limits each request including reading the response;
+// zero means no timeout. idleConns is the maximum number of idle connections per host; zero means
 // http.DefaultMaxIdleConnsPerHost. The client does not follow redirects because data must only be sent to
 // the configured address.
-func Client(timeout time.Duration, idleConns int) http.Client {
+func NewClient(timeout time.Duration, idleConns int) http.Client {
 	return http.Client{
 		Timeout: timeout,
 		Transport: &http.Transport{
--- a/internal/httppost/post_test.go
+++ b/internal/httppost/post_test.go
@@ -59,7 +59,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			server := httptest.NewServer(c.handle)
 			defer server.Close()
-			client := Client(10*time.Second, 1)
+			client := NewClient(10*time.Second, 1)
 			defer client.CloseIdleConnections()
 			r := Post(context.Background(), &client, server.URL, http.Header{}, []byte("a batch"))
 			wrongReason := !strings.Contains(r.Reason, c.reason) || (r.Reason == "") != (c.reason == "")
--- a/internal/remotewrite/writer.go
+++ b/internal/remotewrite/writer.go
@@ -42,9 +42,9 @@
 	// MaxAge is the age beyond which waiting samples are dropped. Zero means that they are kept regardless
 	// of age.
 	MaxAge time.Duration
-	// VersionOne selects remote write 1.0 from the start. Otherwise the writer starts with 2.0 and falls
-	// back to 1.0 if the receiver does not support 2.0.
-	VersionOne bool
+	// ForceV1 selects remote write 1.0 from the start. Otherwise the writer starts with 2.0 and falls back
+	// to 1.0 if the receiver does not support 2.0.
+	ForceV1 bool
 	// ExternalLabels are added to each series.
 	ExternalLabels []Label
 	// Gatherer provides the metrics.
@@ -75,13 +75,13 @@
 		o.Now = time.Now
 	}
 	shards := max(1, o.Shards)
-	w := &Writer{options: o, startedAt: time.Now(), client: httppost.Client(o.Timeout, shards)}
+	w := &Writer{options: o, startedAt: time.Now(), client: httppost.NewClient(o.Timeout, shards)}
 	w.converter = converter{
 		externalLabels: o.ExternalLabels,
 		createdAt:      o.Now().UnixMilli(),
 		knownSeries:    map[string]*Series{},
 	}
-	w.versionOne.Store(o.VersionOne)
+	w.versionOne.Store(o.ForceV1)
 	for i := range shards {
 		settings := queue.Settings{
 			MaxItems:  o.MaxSamples / shards,
--- a/internal/remotewrite/writer_test.go
+++ b/internal/remotewrite/writer_test.go
@@ -86,7 +86,7 @@
 func TestBothProtocolVersions(t *testing.T) {
 	for _, versionOne := range []bool{false, true} {
 		r := newFixture(t, func(o *remotewrite.Options, _ *metricsreceiver.Fault) {
-			o.VersionOne = versionOne
+			o.ForceV1 = versionOne
 		})
 		for i := range 100 {
 			r.hist.Observe(float64(i))
--- a/internal/socket/reader.go
+++ b/internal/socket/reader.go
@@ -37,7 +37,7 @@
 			return 0, err
 		}
 		if r.err != nil && IsTransient(r.err) {
-			time.Sleep(RetryPause)
+			time.Sleep(RetryDelay)
 			continue
 		}
 		if r.n == 0 && r.err == nil {
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -21,8 +21,8 @@
 	}
 )
 
-// RetryPause is the pause before a system call that failed with a transient error is retried.
-const RetryPause = time.Millisecond
+// RetryDelay is the pause before a system call that failed with a transient error is retried.
+const RetryDelay = time.Millisecond
 
 // transientErrors say nothing of the connection: nothing was there yet, a signal came, or the kernel was out of memory.
 var transientErrors = []syscall.Errno{syscall.EAGAIN, syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM}
@@ -87,7 +87,7 @@
 		if n > 0 || err == nil || !IsTransient(err) {
 			return n, err
 		}
-		time.Sleep(RetryPause)
+		time.Sleep(RetryDelay)
 	}
 }
 
@@ -99,7 +99,7 @@
 		if err == nil || !IsTransient(err) {
 			return written, err
 		}
-		time.Sleep(RetryPause)
+		time.Sleep(RetryDelay)
 	}
 }
 
--- a/internal/upstream/http/conn.go
+++ b/internal/upstream/http/conn.go
@@ -146,7 +146,7 @@
 // used.
 func (c *conn) readResponse() bool {
 	p := c.pool
-	err := c.reader.Wait()
+	err := c.reader.WaitReadable()
 	p.mu.Lock()
 	call := c.call
 	if call == nil && err == nil {
--- a/internal/usage/sender/sender.go
+++ b/internal/usage/sender/sender.go
@@ -61,7 +61,7 @@
 func New(o Options) *Sender {
 	return &Sender{
 		options: o,
-		client:  httppost.Client(o.Timeout, 1),
+		client:  httppost.NewClient(o.Timeout, 1),
 		wake:    make(chan struct{}, 1),
 	}
 }
