--- a/internal/http1/reader.go
+++ b/internal/http1/reader.go
@@ -26,7 +26,8 @@
 
 // Limits are the limits for one message.
 type Limits struct {
-	// MaxHeadBytes is the maximum size of the start line and the fields together, including line ends.
+	// MaxHeadBytes is the maximum size of the start line and the fields together. Of the line ends, only
+	// that of the line being read counts.
 	MaxHeadBytes int
 	// MaxBodyBytes is the maximum size of a body.
 	MaxBodyBytes int
--- a/internal/http1/request_test.go
+++ b/internal/http1/request_test.go
@@ -27,6 +27,7 @@
 	return q, body, err
 }
 
+// goodHead is the head of a valid request without the fields for its body and the empty line.
 const goodHead = "POST /api?a=b HTTP/1.1\r\nHost: s\r\nX-Txn: 1\r\n"
 
 // A request that another parser could read in another way may hide a second one; it must be refused, not guessed at.
@@ -36,7 +37,8 @@
 		status     int
 	}{
 		{"both lengths", goodHead + "Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
-		{"both, other order", goodHead + "Transfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n0\r\n\r\n", 400},
+		{"both, other order",
+			goodHead + "Transfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n0\r\n\r\n", 400},
 		{"two lengths", goodHead + "Content-Length: 3\r\nContent-Length: 3\r\n\r\nabc", 400},
 		{"a list of lengths", goodHead + "Content-Length: 3, 3\r\n\r\nabc", 400},
 		{"negative", goodHead + "Content-Length: -3\r\n\r\nabc", 400},
@@ -49,7 +51,8 @@
 		{"two codings", goodHead + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 501},
 		{"chunk longer than told", goodHead + "Transfer-Encoding: chunked\r\n\r\n2\r\nabc\r\n0\r\n\r\n", 400},
 		{"chunk of negative size", goodHead + "Transfer-Encoding: chunked\r\n\r\n-2\r\nab\r\n0\r\n\r\n", 400},
-		{"chunk too long", goodHead + "Transfer-Encoding: chunked\r\n\r\nfffffffffff\r\nab\r\n0\r\n\r\n", 413},
+		{"chunk too long",
+			goodHead + "Transfer-Encoding: chunked\r\n\r\nfffffffffff\r\nab\r\n0\r\n\r\n", 413},
 		{"bare line feed", "GET / HTTP/1.1\nHost: s\n\n", 400},
 		{"bare carriage return", "GET / HTTP/1.1\r\nHost: s\rX: y\r\n\r\n", 400},
 		{"folded line", "GET / HTTP/1.1\r\nHost: s\r\n folded\r\n\r\n", 400},
@@ -67,8 +70,8 @@
 		{"space in the path", "GET /a b HTTP/1.1\r\nHost: s\r\n\r\n", 505},
 		{"long path", "GET /" + strings.Repeat("a", 3000) + " HTTP/1.1\r\nHost: s\r\n\r\n", 414},
 		{"long line", "GET / HTTP/1.1\r\nHost: s\r\nX: " + strings.Repeat("a", 5000) + "\r\n\r\n", 431},
-		{"long head", "GET / HTTP/1.1\r\nHost: s\r\n" + strings.Repeat("X: "+strings.Repeat("a", 400)+"\r\n", 30) +
-			"\r\n", 431},
+		{"long head", "GET / HTTP/1.1\r\nHost: s\r\n" +
+			strings.Repeat("X: "+strings.Repeat("a", 400)+"\r\n", 30) + "\r\n", 431},
 		{"many fields", "GET / HTTP/1.1\r\nHost: s\r\n" + strings.Repeat("X: a\r\n", 100) + "\r\n", 431},
 		{"expectation", goodHead + "Expect: 200-maybe\r\nContent-Length: 3\r\n\r\nabc", 417},
 	} {
@@ -137,6 +140,7 @@
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte(goodHead + "Content-Length: 3\r\n\r\nabc"))
 	f.Add([]byte(goodHead + "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"))
+	// No request that is ambiguous or exceeds the limits may be accepted.
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r := newTestReader(bytes.NewReader(b))
 		for {
--- a/internal/http1/response_test.go
+++ b/internal/http1/response_test.go
@@ -41,6 +41,7 @@
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		p, err := newTestReader(bytes.NewReader(b)).ReadResponse()
+		// No interim response, and no body that exceeds the limit, may be returned.
 		if err == nil && (p.Status < 200 || len(p.Body) > testLimits.MaxBodyBytes) {
 			t.Fatalf("%q was accepted as %+v", b, p)
 		}
--- a/internal/httppost/post_test.go
+++ b/internal/httppost/post_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// A Retry-After value that is misread makes the sender hammer the receiver or wait too long. Seconds and
-// dates must be parsed, invalid values must count as zero, and huge values must not overflow.
+// A misread Retry-After value makes the sender retry too early or too late. Seconds and dates must be
+// parsed, invalid values must count as zero, and huge values must not overflow.
 func TestParseRetryAfter(t *testing.T) {
 	now := time.Date(2026, 12, 3, 7, 0, 0, 0, time.UTC)
 	for _, c := range []struct {
--- a/internal/jsonrpc/member.go
+++ b/internal/jsonrpc/member.go
@@ -6,12 +6,15 @@
 	"unicode/utf8"
 )
 
-// whitespace of JSON (RFC 8259 section 2).
+// whitespace contains the whitespace characters of JSON (RFC 8259, section 2).
 const whitespace = " \t\r\n"
 
-// ForEachMember calls f for each member of an object in the order of the text, with its value as it is written there.
-// raw must be valid JSON, as everything is that Parse returns: only the ends of values are looked for, and nothing is
-// validated a second time. A value that is not an object has no members. An error of f ends the iteration.
+// ForEachMember calls f for each member of a JSON object, in the order of the text and including repeated
+// names. value is the unchanged text of the member's value and shares memory with raw. If raw is not an
+// object, f is not called. An error of f ends the iteration and is returned.
+//
+// raw must be valid JSON, like everything that Parse returns. It is not validated a second time: the
+// function only searches for the ends of the values.
 func ForEachMember(raw []byte, f func(name string, value json.RawMessage) error) error {
 	at := skipSpace(raw, 0)
 	if at >= len(raw) || raw[at] != '{' {
@@ -38,7 +41,7 @@
 	return nil
 }
 
-// skipSpace returns the index of the first byte from i on that is not whitespace.
+// skipSpace returns the index of the first byte at or after i that is not whitespace.
 func skipSpace(raw []byte, i int) int {
 	for i < len(raw) && (raw[i] == ' ' || raw[i] == '\n' || raw[i] == '\t' || raw[i] == '\r') {
 		i++
@@ -46,7 +49,7 @@
 	return i
 }
 
-// valueEnd returns the end of the value that begins at i.
+// valueEnd returns the index after the end of the value that begins at i.
 func valueEnd(raw []byte, i int) int {
 	for depth := 0; i < len(raw); i++ {
 		switch raw[i] {
@@ -66,7 +69,7 @@
 				return i + 1
 			}
 			if depth < 0 {
-				return i // the end of the object or array around a number or a literal
+				return i // end of the object or array that contains this number or literal
 			}
 		case ',', ' ', '\n', '\t', '\r':
 			if depth == 0 {
@@ -77,7 +80,7 @@
 	return len(raw)
 }
 
-// decodeString decodes a JSON string. It returns false for a value of another type.
+// decodeString decodes a JSON string. It returns false if raw is not a string.
 func decodeString(raw json.RawMessage) (string, bool) {
 	if len(raw) < 2 || raw[0] != '"' {
 		return "", false
--- a/internal/jsonrpc/message.go
+++ b/internal/jsonrpc/message.go
@@ -1,4 +1,5 @@
-// Package jsonrpc is a codec of JSON-RPC 2.0: requests, notifications, responses and batches of them. It does no I/O.
+// Package jsonrpc encodes and decodes JSON-RPC 2.0 messages: requests, notifications, responses and
+// batches. It does no I/O.
 package jsonrpc
 
 import (
@@ -6,20 +7,21 @@
 	"fmt"
 )
 
-// Error codes. Those from -32768 to -32600 are of the specification (section 5.1). Of the range that it leaves to
-// servers, -32000 to -32099, gateways and their servers use the named ones.
+// Error codes. The codes from -32700 to -32600 are defined by the specification (section 5.1). The others
+// are those that gateways and their servers use of the range from -32000 to -32099, which the specification
+// reserves for servers.
 const (
 	CodeParse          = -32700
 	CodeInvalidRequest = -32600
 	CodeMethodNotFound = -32601
 	CodeInvalidParams  = -32602
-	CodeServerError    = -32000 // of a server: the work failed, and may have had its effect
-	CodeRejected       = -32001 // of a gateway: the request may be repeated without harm
-	CodeFailed         = -32002 // of a gateway: the request may or may not have had its effect
-	CodeServerFull     = -32010 // of a server: the request was rejected without being looked at
+	CodeServerError    = -32000 // from a server: the request failed and may have taken effect
+	CodeRejected       = -32001 // from a gateway: the request can safely be repeated
+	CodeFailed         = -32002 // from a gateway: the request failed and may have taken effect
+	CodeServerFull     = -32010 // from a server: it was full and did not process the request
 )
 
-// Error is the error object of a response.
+// Error is the error object of a response. It implements error.
 type Error struct {
 	Code    int             `json:"code"`
 	Message string          `json:"message"`
@@ -28,22 +30,26 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("jsonrpc: %s (%d)", e.Message, e.Code) }
 
-// ID is the id of a request as JSON: a string, a number or null. It is empty for a notification.
+// ID is the JSON text of the id of a message: a string, a number or null. It is empty for a notification.
 type ID string
 
-// NullID is the id of a response to a request whose id could not be read.
+// NullID is the id of a response to a message whose id is missing or cannot be parsed.
 const NullID ID = "null"
 
-// Message is one member of a batch, or a single message: a request, a notification, a response, or what is none of
-// them.
+// Message is a request, a notification, a response or an invalid message, either on its own or in a batch.
 type Message struct {
-	ID      ID
-	Method  string // empty: a response
-	Params  json.RawMessage
-	Result  json.RawMessage // of a response
-	Err     *Error          // of a response; of an invalid message the error to answer with
-	Invalid bool            // neither a request nor a response
+	ID ID
+	// Method is the method of a request or notification. It is empty for responses and invalid messages.
+	Method string
+	// Params holds the params of a request or notification. Nil means that there are none.
+	Params json.RawMessage
+	// Result is the result of a response. It is nil if the response has an error.
+	Result json.RawMessage
+	// Err is the error of a response, or the error to respond with if the message is invalid.
+	Err *Error
+	// Invalid reports that the message is neither a valid request or notification nor a valid response.
+	Invalid bool
 }
 
-// IsNotification reports whether the message must not be answered.
+// IsNotification reports whether the message is a notification, which must not be responded to.
 func (m *Message) IsNotification() bool { return !m.Invalid && m.Method != "" && m.ID == "" }
--- a/internal/jsonrpc/message_test.go
+++ b/internal/jsonrpc/message_test.go
@@ -67,7 +67,8 @@
 	}
 }
 
-// FuzzMembers: the members of an object are those that encoding/json decodes.
+// A message would be misread if ForEachMember found other members than encoding/json. Both must find the
+// same members in any object.
 func FuzzMembers(f *testing.F) {
 	f.Add([]byte(` { "a" : [1,{"b":"]}"}] , "\\u0063\\"":-1.5e3,"d":null,"a":"\\\\" } `))
 	f.Fuzz(func(t *testing.T, in []byte) {
@@ -91,7 +92,7 @@
 	})
 }
 
-// FuzzParse: whatever is parsed can be answered, in JSON and with the same id.
+// For every message with an id that Parse returns, a response with the same id must be valid JSON.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`[{"jsonrpc":"2.0","method":"m","id":1,"params":{}}]`))
 	f.Fuzz(func(t *testing.T, in []byte) {
--- a/internal/jsonrpc/parse.go
+++ b/internal/jsonrpc/parse.go
@@ -7,9 +7,10 @@
 	"unicode/utf8"
 )
 
-// Parse reads a message or a batch of at most maxBatch messages; batch says which. The error is set if nothing of the
-// input can be used: the response is then this error with NullID (specification section 6). Params and results of a
-// single message are parts of data.
+// Parse parses data, which holds a single message or a batch of at most maxBatch messages. batch reports
+// whether it is a batch. Invalid messages are returned with Message.Invalid set. Only if the input as a
+// whole is invalid does Parse return an error; the response is then this error with NullID (specification,
+// section 6). Params and Result of a single message share memory with data.
 func Parse(data []byte, maxBatch int) (messages []Message, batch bool, err *Error) {
 	data = bytes.TrimLeft(data, whitespace)
 	if len(data) == 0 || data[0] != '[' {
@@ -35,7 +36,8 @@
 	return messages, true, nil
 }
 
-// envelope holds the members of a message that have a meaning; the others are ignored.
+// envelope holds the values of the members of a message that the protocol defines. Nil means that the
+// member is missing. Other members are ignored.
 type envelope struct {
 	version, method, params, id, result, err json.RawMessage
 }
@@ -58,7 +60,7 @@
 	return nil
 }
 
-// parseMessage reads one message, which must be valid JSON.
+// parseMessage parses one message. raw must be valid JSON.
 func parseMessage(raw []byte) Message {
 	trimmed := bytes.TrimLeft(raw, whitespace)
 	if len(trimmed) == 0 || trimmed[0] != '{' {
@@ -86,8 +88,8 @@
 	return Message{ID: id, Method: method, Params: e.params}
 }
 
-// parseResponse reads a response: it has an id, and either a result or an error. A null result beside an error counts
-// as none.
+// parseResponse parses a response, which must have an id and either a result or an error. If it has an
+// error, a null result counts as missing.
 func parseResponse(id ID, e envelope) Message {
 	var responseErr *Error
 	if e.err != nil && string(e.err) != "null" {
@@ -106,7 +108,8 @@
 	return Message{ID: id, Result: e.result, Err: responseErr}
 }
 
-// invalidMessage returns a message that can't be used, to be answered with NullID if it has no id.
+// invalidMessage returns an invalid message with the error to respond with. Its id is NullID if id is
+// empty.
 func invalidMessage(id ID, reason string) Message {
 	if id == "" {
 		id = NullID
@@ -114,8 +117,8 @@
 	return Message{ID: id, Invalid: true, Err: &Error{Code: CodeInvalidRequest, Message: reason}}
 }
 
-// parseID returns an id in one form, so that two spellings of a string are the same id. Without an id it returns an
-// empty one.
+// parseID parses an id. It normalizes strings so that differently escaped spellings result in the same ID.
+// If raw is empty, the ID is empty. It returns false if the id is neither a string, a number nor null.
 func parseID(raw json.RawMessage) (ID, bool) {
 	if len(raw) == 0 {
 		return "", true
@@ -129,7 +132,7 @@
 		if !ok {
 			return "", false
 		}
-		canonical, _ := json.Marshal(s) // a string can be marshalled
+		canonical, _ := json.Marshal(s) // marshalling a string never fails
 		return ID(canonical), true
 	case c == '-' || c >= '0' && c <= '9', string(raw) == "null":
 		return ID(raw), true
