--- a/internal/http1/request_test.go
+++ b/internal/http1/request_test.go
@@ -30,8 +30,9 @@
 // goodHead is the head of a valid request without the fields for its body and the empty line.
 const goodHead = "POST /api?a=b HTTP/1.1\r\nHost: s\r\nX-Txn: 1\r\n"
 
-// A request that another parser could read in another way may hide a second one; it must be refused, not guessed at.
-func TestRequestsThatCantBeUsed(t *testing.T) {
+// A request that another parser could interpret differently may hide a second request (request smuggling).
+// Such requests, and those that exceed a limit, must be rejected with the right status.
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
 		status     int
@@ -48,8 +49,10 @@
 		{"huge", goodHead + "Content-Length: 62914560\r\n\r\n", 413},
 		{"beyond any integer", goodHead + "Content-Length: 99999999999999999999999999\r\n\r\n", 413},
 		{"gzip", goodHead + "Transfer-Encoding: gzip, chunked\r\n\r\n", 501},
-		{"two codings", goodHead + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 501},
-		{"chunk longer than told", goodHead + "Transfer-Encoding: chunked\r\n\r\n2\r\nabc\r\n0\r\n\r\n", 400},
+		{"two codings",
+			goodHead + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 501},
+		{"chunk longer than its size",
+			goodHead + "Transfer-Encoding: chunked\r\n\r\n2\r\nabc\r\n0\r\n\r\n", 400},
 		{"chunk of negative size", goodHead + "Transfer-Encoding: chunked\r\n\r\n-2\r\nab\r\n0\r\n\r\n", 400},
 		{"chunk too long",
 			goodHead + "Transfer-Encoding: chunked\r\n\r\nfffffffffff\r\nab\r\n0\r\n\r\n", 413},
@@ -62,41 +65,41 @@
 		{"a zero byte", "GET / HTTP/1.1\r\nHost: s\r\nX: a\x00b\r\n\r\n", 400},
 		{"no host", "GET / HTTP/1.1\r\n\r\n", 400},
 		{"two hosts", "GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", 400},
-		{"version", "GET / HTTP/2.0\r\nHost: s\r\n\r\n", 505},
+		{"unsupported version", "GET / HTTP/2.0\r\nHost: s\r\n\r\n", 505},
 		{"no version", "GET /\r\nHost: s\r\n\r\n", 505},
-		{"one word", "GET\r\nHost: s\r\n\r\n", 400},
-		{"noise", "\x16\x03\x01\x02\x00\x01\x00\r\n\r\n", 400},
-		{"whole address", "GET http://s/ HTTP/1.1\r\nHost: s\r\n\r\n", 400},
+		{"start line of one word", "GET\r\nHost: s\r\n\r\n", 400},
+		{"binary data", "\x16\x03\x01\x02\x00\x01\x00\r\n\r\n", 400},
+		{"absolute URL", "GET http://s/ HTTP/1.1\r\nHost: s\r\n\r\n", 400},
 		{"space in the path", "GET /a b HTTP/1.1\r\nHost: s\r\n\r\n", 505},
 		{"long path", "GET /" + strings.Repeat("a", 3000) + " HTTP/1.1\r\nHost: s\r\n\r\n", 414},
 		{"long line", "GET / HTTP/1.1\r\nHost: s\r\nX: " + strings.Repeat("a", 5000) + "\r\n\r\n", 431},
 		{"long head", "GET / HTTP/1.1\r\nHost: s\r\n" +
 			strings.Repeat("X: "+strings.Repeat("a", 400)+"\r\n", 30) + "\r\n", 431},
 		{"many fields", "GET / HTTP/1.1\r\nHost: s\r\n" + strings.Repeat("X: a\r\n", 100) + "\r\n", 431},
-		{"expectation", goodHead + "Expect: 200-maybe\r\nContent-Length: 3\r\n\r\nabc", 417},
+		{"unknown expectation", goodHead + "Expect: 200-maybe\r\nContent-Length: 3\r\n\r\nabc", 417},
 	} {
 		_, _, err := readMessage(newTestReader(strings.NewReader(c.text)))
 		var e *Error
 		if !errors.As(err, &e) || e.Status != c.status {
-			t.Errorf("%s: error %v, want status %d", c.name, err, c.status)
+			t.Errorf("%s: got error %v, want status %d", c.name, err, c.status)
 		}
 	}
 }
 
-// A client may close, or be cut off, at any byte. What it sent until then is no request.
-func TestWhatEndsTooEarlyIsNoRequest(t *testing.T) {
-	whole := goodHead + "Content-Length: 3\r\n\r\nabc"
-	for n := range len(whole) {
-		_, _, err := readMessage(newTestReader(strings.NewReader(whole[:n])))
+// A client may close its connection, or lose it, at any byte. A truncated request must not be executed.
+func TestTruncatedRequestIsAnError(t *testing.T) {
+	complete := goodHead + "Content-Length: 3\r\n\r\nabc"
+	for n := range len(complete) {
+		_, _, err := readMessage(newTestReader(strings.NewReader(complete[:n])))
 		if want := io.ErrUnexpectedEOF; n > 0 && !errors.Is(err, want) || n == 0 && err != io.EOF {
-			t.Errorf("after %d bytes: %v, want %v", n, err, want)
+			t.Errorf("truncated after %d bytes: got error %v, want %v", n, err, want)
 		}
 	}
 }
 
-// Segments end anywhere. However the bytes are cut up, the messages are the same, and
-// bytes behind one stay for the next.
-func TestMessagesAreTheSameHoweverTheyComeInPieces(t *testing.T) {
+// TCP segments may end at any byte. However the bytes are split into reads, the same messages must be
+// returned, and the bytes after a message must be left for the next one.
+func TestMessagesDoNotDependOnReadSizes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var text bytes.Buffer
 		var bodies []string
@@ -128,19 +131,19 @@
 		for i, want := range bodies {
 			q, body, err := readMessage(r)
 			if err != nil || string(body) != want || q.Target != "/api?a=b" {
-				t.Fatalf("message %d: %q, %v, want %q", i, body, err, want)
+				t.Fatalf("message %d: got body %q, error %v, want body %q", i, body, err, want)
 			}
 		}
 		if _, err := r.ReadRequest(); err != io.EOF {
-			t.Fatalf("behind the last: %v, want %v", err, io.EOF)
+			t.Fatalf("after the last message: got error %v, want %v", err, io.EOF)
 		}
 	})
 }
 
+// No request that is ambiguous or exceeds the limits may be accepted.
 func FuzzRequest(f *testing.F) {
 	f.Add([]byte(goodHead + "Content-Length: 3\r\n\r\nabc"))
 	f.Add([]byte(goodHead + "Transfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"))
-	// No request that is ambiguous or exceeds the limits may be accepted.
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r := newTestReader(bytes.NewReader(b))
 		for {
@@ -151,7 +154,7 @@
 			_, codings := q.Get("Transfer-Encoding")
 			_, lengths := q.Get("Content-Length")
 			if lengths > 0 && codings > 0 || lengths > 1 || len(body) > testLimits.MaxBodyBytes {
-				t.Fatalf("%q was accepted", b)
+				t.Fatalf("request %q was accepted", b)
 			}
 		}
 	})
--- a/internal/jsonrpc/message_test.go
+++ b/internal/jsonrpc/message_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// TestParse parses single messages, valid and invalid. An invalid one keeps its id for the response if it can be read.
-func TestParse(t *testing.T) {
+// The client cannot match a response to its request if the response lacks the id. Valid and invalid single
+// messages must be told apart, and an invalid message must keep its id if the id itself is valid.
+func TestParseSingleMessage(t *testing.T) {
 	for in, want := range map[string]struct {
 		id           ID
 		method       string
@@ -34,18 +35,19 @@
 	} {
 		messages, batch, err := Parse([]byte(in), 10)
 		if err != nil || batch || len(messages) != 1 {
-			t.Fatalf("%s: %v, %v", in, messages, err)
+			t.Fatalf("%s: got messages %v, error %v, want one message", in, messages, err)
 		}
 		m := messages[0]
 		if m.ID != want.id || m.Method != want.method || m.Invalid != want.invalid ||
 			m.IsNotification() != want.notification {
-			t.Errorf("%s: %+v, want %+v", in, m, want)
+			t.Errorf("%s: got %+v, want %+v", in, m, want)
 		}
 	}
 }
 
-// TestBatches follows the examples of the specification's section 7.
-func TestBatches(t *testing.T) {
+// A batch that is invalid as a whole must result in one error. An invalid message within a batch must not
+// affect the other messages. The inputs follow the examples in section 7 of the specification.
+func TestParseBatch(t *testing.T) {
 	for in, code := range map[string]int{
 		`{"jsonrpc": "2.0", "method": "foobar, "params": "bar", "baz]`: CodeParse,
 		`[`:         CodeParse,
@@ -54,16 +56,16 @@
 		`[1,2,3,4]`: CodeInvalidRequest,
 	} {
 		if _, _, err := Parse([]byte(in), 3); err == nil || err.Code != code {
-			t.Errorf("%s: %v, want code %d", in, err, code)
+			t.Errorf("%s: got error %v, want code %d", in, err, code)
 		}
 	}
 	const in = ` [1, {"jsonrpc":"2.0","method":"m"}, {"jsonrpc":"2.0","method":"n","id":"x"}]`
 	messages, batch, err := Parse([]byte(in), 3)
 	if err != nil || !batch || len(messages) != 3 {
-		t.Fatalf("%+v %v %v", messages, batch, err)
+		t.Fatalf("got messages %+v, batch %v, error %v, want a batch of 3", messages, batch, err)
 	}
 	if !messages[0].Invalid || !messages[1].IsNotification() || messages[2].ID != `"x"` {
-		t.Errorf("%+v", messages)
+		t.Errorf("got %+v, want an invalid message, a notification and a request", messages)
 	}
 }
 
@@ -82,11 +84,11 @@
 			return nil
 		})
 		if len(got) != len(want) {
-			t.Fatalf("%q has members %q, want %q", in, got, want)
+			t.Fatalf("%q: got members %q, want %q", in, got, want)
 		}
 		for k, v := range want {
 			if string(got[k]) != string(v) {
-				t.Fatalf("%q: member %q is %q, want %q", in, k, got[k], v)
+				t.Fatalf("%q: got member %q = %q, want %q", in, k, got[k], v)
 			}
 		}
 	})
@@ -98,7 +100,7 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		messages, _, err := Parse(in, 5)
 		if err == nil && len(messages) == 0 || len(messages) > 5 {
-			t.Fatalf("%d messages, %v", len(messages), err)
+			t.Fatalf("got %d messages, error %v, want 1 to 5 messages or an error", len(messages), err)
 		}
 		for _, m := range messages {
 			if m.ID == "" {
@@ -106,7 +108,7 @@
 			}
 			out := AppendError(nil, m.ID, &Error{Code: 1, Message: "\x00\"<"})
 			if back, _, err := Parse(out, 1); err != nil || !json.Valid(out) || back[0].ID != m.ID {
-				t.Fatalf("%q is answered as %q", in, out)
+				t.Fatalf("response to %q is %q, want valid JSON with the id of the request", in, out)
 			}
 		}
 	})
--- a/internal/jsonrpc/parse.go
+++ b/internal/jsonrpc/parse.go
@@ -19,18 +19,18 @@
 		}
 		return []Message{parseMessage(data)}, false, nil
 	}
-	var raws []json.RawMessage
-	if json.Unmarshal(data, &raws) != nil {
+	var rawMessages []json.RawMessage
+	if json.Unmarshal(data, &rawMessages) != nil {
 		return nil, false, &Error{Code: CodeParse, Message: "parse error"}
 	}
-	if len(raws) == 0 {
+	if len(rawMessages) == 0 {
 		return nil, false, &Error{Code: CodeInvalidRequest, Message: "a batch of nothing"}
 	}
-	if len(raws) > maxBatch {
+	if len(rawMessages) > maxBatch {
 		return nil, false, &Error{Code: CodeInvalidRequest,
-			Message: fmt.Sprintf("a batch of %d calls, %d at most", len(raws), maxBatch)}
+			Message: fmt.Sprintf("a batch of %d calls, %d at most", len(rawMessages), maxBatch)}
 	}
-	for _, raw := range raws {
+	for _, raw := range rawMessages {
 		messages = append(messages, parseMessage(raw))
 	}
 	return messages, true, nil
@@ -42,7 +42,9 @@
 	version, method, params, id, result, err json.RawMessage
 }
 
-func (e *envelope) set(name string, value json.RawMessage) error {
+// setMember stores the value of a member. It never returns an error. It has an error result because it is
+// passed to ForEachMember.
+func (e *envelope) setMember(name string, value json.RawMessage) error {
 	switch name {
 	case "jsonrpc":
 		e.version = value
@@ -67,7 +69,7 @@
 		return invalidMessage(NullID, "not an object")
 	}
 	var e envelope
-	ForEachMember(raw, e.set) // set returns no error
+	ForEachMember(raw, e.setMember) // setMember never returns an error
 	id, ok := parseID(e.id)
 	if !ok {
 		return invalidMessage(NullID, "id is neither a string, a number nor null")
