--- a/internal/websocket/closeframe.go
+++ b/internal/websocket/closeframe.go
@@ -2,23 +2,24 @@
 
 import "unicode/utf8"
 
-// Codes of a close frame (RFC 6455 section 7.4.1).
+// Status codes of close frames (RFC 6455, section 7.4.1).
 const (
 	CodeNormal      = 1000
 	CodeGoingAway   = 1001
 	CodeProtocol    = 1002
 	CodeUnsupported = 1003
-	CodeNoStatus    = 1005 // never sent
-	CodeAbnormal    = 1006 // never sent
+	CodeNoStatus    = 1005 // never sent: the close frame has no code
+	CodeAbnormal    = 1006 // never sent: the connection ended without a close frame
 	CodeInvalidData = 1007
 	CodeTooBig      = 1009
 )
 
-// maxControlPayload is the longest payload of a control frame (RFC 6455 section 5.5).
+// maxControlPayload is the maximum payload size of a control frame in bytes (RFC 6455, section 5.5).
 const maxControlPayload = 125
 
-// ClosePayload returns the payload of a close frame. A reason that is too long is cut at a character. The payload is
-// empty for the codes that are never sent and for 0.
+// ClosePayload returns the payload of a close frame. A reason that is too long is truncated at a character
+// boundary. The payload is nil for zero and for the codes that are never sent, CodeNoStatus and
+// CodeAbnormal.
 func ClosePayload(code int, reason string) []byte {
 	if code == CodeNoStatus || code == CodeAbnormal || code == 0 {
 		return nil
@@ -30,7 +31,8 @@
 	return append([]byte{byte(code >> 8), byte(code)}, reason...)
 }
 
-// ParseClose reads the payload of a close frame that Next returned. Without a code it returns CodeNoStatus.
+// ParseClose parses the payload of a close frame that Reader.Next has returned. If the payload has no code,
+// it returns CodeNoStatus.
 func ParseClose(payload []byte) (code int, reason string) {
 	if len(payload) < 2 {
 		return CodeNoStatus, ""
@@ -38,7 +40,8 @@
 	return int(payload[0])<<8 | int(payload[1]), string(payload[2:])
 }
 
-// validateClose checks the payload of the peer's close frame (RFC 6455 section 7.4).
+// validateClose returns a *ProtocolError if the payload of a received close frame is invalid (RFC 6455,
+// section 7.4).
 func validateClose(payload []byte) error {
 	if len(payload) == 0 {
 		return nil
--- a/internal/websocket/errors.go
+++ b/internal/websocket/errors.go
@@ -5,9 +5,11 @@
 	"fmt"
 )
 
-// ProtocolError is a violation of the protocol by the peer.
+// ProtocolError reports a protocol violation by the peer, or a message or frame that exceeds a limit.
 type ProtocolError struct {
-	Code   int // for the close frame
+	// Code is the status code to send in the close frame.
+	Code int
+	// Reason describes the violation. It is sent in the close frame.
 	Reason string
 }
 
@@ -19,7 +21,8 @@
 	return &ProtocolError{code, fmt.Sprintf(format, args...)}
 }
 
-// CloseCode returns the close code for an error: that of a *ProtocolError, CodeAbnormal for any other.
+// CloseCode returns the status code for a connection that ended with err. It is the code of a
+// *ProtocolError, or CodeAbnormal for all other errors.
 func CloseCode(err error) int {
 	var e *ProtocolError
 	if errors.As(err, &e) {
--- a/internal/websocket/frame.go
+++ b/internal/websocket/frame.go
@@ -1,6 +1,6 @@
-// Package websocket is a codec of the WebSocket protocol (RFC 6455) for both roles: frames, messages and the opening
-// handshake. It reads from a bufio.Reader and writes to byte slices; it opens no socket, reads no clock and starts no
-// goroutine. No extension is ever agreed.
+// Package websocket encodes and decodes the WebSocket protocol (RFC 6455) for clients and servers: frames,
+// messages and the opening handshake. It reads from a bufio.Reader and writes to byte slices. It opens no
+// sockets, reads no clock and starts no goroutines. Extensions are not supported.
 package websocket
 
 import (
@@ -10,8 +10,8 @@
 	"math"
 )
 
-// The first two bytes of a frame, and its values of the length that are followed by the length itself (RFC 6455
-// section 5.2).
+// Bit masks for the first two bytes of a frame, and the values of the 7-bit length that announce an
+// extended length (RFC 6455, section 5.2).
 const (
 	finBit       = 0x80
 	reservedBits = 0x70
@@ -24,7 +24,7 @@
 	length64 = 127 // the length is in the next 8 bytes
 )
 
-// Opcode is a frame's opcode (RFC 6455 section 5.2).
+// Opcode is the opcode of a frame (RFC 6455, section 5.2).
 type Opcode byte
 
 // The opcodes.
@@ -37,11 +37,12 @@
 	Pong         Opcode = 0xA
 )
 
-// IsControl reports whether frames of the opcode may come between the fragments of a message.
+// IsControl reports whether o is the opcode of a control frame. Control frames are not fragmented and may
+// occur between the fragments of a message.
 func (o Opcode) IsControl() bool { return o&0x8 != 0 }
 
-// Role is a side of a connection. Frames of the client are masked, those of the server are not (RFC 6455
-// section 5.1).
+// Role is the role of one side of a connection. Frames from the client are masked, frames from the server
+// are not (RFC 6455, section 5.1).
 type Role int
 
 // The roles.
@@ -58,7 +59,8 @@
 	length int64
 }
 
-// readFrameHeader reads a frame's header and checks what RFC 6455 section 5.2 requires of it.
+// readFrameHeader reads the header of a frame. It returns a *ProtocolError if the header violates RFC 6455,
+// section 5.2, and io.EOF if the connection ended before the first byte and outside a message.
 func (r *Reader) readFrameHeader() (h frameHeader, err error) {
 	first, err := r.in.ReadByte()
 	if errors.Is(err, io.EOF) && r.inMessage {
@@ -99,7 +101,8 @@
 	return h, err
 }
 
-// readExtendedLength reads the length behind the header where there is one. It must have the shortest form.
+// readExtendedLength reads the extended length if the 7-bit length announces one. It returns a
+// *ProtocolError if the length does not have its shortest form.
 func (r *Reader) readExtendedLength(h *frameHeader) error {
 	var b [8]byte
 	switch h.length {
@@ -125,8 +128,8 @@
 	return nil
 }
 
-// applyMask applies a mask to data in place (RFC 6455 section 5.3), beginning with the byte of the key at offset. It
-// returns the offset for the data that follows.
+// applyMask masks or unmasks data in place (RFC 6455, section 5.3), starting with the byte of the key at
+// offset. It returns the offset for the data that follows.
 func applyMask(data []byte, key [4]byte, offset int) int {
 	rotated := [4]byte{key[offset&3], key[(offset+1)&3], key[(offset+2)&3], key[(offset+3)&3]}
 	wide := uint64(binary.LittleEndian.Uint32(rotated[:]))
@@ -141,7 +144,8 @@
 	return offset & 3
 }
 
-// AppendFrame appends a frame to dst. A client has to give a mask; payload itself is not changed.
+// AppendFrame appends a frame to dst. mask must be set for frames from a client and nil for frames from a
+// server. fin marks the last or only frame of a message. payload is not modified.
 func AppendFrame(dst []byte, fin bool, opcode Opcode, payload []byte, mask *[4]byte) []byte {
 	first := byte(opcode)
 	if fin {
--- a/internal/websocket/handshake.go
+++ b/internal/websocket/handshake.go
@@ -9,22 +9,30 @@
 	"strings"
 )
 
-const acceptGUID = "258EAFA5-E914-47DA-95CA-C5AB0DC85B11" // RFC 6455 section 1.3
+// acceptGUID is the GUID that is hashed with the key of the client (RFC 6455, section 1.3).
+const acceptGUID = "258EAFA5-E914-47DA-95CA-C5AB0DC85B11"
 
-// Upgrade is a client's opening handshake.
+// Upgrade is the opening handshake of a client as a server receives it.
 type Upgrade struct {
-	Path   string
-	Host   string
+	// Path is the request target, with the query.
+	Path string
+	// Host is the value of the field Host.
+	Host string
+	// Header contains all header fields.
 	Header Header
-	key    string
+	key    string // Sec-WebSocket-Key
 }
 
-// HandshakeError is a handshake that was rejected, by this side or by the server. Its method Response makes the
-// response of a server.
+// HandshakeError reports that a handshake was rejected. In a server, Response returns the response to send.
+// In a client, Status and Reason come from the response of the server, or describe why its header is
+// invalid.
 type HandshakeError struct {
-	Status      int
-	Reason      string
-	ExtraHeader string // header lines, each with CRLF
+	// Status is the HTTP status.
+	Status int
+	// Reason is the body of the response in a server, and the reason phrase of the response in a client.
+	Reason string
+	// ExtraHeader contains further header lines for the response, each with CRLF.
+	ExtraHeader string
 }
 
 func (e *HandshakeError) Error() string {
@@ -35,8 +43,8 @@
 	return &HandshakeError{Status: status, Reason: fmt.Sprintf(format, args...)}
 }
 
-// ReadUpgrade reads a client's opening handshake (RFC 6455 section 4.2.1). The error of one that can't be accepted is a
-// *HandshakeError with the response to it; any other error is of the connection.
+// ReadUpgrade reads the opening handshake of a client (RFC 6455, section 4.2.1). The error is a
+// *HandshakeError if the handshake is invalid. All other errors are errors of the connection.
 func ReadUpgrade(in *bufio.Reader) (*Upgrade, error) {
 	line, err := readLine(in, maxLine)
 	if err != nil {
@@ -59,7 +67,7 @@
 	return u, u.validate(parts[2])
 }
 
-// validate checks the fields of the handshake (RFC 6455 section 4.2.1).
+// validate returns a *HandshakeError if the version, target or header is invalid (RFC 6455, section 4.2.1).
 func (u *Upgrade) validate(version string) error {
 	if version != "HTTP/1.1" {
 		return handshakeErrorf(505, "version %q, want HTTP/1.1", truncate(version))
@@ -86,7 +94,7 @@
 	return nil
 }
 
-// Offers reports whether the client offered a subprotocol. Names of subprotocols are case-sensitive.
+// Offers reports whether the client offered the subprotocol. Subprotocol names are case-sensitive.
 func (u *Upgrade) Offers(protocol string) bool {
 	for _, v := range strings.Split(u.Header["sec-websocket-protocol"], ",") {
 		if strings.TrimSpace(v) == protocol {
@@ -96,7 +104,8 @@
 	return false
 }
 
-// Accept returns the response that opens the connection, with the subprotocol if it is not empty.
+// Accept returns the HTTP response that accepts the handshake. protocol is the selected subprotocol. If it
+// is empty, no subprotocol is selected.
 func (u *Upgrade) Accept(protocol string) []byte {
 	var b bytes.Buffer
 	b.WriteString("HTTP/1.1 101 Switching Protocols\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n")
@@ -108,7 +117,7 @@
 	return b.Bytes()
 }
 
-// acceptKey is the value of Sec-WebSocket-Accept for a key (RFC 6455 section 4.2.2).
+// acceptKey returns the value of Sec-WebSocket-Accept for a key (RFC 6455, section 4.2.2).
 func acceptKey(key string) string {
 	sum := sha1.Sum([]byte(key + acceptGUID))
 	return base64.StdEncoding.EncodeToString(sum[:])
@@ -126,9 +135,11 @@
 	505: "HTTP Version Not Supported",
 }
 
-// Response returns the complete HTTP response of a rejection. The connection has to be closed behind it.
+// Response returns the complete HTTP response that rejects the handshake. The connection must be closed
+// after it.
 func (e *HandshakeError) Response() []byte {
 	body := e.Reason + "\n"
 	return fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%sContent-Type: text/plain; charset=utf-8\r\n"+
-		"Content-Length: %d\r\nConnection: close\r\n\r\n%s", e.Status, statusText[e.Status], e.ExtraHeader, len(body), body)
+		"Content-Length: %d\r\nConnection: close\r\n\r\n%s",
+		e.Status, statusText[e.Status], e.ExtraHeader, len(body), body)
 }
--- a/internal/websocket/handshake_test.go
+++ b/internal/websocket/handshake_test.go
@@ -21,7 +21,7 @@
 	if !u.Offers("jsonrpc") || u.Offers("json") {
 		t.Error("subprotocols are misread")
 	}
-	// The accept value of RFC 6455 section 1.3.
+	// This is the accept value of the example in RFC 6455, section 1.3.
 	const want = "Sec-WebSocket-Accept: s3pPLMBiTxaQ9kYGzzhZRbK+xOo=\r\n"
 	if response := string(u.Accept("jsonrpc")); !strings.Contains(response, want) {
 		t.Errorf("response %q", response)
@@ -36,13 +36,14 @@
 		status int
 		extra  string
 	}{
-		"POST":               {replaced("GET", "POST"), 405, "Allow: GET"},
-		"HTTP/1.0":           {replaced("HTTP/1.1", "HTTP/1.0"), 505, ""},
-		"no Host":            {replaced("Host: h\r\n", ""), 400, ""},
-		"two Hosts":          {replaced("Host: h\r\n", "Host: h\r\nHost: g\r\n"), 400, ""},
-		"no Upgrade":         {replaced("Upgrade: WebSocket\r\n", ""), 426, "Upgrade: websocket"},
-		"version 8":          {replaced(": 13", ": 8"), 426, "Sec-WebSocket-Version: 13"},
-		"no version":         {replaced("sec-websocket-version: 13\r\n", ""), 426, "Sec-WebSocket-Version: 13"},
+		"POST":       {replaced("GET", "POST"), 405, "Allow: GET"},
+		"HTTP/1.0":   {replaced("HTTP/1.1", "HTTP/1.0"), 505, ""},
+		"no Host":    {replaced("Host: h\r\n", ""), 400, ""},
+		"two Hosts":  {replaced("Host: h\r\n", "Host: h\r\nHost: g\r\n"), 400, ""},
+		"no Upgrade": {replaced("Upgrade: WebSocket\r\n", ""), 426, "Upgrade: websocket"},
+		"version 8":  {replaced(": 13", ": 8"), 426, "Sec-WebSocket-Version: 13"},
+		"no version": {replaced("sec-websocket-version: 13\r\n", ""), 426,
+			"Sec-WebSocket-Version: 13"},
 		"short key":          {replaced("dGhlIHNhbXBsZSBub25jZQ==", "dGhl"), 400, ""},
 		"no key":             {replaced("SEC-WEBSOCKET-KEY", "x-key"), 400, ""},
 		"two keys":           {replaced("Host", "Sec-WebSocket-Key: x\r\nHost"), 400, ""},
@@ -89,7 +90,7 @@
 	}
 }
 
-// FuzzHandshake: whatever is accepted has a host and a path.
+// Every accepted handshake must have a host and a path.
 func FuzzHandshake(f *testing.F) {
 	f.Add(hello + "\r\n")
 	f.Fuzz(func(t *testing.T, in string) {
--- a/internal/websocket/header.go
+++ b/internal/websocket/header.go
@@ -8,14 +8,14 @@
 	"strings"
 )
 
-// Limits of the opening handshake, whose peer is not authenticated yet.
+// Limits for the opening handshake. They are strict because the peer is not authenticated yet.
 const (
 	maxLine         = 8 << 10 // bytes
 	maxHeaderFields = 64
 )
 
-// Header holds header fields by name in lower case; a repeated field's values are joined by ", "
-// (RFC 9110 section 5.3).
+// Header contains header fields by lower-case name. The values of a repeated field are joined with ", "
+// (RFC 9110, section 5.3).
 type Header map[string]string
 
 // has reports whether a comma-separated field contains a token, without regard to case.
@@ -28,7 +28,8 @@
 	return false
 }
 
-// readLine reads a line without its end. Lines end with CRLF or a bare LF (RFC 9112 section 2.2).
+// readLine reads a line and returns it without its line end, which is CRLF or a bare LF (RFC 9112, section
+// 2.2). It returns a *HandshakeError if the line has more than limit bytes including its end.
 func readLine(in *bufio.Reader, limit int) (string, error) {
 	var line []byte
 	for {
@@ -51,7 +52,7 @@
 	return string(line), nil
 }
 
-// isToken reports whether s is a token (RFC 9110 section 5.6.2).
+// isToken reports whether s is a token (RFC 9110, section 5.6.2).
 func isToken(s string) bool {
 	for i := 0; i < len(s); i++ {
 		c := s[i]
@@ -63,7 +64,8 @@
 	return s != ""
 }
 
-// readHeaderFields reads header fields up to the empty line.
+// readHeaderFields reads the header fields up to and including the empty line. It returns a *HandshakeError
+// if they are malformed or too many.
 func readHeaderFields(in *bufio.Reader) (Header, error) {
 	header := Header{}
 	for n := 0; ; n++ {
@@ -81,7 +83,7 @@
 			return nil, handshakeErrorf(431, "more than %d header fields", maxHeaderFields)
 		}
 		name, value, found := strings.Cut(line, ":")
-		if !found || !isToken(name) { // rejects also obsolete folding (RFC 9112 section 5.2)
+		if !found || !isToken(name) { // also rejects obsolete line folding (RFC 9112, section 5.2)
 			return nil, handshakeErrorf(400, "header field %q is malformed", truncate(line))
 		}
 		value = strings.Trim(value, " \t")
@@ -104,7 +106,7 @@
 // maxQuoted is how many bytes of a peer's text are part of an error message.
 const maxQuoted = 40
 
-// truncate shortens a peer's text for an error message.
+// truncate shortens s to maxQuotedBytes bytes for an error message.
 func truncate(s string) string {
 	if len(s) > maxQuoted {
 		return s[:maxQuoted] + "..."
--- a/internal/websocket/reader.go
+++ b/internal/websocket/reader.go
@@ -16,39 +16,43 @@
 	keptBuffer = 4 << 10
 )
 
-// Message is a complete message, or one control frame. Data is valid until the next call of Next.
+// Message is a complete message or a control frame.
 type Message struct {
+	// Opcode is Text or Binary for a message, and Close, Ping or Pong for a control frame.
 	Opcode Opcode
-	Data   []byte
+	// Data is the unmasked payload. It is valid until the next call of Reader.Next.
+	Data []byte
 }
 
 // Reader reads the messages of a connection. It is not safe for concurrent use.
 type Reader struct {
 	in         *bufio.Reader
 	role       Role
-	maxMessage int64 // bytes of a message
-	maxFrame   int64 // bytes of a frame's payload
-	buf        []byte
-	control    [maxControlPayload]byte
-	opcode     Opcode // of the message being read
-	inMessage  bool   // between the fragments of a message
-	validator  utf8Validator
-	closed     bool // a close frame or an error was returned
+	maxMessage int64                   // maximum size of a message in bytes
+	maxFrame   int64                   // maximum payload size of a data frame in bytes
+	buf        []byte                  // payload read so far of the current message
+	control    [maxControlPayload]byte // payload of the last control frame
+	opcode     Opcode                  // opcode of the current message
+	inMessage  bool                    // the current message is incomplete
+	validator  utf8Validator           // state of the current message if it is a text message
+	closed     bool                    // Next has returned a close frame or an error
 }
 
-// NewReader returns a reader for the side of a connection that has the role. A message of more than maxMessage bytes is
-// rejected with CodeTooBig, before the payload of the frame that exceeds the limit is read.
+// NewReader returns a Reader for the side of the connection that has the given role. A message of more than
+// maxMessage bytes is rejected with CodeTooBig before the payload of the frame that exceeds the limit is
+// read.
 func NewReader(in *bufio.Reader, role Role, maxMessage int64) *Reader {
 	return &Reader{in: in, role: role, maxMessage: maxMessage, maxFrame: maxMessage}
 }
 
-// LimitFrames rejects a frame of more than maxFrame bytes of payload with CodeTooBig (RFC 6455 section 10.4 recommends
-// limits on frames and on messages).
+// LimitFrames sets the maximum payload size of a data frame in bytes. Larger frames are rejected with
+// CodeTooBig. Without this call the limit is that of a message. RFC 6455, section 10.4, recommends limits
+// for both frames and messages.
 func (r *Reader) LimitFrames(maxFrame int64) { r.maxFrame = min(maxFrame, r.maxMessage) }
 
-// Next returns the next message or control frame. The error is a *ProtocolError, io.ErrUnexpectedEOF if the connection
-// ended inside a frame or a message, io.EOF if it ended elsewhere, or another of the connection. After a close frame or
-// an error it returns io.EOF.
+// Next returns the next message or control frame. The error is a *ProtocolError, io.ErrUnexpectedEOF if the
+// connection ended within a frame or message, io.EOF if it ended elsewhere, or another error of the
+// connection. After it has returned a close frame or an error, all further calls return io.EOF.
 func (r *Reader) Next() (Message, error) {
 	if r.closed {
 		return Message{}, io.EOF
@@ -98,7 +102,8 @@
 	return Message{h.opcode, data}, nil
 }
 
-// releaseLargeBuffer empties the buffer of the last message, and drops it if it is larger than keptBuffer.
+// releaseLargeBuffer resets the buffer of the last message, and releases it if it is larger than
+// maxKeptBufferBytes.
 func (r *Reader) releaseLargeBuffer() {
 	if cap(r.buf) > keptBuffer {
 		r.buf = nil
@@ -106,7 +111,8 @@
 	r.buf = r.buf[:0]
 }
 
-// readFragment reads a data frame into the buffer of its message. done is set behind the last frame of the message.
+// readFragment reads the payload of a data frame into the buffer. done reports whether the message is
+// complete.
 func (r *Reader) readFragment(h frameHeader) (done bool, err error) {
 	if err := r.beginFragment(h); err != nil {
 		return false, err
@@ -124,7 +130,8 @@
 	return true, nil
 }
 
-// beginFragment checks a data frame against the message that it belongs to, and against the limits.
+// beginFragment returns a *ProtocolError if a data frame is not allowed at this point or exceeds a limit.
+// It starts a new message if the frame is the first one of it.
 func (r *Reader) beginFragment(h frameHeader) error {
 	switch {
 	case h.opcode == Continuation && !r.inMessage:
@@ -144,7 +151,7 @@
 	return nil
 }
 
-// readPayload appends a data frame's payload to the buffer, unmasked and checked as far as it has come.
+// readPayload appends the unmasked payload of a data frame to the buffer. Text is validated as it arrives.
 func (r *Reader) readPayload(h frameHeader) error {
 	maskOffset := 0
 	for left := h.length; left > 0; {
@@ -166,7 +173,7 @@
 	return nil
 }
 
-// readFull fills p. An end of the connection is io.ErrUnexpectedEOF.
+// readFull reads len(p) bytes into p. If the connection ends first, it returns io.ErrUnexpectedEOF.
 func (r *Reader) readFull(p []byte) error {
 	if _, err := io.ReadFull(r.in, p); err != nil {
 		if errors.Is(err, io.EOF) {
--- a/internal/websocket/reader_test.go
+++ b/internal/websocket/reader_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// TestCuts ends a stream at every byte: the reader returns complete messages or an unexpected end, never a part of a
+// A connection may end at any byte. The reader must then return io.ErrUnexpectedEOF and never a part of a
 // message.
 func TestCuts(t *testing.T) {
 	data := AppendFrame(nil, false, Text, []byte("héllo "), &key)
@@ -155,7 +155,7 @@
 	return n, nil
 }
 
-// FuzzReader: whatever comes, a message is within the limit and text is UTF-8.
+// For any input, no message may exceed the limit and no text message may contain invalid UTF-8.
 func FuzzReader(f *testing.F) {
 	f.Add(AppendFrame(nil, true, Text, []byte("x"), &key), true)
 	f.Add([]byte{0x82, 0xFF, 0, 0, 0, 0, 0, 0x20, 0, 0}, false)
--- a/internal/websocket/request.go
+++ b/internal/websocket/request.go
@@ -11,18 +11,22 @@
 	"strings"
 )
 
-// Request is the client's side of one handshake. It is not reusable while a handshake is in progress.
+// Request is the opening handshake of a client. It can be used for several handshakes one after another,
+// but not for two at the same time.
 type Request struct {
+	// Host is the value of the field Host. Path is the request target.
 	Host, Path string
-	Protocol   string            // subprotocol; empty: none
-	Header     map[string]string // further header fields
-	key        string            // of the last call of Bytes
+	// Protocol is the requested subprotocol. If it is empty, none is requested.
+	Protocol string
+	// Header contains further header fields.
+	Header map[string]string
+	key    string // Sec-WebSocket-Key of the last call of Bytes
 }
 
-// Bytes returns the opening handshake. Each call makes a new key.
+// Bytes returns the HTTP request of the handshake. Each call generates a new key.
 func (r *Request) Bytes() []byte {
 	var raw [16]byte
-	rand.Read(raw[:]) // never fails, see crypto/rand
+	rand.Read(raw[:]) // never fails, see the documentation of crypto/rand
 	r.key = base64.StdEncoding.EncodeToString(raw[:])
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "GET %s HTTP/1.1\r\nHost: %s\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n"+
@@ -37,8 +41,8 @@
 	return b.Bytes()
 }
 
-// ReadResponse reads the server's response and checks it (RFC 6455 section 4.1). The error is a *HandshakeError if the
-// server rejected the handshake.
+// ReadResponse reads and validates the response of the server (RFC 6455, section 4.1) to the last result of
+// Bytes. The error is a *HandshakeError if the server rejected the handshake.
 func (r *Request) ReadResponse(in *bufio.Reader) error {
 	line, err := readLine(in, maxLine)
 	if err != nil {
@@ -60,7 +64,7 @@
 	return r.validateResponse(header)
 }
 
-// validateResponse checks the header of a response with status 101.
+// validateResponse returns an error if the header of a response with status 101 is invalid.
 func (r *Request) validateResponse(header Header) error {
 	switch {
 	case !header.has("upgrade", "websocket") || !header.has("connection", "upgrade"):
--- a/internal/websocket/utf8.go
+++ b/internal/websocket/utf8.go
@@ -2,14 +2,14 @@
 
 import "unicode/utf8"
 
-// utf8Validator validates UTF-8 that comes in parts. A character may be split over parts; an invalid byte is found in
-// the part in which it comes.
+// utf8Validator validates UTF-8 text that arrives in parts. A character may be split between parts. An
+// invalid byte is detected in the part that contains it.
 type utf8Validator struct {
-	partial    [utf8.UTFMax]byte // the first bytes of a character
-	partialLen int
+	partial    [utf8.UTFMax]byte // first bytes of a character that is not complete yet
+	partialLen int               // number of bytes in partial
 }
 
-// feed validates a part and returns false for invalid UTF-8.
+// feed validates the next part of the text. It returns false if the text is invalid.
 func (u *utf8Validator) feed(p []byte) bool {
 	for u.partialLen > 0 && len(p) > 0 {
 		u.partial[u.partialLen] = p[0]
@@ -40,5 +40,5 @@
 	return true
 }
 
-// complete reports whether the last part ended at the end of a character.
+// complete reports whether the last part ended at a character boundary.
 func (u *utf8Validator) complete() bool { return u.partialLen == 0 }
