--- a/internal/websocket/handshake.go
+++ b/internal/websocket/handshake.go
@@ -46,7 +46,7 @@
 // ReadUpgrade reads the opening handshake of a client (RFC 6455, section 4.2.1). The error is a
 // *HandshakeError if the handshake is invalid. All other errors are errors of the connection.
 func ReadUpgrade(in *bufio.Reader) (*Upgrade, error) {
-	line, err := readLine(in, maxLine)
+	line, err := readLine(in, maxLineBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -78,7 +78,7 @@
 	if u.Host == "" {
 		return handshakeErrorf(400, "Host is missing")
 	}
-	if !u.Header.has("connection", "upgrade") || !u.Header.has("upgrade", "websocket") {
+	if !u.Header.hasToken("connection", "upgrade") || !u.Header.hasToken("upgrade", "websocket") {
 		e := handshakeErrorf(426, "this address speaks WebSocket")
 		e.ExtraHeader = "Upgrade: websocket\r\n"
 		return e
--- a/internal/websocket/header.go
+++ b/internal/websocket/header.go
@@ -10,7 +10,7 @@
 
 // Limits for the opening handshake. They are strict because the peer is not authenticated yet.
 const (
-	maxLine         = 8 << 10 // bytes
+	maxLineBytes    = 8 << 10 // bytes
 	maxHeaderFields = 64
 )
 
@@ -18,8 +18,9 @@
 // (RFC 9110, section 5.3).
 type Header map[string]string
 
-// has reports whether a comma-separated field contains a token, without regard to case.
-func (h Header) has(name, token string) bool {
+// hasToken reports whether the comma-separated list in the named field contains token. Tokens are compared
+// case-insensitively.
+func (h Header) hasToken(name, token string) bool {
 	for _, v := range strings.Split(h[name], ",") {
 		if strings.EqualFold(strings.TrimSpace(v), token) {
 			return true
@@ -69,7 +70,7 @@
 func readHeaderFields(in *bufio.Reader) (Header, error) {
 	header := Header{}
 	for n := 0; ; n++ {
-		line, err := readLine(in, maxLine)
+		line, err := readLine(in, maxLineBytes)
 		if err != nil {
 			if errors.Is(err, io.EOF) {
 				err = io.ErrUnexpectedEOF
@@ -91,11 +92,11 @@
 			return nil, handshakeErrorf(400, "header field %q holds a control character", truncate(name))
 		}
 		name = strings.ToLower(name)
-		if before, repeated := header[name]; repeated {
+		if previous, repeated := header[name]; repeated {
 			if name == "host" || name == "sec-websocket-key" || name == "authorization" {
 				return nil, handshakeErrorf(400, "header field %q comes twice", name)
 			}
-			value = before + ", " + value
+			value = previous + ", " + value
 		}
 		header[name] = value
 	}
@@ -103,13 +104,13 @@
 
 func isControlCharacter(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f }
 
-// maxQuoted is how many bytes of a peer's text are part of an error message.
-const maxQuoted = 40
+// maxQuotedBytes is the maximum number of bytes of text from the peer in an error message.
+const maxQuotedBytes = 40
 
 // truncate shortens s to maxQuotedBytes bytes for an error message.
 func truncate(s string) string {
-	if len(s) > maxQuoted {
-		return s[:maxQuoted] + "..."
+	if len(s) > maxQuotedBytes {
+		return s[:maxQuotedBytes] + "..."
 	}
 	return s
 }
--- a/internal/websocket/reader.go
+++ b/internal/websocket/reader.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// readStep is how many bytes the buffer of a message grows at a time: a header that announces a large frame must not
-	// allocate it.
-	readStep = 64 << 10
+	// readStepBytes is the number of bytes by which the buffer of a message grows at a time. A header that
+	// announces a large frame must not allocate memory for it before the bytes arrive.
+	readStepBytes = 64 << 10
 
-	// keptBuffer is the largest buffer, in bytes, that is kept between messages, so that an idle session does not hold
-	// the memory of its largest message.
-	keptBuffer = 4 << 10
+	// maxKeptBufferBytes is the capacity in bytes of the largest buffer that is kept between messages, so
+	// that an idle session does not hold the memory of its largest message.
+	maxKeptBufferBytes = 4 << 10
 )
 
 // Message is a complete message or a control frame.
@@ -105,7 +105,7 @@
 // releaseLargeBuffer resets the buffer of the last message, and releases it if it is larger than
 // maxKeptBufferBytes.
 func (r *Reader) releaseLargeBuffer() {
-	if cap(r.buf) > keptBuffer {
+	if cap(r.buf) > maxKeptBufferBytes {
 		r.buf = nil
 	}
 	r.buf = r.buf[:0]
@@ -154,8 +154,8 @@
 // readPayload appends the unmasked payload of a data frame to the buffer. Text is validated as it arrives.
 func (r *Reader) readPayload(h frameHeader) error {
 	maskOffset := 0
-	for left := h.length; left > 0; {
-		n := int(min(left, readStep))
+	for remaining := h.length; remaining > 0; {
+		n := int(min(remaining, readStepBytes))
 		start := len(r.buf)
 		r.buf = append(r.buf, make([]byte, n)...)
 		part := r.buf[start:]
@@ -168,7 +168,7 @@
 		if r.opcode == Text && !r.validator.feed(part) {
 			return protocolErrorf(CodeInvalidData, "text that is not UTF-8")
 		}
-		left -= int64(n)
+		remaining -= int64(n)
 	}
 	return nil
 }
--- a/internal/websocket/reader_test.go
+++ b/internal/websocket/reader_test.go
@@ -12,37 +12,41 @@
 	"pgregory.net/rapid"
 )
 
-var key = [4]byte{1, 2, 3, 250}
+// testMask is the mask of frames from clients.
+var testMask = [4]byte{1, 2, 3, 250}
 
-// reader reads data through a small buffer, so that frames are split over reads.
-func reader(data []byte, role Role) *Reader {
+// newTestReader returns a Reader with a small buffer, so that frames are split over several reads.
+func newTestReader(data []byte, role Role) *Reader {
 	return NewReader(bufio.NewReaderSize(bytes.NewReader(data), 16), role, 1<<20)
 }
 
-// TestBreaches reads frames that RFC 6455 forbids. Each ends the connection with the close code for its reason.
-func TestBreaches(t *testing.T) {
+// Frames that RFC 6455 forbids must not be delivered to the application. Each violation must end the
+// connection with the status code for its kind, and nothing may be read after it.
+func TestProtocolViolationsEndConnection(t *testing.T) {
 	masked := func(fin bool, opcode Opcode, payload string) []byte {
-		return AppendFrame(nil, fin, opcode, []byte(payload), &key)
+		return AppendFrame(nil, fin, opcode, []byte(payload), &testMask)
 	}
 	splitCharacter := append(masked(false, Text, "\xe2\x82"), masked(true, Continuation, "x")...)
 	for name, c := range map[string]struct {
 		data []byte
 		code int
 	}{
-		"unmasked from a client":    {AppendFrame(nil, true, Text, []byte("x"), nil), CodeProtocol},
-		"reserved bit":              {[]byte{0xC1, 0x80, 0, 0, 0, 0}, CodeProtocol},
-		"unknown opcode":            {[]byte{0x83, 0x80, 0, 0, 0, 0}, CodeProtocol},
-		"unknown control opcode":    {[]byte{0x8B, 0x80, 0, 0, 0, 0}, CodeProtocol},
-		"fragmented ping":           {masked(false, Ping, "x"), CodeProtocol},
-		"long ping":                 {masked(true, Ping, strings.Repeat("x", 126)), CodeProtocol},
-		"16-bit length of 125":      {[]byte{0x81, 0xFE, 0, 125}, CodeProtocol},
-		"64-bit length of 65535":    {[]byte{0x81, 0xFF, 0, 0, 0, 0, 0, 0, 0xff, 0xff}, CodeProtocol},
-		"64-bit length, top bit":    {[]byte{0x81, 0xFF, 0x80, 0, 0, 0, 0, 1, 0, 0}, CodeProtocol},
-		"continuation of nothing":   {masked(true, Continuation, "x"), CodeProtocol},
-		"text inside text":          {append(masked(false, Text, "x"), masked(true, Text, "y")...), CodeProtocol},
-		"too big":                   {append([]byte{0x82, 0xFF, 0, 0, 0, 0, 0, 0x20, 0, 0}, key[:]...), CodeTooBig},
+		"unmasked from a client":       {AppendFrame(nil, true, Text, []byte("x"), nil), CodeProtocol},
+		"reserved bit":                 {[]byte{0xC1, 0x80, 0, 0, 0, 0}, CodeProtocol},
+		"unknown opcode":               {[]byte{0x83, 0x80, 0, 0, 0, 0}, CodeProtocol},
+		"unknown control opcode":       {[]byte{0x8B, 0x80, 0, 0, 0, 0}, CodeProtocol},
+		"fragmented ping":              {masked(false, Ping, "x"), CodeProtocol},
+		"long ping":                    {masked(true, Ping, strings.Repeat("x", 126)), CodeProtocol},
+		"16-bit length of 125":         {[]byte{0x81, 0xFE, 0, 125}, CodeProtocol},
+		"64-bit length of 65535":       {[]byte{0x81, 0xFF, 0, 0, 0, 0, 0, 0, 0xff, 0xff}, CodeProtocol},
+		"64-bit length, top bit":       {[]byte{0x81, 0xFF, 0x80, 0, 0, 0, 0, 1, 0, 0}, CodeProtocol},
+		"continuation without message": {masked(true, Continuation, "x"), CodeProtocol},
+		"text inside text": {
+			append(masked(false, Text, "x"), masked(true, Text, "y")...), CodeProtocol},
+		"message too big": {
+			append([]byte{0x82, 0xFF, 0, 0, 0, 0, 0, 0x20, 0, 0}, testMask[:]...), CodeTooBig},
 		"invalid byte":              {masked(true, Text, "a\xff"), CodeInvalidData},
-		"invalid over a border":     {splitCharacter, CodeInvalidData},
+		"invalid across fragments":  {splitCharacter, CodeInvalidData},
 		"ends inside a character":   {masked(true, Text, "\xe2\x82"), CodeInvalidData},
 		"surrogate":                 {masked(true, Text, "\xed\xa0\x80"), CodeInvalidData},
 		"close with half a code":    {masked(true, Close, "x"), CodeProtocol},
@@ -51,16 +55,16 @@
 		"close reason not in UTF-8": {masked(true, Close, "\x03\xe8\xff"), CodeInvalidData},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := reader(c.data, Server)
+			r := newTestReader(c.data, Server)
 			_, err := r.Next()
 			for err == nil {
 				_, err = r.Next()
 			}
 			if CloseCode(err) != c.code {
-				t.Errorf("got %v, want close code %d", err, c.code)
+				t.Errorf("got error %v, want close code %d", err, c.code)
 			}
 			if _, err := r.Next(); err != io.EOF {
-				t.Errorf("after an error Next returns %v, want io.EOF", err)
+				t.Errorf("Next returned %v after an error, want io.EOF", err)
 			}
 		})
 	}
@@ -68,46 +72,46 @@
 
 // A connection may end at any byte. The reader must then return io.ErrUnexpectedEOF and never a part of a
 // message.
-func TestCuts(t *testing.T) {
-	data := AppendFrame(nil, false, Text, []byte("héllo "), &key)
-	data = AppendFrame(data, true, Ping, []byte("p"), &key)
-	data = AppendFrame(data, true, Continuation, []byte("wörld"), &key)
+func TestTruncatedMessageIsNotDelivered(t *testing.T) {
+	data := AppendFrame(nil, false, Text, []byte("héllo "), &testMask)
+	data = AppendFrame(data, true, Ping, []byte("p"), &testMask)
+	data = AppendFrame(data, true, Continuation, []byte("wörld"), &testMask)
 	for n := range data {
-		r := reader(data[:n], Server)
+		r := newTestReader(data[:n], Server)
 		for {
 			m, err := r.Next()
 			if err != nil {
 				if n > 0 && !errors.Is(err, io.ErrUnexpectedEOF) {
-					t.Fatalf("cut at %d: %v, want an unexpected end", n, err)
+					t.Fatalf("truncated at byte %d: got error %v, want an unexpected EOF", n, err)
 				}
 				break
 			}
 			if m.Opcode == Text {
-				t.Fatalf("cut at %d: message %q", n, m.Data)
+				t.Fatalf("truncated at byte %d: got incomplete message %q", n, m.Data)
 			}
 		}
 	}
 }
 
-// TestAnySplit splits messages into random frames, with pings between them, and into random reads: the same messages
-// are returned.
-func TestAnySplit(t *testing.T) {
+// Clients may fragment messages arbitrarily and send pings between fragments, and reads may return any
+// number of bytes. The same messages must be returned in all cases.
+func TestMessagesDoNotDependOnFragmentation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		messages := rapid.SliceOfN(rapid.String(), 1, 5).Draw(t, "messages")
 		role := rapid.SampledFrom([]Role{Server, Client}).Draw(t, "role")
 		var mask *[4]byte
 		if role == Server {
-			mask = &key
+			mask = &testMask
 		}
 		var data []byte
 		pings := 0
 		for _, m := range messages {
-			rest, opcode := []byte(m), Text
+			remaining, opcode := []byte(m), Text
 			for {
-				n := rapid.IntRange(0, len(rest)).Draw(t, "fragment")
-				last := n == len(rest)
-				data = AppendFrame(data, last, opcode, rest[:n], mask)
-				rest, opcode = rest[n:], Continuation
+				n := rapid.IntRange(0, len(remaining)).Draw(t, "fragment")
+				last := n == len(remaining)
+				data = AppendFrame(data, last, opcode, remaining[:n], mask)
+				remaining, opcode = remaining[n:], Continuation
 				if last {
 					break
 				}
@@ -117,7 +121,7 @@
 				}
 			}
 		}
-		in := &chunks{data, rapid.IntRange(1, 40).Draw(t, "read")}
+		in := &chunkedReader{data, rapid.IntRange(1, 40).Draw(t, "read")}
 		r := NewReader(bufio.NewReaderSize(in, 16), role, 1<<20)
 		var got []string
 		for {
@@ -135,18 +139,18 @@
 			}
 		}
 		if pings != 0 || strings.Join(got, "\x00") != strings.Join(messages, "\x00") {
-			t.Fatalf("got %q, want %q; %d pings are missing", got, messages, pings)
+			t.Fatalf("got messages %q, want %q; %d pings are missing", got, messages, pings)
 		}
 	})
 }
 
-// chunks returns at most maxRead bytes a read.
-type chunks struct {
+// chunkedReader is an io.Reader that returns at most maxRead bytes per read.
+type chunkedReader struct {
 	data    []byte
 	maxRead int
 }
 
-func (c *chunks) Read(p []byte) (int, error) {
+func (c *chunkedReader) Read(p []byte) (int, error) {
 	if len(c.data) == 0 {
 		return 0, io.EOF
 	}
@@ -157,7 +161,7 @@
 
 // For any input, no message may exceed the limit and no text message may contain invalid UTF-8.
 func FuzzReader(f *testing.F) {
-	f.Add(AppendFrame(nil, true, Text, []byte("x"), &key), true)
+	f.Add(AppendFrame(nil, true, Text, []byte("x"), &testMask), true)
 	f.Add([]byte{0x82, 0xFF, 0, 0, 0, 0, 0, 0x20, 0, 0}, false)
 	f.Fuzz(func(t *testing.T, data []byte, server bool) {
 		role := Client
@@ -171,7 +175,7 @@
 				return
 			}
 			if len(m.Data) > 1000 || m.Opcode == Text && !utf8.Valid(m.Data) {
-				t.Fatalf("message %q", m.Data)
+				t.Fatalf("got message %q, which is too long or not UTF-8", m.Data)
 			}
 		}
 	})
--- a/internal/websocket/request.go
+++ b/internal/websocket/request.go
@@ -44,7 +44,7 @@
 // ReadResponse reads and validates the response of the server (RFC 6455, section 4.1) to the last result of
 // Bytes. The error is a *HandshakeError if the server rejected the handshake.
 func (r *Request) ReadResponse(in *bufio.Reader) error {
-	line, err := readLine(in, maxLine)
+	line, err := readLine(in, maxLineBytes)
 	if err != nil {
 		return err
 	}
@@ -56,7 +56,7 @@
 	}
 	header, err := readHeaderFields(in)
 	if err != nil {
-		return fmt.Errorf("websocket: response to the handshake: %w", err)
+		return fmt.Errorf("websocket: reading the handshake response: %w", err)
 	}
 	if status != 101 {
 		return handshakeErrorf(status, "%s", reason)
@@ -67,15 +67,17 @@
 // validateResponse returns an error if the header of a response with status 101 is invalid.
 func (r *Request) validateResponse(header Header) error {
 	switch {
-	case !header.has("upgrade", "websocket") || !header.has("connection", "upgrade"):
-		return errors.New("websocket: response 101 does not upgrade to websocket")
+	case !header.hasToken("upgrade", "websocket") || !header.hasToken("connection", "upgrade"):
+		return errors.New("websocket: response with status 101 does not upgrade to websocket")
 	case header["sec-websocket-accept"] != acceptKey(r.key):
 		return fmt.Errorf("websocket: Sec-WebSocket-Accept is %q, want %q",
 			truncate(header["sec-websocket-accept"]), acceptKey(r.key))
 	case header["sec-websocket-extensions"] != "":
-		return fmt.Errorf("websocket: extension %q was not requested", truncate(header["sec-websocket-extensions"]))
+		return fmt.Errorf("websocket: server selected extension %q, want none",
+			truncate(header["sec-websocket-extensions"]))
 	case header["sec-websocket-protocol"] != r.Protocol:
-		return fmt.Errorf("websocket: subprotocol %q, want %q", truncate(header["sec-websocket-protocol"]), r.Protocol)
+		return fmt.Errorf("websocket: server selected subprotocol %q, want %q",
+			truncate(header["sec-websocket-protocol"]), r.Protocol)
 	}
 	return nil
 }
