--- a/internal/socket/reader.go
+++ b/internal/socket/reader.go
@@ -7,8 +7,10 @@
 	"time"
 )
 
-// Reader reads from a socket, past transient errors. Each read holds its owner's lock, so that bytes are either still
-// in the socket, where Peek sees them, or noted by the owner. It is not safe for concurrent use.
+// Reader is an io.Reader for a socket that retries reads after transient errors. It holds the lock of its
+// owner during each read system call and while it reports the bytes read to the owner. While the owner
+// holds the lock, received bytes are therefore either still in the socket, where Peek sees them, or known
+// to the owner. A Reader is not safe for concurrent use.
 type Reader struct {
 	raw  syscall.RawConn
 	lock sync.Locker
@@ -29,7 +31,8 @@
 	return r
 }
 
-// Read implements io.Reader. It waits until there are bytes, the connection ends or breaks, or a deadline passes.
+// Read implements io.Reader. It blocks until bytes have arrived, the connection ends or fails, or the
+// deadline passes.
 func (r *Reader) Read(b []byte) (int, error) {
 	r.buf = b
 	for {
@@ -47,7 +50,8 @@
 	}
 }
 
-// readNow makes one read that does not wait; false has the runtime call it again once the socket is readable.
+// readNow performs one non-blocking read. It returns false if nothing has arrived, which makes the runtime
+// call it again once the socket is readable.
 func (r *Reader) readNow(fd uintptr) bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,5 +1,6 @@
-// Package socket has what the frontend and the upstream pool need of a socket beyond package net: reads and writes
-// that never wait, looks at what has arrived, and retries of system calls that failed with a transient error.
+// Package socket provides operations on sockets that package net lacks: non-blocking reads and writes,
+// peeking at received data, and retries of system calls that failed with a transient error. The frontend
+// and the upstream pools use it.
 package socket
 
 import (
@@ -11,7 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// The system calls on sockets. Fault tests replace them, before a connection is used, by ones that fail.
+// System calls on sockets. Fault injection tests replace them by failing ones before any connection is
+// used.
 var (
 	Write = syscall.Write
 	Read  = syscall.Read
@@ -21,14 +23,15 @@
 	}
 )
 
-// RetryDelay is the pause before a system call that failed with a transient error is retried.
+// RetryDelay is the delay before a system call that failed with a transient error is retried.
 const RetryDelay = time.Millisecond
 
-// transientErrors say nothing of the connection: nothing was there yet, a signal came, or the kernel was out of memory.
+// transientErrors are errors that do not indicate a fault of the connection: the operation would have
+// blocked, a signal arrived, or the kernel was out of buffers or memory.
 var transientErrors = []syscall.Errno{syscall.EAGAIN, syscall.EINTR, syscall.ENOBUFS, syscall.ENOMEM}
 
-// IsTransient reports whether the error of a system call is transient: the call may be retried a moment later, and the
-// connection is as good as before.
+// IsTransient reports whether err is a transient error of a system call. The connection is intact and the
+// call can be retried shortly afterwards.
 func IsTransient(err error) bool {
 	for _, errno := range transientErrors {
 		if errors.Is(err, errno) {
@@ -38,9 +41,10 @@
 	return false
 }
 
-// WriteNow writes bytes into the socket's buffer without waiting for room and returns how many it took. If not all, err
-// is syscall.EAGAIN, another error for which IsTransient holds, or the connection's. The gateway's loop writes by it:
-// waiting for one peer would delay all others.
+// WriteNow writes bytes to the send buffer of the socket without blocking, and returns the number of bytes
+// written. It may write only a part of b without an error. err is syscall.EAGAIN if the buffer is full,
+// another error for which IsTransient returns true, or an error of the connection. The event loop of the
+// gateway uses WriteNow because waiting for one peer would delay all others.
 func WriteNow(raw syscall.RawConn, b []byte) (n int, err error) {
 	closed := raw.Write(func(fd uintptr) bool {
 		for {
@@ -56,8 +60,8 @@
 	return max(n, 0), err
 }
 
-// ReadNow reads what has arrived without waiting. If nothing has, err is syscall.EAGAIN; n and err are 0 and nil at
-// the end of the connection.
+// ReadNow reads the bytes that have arrived without blocking. If there are none, err is syscall.EAGAIN. At
+// the end of the connection, n is zero and err is nil.
 func ReadNow(fd uintptr, b []byte) (n int, err error) {
 	for {
 		n, err = Read(int(fd), b)
@@ -67,8 +71,8 @@
 	}
 }
 
-// WriteAll writes all bytes within a timeout, waiting for room and past transient errors. It replaces the
-// connection's write deadline.
+// WriteAll writes all bytes within the timeout. It waits for space in the send buffer and retries after
+// transient errors. Afterwards the connection has no write deadline.
 func WriteAll(nc net.Conn, b []byte, timeout time.Duration) error {
 	nc.SetWriteDeadline(time.Now().Add(timeout))
 	defer nc.SetWriteDeadline(time.Time{})
@@ -76,7 +80,7 @@
 	return err
 }
 
-// WithRetry wraps a connection whose reads and writes retry transient errors.
+// WithRetry wraps nc so that its reads and writes are retried after transient errors.
 func WithRetry(nc net.Conn) net.Conn { return retryConn{nc} }
 
 type retryConn struct{ net.Conn }
@@ -103,8 +107,8 @@
 	}
 }
 
-// Peek looks at a socket without taking anything: whether it holds unread bytes, and whether the peer has ended the
-// connection, also after bytes that are still unread.
+// Peek checks a socket without reading from it. unread reports whether it holds unread bytes. ended reports
+// whether the peer has ended the connection, even if there are still unread bytes.
 func Peek(raw syscall.RawConn) (unread, ended bool) {
 	raw.Control(func(fd uintptr) {
 		var b [1]byte
@@ -121,16 +125,17 @@
 	return unread, ended
 }
 
-// HasPending reports whether a listener has a connection to accept.
+// HasPending reports whether a connection is waiting to be accepted by the listener.
 func HasPending(raw syscall.RawConn) (pending bool) {
 	raw.Control(func(fd uintptr) { pending = poll(int32(fd), unix.POLLIN) })
 	return pending
 }
 
-// isHungUp reports whether the peer has closed or reset, whatever is still unread.
+// isHungUp reports whether the peer has closed or reset the connection, even if there are still unread
+// bytes.
 func isHungUp(fd int32) bool { return poll(fd, unix.POLLRDHUP) }
 
-// poll reports whether an event, or the end of the descriptor, has occurred.
+// poll reports without blocking whether an event, a hang-up or an error has occurred on a file descriptor.
 func poll(fd int32, event int16) bool {
 	fds := []unix.PollFd{{Fd: fd, Events: event}}
 	n, err := unix.Poll(fds, 0)
--- a/internal/wsconn/conn.go
+++ b/internal/wsconn/conn.go
@@ -1,10 +1,10 @@
-// Package wsconn is a WebSocket connection with bounds: one goroutine reads it, messages to be written wait in a
-// bounded queue, and a peer that does not read them in time is disconnected. Both ends of every WebSocket connection of
-// the programs use it.
+// Package wsconn implements WebSocket connections with bounded memory. One goroutine reads the connection.
+// Messages to be written wait in a bounded queue, and a peer that does not read them in time is
+// disconnected. Both ends of all WebSocket connections in this repository use this package.
 //
-// Pings and close frames are answered by Read, which the owner of the connection calls. An idle connection has no
-// goroutine of its own: the writer starts when the queue gets its first message and ends when the queue is empty or the
-// connection is closed. Nothing waits for it.
+// Read, which the owner of the connection calls, responds to pings and close frames. An idle connection has
+// no goroutine of its own: the writer goroutine starts when a message is added to the empty queue, and ends
+// when the queue is empty or the connection is closed. Nothing waits for the writer goroutine to end.
 package wsconn
 
 import (
@@ -21,17 +21,24 @@
 	"winghatch/internal/websocket"
 )
 
-// Options bound what a connection may hold. A zero takes the default.
+// Options are the limits of a connection. Zero or negative values mean the default.
 type Options struct {
-	MaxMessage   int64         // bytes of a message that is read; default 256 KiB
-	MaxFrame     int64         // bytes of a frame that is read; default: as MaxMessage
-	MaxQueue     int           // bytes that may wait to be written; default 1 MiB
-	WriteTimeout time.Duration // in which the peer must take a write; default 5 s
-	CloseTimeout time.Duration // in which the peer must answer a close frame; default 1 s
-	ReadBuffer   int           // bytes; default 1 KiB
+	// MaxMessage is the maximum size of a received message in bytes. The default is 256 KiB.
+	MaxMessage int64
+	// MaxFrame is the maximum payload size of a received data frame in bytes. The default is MaxMessage.
+	MaxFrame int64
+	// MaxQueue is the maximum size of the queue of messages to be written, in bytes. It includes 64 bytes
+	// of overhead per message. The default is 1 MiB.
+	MaxQueue int
+	// WriteTimeout is the time within which the peer must accept a write. The default is 5 s.
+	WriteTimeout time.Duration
+	// CloseTimeout is the time within which the peer must respond to a close frame. The default is 1 s.
+	CloseTimeout time.Duration
+	// ReadBuffer is the size of the read buffer in bytes. The default is 1 KiB.
+	ReadBuffer int
 }
 
-// The defaults of Options.
+// Default values of Options.
 const (
 	defaultMaxMessage   = 256 << 10
 	defaultMaxQueue     = 1 << 20
@@ -59,15 +66,18 @@
 	return o
 }
 
-// ErrClosed reports that the connection accepts no more messages.
+// ErrClosed is returned when a message is sent after the connection was closed or a close frame was queued.
 var ErrClosed = errors.New("wsconn: connection is closed")
 
 // ErrSlowPeer reports that the queue is full because the peer does not read. The connection is closed.
 var ErrSlowPeer = errors.New("wsconn: peer does not read what is written")
 
-// PeerClosedError is the error of Read after the peer's close frame.
+// PeerClosedError is returned by Read when the peer has sent a close frame.
 type PeerClosedError struct {
-	Code   int // see the codes of package websocket
+	// Code is the status code of the close frame, such as websocket.CodeNormal. It is
+	// websocket.CodeNoStatus if the close frame has no code.
+	Code int
+	// Reason is the reason in the close frame. It may be empty.
 	Reason string
 }
 
@@ -75,7 +85,8 @@
 	return fmt.Sprintf("wsconn: peer closed with %d %q", e.Code, e.Reason)
 }
 
-// Conn is a connection. Read is for one goroutine; all other methods are safe for concurrent use.
+// Conn is a WebSocket connection. Read must only be called by one goroutine at a time. All other methods
+// are safe for concurrent use.
 type Conn struct {
 	nc      net.Conn
 	reader  *websocket.Reader
@@ -84,19 +95,20 @@
 
 	mu          sync.Mutex
 	queue       []outgoing
-	queuedBytes int  // of queue, by queueSize
-	writing     bool // a writer goroutine runs
-	closing     bool // a close frame is queued or written; nothing may follow it
+	queuedBytes int  // sum of queueSize over queue
+	writing     bool // a writer goroutine is running
+	closing     bool // a close frame is queued or written; no message may follow it
 	readEnded   bool // nothing more is read; the writer closes the socket when the queue is empty
 	closed      bool // the socket is closed
 
-	maskSource *rand.ChaCha8 // of a client; used by the writer alone
+	maskSource *rand.ChaCha8 // generates the masks of a client, otherwise nil; only used by the writer
 
 	received    atomic.Bool // a complete message came since the last turn of PingIdle
 	silentTurns int         // turns of PingIdle without one; its alone
 }
 
-// newConn returns a connection whose handshake is done. in holds what was read of it beyond the handshake.
+// newConn returns a Conn for a connection whose handshake is complete. in reads from nc and may contain
+// bytes that arrived after the handshake.
 func newConn(nc net.Conn, in *bufio.Reader, role websocket.Role, o Options) *Conn {
 	o = o.withDefaults()
 	c := &Conn{nc: nc, reader: websocket.NewReader(in, role, o.MaxMessage), role: role, options: o}
@@ -105,17 +117,18 @@
 	}
 	if role == websocket.Client {
 		var seed [32]byte
-		crand.Read(seed[:]) // masks must be unpredictable (RFC 6455 section 10.3)
+		crand.Read(seed[:]) // masks must be unpredictable (RFC 6455, section 10.3)
 		c.maskSource = rand.NewChaCha8(seed)
 	}
 	return c
 }
 
-// Send queues a text message. data must not be changed after. The error is ErrClosed or ErrSlowPeer.
+// Send queues a text message. data must not be modified afterwards. The error is ErrClosed or ErrSlowPeer.
 func (c *Conn) Send(data []byte) error { return c.SendIf(data, nil) }
 
-// SendIf queues a text message as Send does. beforeWrite, if not nil, is called by the writer right before the
-// message's first byte may be written; if it returns false, nothing of the message is written.
+// SendIf queues a text message like Send. The writer calls beforeWrite immediately before the first byte of
+// the message may be written. If beforeWrite returns false, nothing of the message is written. Nil means
+// that the message is always written.
 func (c *Conn) SendIf(data []byte, beforeWrite func() bool) error {
 	return c.enqueue(outgoing{websocket.Text, data, beforeWrite})
 }
@@ -123,20 +136,21 @@
 // ping queues a ping.
 func (c *Conn) ping() error { return c.enqueue(outgoing{opcode: websocket.Ping}) }
 
-// Close queues a close frame behind the messages that wait. Read goes on until the peer answers it. A peer that does
-// not read is disconnected after WriteTimeout, one that does not answer after CloseTimeout.
+// Close queues a close frame after the queued messages. Read continues to return messages until the peer
+// responds to the close frame. A peer that does not read is disconnected after WriteTimeout, and one that
+// does not respond to the close frame after CloseTimeout.
 func (c *Conn) Close(code int, reason string) {
 	c.enqueue(outgoing{opcode: websocket.Close, data: websocket.ClosePayload(code, reason)})
 }
 
-// Abort closes the connection at once, without a close frame.
+// Abort closes the connection immediately, without a close frame, and drops the queued messages.
 func (c *Conn) Abort() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closeLocked()
 }
 
-// closeLocked closes the socket and drops the queue; the reader gets an error. c.mu is held.
+// closeLocked closes the socket and drops the queue. Read then returns an error. The caller must hold c.mu.
 func (c *Conn) closeLocked() {
 	c.closed = true
 	c.queue = nil
@@ -144,8 +158,9 @@
 	c.nc.Close()
 }
 
-// Read returns the next text message, which is valid until the next call. Pings and close frames are answered. After an
-// error, which may be a *PeerClosedError or a *websocket.ProtocolError, the connection is over.
+// Read returns the next text message, which is valid until the next call. It responds to pings and close
+// frames. The error is a *PeerClosedError, a *websocket.ProtocolError or an error of the connection. After
+// an error the connection cannot be used any more.
 func (c *Conn) Read() ([]byte, error) {
 	for {
 		m, err := c.reader.Next()
@@ -172,8 +187,9 @@
 	}
 }
 
-// finish ends the connection after the last read: behind a close frame after a protocol error or the peer's close
-// frame, at once after any other error.
+// finish ends the connection after the last read. After a protocol error or a close frame from the peer it
+// queues a close frame and leaves it to the writer to close the connection. After any other error it closes
+// the connection immediately.
 func (c *Conn) finish(err error) {
 	var e *websocket.ProtocolError
 	if !errors.As(err, &e) {
@@ -189,5 +205,5 @@
 		c.closeLocked()
 		return
 	}
-	c.nc.SetWriteDeadline(time.Now().Add(c.options.CloseTimeout)) // also of the write in progress
+	c.nc.SetWriteDeadline(time.Now().Add(c.options.CloseTimeout)) // also applies to a write in progress
 }
--- a/internal/wsconn/keepalive.go
+++ b/internal/wsconn/keepalive.go
@@ -5,15 +5,17 @@
 	"time"
 )
 
-// maxUnansweredPings is how many pings may go unanswered: one may wait behind a long message.
+// maxUnansweredPings is the number of pings in a row that may remain unanswered. It is more than one
+// because a ping may be delayed by a long message before it.
 const maxUnansweredPings = 2
 
-// PingIdle pings each connection from which nothing came for an interval, and closes it if nothing comes after
-// maxUnansweredPings pings either. A peer that vanished without closing its connection is so found within four
-// intervals. It counts its own turns rather than time: after a pause of this process, time would count against all
-// peers at once.
+// PingIdle pings each connection from which nothing has arrived for an interval, and closes it if nothing
+// arrives after maxUnansweredPings pings either. This detects a peer that vanished without closing its
+// connection within four intervals. Silence is measured in rounds of PingIdle instead of time because after
+// a pause of this process the elapsed time would count against all peers at once.
 //
-// It returns when the context ends. onClose, if not nil, is called for each connection that it closes.
+// conns returns the connections to check and is called once per interval. onClose, if not nil, is called
+// for each connection that PingIdle closes. PingIdle returns when the context ends.
 func PingIdle(ctx context.Context, interval time.Duration, conns func() []*Conn, onClose func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -35,7 +37,8 @@
 	}
 }
 
-// checkAlive pings a silent connection. It returns false if too many pings went unanswered.
+// checkAlive pings the connection if nothing has arrived since the last round. It returns false if too many
+// pings in a row were not answered.
 func (c *Conn) checkAlive() bool {
 	if c.received.Swap(false) {
 		c.silentTurns = 0
--- a/internal/wsconn/open.go
+++ b/internal/wsconn/open.go
@@ -11,11 +11,13 @@
 	"winghatch/internal/websocket"
 )
 
-// acceptRetryDelay is the delay after an accept that failed, such as for want of file descriptors.
+// acceptRetryDelay is the delay after a failed accept, for example when the process has run out of file
+// descriptors.
 const acceptRetryDelay = time.Millisecond
 
-// Dial opens a connection to host:port and does the client's handshake within the context. The server's rejection is a
-// *websocket.HandshakeError.
+// Dial connects to addr, which is a host:port, and performs the handshake of a client. ctx limits both but
+// does not affect the returned connection. The error is a *websocket.HandshakeError if the server rejects
+// the handshake.
 func Dial(ctx context.Context, addr string, request *websocket.Request, o Options) (*Conn, error) {
 	o = o.withDefaults()
 	var dialer net.Dialer
@@ -24,7 +26,8 @@
 		return nil, err
 	}
 	nc := socket.WithRetry(raw)
-	stop := context.AfterFunc(ctx, func() { nc.SetDeadline(time.Unix(1, 0)) }) // a time in the past ends all I/O
+	// A deadline in the past ends all I/O.
+	stop := context.AfterFunc(ctx, func() { nc.SetDeadline(time.Unix(1, 0)) })
 	in := bufio.NewReaderSize(nc, o.ReadBuffer)
 	if _, err = nc.Write(request.Bytes()); err == nil {
 		err = request.ReadResponse(in)
@@ -39,8 +42,9 @@
 	return newConn(nc, in, websocket.Client, o), nil
 }
 
-// Accept does the server's handshake within the timeout. check, if not nil, may reject the client with a
-// *websocket.HandshakeError. The caller writes the response to a rejection and closes nc after any error.
+// Accept performs the handshake of a server on nc within the timeout and selects the subprotocol, if it is
+// not empty. check, if not nil, may reject the client by returning a *websocket.HandshakeError. The caller
+// must write the response for a *websocket.HandshakeError, and must close nc after any error.
 func Accept(nc net.Conn, protocol string, timeout time.Duration, check func(*websocket.Upgrade) error,
 	o Options) (*Conn, error) {
 	o = o.withDefaults()
@@ -61,8 +65,8 @@
 	return newConn(nc, in, websocket.Server, o), nil
 }
 
-// Serve calls handle for each connection in a goroutine of its own until the listener is closed. It does not wait for
-// these goroutines; each closes its connection when handle returns.
+// Serve accepts connections until the listener is closed. It calls handle for each connection in a separate
+// goroutine and closes the connection when handle returns. It does not wait for these goroutines.
 func Serve(ln net.Listener, handle func(net.Conn)) {
 	for {
 		nc, err := ln.Accept()
--- a/internal/wsconn/writer.go
+++ b/internal/wsconn/writer.go
@@ -8,35 +8,39 @@
 )
 
 const (
-	// maxBatchBytes is how many queued bytes go into one write, at least one message.
+	// maxBatchBytes is the maximum number of queued bytes per write. A larger message is written on its
+	// own.
 	maxBatchBytes = 32 << 10
 
-	// queueOverhead is added to the size of each message in the queue. Without it a flood of empty pings from a peer
-	// that reads nothing would queue empty pongs without a bound.
+	// queueOverhead is the number of bytes that is added to the size of each message in the queue. Without
+	// it, a peer that sends empty pings and reads nothing could cause an unlimited number of queued empty
+	// pongs.
 	queueOverhead = 64
 )
 
-// outgoing is a message that waits to be written.
+// outgoing is a message or control frame in the write queue.
 type outgoing struct {
 	opcode      websocket.Opcode
 	data        []byte
-	beforeWrite func() bool // see SendIf; nil: always written
+	beforeWrite func() bool // see SendIf
 }
 
-// queueSize is what a message counts in the queue, in bytes.
+// queueSize returns the number of bytes that the message contributes to the size of the queue.
 func (m outgoing) queueSize() int { return len(m.data) + queueOverhead }
 
 // newWriteBuffer is the capacity of a new write buffer, in bytes.
 const newWriteBuffer = 4 << 10
 
-// writeBuffers are those of the writers that run, so that an idle connection has none.
+// writeBuffers is the pool of the write buffers of the running writers. Idle connections have no write
+// buffer.
 var writeBuffers = sync.Pool{New: func() any {
 	b := make([]byte, 0, newWriteBuffer)
 	return &b
 }}
 
-// enqueue adds a message to the queue and starts the writer if none runs. A message is always accepted by an empty
-// queue, whatever its size.
+// enqueue adds a message to the queue and starts the writer if it is not running. An empty queue accepts a
+// message of any size. It returns ErrClosed if the connection accepts no more messages, and ErrSlowPeer if
+// the queue is full.
 func (c *Conn) enqueue(m outgoing) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -57,7 +61,8 @@
 	return nil
 }
 
-// writeLoop writes until the queue is empty or the connection is closed. At most one runs for a connection.
+// writeLoop writes messages until the queue is empty or the connection is closed. At most one writeLoop is
+// running per connection.
 func (c *Conn) writeLoop() {
 	buf := writeBuffers.Get().(*[]byte)
 	defer writeBuffers.Put(buf)
@@ -72,7 +77,8 @@
 	}
 }
 
-// nextBatch takes messages off the queue. It returns nil when the writer has to end.
+// nextBatch removes messages from the front of the queue and returns them. It returns nil when the writer
+// must end.
 func (c *Conn) nextBatch() []outgoing {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,8 +101,9 @@
 	return batch
 }
 
-// writeBatch writes messages in one write and reports whether it succeeded. buf is kept for the next batch unless it
-// has grown beyond two batches, as by a large message: the pool would hold its memory.
+// writeBatch writes the messages of a batch in one write and reports whether it succeeded. The buffer is
+// kept in buf for the next batch. It is discarded if a large message made it grow beyond the size of two
+// batches, so that the pool does not hold its memory.
 func (c *Conn) writeBatch(buf *[]byte, batch []outgoing) bool {
 	out := (*buf)[:0]
 	closeFrame := false
@@ -124,7 +131,7 @@
 	return true
 }
 
-// nextMask returns a new mask for a client's frame, nil for a server's.
+// nextMask returns a new mask for a frame from a client, or nil in a server.
 func (c *Conn) nextMask() *[4]byte {
 	if c.role != websocket.Client {
 		return nil
@@ -133,7 +140,8 @@
 	return &[4]byte{byte(v), byte(v >> 8), byte(v >> 16), byte(v >> 24)}
 }
 
-// setWriteDeadline holds the mutex, so that finish can't set its shorter deadline before this one.
+// setWriteDeadline sets the deadline for the next write. It holds the mutex so that it cannot replace the
+// shorter deadline that finish sets.
 func (c *Conn) setWriteDeadline() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
