--- a/internal/socket/reader.go
+++ b/internal/socket/reader.go
@@ -12,22 +12,23 @@
 // holds the lock, received bytes are therefore either still in the socket, where Peek sees them, or known
 // to the owner. A Reader is not safe for concurrent use.
 type Reader struct {
-	raw  syscall.RawConn
-	lock sync.Locker
-	note func(n int)
+	raw    syscall.RawConn
+	lock   sync.Locker
+	onRead func(n int)
 
-	// The arguments and results of the read under way. step is a field as a method value would be allocated at each read.
-	buf  []byte
-	n    int
-	err  error
-	step func(fd uintptr) bool
+	// These are the arguments and results of the read in progress. readFunc is a field because a method
+	// value would be allocated for each read.
+	buf      []byte
+	n        int
+	err      error
+	readFunc func(fd uintptr) bool
 }
 
-// NewReader returns a reader of a socket. note is called after each read that is not to be retried, with the number of
-// bytes read, 0 at the end of the connection or if it broke; lock is held.
-func NewReader(raw syscall.RawConn, lock sync.Locker, note func(n int)) *Reader {
-	r := &Reader{raw: raw, lock: lock, note: note}
-	r.step = r.readNow
+// NewReader returns a Reader for a socket. It calls onRead, with lock held, after each read system call
+// that will not be retried. n is the number of bytes read, or zero if the connection has ended or failed.
+func NewReader(raw syscall.RawConn, lock sync.Locker, onRead func(n int)) *Reader {
+	r := &Reader{raw: raw, lock: lock, onRead: onRead}
+	r.readFunc = r.readNow
 	return r
 }
 
@@ -36,7 +37,7 @@
 func (r *Reader) Read(b []byte) (int, error) {
 	r.buf = b
 	for {
-		if err := r.raw.Read(r.step); err != nil {
+		if err := r.raw.Read(r.readFunc); err != nil {
 			return 0, err
 		}
 		if r.err != nil && IsTransient(r.err) {
@@ -60,7 +61,7 @@
 		return false
 	}
 	if r.err == nil || !IsTransient(r.err) {
-		r.note(r.n)
+		r.onRead(r.n)
 	}
 	return true
 }
--- a/internal/wsconn/conn.go
+++ b/internal/wsconn/conn.go
@@ -69,8 +69,9 @@
 // ErrClosed is returned when a message is sent after the connection was closed or a close frame was queued.
 var ErrClosed = errors.New("wsconn: connection is closed")
 
-// ErrSlowPeer reports that the queue is full because the peer does not read. The connection is closed.
-var ErrSlowPeer = errors.New("wsconn: peer does not read what is written")
+// ErrSlowPeer is returned when the queue is full because the peer reads too slowly. The connection is then
+// closed.
+var ErrSlowPeer = errors.New("wsconn: write queue is full because the peer reads too slowly")
 
 // PeerClosedError is returned by Read when the peer has sent a close frame.
 type PeerClosedError struct {
@@ -82,7 +83,7 @@
 }
 
 func (e *PeerClosedError) Error() string {
-	return fmt.Sprintf("wsconn: peer closed with %d %q", e.Code, e.Reason)
+	return fmt.Sprintf("wsconn: peer closed the connection with code %d, reason %q", e.Code, e.Reason)
 }
 
 // Conn is a WebSocket connection. Read must only be called by one goroutine at a time. All other methods
@@ -103,8 +104,8 @@
 
 	maskSource *rand.ChaCha8 // generates the masks of a client, otherwise nil; only used by the writer
 
-	received    atomic.Bool // a complete message came since the last turn of PingIdle
-	silentTurns int         // turns of PingIdle without one; its alone
+	received     atomic.Bool // a message or control frame arrived since the last round of PingIdle
+	silentRounds int         // consecutive rounds of PingIdle without one; only used by PingIdle
 }
 
 // newConn returns a Conn for a connection whose handshake is complete. in reads from nc and may contain
@@ -173,7 +174,10 @@
 		case websocket.Text:
 			return m.Data, nil
 		case websocket.Binary:
-			err := &websocket.ProtocolError{Code: websocket.CodeUnsupported, Reason: "binary message, want text"}
+			err := &websocket.ProtocolError{
+				Code:   websocket.CodeUnsupported,
+				Reason: "binary message, want text",
+			}
 			c.finish(err)
 			return nil, err
 		case websocket.Ping:
--- a/internal/wsconn/keepalive.go
+++ b/internal/wsconn/keepalive.go
@@ -41,11 +41,11 @@
 // pings in a row were not answered.
 func (c *Conn) checkAlive() bool {
 	if c.received.Swap(false) {
-		c.silentTurns = 0
+		c.silentRounds = 0
 		return true
 	}
-	c.silentTurns++
-	if c.silentTurns > maxUnansweredPings {
+	c.silentRounds++
+	if c.silentRounds > maxUnansweredPings {
 		return false
 	}
 	c.ping()
--- a/internal/wsconn/writer.go
+++ b/internal/wsconn/writer.go
@@ -28,13 +28,13 @@
 // queueSize returns the number of bytes that the message contributes to the size of the queue.
 func (m outgoing) queueSize() int { return len(m.data) + queueOverhead }
 
-// newWriteBuffer is the capacity of a new write buffer, in bytes.
-const newWriteBuffer = 4 << 10
+// newWriteBufferBytes is the capacity of a new write buffer.
+const newWriteBufferBytes = 4 << 10
 
 // writeBuffers is the pool of the write buffers of the running writers. Idle connections have no write
 // buffer.
 var writeBuffers = sync.Pool{New: func() any {
-	b := make([]byte, 0, newWriteBuffer)
+	b := make([]byte, 0, newWriteBufferBytes)
 	return &b
 }}
 
@@ -106,13 +106,13 @@
 // batches, so that the pool does not hold its memory.
 func (c *Conn) writeBatch(buf *[]byte, batch []outgoing) bool {
 	out := (*buf)[:0]
-	closeFrame := false
+	hasCloseFrame := false
 	for _, m := range batch {
 		if m.beforeWrite != nil && !m.beforeWrite() {
 			continue
 		}
 		out = websocket.AppendFrame(out, true, m.opcode, m.data, c.nextMask())
-		closeFrame = m.opcode == websocket.Close
+		hasCloseFrame = m.opcode == websocket.Close
 	}
 	if cap(out) <= 2*maxBatchBytes {
 		*buf = out
@@ -124,8 +124,8 @@
 	if _, err := c.nc.Write(out); err != nil {
 		return false
 	}
-	if closeFrame {
-		// The peer has CloseTimeout to close its side; then the reader gets an error.
+	if hasCloseFrame {
+		// If the peer does not close its side within CloseTimeout, Read returns an error.
 		c.nc.SetReadDeadline(time.Now().Add(c.options.CloseTimeout))
 	}
 	return true
