--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -11,19 +11,20 @@
 	"time"
 )
 
-// flakyConn fails every other call for a moment, and reads and writes up to three bytes at once.
+// flakyConn fails every other call with a transient error, and reads and writes at most three bytes per
+// call.
 type flakyConn struct {
 	net.Conn
 	calls int
 	data  bytes.Buffer
-	fatal error // of the calls that do not fail for a moment
+	fatal error // returned by the calls without a transient error; nil means that they succeed
 }
 
 func (c *flakyConn) fail() error {
-	passing := []error{syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR}
+	transient := []error{syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR}
 	c.calls++
 	if c.calls%2 == 1 {
-		return &net.OpError{Op: "write", Err: os.NewSyscallError("write", passing[c.calls/2%3])}
+		return &net.OpError{Op: "write", Err: os.NewSyscallError("write", transient[c.calls/2%3])}
 	}
 	return c.fatal
 }
@@ -44,31 +45,34 @@
 
 func (c *flakyConn) SetWriteDeadline(time.Time) error { return nil }
 
-// The kernel was out of buffers for a moment, and connections were ended for it. Such calls are retried, nothing is
-// read or written twice, and any other error still ends the connection.
-func TestPatient(t *testing.T) {
+// When the kernel was briefly out of buffers, healthy connections were closed. Calls that fail with a
+// transient error must be retried without reading or writing any byte twice. All other errors must be
+// returned.
+func TestTransientErrorsAreRetried(t *testing.T) {
 	c := &flakyConn{}
 	text := []byte("a text that is written in many steps")
-	for rest := text; len(rest) > 0; {
-		n, err := WithRetry(c).Write(rest[:min(3, len(rest))])
+	for remaining := text; len(remaining) > 0; {
+		n, err := WithRetry(c).Write(remaining[:min(3, len(remaining))])
 		if err != nil {
 			t.Fatal(err)
 		}
-		rest = rest[n:]
+		remaining = remaining[n:]
 	}
 	if got, err := io.ReadAll(WithRetry(c)); err != nil || !bytes.Equal(got, text) {
-		t.Errorf("%q and %v, want %q", got, err, text)
+		t.Errorf("got text %q, error %v, want %q", got, err, text)
 	}
 	c.fatal = syscall.ECONNRESET
 	if _, err := WithRetry(c).Write(text); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("%v, want a reset", err)
+		t.Errorf("Write returned %v, want ECONNRESET", err)
 	}
 	if err := WriteAll(c, text, time.Second); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("%v, want a reset", err)
+		t.Errorf("WriteAll returned %v, want ECONNRESET", err)
 	}
 }
 
-func TestTransient(t *testing.T) {
+// A fatal error that counts as transient would be retried forever, and a transient error that counts as
+// fatal would close a healthy connection.
+func TestIsTransient(t *testing.T) {
 	for _, c := range []struct {
 		err  error
 		want bool
@@ -85,7 +89,7 @@
 		{nil, false},
 	} {
 		if got := IsTransient(c.err); got != c.want {
-			t.Errorf("%v is transient: %t, want %t", c.err, got, c.want)
+			t.Errorf("IsTransient(%v) = %t, want %t", c.err, got, c.want)
 		}
 	}
 }
--- a/internal/wsconn/conn_test.go
+++ b/internal/wsconn/conn_test.go
@@ -15,17 +15,19 @@
 	"winghatch/internal/websocket"
 )
 
-// ends returns both ends of a connection over a socket.
-func ends(t *testing.T, o Options) (client, server *Conn) {
+// newConnPair returns both ends of a connection over TCP.
+func newConnPair(t *testing.T, o Options) (client, server *Conn) {
 	t.Helper()
 	a, b := tcpserver.Connect(t)
-	return newConn(a, bufio.NewReader(a), websocket.Client, o), newConn(b, bufio.NewReader(b), websocket.Server, o)
+	return newConn(a, bufio.NewReader(a), websocket.Client, o),
+		newConn(b, bufio.NewReader(b), websocket.Server, o)
 }
 
-// TestOrder sends many messages with pings between them: they arrive in order, and the connection ends with a complete
-// close handshake.
-func TestOrder(t *testing.T) {
-	c, s := ends(t, Options{})
+// A writer that loses its place in the queue reorders or drops messages. Messages must arrive in the order
+// of the calls of Send, also with pings between them. Close must end the connection with a complete close
+// handshake after the last message.
+func TestMessagesArriveInOrder(t *testing.T) {
+	c, s := newConnPair(t, Options{})
 	const n = 5000
 	go func() {
 		for i := range n {
@@ -39,25 +41,26 @@
 	for i := range n {
 		m, err := s.Read()
 		if err != nil || m[0] != byte('a'+i%26) {
-			t.Fatalf("message %d: %q %v", i, m, err)
+			t.Fatalf("message %d: got %q, error %v", i, m, err)
 		}
 	}
-	var pc *PeerClosedError
-	if _, err := s.Read(); !errors.As(err, &pc) || pc.Code != websocket.CodeNormal || pc.Reason != "done" {
-		t.Fatalf("%v", err)
+	var peerClosed *PeerClosedError
+	if _, err := s.Read(); !errors.As(err, &peerClosed) || peerClosed.Code != websocket.CodeNormal || peerClosed.Reason != "done" {
+		t.Fatalf("got error %v, want a close frame with code 1000 and reason done", err)
 	}
-	// The closing side reads the answer to its close frame.
-	if _, err := c.Read(); !errors.As(err, &pc) || pc.Code != websocket.CodeNormal {
-		t.Errorf("%v", err)
+	// The closing side reads the response to its close frame.
+	if _, err := c.Read(); !errors.As(err, &peerClosed) || peerClosed.Code != websocket.CodeNormal {
+		t.Errorf("got error %v, want a close frame with code 1000", err)
 	}
 	if c.Send([]byte("x")) != ErrClosed || s.Send([]byte("x")) != ErrClosed {
-		t.Error("a closed connection accepts messages")
+		t.Error("Send on a closed connection did not return ErrClosed")
 	}
 }
 
-// TestNotBegun sends a message that is cancelled when the writer gets to it: nothing of it is written.
-func TestNotBegun(t *testing.T) {
-	c, s := ends(t, Options{})
+// A request may be cancelled while it waits in the queue. If beforeWrite returns false, nothing of the
+// message may be written.
+func TestCancelledMessageIsNotWritten(t *testing.T) {
+	c, s := newConnPair(t, Options{})
 	var calls atomic.Int32
 	beforeWrite := func(result bool) func() bool {
 		return func() bool {
@@ -68,17 +71,18 @@
 	c.SendIf([]byte("no"), beforeWrite(false))
 	c.SendIf([]byte("yes"), beforeWrite(true))
 	if m, err := s.Read(); err != nil || string(m) != "yes" || calls.Load() != 2 {
-		t.Errorf("%q %v", m, err)
+		t.Errorf("got message %q, error %v, want yes and two calls of beforeWrite", m, err)
 	}
 }
 
-// TestSlowPeer writes to a peer that reads nothing: the bound of the queue or the write timeout disconnects it.
-func TestSlowPeer(t *testing.T) {
+// A peer that reads nothing must not make the write queue grow without limit or keep its connection
+// forever. Either MaxQueue or WriteTimeout must disconnect it.
+func TestPeerThatDoesNotReadIsDisconnected(t *testing.T) {
 	for _, o := range []Options{
 		{MaxQueue: 64 << 10, WriteTimeout: time.Minute},
 		{MaxQueue: 1 << 30, WriteTimeout: 50 * time.Millisecond},
 	} {
-		c, _ := ends(t, o)
+		c, _ := newConnPair(t, o)
 		data := []byte(strings.Repeat("x", 16<<10))
 		var err error
 		for range 100_000 {
@@ -93,47 +97,50 @@
 			t.Fatal("a peer that reads nothing was never disconnected")
 		}
 		if _, err := c.Read(); err == nil {
-			t.Error("a closed connection still reads")
+			t.Error("Read on a closed connection returned no error")
 		}
 	}
 }
 
-// TestSilentClose closes towards a peer that does not answer: the reader ends after the close timeout.
-func TestSilentClose(t *testing.T) {
-	c, _ := ends(t, Options{CloseTimeout: 50 * time.Millisecond})
+// A peer that does not respond to a close frame must not keep the connection open. Read must return an
+// error after CloseTimeout.
+func TestCloseTimesOutIfPeerIsSilent(t *testing.T) {
+	c, _ := newConnPair(t, Options{CloseTimeout: 50 * time.Millisecond})
 	c.Close(websocket.CodeNormal, "")
 	if _, err := c.Read(); err == nil {
 		t.Error("Read returned no error")
 	}
 }
 
-// TestRefusedMessages sends messages that the server must not accept. The server ends the connection with the close
-// code for the reason, and the client reads it.
-func TestRefusedMessages(t *testing.T) {
+// Messages that are binary, unmasked or too large must not be accepted from a client. The server must end
+// the connection with the status code for the cause, and the client must receive that code.
+func TestRejectedMessageEndsWithCloseCode(t *testing.T) {
 	for code, raw := range map[int][]byte{
-		websocket.CodeUnsupported: websocket.AppendFrame(nil, true, websocket.Binary, []byte("x"), &[4]byte{1}),
-		websocket.CodeProtocol:    websocket.AppendFrame(nil, true, websocket.Text, []byte("x"), nil),
-		websocket.CodeTooBig:      websocket.AppendFrame(nil, true, websocket.Text, make([]byte, 200), &[4]byte{1}),
+		websocket.CodeUnsupported: websocket.AppendFrame(nil, true, websocket.Binary, []byte("x"),
+			&[4]byte{1}),
+		websocket.CodeProtocol: websocket.AppendFrame(nil, true, websocket.Text, []byte("x"), nil),
+		websocket.CodeTooBig: websocket.AppendFrame(nil, true, websocket.Text, make([]byte, 200),
+			&[4]byte{1}),
 	} {
-		c, s := ends(t, Options{MaxMessage: 100})
+		c, s := newConnPair(t, Options{MaxMessage: 100})
 		c.nc.Write(raw)
 		if _, err := s.Read(); websocket.CloseCode(err) != code {
-			t.Errorf("%v, want close code %d", err, code)
+			t.Errorf("server got error %v, want close code %d", err, code)
 		}
-		var pc *PeerClosedError
-		if _, err := c.Read(); !errors.As(err, &pc) || pc.Code != code {
-			t.Errorf("the peer got %v, want close code %d", err, code)
+		var peerClosed *PeerClosedError
+		if _, err := c.Read(); !errors.As(err, &peerClosed) || peerClosed.Code != code {
+			t.Errorf("client got error %v, want close code %d", err, code)
 		}
 		if _, err := c.reader.Next(); err != io.EOF {
-			t.Errorf("%v", err)
+			t.Errorf("got error %v after the close frame, want io.EOF", err)
 		}
 	}
 }
 
-// TestEmptyPings: a peer floods the connection with empty pings and reads nothing. The queue bounds the pongs too, and
-// the peer is disconnected.
-func TestEmptyPings(t *testing.T) {
-	c, s := ends(t, Options{MaxQueue: 64 << 10, WriteTimeout: time.Minute})
+// A peer that sends empty pings and reads nothing makes the queue grow by one empty pong per ping. The
+// queue limit must apply to pongs too, so that the peer is disconnected.
+func TestPingFloodIsDisconnected(t *testing.T) {
+	c, s := newConnPair(t, Options{MaxQueue: 64 << 10, WriteTimeout: time.Minute})
 	go func() {
 		ping := websocket.AppendFrame(nil, true, websocket.Ping, nil, &[4]byte{1})
 		for {
@@ -148,10 +155,11 @@
 	}
 }
 
-// TestKeep pings two peers, of which one does not answer: that one is disconnected, the other is not.
-func TestKeep(t *testing.T) {
-	_, silent := ends(t, Options{})
-	client, answering := ends(t, Options{})
+// A peer that vanished without closing its connection must be detected and disconnected. A peer that
+// responds to pings must remain connected although it sends no messages.
+func TestPingIdleDisconnectsSilentPeer(t *testing.T) {
+	_, silent := newConnPair(t, Options{})
+	client, responding := newConnPair(t, Options{})
 	go func() {
 		for {
 			if _, err := client.Read(); err != nil {
@@ -159,40 +167,41 @@
 			}
 		}
 	}()
-	go answering.Read()
+	go responding.Read()
 	ctx, stop := context.WithCancel(context.Background())
 	closed := make(chan struct{}, 1)
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		PingIdle(ctx, 20*time.Millisecond, func() []*Conn { return []*Conn{silent, answering} }, func() {
+		PingIdle(ctx, 20*time.Millisecond, func() []*Conn { return []*Conn{silent, responding} }, func() {
 			select {
 			case closed <- struct{}{}:
 			default:
 			}
 		})
-		close(ended)
+		close(done)
 	}()
 	if _, err := silent.Read(); err == nil {
-		t.Error("a silent peer is still connected")
+		t.Error("the silent peer is still connected")
 	}
 	<-closed
-	if err := answering.Send([]byte("x")); err != nil {
-		t.Errorf("a peer that answers was disconnected: %v", err)
+	if err := responding.Send([]byte("x")); err != nil {
+		t.Errorf("the responding peer was disconnected: %v", err)
 	}
 	stop()
-	<-ended
+	<-done
 }
 
-// TestFrameLimit sends a frame over its limit in a message within the limit of messages: it is refused.
+// MaxFrame must apply even if the message is within MaxMessage. Otherwise a single frame could be as large
+// as a message.
 func TestFrameLimit(t *testing.T) {
-	c, s := ends(t, Options{MaxFrame: 10})
+	c, s := newConnPair(t, Options{MaxFrame: 10})
 	c.Send([]byte("0123456789"))
 	if m, err := s.Read(); err != nil || len(m) != 10 {
-		t.Errorf("%q %v", m, err)
+		t.Errorf("got message %q, error %v, want a message of 10 bytes", m, err)
 	}
 	c.Send([]byte("0123456789a"))
 	var e *websocket.ProtocolError
 	if _, err := s.Read(); !errors.As(err, &e) || e.Code != websocket.CodeTooBig {
-		t.Errorf("%v, want 1009", err)
+		t.Errorf("got error %v, want close code 1009", err)
 	}
 }
