--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -9,7 +9,7 @@
 // maxInterimResponses is the maximum number of interim responses (1xx) before the final response.
 const maxInterimResponses = 16
 
-// Response is a response.
+// Response is the response of a server.
 type Response struct {
 	Head
 	// Status is the HTTP status, from 200 to 599.
--- a/internal/httppost/post.go
+++ b/internal/httppost/post.go
@@ -1,6 +1,6 @@
 // Package httppost sends HTTP POST requests whose data must not count as received before the receiver has
-// started to read it. It sends "Expect: 100-continue" and reports whether the whole body was sent before
-// the response arrived.
+// read it. It sends "Expect: 100-continue" and reports whether the whole body was sent before the response
+// arrived.
 package httppost
 
 import (
@@ -79,7 +79,7 @@
 // header.
 //
 // Without Expect, a response from a receiver that has not read the body would count as a success: a small
-// body fits into the socket buffers, so the sender cannot tell whether it was read. With Expect (RFC 9110
+// body fits into the socket buffers, so the sender cannot tell whether it was read. With Expect (RFC 9110,
 // section 10.1.1), the body is only sent once the receiver starts to read it, or after
 // expectContinueTimeout.
 func Post(ctx context.Context, c *http.Client, url string, header http.Header, content []byte) Result {
@@ -114,7 +114,7 @@
 	return r
 }
 
-// parseRetryAfter parses the value of a Retry-After header (RFC 9110 section 10.2.3), which is a number of
+// parseRetryAfter parses the value of a Retry-After header (RFC 9110, section 10.2.3), which is a number of
 // seconds or a date. It returns zero if the value is neither, or if the date has passed.
 func parseRetryAfter(s string, now time.Time) time.Duration {
 	if n, err := strconv.Atoi(s); err == nil && n >= 0 {
--- a/internal/remotewrite/convert.go
+++ b/internal/remotewrite/convert.go
@@ -23,19 +23,19 @@
 func (c *converter) convert(families []*dto.MetricFamily, at int64) (out []*Sample) {
 	for _, f := range families {
 		for _, m := range f.Metric {
-			value := func(suffix string, kind writev2.Metadata_MetricType, v float64) {
+			addValue := func(suffix string, kind writev2.Metadata_MetricType, v float64) {
 				out = append(out, &Sample{Series: c.series(f, m, suffix, kind), Timestamp: at, Value: v})
 			}
 			switch f.GetType() {
 			case dto.MetricType_COUNTER:
-				value("", writev2.Metadata_METRIC_TYPE_COUNTER, m.GetCounter().GetValue())
+				addValue("", writev2.Metadata_METRIC_TYPE_COUNTER, m.GetCounter().GetValue())
 			case dto.MetricType_GAUGE:
-				value("", writev2.Metadata_METRIC_TYPE_GAUGE, m.GetGauge().GetValue())
+				addValue("", writev2.Metadata_METRIC_TYPE_GAUGE, m.GetGauge().GetValue())
 			case dto.MetricType_HISTOGRAM:
 				h := m.GetHistogram()
 				if h.Schema == nil { // a classic histogram, such as those of the Go runtime collector
-					value("_count", writev2.Metadata_METRIC_TYPE_HISTOGRAM, float64(h.GetSampleCount()))
-					value("_sum", writev2.Metadata_METRIC_TYPE_HISTOGRAM, h.GetSampleSum())
+					addValue("_count", writev2.Metadata_METRIC_TYPE_HISTOGRAM, float64(h.GetSampleCount()))
+					addValue("_sum", writev2.Metadata_METRIC_TYPE_HISTOGRAM, h.GetSampleSum())
 					continue
 				}
 				s := c.series(f, m, "", writev2.Metadata_METRIC_TYPE_HISTOGRAM)
@@ -43,8 +43,8 @@
 					Exemplars: s.newExemplars(h)})
 			case dto.MetricType_SUMMARY:
 				s := m.GetSummary()
-				value("_count", writev2.Metadata_METRIC_TYPE_SUMMARY, float64(s.GetSampleCount()))
-				value("_sum", writev2.Metadata_METRIC_TYPE_SUMMARY, s.GetSampleSum())
+				addValue("_count", writev2.Metadata_METRIC_TYPE_SUMMARY, float64(s.GetSampleCount()))
+				addValue("_sum", writev2.Metadata_METRIC_TYPE_SUMMARY, s.GetSampleSum())
 			}
 		}
 	}
--- a/internal/remotewrite/queue/queue.go
+++ b/internal/remotewrite/queue/queue.go
@@ -32,7 +32,8 @@
 type Settings struct {
 	// MaxItems limits the number of items. It is raised to two batches if it is less.
 	MaxItems int
-	// MaxBytes limits the memory of all items. Zero means no limit.
+	// MaxBytes limits the memory of all items. The items in flight and the newest item are kept even if
+	// they exceed it. Zero means no limit.
 	MaxBytes int
 	// BatchSize is the maximum number of items in a batch. Values below 1 mean 1.
 	BatchSize int
@@ -68,12 +69,12 @@
 	random   *rand.Rand
 	items    []Item // the oldest first
 	bytes    int    // sum of Item.Bytes over items
-	inFlight int    // number of items, at the front, in the batch that is being sent
+	inFlight int    // number of items, at the front, that are being sent
 
 	// A rejected batch is halved until the batch that is rejected has one item, which is dropped.
 	batchSize int // Settings.BatchSize, or less after the receiver responded with 413
 	splitSize int // maximum size of the next batch while a rejected batch is being split; 0 means batchSize
-	suspects  int // number of items, at the front, of a rejected batch that may have caused the rejection
+	suspects  int // number of items, at the front, that are left of a rejected batch and may be its bad items
 
 	backoff    time.Duration
 	backingOff bool // set between HandleResponse returning a wait and Resume
--- a/internal/remotewrite/queue/queue_test.go
+++ b/internal/remotewrite/queue/queue_test.go
@@ -17,7 +17,7 @@
 
 // A queue that sends a sample twice, out of order or never shows operators wrong metrics. The test responds
 // to batches at random. Accepted items must be in order and accepted once, each item must be sent, rejected
-// or dropped, and the limits must hold at every step.
+// or dropped (the oldest first), and the limits must hold at every step.
 func TestQueueModel(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := Settings{
--- a/internal/websocket/header.go
+++ b/internal/websocket/header.go
@@ -10,7 +10,7 @@
 
 // Limits for the opening handshake. They are strict because the peer is not authenticated yet.
 const (
-	maxLineBytes    = 8 << 10 // bytes
+	maxLineBytes    = 8 << 10
 	maxHeaderFields = 64
 )
 
--- a/internal/websocket/reader.go
+++ b/internal/websocket/reader.go
@@ -46,8 +46,8 @@
 }
 
 // LimitFrames sets the maximum payload size of a data frame in bytes. Larger frames are rejected with
-// CodeTooBig. Without this call the limit is that of a message. RFC 6455, section 10.4, recommends limits
-// for both frames and messages.
+// CodeTooBig. Without this call, or if maxFrame is larger, the limit is that of a message. RFC 6455,
+// section 10.4, recommends limits for both frames and messages.
 func (r *Reader) LimitFrames(maxFrame int64) { r.maxFrame = min(maxFrame, r.maxMessage) }
 
 // Next returns the next message or control frame. The error is a *ProtocolError, io.ErrUnexpectedEOF if the
--- a/internal/wsconn/conn_test.go
+++ b/internal/wsconn/conn_test.go
@@ -45,7 +45,8 @@
 		}
 	}
 	var peerClosed *PeerClosedError
-	if _, err := s.Read(); !errors.As(err, &peerClosed) || peerClosed.Code != websocket.CodeNormal || peerClosed.Reason != "done" {
+	if _, err := s.Read(); !errors.As(err, &peerClosed) ||
+		peerClosed.Code != websocket.CodeNormal || peerClosed.Reason != "done" {
 		t.Fatalf("got error %v, want a close frame with code 1000 and reason done", err)
 	}
 	// The closing side reads the response to its close frame.
