--- a/internal/frontend/http/pipeline.go
+++ b/internal/frontend/http/pipeline.go
@@ -80,7 +80,7 @@
 			isConnected = c.awaitWithoutReading()
 		case !c.hasPipelined():
 			s.mu.Unlock()
-			isConnected = c.reader.Wait() == nil
+			isConnected = c.reader.WaitReadable() == nil
 			s.mu.Lock()
 		default:
 			if buf == nil {
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -8,31 +8,35 @@
 	"strings"
 )
 
-// Lengths of a body beside those in bytes.
+// Body lengths with a special meaning. All other lengths are numbers of bytes.
 const (
-	chunkedLength   = -1
-	untilClose      = -2      // it ends with its connection
-	unlimitedLength = 1 << 40 // the limit of a body that is streamed; digits beyond it can't overflow an int
+	chunkedLength = -1 // the body is chunked
+	untilClose    = -2 // the body ends when the connection is closed
+	// unlimitedLength is the limit for the length of streamed bodies. Longer parsed lengths are reduced to
+	// it, so that further digits cannot overflow an int.
+	unlimitedLength = 1 << 40
 )
 
-// bodyStepBytes is how far a body grows at once: a length that is only announced must cost no memory.
+// bodyStepBytes is the number of bytes by which the buffer of a body grows at a time. A large announced
+// length must not allocate memory before the bytes arrive.
 const bodyStepBytes = 16 << 10
 
-// bodyLength is the length of the body that a head announces: chunkedLength, or 0 if it says nothing. The limit is in
-// bytes.
+// bodyLength returns the length in bytes of the body that the head announces, chunkedLength for a chunked
+// body, or zero if the head does not announce a body. It returns an *Error if the length exceeds limit, in
+// bytes, or if the fields are invalid or ambiguous.
 func (h *Head) bodyLength(limit int) (int, error) {
-	coding, codings := h.Get("Transfer-Encoding")
-	length, lengths := h.Get("Content-Length")
+	coding, codingCount := h.Get("Transfer-Encoding")
+	length, lengthCount := h.Get("Content-Length")
 	switch {
-	case codings > 0 && lengths > 0: // RFC 9112, section 6.3: it may hide a request from one of two parsers
-		return 0, malformed(http.StatusBadRequest, "both Content-Length and Transfer-Encoding")
-	case codings > 1 || codings == 1 && !strings.EqualFold(coding, "chunked"):
-		return 0, malformed(http.StatusNotImplemented, "transfer coding %.20q, want chunked alone", coding)
-	case codings == 1:
+	case codingCount > 0 && lengthCount > 0: // may be request smuggling (RFC 9112, section 6.3)
+		return 0, errorf(http.StatusBadRequest, "both Content-Length and Transfer-Encoding")
+	case codingCount > 1 || codingCount == 1 && !strings.EqualFold(coding, "chunked"):
+		return 0, errorf(http.StatusNotImplemented, "transfer coding %.20q, want chunked alone", coding)
+	case codingCount == 1:
 		return chunkedLength, nil
-	case lengths > 1:
-		return 0, malformed(http.StatusBadRequest, "%d fields Content-Length", lengths)
-	case lengths == 0:
+	case lengthCount > 1:
+		return 0, errorf(http.StatusBadRequest, "%d fields Content-Length", lengthCount)
+	case lengthCount == 0:
 		return 0, nil
 	}
 	n, err := parseLength(length, 10)
@@ -40,34 +44,38 @@
 		return 0, err
 	}
 	if n > limit {
-		return 0, malformed(http.StatusRequestEntityTooLarge, "a body of %.20s bytes, want %d at most", length, limit)
+		return 0, errorf(http.StatusRequestEntityTooLarge, "a body of %.20s bytes, want %d at most",
+			length, limit)
 	}
 	return n, nil
 }
 
-// parseLength parses a number of digits alone, in base 10 or 16. Beyond unlimitedLength it returns that.
+// parseLength parses a non-negative number that consists of digits only, in base 10 or 16. It returns
+// unlimitedLength for larger numbers.
 func parseLength(s string, base int) (int, error) {
 	if s == "" {
-		return 0, malformed(http.StatusBadRequest, "an empty length")
+		return 0, errorf(http.StatusBadRequest, "an empty length")
 	}
 	n := 0
 	for i := range len(s) {
 		digit := strings.IndexByte("0123456789abcdef", s[i]|0x20)
 		if s[i] < '0' || digit < 0 || digit >= base {
-			return 0, malformed(http.StatusBadRequest, "length %.20q is no number", s)
+			return 0, errorf(http.StatusBadRequest, "length %.20q is no number", s)
 		}
 		n = min(n*base+digit, unlimitedLength)
 	}
 	return n, nil
 }
 
-// ReadBody reads a body of so many bytes, or a chunked one if length is negative.
+// ReadBody reads a body of length bytes, or a chunked body if length is negative. It returns an *Error if
+// the body is larger than Limits.MaxBodyBytes or malformed, or if Limits.ReserveBody returns false, and
+// io.ErrUnexpectedEOF if the connection ends within the body.
 func (r *Reader) ReadBody(length int) ([]byte, error) {
 	if length < 0 {
 		return r.readChunked()
 	}
 	if length > r.limits.MaxBodyBytes {
-		return nil, malformed(http.StatusRequestEntityTooLarge, "a body of %d bytes, want %d at most",
+		return nil, errorf(http.StatusRequestEntityTooLarge, "a body of %d bytes, want %d at most",
 			length, r.limits.MaxBodyBytes)
 	}
 	return r.appendBody(nil, length)
@@ -83,7 +91,8 @@
 			return body, nil
 		}
 		if len(body)+n > r.limits.MaxBodyBytes {
-			return nil, malformed(http.StatusRequestEntityTooLarge, "a body of more than %d bytes", r.limits.MaxBodyBytes)
+			return nil, errorf(http.StatusRequestEntityTooLarge, "a body of more than %d bytes",
+				r.limits.MaxBodyBytes)
 		}
 		if body, err = r.appendBody(body, n); err != nil {
 			return nil, err
@@ -94,7 +103,8 @@
 	}
 }
 
-// readChunkSize reads the line before a chunk. 0 is the last chunk, whose trailers are read too, and dropped.
+// readChunkSize reads the line with the size of the next chunk and returns the size in bytes. After the
+// last chunk, which has size zero, it also reads the trailer fields and discards them.
 func (r *Reader) readChunkSize() (int, error) {
 	r.buf = r.buf[:0]
 	from, to, err := r.readLine()
@@ -118,23 +128,25 @@
 	}
 }
 
+// readChunkEnd reads the CR LF after the data of a chunk.
 func (r *Reader) readChunkEnd() error {
 	var end [2]byte
 	if _, err := io.ReadFull(r.r, end[:]); err != nil {
 		return unexpectedEOF(err)
 	}
 	if end != [2]byte{'\r', '\n'} {
-		return malformed(http.StatusBadRequest, "a chunk that is longer than its length")
+		return errorf(http.StatusBadRequest, "a chunk that is longer than its length")
 	}
 	return nil
 }
 
-// appendBody reads n further bytes of a body.
+// appendBody reads n bytes and appends them to body.
 func (r *Reader) appendBody(body []byte, n int) ([]byte, error) {
 	for n > 0 {
 		step := min(n, bodyStepBytes)
 		if r.limits.ReserveBody != nil && !r.limits.ReserveBody(step) {
-			return nil, malformed(http.StatusServiceUnavailable, "no room for a body of more than %d bytes", len(body))
+			return nil, errorf(http.StatusServiceUnavailable, "no room for a body of more than %d bytes",
+				len(body))
 		}
 		done := len(body)
 		body = slices.Grow(body, step)[:done+step]
@@ -146,7 +158,8 @@
 	return body, nil
 }
 
-// unexpectedEOF turns an end within a message into io.ErrUnexpectedEOF.
+// unexpectedEOF returns io.ErrUnexpectedEOF if err is io.EOF, otherwise err. It is used where the
+// connection must not end.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -154,10 +167,10 @@
 	return err
 }
 
-// fixedBody streams a body of a known length.
+// fixedBody streams a body of known length. It implements io.Reader.
 type fixedBody struct {
 	r    io.Reader
-	left int // bytes
+	left int // number of bytes not read yet
 }
 
 func (f *fixedBody) Read(b []byte) (int, error) {
@@ -172,11 +185,11 @@
 	return n, nil
 }
 
-// chunkedBody streams a chunked body.
+// chunkedBody streams a chunked body. It implements io.Reader.
 type chunkedBody struct {
 	r    *Reader
-	left int // bytes of the current chunk
-	done bool
+	left int  // number of bytes of the current chunk not read yet
+	done bool // the last chunk and the trailer fields have been read
 }
 
 func (c *chunkedBody) Read(b []byte) (n int, err error) {
--- a/internal/httppost/post_test.go
+++ b/internal/httppost/post_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// A Retry-After value that is misread makes the sender hammer the receiver or wait too long. Seconds and
-// dates must be parsed, invalid values must count as zero, and huge values must not overflow.
+// A misread Retry-After value makes the sender retry too early or too late. Seconds and dates must be
+// parsed, invalid values must count as zero, and huge values must not overflow.
 func TestParseRetryAfter(t *testing.T) {
 	now := time.Date(2026, 12, 3, 7, 0, 0, 0, time.UTC)
 	for _, c := range []struct {
@@ -59,7 +59,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			server := httptest.NewServer(c.handle)
 			defer server.Close()
-			client := Client(10*time.Second, 1)
+			client := NewClient(10*time.Second, 1)
 			defer client.CloseIdleConnections()
 			r := Post(context.Background(), &client, server.URL, http.Header{}, []byte("a batch"))
 			wrongReason := !strings.Contains(r.Reason, c.reason) || (r.Reason == "") != (c.reason == "")
--- a/internal/websocket/request.go
+++ b/internal/websocket/request.go
@@ -11,18 +11,22 @@
 	"strings"
 )
 
-// Request is the client's side of one handshake. It is not reusable while a handshake is in progress.
+// Request is the opening handshake of a client. It can be used for several handshakes one after another,
+// but not for two at the same time.
 type Request struct {
+	// Host is the value of the field Host. Path is the request target.
 	Host, Path string
-	Protocol   string            // subprotocol; empty: none
-	Header     map[string]string // further header fields
-	key        string            // of the last call of Bytes
+	// Protocol is the requested subprotocol. If it is empty, none is requested.
+	Protocol string
+	// Header contains further header fields.
+	Header map[string]string
+	key    string // Sec-WebSocket-Key of the last call of Bytes
 }
 
-// Bytes returns the opening handshake. Each call makes a new key.
+// Bytes returns the HTTP request of the handshake. Each call generates a new key.
 func (r *Request) Bytes() []byte {
 	var raw [16]byte
-	rand.Read(raw[:]) // never fails, see crypto/rand
+	rand.Read(raw[:]) // never fails, see the documentation of crypto/rand
 	r.key = base64.StdEncoding.EncodeToString(raw[:])
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "GET %s HTTP/1.1\r\nHost: %s\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n"+
@@ -37,10 +41,10 @@
 	return b.Bytes()
 }
 
-// ReadResponse reads the server's response and checks it (RFC 6455 section 4.1). The error is a *HandshakeError if the
-// server rejected the handshake.
+// ReadResponse reads and validates the response of the server (RFC 6455, section 4.1) to the last result of
+// Bytes. The error is a *HandshakeError if the server rejected the handshake.
 func (r *Request) ReadResponse(in *bufio.Reader) error {
-	line, err := readLine(in, maxLine)
+	line, err := readLine(in, maxLineBytes)
 	if err != nil {
 		return err
 	}
@@ -52,7 +56,7 @@
 	}
 	header, err := readHeaderFields(in)
 	if err != nil {
-		return fmt.Errorf("websocket: response to the handshake: %w", err)
+		return fmt.Errorf("websocket: reading the handshake response: %w", err)
 	}
 	if status != 101 {
 		return handshakeErrorf(status, "%s", reason)
@@ -60,18 +64,20 @@
 	return r.validateResponse(header)
 }
 
-// validateResponse checks the header of a response with status 101.
+// validateResponse returns an error if the header of a response with status 101 is invalid.
 func (r *Request) validateResponse(header Header) error {
 	switch {
-	case !header.has("upgrade", "websocket") || !header.has("connection", "upgrade"):
-		return errors.New("websocket: response 101 does not upgrade to websocket")
+	case !header.hasToken("upgrade", "websocket") || !header.hasToken("connection", "upgrade"):
+		return errors.New("websocket: response with status 101 does not upgrade to websocket")
 	case header["sec-websocket-accept"] != acceptKey(r.key):
 		return fmt.Errorf("websocket: Sec-WebSocket-Accept is %q, want %q",
 			truncate(header["sec-websocket-accept"]), acceptKey(r.key))
 	case header["sec-websocket-extensions"] != "":
-		return fmt.Errorf("websocket: extension %q was not requested", truncate(header["sec-websocket-extensions"]))
+		return fmt.Errorf("websocket: server selected extension %q, want none",
+			truncate(header["sec-websocket-extensions"]))
 	case header["sec-websocket-protocol"] != r.Protocol:
-		return fmt.Errorf("websocket: subprotocol %q, want %q", truncate(header["sec-websocket-protocol"]), r.Protocol)
+		return fmt.Errorf("websocket: server selected subprotocol %q, want %q",
+			truncate(header["sec-websocket-protocol"]), r.Protocol)
 	}
 	return nil
 }
