--- a/internal/invariant/answers.go
+++ b/internal/invariant/answers.go
@@ -14,8 +14,8 @@
 // clientCall is a call as its client saw it.
 type clientCall struct {
 	Record
-	answers []Record
-	unsent  bool // cancelled before it was written
+	answers      []Record
+	neverWritten bool // cancelled before it was written
 }
 
 // callKey names a call: IDs are unique within a session.
@@ -37,13 +37,13 @@
 			if call := byKey[key]; call != nil {
 				call.answers = append(call.answers, r)
 			} else {
-				c.violation(ruleAnswers, r.At, "an answer to a call that was not made: session %s, id %q, %s",
+				c.addViolation(ruleAnswers, r.At, "an answer to a call that was not made: session %s, id %q, %s",
 					r.Session, r.CallID, r.Answer)
 			}
 		case Cancelled:
 			// Servers record it too, without a session.
 			if call := byKey[key]; call != nil && r.Session != "" {
-				call.unsent = true
+				call.neverWritten = true
 			}
 		case SessionClosed, ClientLeft:
 			if _, ok := ends[r.Session]; !ok {
@@ -64,14 +64,14 @@
 		end, ended := ends[call.Session]
 		switch {
 		case len(call.answers) > 1:
-			c.violation(ruleAnswers, call.answers[1].At, "%s has %d final answers", name, len(call.answers))
+			c.addViolation(ruleAnswers, call.answers[1].At, "%s has %d final answers", name, len(call.answers))
 		case len(call.answers) == 1:
 			c.checkAnswer(call, call.answers[0], name)
-		case call.unsent, ended && c.endExcuses(call, end):
-		case c.killed(call.Gateway, call.At, c.answerDue(call)):
-		case c.answerDueLater(call):
+		case call.neverWritten, ended && c.excusedBySessionEnd(call, end):
+		case c.killedDuring(call.Gateway, call.At, c.answerDueAt(call)):
+		case c.answerDueAfterScenario(call):
 		default:
-			c.violation(ruleAnswers, call.Deadline, "%s has no final answer", name)
+			c.addViolation(ruleAnswers, call.Deadline, "%s has no final answer", name)
 		}
 	}
 }
@@ -80,36 +80,36 @@
 func (c *checker) checkAnswer(call *clientCall, answer Record, name string) {
 	slack := c.fleet.Decide.Safety.AnswerSlack
 	if answer.Answer == "invalid" || answer.Answer == "malformed" {
-		c.violation(ruleAnswers, answer.At, "%s was answered as %s: %s", name, answer.Answer, answer.State)
+		c.addViolation(ruleAnswers, answer.At, "%s was answered as %s: %s", name, answer.Answer, answer.State)
 	}
 	late := answer.At - call.Deadline - slack
 	if late > TransitAllowance+c.stalledFor(call.Gateway, call.At, answer.At) {
-		c.violation(ruleAnswers, answer.At, "%s was answered %v after its deadline", name, late+slack)
+		c.addViolation(ruleAnswers, answer.At, "%s was answered %v after its deadline", name, late+slack)
 	}
 	if most := c.fleet.Decide.Limits.MaxRetryAfter; answer.Duration > most {
-		c.violation(ruleAnswers, answer.At, "%s got a Retry-After of %v, %v at most", name, answer.Duration, most)
+		c.addViolation(ruleAnswers, answer.At, "%s got a Retry-After of %v, %v at most", name, answer.Duration, most)
 	}
 }
 
 // answerDue is the time by which the gateway has to write the final answer of a call.
-func (c *checker) answerDue(call *clientCall) time.Duration {
+func (c *checker) answerDueAt(call *clientCall) time.Duration {
 	return call.Deadline + c.fleet.Decide.Safety.AnswerSlack
 }
 
 // endExcuses reports whether no answer is owed to a call because of how its session ended: the client left before the
 // answer was due, or the call crossed the gateway's close frame.
-func (c *checker) endExcuses(call *clientCall, end Record) bool {
-	if end.Kind == ClientLeft && end.At < c.answerDue(call)+TransitAllowance {
+func (c *checker) excusedBySessionEnd(call *clientCall, end Record) bool {
+	if end.Kind == ClientLeft && end.At < c.answerDueAt(call)+TransitAllowance {
 		return true
 	}
 	return end.At < call.Deadline && end.Code == websocket.CodeGoingAway && end.At-call.At < closeCrossingAllowance
 }
 
 // answerDueLater reports whether the scenario ended before the answer to a call was due.
-func (c *checker) answerDueLater(call *clientCall) bool {
+func (c *checker) answerDueAfterScenario(call *clientCall) bool {
 	last := time.Duration(0)
 	if n := len(c.records); n > 0 {
 		last = c.records[n-1].At
 	}
-	return c.answerDue(call)+TransitAllowance+c.stalledFor(call.Gateway, call.At, call.Deadline) > last
+	return c.answerDueAt(call)+TransitAllowance+c.stalledFor(call.Gateway, call.At, call.Deadline) > last
 }
--- a/internal/invariant/check.go
+++ b/internal/invariant/check.go
@@ -29,11 +29,11 @@
 
 // checker holds the records of one check and the verdict so far.
 type checker struct {
-	fleet   *config.Fleet
-	records []Record // by time
-	verdict Verdict
-	stalls  []Record // of kind HarnessStalled
-	outages []outage
+	fleet         *config.Fleet
+	records       []Record // by time
+	verdict       Verdict
+	harnessStalls []Record // of kind HarnessStalled
+	outages       []outage
 }
 
 // Check checks the records of a scenario against the five rules. The fleet is the configuration that its gateways ran
@@ -52,6 +52,6 @@
 	return &c.verdict
 }
 
-func (c *checker) violation(rule int, at time.Duration, format string, args ...any) {
+func (c *checker) addViolation(rule int, at time.Duration, format string, args ...any) {
 	c.verdict.Violations = append(c.verdict.Violations, Violation{rule, at, fmt.Sprintf(format, args...)})
 }
--- a/internal/invariant/check_test.go
+++ b/internal/invariant/check_test.go
@@ -30,21 +30,21 @@
 
 const second = time.Second
 
-func clientCalls(at time.Duration, try, class string) Record {
+func callRecord(at time.Duration, callID, class string) Record {
 	return Record{
-		At: at, Kind: Call, Session: "m/0", CallID: try, Class: class, Member: "m", Units: 1,
-		Deadline: at + 2*second, Key: "k" + try,
+		At: at, Kind: Call, Session: "m/0", CallID: callID, Class: class, Member: "m", Units: 1,
+		Deadline: at + 2*second, Key: "k" + callID,
 	}
 }
 
-func clientReads(at time.Duration, try, kind string) Record {
-	return Record{At: at, Kind: Answer, Session: "m/0", CallID: try, Answer: kind}
+func answerRecord(at time.Duration, callID, answer string) Record {
+	return Record{At: at, Kind: Answer, Session: "m/0", CallID: callID, Answer: answer}
 }
 
-func serverDoes(t time.Duration, kind Kind, req string, n int, class, node string) Record {
+func serverRecord(at time.Duration, kind Kind, request string, attempt int, class, server string) Record {
 	return Record{
-		At: t, Kind: kind, Request: req, Attempt: n, Class: class, Server: node, Zone: node[:1], Member: "m",
-		CallID: "t" + req, Key: "kt" + req, Units: 1, Deadline: t + second, Work: 50 * time.Millisecond,
+		At: at, Kind: kind, Request: request, Attempt: attempt, Class: class, Server: server, Zone: server[:1], Member: "m",
+		CallID: "t" + request, Key: "kt" + request, Units: 1, Deadline: at + second, Work: 50 * time.Millisecond,
 	}
 }
 
@@ -56,111 +56,111 @@
 		records []Record
 	}{
 		"served": {0, []Record{
-			clientCalls(second, "t1", "look"),
-			serverDoes(second, Received, "1", 0, "look", "a1"),
-			serverDoes(second, WorkStarted, "1", 0, "look", "a1"),
-			clientReads(2*second, "t1", "served"),
+			callRecord(second, "t1", "look"),
+			serverRecord(second, Received, "1", 0, "look", "a1"),
+			serverRecord(second, WorkStarted, "1", 0, "look", "a1"),
+			answerRecord(2*second, "t1", "served"),
 		}},
-		"never answered": {1, []Record{clientCalls(second, "t1", "look")}},
+		"never answered": {1, []Record{callRecord(second, "t1", "look")}},
 		"answered twice": {1, []Record{
-			clientCalls(second, "t1", "look"),
-			clientReads(2*second, "t1", "served"),
-			clientReads(2*second, "t1", "failed"),
+			callRecord(second, "t1", "look"),
+			answerRecord(2*second, "t1", "served"),
+			answerRecord(2*second, "t1", "failed"),
 		}},
-		"answered late":    {1, []Record{clientCalls(second, "t1", "look"), clientReads(4*second, "t1", "failed")}},
-		"answered unasked": {1, []Record{clientReads(4*second, "t1", "failed")}},
+		"answered late":    {1, []Record{callRecord(second, "t1", "look"), answerRecord(4*second, "t1", "failed")}},
+		"answered unasked": {1, []Record{answerRecord(4*second, "t1", "failed")}},
 		"a cut session": {1, []Record{
-			clientCalls(second, "t1", "look"),
+			callRecord(second, "t1", "look"),
 			{At: second + 1, Kind: SessionClosed, Session: "m/0", Code: 1006},
 		}},
 		"the client left first": {0, []Record{
-			clientCalls(second, "t1", "look"),
+			callRecord(second, "t1", "look"),
 			{At: 2 * second, Kind: ClientLeft, Session: "m/0"},
 		}},
 		"the client left later": {1, []Record{
-			clientCalls(second, "t1", "look"),
+			callRecord(second, "t1", "look"),
 			{At: 9 * second, Kind: ClientLeft, Session: "m/0"},
 		}},
 		"crossed the close frame": {0, []Record{
-			clientCalls(second, "t1", "look"),
+			callRecord(second, "t1", "look"),
 			{At: second + 1, Kind: SessionClosed, Session: "m/0", Code: 1001},
 		}},
 		"killed": {0, []Record{
-			clientCalls(second, "t1", "look"),
+			callRecord(second, "t1", "look"),
 			{At: 2 * second, Kind: ProcessChanged, State: "kill"},
 			{At: 5 * second, Kind: ProcessChanged, State: "up"},
 		}},
 		"killed long before": {1, []Record{
 			{At: second, Kind: ProcessChanged, State: "kill"},
 			{At: 2 * second, Kind: ProcessChanged, State: "up"},
-			clientCalls(3*second, "t1", "look"),
+			callRecord(3*second, "t1", "look"),
 		}},
 		"late for being stopped": {0, []Record{
-			clientCalls(second, "t1", "look"),
+			callRecord(second, "t1", "look"),
 			{At: 2 * second, Kind: ProcessChanged, State: "stop"},
 			{At: 4 * second, Kind: ProcessChanged, State: "cont"},
-			clientReads(4*second+9, "t1", "failed"),
+			answerRecord(4*second+9, "t1", "failed"),
 		}},
 		"two runs of a folio": {2, []Record{
-			serverDoes(second, WorkStarted, "1", 0, "folio", "a1"),
-			serverDoes(2*second, WorkStarted, "1", 1, "folio", "a2"),
+			serverRecord(second, WorkStarted, "1", 0, "folio", "a1"),
+			serverRecord(2*second, WorkStarted, "1", 1, "folio", "a2"),
 		}},
 		"two runs of a lookup": {0, []Record{
-			serverDoes(second, WorkStarted, "1", 0, "look", "a1"),
-			serverDoes(2*second, WorkStarted, "1", 1, "look", "a2"),
+			serverRecord(second, WorkStarted, "1", 0, "look", "a1"),
+			serverRecord(2*second, WorkStarted, "1", 1, "look", "a2"),
 		}},
 		"a folio sent again": {2, []Record{
-			serverDoes(second, Received, "1", 0, "folio", "a1"),
-			serverDoes(3*second, Received, "1", 1, "folio", "a2"),
+			serverRecord(second, Received, "1", 0, "folio", "a1"),
+			serverRecord(3*second, Received, "1", 1, "folio", "a2"),
 		}},
 		"a folio turned away": {0, []Record{
-			serverDoes(second, Received, "1", 0, "folio", "a1"),
-			serverDoes(second, ServerRejected, "1", 0, "folio", "a1"),
-			serverDoes(2*second, Received, "1", 1, "folio", "a2"),
+			serverRecord(second, Received, "1", 0, "folio", "a1"),
+			serverRecord(second, ServerRejected, "1", 0, "folio", "a1"),
+			serverRecord(2*second, Received, "1", 1, "folio", "a2"),
 		}},
 		"a submit in its zone": {0, []Record{
-			serverDoes(second, Received, "1", 0, "submit", "a1"),
-			serverDoes(second, Cancelled, "1", 0, "submit", "a1"),
-			serverDoes(second+second/2, Received, "1", 1, "submit", "a2"),
+			serverRecord(second, Received, "1", 0, "submit", "a1"),
+			serverRecord(second, Cancelled, "1", 0, "submit", "a1"),
+			serverRecord(second+second/2, Received, "1", 1, "submit", "a2"),
 		}},
 		"a submit left its zone": {2, []Record{
-			serverDoes(second, Received, "1", 0, "submit", "a1"),
-			serverDoes(second, Cancelled, "1", 0, "submit", "a1"),
-			serverDoes(second+second/2, Received, "1", 1, "submit", "b2"),
+			serverRecord(second, Received, "1", 0, "submit", "a1"),
+			serverRecord(second, Cancelled, "1", 0, "submit", "a1"),
+			serverRecord(second+second/2, Received, "1", 1, "submit", "b2"),
 		}},
 		"a submit past its time": {2, []Record{
-			serverDoes(second, Received, "1", 0, "submit", "a1"),
-			serverDoes(second, Cancelled, "1", 0, "submit", "a1"),
-			serverDoes(3*second, Received, "1", 1, "submit", "a2"),
+			serverRecord(second, Received, "1", 0, "submit", "a1"),
+			serverRecord(second, Cancelled, "1", 0, "submit", "a1"),
+			serverRecord(3*second, Received, "1", 1, "submit", "a2"),
 		}},
 		"two attempts at once": {2, []Record{
-			serverDoes(second, Received, "1", 0, "look", "a1"),
-			serverDoes(second+second/2, Received, "1", 1, "look", "a2"),
+			serverRecord(second, Received, "1", 0, "look", "a1"),
+			serverRecord(second+second/2, Received, "1", 1, "look", "a2"),
 		}},
 		"refused though it ran": {2, []Record{
-			clientCalls(second, "t1", "folio"),
-			serverDoes(second, Received, "1", 0, "folio", "a1"),
-			serverDoes(second, WorkStarted, "1", 0, "folio", "a1"),
-			clientReads(2*second, "t1", "refused"),
+			callRecord(second, "t1", "folio"),
+			serverRecord(second, Received, "1", 0, "folio", "a1"),
+			serverRecord(second, WorkStarted, "1", 0, "folio", "a1"),
+			answerRecord(2*second, "t1", "refused"),
 		}},
 		"drained": {0, []Record{
-			clientCalls(second, "t1", "look"),
+			callRecord(second, "t1", "look"),
 			{At: second, Kind: EndpointSent, Server: "a1", State: "draining"},
-			serverDoes(2*second, Received, "1", 0, "look", "a1"),
-			clientReads(2*second, "t1", "served"),
+			serverRecord(2*second, Received, "1", 0, "look", "a1"),
+			answerRecord(2*second, "t1", "served"),
 		}},
 		"sent after the grace": {3, []Record{
 			{At: second, Kind: EndpointSent, Server: "a1", State: "gone"},
-			clientCalls(3*second, "t1", "look"),
-			serverDoes(3*second, Received, "1", 0, "look", "a1"),
-			clientReads(3*second, "t1", "served"),
+			callRecord(3*second, "t1", "look"),
+			serverRecord(3*second, Received, "1", 0, "look", "a1"),
+			answerRecord(3*second, "t1", "served"),
 		}},
 		"back again": {0, []Record{
 			{At: second, Kind: EndpointSent, Server: "a1", State: "gone"},
 			{At: 2 * second, Kind: EndpointSent, Server: "a1", State: "serving"},
-			clientCalls(3*second, "t1", "look"),
-			serverDoes(3*second, Received, "1", 0, "look", "a1"),
-			clientReads(3*second, "t1", "served"),
+			callRecord(3*second, "t1", "look"),
+			serverRecord(3*second, Received, "1", 0, "look", "a1"),
+			answerRecord(3*second, "t1", "served"),
 		}},
 		"fell over": {4, []Record{
 			{At: second, Kind: SlowStarted, Server: "a1", Capacity: 2, InitialCapacity: 0.2, Duration: 10 * second},
@@ -168,40 +168,40 @@
 		}},
 	}
 	// over: 30 units at once under a ceiling of 20 at once and 10 a second.
-	var flood, slow, over []Record
-	flood = append(flood, Record{At: second, Kind: SlowStarted, Server: "a1", Capacity: 2, InitialCapacity: 0.2,
+	var tooFast, slowEnough, overCeiling []Record
+	tooFast = append(tooFast, Record{At: second, Kind: SlowStarted, Server: "a1", Capacity: 2, InitialCapacity: 0.2,
 		Duration: 10 * second})
-	slow = append(slow, flood[0])
+	slowEnough = append(slowEnough, tooFast[0])
 	for i := range 30 {
 		id := strings.Repeat("i", i+1)
-		over = append(over, serverDoes(2*second+time.Duration(i)*10*time.Millisecond, Received, id, 0, "look", "a1"))
-		for _, to := range []*[]Record{&flood, &slow} {
-			r := over[i]
+		overCeiling = append(overCeiling, serverRecord(2*second+time.Duration(i)*10*time.Millisecond, Received, id, 0, "look", "a1"))
+		for _, target := range []*[]Record{&tooFast, &slowEnough} {
+			r := overCeiling[i]
 			r.Units = 0.1
-			if to == &slow {
+			if target == &slowEnough {
 				r.At = 2*second + time.Duration(i)*second/10
 			}
-			*to = append(*to, r)
+			*target = append(*target, r)
 		}
 	}
 	tests["a cold node flooded"] = struct {
 		rule    int
 		records []Record
-	}{4, flood}
+	}{4, tooFast}
 	tests["a cold node fed slowly"] = struct {
 		rule    int
 		records []Record
-	}{0, slow}
+	}{0, slowEnough}
 	tests["over the ceiling"] = struct {
 		rule    int
 		records []Record
-	}{5, over}
+	}{5, overCeiling}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			verdict := Check(testFleet(t), append(test.records, end))
 			rules := map[int]bool{}
-			for _, b := range verdict.Violations {
-				rules[b.Rule] = true
+			for _, violation := range verdict.Violations {
+				rules[violation.Rule] = true
 			}
 			if test.rule == 0 && len(rules) > 0 || test.rule > 0 && (len(rules) != 1 || !rules[test.rule]) {
 				t.Errorf("want rule %d\n%s", test.rule, verdict)
--- a/internal/invariant/drains.go
+++ b/internal/invariant/drains.go
@@ -12,20 +12,20 @@
 // the server drains or is gone.
 func (c *checker) checkDrains() {
 	gateways := c.gatewaysOfCalls()
-	notified := map[gatewayServer]time.Duration{} // when the gateway was first notified
+	firstNotifiedAt := map[gatewayServer]time.Duration{} // when the gateway was first notified
 	for _, r := range c.records {
 		switch r.Kind {
 		case EndpointSent:
 			key := gatewayServer{r.Gateway, r.Server}
 			if r.State == "serving" {
-				delete(notified, key)
-			} else if _, ok := notified[key]; !ok {
-				notified[key] = r.At
+				delete(firstNotifiedAt, key)
+			} else if _, ok := firstNotifiedAt[key]; !ok {
+				firstNotifiedAt[key] = r.At
 			}
 		case ProcessChanged:
 			// A gateway that restarts knows only the endpoint list that it gets then.
 			if r.State == "up" {
-				forgetGateway(notified, r.Gateway)
+				forgetNotifications(firstNotifiedAt, r.Gateway)
 			}
 		case Received:
 			c.verdict.Checked[ruleDrains]++
@@ -33,7 +33,7 @@
 			if !known {
 				continue
 			}
-			if since, ok := notified[gatewayServer{gateway, r.Server}]; ok {
+			if since, ok := firstNotifiedAt[gatewayServer{gateway, r.Server}]; ok {
 				c.checkDrainedAttempt(r, gateway, since)
 			}
 		}
@@ -44,7 +44,7 @@
 func (c *checker) checkDrainedAttempt(r Record, gateway int, notifiedAt time.Duration) {
 	late := r.At - notifiedAt - c.fleet.Decide.Safety.DrainGrace
 	if late > TransitAllowance+c.stalledFor(gateway, notifiedAt, r.At) {
-		c.violation(ruleDrains, r.At, "gateway %d sent %s (%s) to %s, %v after it was notified that the server drains "+
+		c.addViolation(ruleDrains, r.At, "gateway %d sent %s (%s) to %s, %v after it was notified that the server drains "+
 			"or is gone", gateway, r.Request, r.Class, r.Server, r.At-notifiedAt)
 	}
 }
@@ -60,10 +60,10 @@
 	return gateways
 }
 
-func forgetGateway(notified map[gatewayServer]time.Duration, gateway int) {
-	for key := range notified {
+func forgetNotifications(firstNotifiedAt map[gatewayServer]time.Duration, gateway int) {
+	for key := range firstNotifiedAt {
 		if key.gateway == gateway {
-			delete(notified, key)
+			delete(firstNotifiedAt, key)
 		}
 	}
 }
--- a/internal/invariant/executions.go
+++ b/internal/invariant/executions.go
@@ -14,28 +14,28 @@
 
 // attempt is an attempt as its server saw it.
 type attempt struct {
-	Record               // of kind Received
-	ended  time.Duration // when the gateway could know its end: at its deadline at the latest
+	Record                // of kind Received
+	endedAt time.Duration // when the gateway could know its end: at its deadline at the latest
 }
 
 func (a *attempt) key() attemptKey { return attemptKey{a.Request, a.Attempt} }
 
 // executions is what servers received and executed.
 type executions struct {
-	classes   map[string]decide.Class
-	attempts  map[string][]*attempt // by request, in the order of their arrival
-	runsByKey map[string][]Record   // of kind WorkStarted, by idempotency key
-	runsOf    map[string][]Record   // of kind WorkStarted, by the client's ID of the call
-	rejected  map[attemptKey]bool   // the server rejected it, without effect
+	classes      map[string]decide.Class
+	attempts     map[string][]*attempt // by request, in the order of their arrival
+	runsByKey    map[string][]Record   // of kind WorkStarted, by idempotency key
+	runsByCallID map[string][]Record   // of kind WorkStarted, by the client's ID of the call
+	rejected     map[attemptKey]bool   // the server rejected it, without effect
 }
 
 func (c *checker) collectExecutions() *executions {
 	e := &executions{
-		classes:   map[string]decide.Class{},
-		attempts:  map[string][]*attempt{},
-		runsByKey: map[string][]Record{},
-		runsOf:    map[string][]Record{},
-		rejected:  map[attemptKey]bool{},
+		classes:      map[string]decide.Class{},
+		attempts:     map[string][]*attempt{},
+		runsByKey:    map[string][]Record{},
+		runsByCallID: map[string][]Record{},
+		rejected:     map[attemptKey]bool{},
 	}
 	for _, class := range c.fleet.Decide.Classes {
 		e.classes[class.Name] = class
@@ -48,22 +48,22 @@
 			if r.Key != "" {
 				e.runsByKey[r.Key] = append(e.runsByKey[r.Key], r)
 			}
-			e.runsOf[r.CallID] = append(e.runsOf[r.CallID], r)
+			e.runsByCallID[r.CallID] = append(e.runsByCallID[r.CallID], r)
 		case ServerRejected:
 			e.rejected[attemptKey{r.Request, r.Attempt}] = true
-			e.end(r)
+			e.markEnded(r)
 		case ServerAnswered, Cancelled:
-			e.end(r)
+			e.markEnded(r)
 		}
 	}
 	return e
 }
 
 // end notes that the attempt of a record has ended.
-func (e *executions) end(r Record) {
+func (e *executions) markEnded(r Record) {
 	for _, a := range e.attempts[r.Request] {
 		if a.Attempt == r.Attempt {
-			a.ended = min(a.ended, r.At)
+			a.endedAt = min(a.endedAt, r.At)
 			return
 		}
 	}
@@ -91,7 +91,7 @@
 		class := e.classes[runs[0].Class]
 		c.verdict.Checked[ruleExecutions]++
 		if class.Idempotency == decide.NotIdempotent && len(runs) > 1 {
-			c.violation(ruleExecutions, runs[1].At, "%s with key %s ran %d times, at %s and %s",
+			c.addViolation(ruleExecutions, runs[1].At, "%s with key %s ran %d times, at %s and %s",
 				class.Name, key, len(runs), runs[0].Server, runs[1].Server)
 		}
 	}
@@ -102,9 +102,9 @@
 	if c.fleet.Decide.Limits.Hedging {
 		return
 	}
-	if later.At+TransitAllowance+c.harnessStalledFor(earlier.At, later.At) < earlier.ended {
+	if later.At+TransitAllowance+c.harnessStalledFor(earlier.At, later.At) < earlier.endedAt {
 		class := e.classes[e.attempts[later.Request][0].Class]
-		c.violation(ruleExecutions, later.At, "attempts %d and %d of %s (%s) were in flight at once",
+		c.addViolation(ruleExecutions, later.At, "attempts %d and %d of %s (%s) were in flight at once",
 			earlier.Attempt, later.Attempt, later.Request, class.Name)
 	}
 }
@@ -117,19 +117,19 @@
 	}
 	switch after := later.At - earlier.At; {
 	case class.Idempotency == decide.NotIdempotent:
-		c.violation(ruleExecutions, later.At, "attempt %d of %s (%s) was sent though attempt %d may have run",
+		c.addViolation(ruleExecutions, later.At, "attempt %d of %s (%s) was sent though attempt %d may have run",
 			later.Attempt, later.Request, class.Name, earlier.Attempt)
-	case !deduplicated(class.DedupScope, earlier, later):
-		c.violation(ruleExecutions, later.At, "attempt %d of %s (%s) left the servers that drop its repeats",
+	case !inSameDedupScope(class.DedupScope, earlier, later):
+		c.addViolation(ruleExecutions, later.At, "attempt %d of %s (%s) left the servers that drop its repeats",
 			later.Attempt, later.Request, class.Name)
 	case after > class.DedupWindow+TransitAllowance:
-		c.violation(ruleExecutions, later.At, "attempt %d of %s (%s) was sent %v after attempt %d, the window is %v",
+		c.addViolation(ruleExecutions, later.At, "attempt %d of %s (%s) was sent %v after attempt %d, the window is %v",
 			later.Attempt, later.Request, class.Name, after, earlier.Attempt, class.DedupWindow)
 	}
 }
 
 // deduplicated reports whether the servers of two attempts drop each other's repeats.
-func deduplicated(scope decide.DedupScope, earlier, later *attempt) bool {
+func inSameDedupScope(scope decide.DedupScope, earlier, later *attempt) bool {
 	switch scope {
 	case decide.DedupInFleet:
 		return true
@@ -149,11 +149,11 @@
 			continue
 		}
 		c.verdict.Checked[ruleExecutions]++
-		for _, run := range e.runsOf[r.CallID] {
+		for _, run := range e.runsByCallID[r.CallID] {
 			class := e.classes[run.Class]
 			if class.Idempotency == decide.NotIdempotent ||
 				class.Idempotency == decide.IdempotentByKey && class.DedupScope != decide.DedupInFleet {
-				c.violation(ruleExecutions, r.At, "call %s (%s) was rejected though it ran at %s", r.CallID, class.Name, run.Server)
+				c.addViolation(ruleExecutions, r.At, "call %s (%s) was rejected though it ran at %s", r.CallID, class.Name, run.Server)
 			}
 		}
 	}
--- a/internal/invariant/outages.go
+++ b/internal/invariant/outages.go
@@ -15,26 +15,26 @@
 // collectOutages gathers when gateways and the harness did not run. An outage that no record ends lasts to the end of
 // time.
 func (c *checker) collectOutages() {
-	open := map[int]outage{} // by gateway
+	ongoing := map[int]outage{} // by gateway
 	for _, r := range c.records {
 		if r.Kind == HarnessStalled {
-			c.stalls = append(c.stalls, r)
+			c.harnessStalls = append(c.harnessStalls, r)
 		}
 		if r.Kind != ProcessChanged {
 			continue
 		}
 		switch r.State {
 		case "kill", "stop":
-			open[r.Gateway] = outage{r.Gateway, r.At, math.MaxInt64, r.State == "stop"}
+			ongoing[r.Gateway] = outage{r.Gateway, r.At, math.MaxInt64, r.State == "stop"}
 		case "up", "cont":
-			if o, ok := open[r.Gateway]; ok {
+			if o, ok := ongoing[r.Gateway]; ok {
 				o.to = r.At
 				c.outages = append(c.outages, o)
-				delete(open, r.Gateway)
+				delete(ongoing, r.Gateway)
 			}
 		}
 	}
-	for _, o := range open {
+	for _, o := range ongoing {
 		c.outages = append(c.outages, o)
 	}
 }
@@ -52,7 +52,7 @@
 
 // harnessStalledFor is the length of the harness's stalls that overlap a span.
 func (c *checker) harnessStalledFor(from, to time.Duration) (stalled time.Duration) {
-	for _, r := range c.stalls {
+	for _, r := range c.harnessStalls {
 		if r.At > from && r.At-r.Duration < to {
 			stalled += r.Duration
 		}
@@ -61,7 +61,7 @@
 }
 
 // killed reports whether the gateway was killed, or not yet up again after a kill, at any time within a span.
-func (c *checker) killed(gateway int, from, to time.Duration) bool {
+func (c *checker) killedDuring(gateway int, from, to time.Duration) bool {
 	for _, o := range c.outages {
 		if !o.paused && o.gateway == gateway && o.from <= to && o.to >= from {
 			return true
--- a/internal/invariant/usage.go
+++ b/internal/invariant/usage.go
@@ -33,7 +33,7 @@
 	violationsByKind map[string]int
 }
 
-func (u *UsageResult) violation(kind, format string, args ...any) {
+func (u *UsageResult) addViolation(kind, format string, args ...any) {
 	if u.violationsByKind == nil {
 		u.violationsByKind = map[string]int{}
 	}
@@ -52,11 +52,11 @@
 
 // usageChecker holds the state of one CheckUsage.
 type usageChecker struct {
-	result   UsageResult
-	observed map[attemptKey]*observedAttempt
-	exported map[attemptKey]bool
-	numbers  map[string][]int // of events, by source
-	killed   func(request string) bool
+	result        UsageResult
+	observed      map[attemptKey]*observedAttempt
+	exported      map[attemptKey]bool
+	eventNumbers  map[string][]int // of events, by source
+	gatewayKilled func(request string) bool
 }
 
 // CheckUsage compares the events of a usage receiver with what servers read and wrote. Each attempt that reached a
@@ -64,12 +64,12 @@
 // sent with. An attempt that a server rejected is not exported, unless its response never came. The events of each
 // source are numbered from 1 without a gap. killed reports whether the gateway of a request was killed: only then may
 // an attempt be exported as left by an ended incarnation.
-func CheckUsage(records []Record, events []UsageEvent, killed func(request string) bool) UsageResult {
+func CheckUsage(records []Record, events []UsageEvent, gatewayKilled func(request string) bool) UsageResult {
 	u := &usageChecker{
-		observed: observeAttempts(records),
-		exported: map[attemptKey]bool{},
-		numbers:  map[string][]int{},
-		killed:   killed,
+		observed:      observeAttempts(records),
+		exported:      map[attemptKey]bool{},
+		eventNumbers:  map[string][]int{},
+		gatewayKilled: gatewayKilled,
 	}
 	for _, event := range events {
 		u.checkEvent(event)
@@ -106,9 +106,9 @@
 func (u *usageChecker) checkEvent(event UsageEvent) {
 	number, err := strconv.Atoi(event.ID)
 	if err != nil {
-		u.result.violation("number", "%s: id %q is no number", event.Source, event.ID)
+		u.result.addViolation("number", "%s: id %q is no number", event.Source, event.ID)
 	}
-	u.numbers[event.Source] = append(u.numbers[event.Source], number)
+	u.eventNumbers[event.Source] = append(u.eventNumbers[event.Source], number)
 	if event.Type == outbox.TypeGap {
 		var gap outbox.GapData
 		_ = json.Unmarshal(event.Data, &gap) // a gap that can't be read covers nothing
@@ -117,14 +117,14 @@
 	}
 	var data outbox.UsageData
 	if err := json.Unmarshal(event.Data, &data); err != nil {
-		u.result.violation("data", "%s %s: %v", event.Source, event.ID, err)
+		u.result.addViolation("data", "%s %s: %v", event.Source, event.ID, err)
 		return
 	}
 	u.result.Attempts++
 	u.result.Units += data.Units
 	key := attemptKey{data.Request, data.Attempt}
 	if u.exported[key] {
-		u.result.violation("twice", "attempt %d of %s is exported twice", data.Attempt, data.Request)
+		u.result.addViolation("twice", "attempt %d of %s is exported twice", data.Attempt, data.Request)
 	}
 	u.exported[key] = true
 	u.checkAttempt(data, u.observed[key])
@@ -133,19 +133,19 @@
 // checkAttempt compares an exported attempt with its observation, which is nil if there is none.
 func (u *usageChecker) checkAttempt(data outbox.UsageData, observed *observedAttempt) {
 	switch {
-	case data.Outcome == outbox.OutcomeGatewayEnded.String() && !u.killed(data.Request):
-		u.result.violation("orphan", "attempt %d of %s is exported as left by an ended incarnation",
+	case data.Outcome == outbox.OutcomeGatewayEnded.String() && !u.gatewayKilled(data.Request):
+		u.result.addViolation("orphan", "attempt %d of %s is exported as left by an ended incarnation",
 			data.Attempt, data.Request)
 	case data.Outcome == outbox.OutcomeError.String() && observed != nil && observed.rejected:
-		u.result.violation("unseen", "attempt %d of %s was rejected without effect and is exported",
+		u.result.addViolation("unseen", "attempt %d of %s was rejected without effect and is exported",
 			data.Attempt, data.Request)
 	case data.Estimated:
 		u.checkEstimate(data, observed)
 	case observed == nil || !observed.answered:
-		u.result.violation("size", "attempt %d of %s is exported at %v, no server answered it",
+		u.result.addViolation("size", "attempt %d of %s is exported at %v, no server answered it",
 			data.Attempt, data.Request, data.Units)
 	case observed.answeredUnits != data.Units:
-		u.result.violation("size", "attempt %d of %s is exported at %v, the server answered %v",
+		u.result.addViolation("size", "attempt %d of %s is exported at %v, the server answered %v",
 			data.Attempt, data.Request, data.Units, observed.answeredUnits)
 	default:
 		u.result.Confirmed++
@@ -158,7 +158,7 @@
 		u.result.Unanswered++
 	}
 	if observed != nil && observed.received && observed.sentUnits != data.Units {
-		u.result.violation("size", "attempt %d of %s is exported at an estimate of %v, it was sent with %v",
+		u.result.addViolation("size", "attempt %d of %s is exported at an estimate of %v, it was sent with %v",
 			data.Attempt, data.Request, data.Units, observed.sentUnits)
 	}
 }
@@ -167,18 +167,18 @@
 func (u *usageChecker) checkMissing() {
 	for key, observed := range u.observed {
 		if observed.received && !observed.rejected && !u.exported[key] {
-			u.result.violation("missing", "attempt %d of %s reached a server and is not exported", key.attempt, key.request)
+			u.result.addViolation("missing", "attempt %d of %s reached a server and is not exported", key.attempt, key.request)
 		}
 	}
 }
 
 // checkNumbers finds in each source the first number that is missing or used twice.
 func (u *usageChecker) checkNumbers() {
-	for source, numbers := range u.numbers {
-		sort.Ints(numbers)
-		for i, n := range numbers {
+	for source, eventNumbers := range u.eventNumbers {
+		sort.Ints(eventNumbers)
+		for i, n := range eventNumbers {
 			if n != i+1 {
-				u.result.violation("number", "%s: number %d in place of %d", source, n, i+1)
+				u.result.addViolation("number", "%s: number %d in place of %d", source, n, i+1)
 				break
 			}
 		}
--- a/internal/invariant/usage_test.go
+++ b/internal/invariant/usage_test.go
@@ -11,63 +11,63 @@
 
 // TestJudgeUse finds no violation in a complete export, and each one that is planted.
 func TestJudgeUse(t *testing.T) {
-	var recs []Record
-	var evs []UsageEvent
+	var records []Record
+	var events []UsageEvent
 	add := func(u outbox.UsageData) {
-		raw, _ := json.Marshal(u)
-		evs = append(evs, UsageEvent{"/g", fmt.Sprint(len(evs) + 1), outbox.TypeUsage, raw})
+		data, _ := json.Marshal(u)
+		events = append(events, UsageEvent{"/g", fmt.Sprint(len(events) + 1), outbox.TypeUsage, data})
 	}
 	for i := range 10 {
-		req := fmt.Sprint("r", i)
-		recs = append(recs, Record{Kind: Received, Request: req, Units: 1})
+		request := fmt.Sprint("r", i)
+		records = append(records, Record{Kind: Received, Request: request, Units: 1})
 		switch i {
 		case 3: // turned away unseen
-			recs = append(recs, Record{Kind: ServerRejected, Request: req})
+			records = append(records, Record{Kind: ServerRejected, Request: request})
 		case 4: // never answered
-			add(outbox.UsageData{Request: req, Units: 1, Estimated: true, Outcome: outbox.OutcomeUnanswered.String()})
+			add(outbox.UsageData{Request: request, Units: 1, Estimated: true, Outcome: outbox.OutcomeUnanswered.String()})
 		default:
-			recs = append(recs, Record{Kind: ServerAnswered, Request: req, Units: 3})
-			add(outbox.UsageData{Request: req, Units: 3, Outcome: outbox.OutcomeAnswered.String()})
+			records = append(records, Record{Kind: ServerAnswered, Request: request, Units: 3})
+			add(outbox.UsageData{Request: request, Units: 3, Outcome: outbox.OutcomeAnswered.String()})
 		}
 	}
-	never := func(string) bool { return false }
-	if u := CheckUsage(recs, evs, never); len(u.Violations) > 0 || u.Confirmed != 8 || u.Estimated != 1 || u.Units != 25 {
+	neverKilled := func(string) bool { return false }
+	if u := CheckUsage(records, events, neverKilled); len(u.Violations) > 0 || u.Confirmed != 8 || u.Estimated != 1 || u.Units != 25 {
 		t.Fatalf("%+v", u)
 	}
-	use := func(i int, f func(*outbox.UsageData)) func([]UsageEvent) []UsageEvent {
-		return func(in []UsageEvent) []UsageEvent {
+	changeData := func(i int, f func(*outbox.UsageData)) func([]UsageEvent) []UsageEvent {
+		return func(exported []UsageEvent) []UsageEvent {
 			var u outbox.UsageData
-			json.Unmarshal(in[i].Data, &u)
+			json.Unmarshal(exported[i].Data, &u)
 			f(&u)
-			in[i].Data, _ = json.Marshal(u)
-			return in
+			exported[i].Data, _ = json.Marshal(u)
+			return exported
 		}
 	}
 	for name, c := range map[string]struct {
-		do   func([]UsageEvent) []UsageEvent
-		kind string
+		change func([]UsageEvent) []UsageEvent
+		kind   string
 	}{
-		"a lost event":      {func(in []UsageEvent) []UsageEvent { return in[:8] }, "missing"},
-		"one in the middle": {func(in []UsageEvent) []UsageEvent { return append(in[:2], in[3:]...) }, "number"},
-		"a try twice": {func(in []UsageEvent) []UsageEvent {
-			e := in[0]
+		"a lost event":      {func(exported []UsageEvent) []UsageEvent { return exported[:8] }, "missing"},
+		"one in the middle": {func(exported []UsageEvent) []UsageEvent { return append(exported[:2], exported[3:]...) }, "number"},
+		"a try twice": {func(exported []UsageEvent) []UsageEvent {
+			e := exported[0]
 			e.ID = "10"
-			return append(in, e)
+			return append(exported, e)
 		}, "twice"},
-		"another size":        {use(0, func(u *outbox.UsageData) { u.Units = 2 }), "size"},
-		"another guess":       {use(3, func(u *outbox.UsageData) { u.Units = 2 }), "size"},
-		"a size from nowhere": {use(3, func(u *outbox.UsageData) { u.Estimated = false }), "size"},
-		"an orphan without a kill": {use(3, func(u *outbox.UsageData) {
+		"another size":        {changeData(0, func(u *outbox.UsageData) { u.Units = 2 }), "size"},
+		"another guess":       {changeData(3, func(u *outbox.UsageData) { u.Units = 2 }), "size"},
+		"a size from nowhere": {changeData(3, func(u *outbox.UsageData) { u.Estimated = false }), "size"},
+		"an orphan without a kill": {changeData(3, func(u *outbox.UsageData) {
 			u.Outcome = outbox.OutcomeGatewayEnded.String()
 		}), "orphan"},
-		"one that never ran": {func(in []UsageEvent) []UsageEvent {
-			raw, _ := json.Marshal(outbox.UsageData{Request: "r3", Units: 1, Estimated: true,
+		"one that never ran": {func(exported []UsageEvent) []UsageEvent {
+			data, _ := json.Marshal(outbox.UsageData{Request: "r3", Units: 1, Estimated: true,
 				Outcome: outbox.OutcomeError.String()})
-			return append(in, UsageEvent{"/g", "10", outbox.TypeUsage, raw})
+			return append(exported, UsageEvent{"/g", "10", outbox.TypeUsage, data})
 		}, "unseen"},
 	} {
-		in := append([]UsageEvent(nil), evs...)
-		u := CheckUsage(recs, c.do(in), never)
+		exported := append([]UsageEvent(nil), events...)
+		u := CheckUsage(records, c.change(exported), neverKilled)
 		if len(u.Violations) == 0 || !strings.Contains(strings.Join(u.Violations, "\n"), c.kind+":") {
 			t.Errorf("%s: %v, want %s", name, u.Violations, c.kind)
 		}
--- a/internal/scenario/breach_test.go
+++ b/internal/scenario/breach_test.go
@@ -10,13 +10,13 @@
 )
 
 // breach is a way in which a gateway is made to break a rule.
-type breach struct {
+type gatewayDefect struct {
 	settings func(*config.Fleet)   // changes what the gateway reads; may be nil
 	tamper   func() gateway.Tamper // changes what its loop does; may be nil
 }
 
 // breaches are named by the cases of TestPlantedBreaches. The gateway "" is not broken.
-var breaches = map[string]breach{
+var gatewayDefects = map[string]gatewayDefect{
 	"": {},
 
 	// Rule 1: every request has exactly one answer, in time.
@@ -53,7 +53,7 @@
 	switch e := ev.(type) {
 	case decide.EndpointUpdate:
 		for _, s := range e.Servers {
-			if !o.lists(s.ID) {
+			if !o.isListed(s.ID) {
 				o.servers = append(o.servers, s.ID)
 			}
 		}
@@ -62,7 +62,7 @@
 	}
 }
 
-func (o *observer) lists(id string) bool {
+func (o *observer) isListed(id string) bool {
 	for _, s := range o.servers {
 		if s == id {
 			return true
--- a/internal/scenario/clientfaults.go
+++ b/internal/scenario/clientfaults.go
@@ -5,7 +5,7 @@
 // Faults of the client load.
 
 // faultOnClients sets a fault of the clients and clears it after the time.
-func (r *runner) faultOnClients(f Fault, set, clearFault func(*client.Fault)) {
+func (r *runner) withClientFault(f Fault, set, clearFault func(*client.Fault)) {
 	r.client.SetFault(set)
 	r.sleep(f.Duration)
 	r.client.SetFault(clearFault)
@@ -13,7 +13,7 @@
 
 func (r *runner) multiplyLoad(f Fault) {
 	set := func(x *client.Fault) { x.RateFactor = f.Size }
-	r.faultOnClients(f, set, func(x *client.Fault) { x.RateFactor = 0 })
+	r.withClientFault(f, set, func(x *client.Fault) { x.RateFactor = 0 })
 }
 
 // multiplyMembersLoad raises the load of some members. It comes on top of what the others send.
@@ -27,7 +27,7 @@
 		}
 		x.RateFactor = (all + float64(len(members))*(f.Size-1)) / all
 	}
-	r.faultOnClients(f, set, func(x *client.Fault) {
+	r.withClientFault(f, set, func(x *client.Fault) {
 		x.WeightFactor = nil
 		x.RateFactor = 0
 	})
@@ -46,7 +46,7 @@
 			x.FirstGatewayOnly[name] = true
 		}
 	}
-	r.faultOnClients(f, set, func(x *client.Fault) { x.FirstGatewayOnly = nil })
+	r.withClientFault(f, set, func(x *client.Fault) { x.FirstGatewayOnly = nil })
 }
 
 func (r *runner) reconnectClients(Fault) { r.client.Reconnect() }
--- a/internal/scenario/discoveryfaults.go
+++ b/internal/scenario/discoveryfaults.go
@@ -37,7 +37,7 @@
 	r.sleep(f.Duration)
 	server, err := discovery.Start(r.discoveryAddr, r.script.DiscoveryDelay, r.log)
 	if err != nil {
-		r.fail(err)
+		r.addError(err)
 		return
 	}
 	server.Replace(endpoints)
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -15,7 +15,7 @@
 var faultKinds = map[string]faultKind{
 	"ageing": {
 		description: "count servers grow slower, up to size times",
-		inject:      (*runner).ageServers,
+		inject:      (*runner).slowServersGradually,
 	},
 	"slow": {
 		description: "count servers are size times slower",
@@ -27,11 +27,11 @@
 	},
 	"heavy_tail": {
 		description: "one of 50 calls of a class costs size times the usual",
-		inject:      (*runner).lengthenTail,
+		inject:      (*runner).slowTailOfClass,
 	},
 	"fast_errors": {
 		description: "count servers fail a share of size of their calls quickly",
-		inject:      (*runner).failCalls,
+		inject:      (*runner).failCallsQuickly,
 	},
 	"class_fail": {
 		description: "count servers leave a class unanswered",
@@ -51,7 +51,7 @@
 	},
 	"vanish": {
 		description: "count servers become silent and come back in slow start after the time",
-		inject:      (*runner).silenceServers,
+		inject:      (*runner).hangServers,
 	},
 	"cold_start": {
 		description: "count more servers are started, in slow start",
@@ -64,7 +64,7 @@
 	},
 	"balancer_roll": {
 		description: "every gateway in turn is stopped by SIGTERM and started again",
-		inject:      (*runner).rollGateways,
+		inject:      (*runner).restartGatewaysInTurn,
 	},
 	"balancer_stall": {
 		description: "count gateways are suspended (SIGSTOP)",
@@ -72,11 +72,11 @@
 	},
 	"kill_storm": {
 		description: "gateways are killed at random moments, count times over the time, and started again at once",
-		inject:      (*runner).killAtRandom,
+		inject:      (*runner).killGatewaysAtRandom,
 	},
 	"lost_peers": {
 		description: "a share of size of the gossip between gateways is lost",
-		inject:      (*runner).loseGossip,
+		inject:      (*runner).dropGossip,
 	},
 
 	"burst": {
@@ -167,7 +167,7 @@
 func (r *runner) inject(f Fault) {
 	kind := faultKinds[f.Kind]
 	if kind.needsUsageReceiver && r.usageReceiver == nil {
-		r.fail(fmt.Errorf("scenario: %s: the fleet exports no usage", f.Kind))
+		r.addError(fmt.Errorf("scenario: %s: the fleet exports no usage", f.Kind))
 		return
 	}
 	kind.inject(r, f)
--- a/internal/scenario/gatewayfaults.go
+++ b/internal/scenario/gatewayfaults.go
@@ -9,9 +9,9 @@
 
 func (r *runner) crashGateways(f Fault) {
 	gateways := r.pickGateways(f.Count)
-	r.noteGatewayKilled()
+	r.markGatewayKilled()
 	for _, g := range gateways {
-		r.kill(g)
+		r.killGateway(g)
 	}
 	r.sleep(f.Duration)
 	r.startGateways(gateways...)
@@ -20,17 +20,17 @@
 func (r *runner) suspendGateways(f Fault) {
 	gateways := r.pickGateways(f.Count)
 	for _, g := range gateways {
-		r.signal(g, syscall.SIGSTOP)
+		r.signalGateway(g, syscall.SIGSTOP)
 	}
 	r.sleep(f.Duration)
 	for _, g := range gateways {
-		r.signal(g, syscall.SIGCONT)
+		r.signalGateway(g, syscall.SIGCONT)
 	}
 }
 
-func (r *runner) rollGateways(f Fault) {
+func (r *runner) restartGatewaysInTurn(f Fault) {
 	for _, g := range r.gateways {
-		r.terminate(g)
+		r.terminateGateway(g)
 		r.startGateways(g)
 		r.sleep(f.Duration / time.Duration(len(r.gateways)))
 	}
@@ -38,15 +38,15 @@
 
 // killAtRandom kills a random gateway f.Count times and starts it again at once. Before each kill it waits between
 // half and one and a half of an even part of the time.
-func (r *runner) killAtRandom(f Fault) {
-	r.noteGatewayKilled()
+func (r *runner) killGatewaysAtRandom(f Fault) {
+	r.markGatewayKilled()
 	for range f.Count {
-		r.sleep(time.Duration((0.5 + r.draw()) * float64(f.Duration) / float64(f.Count)))
+		r.sleep(time.Duration((0.5 + r.randomFloat()) * float64(f.Duration) / float64(f.Count)))
 		if r.ctx.Err() != nil {
 			return
 		}
 		g := r.pickGateways(1)[0]
-		r.kill(g)
+		r.killGateway(g)
 		r.mu.Lock()
 		r.kills++
 		r.mu.Unlock()
@@ -56,13 +56,13 @@
 
 // noteGatewayKilled notes that usage may be exported as an estimate in this run: a killed gateway does not learn what
 // its attempts cost.
-func (r *runner) noteGatewayKilled() {
+func (r *runner) markGatewayKilled() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.gatewayKilled = true
 }
 
-func (r *runner) loseGossip(f Fault) {
+func (r *runner) dropGossip(f Fault) {
 	for _, relay := range r.relays {
 		relay.setLoss(f.Size)
 	}
--- a/internal/scenario/gateways.go
+++ b/internal/scenario/gateways.go
@@ -42,7 +42,7 @@
 }
 
 // startFleet starts all gateways and waits until they accept connections.
-func (r *runner) startFleet() error {
+func (r *runner) startAllGateways() error {
 	for rank := range r.fleet.Gateways {
 		g := &gatewayProcess{rank: rank}
 		r.gateways = append(r.gateways, g)
@@ -63,13 +63,13 @@
 func (r *runner) startGateways(gateways ...*gatewayProcess) {
 	for _, g := range gateways {
 		if err := r.startGateway(g); err != nil {
-			r.fail(err)
+			r.addError(err)
 			return
 		}
 	}
 	for _, g := range gateways {
 		if err := r.awaitGateway(g); err != nil {
-			r.fail(err)
+			r.addError(err)
 		}
 	}
 }
@@ -92,7 +92,7 @@
 		logFile.Close()
 		return fmt.Errorf("scenario: gateway %d: %w", g.rank, err)
 	}
-	r.addProcessRecord(g, processUp)
+	r.recordProcessState(g, processUp)
 	ended := make(chan struct{})
 	go func() { // ends with the process; tearDown waits for it
 		cmd.Wait()
@@ -135,46 +135,46 @@
 	case <-g.ended:
 	default:
 		g.cmd.Process.Signal(syscall.SIGCONT)
-		r.terminate(g)
+		r.terminateGateway(g)
 	}
 }
 
 // terminate stops a gateway as an operator does. It must end by itself with exit code 0.
-func (r *runner) terminate(g *gatewayProcess) {
-	r.signal(g, syscall.SIGTERM)
+func (r *runner) terminateGateway(g *gatewayProcess) {
+	r.signalGateway(g, syscall.SIGTERM)
 	select {
 	case <-g.ended:
 		if code := g.cmd.ProcessState.ExitCode(); code != 0 {
-			r.fail(fmt.Errorf("scenario: gateway %d ended with exit code %d after SIGTERM", g.rank, code))
+			r.addError(fmt.Errorf("scenario: gateway %d ended with exit code %d after SIGTERM", g.rank, code))
 		}
 	case <-time.After(gatewayStopTimeout):
-		r.fail(fmt.Errorf("scenario: gateway %d does not end within %v after SIGTERM", g.rank, gatewayStopTimeout))
+		r.addError(fmt.Errorf("scenario: gateway %d does not end within %v after SIGTERM", g.rank, gatewayStopTimeout))
 		g.cmd.Process.Kill()
 		<-g.ended
 	}
-	r.addProcessRecord(g, processExit)
+	r.recordProcessState(g, processExit)
 }
 
 // kill ends a gateway at once, as a crash does, and waits until its process has ended.
-func (r *runner) kill(g *gatewayProcess) {
-	r.signal(g, syscall.SIGKILL)
+func (r *runner) killGateway(g *gatewayProcess) {
+	r.signalGateway(g, syscall.SIGKILL)
 	<-g.ended
 }
 
 // signal sends one of the signals in signalStates and records it. The record comes after a continuation and before any
 // other signal: so the time that the records give covers all the time in which the process could not run, and the
 // check does not blame the gateway for it.
-func (r *runner) signal(g *gatewayProcess, sig syscall.Signal) {
+func (r *runner) signalGateway(g *gatewayProcess, sig syscall.Signal) {
 	if sig == syscall.SIGCONT {
 		g.cmd.Process.Signal(sig)
-		r.addProcessRecord(g, signalStates[sig])
+		r.recordProcessState(g, signalStates[sig])
 		return
 	}
-	r.addProcessRecord(g, signalStates[sig])
+	r.recordProcessState(g, signalStates[sig])
 	g.cmd.Process.Signal(sig)
 }
 
-func (r *runner) addProcessRecord(g *gatewayProcess, state string) {
+func (r *runner) recordProcessState(g *gatewayProcess, state string) {
 	r.log.Add(invariant.Record{Kind: invariant.ProcessChanged, Gateway: g.rank, State: state})
 }
 
--- a/internal/scenario/main_test.go
+++ b/internal/scenario/main_test.go
@@ -14,12 +14,12 @@
 )
 
 // breachEnv names, in the environment of a gateway process, the entry of breaches that the gateway is broken by.
-const breachEnv = "BREAK"
+const defectEnv = "BREAK"
 
 // TestMain is also the gateway program: a run starts this binary as its gateways, which may be broken.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "gateway" {
-		if err := runGateway(os.Args[2:], os.Getenv(breachEnv)); err != nil {
+		if err := runGateway(os.Args[2:], os.Getenv(defectEnv)); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -32,10 +32,10 @@
 }
 
 // runGateway runs a gateway until SIGTERM. args are --config FILE --rank N --tape FILE.
-func runGateway(args []string, how string) error {
-	b, ok := breaches[how]
+func runGateway(args []string, defect string) error {
+	b, ok := gatewayDefects[defect]
 	if !ok {
-		return fmt.Errorf("%s: no such breach", how)
+		return fmt.Errorf("%s: no such breach", defect)
 	}
 	f, err := config.Load(args[1])
 	if err != nil {
--- a/internal/scenario/parse.go
+++ b/internal/scenario/parse.go
@@ -24,7 +24,7 @@
 const minLength = 100 * time.Millisecond
 
 // kindsOfOneClass are the fault kinds that need a class.
-var kindsOfOneClass = []string{"class_fail", "heavy_tail"}
+var kindsRequiringClass = []string{"class_fail", "heavy_tail"}
 
 // Parse reads a script. file is only named in errors, which are of type decode.Errors.
 func Parse(file string, src []byte) (*Script, error) {
@@ -41,83 +41,83 @@
 		}}
 	}
 	p := &parser{
-		d:       &decode.Decoder{File: file},
+		decoder: &decode.Decoder{File: file},
 		script:  &Script{Length: defaultLength, Seed: defaultSeed},
 		classes: map[string]bool{},
 	}
 	p.parse(nodes[0])
-	return p.script, p.d.Err()
+	return p.script, p.decoder.Err()
 }
 
 // parser reads a script from the node "day". Its settings keep the names that scripts were first written with.
 type parser struct {
-	d       *decode.Decoder
+	decoder *decode.Decoder
 	script  *Script
 	classes map[string]bool // of the fleet
 
-	like        string // the built-in scenario that fleet, servers and load are taken from
-	fleet, load *kdl.Node
-	groups      []*kdl.Node // of servers
-	faults      []*kdl.Node
+	baseName            string // the built-in scenario that fleet, servers and load are taken from
+	fleetNode, loadNode *kdl.Node
+	serverNodes         []*kdl.Node // of servers
+	faultNodes          []*kdl.Node
 }
 
 func (p *parser) parse(n *kdl.Node) {
 	s := p.script
-	s.Name = p.d.Named("day", n, map[string]bool{})
-	p.d.Block("", n, decode.Fields{
+	s.Name = p.decoder.Named("day", n, map[string]bool{})
+	p.decoder.Block("", n, decode.Fields{
 		"length":   decode.Duration(&s.Length, minLength),
 		"seed":     decode.Int(&s.Seed, 0, math.MaxInt32),
 		"list-lag": decode.Duration(&s.DiscoveryDelay, 0),
-		"like":     decode.String(&p.like),
+		"like":     decode.String(&p.baseName),
 	}, decode.Blocks{
-		"fleet":   func(_ string, n *kdl.Node) { p.fleet = n },
-		"load":    func(_ string, n *kdl.Node) { p.load = n },
-		"nodes":   func(_ string, n *kdl.Node) { p.groups = append(p.groups, n) },
-		"trouble": func(_ string, n *kdl.Node) { p.faults = append(p.faults, n) },
+		"fleet":   func(_ string, n *kdl.Node) { p.fleetNode = n },
+		"load":    func(_ string, n *kdl.Node) { p.loadNode = n },
+		"nodes":   func(_ string, n *kdl.Node) { p.serverNodes = append(p.serverNodes, n) },
+		"trouble": func(_ string, n *kdl.Node) { p.faultNodes = append(p.faultNodes, n) },
 	})
 	switch {
-	case p.like != "":
-		p.inherit(n)
-	case p.fleet == nil || p.load == nil || len(p.groups) == 0:
-		p.d.Fail(n.Pos, "day", "want a fleet, nodes and a load, or a built-in scenario in \"like\"")
+	case p.baseName != "":
+		p.inheritFromBuiltin(n)
+	case p.fleetNode == nil || p.loadNode == nil || len(p.serverNodes) == 0:
+		p.decoder.Fail(n.Pos, "day", "want a fleet, nodes and a load, or a built-in scenario in \"like\"")
 	default:
-		p.parseOwn()
+		p.parseDefinition()
 	}
 	// Faults come last: they name classes of the fleet.
-	for _, f := range p.faults {
-		s.Faults = append(s.Faults, p.fault(f))
+	for _, f := range p.faultNodes {
+		s.Faults = append(s.Faults, p.parseFault(f))
 	}
 }
 
 // parseOwn reads fleet, servers and load of a script that has its own.
-func (p *parser) parseOwn() {
+func (p *parser) parseDefinition() {
 	s := p.script
-	s.Fleet = config.Draft(p.d, p.fleet)
+	s.Fleet = config.Draft(p.decoder, p.fleetNode)
 	p.addClasses()
-	for i, group := range p.groups {
-		s.Servers = append(s.Servers, p.serverGroup(fmt.Sprintf("nodes[%d]", i), group))
+	for i, group := range p.serverNodes {
+		s.Servers = append(s.Servers, p.parseServerGroup(fmt.Sprintf("nodes[%d]", i), group))
 	}
-	s.Load = p.parseLoad(p.load)
+	s.Load = p.parseLoad(p.loadNode)
 	if len(s.Fleet.Members) == 0 {
-		p.d.Fail(p.fleet.Pos, "fleet.member", "missing, want one or more")
+		p.decoder.Fail(p.fleetNode.Pos, "fleet.member", "missing, want one or more")
 	}
 }
 
 // inherit takes fleet, servers and load from a built-in scenario.
-func (p *parser) inherit(n *kdl.Node) {
+func (p *parser) inheritFromBuiltin(n *kdl.Node) {
 	s := p.script
-	src, err := readBuiltin(p.like)
-	if err != nil || p.like == s.Name {
-		p.d.Fail(n.Pos, "like", "%q, want another of the built-in scenarios", p.like)
+	src, err := readBuiltin(p.baseName)
+	if err != nil || p.baseName == s.Name {
+		p.decoder.Fail(n.Pos, "like", "%q, want another of the built-in scenarios", p.baseName)
 		return
 	}
-	if p.fleet != nil || p.load != nil || len(p.groups) > 0 {
-		p.d.Fail(n.Pos, "like", "%q, yet the scenario has a fleet, nodes or load of its own", p.like)
+	if p.fleetNode != nil || p.loadNode != nil || len(p.serverNodes) > 0 {
+		p.decoder.Fail(n.Pos, "like", "%q, yet the scenario has a fleet, nodes or load of its own", p.baseName)
 		return
 	}
-	base, err := Parse(p.like, src)
+	base, err := Parse(p.baseName, src)
 	if err != nil {
-		p.d.Fail(n.Pos, "like", "%q: %v", p.like, err)
+		p.decoder.Fail(n.Pos, "like", "%q: %v", p.baseName, err)
 		return
 	}
 	s.Fleet = base.Fleet
@@ -135,39 +135,39 @@
 	}
 }
 
-func (p *parser) serverGroup(at string, n *kdl.Node) ServerGroup {
+func (p *parser) parseServerGroup(path string, n *kdl.Node) ServerGroup {
 	group := ServerGroup{Cores: defaultCores, Queue: defaultQueue, Speed: 1, Work: map[string]time.Duration{}}
-	p.count(at, n, &group.Count)
-	p.d.Block(at, n, decode.Fields{
+	p.parseCount(path, n, &group.Count)
+	p.decoder.Block(path, n, decode.Fields{
 		"cores": decode.Int(&group.Cores, 1, 1024),
 		"queue": decode.Int(&group.Queue, 0, 1<<20),
 		"speed": decode.Number(&group.Speed, 0.01, 100),
 		"zone":  decode.String(&group.Zone),
 		"cell":  decode.Int(&group.Cell, 0, 1<<20),
 	}, decode.Blocks{
-		"work": func(at string, n *kdl.Node) {
+		"work": func(path string, n *kdl.Node) {
 			if len(n.Args) != 2 || !p.classes[n.Args[0].Text] {
-				p.d.Fail(n.Pos, at, "want a class of the fleet and a duration")
+				p.decoder.Fail(n.Pos, path, "want a class of the fleet and a duration")
 				return
 			}
 			var work time.Duration
-			decode.Duration(&work, time.Microsecond)(decode.NewSetting(p.d, at, n.Args[1]))
+			decode.Duration(&work, time.Microsecond)(decode.NewSetting(p.decoder, path, n.Args[1]))
 			group.Work[n.Args[0].Text] = work
 		},
 	})
 	for class := range p.classes {
 		if group.Work[class] == 0 {
-			p.d.Fail(n.Pos, at+".work", "missing for class %q", class)
+			p.decoder.Fail(n.Pos, path+".work", "missing for class %q", class)
 		}
 	}
 	return group
 }
 
 // count reads the argument of a node that says how many there are.
-func (p *parser) count(at string, n *kdl.Node, to *int) {
+func (p *parser) parseCount(path string, n *kdl.Node, to *int) {
 	isCount := func(v kdl.Value) bool { return v.Kind == kdl.Number && v.Num >= 1 && v.Num == math.Trunc(v.Num) }
 	if len(n.Args) != 1 || !isCount(n.Args[0]) {
-		p.d.Fail(n.Pos, at, "want how many there are, 1 or more")
+		p.decoder.Fail(n.Pos, path, "want how many there are, 1 or more")
 		return
 	}
 	*to = int(n.Args[0].Num)
@@ -176,18 +176,18 @@
 func (p *parser) parseLoad(n *kdl.Node) Load {
 	load := Load{RetryDelay: defaultRetryDelay}
 	shares := 0.0
-	p.d.Block("load", n, decode.Fields{
+	p.decoder.Block("load", n, decode.Fields{
 		"rate":    decode.Rate(&load.Rate),
 		"retries": decode.Int(&load.Retries, 0, 10),
 		"wait":    decode.Duration(&load.RetryDelay, 0),
 	}, decode.Blocks{
-		"class": func(at string, n *kdl.Node) {
+		"class": func(path string, n *kdl.Node) {
 			if len(n.Args) != 1 || !p.classes[n.Args[0].Text] {
-				p.d.Fail(n.Pos, at, "want a class of the fleet")
+				p.decoder.Fail(n.Pos, path, "want a class of the fleet")
 				return
 			}
 			class := ClassLoad{Class: n.Args[0].Text, MaxUnits: 1}
-			p.d.Block(at, n, decode.Fields{
+			p.decoder.Block(path, n, decode.Fields{
 				"share": decode.Number(&class.Share, 0, 1),
 				"units": decode.Int(&class.MaxUnits, 1, 1000),
 			}, nil, "share")
@@ -196,20 +196,20 @@
 		},
 	}, "rate")
 	if math.Abs(shares-1) > 1e-6 {
-		p.d.Fail(n.Pos, "load.class.share", "%v in all, want 1", shares)
+		p.decoder.Fail(n.Pos, "load.class.share", "%v in all, want 1", shares)
 	}
 	return load
 }
 
-func (p *parser) fault(n *kdl.Node) Fault {
+func (p *parser) parseFault(n *kdl.Node) Fault {
 	f := Fault{Count: 1, Size: 1}
 	if len(n.Args) != 1 || faultKinds[n.Args[0].Text].inject == nil {
-		p.d.Fail(n.Pos, "trouble", "%v, want one of %v", n.Args, decode.SortedKeys(faultKinds))
+		p.decoder.Fail(n.Pos, "trouble", "%v, want one of %v", n.Args, decode.SortedKeys(faultKinds))
 		return f
 	}
 	f.Kind = n.Args[0].Text
-	at := "trouble " + f.Kind
-	p.d.Block(at, n, decode.Fields{
+	path := "trouble " + f.Kind
+	p.decoder.Block(path, n, decode.Fields{
 		"at":    decode.Duration(&f.At, 0),
 		"for":   decode.Duration(&f.Duration, 0),
 		"count": decode.Int(&f.Count, 1, 10000),
@@ -221,8 +221,8 @@
 			}
 		},
 	}, nil, "at")
-	if slices.Contains(kindsOfOneClass, f.Kind) && f.Class == "" {
-		p.d.Fail(n.Pos, at+".class", "missing")
+	if slices.Contains(kindsRequiringClass, f.Kind) && f.Class == "" {
+		p.decoder.Fail(n.Pos, path+".class", "missing")
 	}
 	return f
 }
--- a/internal/scenario/planfaults.go
+++ b/internal/scenario/planfaults.go
@@ -36,7 +36,7 @@
 	r.log.Add(invariant.Record{Kind: invariant.PlanChanged, Member: member, State: plan})
 	change := quotaplan.Change{Number: r.nextChange(), Kind: quotaplan.Move, Member: member, Plan: plan}
 	if err := r.submit(change); err != nil {
-		r.fail(err)
+		r.addError(err)
 	}
 }
 
@@ -77,7 +77,7 @@
 			To:     from.Add(f.Duration).UnixNano(),
 		})
 		if err != nil {
-			r.fail(err)
+			r.addError(err)
 			return
 		}
 		r.mu.Lock()
@@ -87,7 +87,7 @@
 	}
 	r.sleep(reservationLead)
 	set := func(x *client.Fault) { x.UseReservation = reserved }
-	r.faultOnClients(f, set, func(x *client.Fault) { x.UseReservation = nil })
+	r.withClientFault(f, set, func(x *client.Fault) { x.UseReservation = nil })
 }
 
 // submit sends a change to a random gateway, and to another if that does not take it.
--- a/internal/scenario/receiverfaults.go
+++ b/internal/scenario/receiverfaults.go
@@ -20,7 +20,7 @@
 )
 
 // faultOnUsageReceiver sets a fault of the usage receiver and clears it after the time.
-func (r *runner) faultOnUsageReceiver(f Fault, set func(*usagereceiver.Fault)) {
+func (r *runner) withUsageReceiverFault(f Fault, set func(*usagereceiver.Fault)) {
 	r.usageReceiver.setFault(set)
 	r.sleep(f.Duration)
 	r.usageReceiver.setFault(clearUsageFault)
@@ -29,21 +29,21 @@
 func clearUsageFault(x *usagereceiver.Fault) { *x = usagereceiver.Fault{} }
 
 func (r *runner) dropUsageConnections(f Fault) {
-	r.faultOnUsageReceiver(f, func(x *usagereceiver.Fault) {
+	r.withUsageReceiverFault(f, func(x *usagereceiver.Fault) {
 		x.DropConnection = true
 		x.Share = faultyBatchShare
 	})
 }
 
 func (r *runner) respondEarlyToUsage(f Fault) {
-	r.faultOnUsageReceiver(f, func(x *usagereceiver.Fault) {
+	r.withUsageReceiverFault(f, func(x *usagereceiver.Fault) {
 		x.RespondEarly = true
 		x.Share = faultyBatchShare
 	})
 }
 
 func (r *runner) failUsageBatches(f Fault) {
-	r.faultOnUsageReceiver(f, func(x *usagereceiver.Fault) {
+	r.withUsageReceiverFault(f, func(x *usagereceiver.Fault) {
 		x.Status = int(f.Size)
 		x.RetryAfter = "1"
 		x.Share = faultyBatchShare
@@ -51,7 +51,7 @@
 }
 
 func (r *runner) slowUsageReceiver(f Fault) {
-	r.faultOnUsageReceiver(f, func(x *usagereceiver.Fault) {
+	r.withUsageReceiverFault(f, func(x *usagereceiver.Fault) {
 		x.Delay = time.Duration(f.Size * float64(time.Second))
 	})
 }
@@ -60,7 +60,7 @@
 	r.usageReceiver.stop()
 	r.sleep(f.Duration)
 	if err := r.usageReceiver.start(); err != nil {
-		r.fail(err)
+		r.addError(err)
 	}
 }
 
@@ -68,11 +68,11 @@
 // at most an even part of the time.
 func (r *runner) killUsageReceiver(f Fault) {
 	for range f.Count {
-		r.sleep(time.Duration(r.draw() * float64(f.Duration) / float64(f.Count)))
+		r.sleep(time.Duration(r.randomFloat() * float64(f.Duration) / float64(f.Count)))
 		r.usageReceiver.stop()
 		r.sleep(usageReceiverDowntime)
 		if err := r.usageReceiver.start(); err != nil {
-			r.fail(err)
+			r.addError(err)
 			return
 		}
 	}
@@ -80,7 +80,7 @@
 
 func (r *runner) failMetrics(f Fault) {
 	if r.metrics == nil {
-		r.fail(errors.New("scenario: metrics_down: the fleet exports no metrics"))
+		r.addError(errors.New("scenario: metrics_down: the fleet exports no metrics"))
 		return
 	}
 	r.metrics.SetFault(func(x *metricsreceiver.Fault) { x.Status = http.StatusServiceUnavailable })
--- a/internal/scenario/relay.go
+++ b/internal/scenario/relay.go
@@ -17,8 +17,8 @@
 	to     net.Addr
 	rng    *rand.Rand // of the goroutine alone
 
-	mu   sync.Mutex // guards what follows
-	loss float64    // share of the datagrams
+	mu        sync.Mutex // guards what follows
+	lossShare float64    // share of the datagrams
 }
 
 // newLossyRelay starts a relay to a UDP address, host:port. It loses nothing yet.
@@ -42,7 +42,7 @@
 func (r *lossyRelay) setLoss(share float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.loss = share
+	r.lossShare = share
 }
 
 func (r *lossyRelay) run() {
@@ -55,17 +55,17 @@
 		if err != nil {
 			continue // such as a refusal by a gateway that does not run
 		}
-		if !r.loses() {
+		if !r.drops() {
 			r.socket.WriteTo(buf[:n], r.to)
 		}
 	}
 }
 
 // loses decides whether the next datagram is lost. It draws one random number for each datagram, also without loss.
-func (r *lossyRelay) loses() bool {
+func (r *lossyRelay) drops() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.rng.Float64() < r.loss
+	return r.rng.Float64() < r.lossShare
 }
 
 func (r *lossyRelay) close() { r.socket.Close() }
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -100,7 +100,7 @@
 		r.tearDown()
 		return nil, err
 	}
-	r.play()
+	r.runLoadAndFaults()
 	r.tearDown()
 	if err := errors.Join(r.errs...); err != nil {
 		return nil, err
@@ -124,14 +124,14 @@
 
 // play sends the client load for the script's length and injects each fault at its time. It returns when the last
 // fault is over.
-func (r *runner) play() {
+func (r *runner) runLoadAndFaults() {
 	ctx, stop := context.WithTimeout(r.ctx, r.script.Length)
 	defer stop()
-	began := time.Now()
+	startedAt := time.Now()
 	var faults sync.WaitGroup
 	for _, f := range r.script.Faults {
 		faults.Go(func() {
-			if !r.sleep(f.At-time.Since(began)) || ctx.Err() != nil {
+			if !r.sleep(f.At-time.Since(startedAt)) || ctx.Err() != nil {
 				return
 			}
 			r.logf("%s: %s", f.Kind, faultKinds[f.Kind].description)
@@ -180,14 +180,14 @@
 }
 
 // draw returns a random number in [0, 1).
-func (r *runner) draw() float64 {
+func (r *runner) randomFloat() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rng.Float64()
 }
 
 // fail notes an error that makes the run worthless; the run goes on to its end.
-func (r *runner) fail(err error) {
+func (r *runner) addError(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.errs = append(r.errs, err)
--- a/internal/scenario/run_test.go
+++ b/internal/scenario/run_test.go
@@ -13,7 +13,7 @@
 
 // play runs a script with gateways broken as how says; "" is not broken. Verify must come to the same verdict, and the
 // recordings of gateways that are not broken must replay to the same actions.
-func play(t *testing.T, s *Script, how string) *Result {
+func runScript(t *testing.T, s *Script, defect string) *Result {
 	t.Helper()
 	exe, err := os.Executable()
 	if err != nil {
@@ -23,24 +23,24 @@
 	res, err := Run(context.Background(), s, Options{
 		Dir:        dir,
 		Command:    func(args ...string) *exec.Cmd { return exec.Command(exe, args...) },
-		GatewayEnv: func(int) []string { return []string{breachEnv + "=" + how} },
+		GatewayEnv: func(int) []string { return []string{defectEnv + "=" + defect} },
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := Verify(dir)
-	if err != nil || again.String() != res.Verdict.String() {
-		t.Errorf("verified again: %v\n%s\n%s", err, again, res.Verdict)
+	verifiedAgain, err := Verify(dir)
+	if err != nil || verifiedAgain.String() != res.Verdict.String() {
+		t.Errorf("verified again: %v\n%s\n%s", err, verifiedAgain, res.Verdict)
 	}
-	if how == "" {
+	if defect == "" {
 		for _, file := range res.Recordings {
-			replay(t, file)
+			checkReplay(t, file)
 		}
 	}
 	return res
 }
 
-func replay(t *testing.T, file string) {
+func checkReplay(t *testing.T, file string) {
 	t.Helper()
 	in, err := os.Open(file)
 	if err != nil {
@@ -62,14 +62,14 @@
 }
 
 // short is a script of its own for the fleet and the load of the built-in scenario drain.
-func short(t *testing.T, length, rest string) *Script {
+func shortScript(t *testing.T, length, faults string) *Script {
 	t.Helper()
-	return mustParse(t, "test", "day test { like drain; length \""+length+"\"; "+rest+" }")
+	return mustParse(t, "test", "day test { like drain; length \""+length+"\"; "+faults+" }")
 }
 
 // variant is the built-in scenario drain for 4 s, without its faults and with some of its text replaced: replace holds
 // pairs of old and new. rest is added.
-func variant(t *testing.T, rest string, replace ...string) *Script {
+func drainVariant(t *testing.T, faults string, replace ...string) *Script {
 	t.Helper()
 	src, err := readBuiltin("drain")
 	if err != nil {
@@ -86,13 +86,13 @@
 		}
 		text = strings.ReplaceAll(text, replace[i], replace[i+1])
 	}
-	return mustParse(t, "variant", strings.TrimSuffix(strings.TrimSpace(text), "}")+rest+"\n}\n")
+	return mustParse(t, "variant", strings.TrimSuffix(strings.TrimSpace(text), "}")+faults+"\n}\n")
 }
 
 // lowCeiling is a scenario in which every member sends three times what its ceiling allows.
-func lowCeiling(t *testing.T) *Script {
+func lowCeilingScript(t *testing.T) *Script {
 	t.Helper()
-	return variant(t, "",
+	return drainVariant(t, "",
 		"plan=semilla", "plan=imprenta",
 		`rate "90/s"; burst 180`, `rate "10/s"; burst 20`,
 		`ceiling-rate "180/s"; ceiling-burst 300; ceiling-slack 30`,
@@ -100,9 +100,9 @@
 }
 
 // slowToWarm is a scenario in which a server starts that can do next to nothing for long.
-func slowToWarm(t *testing.T) *Script {
+func slowStartScript(t *testing.T) *Script {
 	t.Helper()
-	return variant(t, `trouble cold_start at="500ms" count=1`,
+	return drainVariant(t, `trouble cold_start at="500ms" count=1`,
 		`list-lag "300ms"`, `list-lag "20ms"`,
 		"cold-from 0.2", "cold-from 0.04",
 		`cold-for "5s"`, `cold-for "20s"`,
@@ -113,27 +113,27 @@
 // same actions.
 func TestDays(t *testing.T) {
 	for name, s := range map[string]*Script{
-		"slow to warm": slowToWarm(t),
-		"ceilings":     lowCeiling(t),
-		"quiet":        short(t, "2s", ""),
-		"drain and mute": short(t, "4s", `list-lag "50ms"
+		"slow to warm": slowStartScript(t),
+		"ceilings":     lowCeilingScript(t),
+		"quiet":        shortScript(t, "2s", ""),
+		"drain and mute": shortScript(t, "4s", `list-lag "50ms"
 			trouble class_fail at="300ms" for="3s" class=folio-assign
 			trouble drain at="1s" for="1s"`),
-		"killed": short(t, "4s", `trouble balancer_crash at="1s" for="700ms"
+		"killed": shortScript(t, "4s", `trouble balancer_crash at="1s" for="700ms"
 			trouble reconnect at="2s"`),
-		"stopped": short(t, "5s", `trouble balancer_stall at="1s" for="2s"`),
-		"rolled": short(t, "4s", `trouble balancer_roll at="500ms" for="2s"
+		"stopped": shortScript(t, "5s", `trouble balancer_stall at="1s" for="2s"`),
+		"rolled": shortScript(t, "4s", `trouble balancer_roll at="500ms" for="2s"
 			trouble cut at="1s" count=3`),
-		"flooded": short(t, "4s", `trouble tenant_burst at="500ms" for="2s" count=1 size=12
+		"flooded": shortScript(t, "4s", `trouble tenant_burst at="500ms" for="2s" count=1 size=12
 			trouble lost_peers at="1s" for="2s" size=0.7`),
-		"vanish": short(t, "4s", `list-lag "50ms"
+		"vanish": shortScript(t, "4s", `list-lag "50ms"
 			trouble vanish at="500ms" for="1s" count=1
 			trouble list_bad at="1s"
 			trouble fast_errors at="1s" for="2s" size=0.9
 			trouble list_stale at="2s" for="500ms"`),
 		// Faults that start servers draw from what the run shares, and publish while the discovery server is replaced.
 		// Without its lock the race detector reports it here.
-		"overlapping": short(t, "4s", `list-lag "50ms"
+		"overlapping": shortScript(t, "4s", `list-lag "50ms"
 			trouble list_stale at="500ms" for="300ms"
 			trouble list_stale at="1500ms" for="300ms"
 			trouble list_late at="700ms" for="1s"
@@ -145,7 +145,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			res := play(t, s, "")
+			res := runScript(t, s, "")
 			if res.Verdict.RulesKept() != 5 {
 				t.Errorf("\n%s", res.Verdict)
 			}
@@ -159,7 +159,7 @@
 // TestExactlyOnce kills gateways and the usage receiver at random moments, or changes plans and reserves units while
 // gateways restart. The receiver must then have every attempt once.
 func TestExactlyOnce(t *testing.T) {
-	for name, rest := range map[string]string{
+	for name, faults := range map[string]string{
 		"kills": `trouble kill_storm at="200ms" for="6s" count=12
 			trouble accounting_kill at="500ms" for="5s" count=4
 			trouble accounting_cut at="1s" for="2s"
@@ -172,8 +172,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := mustParse(t, "test", "day test { like export-kills; length \"7s\"; list-lag \"50ms\"; "+rest+" }")
-			res := play(t, s, "")
+			s := mustParse(t, "test", "day test { like export-kills; length \"7s\"; list-lag \"50ms\"; "+faults+" }")
+			res := runScript(t, s, "")
 			if res.Verdict.RulesKept() < 5 || len(res.Usage.Violations) > 0 || res.Usage.Confirmed < 100 {
 				t.Errorf("%s\n%+v", res.Verdict, res.Usage)
 			}
@@ -193,29 +193,29 @@
 	unanswered := `trouble class_fail at="300ms" for="3s" count=3 class=folio-assign`
 	drain := `list-lag "20ms"; trouble drain at="500ms" for="4s" count=1`
 	burst := `trouble tenant_burst at="200ms" for="4s" count=6 size=6`
-	low := lowCeiling(t)
-	for how, c := range map[string]struct {
-		rule int
-		s    *Script
-		also []int // rules that may be broken by it as well
+	low := lowCeilingScript(t)
+	for defect, c := range map[string]struct {
+		rule        int
+		s           *Script
+		alsoAllowed []int // rules that may be broken by it as well
 	}{
-		"no answer":           {1, short(t, "2s", ""), nil},
-		"two answers":         {1, short(t, "2s", ""), nil},
-		"late answers":        {1, short(t, "2s", ""), nil},
-		"long waits":          {1, short(t, "2s", burst), nil},
-		"unsafe again":        {2, short(t, "4s", unanswered), []int{1}},
-		"two at once":         {2, short(t, "2s", ""), nil},
-		"refuses what ran":    {2, short(t, "4s", unanswered), nil},
-		"deaf to drains":      {3, short(t, "4s", drain), nil},
-		"sends to who drains": {3, short(t, "4s", drain), nil},
-		"all to the cold":     {4, slowToWarm(t), []int{1}},
-		"most to the cold":    {4, slowToWarm(t), []int{1}},
+		"no answer":           {1, shortScript(t, "2s", ""), nil},
+		"two answers":         {1, shortScript(t, "2s", ""), nil},
+		"late answers":        {1, shortScript(t, "2s", ""), nil},
+		"long waits":          {1, shortScript(t, "2s", burst), nil},
+		"unsafe again":        {2, shortScript(t, "4s", unanswered), []int{1}},
+		"two at once":         {2, shortScript(t, "2s", ""), nil},
+		"refuses what ran":    {2, shortScript(t, "4s", unanswered), nil},
+		"deaf to drains":      {3, shortScript(t, "4s", drain), nil},
+		"sends to who drains": {3, shortScript(t, "4s", drain), nil},
+		"all to the cold":     {4, slowStartScript(t), []int{1}},
+		"most to the cold":    {4, slowStartScript(t), []int{1}},
 		"no ceiling":          {5, low, nil},
 		"over the mark":       {5, low, []int{1}},
 	} {
-		t.Run(how, func(t *testing.T) {
+		t.Run(defect, func(t *testing.T) {
 			t.Parallel()
-			res := play(t, c.s, how)
+			res := runScript(t, c.s, defect)
 			violations := map[int]int{} // by rule
 			for _, v := range res.Verdict.Violations {
 				violations[v.Rule]++
@@ -224,7 +224,7 @@
 				t.Errorf("rule %d was broken and the check found\n%s", c.rule, res.Verdict)
 			}
 			delete(violations, c.rule)
-			for _, rule := range c.also {
+			for _, rule := range c.alsoAllowed {
 				delete(violations, rule)
 			}
 			if len(violations) > 0 {
--- a/internal/scenario/script_test.go
+++ b/internal/scenario/script_test.go
@@ -7,7 +7,7 @@
 
 // TestBuiltIn reads every built-in scenario, and wants one for each kind of fault.
 func TestBuiltIn(t *testing.T) {
-	played := map[string]bool{}
+	covered := map[string]bool{}
 	for _, name := range BuiltinNames() {
 		s, err := Open(name)
 		if err != nil {
@@ -15,11 +15,11 @@
 			continue
 		}
 		for _, f := range s.Faults {
-			played[f.Kind] = true
+			covered[f.Kind] = true
 		}
 	}
 	for kind := range faultKinds {
-		if !played[kind] {
+		if !covered[kind] {
 			t.Errorf("no built-in scenario plays %s", kind)
 		}
 	}
--- a/internal/scenario/serverfaults.go
+++ b/internal/scenario/serverfaults.go
@@ -12,16 +12,16 @@
 const (
 	allServers = math.MaxInt32 // as a fault's count
 
-	ageingSteps = 20   // in which ageing servers grow slower
-	tailShare   = 0.02 // of calls in the fault heavy_tail
+	slowdownSteps  = 20   // in which ageing servers grow slower
+	heavyTailShare = 0.02 // of calls in the fault heavy_tail
 
 	// drainedPause is how long, beyond the discovery server's delay, drained servers stay away before they start again.
-	drainedPause = 200 * time.Millisecond
+	restartDelay = 200 * time.Millisecond
 )
 
 // faultOnServers sets a fault of f.Count servers and clears it after the time.
-func (r *runner) faultOnServers(f Fault, set, clearFault func(*backend.Fault)) {
-	slots := r.takeServers(f.Count)
+func (r *runner) withServerFault(f Fault, set, clearFault func(*backend.Fault)) {
+	slots := r.acquireServers(f.Count)
 	setServerFault(slots, set)
 	r.sleep(f.Duration)
 	setServerFault(slots, clearFault)
@@ -36,19 +36,19 @@
 
 func clearSlowdown(x *backend.Fault) { x.Slowdown = 0 }
 
-func (r *runner) ageServers(f Fault) {
-	slots := r.takeServers(f.Count)
-	for step := range ageingSteps {
-		slowdown := 1 + (f.Size-1)*float64(step+1)/ageingSteps
+func (r *runner) slowServersGradually(f Fault) {
+	slots := r.acquireServers(f.Count)
+	for step := range slowdownSteps {
+		slowdown := 1 + (f.Size-1)*float64(step+1)/slowdownSteps
 		setServerFault(slots, func(x *backend.Fault) { x.Slowdown = slowdown })
-		r.sleep(f.Duration / ageingSteps)
+		r.sleep(f.Duration / slowdownSteps)
 	}
 	setServerFault(slots, clearSlowdown)
 	r.releaseServers(slots)
 }
 
 func (r *runner) slowServers(f Fault) {
-	r.faultOnServers(f, func(x *backend.Fault) { x.Slowdown = f.Size }, clearSlowdown)
+	r.withServerFault(f, func(x *backend.Fault) { x.Slowdown = f.Size }, clearSlowdown)
 }
 
 func (r *runner) slowAllServers(f Fault) {
@@ -56,35 +56,35 @@
 	r.slowServers(f)
 }
 
-func (r *runner) lengthenTail(f Fault) {
+func (r *runner) slowTailOfClass(f Fault) {
 	f.Count = allServers
 	set := func(x *backend.Fault) {
 		x.TailFactor = map[string]float64{f.Class: f.Size}
-		x.TailShare = tailShare
+		x.TailShare = heavyTailShare
 	}
-	r.faultOnServers(f, set, func(x *backend.Fault) {
+	r.withServerFault(f, set, func(x *backend.Fault) {
 		x.TailFactor = nil
 		x.TailShare = 0
 	})
 }
 
-func (r *runner) failCalls(f Fault) {
+func (r *runner) failCallsQuickly(f Fault) {
 	set := func(x *backend.Fault) { x.ErrorShare = f.Size }
-	r.faultOnServers(f, set, func(x *backend.Fault) { x.ErrorShare = 0 })
+	r.withServerFault(f, set, func(x *backend.Fault) { x.ErrorShare = 0 })
 }
 
 func (r *runner) leaveClassUnanswered(f Fault) {
 	set := func(x *backend.Fault) { x.UnansweredClasses = map[string]bool{f.Class: true} }
-	r.faultOnServers(f, set, func(x *backend.Fault) { x.UnansweredClasses = nil })
+	r.withServerFault(f, set, func(x *backend.Fault) { x.UnansweredClasses = nil })
 }
 
 func (r *runner) omitLoadReports(f Fault) {
 	set := func(x *backend.Fault) { x.OmitLoadReport = true }
-	r.faultOnServers(f, set, func(x *backend.Fault) { x.OmitLoadReport = false })
+	r.withServerFault(f, set, func(x *backend.Fault) { x.OmitLoadReport = false })
 }
 
 func (r *runner) closeConnections(f Fault) {
-	slots := r.takeServers(f.Count)
+	slots := r.acquireServers(f.Count)
 	for _, s := range slots {
 		s.server.CloseConnections()
 	}
@@ -93,20 +93,20 @@
 
 // drainServers publishes that servers drain, leaves them the time to finish, stops them and starts them again.
 func (r *runner) drainServers(f Fault) {
-	slots := r.takeServers(f.Count)
-	r.currentDiscovery().Update(endpointsIn(endpointDraining, slots)...)
+	slots := r.acquireServers(f.Count)
+	r.currentDiscovery().Update(endpointsWithState(endpointDraining, slots)...)
 	r.sleep(f.Duration)
 	for _, s := range slots {
 		s.server.Stop()
 	}
-	r.currentDiscovery().Update(endpointsIn(endpointGone, slots)...)
-	r.sleep(r.script.DiscoveryDelay + drainedPause)
+	r.currentDiscovery().Update(endpointsWithState(endpointGone, slots)...)
+	r.sleep(r.script.DiscoveryDelay + restartDelay)
 	r.restartServers(slots)
 }
 
 // silenceServers lets servers hang and then crash, which the endpoint list never mentions, and starts them again.
-func (r *runner) silenceServers(f Fault) {
-	slots := r.takeServers(f.Count)
+func (r *runner) hangServers(f Fault) {
+	slots := r.acquireServers(f.Count)
 	setServerFault(slots, func(x *backend.Fault) { x.Unresponsive = true })
 	r.sleep(f.Duration)
 	for _, s := range slots {
@@ -121,10 +121,10 @@
 	for range f.Count {
 		s, err := r.newServerSlot(r.script.Servers[0])
 		if err != nil {
-			r.fail(err)
+			r.addError(err)
 			return
 		}
-		s.taken = true
+		s.inUse = true
 		slots = append(slots, s)
 	}
 	r.mu.Lock()
--- a/internal/scenario/servers.go
+++ b/internal/scenario/servers.go
@@ -21,7 +21,7 @@
 type serverSlot struct {
 	options backend.Options
 	server  *backend.Server
-	taken   bool // by a fault; runner.mu guards it
+	inUse   bool // by a fault; runner.mu guards it
 }
 
 // endpoint returns the entry of the endpoint list for the slot. started is the zero time for a server without slow
@@ -40,7 +40,7 @@
 }
 
 // endpointsIn returns the entries of the endpoint list for slots without a server in slow start.
-func endpointsIn(state string, slots []*serverSlot) (endpoints []discoveryws.Endpoint) {
+func endpointsWithState(state string, slots []*serverSlot) (endpoints []discoveryws.Endpoint) {
 	for _, s := range slots {
 		endpoints = append(endpoints, s.endpoint(state, time.Time{}))
 	}
@@ -104,12 +104,12 @@
 }
 
 // takeServers takes count random servers that no other fault has; fewer if there are no more.
-func (r *runner) takeServers(count int) (taken []*serverSlot) {
+func (r *runner) acquireServers(count int) (taken []*serverSlot) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, i := range r.rng.Perm(len(r.servers)) {
-		if s := r.servers[i]; !s.taken && len(taken) < count {
-			s.taken = true
+		if s := r.servers[i]; !s.inUse && len(taken) < count {
+			s.inUse = true
 			taken = append(taken, s)
 		}
 	}
@@ -120,7 +120,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range slots {
-		s.taken = false
+		s.inUse = false
 	}
 }
 
@@ -130,7 +130,7 @@
 	for _, s := range slots {
 		server, err := backend.Start(r.withSlowStart(s.options))
 		if err != nil {
-			r.fail(err)
+			r.addError(err)
 			return
 		}
 		s.server = server
--- a/internal/scenario/setup.go
+++ b/internal/scenario/setup.go
@@ -37,7 +37,7 @@
 	if err := r.startServers(); err != nil {
 		return err
 	}
-	if err := r.startFleet(); err != nil {
+	if err := r.startAllGateways(); err != nil {
 		return err
 	}
 	r.client = client.New(client.Options{
--- a/internal/scenario/stored_test.go
+++ b/internal/scenario/stored_test.go
@@ -14,7 +14,7 @@
 )
 
 // unpack copies a run that an earlier version recorded to a folder as that version wrote it.
-func unpack(t *testing.T) (dir string) {
+func unpackStoredRun(t *testing.T) (dir string) {
 	t.Helper()
 	dir = t.TempDir()
 	for _, name := range []string{"traffic.jsonl", "accounting.jsonl"} {
@@ -48,7 +48,7 @@
 // TestStoredRun judges a run that an earlier version recorded: the verdict is the same, and the records are written
 // again with the same keys.
 func TestStoredRun(t *testing.T) {
-	dir := unpack(t)
+	dir := unpackStoredRun(t)
 	want, err := os.ReadFile("testdata/record/verdict.txt")
 	if err != nil {
 		t.Fatal(err)
@@ -65,22 +65,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var again bytes.Buffer
+	var rewritten bytes.Buffer
 	for _, r := range records {
 		line, err := json.Marshal(r)
 		if err != nil {
 			t.Fatal(err)
 		}
-		again.Write(append(line, '\n'))
+		rewritten.Write(append(line, '\n'))
 	}
-	if !bytes.Equal(again.Bytes(), raw) {
+	if !bytes.Equal(rewritten.Bytes(), raw) {
 		t.Error("the records are written again with other bytes")
 	}
 }
 
 // TestStoredUsage compares the usage that was exported in that run with its records.
 func TestStoredUsage(t *testing.T) {
-	dir := unpack(t)
+	dir := unpackStoredRun(t)
 	file, err := os.Open(filepath.Join(dir, "traffic.jsonl"))
 	if err != nil {
 		t.Fatal(err)
