--- a/internal/invariant/answers.go
+++ b/internal/invariant/answers.go
@@ -7,22 +7,24 @@
 	"winghatch/internal/websocket"
 )
 
-// closeCrossingAllowance is the longest time between a client's write of a call and its read of the gateway's close
-// frame in which the two may have crossed. The gateway has then read nothing of the call.
+// closeCrossingAllowance is the longest time between a client's write of a call and its read of the gateway's
+// close frame for which the two are assumed to have crossed on the wire. The gateway then never read the
+// call.
 const closeCrossingAllowance = time.Second
 
-// clientCall is a call as its client saw it.
+// clientCall is a call as observed by its client.
 type clientCall struct {
 	Record
 	answers      []Record
-	neverWritten bool // cancelled before it was written
+	neverWritten bool // the call was cancelled before the client wrote it
 }
 
-// callKey names a call: IDs are unique within a session.
+// callKey identifies a call. Call IDs are unique only within a session.
 type callKey struct{ session, callID string }
 
-// collectCalls gathers the calls of clients with their answers, in the order of the calls, and by session the first
-// record of its end.
+// collectCalls returns the calls of all clients with their answers, sorted by the time of the call, and for
+// each session that ended the first record of its end. It adds a violation for each answer to an unknown
+// call.
 func (c *checker) collectCalls() (calls []*clientCall, ends map[string]Record) {
 	byKey := map[callKey]*clientCall{}
 	ends = map[string]Record{}
@@ -37,11 +39,11 @@
 			if call := byKey[key]; call != nil {
 				call.answers = append(call.answers, r)
 			} else {
-				c.addViolation(ruleAnswers, r.At, "an answer to a call that was not made: session %s, id %q, %s",
+				c.addViolation(ruleAnswers, r.At, "answer to an unknown call: session %s, id %q, answer %s",
 					r.Session, r.CallID, r.Answer)
 			}
 		case Cancelled:
-			// Servers record it too, without a session.
+			// Only the records of clients have a session; servers record the cancellation of attempts.
 			if call := byKey[key]; call != nil && r.Session != "" {
 				call.neverWritten = true
 			}
@@ -54,8 +56,8 @@
 	return calls, ends
 }
 
-// checkAnswers checks rule 1: exactly one final answer, in time, for each call of a session that a running gateway
-// accepted.
+// checkAnswers checks rule 1: each call of a session that a running gateway accepted gets exactly one final
+// answer, in time.
 func (c *checker) checkAnswers() {
 	calls, ends := c.collectCalls()
 	for _, call := range calls {
@@ -64,7 +66,8 @@
 		end, ended := ends[call.Session]
 		switch {
 		case len(call.answers) > 1:
-			c.addViolation(ruleAnswers, call.answers[1].At, "%s has %d final answers", name, len(call.answers))
+			c.addViolation(ruleAnswers, call.answers[1].At, "%s has %d final answers, want 1",
+				name, len(call.answers))
 		case len(call.answers) == 1:
 			c.checkAnswer(call, call.answers[0], name)
 		case call.neverWritten, ended && c.excusedBySessionEnd(call, end):
@@ -76,7 +79,7 @@
 	}
 }
 
-// checkAnswer checks form, time and Retry-After of the only answer to a call.
+// checkAnswer checks the form, the time and the Retry-After of the only answer to a call.
 func (c *checker) checkAnswer(call *clientCall, answer Record, name string) {
 	slack := c.fleet.Decide.Safety.AnswerSlack
 	if answer.Answer == "invalid" || answer.Answer == "malformed" {
@@ -87,25 +90,27 @@
 		c.addViolation(ruleAnswers, answer.At, "%s was answered %v after its deadline", name, late+slack)
 	}
 	if most := c.fleet.Decide.Limits.MaxRetryAfter; answer.Duration > most {
-		c.addViolation(ruleAnswers, answer.At, "%s got a Retry-After of %v, %v at most", name, answer.Duration, most)
+		c.addViolation(ruleAnswers, answer.At, "%s got a Retry-After of %v, want at most %v",
+			name, answer.Duration, most)
 	}
 }
 
-// answerDue is the time by which the gateway has to write the final answer of a call.
+// answerDueAt returns the time by which the gateway must have written the final answer to a call.
 func (c *checker) answerDueAt(call *clientCall) time.Duration {
 	return call.Deadline + c.fleet.Decide.Safety.AnswerSlack
 }
 
-// endExcuses reports whether no answer is owed to a call because of how its session ended: the client left before the
-// answer was due, or the call crossed the gateway's close frame.
+// excusedBySessionEnd reports whether the end of its session excuses a call that got no answer: the client
+// left before the answer was due, or the call crossed the gateway's close frame on the wire.
 func (c *checker) excusedBySessionEnd(call *clientCall, end Record) bool {
 	if end.Kind == ClientLeft && end.At < c.answerDueAt(call)+TransitAllowance {
 		return true
 	}
-	return end.At < call.Deadline && end.Code == websocket.CodeGoingAway && end.At-call.At < closeCrossingAllowance
+	return end.At < call.Deadline && end.Code == websocket.CodeGoingAway &&
+		end.At-call.At < closeCrossingAllowance
 }
 
-// answerDueLater reports whether the scenario ended before the answer to a call was due.
+// answerDueAfterScenario reports whether the records end before the answer to a call was due.
 func (c *checker) answerDueAfterScenario(call *clientCall) bool {
 	last := time.Duration(0)
 	if n := len(c.records); n > 0 {
--- a/internal/invariant/ceilings.go
+++ b/internal/invariant/ceilings.go
@@ -6,40 +6,42 @@
 	"winghatch/decide"
 )
 
-// PlanChangeDelay is the longest time in which a plan change reaches all gateways, as docs/plans.md states it. One
-// gateway applies it at once, so the larger ceiling counts until then.
+// PlanChangeDelay is the longest time that a plan change takes to reach all gateways, as stated in
+// docs/plans.md. The gateway that accepts the change applies it at once, so the larger of the two ceilings is
+// allowed until the delay is over.
 const PlanChangeDelay = 2 * time.Second
 
-// roundingTolerance allows for the rounding of sums of units in floating point, in units.
+// roundingTolerance is the largest accepted rounding error of a floating-point sum of units, in units.
 const roundingTolerance = 1e-6
 
-// tokenBucket holds what a customer's ceiling lets through.
+// tokenBucket holds the units that a customer's ceiling still lets through.
 type tokenBucket struct {
-	units float64 // negative: overdrawn
-	at    time.Duration
+	units float64       // negative if more units were taken than the ceiling allows
+	at    time.Duration // when units was last updated
 }
 
-// planChange is a change that not all gateways need to know yet.
+// planChange is a plan change that may not have reached all gateways yet.
 type planChange struct {
 	completeAt time.Duration
 	old, new   decide.Plan
 }
 
-// ceilings is the state of rule 5, by customer.
+// ceilingState is the state of the check of rule 5. Except for planByName, its maps are keyed by customer.
 type ceilingState struct {
 	planByName   map[string]decide.Plan
-	currentPlans map[string]decide.Plan // whose ceiling counts now
+	currentPlans map[string]decide.Plan // the plan whose ceiling applies now
 	changes      map[string]planChange
 	buckets      map[string]*tokenBucket
 }
 
-// checkCeilings checks rule 5: the units forwarded for a customer, each request counted once, keep to its ceiling.
+// checkCeilings checks rule 5: the units forwarded for a customer stay within the ceiling of its plan. Only
+// the first attempt of a request counts.
 func (c *checker) checkCeilings() {
-	s := newCeilings(c.fleet.Decide.Plans)
+	s := newCeilingState(c.fleet.Decide.Plans)
 	for _, m := range c.fleet.Members {
 		s.currentPlans[m.Name] = s.planByName[m.Plan]
 	}
-	forwarded := map[string]bool{} // by request
+	forwarded := map[string]bool{} // requests counted so far
 	for _, r := range c.records {
 		if r.Kind == PlanChanged {
 			s.beginPlanChange(r)
@@ -55,16 +57,18 @@
 		}
 		c.verdict.Checked[ruleCeilings]++
 		left := s.takeUnits(r, plan)
-		// What was sent some time before it arrived was sent when the bucket had refilled less.
+		// The gateway sent the attempt up to TransitAllowance before the server received it, when the bucket
+		// held fewer units than now.
 		slack := max(plan.CeilingSlack, 0) + plan.CeilingRate*TransitAllowance.Seconds()
 		if left < -slack-roundingTolerance {
-			c.addViolation(ruleCeilings, r.At, "%s is %.1f units over its ceiling, the slack is %.1f",
+			c.addViolation(ruleCeilings, r.At,
+				"customer %s is %.1f units over its ceiling, want at most %.1f units",
 				r.Member, -left, plan.CeilingSlack)
 		}
 	}
 }
 
-func newCeilings(plans []decide.Plan) *ceilingState {
+func newCeilingState(plans []decide.Plan) *ceilingState {
 	s := &ceilingState{
 		planByName:   map[string]decide.Plan{},
 		currentPlans: map[string]decide.Plan{},
@@ -77,7 +81,8 @@
 	return s
 }
 
-// beginChange applies a plan with a larger ceiling, or none, at once.
+// beginPlanChange notes a plan change. It applies the new plan at once if its ceiling is larger than the old
+// one or if it has no ceiling.
 func (s *ceilingState) beginPlanChange(r Record) {
 	old, changed := s.currentPlans[r.Member], s.planByName[r.State]
 	s.changes[r.Member] = planChange{r.At + PlanChangeDelay, old, changed}
@@ -86,7 +91,8 @@
 	}
 }
 
-// completeChange applies the plan of a change that all gateways know by now. Another ceiling starts with a full bucket.
+// completePlanChange applies the new plan of a change once all gateways must know it. If the rate of the
+// ceiling has changed, the customer starts with a full bucket.
 func (s *ceilingState) completePlanChange(member string, now time.Duration) {
 	change, ok := s.changes[member]
 	if !ok || now < change.completeAt {
@@ -99,7 +105,8 @@
 	}
 }
 
-// take takes the units of a request from its customer's bucket and returns what is left.
+// takeUnits takes the units of a request from its customer's bucket and returns the units that remain, which
+// are negative if the ceiling is exceeded.
 func (s *ceilingState) takeUnits(r Record, plan decide.Plan) float64 {
 	b := s.buckets[r.Member]
 	if b == nil {
--- a/internal/invariant/check_test.go
+++ b/internal/invariant/check_test.go
@@ -18,7 +18,10 @@
 		class folio effect=unsafe { aim "1s"; deadline "4s" }
 		plan p { rate "10/s"; burst 10; ceiling-rate "10/s"; ceiling-burst 20; ceiling-slack 2 }
 		limits { attempts 3; retry-after #true; max-retry-after "500ms" }
-		safety { drain-grace "1s"; answer-slack "20ms"; cold-from 0.2; cold-for "10s"; fall-multiple 2; fall-window "1s" }
+		safety {
+			drain-grace "1s"; answer-slack "20ms"; cold-from 0.2; cold-for "10s"
+			fall-multiple 2; fall-window "1s"
+		}
 		gateway listen="127.0.0.1:1"
 		member m plan=p { key "`+credentials.Digest{}.String()+`" }
 	}`))
@@ -43,13 +46,15 @@
 
 func serverRecord(at time.Duration, kind Kind, request string, attempt int, class, server string) Record {
 	return Record{
-		At: at, Kind: kind, Request: request, Attempt: attempt, Class: class, Server: server, Zone: server[:1], Member: "m",
-		CallID: "t" + request, Key: "kt" + request, Units: 1, Deadline: at + second, Work: 50 * time.Millisecond,
+		At: at, Kind: kind, Request: request, Attempt: attempt, Class: class, Server: server,
+		Zone: server[:1], Member: "m", CallID: "t" + request, Key: "kt" + request, Units: 1,
+		Deadline: at + second, Work: 50 * time.Millisecond,
 	}
 }
 
-// TestRecords checks short series of records. Each violates exactly the one rule given, or none (0).
-func TestRecords(t *testing.T) {
+// TestCheckFindsViolations guards against a check that misses a violation or reports one that is not there.
+// Each case is a short series of records that violates only the given rule, or no rule (0).
+func TestCheckFindsViolations(t *testing.T) {
 	end := Record{At: 20 * second, Kind: ProcessChanged, State: "exit"}
 	tests := map[string]struct {
 		rule    int
@@ -67,114 +72,125 @@
 			answerRecord(2*second, "t1", "served"),
 			answerRecord(2*second, "t1", "failed"),
 		}},
-		"answered late":    {1, []Record{callRecord(second, "t1", "look"), answerRecord(4*second, "t1", "failed")}},
-		"answered unasked": {1, []Record{answerRecord(4*second, "t1", "failed")}},
-		"a cut session": {1, []Record{
+		"answered late": {1, []Record{
+			callRecord(second, "t1", "look"),
+			answerRecord(4*second, "t1", "failed"),
+		}},
+		"answer without a call": {1, []Record{answerRecord(4*second, "t1", "failed")}},
+		"session lost": {1, []Record{
 			callRecord(second, "t1", "look"),
 			{At: second + 1, Kind: SessionClosed, Session: "m/0", Code: 1006},
 		}},
-		"the client left first": {0, []Record{
+		"client left before the deadline": {0, []Record{
 			callRecord(second, "t1", "look"),
 			{At: 2 * second, Kind: ClientLeft, Session: "m/0"},
 		}},
-		"the client left later": {1, []Record{
+		"client left after the deadline": {1, []Record{
 			callRecord(second, "t1", "look"),
 			{At: 9 * second, Kind: ClientLeft, Session: "m/0"},
 		}},
-		"crossed the close frame": {0, []Record{
+		"call crossed the close frame": {0, []Record{
 			callRecord(second, "t1", "look"),
 			{At: second + 1, Kind: SessionClosed, Session: "m/0", Code: 1001},
 		}},
-		"killed": {0, []Record{
+		"gateway killed": {0, []Record{
 			callRecord(second, "t1", "look"),
 			{At: 2 * second, Kind: ProcessChanged, State: "kill"},
 			{At: 5 * second, Kind: ProcessChanged, State: "up"},
 		}},
-		"killed long before": {1, []Record{
+		"gateway killed and restarted before the call": {1, []Record{
 			{At: second, Kind: ProcessChanged, State: "kill"},
 			{At: 2 * second, Kind: ProcessChanged, State: "up"},
 			callRecord(3*second, "t1", "look"),
 		}},
-		"late for being stopped": {0, []Record{
+		"answered late by a suspended gateway": {0, []Record{
 			callRecord(second, "t1", "look"),
 			{At: 2 * second, Kind: ProcessChanged, State: "stop"},
 			{At: 4 * second, Kind: ProcessChanged, State: "cont"},
 			answerRecord(4*second+9, "t1", "failed"),
 		}},
-		"two runs of a folio": {2, []Record{
+		"unsafe class executed twice": {2, []Record{
 			serverRecord(second, WorkStarted, "1", 0, "folio", "a1"),
 			serverRecord(2*second, WorkStarted, "1", 1, "folio", "a2"),
 		}},
-		"two runs of a lookup": {0, []Record{
+		"safe class executed twice": {0, []Record{
 			serverRecord(second, WorkStarted, "1", 0, "look", "a1"),
 			serverRecord(2*second, WorkStarted, "1", 1, "look", "a2"),
 		}},
-		"a folio sent again": {2, []Record{
+		"unsafe class sent twice": {2, []Record{
 			serverRecord(second, Received, "1", 0, "folio", "a1"),
 			serverRecord(3*second, Received, "1", 1, "folio", "a2"),
 		}},
-		"a folio turned away": {0, []Record{
+		"unsafe class sent again after a rejection": {0, []Record{
 			serverRecord(second, Received, "1", 0, "folio", "a1"),
 			serverRecord(second, ServerRejected, "1", 0, "folio", "a1"),
 			serverRecord(2*second, Received, "1", 1, "folio", "a2"),
 		}},
-		"a submit in its zone": {0, []Record{
+		"keyed class sent again in its zone": {0, []Record{
 			serverRecord(second, Received, "1", 0, "submit", "a1"),
 			serverRecord(second, Cancelled, "1", 0, "submit", "a1"),
 			serverRecord(second+second/2, Received, "1", 1, "submit", "a2"),
 		}},
-		"a submit left its zone": {2, []Record{
+		"keyed class sent again in another zone": {2, []Record{
 			serverRecord(second, Received, "1", 0, "submit", "a1"),
 			serverRecord(second, Cancelled, "1", 0, "submit", "a1"),
 			serverRecord(second+second/2, Received, "1", 1, "submit", "b2"),
 		}},
-		"a submit past its time": {2, []Record{
+		"keyed class sent again after its deduplication window": {2, []Record{
 			serverRecord(second, Received, "1", 0, "submit", "a1"),
 			serverRecord(second, Cancelled, "1", 0, "submit", "a1"),
 			serverRecord(3*second, Received, "1", 1, "submit", "a2"),
 		}},
-		"two attempts at once": {2, []Record{
+		"two attempts in flight at once": {2, []Record{
 			serverRecord(second, Received, "1", 0, "look", "a1"),
 			serverRecord(second+second/2, Received, "1", 1, "look", "a2"),
 		}},
-		"refused though it ran": {2, []Record{
+		"rejected although executed": {2, []Record{
 			callRecord(second, "t1", "folio"),
 			serverRecord(second, Received, "1", 0, "folio", "a1"),
 			serverRecord(second, WorkStarted, "1", 0, "folio", "a1"),
 			answerRecord(2*second, "t1", "refused"),
 		}},
-		"drained": {0, []Record{
+		"sent within the drain grace period": {0, []Record{
 			callRecord(second, "t1", "look"),
 			{At: second, Kind: EndpointSent, Server: "a1", State: "draining"},
 			serverRecord(2*second, Received, "1", 0, "look", "a1"),
 			answerRecord(2*second, "t1", "served"),
 		}},
-		"sent after the grace": {3, []Record{
+		"sent after the drain grace period": {3, []Record{
 			{At: second, Kind: EndpointSent, Server: "a1", State: "gone"},
 			callRecord(3*second, "t1", "look"),
 			serverRecord(3*second, Received, "1", 0, "look", "a1"),
 			answerRecord(3*second, "t1", "served"),
 		}},
-		"back again": {0, []Record{
+		"sent after the server is back": {0, []Record{
 			{At: second, Kind: EndpointSent, Server: "a1", State: "gone"},
 			{At: 2 * second, Kind: EndpointSent, Server: "a1", State: "serving"},
 			callRecord(3*second, "t1", "look"),
 			serverRecord(3*second, Received, "1", 0, "look", "a1"),
 			answerRecord(3*second, "t1", "served"),
 		}},
-		"fell over": {4, []Record{
-			{At: second, Kind: SlowStarted, Server: "a1", Capacity: 2, InitialCapacity: 0.2, Duration: 10 * second},
+		"server failed under overload": {4, []Record{
+			{
+				At: second, Kind: SlowStarted, Server: "a1", Capacity: 2, InitialCapacity: 0.2,
+				Duration: 10 * second,
+			},
 			{At: 2 * second, Kind: Overloaded, Server: "a1"},
 		}},
 	}
-	// over: 30 units at once under a ceiling of 20 at once and 10 a second.
+	// overCeiling sends 30 units within 0.3 s to a ceiling with a burst of 20 units and a rate of 10 units
+	// per second. tooFast sends the same attempts to a server in slow start, slowEnough sends them over 3 s.
+	// Both cost 3 units, so that the ceiling is kept.
 	var tooFast, slowEnough, overCeiling []Record
-	tooFast = append(tooFast, Record{At: second, Kind: SlowStarted, Server: "a1", Capacity: 2, InitialCapacity: 0.2,
-		Duration: 10 * second})
+	tooFast = append(tooFast, Record{
+		At: second, Kind: SlowStarted, Server: "a1", Capacity: 2, InitialCapacity: 0.2,
+		Duration: 10 * second,
+	})
 	slowEnough = append(slowEnough, tooFast[0])
 	for i := range 30 {
 		id := strings.Repeat("i", i+1)
-		overCeiling = append(overCeiling, serverRecord(2*second+time.Duration(i)*10*time.Millisecond, Received, id, 0, "look", "a1"))
+		overCeiling = append(overCeiling,
+			serverRecord(2*second+time.Duration(i)*10*time.Millisecond, Received, id, 0, "look", "a1"))
 		for _, target := range []*[]Record{&tooFast, &slowEnough} {
 			r := overCeiling[i]
 			r.Units = 0.1
@@ -184,11 +200,11 @@
 			*target = append(*target, r)
 		}
 	}
-	tests["a cold node flooded"] = struct {
+	tests["too much work in slow start"] = struct {
 		rule    int
 		records []Record
 	}{4, tooFast}
-	tests["a cold node fed slowly"] = struct {
+	tests["acceptable work in slow start"] = struct {
 		rule    int
 		records []Record
 	}{0, slowEnough}
@@ -204,7 +220,7 @@
 				rules[violation.Rule] = true
 			}
 			if test.rule == 0 && len(rules) > 0 || test.rule > 0 && (len(rules) != 1 || !rules[test.rule]) {
-				t.Errorf("want rule %d\n%s", test.rule, verdict)
+				t.Errorf("want a violation of rule %d only (0: none), got\n%s", test.rule, verdict)
 			}
 		})
 	}
--- a/internal/invariant/codec.go
+++ b/internal/invariant/codec.go
@@ -8,10 +8,11 @@
 	"io"
 )
 
-// recordBufferBytes is the size of the buffers through which a file of records is written and read.
+// recordBufferBytes is the size of the buffers for writing and reading a file of records.
 const recordBufferBytes = 64 << 10
 
-// writeRecord writes a record as a line of JSON. The keys and the values of Kind are those of stored files.
+// writeRecord writes a record as one line of JSON. The JSON keys and the values of Kind must not change,
+// because files of earlier runs contain them.
 func writeRecord(w io.Writer, r Record) error {
 	line, err := json.Marshal(r)
 	if err != nil {
@@ -21,8 +22,8 @@
 	return err
 }
 
-// ReadRecords reads what a Log wrote. With an error it returns the records before it; the error wraps
-// io.ErrUnexpectedEOF if the last record was cut off.
+// ReadRecords reads the records that a Log wrote. If it returns an error, it also returns the records before
+// the error. The error wraps io.ErrUnexpectedEOF if the last record is truncated.
 func ReadRecords(r io.Reader) ([]Record, error) {
 	var records []Record
 	decoder := json.NewDecoder(bufio.NewReaderSize(r, recordBufferBytes))
@@ -33,7 +34,7 @@
 			return records, nil
 		}
 		if err != nil {
-			return records, fmt.Errorf("invariant: record %d: %w", len(records)+1, err)
+			return records, fmt.Errorf("invariant: read record %d: %w", len(records)+1, err)
 		}
 		records = append(records, record)
 	}
--- a/internal/invariant/drains.go
+++ b/internal/invariant/drains.go
@@ -2,17 +2,19 @@
 
 import "time"
 
-// gatewayServer names a server as one gateway knows it.
+// gatewayServer identifies the entry for a server in the endpoint list of one gateway.
 type gatewayServer struct {
 	gateway int
 	server  string
 }
 
-// checkDrains checks rule 3: a gateway sends nothing to a server later than DrainGrace after discovery wrote to it that
-// the server drains or is gone.
+// checkDrains checks rule 3: a gateway sends no attempt to a server more than DrainGrace after the discovery
+// server notified the gateway that the server is draining or gone.
 func (c *checker) checkDrains() {
 	gateways := c.gatewaysOfCalls()
-	firstNotifiedAt := map[gatewayServer]time.Duration{} // when the gateway was first notified
+	// firstNotifiedAt holds when a gateway was first notified that a server is draining or gone. A server that
+	// serves again has no entry.
+	firstNotifiedAt := map[gatewayServer]time.Duration{}
 	for _, r := range c.records {
 		switch r.Kind {
 		case EndpointSent:
@@ -23,7 +25,7 @@
 				firstNotifiedAt[key] = r.At
 			}
 		case ProcessChanged:
-			// A gateway that restarts knows only the endpoint list that it gets then.
+			// A restarted gateway knows only the endpoint list that it receives after its start.
 			if r.State == "up" {
 				forgetNotifications(firstNotifiedAt, r.Gateway)
 			}
@@ -40,16 +42,18 @@
 	}
 }
 
-// checkDrainedAttempt checks an attempt at a server whose drain or removal the gateway was notified of.
+// checkDrainedAttempt checks an attempt at a server after the gateway was notified that it is draining or
+// gone.
 func (c *checker) checkDrainedAttempt(r Record, gateway int, notifiedAt time.Duration) {
 	late := r.At - notifiedAt - c.fleet.Decide.Safety.DrainGrace
 	if late > TransitAllowance+c.stalledFor(gateway, notifiedAt, r.At) {
-		c.addViolation(ruleDrains, r.At, "gateway %d sent %s (%s) to %s, %v after it was notified that the server drains "+
-			"or is gone", gateway, r.Request, r.Class, r.Server, r.At-notifiedAt)
+		c.addViolation(ruleDrains, r.At, "gateway %d sent request %s (%s) to server %s %v after it was "+
+			"notified that the server is draining or gone",
+			gateway, r.Request, r.Class, r.Server, r.At-notifiedAt)
 	}
 }
 
-// gatewaysOfCalls returns by call the rank of the gateway that its client wrote it to.
+// gatewaysOfCalls returns, by call ID, the rank of the gateway that the client wrote the call to.
 func (c *checker) gatewaysOfCalls() map[string]int {
 	gateways := map[string]int{}
 	for _, r := range c.records {
--- a/internal/invariant/executions.go
+++ b/internal/invariant/executions.go
@@ -6,27 +6,27 @@
 	"winghatch/decide"
 )
 
-// attemptKey names an attempt of a request.
+// attemptKey identifies an attempt of a request.
 type attemptKey struct {
 	request string
 	attempt int
 }
 
-// attempt is an attempt as its server saw it.
+// attempt is an attempt as observed by its server.
 type attempt struct {
-	Record                // of kind Received
-	endedAt time.Duration // when the gateway could know its end: at its deadline at the latest
+	Record                // the record of kind Received
+	endedAt time.Duration // when its end became known to the gateway; at most its deadline
 }
 
 func (a *attempt) key() attemptKey { return attemptKey{a.Request, a.Attempt} }
 
-// executions is what servers received and executed.
+// executions holds the attempts that servers received and what the servers did with them.
 type executions struct {
 	classes      map[string]decide.Class
-	attempts     map[string][]*attempt // by request, in the order of their arrival
-	runsByKey    map[string][]Record   // of kind WorkStarted, by idempotency key
-	runsByCallID map[string][]Record   // of kind WorkStarted, by the client's ID of the call
-	rejected     map[attemptKey]bool   // the server rejected it, without effect
+	attempts     map[string][]*attempt // by request, in the order of arrival
+	runsByKey    map[string][]Record   // records of kind WorkStarted, by idempotency key
+	runsByCallID map[string][]Record   // records of kind WorkStarted, by the client's ID of the call
+	rejected     map[attemptKey]bool   // attempts that a server rejected without effect
 }
 
 func (c *checker) collectExecutions() *executions {
@@ -59,7 +59,7 @@
 	return e
 }
 
-// end notes that the attempt of a record has ended.
+// markEnded sets the end of the attempt that a record belongs to, if it ended earlier than known so far.
 func (e *executions) markEnded(r Record) {
 	for _, a := range e.attempts[r.Request] {
 		if a.Attempt == r.Attempt {
@@ -69,8 +69,12 @@
 	}
 }
 
-// checkExecutions checks rule 2: a request that is not idempotent runs once; further attempts are sent only where
-// servers drop repeats, or after an end without effect; nothing is rejected that may have had its effect.
+// checkExecutions checks rule 2:
+//
+//   - A request that is not idempotent is executed at most once.
+//   - A further attempt is sent only to servers that drop duplicates, or after an attempt that ended without
+//     effect.
+//   - A call whose request may have taken effect is not answered as rejected.
 func (c *checker) checkExecutions() {
 	e := c.collectExecutions()
 	c.checkRuns(e)
@@ -85,31 +89,35 @@
 	c.checkRejections(e)
 }
 
-// checkRuns finds keys of classes that are not idempotent with more than one run.
+// checkRuns adds a violation for each idempotency key that was executed more than once although its class is
+// not idempotent.
 func (c *checker) checkRuns(e *executions) {
 	for key, runs := range e.runsByKey {
 		class := e.classes[runs[0].Class]
 		c.verdict.Checked[ruleExecutions]++
 		if class.Idempotency == decide.NotIdempotent && len(runs) > 1 {
-			c.addViolation(ruleExecutions, runs[1].At, "%s with key %s ran %d times, at %s and %s",
+			c.addViolation(ruleExecutions, runs[1].At, "%s with key %s was executed %d times, at %s and %s",
 				class.Name, key, len(runs), runs[0].Server, runs[1].Server)
 		}
 	}
 }
 
-// checkOverlap finds two attempts in flight at once in a fleet that does not hedge.
+// checkOverlap adds a violation if two attempts of a request were in flight at the same time in a fleet that
+// does not send hedged requests.
 func (c *checker) checkOverlap(e *executions, earlier, later *attempt) {
 	if c.fleet.Decide.Limits.Hedging {
 		return
 	}
 	if later.At+TransitAllowance+c.harnessStalledFor(earlier.At, later.At) < earlier.endedAt {
 		class := e.classes[e.attempts[later.Request][0].Class]
-		c.addViolation(ruleExecutions, later.At, "attempts %d and %d of %s (%s) were in flight at once",
+		c.addViolation(ruleExecutions, later.At,
+			"attempts %d and %d of request %s (%s) were in flight at once",
 			earlier.Attempt, later.Attempt, later.Request, class.Name)
 	}
 }
 
-// checkRepeat finds a further attempt that may have its effect a second time.
+// checkRepeat adds a violation if the request may take effect a second time through the later of two
+// attempts.
 func (c *checker) checkRepeat(e *executions, earlier, later *attempt) {
 	class := e.classes[e.attempts[later.Request][0].Class]
 	if e.rejected[earlier.key()] || class.Idempotency == decide.Idempotent {
@@ -117,18 +125,21 @@
 	}
 	switch after := later.At - earlier.At; {
 	case class.Idempotency == decide.NotIdempotent:
-		c.addViolation(ruleExecutions, later.At, "attempt %d of %s (%s) was sent though attempt %d may have run",
+		c.addViolation(ruleExecutions, later.At,
+			"attempt %d of request %s (%s) was sent although attempt %d may have been executed",
 			later.Attempt, later.Request, class.Name, earlier.Attempt)
 	case !inSameDedupScope(class.DedupScope, earlier, later):
-		c.addViolation(ruleExecutions, later.At, "attempt %d of %s (%s) left the servers that drop its repeats",
+		c.addViolation(ruleExecutions, later.At,
+			"attempt %d of request %s (%s) was sent outside the deduplication scope",
 			later.Attempt, later.Request, class.Name)
 	case after > class.DedupWindow+TransitAllowance:
-		c.addViolation(ruleExecutions, later.At, "attempt %d of %s (%s) was sent %v after attempt %d, the window is %v",
+		c.addViolation(ruleExecutions, later.At,
+			"attempt %d of request %s (%s) was sent %v after attempt %d, the deduplication window is %v",
 			later.Attempt, later.Request, class.Name, after, earlier.Attempt, class.DedupWindow)
 	}
 }
 
-// deduplicated reports whether the servers of two attempts drop each other's repeats.
+// inSameDedupScope reports whether the servers of two attempts recognize each other's requests as duplicates.
 func inSameDedupScope(scope decide.DedupScope, earlier, later *attempt) bool {
 	switch scope {
 	case decide.DedupInFleet:
@@ -141,8 +152,8 @@
 	return false
 }
 
-// checkRejections finds calls that were answered as rejected though they ran, where a client's next call would have the
-// effect again.
+// checkRejections adds a violation for each call that was answered as rejected although it was executed, if
+// the client's next call would take effect again: a client may safely repeat a rejected call.
 func (c *checker) checkRejections(e *executions) {
 	for _, r := range c.records {
 		if r.Kind != Answer || r.Answer != "refused" {
@@ -153,7 +164,9 @@
 			class := e.classes[run.Class]
 			if class.Idempotency == decide.NotIdempotent ||
 				class.Idempotency == decide.IdempotentByKey && class.DedupScope != decide.DedupInFleet {
-				c.addViolation(ruleExecutions, r.At, "call %s (%s) was rejected though it ran at %s", r.CallID, class.Name, run.Server)
+				c.addViolation(ruleExecutions, r.At,
+					"call %s (%s) was answered as rejected although %s executed it",
+					r.CallID, class.Name, run.Server)
 			}
 		}
 	}
--- a/internal/invariant/outages.go
+++ b/internal/invariant/outages.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// outage is a time in which a gateway's process did not run.
+// outage is a time span in which a gateway's process did not run.
 type outage struct {
 	gateway  int
 	from, to time.Duration
-	paused   bool // by SIGSTOP; else killed
+	paused   bool // true: stopped by SIGSTOP; false: killed
 }
 
-// collectOutages gathers when gateways and the harness did not run. An outage that no record ends lasts to the end of
-// time.
+// collectOutages collects the outages of all gateways and the stalls of the harness. An outage without a
+// record of its end has the largest possible end time.
 func (c *checker) collectOutages() {
 	ongoing := map[int]outage{} // by gateway
 	for _, r := range c.records {
@@ -39,7 +39,7 @@
 	}
 }
 
-// stalledFor is how long the harness was stalled, plus how long the gateway was paused, within a span.
+// stalledFor returns how long the harness was stalled plus how long the gateway was paused in a time span.
 func (c *checker) stalledFor(gateway int, from, to time.Duration) time.Duration {
 	stalled := c.harnessStalledFor(from, to)
 	for _, o := range c.outages {
@@ -50,7 +50,7 @@
 	return stalled
 }
 
-// harnessStalledFor is the length of the harness's stalls that overlap a span.
+// harnessStalledFor returns the total length of the harness's stalls that overlap a time span.
 func (c *checker) harnessStalledFor(from, to time.Duration) (stalled time.Duration) {
 	for _, r := range c.harnessStalls {
 		if r.At > from && r.At-r.Duration < to {
@@ -60,7 +60,8 @@
 	return stalled
 }
 
-// killed reports whether the gateway was killed, or not yet up again after a kill, at any time within a span.
+// killedDuring reports whether the gateway was killed in a time span or was down after a kill at any point of
+// it.
 func (c *checker) killedDuring(gateway int, from, to time.Duration) bool {
 	for _, o := range c.outages {
 		if !o.paused && o.gateway == gateway && o.from <= to && o.to >= from {
--- a/internal/invariant/usage.go
+++ b/internal/invariant/usage.go
@@ -9,28 +9,28 @@
 	"winghatch/internal/usage/outbox"
 )
 
-// maxUsageViolations is how many violations of each kind a result lists.
+// maxUsageViolations is the largest number of violations of each kind that a result lists.
 const maxUsageViolations = 5
 
-// UsageEvent is an event that the usage receiver has.
+// UsageEvent is an event that the usage receiver holds.
 type UsageEvent struct {
 	Source string
-	ID     string // number of the event within its source, in decimal
+	ID     string // number of the event within its source, as a decimal number from 1
 	Type   string
 	Data   json.RawMessage
 }
 
 // UsageResult is the result of CheckUsage.
 type UsageResult struct {
-	Attempts       int      // events of attempts
-	Confirmed      int      // of them, those with the units that the server answered
-	Estimated      int      // of them, those marked as estimated
-	Unanswered     int      // of the estimated ones, those that no server answered
-	Units          float64  // of all attempts
-	UncoveredUnits float64  // units that gateways reported as not covered
-	Violations     []string // the first of each kind
-
-	violationsByKind map[string]int
+	Attempts       int      // number of exported attempts
+	Confirmed      int      // exported attempts with the units of the server's response
+	Estimated      int      // exported attempts that are marked as estimated
+	Unanswered     int      // estimated attempts that no server answered
+	Units          float64  // total units of the exported attempts
+	UncoveredUnits float64  // units that gap events report for attempts that are not exported
+	Violations     []string // the first maxUsageViolations of each kind, each as "kind: text"
+
+	violationsByKind map[string]int // number of violations, with those that Violations omits
 }
 
 func (u *UsageResult) addViolation(kind, format string, args ...any) {
@@ -43,27 +43,31 @@
 	}
 }
 
-// observedAttempt is what the records have of an attempt.
+// observedAttempt is an attempt as the records of servers show it.
 type observedAttempt struct {
 	received, rejected, answered bool
-	sentUnits                    float64 // as received
-	answeredUnits                float64
+	sentUnits                    float64 // units in the request that the server read
+	answeredUnits                float64 // units in the response that the server wrote
 }
 
 // usageChecker holds the state of one CheckUsage.
 type usageChecker struct {
 	result        UsageResult
 	observed      map[attemptKey]*observedAttempt
-	exported      map[attemptKey]bool
-	eventNumbers  map[string][]int // of events, by source
+	exported      map[attemptKey]bool // attempts of the events checked so far
+	eventNumbers  map[string][]int    // numbers of the events, by source
 	gatewayKilled func(request string) bool
 }
 
-// CheckUsage compares the events of a usage receiver with what servers read and wrote. Each attempt that reached a
-// server is exported once, with the units that the server answered, or marked as estimated with the units that it was
-// sent with. An attempt that a server rejected is not exported, unless its response never came. The events of each
-// source are numbered from 1 without a gap. killed reports whether the gateway of a request was killed: only then may
-// an attempt be exported as left by an ended incarnation.
+// CheckUsage compares the events of a usage receiver with the records of what servers read and wrote. It
+// checks:
+//
+//   - Each attempt that reached a server is exported exactly once, either with the units that the server
+//     answered or marked as estimated with the units that the attempt was sent with.
+//   - An attempt that a server rejected is not exported, unless the gateway never received the rejection.
+//   - The events of each source are numbered from 1 without a gap.
+//   - An attempt is exported as left behind by an ended incarnation only if the gateway of its request was
+//     killed. gatewayKilled reports whether it was.
 func CheckUsage(records []Record, events []UsageEvent, gatewayKilled func(request string) bool) UsageResult {
 	u := &usageChecker{
 		observed:      observeAttempts(records),
@@ -106,46 +110,53 @@
 func (u *usageChecker) checkEvent(event UsageEvent) {
 	number, err := strconv.Atoi(event.ID)
 	if err != nil {
-		u.result.addViolation("number", "%s: id %q is no number", event.Source, event.ID)
+		u.result.addViolation("number", "source %s: event id %q, want a decimal number",
+			event.Source, event.ID)
 	}
 	u.eventNumbers[event.Source] = append(u.eventNumbers[event.Source], number)
 	if event.Type == outbox.TypeGap {
 		var gap outbox.GapData
-		_ = json.Unmarshal(event.Data, &gap) // a gap that can't be read covers nothing
+		_ = json.Unmarshal(event.Data, &gap) // an unreadable gap event adds no uncovered units
 		u.result.UncoveredUnits += gap.Units
 		return
 	}
 	var data outbox.UsageData
 	if err := json.Unmarshal(event.Data, &data); err != nil {
-		u.result.addViolation("data", "%s %s: %v", event.Source, event.ID, err)
+		u.result.addViolation("data", "source %s, event %s: %v", event.Source, event.ID, err)
 		return
 	}
 	u.result.Attempts++
 	u.result.Units += data.Units
 	key := attemptKey{data.Request, data.Attempt}
 	if u.exported[key] {
-		u.result.addViolation("twice", "attempt %d of %s is exported twice", data.Attempt, data.Request)
+		u.result.addViolation("twice", "attempt %d of request %s is exported twice",
+			data.Attempt, data.Request)
 	}
 	u.exported[key] = true
 	u.checkAttempt(data, u.observed[key])
 }
 
-// checkAttempt compares an exported attempt with its observation, which is nil if there is none.
+// checkAttempt compares an exported attempt with the records. observed is nil if there are none of the
+// attempt.
 func (u *usageChecker) checkAttempt(data outbox.UsageData, observed *observedAttempt) {
 	switch {
 	case data.Outcome == outbox.OutcomeGatewayEnded.String() && !u.gatewayKilled(data.Request):
-		u.result.addViolation("orphan", "attempt %d of %s is exported as left by an ended incarnation",
+		u.result.addViolation("orphan",
+			"attempt %d of request %s is exported as left by an ended incarnation without a kill",
 			data.Attempt, data.Request)
 	case data.Outcome == outbox.OutcomeError.String() && observed != nil && observed.rejected:
-		u.result.addViolation("unseen", "attempt %d of %s was rejected without effect and is exported",
+		u.result.addViolation("unseen",
+			"attempt %d of request %s is exported although the server rejected it",
 			data.Attempt, data.Request)
 	case data.Estimated:
 		u.checkEstimate(data, observed)
 	case observed == nil || !observed.answered:
-		u.result.addViolation("size", "attempt %d of %s is exported at %v, no server answered it",
+		u.result.addViolation("size",
+			"attempt %d of request %s is exported with %v units, but no server answered it",
 			data.Attempt, data.Request, data.Units)
 	case observed.answeredUnits != data.Units:
-		u.result.addViolation("size", "attempt %d of %s is exported at %v, the server answered %v",
+		u.result.addViolation("size",
+			"attempt %d of request %s is exported with %v units, the server answered %v",
 			data.Attempt, data.Request, data.Units, observed.answeredUnits)
 	default:
 		u.result.Confirmed++
@@ -158,27 +169,29 @@
 		u.result.Unanswered++
 	}
 	if observed != nil && observed.received && observed.sentUnits != data.Units {
-		u.result.addViolation("size", "attempt %d of %s is exported at an estimate of %v, it was sent with %v",
+		u.result.addViolation("size",
+			"attempt %d of request %s is exported with an estimate of %v units, it was sent with %v",
 			data.Attempt, data.Request, data.Units, observed.sentUnits)
 	}
 }
 
-// checkMissing finds attempts that reached a server and are not exported.
+// checkMissing adds a violation for each attempt that reached a server and is not exported.
 func (u *usageChecker) checkMissing() {
 	for key, observed := range u.observed {
 		if observed.received && !observed.rejected && !u.exported[key] {
-			u.result.addViolation("missing", "attempt %d of %s reached a server and is not exported", key.attempt, key.request)
+			u.result.addViolation("missing", "attempt %d of request %s reached a server and is not exported",
+				key.attempt, key.request)
 		}
 	}
 }
 
-// checkNumbers finds in each source the first number that is missing or used twice.
+// checkNumbers adds a violation for the first event number of each source that is missing or used twice.
 func (u *usageChecker) checkNumbers() {
 	for source, eventNumbers := range u.eventNumbers {
 		sort.Ints(eventNumbers)
 		for i, n := range eventNumbers {
 			if n != i+1 {
-				u.result.addViolation("number", "%s: number %d in place of %d", source, n, i+1)
+				u.result.addViolation("number", "source %s: got event number %d, want %d", source, n, i+1)
 				break
 			}
 		}
--- a/internal/invariant/verdict.go
+++ b/internal/invariant/verdict.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The rules, by their number in a verdict.
+// Numbers of the rules in a verdict.
 const (
 	ruleAnswers    = 1
 	ruleExecutions = 2
@@ -17,10 +17,10 @@
 	ruleCount = 5
 )
 
-// maxPrintedViolations is how many violations of each rule a verdict prints.
+// maxPrintedViolations is the largest number of violations of each rule that a verdict prints.
 const maxPrintedViolations = 5
 
-// RuleNames are the names of the rules, from index 1.
+// RuleNames holds the names of the rules, indexed by the number of the rule from 1. Index 0 is unused.
 var RuleNames = [ruleCount + 1]string{
 	ruleAnswers:    "no request lost",
 	ruleExecutions: "no effect twice",
@@ -31,28 +31,28 @@
 
 // Violation is one violation of a rule.
 type Violation struct {
-	Rule int           // index in RuleNames
-	At   time.Duration // since the scenario began
+	Rule int           // number of the rule, an index of RuleNames
+	At   time.Duration // since the scenario started
 	Text string
 }
 
 // Verdict is the result of a check.
 type Verdict struct {
 	Violations []Violation
-	Checked    [ruleCount + 1]int // by rule: how many things could have violated it
+	Checked    [ruleCount + 1]int // by rule: number of observations that could have violated it
 }
 
-// RulesKept is how many of the five rules have no violation.
+// RulesKept returns the number of rules without a violation.
 func (v *Verdict) RulesKept() int {
 	violated := map[int]bool{}
-	for _, x := range v.Violations {
-		violated[x.Rule] = true
+	for _, violation := range v.Violations {
+		violated[violation.Rule] = true
 	}
 	return ruleCount - len(violated)
 }
 
-// String returns one line a rule, each followed by the rule's first violations, and a last line with the number of
-// rules kept.
+// String returns a line for each rule, each followed by the first violations of the rule, and a last line
+// with the number of rules kept.
 func (v *Verdict) String() string {
 	var b strings.Builder
 	for rule := 1; rule <= ruleCount; rule++ {
@@ -64,9 +64,9 @@
 
 func (v *Verdict) writeRule(b *strings.Builder, rule int) {
 	var violations []Violation
-	for _, x := range v.Violations {
-		if x.Rule == rule {
-			violations = append(violations, x)
+	for _, violation := range v.Violations {
+		if violation.Rule == rule {
+			violations = append(violations, violation)
 		}
 	}
 	state := "kept"
@@ -74,11 +74,11 @@
 		state = fmt.Sprintf("BROKEN %d times", len(violations))
 	}
 	fmt.Fprintf(b, "rule %d, %s: %s (%d looked at)\n", rule, RuleNames[rule], state, v.Checked[rule])
-	for i, x := range violations {
+	for i, violation := range violations {
 		if i == maxPrintedViolations {
 			fmt.Fprintf(b, "  and %d more\n", len(violations)-i)
 			break
 		}
-		fmt.Fprintf(b, "  at %.3fs: %s\n", x.At.Seconds(), x.Text)
+		fmt.Fprintf(b, "  at %.3fs: %s\n", violation.At.Seconds(), violation.Text)
 	}
 }
