--- a/internal/invariant/drains.go
+++ b/internal/invariant/drains.go
@@ -12,8 +12,8 @@
 // server notified the gateway that the server is draining or gone.
 func (c *checker) checkDrains() {
 	gateways := c.gatewaysOfCalls()
-	// firstNotifiedAt holds when a gateway was first notified that a server is draining or gone. A server that
-	// serves again has no entry.
+	// firstNotifiedAt holds when a gateway was first notified that a server is draining or gone. A server
+	// that serves again has no entry.
 	firstNotifiedAt := map[gatewayServer]time.Duration{}
 	for _, r := range c.records {
 		switch r.Kind {
--- a/internal/invariant/slowstart.go
+++ b/internal/invariant/slowstart.go
@@ -61,6 +61,7 @@
 // linearly from InitialCapacity to 1 over the slow start.
 func (s *slowStart) capacityFraction(at time.Duration) float64 {
 	start := s.start
-	fraction := start.InitialCapacity + (1-start.InitialCapacity)*(at-start.At).Seconds()/start.Duration.Seconds()
+	fraction := start.InitialCapacity +
+		(1-start.InitialCapacity)*(at-start.At).Seconds()/start.Duration.Seconds()
 	return min(1, fraction)
 }
--- a/internal/scenario/builtin.go
+++ b/internal/scenario/builtin.go
@@ -15,7 +15,8 @@
 	scriptExt  = ".kdl"
 )
 
-// Open reads a script from a file, or a built-in one by its name.
+// Open reads the script in the file with the given name. If the file cannot be read, it returns the built-in
+// scenario with that name.
 func Open(name string) (*Script, error) {
 	src, err := os.ReadFile(name)
 	if err == nil {
@@ -23,14 +24,15 @@
 	}
 	src, builtinErr := readBuiltin(name)
 	if builtinErr != nil {
-		return nil, fmt.Errorf("scenario: %w; the built-in scenarios are %s", err, strings.Join(BuiltinNames(), ", "))
+		return nil, fmt.Errorf("scenario: %w; the built-in scenarios are %s",
+			err, strings.Join(BuiltinNames(), ", "))
 	}
 	return Parse(builtinDir+name+scriptExt, src)
 }
 
 // BuiltinNames returns the names of the built-in scenarios, sorted.
 func BuiltinNames() (names []string) {
-	entries, _ := builtin.ReadDir(strings.TrimSuffix(builtinDir, "/")) // an embedded folder: it cannot fail
+	entries, _ := builtin.ReadDir(strings.TrimSuffix(builtinDir, "/")) // cannot fail for an embedded folder
 	for _, e := range entries {
 		names = append(names, strings.TrimSuffix(e.Name(), scriptExt))
 	}
--- a/internal/scenario/clientfaults.go
+++ b/internal/scenario/clientfaults.go
@@ -2,9 +2,9 @@
 
 import "winghatch/internal/testbed/client"
 
-// Faults of the client load.
+// This file contains the faults of the client load.
 
-// faultOnClients sets a fault of the clients and clears it after the time.
+// withClientFault sets a fault of the clients and clears it after f.Duration.
 func (r *runner) withClientFault(f Fault, set, clearFault func(*client.Fault)) {
 	r.client.SetFault(set)
 	r.sleep(f.Duration)
@@ -16,7 +16,8 @@
 	r.withClientFault(f, set, func(x *client.Fault) { x.RateFactor = 0 })
 }
 
-// multiplyMembersLoad raises the load of some members. It comes on top of what the others send.
+// multiplyMembersLoad multiplies the load of some members by f.Size. The load of the other members does not
+// change: the total rate rises with the weights of the chosen members.
 func (r *runner) multiplyMembersLoad(f Fault) {
 	members := r.pickMembers(f.Count)
 	all := float64(len(r.fleet.Members))
@@ -51,7 +52,7 @@
 
 func (r *runner) reconnectClients(Fault) { r.client.Reconnect() }
 
-// pickMembers returns the names of count random members; fewer if there are no more.
+// pickMembers returns the names of count randomly chosen members, or all if there are fewer.
 func (r *runner) pickMembers(count int) (picked []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/scenario/discoveryfaults.go
+++ b/internal/scenario/discoveryfaults.go
@@ -7,9 +7,9 @@
 	"winghatch/internal/testbed/discovery"
 )
 
-// Faults of the discovery server, which publishes the endpoint list.
+// This file contains the faults of the discovery server, which publishes the endpoint list.
 
-// currentDiscovery returns the discovery server, which the fault list_stale replaces.
+// currentDiscovery returns the current discovery server. The fault list_stale replaces it.
 func (r *runner) currentDiscovery() *discovery.Server {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -28,8 +28,8 @@
 	r.currentDiscovery().SetDelay(r.script.DiscoveryDelay)
 }
 
-// restartDiscovery stops the discovery server for the time. The new one has the same endpoints and counts its versions
-// from the beginning.
+// restartDiscovery stops the discovery server and starts a new one after f.Duration. The new server has the
+// same endpoints, but its versions start from the beginning.
 func (r *runner) restartDiscovery(f Fault) {
 	old := r.currentDiscovery()
 	endpoints := old.Endpoints()
@@ -46,7 +46,7 @@
 	r.discovery = server
 }
 
-// sendInvalidUpdates sends updates that a gateway must reject: none of them may change its endpoint list.
+// sendInvalidUpdates sends updates that gateways must reject without any change to their endpoint lists.
 func (r *runner) sendInvalidUpdates(Fault) {
 	server := r.currentDiscovery()
 	version := server.Version()
@@ -64,11 +64,11 @@
 		version   uint64
 		endpoints []discoveryws.Endpoint
 	}{
-		{discoveryws.MethodChange, version + 1, []discoveryws.Endpoint{noAddress}},   // an invalid address
-		{discoveryws.MethodChange, version + 1, []discoveryws.Endpoint{first, gone}}, // an endpoint twice
-		{discoveryws.MethodChange, version, []discoveryws.Endpoint{gone}},            // a version that was sent before
-		{discoveryws.MethodChange, version + 5, []discoveryws.Endpoint{gone}},        // versions left out
-		{discoveryws.MethodFull, version - 1, endpoints[:1]},                         // a version that goes back
+		{discoveryws.MethodChange, version + 1, []discoveryws.Endpoint{noAddress}},   // invalid address
+		{discoveryws.MethodChange, version + 1, []discoveryws.Endpoint{first, gone}}, // duplicate endpoint
+		{discoveryws.MethodChange, version, []discoveryws.Endpoint{gone}},            // repeated version
+		{discoveryws.MethodChange, version + 5, []discoveryws.Endpoint{gone}},        // skipped versions
+		{discoveryws.MethodFull, version - 1, endpoints[:1]},                         // older version
 	} {
 		server.SendRaw(u.method, discoveryws.Update{Version: u.version, NowMs: now, Endpoints: u.endpoints})
 	}
--- a/internal/scenario/faults.go
+++ b/internal/scenario/faults.go
@@ -2,19 +2,18 @@
 
 import "fmt"
 
-// faultKind is a kind of fault that a script can name.
+// faultKind is a kind of fault that scripts can use.
 type faultKind struct {
-	description string // what happens, and what Count and Size of the fault mean
-	inject      func(*runner, Fault)
+	description string               // effect of the fault; "count" and "size" refer to its settings
+	inject      func(*runner, Fault) // injects the fault and returns when it is over
 
-	needsUsageReceiver bool // for fleets alone that export usage
+	needsUsageReceiver bool // whether the fault requires a fleet that exports usage
 }
 
-// faultKinds are all kinds by the name that scripts have for them. A function injects the fault and returns when it is
-// over.
+// faultKinds holds all kinds of faults by their names in scripts.
 var faultKinds = map[string]faultKind{
 	"ageing": {
-		description: "count servers grow slower, up to size times",
+		description: "count servers slow down gradually, up to size times",
 		inject:      (*runner).slowServersGradually,
 	},
 	"slow": {
@@ -26,15 +25,15 @@
 		inject:      (*runner).slowAllServers,
 	},
 	"heavy_tail": {
-		description: "one of 50 calls of a class costs size times the usual",
+		description: "one of 50 requests of a class takes size times the usual work",
 		inject:      (*runner).slowTailOfClass,
 	},
 	"fast_errors": {
-		description: "count servers fail a share of size of their calls quickly",
+		description: "count servers quickly fail a fraction of size of their requests",
 		inject:      (*runner).failCallsQuickly,
 	},
 	"class_fail": {
-		description: "count servers leave a class unanswered",
+		description: "count servers do not answer requests of a class",
 		inject:      (*runner).leaveClassUnanswered,
 	},
 	"report_gap": {
@@ -46,24 +45,24 @@
 		inject:      (*runner).closeConnections,
 	},
 	"drain": {
-		description: "count servers drain, stop, and come back in slow start after the time",
+		description: "count servers drain for the duration, stop, and restart in slow start",
 		inject:      (*runner).drainServers,
 	},
 	"vanish": {
-		description: "count servers become silent and come back in slow start after the time",
+		description: "count servers stop responding for the duration and restart in slow start",
 		inject:      (*runner).hangServers,
 	},
 	"cold_start": {
-		description: "count more servers are started, in slow start",
+		description: "count additional servers start, in slow start",
 		inject:      (*runner).addServers,
 	},
 
 	"balancer_crash": {
-		description: "count gateways are killed and started again after the time",
+		description: "count gateways are killed and restart after the duration",
 		inject:      (*runner).crashGateways,
 	},
 	"balancer_roll": {
-		description: "every gateway in turn is stopped by SIGTERM and started again",
+		description: "every gateway in turn is stopped with SIGTERM and restarts",
 		inject:      (*runner).restartGatewaysInTurn,
 	},
 	"balancer_stall": {
@@ -71,63 +70,63 @@
 		inject:      (*runner).suspendGateways,
 	},
 	"kill_storm": {
-		description: "gateways are killed at random moments, count times over the time, and started again at once",
+		description: "gateways are killed count times at random over the duration, and restart at once",
 		inject:      (*runner).killGatewaysAtRandom,
 	},
 	"lost_peers": {
-		description: "a share of size of the gossip between gateways is lost",
+		description: "a fraction of size of the gossip between gateways is lost",
 		inject:      (*runner).dropGossip,
 	},
 
 	"burst": {
-		description: "size times the usual requests",
+		description: "all members together send size times the usual number of requests",
 		inject:      (*runner).multiplyLoad,
 	},
 	"tenant_burst": {
-		description: "count members send size times their usual requests",
+		description: "count members send size times their usual number of requests",
 		inject:      (*runner).multiplyMembersLoad,
 	},
 	"hot_key": {
-		description: "one member sends size times its usual requests",
+		description: "one member sends size times its usual number of requests",
 		inject:      (*runner).multiplyOneMembersLoad,
 	},
 	"hot_caller": {
-		description: "count members use only the first of their gateways",
+		description: "count members send to only the first of their gateways",
 		inject:      (*runner).useFirstGatewayOnly,
 	},
 	"reconnect": {
-		description: "all sessions end and connect again at once",
+		description: "all client sessions end and reconnect at once",
 		inject:      (*runner).reconnectClients,
 	},
 
 	"list_bad": {
-		description: "the endpoint list sends an invalid address, a server twice and an old version",
+		description: "discovery sends an invalid address, a server twice, old versions and a gap",
 		inject:      (*runner).sendInvalidUpdates,
 	},
 	"list_late": {
-		description: "the endpoint list sends changes only after the time",
+		description: "discovery sends changes with a delay of the duration",
 		inject:      (*runner).delayDiscovery,
 	},
 	"list_silent": {
-		description: "the endpoint list sends nothing, its connections stay",
+		description: "discovery sends nothing but keeps its connections open",
 		inject:      (*runner).silenceDiscovery,
 	},
 	"list_stale": {
-		description: "the endpoint list's process is stopped and started again after the time",
+		description: "the discovery server is stopped and restarts after the duration",
 		inject:      (*runner).restartDiscovery,
 	},
 
 	"plan_change": {
-		description: "count members move to the fleet's next plan, and back after the time",
+		description: "count members move to the next plan of the fleet, and back after the duration",
 		inject:      (*runner).changePlans,
 	},
 	"reserve": {
-		description: "size units are reserved for each of count members, half of whose requests use them for the time",
+		description: "count members reserve size units; half of their requests use them for the duration",
 		inject:      (*runner).reserveUnits,
 	},
 
 	"accounting_cut": {
-		description:        "the usage receiver keeps half of the batches and closes the connection without a response",
+		description:        "half of the batches are stored, but their connections close without a response",
 		inject:             (*runner).dropUsageConnections,
 		needsUsageReceiver: true,
 	},
@@ -137,37 +136,37 @@
 		needsUsageReceiver: true,
 	},
 	"accounting_early": {
-		description:        "the usage receiver responds 200 to half of the batches before it reads them, and keeps nothing",
+		description:        "the usage receiver answers 200 to half of the batches unread and loses them",
 		inject:             (*runner).respondEarlyToUsage,
 		needsUsageReceiver: true,
 	},
 	"accounting_kill": {
-		description:        "the usage receiver is killed count times over the time, and started again",
+		description:        "the usage receiver is killed count times over the duration, and restarts",
 		inject:             (*runner).killUsageReceiver,
 		needsUsageReceiver: true,
 	},
 	"accounting_slow": {
-		description:        "the usage receiver takes size seconds for a batch",
+		description:        "the usage receiver takes size seconds to process a batch",
 		inject:             (*runner).slowUsageReceiver,
 		needsUsageReceiver: true,
 	},
 	"accounting_status": {
-		description:        "the usage receiver responds to half of the batches with the status size, and Retry-After",
+		description:        "the usage receiver answers half of the batches with status size and Retry-After",
 		inject:             (*runner).failUsageBatches,
 		needsUsageReceiver: true,
 	},
 
 	"metrics_down": {
-		description: "the metrics receiver responds 503",
+		description: "the metrics receiver answers with status 503",
 		inject:      (*runner).failMetrics,
 	},
 }
 
-// inject plays a fault and returns when it is over.
+// inject injects a fault and returns when it is over.
 func (r *runner) inject(f Fault) {
 	kind := faultKinds[f.Kind]
 	if kind.needsUsageReceiver && r.usageReceiver == nil {
-		r.addError(fmt.Errorf("scenario: %s: the fleet exports no usage", f.Kind))
+		r.addError(fmt.Errorf("scenario: fault %s: the fleet does not export usage", f.Kind))
 		return
 	}
 	kind.inject(r, f)
--- a/internal/scenario/gatewayfaults.go
+++ b/internal/scenario/gatewayfaults.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Faults of gateways and of the gossip between them.
+// This file contains the faults of gateways and of the gossip between them.
 
 func (r *runner) crashGateways(f Fault) {
 	gateways := r.pickGateways(f.Count)
@@ -36,8 +36,8 @@
 	}
 }
 
-// killAtRandom kills a random gateway f.Count times and starts it again at once. Before each kill it waits between
-// half and one and a half of an even part of the time.
+// killGatewaysAtRandom kills a random gateway f.Count times and restarts it at once. Before each kill it
+// waits for a random time between 0.5 and 1.5 times f.Duration / f.Count.
 func (r *runner) killGatewaysAtRandom(f Fault) {
 	r.markGatewayKilled()
 	for range f.Count {
@@ -54,8 +54,9 @@
 	}
 }
 
-// noteGatewayKilled notes that usage may be exported as an estimate in this run: a killed gateway does not learn what
-// its attempts cost.
+// markGatewayKilled records that a gateway is killed in this run. Attempts may then be exported as left
+// behind by an ended incarnation, with estimated units, because a killed gateway does not learn what its
+// attempts cost.
 func (r *runner) markGatewayKilled() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/scenario/gateways.go
+++ b/internal/scenario/gateways.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	gatewayStartTimeout      = 20 * time.Second     // until it accepts connections
-	gatewayStartPollInterval = 5 * time.Millisecond // between two attempts to connect
-	gatewayStopTimeout       = 30 * time.Second     // from SIGTERM until it ends
+	gatewayStartTimeout      = 20 * time.Second     // from the start until the gateway accepts connections
+	gatewayStartPollInterval = 5 * time.Millisecond // between two tries to connect to a starting gateway
+	gatewayStopTimeout       = 30 * time.Second     // from SIGTERM until the process ends
 )
 
-// States of a gateway process in the records.
+// States of a gateway process in records, besides those of signalStates.
 const (
 	processUp   = "up"
 	processExit = "exit"
 )
 
-// signalStates are the states that a signal brings a process to, as the records name them.
+// signalStates maps each signal that a run sends to a gateway to the state in the record of it.
 var signalStates = map[syscall.Signal]string{
 	syscall.SIGCONT: "cont",
 	syscall.SIGKILL: "kill",
@@ -33,15 +33,15 @@
 	syscall.SIGTERM: "term",
 }
 
-// gatewayProcess is the process of a gateway; another replaces it when the gateway is started again.
+// gatewayProcess is a gateway and its current process. A restart replaces the process.
 type gatewayProcess struct {
 	rank         int
-	incarnations int           // processes so far
+	incarnations int           // number of processes started so far
 	cmd          *exec.Cmd     // nil before the first start
 	ended        chan struct{} // closed when the process has ended
 }
 
-// startFleet starts all gateways and waits until they accept connections.
+// startAllGateways starts all gateways and waits until they accept connections.
 func (r *runner) startAllGateways() error {
 	for rank := range r.fleet.Gateways {
 		g := &gatewayProcess{rank: rank}
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// startGateways starts gateways again during a run and waits until they accept connections. What goes wrong fails the
+// startGateways restarts gateways during a run and waits until they accept connections. An error fails the
 // run.
 func (r *runner) startGateways(gateways ...*gatewayProcess) {
 	for _, g := range gateways {
@@ -74,11 +74,13 @@
 	}
 }
 
-// startGateway starts the process of a gateway. It makes a recording of its own and adds to the gateway's log.
+// startGateway starts a process of a gateway. Each process writes its own recording and appends to the
+// gateway's log file.
 func (r *runner) startGateway(g *gatewayProcess) error {
 	g.incarnations++
 	recording := filepath.Join(r.options.Dir, fmt.Sprintf("gateway-%d.%d.tape", g.rank, g.incarnations))
-	cmd := r.options.Command("gateway", "--config", r.configFile, "--rank", fmt.Sprint(g.rank), "--tape", recording)
+	cmd := r.options.Command("gateway", "--config", r.configFile, "--rank", fmt.Sprint(g.rank),
+		"--tape", recording)
 	if r.options.GatewayEnv != nil {
 		cmd.Env = append(os.Environ(), r.options.GatewayEnv(g.rank)...)
 	}
@@ -94,7 +96,8 @@
 	}
 	r.recordProcessState(g, processUp)
 	ended := make(chan struct{})
-	go func() { // ends with the process; tearDown waits for it
+	// This goroutine ends with the process. stopGateway waits for that.
+	go func() {
 		cmd.Wait()
 		logFile.Close()
 		close(ended)
@@ -119,14 +122,17 @@
 		select {
 		case <-g.ended:
 			output, _ := os.ReadFile(r.gatewayLogFile(g))
-			return fmt.Errorf("scenario: gateway %d does not start: %s", g.rank, strings.TrimSpace(string(output)))
+			return fmt.Errorf("scenario: gateway %d ended during its start: %s",
+				g.rank, strings.TrimSpace(string(output)))
 		default:
 		}
 	}
-	return fmt.Errorf("scenario: gateway %d does not accept connections within %v", g.rank, gatewayStartTimeout)
+	return fmt.Errorf("scenario: gateway %d did not accept connections within %v",
+		g.rank, gatewayStartTimeout)
 }
 
-// stopGateway terminates a gateway that runs or is suspended.
+// stopGateway terminates a gateway that is running or suspended. It does nothing if the process has ended or
+// was never started.
 func (r *runner) stopGateway(g *gatewayProcess) {
 	if g.cmd == nil {
 		return
@@ -139,31 +145,34 @@
 	}
 }
 
-// terminate stops a gateway as an operator does. It must end by itself with exit code 0.
+// terminateGateway stops a gateway with SIGTERM, as an operator does. The run fails unless the process ends
+// within gatewayStopTimeout with exit code 0.
 func (r *runner) terminateGateway(g *gatewayProcess) {
 	r.signalGateway(g, syscall.SIGTERM)
 	select {
 	case <-g.ended:
 		if code := g.cmd.ProcessState.ExitCode(); code != 0 {
-			r.addError(fmt.Errorf("scenario: gateway %d ended with exit code %d after SIGTERM", g.rank, code))
+			r.addError(fmt.Errorf("scenario: gateway %d ended with exit code %d after SIGTERM, want 0",
+				g.rank, code))
 		}
 	case <-time.After(gatewayStopTimeout):
-		r.addError(fmt.Errorf("scenario: gateway %d does not end within %v after SIGTERM", g.rank, gatewayStopTimeout))
+		r.addError(fmt.Errorf("scenario: gateway %d did not end within %v after SIGTERM",
+			g.rank, gatewayStopTimeout))
 		g.cmd.Process.Kill()
 		<-g.ended
 	}
 	r.recordProcessState(g, processExit)
 }
 
-// kill ends a gateway at once, as a crash does, and waits until its process has ended.
+// killGateway ends a gateway abruptly with SIGKILL, as a crash does, and waits until its process has ended.
 func (r *runner) killGateway(g *gatewayProcess) {
 	r.signalGateway(g, syscall.SIGKILL)
 	<-g.ended
 }
 
-// signal sends one of the signals in signalStates and records it. The record comes after a continuation and before any
-// other signal: so the time that the records give covers all the time in which the process could not run, and the
-// check does not blame the gateway for it.
+// signalGateway sends one of the signals in signalStates and adds a record of it. The record is added after a
+// SIGCONT but before any other signal. The time between the records then covers all the time in which the
+// process could not run, and the check does not count that time against the gateway.
 func (r *runner) signalGateway(g *gatewayProcess, sig syscall.Signal) {
 	if sig == syscall.SIGCONT {
 		g.cmd.Process.Signal(sig)
@@ -182,7 +191,7 @@
 	return filepath.Join(r.options.Dir, fmt.Sprintf("gateway-%d.log", g.rank))
 }
 
-// pickGateways returns count random gateways; fewer if there are no more.
+// pickGateways returns count randomly chosen gateways, or all if there are fewer.
 func (r *runner) pickGateways(count int) (picked []*gatewayProcess) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/scenario/parse.go
+++ b/internal/scenario/parse.go
@@ -11,7 +11,7 @@
 	"winghatch/internal/config/kdl"
 )
 
-// What a script has if its file says nothing else.
+// Defaults of the settings of a script.
 const (
 	defaultLength     = 10 * time.Second
 	defaultSeed       = 1
@@ -20,13 +20,14 @@
 	defaultRetryDelay = 50 * time.Millisecond
 )
 
-// minLength is the shortest run.
+// minLength is the minimum length of a run.
 const minLength = 100 * time.Millisecond
 
-// kindsOfOneClass are the fault kinds that need a class.
+// kindsRequiringClass holds the kinds of faults that affect one class, which the script must name.
 var kindsRequiringClass = []string{"class_fail", "heavy_tail"}
 
-// Parse reads a script. file is only named in errors, which are of type decode.Errors.
+// Parse parses a script. file is the name that errors contain; no file is read. An error is of type
+// decode.Errors.
 func Parse(file string, src []byte) (*Script, error) {
 	nodes, err := decode.Parse(file, src)
 	if err != nil {
@@ -49,15 +50,16 @@
 	return p.script, p.decoder.Err()
 }
 
-// parser reads a script from the node "day". Its settings keep the names that scripts were first written with.
+// parser parses a script from its node "day". The names of the settings must not change, because existing
+// scripts use them.
 type parser struct {
 	decoder *decode.Decoder
 	script  *Script
-	classes map[string]bool // of the fleet
+	classes map[string]bool // names of the classes of the fleet
 
-	baseName            string // the built-in scenario that fleet, servers and load are taken from
+	baseName            string // built-in scenario that fleet, servers and load come from; "" if none
 	fleetNode, loadNode *kdl.Node
-	serverNodes         []*kdl.Node // of servers
+	serverNodes         []*kdl.Node // nodes of the server groups
 	faultNodes          []*kdl.Node
 }
 
@@ -83,13 +85,14 @@
 	default:
 		p.parseDefinition()
 	}
-	// Faults come last: they name classes of the fleet.
+	// Faults are parsed last, because they refer to classes of the fleet.
 	for _, f := range p.faultNodes {
 		s.Faults = append(s.Faults, p.parseFault(f))
 	}
 }
 
-// parseOwn reads fleet, servers and load of a script that has its own.
+// parseDefinition parses fleet, servers and load of a script that does not take them from a built-in
+// scenario.
 func (p *parser) parseDefinition() {
 	s := p.script
 	s.Fleet = config.Draft(p.decoder, p.fleetNode)
@@ -103,7 +106,7 @@
 	}
 }
 
-// inherit takes fleet, servers and load from a built-in scenario.
+// inheritFromBuiltin takes fleet, servers and load from a built-in scenario.
 func (p *parser) inheritFromBuiltin(n *kdl.Node) {
 	s := p.script
 	src, err := readBuiltin(p.baseName)
@@ -112,7 +115,7 @@
 		return
 	}
 	if p.fleetNode != nil || p.loadNode != nil || len(p.serverNodes) > 0 {
-		p.decoder.Fail(n.Pos, "like", "%q, yet the scenario has a fleet, nodes or load of its own", p.baseName)
+		p.decoder.Fail(n.Pos, "like", "%q, want no fleet, nodes or load of its own beside it", p.baseName)
 		return
 	}
 	base, err := Parse(p.baseName, src)
@@ -163,11 +166,13 @@
 	return group
 }
 
-// count reads the argument of a node that says how many there are.
+// parseCount stores the only argument of a node, a whole number of at least 1, in *to.
 func (p *parser) parseCount(path string, n *kdl.Node, to *int) {
-	isCount := func(v kdl.Value) bool { return v.Kind == kdl.Number && v.Num >= 1 && v.Num == math.Trunc(v.Num) }
+	isCount := func(v kdl.Value) bool {
+		return v.Kind == kdl.Number && v.Num >= 1 && v.Num == math.Trunc(v.Num)
+	}
 	if len(n.Args) != 1 || !isCount(n.Args[0]) {
-		p.decoder.Fail(n.Pos, path, "want how many there are, 1 or more")
+		p.decoder.Fail(n.Pos, path, "want one argument, a whole number of 1 or more")
 		return
 	}
 	*to = int(n.Args[0].Num)
@@ -196,7 +201,7 @@
 		},
 	}, "rate")
 	if math.Abs(shares-1) > 1e-6 {
-		p.decoder.Fail(n.Pos, "load.class.share", "%v in all, want 1", shares)
+		p.decoder.Fail(n.Pos, "load.class.share", "adds up to %v over all classes, want 1", shares)
 	}
 	return load
 }
--- a/internal/scenario/planfaults.go
+++ b/internal/scenario/planfaults.go
@@ -10,17 +10,18 @@
 	"winghatch/internal/testbed/client"
 )
 
-// Changes of members' plans and reservations under load.
+// This file contains the faults that change plans of members and reserve units under load.
 
 const (
-	// reservationLead is how far ahead a reservation begins: gateways must have it before members use it.
+	// reservationLead is the time from the submission of a reservation until it begins. All gateways must
+	// know the reservation before members use it.
 	reservationLead = 500 * time.Millisecond
 
-	submitAttempts   = 20                    // for a change, each at a random gateway
-	submitRetryDelay = 50 * time.Millisecond // between two attempts
+	submitAttempts   = 20                    // maximum number of attempts to submit a change
+	submitRetryDelay = 50 * time.Millisecond // delay between two of these attempts
 )
 
-// changePlans moves members to the fleet's next plan, and back after the time.
+// changePlans moves members to the next plan of the fleet, and back after f.Duration.
 func (r *runner) changePlans(f Fault) {
 	members := r.pickMembers(f.Count)
 	for _, m := range members {
@@ -40,7 +41,7 @@
 	}
 }
 
-// planOf returns the name of the plan that the fleet's settings give a member.
+// planOf returns the name of the plan that a member has in the configuration of the fleet.
 func (r *runner) planOf(member string) string {
 	plan := ""
 	for _, m := range r.fleet.Members {
@@ -51,7 +52,8 @@
 	return plan
 }
 
-// nextPlan returns the name of the plan after this one in the fleet's settings; after the last comes the first.
+// nextPlan returns the name of the plan that follows the given one in the configuration of the fleet. The
+// first plan follows the last.
 func (r *runner) nextPlan(plan string) string {
 	plans := r.fleet.Decide.Plans
 	for i := range plans {
@@ -62,7 +64,8 @@
 	return plan
 }
 
-// reserveUnits reserves f.Size units for each of some members. For the time, half of their requests use them.
+// reserveUnits reserves f.Size units for each of f.Count members. For f.Duration, half of the members'
+// requests use the reservation.
 func (r *runner) reserveUnits(f Fault) {
 	members := r.pickMembers(f.Count)
 	from := time.Now().Add(reservationLead)
@@ -90,17 +93,20 @@
 	r.withClientFault(f, set, func(x *client.Fault) { x.UseReservation = nil })
 }
 
-// submit sends a change to a random gateway, and to another if that does not take it.
+// submit submits a change to a randomly chosen gateway. If that fails, it tries again with another random
+// choice, up to submitAttempts times.
 func (r *runner) submit(c quotaplan.Change) error {
 	var err error
 	for range submitAttempts {
 		g := r.pickGateways(1)[0]
-		if _, err = gateway.SubmitChange(r.fleet.Gateways[g.rank].StateAddress, r.fleet.Secret, c); err == nil {
+		if _, err = gateway.SubmitChange(
+			r.fleet.Gateways[g.rank].StateAddress, r.fleet.Secret, c,
+		); err == nil {
 			return nil
 		}
 		r.sleep(submitRetryDelay)
 	}
-	return fmt.Errorf("scenario: %s: %w", &c, err)
+	return fmt.Errorf("scenario: submit %s: %w", &c, err)
 }
 
 func (r *runner) nextChange() uint64 {
--- a/internal/scenario/receiverfaults.go
+++ b/internal/scenario/receiverfaults.go
@@ -9,17 +9,17 @@
 	"winghatch/internal/testbed/usagereceiver"
 )
 
-// Faults of the receivers of usage and of metrics.
+// This file contains the faults of the receivers of usage and metrics.
 
 const (
-	// faultyBatchShare is the share of batches that a fault of the usage receiver strikes.
+	// faultyBatchShare is the fraction of batches that a fault of the usage receiver affects.
 	faultyBatchShare = 0.5
 
-	// usageReceiverDowntime is how long a killed usage receiver is away.
+	// usageReceiverDowntime is the time until a killed usage receiver restarts.
 	usageReceiverDowntime = 20 * time.Millisecond
 )
 
-// faultOnUsageReceiver sets a fault of the usage receiver and clears it after the time.
+// withUsageReceiverFault sets a fault of the usage receiver and clears it after f.Duration.
 func (r *runner) withUsageReceiverFault(f Fault, set func(*usagereceiver.Fault)) {
 	r.usageReceiver.setFault(set)
 	r.sleep(f.Duration)
@@ -64,8 +64,8 @@
 	}
 }
 
-// killUsageReceiver stops the usage receiver f.Count times and starts it again soon after. Before each stop it waits
-// at most an even part of the time.
+// killUsageReceiver stops the usage receiver f.Count times and restarts it after usageReceiverDowntime.
+// Before each stop it waits for a random time of less than f.Duration / f.Count.
 func (r *runner) killUsageReceiver(f Fault) {
 	for range f.Count {
 		r.sleep(time.Duration(r.randomFloat() * float64(f.Duration) / float64(f.Count)))
@@ -80,7 +80,7 @@
 
 func (r *runner) failMetrics(f Fault) {
 	if r.metrics == nil {
-		r.addError(errors.New("scenario: metrics_down: the fleet exports no metrics"))
+		r.addError(errors.New("scenario: fault metrics_down: the fleet does not export metrics"))
 		return
 	}
 	r.metrics.SetFault(func(x *metricsreceiver.Fault) { x.Status = http.StatusServiceUnavailable })
--- a/internal/scenario/relay.go
+++ b/internal/scenario/relay.go
@@ -7,21 +7,22 @@
 	"sync"
 )
 
-// maxDatagram is the size of the largest datagram that a relay forwards whole, in bytes.
+// maxDatagram is the size of the largest datagram that a relay forwards, in bytes. Larger ones are truncated.
 const maxDatagram = 2048
 
-// lossyRelay forwards datagrams to the gossip socket of a gateway and loses a share of them. Its goroutine ends with
-// close.
+// lossyRelay forwards datagrams to the gossip socket of a gateway and drops a fraction of them. close ends
+// its goroutine.
 type lossyRelay struct {
 	socket net.PacketConn
 	to     net.Addr
-	rng    *rand.Rand // of the goroutine alone
+	rng    *rand.Rand // used only by the goroutine
 
-	mu        sync.Mutex // guards what follows
-	lossShare float64    // share of the datagrams
+	mu        sync.Mutex // guards the field below
+	lossShare float64    // fraction of the datagrams to drop
 }
 
-// newLossyRelay starts a relay to a UDP address, host:port. It loses nothing yet.
+// newLossyRelay starts a relay to a UDP address, given as host:port. It drops nothing until setLoss is
+// called.
 func newLossyRelay(to string, seed uint64) (*lossyRelay, error) {
 	addr, err := net.ResolveUDPAddr("udp", to)
 	if err != nil {
@@ -53,7 +54,7 @@
 			return
 		}
 		if err != nil {
-			continue // such as a refusal by a gateway that does not run
+			continue // for example, the port of a gateway that is not running was unreachable
 		}
 		if !r.drops() {
 			r.socket.WriteTo(buf[:n], r.to)
@@ -61,7 +62,8 @@
 	}
 }
 
-// loses decides whether the next datagram is lost. It draws one random number for each datagram, also without loss.
+// drops reports whether to drop the next datagram. It consumes one random number for each datagram, even if
+// nothing is dropped.
 func (r *lossyRelay) drops() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/scenario/result.go
+++ b/internal/scenario/result.go
@@ -7,28 +7,29 @@
 	"winghatch/internal/testbed/client"
 )
 
-// Result is what a run measured.
+// Result is the result of a run.
 type Result struct {
 	Stats      client.Stats
 	Verdict    *invariant.Verdict
-	Attempts   int      // that servers received
-	Recordings []string // files, one for each gateway process
+	Attempts   int      // number of attempts that servers received
+	Recordings []string // paths of the recordings, one for each gateway process
+
+	// The fields below are zero if the fleet does not export usage.
 
-	// Of fleets that export usage; zero for others.
 	Usage           *invariant.UsageResult
-	DuplicateEvents int // events that the usage receiver had received before
-	Kills           int // of gateways, by the fault kill_storm
+	DuplicateEvents int // number of events that the usage receiver had received before
+	Kills           int // number of gateways killed by the fault kill_storm
 	Reservations    []ReservationUse
 }
 
-// ReservationUse is a reservation of a run and what was used of it.
+// ReservationUse is a reservation of a run and its use.
 type ReservationUse struct {
 	Member string
-	Units  float64 // reserved
-	Used   float64 // units, by the events that the usage receiver kept
+	Units  float64 // reserved units
+	Used   float64 // used units, according to the events that the usage receiver stored
 }
 
-// result checks the records of a run that is over.
+// result checks the records of a finished run.
 func (r *runner) result() (*Result, error) {
 	records := r.log.Records()
 	res := &Result{
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -20,65 +20,68 @@
 	"winghatch/internal/testbed/ports"
 )
 
-// Files of a run in Options.Dir. Verify reads the first two.
+// Files of a run in Options.Dir. Verify reads fleetFile and trafficFile.
 const (
-	fleetFile    = "fleet.kdl"        // the fleet's settings, with addresses, keys and secret
-	trafficFile  = "traffic.jsonl"    // the records of the traffic, see package invariant
-	usageFile    = "accounting.jsonl" // the events that the usage receiver kept
-	seriesFile   = "series.jsonl"     // the series that the metrics receiver kept
-	drainLogFile = "drain.log"        // the log of the delivery of usage events after the run
+	fleetFile    = "fleet.kdl"        // configuration of the fleet, with addresses, keys and secret
+	trafficFile  = "traffic.jsonl"    // traffic records, see package invariant
+	usageFile    = "accounting.jsonl" // events stored by the usage receiver
+	seriesFile   = "series.jsonl"     // time series stored by the metrics receiver
+	drainLogFile = "drain.log"        // log of the delivery of usage events after the run
 )
 
-// Options say how a scenario is run.
+// Options configure a run.
 type Options struct {
-	Seed int    // of the random draws; 0: the script's
-	Dir  string // an existing folder for settings, records, recordings and logs
+	Seed int    // seed of the random choices; 0 means the seed of the script
+	Dir  string // an existing folder for configuration, records, recordings and logs
 
-	// Command returns the command that runs the gateway program with these arguments: "gateway" and its flags.
+	// Command returns the command that runs the gateway program with the given arguments: "gateway" and its
+	// flags.
 	Command func(args ...string) *exec.Cmd
 
-	Logf func(format string, args ...any) // reports the beginning and the end of each fault; may be nil
+	// Logf reports the start and the end of each fault. If nil, nothing is reported.
+	Logf func(format string, args ...any)
 
-	// GatewayEnv returns what is added to the environment of the gateway of this rank. Tests break a gateway by it.
-	// May be nil.
+	// GatewayEnv returns variables, as "key=value", to add to the environment of the gateway with the given
+	// rank. If nil, no variables are added. Tests use it to start defective gateways.
 	GatewayEnv func(rank int) (env []string)
 }
 
-// runner is a run of a scenario. Run's goroutine owns it; each fault has a goroutine of its own, which ends before
-// tearDown.
+// runner is a run of a scenario. It belongs to the goroutine of Run. Each fault is injected in a goroutine of
+// its own, which ends before tearDown.
 type runner struct {
 	script  *Script
 	options Options
-	ctx     context.Context // when it is cancelled, no fault waits any longer and none begins
-	log     *invariant.Log
+	// ctx ends the run early: when it is cancelled, faults stop waiting and no further fault starts.
+	ctx context.Context
+	log *invariant.Log
 
-	// What setUp makes and nothing replaces.
-	fleet         *config.Fleet // the script's with addresses, keys and secret
+	// setUp sets the fields of this group. They do not change afterwards.
+	fleet         *config.Fleet // the fleet of the script with addresses, keys and secret
 	configFile    string
 	discoveryAddr string // host:port
 	gateways      []*gatewayProcess
 	relays        []*lossyRelay
-	usageMeter    *backend.UsageMeter // nil: servers do not report usage
+	usageMeter    *backend.UsageMeter // nil if servers do not report usage
 	client        *client.Client
-	usageReceiver *usageReceiverSlot        // nil: the fleet exports no usage
-	metrics       *metricsreceiver.Receiver // nil: the fleet exports no metrics
+	usageReceiver *usageReceiverSlot        // nil if the fleet does not export usage
+	metrics       *metricsreceiver.Receiver // nil if the fleet does not export metrics
 
-	mu            sync.Mutex // guards what follows while faults are under way
+	mu            sync.Mutex // guards the fields below while faults run
 	ports         ports.Reservation
 	rng           *rand.Rand
 	discovery     *discovery.Server
 	servers       []*serverSlot
-	dedupStores   map[string]*backend.DedupStore // by the group of servers that shares one
-	recordings    []string                       // files
-	gatewayKilled bool                           // by SIGKILL
-	kills         int                            // of the fault kill_storm
+	dedupStores   map[string]*backend.DedupStore // by name of the group of servers that share a store
+	recordings    []string                       // paths of the recordings, one for each gateway process
+	gatewayKilled bool                           // whether any gateway was ended by SIGKILL
+	kills         int                            // number of kills by the fault kill_storm
 	lastChange    uint64                         // number of the last plan change
 	reservations  []ReservationUse
 	errs          []error
 }
 
-// Run runs a scenario and checks the traffic against the invariants. It returns an error if the scenario could not be
-// run; a broken invariant is no error but in the result.
+// Run runs a scenario and checks its traffic against the invariants. It returns an error only if the scenario
+// could not be run; violated invariants are reported in the result.
 func Run(ctx context.Context, s *Script, o Options) (*Result, error) {
 	if o.Seed == 0 {
 		o.Seed = s.Seed
@@ -122,8 +125,8 @@
 	}
 }
 
-// play sends the client load for the script's length and injects each fault at its time. It returns when the last
-// fault is over.
+// runLoadAndFaults sends the client load for the length of the script and injects each fault at its time. It
+// returns when the last fault is over.
 func (r *runner) runLoadAndFaults() {
 	ctx, stop := context.WithTimeout(r.ctx, r.script.Length)
 	defer stop()
@@ -143,8 +146,8 @@
 	faults.Wait()
 }
 
-// tearDown stops what setUp started, but the receivers: gateways deliver to them until they end, and the result reads
-// them afterwards.
+// tearDown stops everything that setUp started except the receivers: gateways deliver to them until they end,
+// and result reads them afterwards.
 func (r *runner) tearDown() {
 	defer r.ports.Release()
 	if r.client != nil {
@@ -166,7 +169,7 @@
 	}
 }
 
-// sleep waits for d and returns whether the run goes on: false if it is cancelled.
+// sleep waits for d or until the run is cancelled. It returns false if the run is cancelled.
 func (r *runner) sleep(d time.Duration) bool {
 	if d <= 0 {
 		return r.ctx.Err() == nil
@@ -179,14 +182,14 @@
 	}
 }
 
-// draw returns a random number in [0, 1).
+// randomFloat returns a random number in [0, 1).
 func (r *runner) randomFloat() float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.rng.Float64()
 }
 
-// fail notes an error that makes the run worthless; the run goes on to its end.
+// addError adds an error for Run to return. The run continues to its end, but it has no result.
 func (r *runner) addError(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/scenario/serverfaults.go
+++ b/internal/scenario/serverfaults.go
@@ -7,19 +7,20 @@
 	"winghatch/internal/testbed/backend"
 )
 
-// Faults of servers.
+// This file contains the faults of servers.
 
 const (
-	allServers = math.MaxInt32 // as a fault's count
+	allServers = math.MaxInt32 // count of a fault that affects all servers
 
-	slowdownSteps  = 20   // in which ageing servers grow slower
-	heavyTailShare = 0.02 // of calls in the fault heavy_tail
+	slowdownSteps  = 20   // number of steps in which the fault ageing slows servers down
+	heavyTailShare = 0.02 // fraction of requests that the fault heavy_tail affects
 
-	// drainedPause is how long, beyond the discovery server's delay, drained servers stay away before they start again.
+	// restartDelay is the time from the removal of a drained server from the endpoint list until its restart,
+	// in addition to the delay of the discovery server.
 	restartDelay = 200 * time.Millisecond
 )
 
-// faultOnServers sets a fault of f.Count servers and clears it after the time.
+// withServerFault sets a fault of f.Count servers and clears it after f.Duration.
 func (r *runner) withServerFault(f Fault, set, clearFault func(*backend.Fault)) {
 	slots := r.acquireServers(f.Count)
 	setServerFault(slots, set)
@@ -91,7 +92,8 @@
 	r.releaseServers(slots)
 }
 
-// drainServers publishes that servers drain, leaves them the time to finish, stops them and starts them again.
+// drainServers publishes servers as draining, gives them f.Duration to finish their requests, stops them and
+// starts them again.
 func (r *runner) drainServers(f Fault) {
 	slots := r.acquireServers(f.Count)
 	r.currentDiscovery().Update(endpointsWithState(endpointDraining, slots)...)
@@ -104,7 +106,8 @@
 	r.restartServers(slots)
 }
 
-// silenceServers lets servers hang and then crash, which the endpoint list never mentions, and starts them again.
+// hangServers makes servers stop responding for f.Duration, stops them and starts them again. The endpoint
+// list reports neither the hang nor the stop.
 func (r *runner) hangServers(f Fault) {
 	slots := r.acquireServers(f.Count)
 	setServerFault(slots, func(x *backend.Fault) { x.Unresponsive = true })
@@ -115,7 +118,7 @@
 	r.restartServers(slots)
 }
 
-// addServers starts more servers of the script's first group.
+// addServers starts f.Count more servers like those of the script's first group.
 func (r *runner) addServers(f Fault) {
 	var slots []*serverSlot
 	for range f.Count {
--- a/internal/scenario/servers.go
+++ b/internal/scenario/servers.go
@@ -16,16 +16,17 @@
 	endpointGone     = "gone"
 )
 
-// serverSlot is a server's address and options; the server there is replaced when a fault restarts it. setUp and
-// tearDown use all slots, in between only the fault that took a slot uses its server.
+// serverSlot holds the address and the options of a server, and the server itself, which a fault may replace
+// by a restart. setUp and tearDown use all slots; in between, a server is used only by the fault that
+// acquired its slot.
 type serverSlot struct {
 	options backend.Options
 	server  *backend.Server
-	inUse   bool // by a fault; runner.mu guards it
+	inUse   bool // whether a fault has acquired the slot; guarded by runner.mu
 }
 
-// endpoint returns the entry of the endpoint list for the slot. started is the zero time for a server without slow
-// start.
+// endpoint returns the entry of the endpoint list for the slot. started is the start time of a server in slow
+// start and the zero time for any other server.
 func (s *serverSlot) endpoint(state string, started time.Time) discoveryws.Endpoint {
 	e := discoveryws.Endpoint{
 		Address: s.options.Address,
@@ -39,7 +40,8 @@
 	return e
 }
 
-// endpointsIn returns the entries of the endpoint list for slots without a server in slow start.
+// endpointsWithState returns the entries of the endpoint list, all with the given state, for slots whose
+// servers are not in slow start.
 func endpointsWithState(state string, slots []*serverSlot) (endpoints []discoveryws.Endpoint) {
 	for _, s := range slots {
 		endpoints = append(endpoints, s.endpoint(state, time.Time{}))
@@ -47,7 +49,7 @@
 	return endpoints
 }
 
-// newServerSlot returns a slot with an address of its own. No server is started.
+// newServerSlot returns a slot with a new address. It does not start a server.
 func (r *runner) newServerSlot(group ServerGroup) (*serverSlot, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,8 +84,9 @@
 	return classes
 }
 
-// dedupStore returns the store of idempotency keys of a server. All servers share one, or those of a zone or a cell if
-// a class says so. The caller holds the lock.
+// dedupStore returns the store of idempotency keys for a server of the group. All servers of the fleet share
+// one store, or those of a zone or a cell if that is the deduplication scope of a class. The caller must hold
+// r.mu.
 func (r *runner) dedupStore(group ServerGroup) *backend.DedupStore {
 	name := "all"
 	for _, class := range r.fleet.Decide.Classes {
@@ -103,17 +106,18 @@
 	return r.dedupStores[name]
 }
 
-// takeServers takes count random servers that no other fault has; fewer if there are no more.
-func (r *runner) acquireServers(count int) (taken []*serverSlot) {
+// acquireServers acquires count randomly chosen servers that no other fault uses, or all such servers if
+// there are fewer.
+func (r *runner) acquireServers(count int) (acquired []*serverSlot) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, i := range r.rng.Perm(len(r.servers)) {
-		if s := r.servers[i]; !s.inUse && len(taken) < count {
+		if s := r.servers[i]; !s.inUse && len(acquired) < count {
 			s.inUse = true
-			taken = append(taken, s)
+			acquired = append(acquired, s)
 		}
 	}
-	return taken
+	return acquired
 }
 
 func (r *runner) releaseServers(slots []*serverSlot) {
@@ -124,7 +128,8 @@
 	}
 }
 
-// restartServers starts servers in slow start at the addresses of the slots, publishes them and releases the slots.
+// restartServers starts servers in slow start at the addresses of the slots, publishes them in the endpoint
+// list and releases the slots.
 func (r *runner) restartServers(slots []*serverSlot) {
 	var endpoints []discoveryws.Endpoint
 	for _, s := range slots {
@@ -140,7 +145,7 @@
 	r.releaseServers(slots)
 }
 
-// withSlowStart returns the options of a server that begins with the slow start of the fleet's settings.
+// withSlowStart returns o with the slow start settings of the fleet's configuration.
 func (r *runner) withSlowStart(o backend.Options) backend.Options {
 	safety := r.fleet.Decide.Safety
 	o.InitialCapacity = safety.SlowStartCapacity
--- a/internal/scenario/setup.go
+++ b/internal/scenario/setup.go
@@ -13,11 +13,12 @@
 	"winghatch/internal/testbed/discovery"
 )
 
-// discoveryPollInterval is how often setUp looks whether the discovery server has published the first endpoints.
+// discoveryPollInterval is the interval at which startServers checks whether the discovery server has
+// published the first endpoints.
 const discoveryPollInterval = time.Millisecond
 
-// setUp starts discovery, receivers, servers and gateways and makes the client. After an error tearDown stops what was
-// started.
+// setUp starts the discovery server, the receivers, the servers and the gateways, and creates the client. If
+// it fails, tearDown and stopReceivers stop whatever was started.
 func (r *runner) setUp() error {
 	r.copyFleet()
 	if err := r.startDiscovery(); err != nil {
@@ -53,7 +54,7 @@
 	return nil
 }
 
-// copyFleet copies the script's fleet as far as a run changes it, so that a script can be run again.
+// copyFleet copies the parts of the script's fleet that a run changes, so that the script can be run again.
 func (r *runner) copyFleet() {
 	f := *r.script.Fleet
 	f.Secret = credentials.NewSecret()
@@ -74,8 +75,8 @@
 	return nil
 }
 
-// assignGatewayAddresses gives each gateway its addresses and returns those for clients, by rank. Gossip goes through
-// a relay that can lose datagrams.
+// assignGatewayAddresses assigns addresses to each gateway and returns those for clients, indexed by rank.
+// Gossip passes through a relay that can drop datagrams.
 func (r *runner) assignGatewayAddresses() (addrs []string, err error) {
 	for i := range r.fleet.Gateways {
 		g := &r.fleet.Gateways[i]
@@ -102,7 +103,8 @@
 	return addrs, nil
 }
 
-// assignMemberKeys makes a key for each member; the fleet's settings hold its digest, the client the key itself.
+// assignMemberKeys creates a key for each member. The configuration of the fleet gets the digest of the key,
+// the returned client members get the key itself.
 func (r *runner) assignMemberKeys() (members []client.Member) {
 	for i := range r.fleet.Members {
 		m := &r.fleet.Members[i]
@@ -118,7 +120,8 @@
 	return members
 }
 
-// writeConfig writes the fleet's settings and reads them as a gateway will.
+// writeConfig writes the configuration of the fleet. It also loads it as a gateway does, to report errors
+// early.
 func (r *runner) writeConfig() error {
 	r.configFile = filepath.Join(r.options.Dir, fleetFile)
 	if err := os.WriteFile(r.configFile, config.Format(r.fleet), 0o600); err != nil {
@@ -154,7 +157,7 @@
 	return nil
 }
 
-// memberRates returns the rate of each member's plan in units a second.
+// memberRates returns the rate of each member's plan in units per second, by name of the member.
 func (r *runner) memberRates() map[string]float64 {
 	rates := map[string]float64{}
 	for _, m := range r.fleet.Members {
@@ -167,7 +170,8 @@
 	return rates
 }
 
-// clientClasses returns the classes of the client load with what the fleet's settings say of them.
+// clientClasses returns the classes of the client load, with their settings from the configuration of the
+// fleet.
 func (r *runner) clientClasses() (classes []client.Class) {
 	for _, load := range r.script.Load.Classes {
 		for _, class := range r.fleet.Decide.Classes {
--- a/internal/scenario/usage.go
+++ b/internal/scenario/usage.go
@@ -19,24 +19,26 @@
 )
 
 const (
-	// drainTimeout bounds the delivery of what the gateways' outboxes hold after the run.
+	// drainTimeout limits the time to deliver the events that are left in the outboxes of the gateways after
+	// a run.
 	drainTimeout = time.Minute
 
-	// overrunRequests says by how much more than the reserved units a member may use: by this many requests of the
-	// largest size. A request's cost is known only when it ends, so those in progress when the reservation is used up
-	// can exceed it.
+	// overrunRequests is the number of requests of maximum cost by which a member may exceed its reservation.
+	// The cost of a request is known only at its end, so the requests in flight when the reservation is used
+	// up can exceed it.
 	overrunRequests = 8
 )
 
-// usageReceiverSlot is the address and the file of the usage receiver. Faults stop it and start another there, which
-// has the events of those before it. It is safe for concurrent use.
+// usageReceiverSlot holds the address and the file of the usage receiver, and the receiver itself. Faults
+// stop the receiver and start another one with the same address and file, which continues with the events in
+// the file. It is safe for concurrent use.
 type usageReceiverSlot struct {
 	addr string // host:port
-	file string
+	file string // path of the file with the events
 
-	mu         sync.Mutex
-	receiver   *usagereceiver.Receiver // nil while it is stopped
-	duplicates int                     // events that receivers now stopped had received before
+	mu         sync.Mutex              // guards the fields below
+	receiver   *usagereceiver.Receiver // nil while stopped
+	duplicates int                     // duplicate events that the stopped receivers received
 }
 
 func (s *usageReceiverSlot) start() (err error) {
@@ -65,7 +67,7 @@
 	}
 }
 
-// startReceivers starts the receivers of what the fleet exports: metrics, usage, both or none.
+// startReceivers starts a receiver for metrics and one for usage, each only if the fleet exports them.
 func (r *runner) startReceivers() error {
 	r.fleet.StateDirPattern = filepath.Join(r.options.Dir, "kept-%d")
 	if r.fleet.Metrics.Enabled {
@@ -93,7 +95,7 @@
 	return nil
 }
 
-// stopReceivers stops the receivers that still run.
+// stopReceivers stops the receivers that are still running.
 func (r *runner) stopReceivers() {
 	if r.usageReceiver != nil {
 		r.usageReceiver.stop()
@@ -103,7 +105,7 @@
 	}
 }
 
-// saveSeries writes the series that the metrics receiver kept to seriesFile.
+// saveSeries writes the time series that the metrics receiver stored to seriesFile.
 func (r *runner) saveSeries() error {
 	if r.metrics == nil {
 		return nil
@@ -115,8 +117,9 @@
 	return errors.Join(r.metrics.WriteSeries(f, "winghatch_"), f.Close())
 }
 
-// checkUsage delivers what the outboxes of the gateways still hold, checks the events of the usage receiver against the
-// records and adds the findings to the result.
+// checkUsage delivers the events that are left in the outboxes of the gateways, checks the events of the
+// usage receiver against the records and adds the findings to the result. It does nothing if the fleet
+// exports no usage.
 func (r *runner) checkUsage(records []invariant.Record, res *Result) error {
 	if r.usageReceiver == nil {
 		return nil
@@ -137,18 +140,21 @@
 		reservation := &res.Reservations[i]
 		reservation.Used += reservedUnits(events, reservation.Member)
 		if bound := reservation.Units + r.fleet.Decide.MaxUnits*overrunRequests; reservation.Used > bound {
-			usage.Violations = append(usage.Violations, fmt.Sprintf("reserved: %s used %v of %v, the bound is %v",
-				reservation.Member, reservation.Used, reservation.Units, bound))
+			usage.Violations = append(usage.Violations,
+				fmt.Sprintf("reserved: member %s used %v of %v reserved units, want at most %v",
+					reservation.Member, reservation.Used, reservation.Units, bound))
 		}
 	}
 	return nil
 }
 
-// drainOutboxes delivers what the outboxes of the gateways, all stopped, still hold.
+// drainOutboxes delivers the events that are left in the outboxes of the gateways. All gateways must have
+// ended.
 func (r *runner) drainOutboxes() error {
 	ctx, stop := context.WithTimeout(r.ctx, drainTimeout)
 	defer stop()
-	logFile, err := os.OpenFile(filepath.Join(r.options.Dir, drainLogFile), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+	logFile, err := os.OpenFile(filepath.Join(r.options.Dir, drainLogFile),
+		os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
@@ -156,13 +162,13 @@
 	log := slog.New(slog.NewTextHandler(logFile, nil))
 	for rank := range r.fleet.Gateways {
 		if _, err := gateway.DrainOutbox(ctx, r.fleet, rank, log); err != nil {
-			return fmt.Errorf("scenario: deliver the usage events of gateway %d: %w", rank, err)
+			return fmt.Errorf("scenario: deliver the remaining usage events of gateway %d: %w", rank, err)
 		}
 	}
 	return nil
 }
 
-// reservedUnits returns how many reserved units a member used by the events.
+// reservedUnits returns the number of reserved units that a member used, according to the events.
 func reservedUnits(events []usagereceiver.Event, member string) float64 {
 	units := 0.0
 	for _, e := range events {
--- a/internal/scenario/verify.go
+++ b/internal/scenario/verify.go
@@ -10,8 +10,8 @@
 	"winghatch/internal/invariant"
 )
 
-// Verify checks the records that a run left in a folder against the invariants again. Records that were cut off are
-// checked up to the last whole one.
+// Verify checks the records that an earlier run wrote to a folder against the invariants. If the file of
+// records is truncated, it checks the complete records.
 func Verify(dir string) (*invariant.Verdict, error) {
 	fleet, err := config.Load(filepath.Join(dir, fleetFile))
 	if err != nil {
