--- a/internal/scenario/breach_test.go
+++ b/internal/scenario/breach_test.go
@@ -9,44 +9,49 @@
 	"winghatch/internal/gateway"
 )
 
-// breach is a way in which a gateway is made to break a rule.
+// gatewayDefect is a defect with which a gateway violates a rule.
 type gatewayDefect struct {
-	settings func(*config.Fleet)   // changes what the gateway reads; may be nil
-	tamper   func() gateway.Tamper // changes what its loop does; may be nil
+	settings func(*config.Fleet)   // changes the configuration after the gateway has read it; may be nil
+	tamper   func() gateway.Tamper // returns hooks that change events, actions or responses; may be nil
 }
 
-// breaches are named by the cases of TestPlantedBreaches. The gateway "" is not broken.
+// gatewayDefects holds the defects by the names of the cases of TestCheckDetectsDefectiveGateways. A gateway
+// with the name "" has no defect.
 var gatewayDefects = map[string]gatewayDefect{
 	"": {},
 
-	// Rule 1: every request has exactly one answer, in time.
-	"no answer":    {tamper: noAnswer},
-	"two answers":  {tamper: twoAnswers},
-	"late answers": {tamper: lateAnswers},
-	"long waits":   {tamper: longRetryAfter},
+	// Rule 1: each client call gets exactly one final answer, in time.
+	"no answer":        {tamper: noAnswer},
+	"two answers":      {tamper: twoAnswers},
+	"late answers":     {tamper: lateAnswers},
+	"long Retry-After": {tamper: longRetryAfter},
 
 	// Rule 2: no request takes effect twice.
-	"unsafe again":     {tamper: retryUnsafe},
-	"two at once":      {tamper: sendTwice},
-	"refuses what ran": {tamper: rejectFailed},
+	"unsafe class retried":      {tamper: retryUnsafe},
+	"two attempts at once":      {tamper: sendTwice},
+	"executed request rejected": {tamper: rejectFailed},
 
-	// Rule 3: a draining server receives nothing new.
-	"deaf to drains":      {tamper: ignoreUpdates},
-	"sends to who drains": {tamper: sendToDraining},
+	// Rule 3: a draining server gets no new attempts.
+	"endpoint changes ignored":         {tamper: ignoreUpdates},
+	"requests sent to draining server": {tamper: sendToDraining},
 
 	// Rule 4: a server in slow start is not overloaded.
-	"all to the cold":  {tamper: func() gateway.Tamper { return sendToSlowStart(never) }},
-	"most to the cold": {tamper: func() gateway.Tamper { return sendToSlowStart(everyNth(3)) }},
+	"all requests sent to server in slow start": {tamper: func() gateway.Tamper {
+		return sendToSlowStart(never)
+	}},
+	"most requests sent to server in slow start": {tamper: func() gateway.Tamper {
+		return sendToSlowStart(everyNth(3))
+	}},
 
-	// Rule 5: the ceilings of the plans are kept.
-	"no ceiling":    {settings: removeCeilings},
-	"over the mark": {tamper: sendOverQuota},
+	// Rule 5: the units forwarded for a customer stay within its ceiling.
+	"ceilings removed":         {settings: removeCeilings},
+	"quota rejections ignored": {tamper: sendOverQuota},
 }
 
-// observer holds what a gateway's core was told.
+// observer collects the servers and requests in the events of a gateway's core.
 type observer struct {
-	servers  []string // IDs, in the order in which they were first listed
-	requests map[string]decide.Request
+	servers  []string                  // IDs, in the order of their first appearance in the endpoint list
+	requests map[string]decide.Request // by ID
 }
 
 func (o *observer) observe(ev decide.Event) {
@@ -71,7 +76,8 @@
 	return false
 }
 
-// otherServer returns the first server that is not this one; this one if there is no other.
+// otherServer returns the first server whose ID is not the given one, or the given ID if there is no other
+// server.
 func (o *observer) otherServer(id string) string {
 	for _, s := range o.servers {
 		if s != id {
@@ -81,8 +87,11 @@
 	return id
 }
 
-// replaceActions passes each action of the core, with the event that caused it, to replace.
-func replaceActions(replace func(o *observer, ev decide.Event, a decide.Action) []decide.Action) gateway.Tamper {
+// replaceActions returns a hook that replaces each action of the core by the result of replace, which gets
+// the action and the event that caused it.
+func replaceActions(
+	replace func(o *observer, ev decide.Event, a decide.Action) []decide.Action,
+) gateway.Tamper {
 	o := &observer{requests: map[string]decide.Request{}}
 	return gateway.Tamper{Actions: func(ev decide.Event, actions []decide.Action) (out []decide.Action) {
 		o.observe(ev)
@@ -93,7 +102,7 @@
 	}}
 }
 
-// onListedServer calls f for each server of each endpoint update.
+// onListedServer returns a hook that calls f for each server of each endpoint update and changes no event.
 func onListedServer(f func(decide.Server)) func(decide.Event) decide.Event {
 	return func(ev decide.Event) decide.Event {
 		if e, ok := ev.(decide.EndpointUpdate); ok {
@@ -105,7 +114,7 @@
 	}
 }
 
-// everyNth returns a function that is true at each nth call.
+// everyNth returns a function that returns true at every nth call.
 func everyNth(n int) func() bool {
 	calls := 0
 	return func() bool {
@@ -118,42 +127,43 @@
 
 func noAnswer() gateway.Tamper {
 	drop := everyNth(20)
-	return gateway.Tamper{Response: func(f frontend.Response, done func(frontend.Response)) {
+	return gateway.Tamper{Response: func(response frontend.Response, done func(frontend.Response)) {
 		if !drop() {
-			done(f)
+			done(response)
 		}
 	}}
 }
 
 func twoAnswers() gateway.Tamper {
 	again := everyNth(20)
-	return gateway.Tamper{Response: func(f frontend.Response, done func(frontend.Response)) {
-		done(f)
+	return gateway.Tamper{Response: func(response frontend.Response, done func(frontend.Response)) {
+		done(response)
 		if again() {
-			done(f)
+			done(response)
 		}
 	}}
 }
 
 func lateAnswers() gateway.Tamper {
 	late := everyNth(20)
-	return gateway.Tamper{Response: func(f frontend.Response, done func(frontend.Response)) {
+	return gateway.Tamper{Response: func(response frontend.Response, done func(frontend.Response)) {
 		if late() {
-			time.AfterFunc(6*time.Second, func() { done(f) })
+			time.AfterFunc(6*time.Second, func() { done(response) })
 			return
 		}
-		done(f)
+		done(response)
 	}}
 }
 
 func longRetryAfter() gateway.Tamper {
-	return gateway.Tamper{Response: func(f frontend.Response, done func(frontend.Response)) {
-		f.RetryAfter = time.Minute
-		done(f)
+	return gateway.Tamper{Response: func(response frontend.Response, done func(frontend.Response)) {
+		response.RetryAfter = time.Minute
+		done(response)
 	}}
 }
 
-// retryUnsafe sends a request that is not idempotent to another server after an attempt that may have run.
+// retryUnsafe sends a request that is not idempotent to another server after an attempt that may have been
+// executed.
 func retryUnsafe() gateway.Tamper {
 	return replaceActions(func(o *observer, ev decide.Event, a decide.Action) []decide.Action {
 		if f, ok := a.(decide.Fail); ok {
@@ -169,13 +179,16 @@
 func sendTwice() gateway.Tamper {
 	return replaceActions(func(o *observer, _ decide.Event, a decide.Action) []decide.Action {
 		if s, ok := a.(decide.Send); ok && o.requests[s.ID].Class == "order-lookup" {
-			return []decide.Action{a, decide.Send{ID: s.ID, Server: o.otherServer(s.Server), Timeout: s.Timeout}}
+			return []decide.Action{
+				a,
+				decide.Send{ID: s.ID, Server: o.otherServer(s.Server), Timeout: s.Timeout},
+			}
 		}
 		return []decide.Action{a}
 	})
 }
 
-// rejectFailed answers a request that may have run as if it had not.
+// rejectFailed answers a failed request as rejected, although it may have been executed.
 func rejectFailed() gateway.Tamper {
 	return replaceActions(func(_ *observer, _ decide.Event, a decide.Action) []decide.Action {
 		if f, ok := a.(decide.Fail); ok {
@@ -185,7 +198,7 @@
 	})
 }
 
-// ignoreUpdates keeps all changes of the endpoint list from the core.
+// ignoreUpdates drops all changes of the endpoint list after the first full list.
 func ignoreUpdates() gateway.Tamper {
 	return gateway.Tamper{Event: func(ev decide.Event) decide.Event {
 		if e, ok := ev.(decide.EndpointUpdate); ok && e.Kind == decide.DeltaUpdate {
@@ -195,7 +208,7 @@
 	}}
 }
 
-// sendToDraining sends some requests to the server that drains.
+// sendToDraining sends every fifth attempt to the draining server.
 func sendToDraining() gateway.Tamper {
 	draining := ""
 	redirect := everyNth(5)
@@ -214,7 +227,8 @@
 	return t
 }
 
-// sendToSlowStart sends all requests, but those that are spared, to the server that started last.
+// sendToSlowStart sends all attempts to the server that was started last, except those for which spare
+// returns true.
 func sendToSlowStart(spare func() bool) gateway.Tamper {
 	started := ""
 	t := replaceActions(func(_ *observer, _ decide.Event, a decide.Action) []decide.Action {
@@ -232,7 +246,7 @@
 	return t
 }
 
-// removeCeilings gives every plan a rate that no member reaches, and no ceiling.
+// removeCeilings removes the ceiling of every plan and sets a rate that no member reaches.
 func removeCeilings(f *config.Fleet) {
 	for i := range f.Decide.Plans {
 		p := &f.Decide.Plans[i]
@@ -243,7 +257,7 @@
 	}
 }
 
-// sendOverQuota sends requests that the core rejected for a quota or a ceiling.
+// sendOverQuota sends the requests that the core rejects because of a quota or a ceiling.
 func sendOverQuota() gateway.Tamper {
 	return replaceActions(func(o *observer, _ decide.Event, a decide.Action) []decide.Action {
 		r, ok := a.(decide.Reject)
--- a/internal/scenario/main_test.go
+++ b/internal/scenario/main_test.go
@@ -13,10 +13,11 @@
 	"winghatch/internal/gateway"
 )
 
-// breachEnv names, in the environment of a gateway process, the entry of breaches that the gateway is broken by.
+// defectEnv is the environment variable that selects the entry of gatewayDefects for a gateway process.
 const defectEnv = "BREAK"
 
-// TestMain is also the gateway program: a run starts this binary as its gateways, which may be broken.
+// TestMain also serves as the gateway program: a run starts the test binary as its gateways, with or without
+// a defect.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "gateway" {
 		if err := runGateway(os.Args[2:], os.Getenv(defectEnv)); err != nil {
@@ -25,17 +26,19 @@
 		}
 		os.Exit(0)
 	}
-	// Runs mostly wait: six at once, whatever the machine has, keep two cores busy and the tests short.
+	// Runs spend most of their time waiting. Six parallel runs, independent of the number of cores of the
+	// machine, keep two cores busy and the tests short.
 	flag.Parse()
 	flag.Set("test.parallel", "6")
 	os.Exit(m.Run())
 }
 
-// runGateway runs a gateway until SIGTERM. args are --config FILE --rank N --tape FILE.
-func runGateway(args []string, defect string) error {
-	b, ok := gatewayDefects[defect]
+// runGateway runs a gateway with the named defect until SIGTERM.
+// args must be --config FILE --rank N --tape FILE.
+func runGateway(args []string, defectName string) error {
+	defect, ok := gatewayDefects[defectName]
 	if !ok {
-		return fmt.Errorf("%s: no such breach", defect)
+		return fmt.Errorf("defect %q is not one of gatewayDefects", defectName)
 	}
 	f, err := config.Load(args[1])
 	if err != nil {
@@ -50,12 +53,12 @@
 		return err
 	}
 	defer out.Close()
-	if b.settings != nil {
-		b.settings(f)
+	if defect.settings != nil {
+		defect.settings(f)
 	}
 	o := gateway.Options{Rank: rank, Recording: out}
-	if b.tamper != nil {
-		o.Tamper = b.tamper()
+	if defect.tamper != nil {
+		o.Tamper = defect.tamper()
 	}
 	term := make(chan os.Signal, 1)
 	signal.Notify(term, syscall.SIGTERM)
--- a/internal/scenario/run_test.go
+++ b/internal/scenario/run_test.go
@@ -11,8 +11,9 @@
 	"winghatch/internal/recording"
 )
 
-// play runs a script with gateways broken as how says; "" is not broken. Verify must come to the same verdict, and the
-// recordings of gateways that are not broken must replay to the same actions.
+// runScript runs a script whose gateways have the named defect; "" means none. It fails the test if Verify
+// does not return the same verdict, or if the recording of a gateway without a defect does not replay to the
+// same actions.
 func runScript(t *testing.T, s *Script, defect string) *Result {
 	t.Helper()
 	exe, err := os.Executable()
@@ -30,7 +31,7 @@
 	}
 	verifiedAgain, err := Verify(dir)
 	if err != nil || verifiedAgain.String() != res.Verdict.String() {
-		t.Errorf("verified again: %v\n%s\n%s", err, verifiedAgain, res.Verdict)
+		t.Errorf("Verify: error %v, verdict:\n%s\nwant that of the run:\n%s", err, verifiedAgain, res.Verdict)
 	}
 	if defect == "" {
 		for _, file := range res.Recordings {
@@ -48,7 +49,7 @@
 	}
 	defer in.Close()
 	if n, err := recording.Replay(in); err != nil || n.Events == 0 {
-		t.Errorf("%s: %+v, %v", filepath.Base(file), n, err)
+		t.Errorf("replay %s: got %+v, error %v, want 1 event or more", filepath.Base(file), n, err)
 	}
 }
 
@@ -61,14 +62,15 @@
 	return s
 }
 
-// short is a script of its own for the fleet and the load of the built-in scenario drain.
+// shortScript returns a script with the fleet, the servers and the load of the built-in scenario drain.
+// faults holds its faults and other settings.
 func shortScript(t *testing.T, length, faults string) *Script {
 	t.Helper()
 	return mustParse(t, "test", "day test { like drain; length \""+length+"\"; "+faults+" }")
 }
 
-// variant is the built-in scenario drain for 4 s, without its faults and with some of its text replaced: replace holds
-// pairs of old and new. rest is added.
+// drainVariant returns the built-in scenario drain with a length of 4 s and the given faults instead of its
+// own. replace holds pairs of old and new texts to replace in the scenario.
 func drainVariant(t *testing.T, faults string, replace ...string) *Script {
 	t.Helper()
 	src, err := readBuiltin("drain")
@@ -89,7 +91,7 @@
 	return mustParse(t, "variant", strings.TrimSuffix(strings.TrimSpace(text), "}")+faults+"\n}\n")
 }
 
-// lowCeiling is a scenario in which every member sends three times what its ceiling allows.
+// lowCeilingScript returns a scenario in which every member sends three times as much as its ceiling allows.
 func lowCeilingScript(t *testing.T) *Script {
 	t.Helper()
 	return drainVariant(t, "",
@@ -99,7 +101,7 @@
 		`ceiling-rate "12/s"; ceiling-burst 30; ceiling-slack 8`)
 }
 
-// slowToWarm is a scenario in which a server starts that can do next to nothing for long.
+// slowStartScript returns a scenario in which a server starts that has very little capacity for a long time.
 func slowStartScript(t *testing.T) *Script {
 	t.Helper()
 	return drainVariant(t, `trouble cold_start at="500ms" count=1`,
@@ -109,31 +111,32 @@
 		"fall-multiple 4", "fall-multiple 2")
 }
 
-// TestDays runs scenarios with gateways that are not broken: all rules are kept, and every recording replays to the
-// same actions.
-func TestDays(t *testing.T) {
+// TestRulesHoldUnderFaults guards against gateways that break a rule under faults of servers, gateways,
+// clients or discovery, and against recordings that do not replay to the same actions.
+func TestRulesHoldUnderFaults(t *testing.T) {
 	for name, s := range map[string]*Script{
-		"slow to warm": slowStartScript(t),
-		"ceilings":     lowCeilingScript(t),
-		"quiet":        shortScript(t, "2s", ""),
-		"drain and mute": shortScript(t, "4s", `list-lag "50ms"
+		"long slow start": slowStartScript(t),
+		"low ceilings":    lowCeilingScript(t),
+		"no fault":        shortScript(t, "2s", ""),
+		"drain and unanswered class": shortScript(t, "4s", `list-lag "50ms"
 			trouble class_fail at="300ms" for="3s" class=folio-assign
 			trouble drain at="1s" for="1s"`),
-		"killed": shortScript(t, "4s", `trouble balancer_crash at="1s" for="700ms"
+		"gateway killed, clients reconnect": shortScript(t, "4s", `trouble balancer_crash at="1s" for="700ms"
 			trouble reconnect at="2s"`),
-		"stopped": shortScript(t, "5s", `trouble balancer_stall at="1s" for="2s"`),
-		"rolled": shortScript(t, "4s", `trouble balancer_roll at="500ms" for="2s"
+		"gateway suspended": shortScript(t, "5s", `trouble balancer_stall at="1s" for="2s"`),
+		"rolling restart, lost connections": shortScript(t, "4s", `trouble balancer_roll at="500ms" for="2s"
 			trouble cut at="1s" count=3`),
-		"flooded": shortScript(t, "4s", `trouble tenant_burst at="500ms" for="2s" count=1 size=12
+		"burst, lost gossip": shortScript(t, "4s", `trouble tenant_burst at="500ms" for="2s" count=1 size=12
 			trouble lost_peers at="1s" for="2s" size=0.7`),
-		"vanish": shortScript(t, "4s", `list-lag "50ms"
+		"server hang, quick failures and discovery faults": shortScript(t, "4s", `list-lag "50ms"
 			trouble vanish at="500ms" for="1s" count=1
 			trouble list_bad at="1s"
 			trouble fast_errors at="1s" for="2s" size=0.9
 			trouble list_stale at="2s" for="500ms"`),
-		// Faults that start servers draw from what the run shares, and publish while the discovery server is replaced.
-		// Without its lock the race detector reports it here.
-		"overlapping": shortScript(t, "4s", `list-lag "50ms"
+		// Faults that start servers use state that all faults share, and publish endpoints while another
+		// fault replaces the discovery server. Without the lock of the run, the race detector reports a data
+		// race here.
+		"overlapping faults": shortScript(t, "4s", `list-lag "50ms"
 			trouble list_stale at="500ms" for="300ms"
 			trouble list_stale at="1500ms" for="300ms"
 			trouble list_late at="700ms" for="1s"
@@ -147,18 +150,20 @@
 			t.Parallel()
 			res := runScript(t, s, "")
 			if res.Verdict.RulesKept() != 5 {
-				t.Errorf("\n%s", res.Verdict)
+				t.Errorf("want all rules kept, got\n%s", res.Verdict)
 			}
 			if st := res.Stats; st.Served < st.Requests/5 || st.Requests < 50 {
-				t.Errorf("served %d of %d", st.Served, st.Requests)
+				t.Errorf("served %d of %d requests, want a fifth or more of 50 or more",
+					st.Served, st.Requests)
 			}
 		})
 	}
 }
 
-// TestExactlyOnce kills gateways and the usage receiver at random moments, or changes plans and reserves units while
-// gateways restart. The receiver must then have every attempt once.
-func TestExactlyOnce(t *testing.T) {
+// TestUsageIsExportedExactlyOnce guards against usage events that are lost or duplicated when gateways and
+// the usage receiver are killed at random times, or when plans change and units are reserved while gateways
+// restart. At the end the receiver must have every attempt exactly once.
+func TestUsageIsExportedExactlyOnce(t *testing.T) {
 	for name, faults := range map[string]string{
 		"kills": `trouble kill_storm at="200ms" for="6s" count=12
 			trouble accounting_kill at="500ms" for="5s" count=4
@@ -172,63 +177,68 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := mustParse(t, "test", "day test { like export-kills; length \"7s\"; list-lag \"50ms\"; "+faults+" }")
+			s := mustParse(t, "test",
+				"day test { like export-kills; length \"7s\"; list-lag \"50ms\"; "+faults+" }")
 			res := runScript(t, s, "")
 			if res.Verdict.RulesKept() < 5 || len(res.Usage.Violations) > 0 || res.Usage.Confirmed < 100 {
-				t.Errorf("%s\n%+v", res.Verdict, res.Usage)
+				t.Errorf("want all rules kept, no violation and 100 attempts or more confirmed, got\n%s\n%+v",
+					res.Verdict, res.Usage)
 			}
 			if name == "kills" && (res.Kills != 12 || res.DuplicateEvents == 0) {
-				t.Errorf("%d kills, %d duplicate events", res.Kills, res.DuplicateEvents)
+				t.Errorf("got %d kills and %d duplicate events, want 12 and more than 0",
+					res.Kills, res.DuplicateEvents)
 			}
-			if name == "changes" && (len(res.Reservations) != 2 || res.Reservations[0].Used+res.Reservations[1].Used == 0) {
-				t.Errorf("%+v", res.Reservations)
+			if name == "changes" && (len(res.Reservations) != 2 ||
+				res.Reservations[0].Used+res.Reservations[1].Used == 0) {
+				t.Errorf("got reservations %+v, want 2 that are used", res.Reservations)
 			}
 		})
 	}
 }
 
-// TestPlantedBreaches runs scenarios with gateways that are made to break a rule: the check finds it, and finds no
-// breach of a rule that was not broken.
-func TestPlantedBreaches(t *testing.T) {
+// TestCheckDetectsDefectiveGateways guards against a check that misses a violation or reports one that did
+// not occur. Each case runs a scenario with gateways that have a defect. The check must find violations of
+// the rule that the defect breaks, and of no rule that it cannot break.
+func TestCheckDetectsDefectiveGateways(t *testing.T) {
 	unanswered := `trouble class_fail at="300ms" for="3s" count=3 class=folio-assign`
 	drain := `list-lag "20ms"; trouble drain at="500ms" for="4s" count=1`
 	burst := `trouble tenant_burst at="200ms" for="4s" count=6 size=6`
-	low := lowCeilingScript(t)
+	lowCeiling := lowCeilingScript(t)
 	for defect, c := range map[string]struct {
 		rule        int
-		s           *Script
-		alsoAllowed []int // rules that may be broken by it as well
+		script      *Script
+		alsoAllowed []int // other rules that the defect may break
 	}{
-		"no answer":           {1, shortScript(t, "2s", ""), nil},
-		"two answers":         {1, shortScript(t, "2s", ""), nil},
-		"late answers":        {1, shortScript(t, "2s", ""), nil},
-		"long waits":          {1, shortScript(t, "2s", burst), nil},
-		"unsafe again":        {2, shortScript(t, "4s", unanswered), []int{1}},
-		"two at once":         {2, shortScript(t, "2s", ""), nil},
-		"refuses what ran":    {2, shortScript(t, "4s", unanswered), nil},
-		"deaf to drains":      {3, shortScript(t, "4s", drain), nil},
-		"sends to who drains": {3, shortScript(t, "4s", drain), nil},
-		"all to the cold":     {4, slowStartScript(t), []int{1}},
-		"most to the cold":    {4, slowStartScript(t), []int{1}},
-		"no ceiling":          {5, low, nil},
-		"over the mark":       {5, low, []int{1}},
+		"no answer":                                  {1, shortScript(t, "2s", ""), nil},
+		"two answers":                                {1, shortScript(t, "2s", ""), nil},
+		"late answers":                               {1, shortScript(t, "2s", ""), nil},
+		"long Retry-After":                           {1, shortScript(t, "2s", burst), nil},
+		"unsafe class retried":                       {2, shortScript(t, "4s", unanswered), []int{1}},
+		"two attempts at once":                       {2, shortScript(t, "2s", ""), nil},
+		"executed request rejected":                  {2, shortScript(t, "4s", unanswered), nil},
+		"endpoint changes ignored":                   {3, shortScript(t, "4s", drain), nil},
+		"requests sent to draining server":           {3, shortScript(t, "4s", drain), nil},
+		"all requests sent to server in slow start":  {4, slowStartScript(t), []int{1}},
+		"most requests sent to server in slow start": {4, slowStartScript(t), []int{1}},
+		"ceilings removed":                           {5, lowCeiling, nil},
+		"quota rejections ignored":                   {5, lowCeiling, []int{1}},
 	} {
 		t.Run(defect, func(t *testing.T) {
 			t.Parallel()
-			res := runScript(t, c.s, defect)
+			res := runScript(t, c.script, defect)
 			violations := map[int]int{} // by rule
 			for _, v := range res.Verdict.Violations {
 				violations[v.Rule]++
 			}
 			if violations[c.rule] == 0 {
-				t.Errorf("rule %d was broken and the check found\n%s", c.rule, res.Verdict)
+				t.Errorf("want a violation of rule %d, got\n%s", c.rule, res.Verdict)
 			}
 			delete(violations, c.rule)
 			for _, rule := range c.alsoAllowed {
 				delete(violations, rule)
 			}
 			if len(violations) > 0 {
-				t.Errorf("also found:\n%s", res.Verdict)
+				t.Errorf("want violations of no rule but the one broken, got\n%s", res.Verdict)
 			}
 		})
 	}
--- a/internal/scenario/script_test.go
+++ b/internal/scenario/script_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// TestBuiltIn reads every built-in scenario, and wants one for each kind of fault.
-func TestBuiltIn(t *testing.T) {
+// TestBuiltinScenariosCoverEveryFault guards against a built-in scenario that cannot be parsed, and against a
+// kind of fault that no built-in scenario uses.
+func TestBuiltinScenariosCoverEveryFault(t *testing.T) {
 	covered := map[string]bool{}
 	for _, name := range BuiltinNames() {
 		s, err := Open(name)
@@ -20,13 +21,14 @@
 	}
 	for kind := range faultKinds {
 		if !covered[kind] {
-			t.Errorf("no built-in scenario plays %s", kind)
+			t.Errorf("no built-in scenario uses the fault %s", kind)
 		}
 	}
 }
 
-// TestBadScripts wants an error that names the file, the line and what is wrong.
-func TestBadScripts(t *testing.T) {
+// TestParseErrorsNamePositionAndCause guards against an invalid script that is accepted, or whose error does
+// not name the file, the line and the expected value.
+func TestParseErrorsNamePositionAndCause(t *testing.T) {
 	for in, want := range map[string]string{
 		``:                                 `want one node named "day"`,
 		`day x {}`:                         "want a fleet, nodes and a load",
@@ -41,7 +43,7 @@
 	} {
 		_, err := Parse("f", []byte(in))
 		if err == nil || !strings.Contains(err.Error(), want) || !strings.HasPrefix(err.Error(), "f:1:") {
-			t.Errorf("%s: %v, want %q", in, err, want)
+			t.Errorf("Parse(%s): got error %v, want prefix \"f:1:\" and %q", in, err, want)
 		}
 	}
 }
--- a/internal/scenario/stored_test.go
+++ b/internal/scenario/stored_test.go
@@ -13,7 +13,8 @@
 	"winghatch/internal/testbed/usagereceiver"
 )
 
-// unpack copies a run that an earlier version recorded to a folder as that version wrote it.
+// unpackStoredRun copies the files of a run that an earlier version recorded, decompressed, to a temporary
+// folder.
 func unpackStoredRun(t *testing.T) (dir string) {
 	t.Helper()
 	dir = t.TempDir()
@@ -45,9 +46,10 @@
 	return dir
 }
 
-// TestStoredRun judges a run that an earlier version recorded: the verdict is the same, and the records are written
-// again with the same keys.
-func TestStoredRun(t *testing.T) {
+// TestStoredRunKeepsItsVerdict guards against changes that make records of earlier versions unreadable: the
+// check of a run that an earlier version recorded must return the same verdict, and its records must be
+// encoded to the same bytes.
+func TestStoredRunKeepsItsVerdict(t *testing.T) {
 	dir := unpackStoredRun(t)
 	want, err := os.ReadFile("testdata/record/verdict.txt")
 	if err != nil {
@@ -55,7 +57,7 @@
 	}
 	verdict, err := Verify(dir)
 	if err != nil || verdict.String() != string(want) {
-		t.Errorf("%v\n%s\nwant:\n%s", err, verdict, want)
+		t.Errorf("Verify: error %v, verdict:\n%s\nwant:\n%s", err, verdict, want)
 	}
 	raw, err := os.ReadFile(filepath.Join(dir, "traffic.jsonl"))
 	if err != nil {
@@ -74,12 +76,13 @@
 		rewritten.Write(append(line, '\n'))
 	}
 	if !bytes.Equal(rewritten.Bytes(), raw) {
-		t.Error("the records are written again with other bytes")
+		t.Error("the records are encoded to bytes other than those of the file")
 	}
 }
 
-// TestStoredUsage compares the usage that was exported in that run with its records.
-func TestStoredUsage(t *testing.T) {
+// TestStoredUsageMatchesItsRecords guards against changes that make usage events of earlier versions
+// unreadable: the events that a receiver stored in an earlier version must match the records of that run.
+func TestStoredUsageMatchesItsRecords(t *testing.T) {
 	dir := unpackStoredRun(t)
 	file, err := os.Open(filepath.Join(dir, "traffic.jsonl"))
 	if err != nil {
@@ -99,6 +102,6 @@
 	got := invariant.CheckUsage(records, toUsageEvents(receiver.Events()), killed)
 	if len(got.Violations) > 0 || got.Attempts != 288 || got.Confirmed != 277 || got.Estimated != 11 ||
 		got.Unanswered != 4 || got.Units != 628 || got.UncoveredUnits != 0 {
-		t.Errorf("%+v", got)
+		t.Errorf("got %+v, want 288 attempts, 277 confirmed, 11 estimated, 4 unanswered, 628 units", got)
 	}
 }
