--- a/internal/scenario/run_test.go
+++ b/internal/scenario/run_test.go
@@ -238,7 +238,7 @@
 				delete(violations, rule)
 			}
 			if len(violations) > 0 {
-				t.Errorf("want violations of no rule but the one broken, got\n%s", res.Verdict)
+				t.Errorf("want violations only of the rule that the defect breaks, got\n%s", res.Verdict)
 			}
 		})
 	}
--- a/internal/scenario/usage.go
+++ b/internal/scenario/usage.go
@@ -130,8 +130,8 @@
 	}
 	events := r.usageReceiver.receiver.Events()
 	r.usageReceiver.stop()
-	mayEstimate := func(string) bool { return r.gatewayKilled }
-	usage := invariant.CheckUsage(records, toUsageEvents(events), mayEstimate)
+	gatewayKilled := func(string) bool { return r.gatewayKilled }
+	usage := invariant.CheckUsage(records, toUsageEvents(events), gatewayKilled)
 	res.Usage = &usage
 	res.DuplicateEvents = r.usageReceiver.duplicates
 	res.Kills = r.kills
