--- a/internal/scenario/breach_test.go
+++ b/internal/scenario/breach_test.go
@@ -12,7 +12,7 @@
 // gatewayDefect is a defect with which a gateway violates a rule.
 type gatewayDefect struct {
 	settings func(*config.Fleet)   // changes the configuration after the gateway has read it; may be nil
-	tamper   func() gateway.Tamper // returns hooks that change events, actions or responses; may be nil
+	hooks    func() gateway.Tamper // returns hooks that change events, actions or responses; may be nil
 }
 
 // gatewayDefects holds the defects by the names of the cases of TestCheckDetectsDefectiveGateways. A gateway
@@ -21,31 +21,31 @@
 	"": {},
 
 	// Rule 1: each client call gets exactly one final answer, in time.
-	"no answer":        {tamper: noAnswer},
-	"two answers":      {tamper: twoAnswers},
-	"late answers":     {tamper: lateAnswers},
-	"long Retry-After": {tamper: longRetryAfter},
+	"no answer":        {hooks: noAnswer},
+	"two answers":      {hooks: twoAnswers},
+	"late answers":     {hooks: lateAnswers},
+	"long Retry-After": {hooks: longRetryAfter},
 
 	// Rule 2: no request takes effect twice.
-	"unsafe class retried":      {tamper: retryUnsafe},
-	"two attempts at once":      {tamper: sendTwice},
-	"executed request rejected": {tamper: rejectFailed},
+	"unsafe class retried":      {hooks: retryUnsafe},
+	"two attempts at once":      {hooks: sendTwice},
+	"executed request rejected": {hooks: rejectFailed},
 
 	// Rule 3: a draining server gets no new attempts.
-	"endpoint changes ignored":         {tamper: ignoreUpdates},
-	"requests sent to draining server": {tamper: sendToDraining},
+	"endpoint changes ignored":         {hooks: ignoreUpdates},
+	"requests sent to draining server": {hooks: sendToDraining},
 
 	// Rule 4: a server in slow start is not overloaded.
-	"all requests sent to server in slow start": {tamper: func() gateway.Tamper {
+	"all requests sent to server in slow start": {hooks: func() gateway.Tamper {
 		return sendToSlowStart(never)
 	}},
-	"most requests sent to server in slow start": {tamper: func() gateway.Tamper {
+	"most requests sent to server in slow start": {hooks: func() gateway.Tamper {
 		return sendToSlowStart(everyNth(3))
 	}},
 
 	// Rule 5: the units forwarded for a customer stay within its ceiling.
 	"ceilings removed":         {settings: removeCeilings},
-	"quota rejections ignored": {tamper: sendOverQuota},
+	"quota rejections ignored": {hooks: sendOverQuota},
 }
 
 // observer collects the servers and requests in the events of a gateway's core.
--- a/internal/scenario/main_test.go
+++ b/internal/scenario/main_test.go
@@ -57,8 +57,8 @@
 		defect.settings(f)
 	}
 	o := gateway.Options{Rank: rank, Recording: out}
-	if defect.tamper != nil {
-		o.Tamper = defect.tamper()
+	if defect.hooks != nil {
+		o.Tamper = defect.hooks()
 	}
 	term := make(chan os.Signal, 1)
 	signal.Notify(term, syscall.SIGTERM)
