--- a/internal/invariant/outages.go
+++ b/internal/invariant/outages.go
@@ -5,41 +5,41 @@
 	"time"
 )
 
-// outage is a time in which a gateway's process did not run.
+// outage is a time span in which a gateway's process did not run.
 type outage struct {
 	gateway  int
 	from, to time.Duration
-	paused   bool // by SIGSTOP; else killed
+	paused   bool // true: stopped by SIGSTOP; false: killed
 }
 
-// collectOutages gathers when gateways and the harness did not run. An outage that no record ends lasts to the end of
-// time.
+// collectOutages collects the outages of all gateways and the stalls of the harness. An outage without a
+// record of its end has the largest possible end time.
 func (c *checker) collectOutages() {
-	open := map[int]outage{} // by gateway
+	ongoing := map[int]outage{} // by gateway
 	for _, r := range c.records {
 		if r.Kind == HarnessStalled {
-			c.stalls = append(c.stalls, r)
+			c.harnessStalls = append(c.harnessStalls, r)
 		}
 		if r.Kind != ProcessChanged {
 			continue
 		}
 		switch r.State {
 		case "kill", "stop":
-			open[r.Gateway] = outage{r.Gateway, r.At, math.MaxInt64, r.State == "stop"}
+			ongoing[r.Gateway] = outage{r.Gateway, r.At, math.MaxInt64, r.State == "stop"}
 		case "up", "cont":
-			if o, ok := open[r.Gateway]; ok {
+			if o, ok := ongoing[r.Gateway]; ok {
 				o.to = r.At
 				c.outages = append(c.outages, o)
-				delete(open, r.Gateway)
+				delete(ongoing, r.Gateway)
 			}
 		}
 	}
-	for _, o := range open {
+	for _, o := range ongoing {
 		c.outages = append(c.outages, o)
 	}
 }
 
-// stalledFor is how long the harness was stalled, plus how long the gateway was paused, within a span.
+// stalledFor returns how long the harness was stalled plus how long the gateway was paused in a time span.
 func (c *checker) stalledFor(gateway int, from, to time.Duration) time.Duration {
 	stalled := c.harnessStalledFor(from, to)
 	for _, o := range c.outages {
@@ -50,9 +50,9 @@
 	return stalled
 }
 
-// harnessStalledFor is the length of the harness's stalls that overlap a span.
+// harnessStalledFor returns the total length of the harness's stalls that overlap a time span.
 func (c *checker) harnessStalledFor(from, to time.Duration) (stalled time.Duration) {
-	for _, r := range c.stalls {
+	for _, r := range c.harnessStalls {
 		if r.At > from && r.At-r.Duration < to {
 			stalled += r.Duration
 		}
@@ -60,8 +60,9 @@
 	return stalled
 }
 
-// killed reports whether the gateway was killed, or not yet up again after a kill, at any time within a span.
-func (c *checker) killed(gateway int, from, to time.Duration) bool {
+// killedDuring reports whether the gateway was killed in a time span or was down after a kill at any point of
+// it.
+func (c *checker) killedDuring(gateway int, from, to time.Duration) bool {
 	for _, o := range c.outages {
 		if !o.paused && o.gateway == gateway && o.from <= to && o.to >= from {
 			return true
--- a/internal/scenario/clientfaults.go
+++ b/internal/scenario/clientfaults.go
@@ -2,10 +2,10 @@
 
 import "winghatch/internal/testbed/client"
 
-// Faults of the client load.
+// This file contains the faults of the client load.
 
-// faultOnClients sets a fault of the clients and clears it after the time.
-func (r *runner) faultOnClients(f Fault, set, clearFault func(*client.Fault)) {
+// withClientFault sets a fault of the clients and clears it after f.Duration.
+func (r *runner) withClientFault(f Fault, set, clearFault func(*client.Fault)) {
 	r.client.SetFault(set)
 	r.sleep(f.Duration)
 	r.client.SetFault(clearFault)
@@ -13,10 +13,11 @@
 
 func (r *runner) multiplyLoad(f Fault) {
 	set := func(x *client.Fault) { x.RateFactor = f.Size }
-	r.faultOnClients(f, set, func(x *client.Fault) { x.RateFactor = 0 })
+	r.withClientFault(f, set, func(x *client.Fault) { x.RateFactor = 0 })
 }
 
-// multiplyMembersLoad raises the load of some members. It comes on top of what the others send.
+// multiplyMembersLoad multiplies the load of some members by f.Size. The load of the other members does not
+// change: the total rate rises with the weights of the chosen members.
 func (r *runner) multiplyMembersLoad(f Fault) {
 	members := r.pickMembers(f.Count)
 	all := float64(len(r.fleet.Members))
@@ -27,7 +28,7 @@
 		}
 		x.RateFactor = (all + float64(len(members))*(f.Size-1)) / all
 	}
-	r.faultOnClients(f, set, func(x *client.Fault) {
+	r.withClientFault(f, set, func(x *client.Fault) {
 		x.WeightFactor = nil
 		x.RateFactor = 0
 	})
@@ -46,12 +47,12 @@
 			x.FirstGatewayOnly[name] = true
 		}
 	}
-	r.faultOnClients(f, set, func(x *client.Fault) { x.FirstGatewayOnly = nil })
+	r.withClientFault(f, set, func(x *client.Fault) { x.FirstGatewayOnly = nil })
 }
 
 func (r *runner) reconnectClients(Fault) { r.client.Reconnect() }
 
-// pickMembers returns the names of count random members; fewer if there are no more.
+// pickMembers returns the names of count randomly chosen members, or all if there are fewer.
 func (r *runner) pickMembers(count int) (picked []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
