--- a/cmd/standin/commands_test.go
+++ b/cmd/standin/commands_test.go
@@ -6,8 +6,9 @@
 	"winghatch/internal/testbed/commandline"
 )
 
-// Scripts and units of operators call the sub-commands of earlier versions. Each is still found, by its name or by an
-// alias, with the same flags, arguments and defaults.
-func TestCommandsStay(t *testing.T) {
-	commandline.CheckStored(t, &command{}, "testdata/commands.txt", parserOptions()...)
+// TestCommandLineIsBackwardCompatible guards against changes that break operators' scripts and service units,
+// which call the sub-commands of earlier versions. Each of these sub-commands must still exist, under its
+// name or an alias, with the same flags, arguments and defaults.
+func TestCommandLineIsBackwardCompatible(t *testing.T) {
+	commandline.CheckCompatibility(t, &command{}, "testdata/commands.txt", parserOptions()...)
 }
--- a/internal/testbed/backend/meter_test.go
+++ b/internal/testbed/backend/meter_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// TestMeter counts requests over several periods. The meter reports the last complete period only, and counts a request
-// once.
-func TestMeter(t *testing.T) {
+// TestUsageMeterReportsLastCompletePeriod guards against reports that include the current period or count a
+// request again for each of its attempts. It counts requests over several periods, among them periods without
+// usage.
+func TestUsageMeterReportsLastCompletePeriod(t *testing.T) {
 	m := NewUsageMeter(time.Hour, map[string]float64{"a": 2})
 	m.add("1", "a", 3600)
 	m.add("1", "a", 3600)
--- a/internal/testbed/commandline/commandline.go
+++ b/internal/testbed/commandline/commandline.go
@@ -1,4 +1,5 @@
-// Package commandline compares the command line of a program with that of earlier versions, for the programs' tests.
+// Package commandline checks in tests that the command line of a program stays compatible with earlier
+// versions.
 package commandline
 
 import (
@@ -11,10 +12,11 @@
 	"github.com/alecthomas/kong"
 )
 
-// CheckStored holds the command line of earlier versions: each of their sub-commands is still found, by its name or by
-// an alias, and takes the same flags and arguments with the same defaults. file has one line a sub-command, as describe
-// writes it after its path and a colon. grammar and options are what the program gives to kong.
-func CheckStored(t *testing.T, grammar any, file string, options ...kong.Option) {
+// CheckCompatibility checks that each sub-command of earlier versions still exists, under its name or an
+// alias, and has the same flags and arguments with the same defaults. Each line of file holds the path of a
+// sub-command, a colon, and its arguments and flags in the form that describe returns. grammar and options
+// are the arguments that the program passes to kong.New.
+func CheckCompatibility(t *testing.T, grammar any, file string, options ...kong.Option) {
 	t.Helper()
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -29,7 +31,7 @@
 		want = strings.TrimSpace(want)
 		node := findCommand(parser.Model.Node, strings.Fields(path))
 		if node == nil {
-			t.Errorf("%s: no such sub-command", path)
+			t.Errorf("%s: sub-command not found", path)
 			continue
 		}
 		if got := describe(node); got != want {
@@ -38,7 +40,7 @@
 	}
 }
 
-// findCommand follows names or aliases of sub-commands.
+// findCommand returns the sub-command at a path of names or aliases, nil if there is none.
 func findCommand(node *kong.Node, path []string) *kong.Node {
 	if len(path) == 0 {
 		return node
@@ -53,7 +55,8 @@
 	return nil
 }
 
-// describe writes the arguments and flags of a sub-command with their defaults.
+// describe returns the arguments and the sorted flags of a sub-command as text. A flag has its default value,
+// ! if it is required, {values} if it is an enumeration, and $NAME for each environment variable.
 func describe(node *kong.Node) string {
 	var parts []string
 	for _, arg := range node.Positional {
