--- a/internal/testbed/backend/dedup.go
+++ b/internal/testbed/backend/dedup.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// sweepStep is how many keys are added at least before those out of their window are dropped.
+// sweepStep is the smallest number of keys that are added between two sweeps of expired keys.
 const sweepStep = 1024
 
-// DedupStore holds the idempotency keys that the servers of a group have seen. It is safe for concurrent use.
+// DedupStore holds the idempotency keys that the servers of one deduplication group have seen. It is safe for
+// concurrent use.
 type DedupStore struct {
 	mu            sync.Mutex
 	seen          map[string]time.Time
-	sweepSize     int           // number of keys at which old ones are dropped
-	longestWindow time.Duration // of the classes that use the store
+	sweepSize     int           // number of keys that triggers the next sweep
+	longestWindow time.Duration // longest deduplication window used so far
 }
 
 // NewDedupStore returns an empty store.
@@ -21,7 +22,7 @@
 	return &DedupStore{seen: map[string]time.Time{}, sweepSize: sweepStep}
 }
 
-// isDuplicate reports whether the key was seen within the window. If not, the window begins now.
+// isDuplicate reports whether key was seen within window. If not, it records the key with the current time.
 func (s *DedupStore) isDuplicate(key string, window time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,6 +38,7 @@
 	return false
 }
 
+// sweep removes the keys older than the longest window. The caller must hold s.mu.
 func (s *DedupStore) sweep(now time.Time) {
 	for key, at := range s.seen {
 		if now.Sub(at) >= s.longestWindow {
--- a/internal/testbed/backend/job.go
+++ b/internal/testbed/backend/job.go
@@ -10,22 +10,22 @@
 	"winghatch/internal/jsonrpc"
 )
 
-// latencyWeight is the weight of one call in the mean latency that is reported.
+// latencyWeight is the weight of one call in the exponentially weighted mean latency that responses report.
 const latencyWeight = 0.1
 
-// job is a call that was received. The server's mutex guards it.
+// job is a received call. The server's mutex guards it.
 type job struct {
 	conn          *clientConn
 	id            jsonrpc.ID
 	params        callParams
 	class         string
-	work          time.Duration // on a core of speed 1
-	reportedUnits float64       // in the response
+	work          time.Duration // duration on a core of speed 1
+	reportedUnits float64       // units that the response reports
 	cancelled     bool
-	disconnected  bool // its connection has ended; nothing is answered
+	disconnected  bool // the connection has ended, so no response is sent
 }
 
-// callParams are the params of a call, as gateways send them.
+// callParams holds the params of a call from a gateway.
 type callParams struct {
 	Request   string  `json:"request"`
 	Attempt   int     `json:"attempt"`
@@ -34,13 +34,13 @@
 	Units     float64 `json:"units"`
 	TimeoutMs float64 `json:"timeout_ms"`
 	Work      struct {
-		Try   string  `json:"try"` // the client's id of the call
-		Units float64 `json:"true_units"`
-		Cost  float64 `json:"cost"` // times the usual work
+		Try   string  `json:"try"`        // the client's id of the call
+		Units float64 `json:"true_units"` // units that the call turns out to cost; 0: as estimated
+		Cost  float64 `json:"cost"`       // factor on the work of the call; 0: 1
 	} `json:"work"`
 }
 
-// handle receives one message of a gateway. s.mu is held.
+// handle processes one message of a gateway. The caller must hold s.mu.
 func (s *Server) handle(c *clientConn, m *jsonrpc.Message) {
 	if m.Method == "cancel" {
 		s.handleCancel(c, m.Params)
@@ -65,13 +65,15 @@
 	s.accept(j, class)
 }
 
-// accept runs, queues, answers or ignores a call. s.mu is held.
+// accept runs, queues, answers or ignores a call, depending on the faults and the load. The caller must hold
+// s.mu.
 func (s *Server) accept(j *job, class Class) {
 	switch {
 	case s.fault.Unresponsive || s.overloaded:
 	case s.rng.Float64() < s.fault.ErrorShare:
 		s.reply(j, errorResponse(j.id, jsonrpc.CodeServerError, "the node fails"))
-	case class.Deduplicates && j.params.Key != "" && s.options.Dedup.isDuplicate(j.params.Key, class.DedupWindow):
+	case class.Deduplicates && j.params.Key != "" &&
+		s.options.Dedup.isDuplicate(j.params.Key, class.DedupWindow):
 		s.record(invariant.Deduplicated, j)
 		s.reply(j, jsonrpc.AppendResult(nil, j.id, s.resultBody(j)))
 	case s.running >= s.options.Cores && len(s.queue) >= s.options.Queue:
@@ -99,15 +101,15 @@
 	}
 }
 
-// cancel keeps a call from being run if it still waits. s.mu is held.
+// cancel prevents a waiting call from being run. A running call is finished. The caller must hold s.mu.
 func (s *Server) cancel(j *job) {
 	j.cancelled = true
 	s.options.Log.Add(invariant.Record{Kind: invariant.Cancelled, Server: s.addr, Request: j.params.Request,
 		Attempt: j.params.Attempt, CallID: j.params.Work.Try})
 }
 
-// drawWork draws the work of a call around its class's mean, from the mean of four exponential draws, so that few calls
-// are very short. s.mu is held.
+// drawWork returns random work for a call, with the mean of its class. The distribution is that of the mean
+// of four exponential variables, so that few calls are very short. The caller must hold s.mu.
 func (s *Server) drawWork(class Class, j *job) time.Duration {
 	factor := (s.rng.ExpFloat64() + s.rng.ExpFloat64() + s.rng.ExpFloat64() + s.rng.ExpFloat64()) / 4
 	if cost := j.params.Work.Cost; cost > 0 {
@@ -119,7 +121,7 @@
 	return time.Duration(factor * float64(class.MeanWork))
 }
 
-// startQueued starts calls while a core is free. s.mu is held.
+// startQueued starts waiting calls while a core is free. The caller must hold s.mu.
 func (s *Server) startQueued() {
 	for s.running < s.options.Cores && len(s.queue) > 0 && !s.closed {
 		j := s.queue[0]
@@ -137,6 +139,7 @@
 	}
 }
 
+// finish ends the run of a call, answers it and starts waiting calls.
 func (s *Server) finish(j *job, duration time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,7 +159,8 @@
 	s.startQueued()
 }
 
-// resultBody returns the result object of a call, and notes the units in it. s.mu is held.
+// resultBody returns the result object of a call and stores the units in it in j.reportedUnits. The caller
+// must hold s.mu.
 func (s *Server) resultBody(j *job) []byte {
 	j.reportedUnits = j.params.Units
 	if j.params.Work.Units > 0 {
@@ -181,7 +185,7 @@
 	return append(b, `}}`...)
 }
 
-// reply sends the response of a call. s.mu is held.
+// reply sends the response to a call, unless its connection has ended. The caller must hold s.mu.
 func (s *Server) reply(j *job, response []byte) {
 	delete(j.conn.jobs, string(j.id))
 	if j.disconnected {
@@ -191,7 +195,8 @@
 	j.conn.ws.Send(response)
 }
 
-// recordReceived records the arrival of a call with the time at which its gateway gives up.
+// recordReceived records the arrival of a call with its units and its deadline, after which the gateway stops
+// waiting.
 func (s *Server) recordReceived(j *job) {
 	r := s.newRecord(invariant.Received, j)
 	r.At = s.options.Log.Now()
@@ -200,7 +205,7 @@
 	s.options.Log.Add(r)
 }
 
-// record records a later step of a call, with the units that the server reports.
+// record records a later step of a call with the units that the response reports.
 func (s *Server) record(kind invariant.Kind, j *job) {
 	r := s.newRecord(kind, j)
 	r.Units = j.reportedUnits
--- a/internal/testbed/backend/meter.go
+++ b/internal/testbed/backend/meter.go
@@ -5,23 +5,26 @@
 	"time"
 )
 
-// requestMemory is how long a request is remembered, so that further attempts of it are not counted.
+// requestMemory is the time for which a request is remembered, so that its further attempts are not counted
+// again.
 const requestMemory = time.Minute
 
-// UsageMeter totals the units that all gateways together send for each customer, period by period. Servers report the
-// total of the last complete period, so a report is always late. It is safe for concurrent use.
+// UsageMeter totals the units that all gateways together send for each customer in fixed periods. Servers
+// report the total of the last complete period, so a report always lags behind. It is safe for concurrent
+// use.
 type UsageMeter struct {
 	period time.Duration
-	rates  map[string]float64 // units a second, by customer
+	rates  map[string]float64 // quota of each customer, in units per second
 
 	mu          sync.Mutex
 	periodStart time.Time
-	current     map[string]float64   // units in the period that runs
-	previous    map[string]float64   // units in the last complete period
-	seen        map[string]time.Time // requests that were counted
+	current     map[string]float64   // units in the current period, by customer
+	previous    map[string]float64   // units in the last complete period, by customer
+	seen        map[string]time.Time // time of the first attempt, by id of a counted request
 }
 
-// NewUsageMeter returns a meter whose first period starts now. rates are the customers' quotas in units a second.
+// NewUsageMeter returns a meter whose first period starts now. rates holds the customers' quotas in units per
+// second; customers without a rate are not reported.
 func NewUsageMeter(period time.Duration, rates map[string]float64) *UsageMeter {
 	return &UsageMeter{
 		period:      period,
@@ -33,7 +36,7 @@
 	}
 }
 
-// add counts a request once, however many attempts of it come.
+// add counts the units of a request at its first attempt and ignores its further attempts.
 func (m *UsageMeter) add(request, customer string, units float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -46,7 +49,8 @@
 	m.current[customer] += units
 }
 
-// report returns 1 + the customer's use in percent of its rate, or 0 if it has no rate.
+// report returns 1 + the usage of the last complete period in percent of the customer's rate, or 0 if the
+// customer has no rate.
 func (m *UsageMeter) report(customer string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -58,7 +62,8 @@
 	return 1 + int(100*m.previous[customer]/(rate*m.period.Seconds()))
 }
 
-// rollPeriod starts a new period if the current one is over. m.mu is held.
+// rollPeriod starts a new period if the current one is over, and forgets old requests. The caller must hold
+// m.mu.
 func (m *UsageMeter) rollPeriod(now time.Time) {
 	periods := int(now.Sub(m.periodStart) / m.period)
 	if periods == 0 {
--- a/internal/testbed/backend/server.go
+++ b/internal/testbed/backend/server.go
@@ -1,6 +1,7 @@
-// Package backend is an emulated upstream server, for tests and fault scenarios: cores, a queue, work that takes time,
-// slow start and overload, deduplication by idempotency key, and the faults that a server may have. It speaks JSON-RPC
-// over WebSocket as the gateway's servers do, and records what it receives and runs.
+// Package backend emulates an upstream server for tests and fault scenarios. A server has cores, a queue,
+// calls that take time, slow start, overload, and deduplication by idempotency key, and it can inject faults.
+// It speaks JSON-RPC over WebSocket like the servers behind a gateway, and records the calls that it receives
+// and runs.
 package backend
 
 import (
@@ -16,54 +17,55 @@
 
 const (
 	handshakeTimeout = 5 * time.Second
-	maxQueueBytes    = 8 << 20  // of responses that a gateway has not read
-	readBufferBytes  = 16 << 10 // of a connection
-	maxBatch         = 1024     // calls in one message
+	maxQueueBytes    = 8 << 20  // bounds the queued responses that a gateway has not read yet
+	readBufferBytes  = 16 << 10 // read buffer of a connection
+	maxBatch         = 1024     // largest number of calls in one message
 )
 
-// Class is how a server treats the calls of a class.
+// Class describes how a server handles the calls of a class.
 type Class struct {
-	MeanWork     time.Duration // on a core of speed 1
-	Deduplicates bool          // by idempotency key
-	DedupWindow  time.Duration
+	MeanWork     time.Duration // mean duration of a call on a core of speed 1
+	Deduplicates bool          // whether calls with a known idempotency key are not run again
+	DedupWindow  time.Duration // time after the first call for which its key is known
 }
 
-// Options of a server.
+// Options configures a server.
 type Options struct {
-	Address string // host:port; port 0 lets the kernel choose
+	Address string // listen address as host:port; port 0: the kernel chooses one
 	Zone    string
 	Cell    int
-	Cores   int
-	Speed   float64 // of a core
-	Queue   int     // calls that may wait; more are rejected
+	Cores   int     // number of calls that run at the same time
+	Speed   float64 // speed of a core; a call of work w takes w / Speed
+	Queue   int     // largest number of waiting calls; further calls are rejected
 	Classes map[string]Class
 
-	// Slow start: capacity grows from InitialCapacity, a share of all, to all of it in SlowStartDuration. Meanwhile the
-	// server is overloaded for good if it receives more than OverloadMultiple times the work that it can do within
-	// OverloadWindow. InitialCapacity 0 or 1: no slow start.
+	// During slow start, the capacity grows linearly from the fraction InitialCapacity to 1 within
+	// SlowStartDuration. If the server meanwhile receives more than OverloadMultiple times the work that it
+	// can do within OverloadWindow, it is overloaded permanently and no longer answers. If InitialCapacity is
+	// 0 or 1, there is no slow start.
 	InitialCapacity   float64
 	SlowStartDuration time.Duration
 	OverloadMultiple  float64
 	OverloadWindow    time.Duration
 
-	Seed  uint64         // of the random draws
+	Seed  uint64         // seed of the random number generator
 	Log   *invariant.Log // nil: nothing is recorded
-	Dedup *DedupStore    // shared by the servers of a group; nil: one of its own
-	Meter *UsageMeter    // shared by all servers; nil: responses do not report usage
+	Dedup *DedupStore    // store shared by the servers of a deduplication group; nil: a store of its own
+	Meter *UsageMeter    // meter shared by all servers; nil: responses do not report usage
 }
 
-// Fault is what is wrong with a server; the zero value is nothing.
+// Fault configures the faults that a server injects. The zero value injects none.
 type Fault struct {
-	Slowdown          float64            // times slower; 0 or 1: not slower
-	ErrorShare        float64            // share of calls that fail at once
-	UnansweredClasses map[string]bool    // classes whose calls are run and never answered
-	Unresponsive      bool               // calls are received and neither run nor answered
-	TailFactor        map[string]float64 // by class: times the work of some calls
-	TailShare         float64            // share of the calls of such a class
-	OmitLoadReport    bool               // responses do not report load
+	Slowdown          float64            // factor on the duration of each call; 0 or 1: no slowdown
+	ErrorShare        float64            // fraction of calls that fail without being run
+	UnansweredClasses map[string]bool    // classes whose calls are run but not answered
+	Unresponsive      bool               // calls are received but neither run nor answered
+	TailFactor        map[string]float64 // factor on the work of some calls, by class
+	TailShare         float64            // fraction of the calls of a class to which its TailFactor applies
+	OmitLoadReport    bool               // leave the load report out of the responses
 }
 
-// Server is a running server.
+// Server is a running emulated server. It is safe for concurrent use.
 type Server struct {
 	options Options
 	ln      net.Listener
@@ -78,14 +80,14 @@
 	started       time.Time
 	overloaded    bool
 	closed        bool
-	recentLoad    []loadSample // within OverloadWindow
+	recentLoad    []loadSample // calls received within OverloadWindow
 	conns         map[net.Conn]*clientConn
-	rate          float64 // completed calls a second, exponentially faded
+	rate          float64 // completed calls per second, exponentially decayed with a time constant of 1 s
 	rateAt        time.Time
-	meanLatencyMs float64 // of service, exponentially faded
+	meanLatencyMs float64 // exponentially weighted mean of the service time, in milliseconds
 }
 
-// Start runs a server until Stop.
+// Start runs a server until Stop. It returns an error if the address cannot be bound.
 func Start(o Options) (*Server, error) {
 	ln, err := net.Listen("tcp", o.Address)
 	if err != nil {
@@ -115,24 +117,24 @@
 	return s, nil
 }
 
-// Addr returns the listen address.
+// Addr returns the listen address as host:port.
 func (s *Server) Addr() string { return s.addr }
 
-// Completed returns how many calls were run to their end.
+// Completed returns the number of calls whose work was finished.
 func (s *Server) Completed() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.completed
 }
 
-// SetFault changes what is wrong with the server.
+// SetFault calls change with the current faults. The change applies at once.
 func (s *Server) SetFault(change func(*Fault)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(&s.fault)
 }
 
-// Stop ends the server at once, as a crash does: connections are reset, work is lost.
+// Stop ends the server at once like a crash: connections are reset and unfinished work is lost.
 func (s *Server) Stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -147,7 +149,7 @@
 	}
 }
 
-// CloseConnections closes all connections; the server continues.
+// CloseConnections closes all connections. The server keeps running and accepts new ones.
 func (s *Server) CloseConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,13 +158,13 @@
 	}
 }
 
-// clientConn is a gateway's connection. The server's mutex guards jobs.
+// clientConn is the connection of a gateway. The server's mutex guards jobs.
 type clientConn struct {
 	ws   *wsconn.Conn
-	jobs map[string]*job // without a response, by JSON-RPC id
+	jobs map[string]*job // unanswered calls by JSON-RPC id
 }
 
-// serveConn serves one gateway's connection until it ends.
+// serveConn serves the connection of one gateway until it ends or a message cannot be parsed.
 func (s *Server) serveConn(nc net.Conn) {
 	options := wsconn.Options{MaxQueue: maxQueueBytes, ReadBuffer: readBufferBytes}
 	ws, err := wsconn.Accept(nc, "jsonrpc", handshakeTimeout, nil, options)
@@ -191,7 +193,7 @@
 	s.unregister(nc, c)
 }
 
-// register returns false if the server was stopped meanwhile.
+// register adds a connection. It returns false if the server has been stopped in the meantime.
 func (s *Server) register(nc net.Conn, c *clientConn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -202,7 +204,7 @@
 	return true
 }
 
-// unregister cancels the calls of a connection that has ended.
+// unregister removes a connection that has ended and cancels its calls.
 func (s *Server) unregister(nc net.Conn, c *clientConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testbed/backend/slowstart.go
+++ b/internal/testbed/backend/slowstart.go
@@ -6,24 +6,26 @@
 	"winghatch/internal/invariant"
 )
 
-// overloadSlackCalls is added to the bound of the work in a window, in calls of the size of the last one: arrivals are
-// random, and a few calls that come together must not count as overload.
+// overloadSlackCalls is added to the bound on the work in a window, in calls of the size of the last one.
+// Arrivals are random, and a few calls that happen to arrive together must not count as overload.
 const overloadSlackCalls = 4
 
-// loadSample is the work of one call that was received.
+// loadSample is the work of one received call.
 type loadSample struct {
 	at   time.Time
 	work time.Duration
 }
 
+// slowStarts reports whether the server is configured for slow start.
 func (s *Server) slowStarts() bool {
 	return s.options.InitialCapacity > 0 && s.options.InitialCapacity < 1 && s.options.SlowStartDuration > 0
 }
 
-// capacity is the work of all cores, in seconds of a core of speed 1 a second.
+// capacity returns the work that all cores can do per second, in seconds of work on a core of speed 1.
 func (s *Server) capacity() float64 { return float64(s.options.Cores) * s.options.Speed }
 
-// capacityShare is the share of its capacity that the server has at a time: it grows linearly during slow start.
+// capacityShare returns the fraction of its capacity that the server has at a time. It grows linearly from
+// InitialCapacity to 1 during slow start.
 func (s *Server) capacityShare(now time.Time) float64 {
 	if !s.slowStarts() {
 		return 1
@@ -33,7 +35,8 @@
 	return min(1, initial+(1-initial)*elapsed/s.options.SlowStartDuration.Seconds())
 }
 
-// checkOverload overloads a server in slow start that receives too much work. s.mu is held.
+// checkOverload marks a server in slow start as overloaded if it has received too much work within the
+// overload window. The caller must hold s.mu.
 func (s *Server) checkOverload(now time.Time, work time.Duration) {
 	window := s.options.OverloadWindow
 	if !s.slowStarts() || s.overloaded || s.capacityShare(now) >= 1 || window <= 0 {
--- a/internal/testbed/client/client.go
+++ b/internal/testbed/client/client.go
@@ -1,6 +1,6 @@
-// Package client is emulated client load, for fault scenarios: the members of a fleet with WebSocket sessions to their
-// gateways, requests at a rate that does not depend on responses, and retries where the protocol says that they are
-// harmless.
+// Package client emulates client load for fault scenarios. The members of a fleet open WebSocket sessions to
+// their gateways and send requests at a rate that does not depend on the responses. They retry a request only
+// where the protocol guarantees that a retry is safe.
 package client
 
 import (
@@ -15,7 +15,7 @@
 	"winghatch/internal/invariant"
 )
 
-// Latencies are recorded in microseconds, up to a minute.
+// Latencies are recorded in microseconds. Larger latencies than maxLatencyUs, one minute, are not recorded.
 const (
 	maxLatencyUs     = 60_000_000
 	latencyPrecision = 3 // significant digits
@@ -25,55 +25,55 @@
 type Member struct {
 	Name         string
 	Key          string
-	FirstGateway int     // rank of the first gateway that it uses
-	GatewayCount int     // how many it uses, from the first on
-	Weight       float64 // of all requests; 0: 1
+	FirstGateway int     // rank of the first gateway that the member uses
+	GatewayCount int     // number of gateways that it uses, with consecutive ranks from FirstGateway
+	Weight       float64 // relative share of all requests; 0: 1
 }
 
 // Class is a class of requests.
 type Class struct {
 	Name             string
-	Share            float64 // of all requests
+	Share            float64 // fraction of all requests
 	Idempotency      decide.Idempotency
 	DedupScope       decide.DedupScope
 	DedupWindow      time.Duration
 	LatencyObjective time.Duration
 	Deadline         time.Duration
-	MaxUnits         int // of a request
+	MaxUnits         int // largest number of units of a request; 0: 1
 }
 
-// Options of a client.
+// Options configures a client.
 type Options struct {
-	Gateways   []string // host:port by rank
+	Gateways   []string // addresses as host:port, by rank
 	Members    []Member
 	Classes    []Class
-	Rate       float64       // requests a second, of all members together
-	Retries    int           // of a request, at most
-	RetryDelay time.Duration // before a retry, unless the gateway asks for a longer one
-	Seed       uint64        // of the random draws
-	Log        *invariant.Log
+	Rate       float64        // requests per second of all members together
+	Retries    int            // largest number of retries of a request
+	RetryDelay time.Duration  // delay before a retry, unless the gateway asks for a longer one
+	Seed       uint64         // seed of the random number generator
+	Log        *invariant.Log // nil: nothing is recorded
 }
 
-// Fault is what the clients do beyond their usual; the zero value is nothing.
+// Fault configures deviations from the normal load. The zero value has none.
 type Fault struct {
-	RateFactor       float64            // times the usual rate; 0: 1
-	WeightFactor     map[string]float64 // times a member's weight
-	UseReservation   map[string]bool    // members of whose requests half use reserved units
-	FirstGatewayOnly map[string]bool    // members that use only the first of their gateways
+	RateFactor       float64            // factor on the request rate; 0: 1
+	WeightFactor     map[string]float64 // factor on the weight, by member
+	UseReservation   map[string]bool    // members that use reserved units for half of their requests
+	FirstGatewayOnly map[string]bool    // members that start each request at their first gateway
 }
 
-// Stats count requests by their final result; a request counts once, however often it is retried.
+// Stats counts requests by their final result. A request counts once, however often it is retried.
 type Stats struct {
 	Requests        int64
 	Served          int64
 	WithinObjective int64 // served within the latency objective of their class
 	Rejected        int64
 	Failed          int64
-	Lost            int64 // the session broke before the response
-	Unreachable     int64 // no gateway took the request
-	Attempts        int64
-	Reasons         map[string]int64        // rejected requests by reason
-	Latency         *hdrhistogram.Histogram // of served requests, from the first attempt on, µs
+	Lost            int64                   // session broke, no response in time, or invalid
+	Unreachable     int64                   // no gateway accepted the request
+	Attempts        int64                   // attempts of all requests, retries included
+	Reasons         map[string]int64        // number of rejected requests by reason
+	Latency         *hdrhistogram.Histogram // of served requests, in µs from the first attempt
 }
 
 // Client sends the requests of all members. It is safe for concurrent use.
@@ -88,10 +88,10 @@
 	fault      Fault
 	stats      Stats
 	sessions   map[string]*session // by member and gateway
-	lastNumber int                 // of requests and sessions
+	lastNumber int                 // last number given to a request or session
 }
 
-// New returns a client. Run sends its requests, Close ends its sessions.
+// New returns a client. Call Run to send requests and Close to end its sessions.
 func New(o Options) *Client {
 	if o.Log == nil {
 		o.Log = invariant.Discard()
@@ -110,7 +110,7 @@
 	}
 }
 
-// SetFault changes what the clients do beyond their usual.
+// SetFault calls change with the current faults. The change applies from the next request on.
 func (c *Client) SetFault(change func(*Fault)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,8 +130,9 @@
 	return stats
 }
 
-// Run sends requests until the context ends, then waits for those in progress. The times between requests are drawn
-// independently of responses; requests that this process could not send in time are sent late rather than left out.
+// Run sends requests until the context ends, then waits for the requests in progress. The times between
+// requests are random and do not depend on responses. If the process falls behind, it sends the due requests
+// late instead of skipping them.
 func (c *Client) Run(ctx context.Context) {
 	defer c.wg.Wait()
 	next := time.Now()
@@ -153,13 +154,13 @@
 	}
 }
 
-// Close ends all sessions, and those that are being opened.
+// Close closes all sessions, including those that are being opened, and prevents new ones.
 func (c *Client) Close() {
 	c.cancel()
 	c.Reconnect()
 }
 
-// Reconnect ends all sessions at once; new ones are opened by the next requests.
+// Reconnect closes all sessions. The next requests open new ones.
 func (c *Client) Reconnect() {
 	c.mu.Lock()
 	sessions := c.sessions
--- a/internal/testbed/client/request.go
+++ b/internal/testbed/client/request.go
@@ -9,34 +9,35 @@
 )
 
 const (
-	// minRemaining is the remaining time of a request below which it is not retried.
+	// minRemaining is the time before its deadline at which a request is no longer attempted.
 	minRemaining = 20 * time.Millisecond
 
-	// lateResponseWait is how long after its deadline a client gives up an attempt. What comes later is still recorded.
+	// lateResponseWait is the time after the deadline of an attempt at which the client stops waiting for its
+	// response. A later response is still recorded.
 	lateResponseWait = 500 * time.Millisecond
 )
 
-// request is a request with all its attempts. The goroutine that runs it owns it.
+// request is a request with all its attempts. It is used only by the goroutine that runs it.
 type request struct {
 	number        int
 	member        *Member
 	class         *Class
 	units         int
-	actualUnits   int     // that the work turns out to cost
-	deadlineShare float64 // of the class's deadline that an attempt is given
-	gateway       int     // rank of the gateway of the next attempt
+	actualUnits   int     // units that the work turns out to cost
+	deadlineShare float64 // timeout of an attempt as a fraction of the class's deadline
+	gateway       int     // rank of the gateway for the next attempt
 	key           string  // idempotency key
 }
 
-// resultKind is how an attempt ended. The values are stored in records.
+// resultKind is the way an attempt ended. Its values are stored in the records of a run.
 type resultKind string
 
 const (
 	served      resultKind = "served"
 	rejected    resultKind = "refused"
 	failed      resultKind = "failed"
-	invalid     resultKind = "invalid"     // the gateway did not accept the request as valid
-	lost        resultKind = "lost"        // the session broke, or no response came in time
+	invalid     resultKind = "invalid"     // the gateway reported the request as invalid
+	lost        resultKind = "lost"        // the session broke or no response arrived in time
 	unreachable resultKind = "unreachable" // no session could be opened
 )
 
@@ -46,7 +47,7 @@
 	retryAfter time.Duration
 }
 
-// drawNext draws the time until the next request, and the request.
+// drawNext returns a random request and the random time to wait before sending it.
 func (c *Client) drawNext() (interval time.Duration, r *request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -58,7 +59,7 @@
 	return interval, c.drawRequest()
 }
 
-// drawRequest draws a request. c.mu is held.
+// drawRequest returns a random request. The caller must hold c.mu.
 func (c *Client) drawRequest() *request {
 	r := &request{deadlineShare: 0.5 + 0.5*c.rng.Float64()}
 	c.lastNumber++
@@ -76,7 +77,7 @@
 	return r
 }
 
-// drawMember draws a member by weight. c.mu is held.
+// drawMember returns a random member, chosen by weight. The caller must hold c.mu.
 func (c *Client) drawMember() (m *Member) {
 	total := 0.0
 	for i := range c.options.Members {
@@ -92,6 +93,7 @@
 	return m
 }
 
+// weight returns the current weight of a member. The caller must hold c.mu.
 func (c *Client) weight(m *Member) float64 {
 	w := m.Weight
 	if w == 0 {
@@ -103,7 +105,7 @@
 	return w
 }
 
-// drawClass draws a class by share. c.mu is held.
+// drawClass returns a random class, chosen by share. The caller must hold c.mu.
 func (c *Client) drawClass() (k *Class) {
 	at := c.rng.Float64()
 	for i := range c.options.Classes {
@@ -115,7 +117,7 @@
 	return k
 }
 
-// run sends a request and retries it until its final result, and counts that.
+// run sends a request, retries it while that is safe and time remains, and counts the final result.
 func (c *Client) run(r *request) {
 	start := time.Now()
 	last := result{}
@@ -142,13 +144,14 @@
 	c.count(r, last, time.Since(start))
 }
 
-// nextGateway returns the gateway behind the last one among those that the member uses.
+// nextGateway returns the gateway that follows the last one in the cycle of the member's gateways.
 func (r *request) nextGateway(gateways int) int {
 	first := r.member.FirstGateway
 	next := (r.gateway - first + gateways + 1) % gateways % r.member.GatewayCount
 	return (first + next) % gateways
 }
 
+// count counts the final result of a request. latency is measured from its first attempt.
 func (c *Client) count(r *request, last result, latency time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -172,8 +175,9 @@
 	}
 }
 
-// mayRetry reports whether a retry is harmless: after a rejection, or where no gateway took the request; otherwise only
-// if the work may run twice, or if every server still drops repetitions of its key.
+// mayRetry reports whether a retry is safe. It is safe after a rejection and if no gateway accepted the
+// request. Otherwise it is safe only if the work may run twice, or if all servers of the fleet still
+// deduplicate its idempotency key; half the deduplication window is kept as a margin.
 func (r *request) mayRetry(last result, sinceStart time.Duration) bool {
 	switch {
 	case last.kind == served || last.kind == invalid:
@@ -188,7 +192,7 @@
 	return false
 }
 
-// attempt sends a request once and waits for its response.
+// attempt sends a request once and waits for the response until lateResponseWait after the timeout.
 func (c *Client) attempt(r *request, attempt int, timeout time.Duration) result {
 	defer c.countAttempt()
 	s, err := c.session(r)
@@ -228,13 +232,14 @@
 	c.stats.Attempts++
 }
 
-// callParams returns the params object of a call. Half of the requests of a member with a reservation use it.
+// callParams returns the params object of a call. Of a member in UseReservation, every second request uses
+// reserved units.
 func (c *Client) callParams(r *request, callID string, isRetry bool, timeout time.Duration) []byte {
 	c.mu.Lock()
 	reserved := c.fault.UseReservation[r.member.Name] && r.number%2 == 0
 	c.mu.Unlock()
-	return fmt.Appendf(nil, `{"reserved":%t,"units":%d,"deadline_ms":%.3f,"at_ms":%.3f,"key":"%s","again":%t,`+
-		`"work":{"try":"%s","true_units":%d}}`,
+	return fmt.Appendf(nil, `{"reserved":%t,"units":%d,"deadline_ms":%.3f,"at_ms":%.3f,"key":"%s",`+
+		`"again":%t,"work":{"try":"%s","true_units":%d}}`,
 		reserved, r.units, timeout.Seconds()*1000, float64(c.options.Log.Now())/1e6, r.key, isRetry,
 		callID, r.actualUnits)
 }
--- a/internal/testbed/client/session.go
+++ b/internal/testbed/client/session.go
@@ -19,25 +19,27 @@
 const (
 	dialTimeout     = time.Second
 	readBufferBytes = 4 << 10
-	maxBatch        = 4096 // responses in one message
+	maxBatch        = 4096 // largest number of responses in one message
 )
 
-// session is one member's WebSocket connection to one gateway. Its goroutine is run, which ends with the connection.
+// session is a WebSocket connection of one member to one gateway. Its goroutine executes run and ends with
+// the connection.
 type session struct {
 	client *Client
 	rank   int
 	name   string
-	ready  chan struct{} // closed when the connection is open or has failed; err and ws are set before
+	ready  chan struct{} // closed when dialing has finished; ws and err are set before
 	err    error
 	ws     *wsconn.Conn
 
 	mu      sync.Mutex
-	calls   map[string]chan result // without a response, by id
-	leaving bool                   // closed by this client
-	closed  bool                   // closed by the gateway, or broken
+	calls   map[string]chan result // result channels of unanswered calls, by call id
+	leaving bool                   // this client closes or has closed the session
+	closed  bool                   // the connection has ended
 }
 
-// session returns the member's session with the request's gateway, and opens one if there is none.
+// session returns the session of the request's member with the request's gateway. It opens one if there is
+// none, and waits until dialing has finished.
 func (c *Client) session(r *request) (*session, error) {
 	key := r.member.Name + "/" + strconv.Itoa(r.gateway)
 	c.mu.Lock()
@@ -59,7 +61,8 @@
 	return s, s.err
 }
 
-// run opens the connection and reads it until it ends. key is the session's place in the client's map.
+// run opens the connection and reads responses until it ends. key is the session's key in the client's map of
+// sessions.
 func (s *session) run(key, credential string) {
 	s.ws, s.err = s.dial(credential)
 	close(s.ready)
@@ -82,7 +85,7 @@
 	return wsconn.Dial(ctx, addr, request, wsconn.Options{ReadBuffer: readBufferBytes})
 }
 
-// readResponses reads until the connection ends and returns the close code.
+// readResponses handles responses until the connection ends, and returns its close code.
 func (s *session) readResponses() (closeCode int) {
 	for {
 		data, err := s.ws.Read()
@@ -104,7 +107,7 @@
 	}
 }
 
-// end gives up all calls of a connection that has ended.
+// end reports all unanswered calls of an ended connection as lost.
 func (s *session) end(closeCode int) {
 	s.mu.Lock()
 	if !s.leaving {
@@ -126,14 +129,14 @@
 	got := s.calls[callID]
 	delete(s.calls, callID)
 	s.mu.Unlock()
-	s.record(invariant.Record{Kind: invariant.Answer, CallID: callID, Answer: string(res.kind), State: res.reason,
-		Duration: res.retryAfter})
+	s.record(invariant.Record{Kind: invariant.Answer, CallID: callID, Answer: string(res.kind),
+		State: res.reason, Duration: res.retryAfter})
 	if got != nil {
 		got <- res
 	}
 }
 
-// resultOf reads the result from a response.
+// resultOf returns the result that a response contains.
 func resultOf(m *jsonrpc.Message) result {
 	if m.Err == nil {
 		return result{kind: served}
@@ -144,7 +147,7 @@
 			Reason       string  `json:"reason"`
 			RetryAfterMs float64 `json:"retry_after_ms"`
 		}
-		json.Unmarshal(m.Err.Data, &data) // without data there is neither a reason nor a delay
+		json.Unmarshal(m.Err.Data, &data) // on an error, the reason and the delay stay empty
 		retryAfter := time.Duration(data.RetryAfterMs * float64(time.Millisecond))
 		return result{rejected, data.Reason, retryAfter}
 	case jsonrpc.CodeFailed:
@@ -153,9 +156,9 @@
 	return result{kind: invalid, reason: m.Err.Message}
 }
 
-// call sends a call whose result goes to got. It returns false if the session takes no more calls; then nothing was
-// sent. The call is recorded before it is sent, as its response may not be recorded before it; if it can't be sent,
-// that is recorded too.
+// call sends a call and delivers its result to got. It returns false if the session is closed; then nothing
+// was sent. The call is recorded before it is sent, so that its response is always recorded after it. If
+// sending fails, a cancellation is recorded.
 func (s *session) call(id, method string, params []byte, record invariant.Record, got chan result) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -172,7 +175,7 @@
 	return true
 }
 
-// leave closes the session from this side.
+// leave waits until the session has been opened, then closes it normally.
 func (s *session) leave() {
 	<-s.ready
 	s.mu.Lock()
@@ -184,7 +187,7 @@
 	}
 }
 
-// record adds a record of this session.
+// record adds a record with the name and gateway of this session to the log.
 func (s *session) record(r invariant.Record) {
 	r.Session = s.name
 	r.Gateway = s.rank
--- a/internal/testbed/discovery/server.go
+++ b/internal/testbed/discovery/server.go
@@ -1,5 +1,5 @@
-// Package discovery is an emulated discovery service, for tests and fault scenarios. It sends each gateway the complete
-// endpoint list and then what changes, and can be late, silent, stale or wrong.
+// Package discovery emulates a discovery service for tests and fault scenarios. It sends each gateway the
+// complete endpoint list and then the changes to it. It can be late, silent, stale or wrong.
 package discovery
 
 import (
@@ -19,11 +19,12 @@
 
 const (
 	handshakeTimeout = 5 * time.Second
-	maxQueueBytes    = 8 << 20
-	maxBatch         = 16 // messages of a gateway at once
+	maxQueueBytes    = 8 << 20 // bounds the queued data that a gateway has not read yet
+	maxBatch         = 16      // largest number of requests in one message of a gateway
 )
 
-// Server is a running discovery service. It records what it sends to each gateway in the log.
+// Server is a running discovery service. It records in the log which endpoint states it sends to each
+// gateway. It is safe for concurrent use.
 type Server struct {
 	ln  net.Listener
 	log *invariant.Log
@@ -31,15 +32,16 @@
 	mu          sync.Mutex
 	delay       time.Duration
 	version     uint64
-	endpoints   map[string]discoveryws.Endpoint // by address
-	everListed  map[string]bool                 // by address
-	subscribers map[*wsconn.Conn]int            // rank of the gateway
+	endpoints   map[string]discoveryws.Endpoint // current list by address
+	everListed  map[string]bool                 // addresses that have been in the list at any time
+	subscribers map[*wsconn.Conn]int            // rank of the gateway of each connection
 	conns       map[net.Conn]bool
 	silent      bool
 	stopped     bool
 }
 
-// Start runs a service that sends changes after the delay. log may be nil.
+// Start runs a service on addr until Stop. Update takes effect after delay. If log is nil, nothing is
+// recorded. Start returns an error if addr cannot be bound.
 func Start(addr string, delay time.Duration, log *invariant.Log) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -61,7 +63,7 @@
 	return s, nil
 }
 
-// Addr returns the listen address.
+// Addr returns the listen address as host:port.
 func (s *Server) Addr() string { return s.ln.Addr().String() }
 
 // Stop closes the listener and all connections.
@@ -75,8 +77,8 @@
 	}
 }
 
-// SetSilent stops the service from sending anything, its connections stay open; or lets it continue, which begins with
-// the complete list.
+// SetSilent(true) keeps the connections open but stops sending. SetSilent(false) resumes sending, beginning
+// with the complete list.
 func (s *Server) SetSilent(silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,14 +88,15 @@
 	}
 }
 
-// SetDelay changes the delay after which changes are applied and sent.
+// SetDelay sets the delay with which later calls of Update take effect.
 func (s *Server) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delay = d
 }
 
-// Update changes endpoints and sends the change, after the delay.
+// Update changes the given endpoints and sends the change to all gateways, after the delay. An endpoint with
+// the state "gone" is removed from the list.
 func (s *Server) Update(endpoints ...discoveryws.Endpoint) {
 	s.mu.Lock()
 	delay := s.delay
@@ -124,7 +127,8 @@
 	})
 }
 
-// Replace adds endpoints at once and sends the complete list, as a restarted service does that finds them.
+// Replace adds the endpoints to the list without delay and sends the complete list, like a service that has
+// found them after a restart. Endpoints that are not given stay in the list.
 func (s *Server) Replace(endpoints []discoveryws.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,8 +140,9 @@
 	s.broadcast(discoveryws.MethodFull, s.snapshot())
 }
 
-// SendRaw sends an update as it is, valid or not, without applying it. It is not recorded as sent: whatever a gateway
-// may apply of it, it may have applied from the valid updates.
+// SendRaw sends an update to all gateways without validating or applying it, also while the service is
+// silent. The update is not recorded in the log: a gateway may apply only states that it could also have
+// received in valid updates.
 func (s *Server) SendRaw(method string, u discoveryws.Update) {
 	raw, err := json.Marshal(u)
 	if err != nil {
@@ -150,21 +155,21 @@
 	}
 }
 
-// Version returns the version of the last change.
+// Version returns the version of the list. It starts at 0 and increases with each change.
 func (s *Server) Version() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.version
 }
 
-// Endpoints returns the complete list, sorted by address.
+// Endpoints returns the current list, sorted by address.
 func (s *Server) Endpoints() []discoveryws.Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.snapshot().Endpoints
 }
 
-// snapshot returns the complete list. s.mu is held.
+// snapshot returns the complete list, sorted by address. The caller must hold s.mu.
 func (s *Server) snapshot() discoveryws.Update {
 	u := discoveryws.Update{Version: s.version, NowMs: time.Now().UnixMilli()}
 	for _, e := range s.endpoints {
@@ -174,7 +179,8 @@
 	return u
 }
 
-// broadcast sends an update to all gateways, unless the service is silent. s.mu is held.
+// broadcast sends an update to all gateways, unless the service is silent or stopped. The caller must hold
+// s.mu.
 func (s *Server) broadcast(method string, u discoveryws.Update) {
 	if s.silent || s.stopped {
 		return
@@ -184,7 +190,7 @@
 	}
 }
 
-// notify sends an update to one gateway and records the states that it contains. s.mu is held.
+// notify sends an update to one gateway and records the endpoint states in it. The caller must hold s.mu.
 func (s *Server) notify(conn *wsconn.Conn, rank int, method string, u discoveryws.Update) {
 	raw, err := json.Marshal(u)
 	if err != nil || conn.Send(jsonrpc.AppendCall(nil, "", method, raw)) != nil {
@@ -200,7 +206,7 @@
 	}
 	for address := range s.everListed {
 		if !listed[address] {
-			s.recordSent(rank, address, "gone") // which a complete list without it says
+			s.recordSent(rank, address, "gone") // a complete list without an address means that it is gone
 		}
 	}
 }
@@ -228,7 +234,7 @@
 		if err != nil {
 			return
 		}
-		messages, _, _ := jsonrpc.Parse(data, maxBatch) // what can't be parsed is ignored
+		messages, _, _ := jsonrpc.Parse(data, maxBatch) // malformed messages are ignored
 		for _, m := range messages {
 			if m.Method == discoveryws.MethodFetch {
 				s.sendFull(conn, rank)
--- a/internal/testbed/httpreceiver/faults.go
+++ b/internal/testbed/httpreceiver/faults.go
@@ -5,7 +5,8 @@
 	"net/http"
 )
 
-// RespondEarly answers 200 and closes the connection before the request's body is read.
+// RespondEarly responds with 200 and closes the connection without reading the request's body. It does
+// nothing if the connection cannot be hijacked.
 func RespondEarly(w http.ResponseWriter) {
 	nc, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
@@ -15,7 +16,7 @@
 	io.WriteString(nc, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 }
 
-// RespondStatus answers with a status, and with a Retry-After unless it is empty.
+// RespondStatus responds with an HTTP status, and with a Retry-After header unless retryAfter is empty.
 func RespondStatus(w http.ResponseWriter, status int, retryAfter string) {
 	if retryAfter != "" {
 		w.Header().Set("Retry-After", retryAfter)
--- a/internal/testbed/httpreceiver/server.go
+++ b/internal/testbed/httpreceiver/server.go
@@ -1,5 +1,5 @@
-// Package httpreceiver has what the emulated receivers of metrics, usage and traces share: the HTTP server and its
-// faults.
+// Package httpreceiver provides the HTTP server and the fault responses that the emulated receivers of
+// metrics, usage and traces share.
 package httpreceiver
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// headerTimeout bounds how long a client may take to send a request's header.
+// headerTimeout bounds the time in which a client must send the header of a request.
 const headerTimeout = 5 * time.Second
 
 // Server is a running HTTP server.
@@ -17,7 +17,7 @@
 	addr string
 }
 
-// Start listens at an address. Stop ends the goroutine that it starts.
+// Start serves HTTP on addr in a goroutine that ends with Stop. It returns an error if addr cannot be bound.
 func Start(addr string, handler http.Handler) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -31,8 +31,8 @@
 	return s, nil
 }
 
-// Addr returns the listen address.
+// Addr returns the listen address as host:port.
 func (s *Server) Addr() string { return s.addr }
 
-// Stop closes all connections, as a kill would.
+// Stop closes the listener and all connections at once, as if the process were killed.
 func (s *Server) Stop() { s.http.Close() }
--- a/internal/testbed/metricsreceiver/receiver.go
+++ b/internal/testbed/metricsreceiver/receiver.go
@@ -1,5 +1,5 @@
-// Package metricsreceiver is an emulated receiver of Prometheus remote write, 1.0 and 2.0, for tests and fault
-// scenarios. It keeps the samples of each series in memory and has the faults that a receiver may have.
+// Package metricsreceiver emulates a receiver of Prometheus remote write 1.0 and 2.0 for tests and fault
+// scenarios. It keeps the samples of each series in memory and can inject the faults of a real receiver.
 package metricsreceiver
 
 import (
@@ -11,36 +11,40 @@
 	"winghatch/internal/testbed/httpreceiver"
 )
 
-// Fault is what is wrong with the receiver; the zero value is nothing.
+// Fault configures the faults that the receiver injects. The zero value injects none.
 type Fault struct {
-	Status         int           // it answers with this status and keeps nothing; 0: none
-	RetryAfter     string        // header field beside Status
-	RespondEarly   bool          // it answers 200 before it has read the request, and keeps nothing
-	DropConnection bool          // it keeps the batch and closes the connection without an answer
-	Reject         string        // it answers 400 to a batch with a series that has this in its name or labels
-	MaxSamples     int           // it answers 413 to more samples in a batch; 0: no bound
-	OnlyV1         bool          // it answers 415 to version 2.0
-	MisreadsV2     bool          // it takes 2.0 for 1.0: it answers 200 without counts of what it wrote, and keeps nothing
-	Delay          time.Duration // before each answer
+	Status         int    // HTTP status of the response; the batch is not stored; 0: no fault
+	RetryAfter     string // value of the Retry-After header sent with Status; empty: no header
+	RespondEarly   bool   // respond with 200 and close before reading the body; nothing is stored
+	DropConnection bool   // store the batch, then close the connection without a response
+	Reject         string // respond with 400 if a series has this text in its name or labels; empty: no fault
+	MaxSamples     int    // largest accepted batch in samples; 413 for a larger one; 0: no limit
+	OnlyV1         bool   // respond with 415 to remote write 2.0
+
+	// MisreadsV2 treats a 2.0 batch as a 1.0 batch: the response is 200 without the
+	// X-Prometheus-Remote-Write-*-Written headers, and nothing is stored.
+	MisreadsV2 bool
+
+	Delay time.Duration // delay before each response; 0: none
 }
 
-// Receiver is a running receiver. Batches, Bytes, Samples and OutOfOrder are to be read after Stop, or while nothing is
-// written.
+// Receiver is a running metrics receiver. Its methods are safe for concurrent use. The exported fields may be
+// read only after Stop or while no sender is writing.
 type Receiver struct {
 	server *httpreceiver.Server
 
 	mu             sync.Mutex
-	series         map[string][]Point           // by name{label="value",...}
-	labels         map[string]map[string]string // by the same name
+	series         map[string][]Point           // points, keyed by name{label="value",...}
+	labels         map[string]map[string]string // label values by label name, keyed like series
 	fault          Fault
 	exemplarTraces []string
-	Batches        map[string]int // by version of the protocol
-	Bytes          int            // of batches, compressed
-	Samples        int
-	OutOfOrder     int // samples that were not newer than the last of their series
+	Batches        map[string]int // number of stored batches by protocol version
+	Bytes          int            // compressed size of all stored batches, in bytes
+	Samples        int            // number of samples in all stored batches
+	OutOfOrder     int            // number of samples that were not newer than the last one of their series
 }
 
-// Start listens at an address. Stop ends the goroutine that it starts.
+// Start serves HTTP on addr in a goroutine that ends with Stop. It returns an error if addr cannot be bound.
 func Start(addr string) (*Receiver, error) {
 	r := &Receiver{
 		series:  map[string][]Point{},
@@ -58,23 +62,23 @@
 	return r, nil
 }
 
-// URL returns the address of writes.
+// URL returns the URL to which batches are written.
 func (r *Receiver) URL() string { return "http://" + r.Addr() + "/api/v1/write" }
 
-// Addr returns the listen address.
+// Addr returns the listen address as host:port.
 func (r *Receiver) Addr() string { return r.server.Addr() }
 
-// SetFault changes what is wrong with the receiver, from the next request on.
+// SetFault calls change with the current faults. The change applies from the next request on.
 func (r *Receiver) SetFault(change func(*Fault)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change(&r.fault)
 }
 
-// Stop closes all connections.
+// Stop closes the listener and all connections. The stored series stay readable.
 func (r *Receiver) Stop() { r.server.Stop() }
 
-// handleSeries lists all series with their last sample.
+// handleSeries responds with one line per series: its name, last point and number of points.
 func (r *Receiver) handleSeries(w http.ResponseWriter, _ *http.Request) {
 	for _, name := range r.Names() {
 		points := r.Points(name)
--- a/internal/testbed/metricsreceiver/series.go
+++ b/internal/testbed/metricsreceiver/series.go
@@ -12,31 +12,32 @@
 	"winghatch/internal/remotewrite"
 )
 
-// maxPoints is how many points of a series are kept; beyond it the older half is dropped.
+// maxPoints is the largest number of points kept for a series. When it is reached, the older half is dropped.
 const maxPoints = 20000
 
 // Point is one sample of a series.
 type Point struct {
-	TimestampMs int64 // Unix time, ms
-	Value       float64
+	TimestampMs int64   // Unix time in milliseconds
+	Value       float64 // 0 for a native histogram
 
-	// Of a native histogram:
-	Count       uint64
-	Sum         float64
+	// The remaining fields are set for a native histogram only.
+	Count       uint64  // number of observations
+	Sum         float64 // sum of the observations
 	IsHistogram bool
-	encoded     []byte // as it was received
+	encoded     []byte // an encoded io.prometheus.write.v2.Histogram
 }
 
-// StoredSeries is a series as WriteSeries writes it, one line of JSON each. A series has either values or native
-// histograms, each an encoded io.prometheus.write.v2.Histogram.
+// StoredSeries is the JSON form of a series that WriteSeries writes. A series has either Values or
+// Histograms, with one entry per timestamp.
 type StoredSeries struct {
 	Labels       map[string]string `json:"labels"`
-	TimestampsMs []int64           `json:"t"` // Unix time, ms
-	Values       []string          `json:"v,omitempty"`
-	Histograms   [][]byte          `json:"h,omitempty"`
+	TimestampsMs []int64           `json:"t"`           // Unix times in milliseconds
+	Values       []string          `json:"v,omitempty"` // decimal numbers
+	Histograms   [][]byte          `json:"h,omitempty"` // each an encoded io.prometheus.write.v2.Histogram
 }
 
-// WriteSeries writes all series whose name begins with the prefix.
+// WriteSeries writes all series whose name begins with prefix, as one line of JSON each, sorted by name. It
+// returns the first error of w.
 func (r *Receiver) WriteSeries(w io.Writer, prefix string) error {
 	for _, name := range r.Names() {
 		if !strings.HasPrefix(name, prefix) {
@@ -53,7 +54,7 @@
 	return nil
 }
 
-// stored returns a series for WriteSeries, without its staleness markers.
+// stored returns a series in its stored form, without staleness markers.
 func (r *Receiver) stored(name string) StoredSeries {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -72,7 +73,7 @@
 	return s
 }
 
-// Names returns the names of all series, sorted.
+// Names returns the names of all series, each as name{label="value",...}, sorted.
 func (r *Receiver) Names() (out []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,22 +84,23 @@
 	return out
 }
 
-// Points returns the points of a series in the order in which they came.
+// Points returns a copy of the points of a series in order of arrival, nil if there is no such series.
 func (r *Receiver) Points(name string) []Point {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Point(nil), r.series[name]...)
 }
 
-// ExemplarTraces returns the trace ids of all exemplars that came.
+// ExemplarTraces returns the trace ids of all received exemplars.
 func (r *Receiver) ExemplarTraces() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]string(nil), r.exemplarTraces...)
 }
 
-// Sum adds the last values of all series of a metric that have all the labels, each written as name="value". Of native
-// histograms it adds the counts. Staleness markers are skipped.
+// Sum returns the sum of the last values of all series of a metric that have all the given labels, each
+// written as name="value". A native histogram counts with its number of observations. Staleness markers are
+// skipped.
 func (r *Receiver) Sum(metric string, labels ...string) (sum float64) {
 	for _, name := range r.Names() {
 		if strings.HasPrefix(name, metric+"{") && containsAll(name, labels) {
@@ -117,7 +119,7 @@
 	return true
 }
 
-// lastValue returns the last value that is no staleness marker, 0 if there is none.
+// lastValue returns the last value that is not a staleness marker, 0 if there is none.
 func lastValue(points []Point) float64 {
 	for i := len(points) - 1; i >= 0; i-- {
 		p := points[i]
@@ -132,7 +134,8 @@
 	return 0
 }
 
-// add keeps a sample, unless its series has one of the same time. r.mu is held.
+// add stores a sample. A sample with the same timestamp as the last one of its series is a retry and is not
+// stored again. The caller must hold r.mu.
 func (r *Receiver) add(name string, s remotewrite.Sample) {
 	point := Point{TimestampMs: s.Timestamp, Value: s.Value}
 	if s.Histogram != nil {
@@ -152,7 +155,7 @@
 			r.OutOfOrder++
 		}
 		if s.Timestamp == last {
-			return // the batch was sent again
+			return // the batch was retried
 		}
 	}
 	if len(points) >= maxPoints {
@@ -179,7 +182,7 @@
 	return labels
 }
 
-// seriesName returns metric{label="value",...}.
+// seriesName returns the name of a series in the form metric{label="value",...}.
 func seriesName(s *remotewrite.Series) string {
 	metric := ""
 	var labels []string
--- a/internal/testbed/metricsreceiver/write.go
+++ b/internal/testbed/metricsreceiver/write.go
@@ -14,10 +14,10 @@
 	"winghatch/internal/testbed/httpreceiver"
 )
 
-// maxBodyBytes bounds a batch, compressed.
+// maxBodyBytes bounds the compressed size of a batch.
 const maxBodyBytes = 64 << 20
 
-// handleWrite takes a batch as the specification asks, unless a fault says otherwise.
+// handleWrite receives a batch as the remote-write specification requires, except for the configured faults.
 func (r *Receiver) handleWrite(w http.ResponseWriter, req *http.Request) {
 	r.mu.Lock()
 	fault := r.fault
@@ -59,7 +59,7 @@
 	}
 	r.store(samples, names, req.Header.Get(versionHeader), len(raw))
 	if fault.DropConnection {
-		panic(http.ErrAbortHandler) // closes the connection without an answer
+		panic(http.ErrAbortHandler) // closes the connection without a response
 	}
 	if v2 {
 		reportWritten(w, samples)
@@ -91,7 +91,7 @@
 	return remotewrite.DecodeV1(body)
 }
 
-// seriesNames returns the name of each sample's series, or an error if the fault rejects one of them.
+// seriesNames returns the series name of each sample, or an error if fault.Reject matches one of them.
 func seriesNames(samples []remotewrite.Sample, fault Fault) (names []string, err error) {
 	for _, s := range samples {
 		name := seriesName(s.Series)
@@ -114,7 +114,8 @@
 	r.Samples += len(samples)
 }
 
-// reportWritten sets the header fields by which a 2.0 sender sees that its batch was understood.
+// reportWritten sets the response headers from which a 2.0 sender learns that the receiver understood its
+// batch.
 func reportWritten(w http.ResponseWriter, samples []remotewrite.Sample) {
 	floats, histograms := 0, 0
 	for _, s := range samples {
--- a/internal/testbed/ports/ports.go
+++ b/internal/testbed/ports/ports.go
@@ -1,4 +1,5 @@
-// Package ports finds loopback ports that nobody else takes before they are bound, or while they are not.
+// Package ports reserves loopback ports, so that no other process binds them before their user does, or while
+// their user is stopped.
 package ports
 
 import (
@@ -9,28 +10,29 @@
 	"time"
 )
 
-// The range of ports. It lies below the range from which the kernel takes the ports of outgoing connections, so that
-// none of them takes a port meanwhile.
+// The range of reserved ports lies below the kernel's range of ephemeral ports, so that no outgoing
+// connection can take a reserved port.
 const (
 	lowestPort  = 12000
 	highestPort = 32000
 )
 
 const (
-	// lockHost is a loopback address that nothing else uses. Whoever listens on a port there holds the port for itself
-	// on 127.0.0.1: other tests and processes that use this package leave it alone, even while nobody listens on it.
+	// lockHost is a loopback address that is used for nothing else. A listener on a port of lockHost reserves
+	// the same port on 127.0.0.1: other tests and processes that use this package skip the port, even while
+	// nothing listens on 127.0.0.1.
 	lockHost = "127.77.0.1"
 
-	maxTries     = 1000
-	probeTimeout = time.Second
+	maxTries     = 1000        // number of random ports to try for one address
+	probeTimeout = time.Second // bounds the connection that checks whether a port is in use
 )
 
-// Reservation holds ports until Release. The zero value holds none. It is not safe for concurrent use.
+// Reservation is a set of reserved ports. The zero value is empty. It is not safe for concurrent use.
 type Reservation struct{ locks []net.Listener }
 
-// Addr reserves a port on which nobody listens and returns its address, host:port. Whether somebody listens is found
-// out by a connection rather than by listening: a listener that was just closed may hold its port for a moment
-// longer.
+// Addr reserves a port of 127.0.0.1 on which nothing listens and returns its address as host:port. It returns
+// an error if it finds no such port in 1000 attempts. It checks a port by connecting to it rather than by
+// listening on it, because a listener that was just closed can occupy its port for a moment longer.
 func (r *Reservation) Addr() (string, error) {
 	for range maxTries {
 		port := lowestPort + rand.IntN(highestPort-lowestPort)
@@ -47,10 +49,10 @@
 		r.locks = append(r.locks, lock)
 		return addr, nil
 	}
-	return "", errors.New("ports: none is free")
+	return "", errors.New("ports: no free port found")
 }
 
-// Release releases all ports.
+// Release releases all reserved ports.
 func (r *Reservation) Release() {
 	for _, lock := range r.locks {
 		lock.Close()
--- a/internal/testbed/storeddata/storeddata.go
+++ b/internal/testbed/storeddata/storeddata.go
@@ -1,4 +1,5 @@
-// Package storeddata reads what earlier versions of the program wrote, for the tests that hold it readable.
+// Package storeddata reads test data written by earlier versions of the program, for tests that check that
+// the current version still reads it.
 package storeddata
 
 import (
@@ -9,10 +10,11 @@
 	"testing"
 )
 
-// maxLineBytes bounds a line of stored data.
+// maxLineBytes bounds the length of a line of stored data.
 const maxLineBytes = 1 << 20
 
-// ReadLines returns the lines of a file but those that begin with #.
+// ReadLines returns the lines of a file, except comment lines, which begin with #. It fails the test if the
+// file cannot be read.
 func ReadLines(t testing.TB, path string) (lines []string) {
 	t.Helper()
 	f, err := os.Open(path)
@@ -33,14 +35,15 @@
 	return lines
 }
 
-// CheckTranscripts plays each random history of a file again. transcript plays that of a seed and returns how many
-// things were recorded (actions or messages, as its package has them) and a hash of them; a line of the file has the
-// seed and both as an earlier version played it. There must be at least one line.
+// CheckTranscripts checks that the code still produces the transcripts that an earlier version stored in a
+// file. Each line of the file holds a seed, the number of recorded entries and their hash in hexadecimal.
+// transcript runs the random history of a seed and returns the number of entries (actions or messages,
+// depending on the package) and their hash. The test fails if the file has no lines.
 func CheckTranscripts(t testing.TB, path string, transcript func(seed int64) (recorded int, hash uint64)) {
 	t.Helper()
 	lines := ReadLines(t, path)
 	if len(lines) == 0 {
-		t.Error("no transcript is stored")
+		t.Error("storeddata: no stored transcripts, want at least one")
 	}
 	for _, line := range lines {
 		var seed int64
@@ -50,7 +53,8 @@
 			t.Fatalf("%q: %v", line, err)
 		}
 		if recorded, hash := transcript(seed); recorded != wantRecorded || hash != wantHash {
-			t.Errorf("seed %d: %d recorded, of hash %x; stored are %d, of %x", seed, recorded, hash, wantRecorded, wantHash)
+			t.Errorf("seed %d: got %d entries with hash %x, want the stored %d entries with hash %x",
+				seed, recorded, hash, wantRecorded, wantHash)
 		}
 	}
 }
--- a/internal/testbed/tcpserver/tcpserver.go
+++ b/internal/testbed/tcpserver/tcpserver.go
@@ -1,4 +1,5 @@
-// Package tcpserver runs servers of a few lines and makes connections, for tests of what a peer may do to a connection.
+// Package tcpserver runs minimal TCP servers and opens connections, for tests of how code handles a
+// misbehaving peer.
 package tcpserver
 
 import (
@@ -6,8 +7,9 @@
 	"testing"
 )
 
-// Start runs a server on a loopback port until the test ends, and returns its address. serve has each connection in a
-// goroutine of its own, at whose end the connection is closed. The test does not wait for these goroutines.
+// Start runs a server on a loopback port until the test ends and returns its address as host:port. It calls
+// serve for each connection in a separate goroutine and closes the connection when serve returns. The test
+// does not wait for these goroutines.
 func Start(t testing.TB, serve func(nc net.Conn)) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -19,7 +21,8 @@
 	return ln.Addr().String()
 }
 
-// Serve calls serve as Start does, until the listener is closed.
+// Serve accepts connections until the listener is closed. It calls serve for each connection in a separate
+// goroutine and closes the connection when serve returns.
 func Serve(ln net.Listener, serve func(nc net.Conn)) {
 	for {
 		nc, err := ln.Accept()
@@ -33,7 +36,7 @@
 	}
 }
 
-// Connect returns both ends of a connection. They are closed when the test ends.
+// Connect opens a loopback TCP connection and returns both ends. They are closed when the test ends.
 func Connect(t testing.TB) (client, server net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/testbed/tracereceiver/receiver.go
+++ b/internal/testbed/tracereceiver/receiver.go
@@ -1,5 +1,5 @@
-// Package tracereceiver is an emulated receiver of OpenTelemetry traces for tests: OTLP over HTTP with protobuf. It
-// keeps all spans in memory.
+// Package tracereceiver emulates a receiver of OpenTelemetry traces for tests. It accepts OTLP over HTTP in
+// protobuf encoding and keeps all spans in memory.
 package tracereceiver
 
 import (
@@ -17,27 +17,28 @@
 	"winghatch/internal/testbed/httpreceiver"
 )
 
+// maxBodyBytes bounds the uncompressed body of one request; the rest is not read.
 const maxBodyBytes = 64 << 20
 
-// Span is a span that was received. Its ids are hexadecimal.
+// Span is a received span. Its ids are in hexadecimal; ParentID is empty for a root span.
 type Span struct {
 	TraceID, ID, ParentID string
 	Name                  string
 	Start, End            time.Time
-	Attrs                 map[string]string // those with string values
-	Error                 bool
+	Attrs                 map[string]string // values of string attributes by name; other values are empty
+	Error                 bool              // whether the span's status is an error
 }
 
-// Receiver is a running receiver.
+// Receiver is a running trace receiver. Its methods are safe for concurrent use.
 type Receiver struct {
 	server *httpreceiver.Server
 
 	mu     sync.Mutex
 	spans  []Span
-	Status int // it answers with this status and keeps nothing; 0: it keeps all
+	Status int // HTTP status of the responses; spans are stored only if it is 0; set by SetStatus
 }
 
-// Start listens at an address. Stop ends the goroutine that it starts.
+// Start serves HTTP on addr in a goroutine that ends with Stop. It returns an error if addr cannot be bound.
 func Start(addr string) (*Receiver, error) {
 	r := &Receiver{}
 	mux := http.NewServeMux()
@@ -50,20 +51,20 @@
 	return r, nil
 }
 
-// URL returns the address of the traces.
+// URL returns the URL to which traces are posted.
 func (r *Receiver) URL() string { return "http://" + r.server.Addr() + "/v1/traces" }
 
-// Stop closes all connections.
+// Stop closes the listener and all connections.
 func (r *Receiver) Stop() { r.server.Stop() }
 
-// Spans returns all spans that were received.
+// Spans returns a copy of all stored spans in order of arrival.
 func (r *Receiver) Spans() []Span {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Span(nil), r.spans...)
 }
 
-// SetStatus changes the status of the answers; 0: spans are kept.
+// SetStatus sets the HTTP status of the following responses. While it is not 0, received spans are discarded.
 func (r *Receiver) SetStatus(status int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/testbed/usagereceiver/receiver.go
+++ b/internal/testbed/usagereceiver/receiver.go
@@ -1,6 +1,7 @@
-// Package usagereceiver is an emulated receiver of exported usage, for tests and fault scenarios. It takes CloudEvents
-// 1.0 in JSON batches over HTTP, keeps each event once in a file that outlives the receiver, and has the faults that
-// such a receiver may have.
+// Package usagereceiver emulates a receiver of exported usage for tests and fault scenarios. It accepts JSON
+// batches of CloudEvents 1.0 over HTTP and stores each event once in a file that survives a restart of the
+// receiver. It can inject the faults of a real receiver: error statuses, dropped connections, early responses
+// and delays.
 package usagereceiver
 
 import (
@@ -15,9 +16,10 @@
 	"winghatch/internal/testbed/httpreceiver"
 )
 
+// maxBodyBytes bounds the body of one request; the rest is not read.
 const maxBodyBytes = 64 << 20
 
-// Event is a CloudEvent with the attributes that the receiver looks at.
+// Event is a CloudEvent with the attributes that the receiver uses.
 type Event struct {
 	Version string          `json:"specversion"`
 	ID      string          `json:"id"`
@@ -27,29 +29,30 @@
 	Data    json.RawMessage `json:"data"`
 }
 
-// Fault is what is wrong with the receiver; the zero value is nothing.
+// Fault configures the faults that the receiver injects. The zero value injects none.
 type Fault struct {
-	Status         int           // it answers with this status and keeps nothing; 0: none
-	RetryAfter     string        // header field beside Status
-	DropConnection bool          // it keeps the batch and closes the connection without an answer
-	RespondEarly   bool          // it answers 200 and closes before it has read the body, and keeps nothing
-	Share          float64       // of the requests that Status, DropConnection and RespondEarly hit; 0: all
-	Reject         string        // it answers 400 to a batch that contains this
-	Delay          time.Duration // before each answer
+	Status         int           // HTTP status of the response; the batch is not stored; 0: no fault
+	RetryAfter     string        // value of the Retry-After header sent with Status; empty: no header
+	DropConnection bool          // store the batch, then close the connection without a response
+	RespondEarly   bool          // respond with 200 and close before reading the body; nothing is stored
+	Share          float64       // fraction of requests that get the faults above; 0: all requests
+	Reject         string        // respond with 400 if the body contains this text; empty: no fault
+	Delay          time.Duration // delay before each response; 0: none
 }
 
-// Receiver is a running receiver. It is safe for concurrent use.
+// Receiver is a running usage receiver. It is safe for concurrent use.
 type Receiver struct {
 	store  *store
 	server *httpreceiver.Server
 
-	mu         sync.Mutex // guards store too
-	duplicates int        // see Duplicates
+	mu         sync.Mutex // also guards the content of store
+	duplicates int        // number of events received more than once
 	fault      Fault
 	rng        *rand.Rand
 }
 
-// Start listens at an address and continues with the events in the file. Stop ends the goroutine that it starts.
+// Start loads the events stored in file, creating it if it does not exist, and serves HTTP on addr in a
+// goroutine that ends with Stop. It returns an error if the file cannot be opened or addr cannot be bound.
 func Start(addr, file string) (*Receiver, error) {
 	s, duplicates, err := openStore(file)
 	if err != nil {
@@ -72,34 +75,35 @@
 	return r, nil
 }
 
-// Addr returns the listen address.
+// Addr returns the listen address as host:port.
 func (r *Receiver) Addr() string { return r.server.Addr() }
 
-// URL returns the address of batches.
+// URL returns the URL to which batches are posted.
 func (r *Receiver) URL() string { return "http://" + r.Addr() + "/use" }
 
-// SetFault changes what is wrong with the receiver, from the next request on.
+// SetFault calls change with the current faults. The change applies from the next request on.
 func (r *Receiver) SetFault(change func(*Fault)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change(&r.fault)
 }
 
-// Events returns all events in the order in which they came.
+// Events returns a copy of all stored events in order of arrival.
 func (r *Receiver) Events() []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Event{}, r.store.events...)
 }
 
-// Duplicates returns how many events were received again. Requests that Stop interrupts may still add some.
+// Duplicates returns the number of events that were received more than once. A request interrupted by Stop
+// can still increase the number.
 func (r *Receiver) Duplicates() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.duplicates
 }
 
-// Stop closes all connections, as a kill would.
+// Stop closes the listener, all connections and the file at once, as if the process were killed.
 func (r *Receiver) Stop() {
 	r.server.Stop()
 	r.mu.Lock()
@@ -138,12 +142,12 @@
 		return
 	}
 	if fault.DropConnection && hit {
-		panic(http.ErrAbortHandler) // closes the connection without an answer
+		panic(http.ErrAbortHandler) // closes the connection without a response
 	}
 	w.WriteHeader(http.StatusAccepted)
 }
 
-// add checks a batch and keeps it.
+// add validates a batch and stores its events.
 func (r *Receiver) add(req *http.Request, body []byte) error {
 	events, err := parseBatch(req, body)
 	if err != nil {
--- a/internal/testbed/usagereceiver/store.go
+++ b/internal/testbed/usagereceiver/store.go
@@ -11,20 +11,23 @@
 	"strings"
 )
 
-// eventKey identifies an event (CloudEvents 1.0, section "source" and "id").
+// eventKey identifies an event: CloudEvents 1.0 requires that source and id together are unique.
 type eventKey struct{ source, id string }
 
 func (e Event) key() eventKey { return eventKey{e.Source, e.ID} }
 
-// store keeps events once, in memory and in a file with one line of JSON each. It is not safe for concurrent use.
+// store holds each event once, in memory and in a file with one JSON object per line. It is not safe for
+// concurrent use.
 type store struct {
 	file   *os.File
 	seen   map[eventKey]bool
 	events []Event
-	failed error // of the file; nothing is added after it
+	failed error // first write error of the file; later calls of add return it
 }
 
-// openStore loads a file. A line that a crash has truncated is dropped: its batch was not acknowledged.
+// openStore loads the events of a file, or creates the file. It truncates the file at the first incomplete
+// line, which a crash leaves behind: the batch of that line was not acknowledged, so the sender sends it
+// again.
 func openStore(name string) (s *store, duplicates int, err error) {
 	file, err := os.OpenFile(name, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -55,8 +58,8 @@
 	return s, duplicates, nil
 }
 
-// add writes and syncs the events that are new, and remembers them after that: a batch is acknowledged only once all of
-// it is durable.
+// add writes the new events to the file, syncs it, and only then marks them as seen, because a batch may be
+// acknowledged only once all of it is durable. It returns the number of events that were already stored.
 func (s *store) add(events []Event) (duplicates int, err error) {
 	if s.failed != nil {
 		return 0, s.failed
@@ -70,7 +73,7 @@
 			continue
 		}
 		inBatch[e.key()] = true
-		raw, _ := json.Marshal(e) // it was unmarshalled from JSON
+		raw, _ := json.Marshal(e) // cannot fail: e was decoded from JSON
 		lines.Write(append(raw, '\n'))
 		added = append(added, e)
 	}
@@ -95,7 +98,7 @@
 	s.events = append(s.events, e)
 }
 
-// parseBatch decodes a batch and checks that each event has the required attributes.
+// parseBatch decodes a batch and checks that each event has the attributes that CloudEvents 1.0 requires.
 func parseBatch(req *http.Request, body []byte) ([]Event, error) {
 	if !strings.HasPrefix(req.Header.Get("Content-Type"), "application/cloudevents-batch+json") {
 		return nil, errors.New("Content-Type: want application/cloudevents-batch+json")
