--- a/cmd/winghatch/main_test.go
+++ b/cmd/winghatch/main_test.go
@@ -12,7 +12,8 @@
 	"winghatch/internal/config"
 )
 
-// TestMain is also the command itself.
+// TestMain runs the command instead of the tests if WINGHATCH_AS_COMMAND is set, so that tests can start it
+// as a process.
 func TestMain(m *testing.M) {
 	if os.Getenv("WINGHATCH_AS_COMMAND") != "" {
 		main()
@@ -21,6 +22,7 @@
 	os.Exit(m.Run())
 }
 
+// run runs the command with args and returns its combined output and its exit code.
 func run(t *testing.T, args ...string) (out string, code int) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], args...)
@@ -35,9 +37,9 @@
 	return b.String(), cmd.ProcessState.ExitCode()
 }
 
-// TestCheckAndGatewayAgree gives check and gateway the same settings. Whatever check rejects, the gateway rejects
-// with the same text, so that a checked file starts.
-func TestCheckAndGatewayAgree(t *testing.T) {
+// TestCheckAndGatewayRejectSameSettings guards against a settings file that check accepts and a starting
+// gateway rejects. It gives both the same invalid settings and expects the same message and exit code.
+func TestCheckAndGatewayRejectSameSettings(t *testing.T) {
 	good, err := os.ReadFile("../../examples/small.kdl")
 	if err != nil {
 		t.Fatal(err)
@@ -54,29 +56,30 @@
 	} {
 		file := filepath.Join(dir, string(rune('a'+i))+".kdl")
 		os.WriteFile(file, []byte(strings.Replace(string(good), c[0], c[1], 1)), 0o600)
-		said, code := run(t, "check", file)
+		output, code := run(t, "check", file)
 		if i == 0 {
 			if code != 0 {
-				t.Errorf("a good file: %d %s", code, said)
+				t.Errorf("check of valid settings: exit code %d, want 0; output: %s", code, output)
 			}
 			continue
 		}
-		gw, gwCode := run(t, "gateway", "--config", file, "--rank", "0")
-		if code != 1 || gwCode != 1 || said != gw || !strings.HasPrefix(said, file+":") {
-			t.Errorf("%q: check %d %s, gateway %d %s", c[1], code, said, gwCode, gw)
+		gatewayOutput, gatewayCode := run(t, "gateway", "--config", file, "--rank", "0")
+		if code != 1 || gatewayCode != 1 || output != gatewayOutput || !strings.HasPrefix(output, file+":") {
+			t.Errorf("%q: check exits with %d, %s, gateway with %d, %s; want 1 and the same output",
+				c[1], code, output, gatewayCode, gatewayOutput)
 		}
 	}
 	out, code := run(t, "gateway", "--config", "../../examples/small.kdl", "--rank", "7")
 	if code != 1 || !strings.Contains(out, "rank: 7, want 0 to 0") {
-		t.Errorf("%d %s", code, out)
+		t.Errorf("gateway with rank 7 of 1: exit code %d, want 1; output: %s", code, out)
 	}
 }
 
-// TestExamples loads all example settings.
-func TestExamples(t *testing.T) {
+// TestExampleSettingsAreValid guards against example settings that a change of the parser has made invalid.
+func TestExampleSettingsAreValid(t *testing.T) {
 	files, _ := filepath.Glob("../../examples/*.kdl")
 	if len(files) < 2 {
-		t.Fatal("no examples")
+		t.Fatal("../../examples: want at least two settings files")
 	}
 	for _, f := range files {
 		if _, err := config.Load(f); err != nil {
@@ -85,35 +88,38 @@
 	}
 }
 
-// TestExitCodes runs a short scenario, verifies it again and replays its recordings; then it damages them. Sub-commands
-// are called by their earlier names, which stay as aliases.
-func TestExitCodes(t *testing.T) {
+// TestExitCodesOfScenarioCommands guards against exit codes and messages of scenario, verify and replay that
+// do not distinguish valid records from damaged ones. It runs a short scenario, verifies and replays its
+// records, and then damages them one after the other. It calls the sub-commands by their earlier names, which
+// remain as aliases.
+func TestExitCodesOfScenarioCommands(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "day.kdl")
 	os.WriteFile(file, []byte(`day short { like drain; length "1s"; trouble cut at="300ms" count=2 }`), 0o600)
 	rec := filepath.Join(dir, "rec")
 	out, code := run(t, "day", file, "--record", rec)
 	if code != 0 || !strings.HasSuffix(out, "rules kept: 5 of 5\n") {
-		t.Fatalf("%d %s", code, out)
+		t.Fatalf("scenario: exit code %d, want 0 and all rules kept; output: %s", code, out)
 	}
 	if out, code := run(t, "audit", rec); code != 0 || !strings.HasSuffix(out, "rules kept: 5 of 5\n") {
-		t.Errorf("%d %s", code, out)
+		t.Errorf("verify: exit code %d, want 0 and all rules kept; output: %s", code, out)
 	}
 	tape := filepath.Join(rec, "gateway-0.1.tape")
 	if out, code := run(t, "replay", tape); code != 0 || !strings.Contains(out, "all the same") {
-		t.Errorf("%d %s", code, out)
+		t.Errorf("replay: exit code %d, want 0 and the same actions; output: %s", code, out)
 	}
 	raw, _ := os.ReadFile(tape)
 	os.WriteFile(tape, raw[:len(raw)-3], 0o600)
 	if out, code := run(t, "replay", tape); code != 0 || !strings.Contains(out, "truncated inside a record") {
-		t.Errorf("%d %s", code, out)
+		t.Errorf("replay of a truncated recording: exit code %d, want 0 and a note; output: %s", code, out)
 	}
-	// With another seed the core decides otherwise.
+	// With the header of another gateway's recording, and thus another seed, the core makes other decisions
+	// than the recorded ones.
 	lines := strings.SplitAfterN(string(raw), "\n", 2)
 	other, _ := os.ReadFile(filepath.Join(rec, "gateway-1.1.tape"))
 	os.WriteFile(tape, []byte(strings.SplitAfterN(string(other), "\n", 2)[0]+lines[1]), 0o600)
 	if out, code := run(t, "replay", tape); code != 1 || !strings.Contains(out, "replayed actions") {
-		t.Errorf("%d %.200s", code, out)
+		t.Errorf("replay with another seed: exit code %d, want 1 and a mismatch; output: %.200s", code, out)
 	}
 	traffic := filepath.Join(rec, "traffic.jsonl")
 	raw, _ = os.ReadFile(traffic)
@@ -122,12 +128,12 @@
 	end := answer + strings.Index(string(raw[answer:]), "\n") + 1
 	os.WriteFile(traffic, append(append([]byte(nil), raw...), raw[begin:end]...), 0o600)
 	if out, code := run(t, "audit", rec); code != 1 || !strings.Contains(out, "has 2 final answers") {
-		t.Errorf("%d %s", code, out)
+		t.Errorf("verify of records with a repeated answer: exit code %d, want 1; output: %s", code, out)
 	}
 	if _, code := run(t, "day", "no such day"); code != 2 {
-		t.Errorf("a scenario that does not exist: %d", code)
+		t.Errorf("scenario that does not exist: exit code %d, want 2", code)
 	}
 	if _, code := run(t, "audit", dir); code != 2 {
-		t.Errorf("a folder without records: %d", code)
+		t.Errorf("verify of a folder without records: exit code %d, want 2", code)
 	}
 }
--- a/cmd/wirehost/events_test.go
+++ b/cmd/wirehost/events_test.go
@@ -7,8 +7,9 @@
 	"winghatch/decide"
 )
 
-// TestEvents reads one message of each kind; those that no event stands for are nil, without an error.
-func TestEvents(t *testing.T) {
+// TestEventDecoding guards against fields of a message that are lost or assigned to the wrong field of an
+// event. It decodes one message of each kind. Kinds without an event must give nil and no error.
+func TestEventDecoding(t *testing.T) {
 	for _, c := range []struct {
 		kind, raw string
 		want      decide.Event
@@ -34,7 +35,7 @@
 			want: decide.GossipReceived{From: 2, Text: "hi"},
 		},
 		{
-			kind: "Tallied", // answers a message that is never sent
+			kind: "Tallied", // answers a message that the gateway never sends
 			raw:  `{"Counter":9007199254740993,"StateCode":4,"NowAt":3.5,"DurationNs":2}`,
 			want: nil,
 		},
@@ -71,7 +72,7 @@
 			},
 		},
 		{
-			kind: "Sampled", // answers a message that is never sent
+			kind: "Sampled", // answers a message that the gateway never sends
 			raw:  `{"Server":"s","StateCode":1,"ServerStats":{"utilization":0.5}}`,
 			want: nil,
 		},
--- a/cmd/wirehost/host_test.go
+++ b/cmd/wirehost/host_test.go
@@ -9,7 +9,7 @@
 	"winghatch/decide"
 )
 
-// profile is the settings of a gateway, with a key that is not known.
+// profile holds the settings of a gateway, including an unknown key.
 const profile = `{"Classes":[{"AimNs":1000000000,"Effect":"safe","GiveUpNs":4000000000,"Importance":1,"Name":"get"}],` +
 	`"Extra":{"PeerIntake":40,"UnitsTop":8},"Instances":2,"Rank":0,"Zone":"a","NewKey":{"x":1},` +
 	`"Limits":{"SendCap":3,"MayCancel":true,"Peers":true},"Safety":{"ColdNs":5000000000,"FallNs":1000000000,` +
@@ -21,7 +21,7 @@
 	`{"m":"PeersKnown","Kind":"stale_copy","Stamp":9007199254740993,` +
 	`"NodesList":[{"Az":"a","StageState":"IN","Server":"10.0.0.1:80"}]}]}]}` + "\n"
 
-// run replies to batches.
+// run serves the input and returns the output.
 func run(t *testing.T, in string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -29,8 +29,9 @@
 	return out.String(), err
 }
 
-// TestRoundTrip: a gateway starts, forwards a request, gets its response and is destroyed. Messages that are not known,
-// that answer what no gateway asks for, or for a gateway that is gone, have no reply.
+// TestRoundTrip guards against lost batches and against replies to messages that need none. A gateway starts,
+// forwards a request, receives the response and is destroyed. Unknown messages, messages that answer no
+// request of a gateway, and messages for a destroyed gateway must be ignored.
 func TestRoundTrip(t *testing.T) {
 	const request = `{"NowNs":1004000000,"batch":2,"gateways":[{"I":3,"happened":[` +
 		`{"m":"Query","Xid":"c:1","Tier":"p","Type":"get","Account":"00000000000000aa","DeadlineNs":2000000000,` +
@@ -38,12 +39,12 @@
 	const response = `{"NowNs":1008000000,"batch":3,"gateways":[{"I":3,"happened":[` +
 		`{"m":"Returned","Xid":"c:1","Server":"10.0.0.1:80","StateCode":1,"DurationNs":4000000,"Ended":true,` +
 		`"ServerStats":{"backlog":1}},{"m":"Later","x":1}]}]}` + "\n"
-	const answersToNothing = `{"NowNs":1008000000,"batch":4,"gateways":[{"I":3,"happened":[` +
+	const unrequestedAnswers = `{"NowNs":1008000000,"batch":4,"gateways":[{"I":3,"happened":[` +
 		`{"m":"Sampled","Server":"10.0.0.1:80","StateCode":1,"DurationNs":1400000,"ServerStats":{"backlog":3}},` +
 		`{"m":"Tallied","Counter":9041552,"StateCode":1,"NowAt":38,"DurationNs":2150000}]}]}` + "\n"
 	const stop = `{"NowNs":1008000000,"batch":5,"gateways":[{"I":3,"happened":[` +
 		`{"m":"Destroy"},{"m":"Elapsed","Tag":1}]}]}` + "\n"
-	out, err := run(t, start+request+response+answersToNothing+stop)
+	out, err := run(t, start+request+response+unrequestedAnswers+stop)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,7 +57,7 @@
 		`{"batch":5,"gateways":[]}`,
 	} {
 		if !strings.Contains(lines[i], want) {
-			t.Errorf("reply %d is %s, want it to hold %s", i+1, lines[i], want)
+			t.Errorf("reply %d is %s, want it to contain %s", i+1, lines[i], want)
 		}
 	}
 	if !strings.Contains(lines[1], `"Server":"10.0.0.1:80"`) || !strings.Contains(lines[1], `"Xid":"c:1"`) {
@@ -64,8 +65,9 @@
 	}
 }
 
-// TestMalformedBatches: the error is one line that names the place, and there is no reply.
-func TestMalformedBatches(t *testing.T) {
+// TestMalformedBatchIsAnError guards against malformed input that is skipped silently. The error must be a
+// single line that names the position or the field, and no reply may be written.
+func TestMalformedBatchIsAnError(t *testing.T) {
 	for _, c := range []struct{ in, want string }{
 		{"not json\n", "line 1"},
 		{`{"NowNs":"x","batch":7}` + "\n", "NowNs"},
@@ -82,19 +84,21 @@
 			t.Errorf("%s: got error %v, want one line with %q", c.in, err, c.want)
 		}
 		if out != "" {
-			t.Errorf("%s: wrote %q", c.in, out)
+			t.Errorf("%s: wrote %q, want no output", c.in, out)
 		}
 	}
 }
 
-func TestEndOfInput(t *testing.T) {
+// TestEmptyInputHasNoReply guards against an error or output at the end of an empty input.
+func TestEmptyInputHasNoReply(t *testing.T) {
 	if out, err := run(t, ""); err != nil || out != "" {
 		t.Errorf("got %q and error %v, want nothing", out, err)
 	}
 }
 
-// TestUnusableSettingsAreABug: a gateway with settings that can't be used does not end the process, which hosts others.
-func TestUnusableSettingsAreABug(t *testing.T) {
+// TestInvalidSettingsReportBug guards against invalid settings of one gateway that end the process, which
+// also hosts other gateways.
+func TestInvalidSettingsReportBug(t *testing.T) {
 	for edit, want := range map[string]string{
 		`"Rank":0|"Rank":5`:            "Rank is 5",
 		`"Refill":100|"Refill":-1`:     "Plans[0].Rate is -1",
@@ -109,15 +113,17 @@
 	}
 }
 
-func TestPanicIsABug(t *testing.T) {
-	g := &instance{gateway: &decide.Gateway{}} // not made by New
+// TestPanicReportsBug guards against a panic in one gateway that ends the process and with it all other
+// gateways.
+func TestPanicReportsBug(t *testing.T) {
+	g := &instance{gateway: &decide.Gateway{}} // not created by New, so that Handle panics
 	out, err := json.Marshal(g.handle(1, decide.EndpointUpdate{Servers: []decide.Server{{ID: "s"}}}))
 	if err != nil || !strings.Contains(string(out), `"Bug"`) {
 		t.Errorf("got %s, %v, want a Bug", out, err)
 	}
 }
 
-// FuzzBatch: whatever line comes, it is an error or has a reply in JSON.
+// FuzzBatch checks that any line of input results in either an error or a reply in valid JSON.
 func FuzzBatch(f *testing.F) {
 	f.Add(strings.TrimSpace(start))
 	f.Add(`{"NowNs":1,"batch":1,"gateways":[{"I":1,"happened":[null]}]}`)
@@ -125,7 +131,7 @@
 	f.Add(`[`)
 	f.Fuzz(func(t *testing.T, line string) {
 		if out, err := newHost().handleBatch([]byte(line)); err == nil && !json.Valid(out) {
-			t.Errorf("reply %q is no JSON", out)
+			t.Errorf("reply %q is not valid JSON", out)
 		}
 	})
 }
