--- a/cmd/wirehost/actions.go
+++ b/cmd/wirehost/actions.go
@@ -6,10 +6,10 @@
 	"winghatch/decide"
 )
 
-// message is a message of a gateway to the simulator. Its kind is the value of "m".
+// message is a message from a gateway to the simulator. The value of "m" is its kind.
 type message = map[string]any
 
-// wireAction returns an action as a message.
+// wireAction returns the message for an action, or a Bug message for an unknown action.
 func wireAction(a decide.Action) any {
 	switch a := a.(type) {
 	case decide.Send:
@@ -28,7 +28,7 @@
 	return bugMessage(fmt.Sprintf("unknown action %T", a))
 }
 
-// bugMessage reports a fault of the gateway.
+// bugMessage returns a message that reports a fault of the gateway.
 func bugMessage(text string) any {
 	return struct {
 		Kind string `json:"m"`
--- a/cmd/wirehost/events.go
+++ b/cmd/wirehost/events.go
@@ -9,7 +9,8 @@
 	"winghatch/internal/platform/settings"
 )
 
-// The messages of the simulator, by their kind. Fields have the names of the wire; times are nanoseconds.
+// These types are the messages from the simulator, one per kind. Their fields have the same names as in the
+// JSON. Times and durations are in nanoseconds.
 type (
 	peersKnown struct {
 		Kind      string
@@ -59,7 +60,7 @@
 	}
 )
 
-// updateKinds and serverStates are the values of the wire.
+// updateKinds and serverStates map the values in messages to those of package decide.
 var (
 	updateKinds = map[string]decide.UpdateKind{
 		"patch":      decide.DeltaUpdate,
@@ -74,8 +75,9 @@
 	}
 )
 
-// parseEvent reads a message as an event. It returns nil for a message of an unknown kind, among them Sampled and
-// Tallied: the gateway never sends the messages that those answer. The error is of encoding/json, or names the field.
+// parseEvent decodes a message into an event. It returns nil for a message of an unknown kind. This includes
+// Sampled and Tallied, which answer messages that the gateway never sends. The error is one of encoding/json
+// or names the field.
 func parseEvent(kind string, raw json.RawMessage) (decide.Event, error) {
 	switch kind {
 	case "PeersKnown":
@@ -96,7 +98,7 @@
 	return nil, nil
 }
 
-// parse reads a message of one kind and converts it.
+// parse decodes a message of type M and converts it to an event.
 func parse[M any](raw json.RawMessage, convert func(M) (decide.Event, error)) (decide.Event, error) {
 	var m M
 	if err := json.Unmarshal(raw, &m); err != nil {
@@ -175,7 +177,8 @@
 	return decide.GossipReceived{From: m.Src, Text: m.Blob}, nil
 }
 
-// loadReport is a server's load with the names of decide.LoadReport.
+// loadReport converts a server's load to a decide.LoadReport, which has its own field names. It returns nil
+// if stats is empty.
 func loadReport(stats map[string]float64) decide.LoadReport {
 	if len(stats) == 0 {
 		return nil
--- a/cmd/wirehost/host.go
+++ b/cmd/wirehost/host.go
@@ -9,15 +9,16 @@
 	"winghatch/internal/platform/settings"
 )
 
-// host holds the gateways of this process, by number. They share nothing.
+// host holds the gateways of this process by their number. The gateways share no state.
 type host struct{ gateways map[int]*instance }
 
-// instance is a gateway that was started. Its gateway is nil if its settings could not be used.
+// instance is a started gateway. Its field gateway is nil if the settings were invalid.
 type instance struct{ gateway *decide.Gateway }
 
+// newHost returns a host without gateways.
 func newHost() *host { return &host{gateways: map[int]*instance{}} }
 
-// batch is what happened at a time at some gateways.
+// batch holds the messages for some gateways at one time.
 type batch struct {
 	NowNs    int64       `json:"NowNs"`
 	Batch    json.Number `json:"batch"`
@@ -27,18 +28,19 @@
 	} `json:"gateways"`
 }
 
-// reply has the messages of the gateways that have any.
+// reply holds the messages of the gateways that have sent at least one.
 type reply struct {
 	Batch    json.Number    `json:"batch"`
 	Gateways []gatewayReply `json:"gateways"`
 }
 
+// gatewayReply holds the messages of one gateway.
 type gatewayReply struct {
 	I      int   `json:"I"`
 	Output []any `json:"output"`
 }
 
-// handleBatch returns the reply to one line. The error names the batch, the gateway and the field.
+// handleBatch returns the reply to one line of input. An error names the batch, the gateway and the field.
 func (h *host) handleBatch(line []byte) ([]byte, error) {
 	var b batch
 	if err := json.Unmarshal(line, &b); err != nil {
@@ -64,8 +66,8 @@
 	return json.Marshal(r)
 }
 
-// handleMessage handles one message of a gateway and returns the messages that its actions make. Messages of
-// unknown kinds, or for gateways that do not run, are ignored.
+// handleMessage handles one message for a gateway and returns the messages for the resulting actions. It
+// ignores messages of unknown kinds and messages for gateways that are not running.
 func (h *host) handleMessage(number int, now time.Duration, raw json.RawMessage) ([]any, error) {
 	var head struct {
 		Kind string `json:"m"`
@@ -91,7 +93,8 @@
 	return g.handle(now, ev), nil
 }
 
-// start starts a gateway. One with settings that can't be used reports a bug, and ignores what follows.
+// start starts a gateway. With invalid settings it returns a Bug message, and later messages for the gateway
+// are ignored.
 func (h *host) start(number int, raw json.RawMessage) ([]any, error) {
 	var m struct {
 		RandomSeed  uint64
@@ -113,8 +116,8 @@
 	return nil, nil
 }
 
-// handle hands an event to the gateway. A panic becomes a message, so that the simulator can report it and the
-// other gateways go on.
+// handle passes an event to the gateway and returns the messages for its actions. A panic becomes a Bug
+// message, so that the simulator can report it and the other gateways continue.
 func (g *instance) handle(now time.Duration, ev decide.Event) (output []any) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,8 +1,8 @@
-// Command wirehost hosts gateways of package decide for a simulator. It reads batches of messages from standard
-// input, one JSON object a line, and writes one reply a batch to standard output. It translates messages to
-// events and actions to messages, and decides nothing.
-//
-// It ends when its input does. Input that it can't read ends it with exit code 1 and the line on standard error.
+// Command wirehost hosts gateways of package decide for a simulator. It reads batches of messages from
+// standard input, one JSON object per line, and writes one reply per batch to standard output. It only
+// converts messages to events and actions to messages; all decisions are made in package decide. It exits at
+// the end of its input. If it cannot parse a line, it prints an error with the line number to standard error
+// and exits with code 1.
 package main
 
 import (
@@ -20,10 +20,11 @@
 	}
 }
 
-// bufferSize is that of either direction: a batch holds messages of many gateways.
+// bufferSize is the size of the input and output buffers in bytes. It is large because a batch holds the
+// messages of many gateways.
 const bufferSize = 1 << 20
 
-// serve replies to batches until the input ends.
+// serve replies to batches until the input ends. It returns the first error with its line number.
 func serve(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, bufferSize)
 	w := bufio.NewWriterSize(out, bufferSize)
@@ -44,7 +45,7 @@
 	}
 }
 
-// serveLine replies to one batch.
+// serveLine replies to the batch in one line and flushes the reply.
 func serveLine(h *host, line []byte, w *bufio.Writer) error {
 	reply, err := h.handleBatch(line)
 	if err != nil {
--- a/internal/testbed/client/client.go
+++ b/internal/testbed/client/client.go
@@ -69,7 +69,7 @@
 	WithinObjective int64 // served within the latency objective of their class
 	Rejected        int64
 	Failed          int64
-	Lost            int64                   // session broke, no response in time, or invalid
+	Lost            int64                   // session broke, no response in time, or request invalid
 	Unreachable     int64                   // no gateway accepted the request
 	Attempts        int64                   // attempts of all requests, retries included
 	Reasons         map[string]int64        // number of rejected requests by reason
--- a/internal/testbed/discovery/server.go
+++ b/internal/testbed/discovery/server.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// SetSilent(true) keeps the connections open but stops sending. SetSilent(false) resumes sending, beginning
-// with the complete list.
+// SetSilent stops sending while silent is true; connections stay open. When it is false again, sending
+// resumes with the complete list.
 func (s *Server) SetSilent(silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
