--- a/cmd/standin/backend.go
+++ b/cmd/standin/backend.go
@@ -8,24 +8,25 @@
 	"winghatch/internal/testbed/backend"
 )
 
-// tailShare is the share of calls that --tail hits.
+// tailShare is the fraction of the calls of a class to which --tail applies.
 const tailShare = 0.02
 
+// backendCmd is the sub-command backend.
 type backendCmd struct {
-	Listen     string             `required:"" help:"host:port on loopback."`
-	Config     string             `required:"" help:"The fleet's settings; the server runs their classes."`
+	Listen     string             `required:"" help:"Listen address on loopback, host:port."`
+	Config     string             `required:"" help:"Settings file; the server runs its classes."`
 	Work       time.Duration      `default:"50ms" help:"Mean work of a call."`
 	Cores      int                `default:"2"`
-	Speed      float64            `default:"1" help:"Of a core."`
-	Queue      int                `default:"64" help:"Calls that may wait; more are rejected."`
+	Speed      float64            `default:"1" help:"Speed of a core."`
+	Queue      int                `default:"64" help:"Largest number of waiting calls; more are rejected."`
 	Zone       string             `help:"Zone of the server."`
-	Slowdown   float64            `name:"slow" default:"1" help:"Times slower than it should be."`
-	ErrorShare float64            `name:"errors" help:"Share of calls that fail at once."`
-	Unanswered []string           `name:"mute" help:"Classes that are run and never answered."`
-	Tail       map[string]float64 `help:"CLASS=FACTOR: one of 50 calls of the class costs so many times the usual."`
+	Slowdown   float64            `name:"slow" default:"1" help:"Factor on the duration of each call."`
+	ErrorShare float64            `name:"errors" help:"Fraction of calls that fail at once."`
+	Unanswered []string           `name:"mute" help:"Classes whose calls are run but not answered."`
+	Tail       map[string]float64 `help:"CLASS=FACTOR on the work of one in 50 calls."`
 }
 
-// Run runs the server until the program is interrupted.
+// Run runs the server until SIGINT or SIGTERM.
 func (c *backendCmd) Run() error {
 	fleet, err := config.Load(c.Config)
 	if err != nil {
@@ -58,6 +59,7 @@
 	return nil
 }
 
+// setFault sets the faults that the flags ask for.
 func (c *backendCmd) setFault(f *backend.Fault) {
 	f.Slowdown = c.Slowdown
 	f.ErrorShare = c.ErrorShare
--- a/cmd/standin/client.go
+++ b/cmd/standin/client.go
@@ -12,16 +12,17 @@
 // retryDelay is the delay before a retry, unless the gateway asks for a longer one.
 const retryDelay = 100 * time.Millisecond
 
+// clientCmd is the sub-command client.
 type clientCmd struct {
-	Config   string            `required:"" help:"The fleet's settings."`
+	Config   string            `required:"" help:"Settings file of the fleet."`
 	Key      map[string]string `required:"" help:"MEMBER=KEY, for each member that sends requests."`
-	Rate     float64           `default:"20" help:"Requests a second."`
+	Rate     float64           `default:"20" help:"Requests per second."`
 	Retries  int               `default:"2"`
-	MaxUnits int               `name:"units" default:"1" help:"Most units of a request."`
+	MaxUnits int               `name:"units" default:"1" help:"Largest number of units of a request."`
 	For      time.Duration     `help:"Stop after this; 0: when interrupted."`
 }
 
-// Run sends requests until the program is interrupted or its time is over.
+// Run sends requests until SIGINT or SIGTERM, or until the time in --for is over.
 func (c *clientCmd) Run() error {
 	fleet, err := config.Load(c.Config)
 	if err != nil {
@@ -45,7 +46,8 @@
 	return nil
 }
 
-// options gives each class the same share of the requests.
+// options returns the options of the client. Each class gets the same share of the requests. It returns an
+// error if a key belongs to a member that the settings do not contain.
 func (c *clientCmd) options(fleet *config.Fleet) (client.Options, error) {
 	o := client.Options{
 		Rate:       c.Rate,
@@ -75,12 +77,13 @@
 		}
 	}
 	if len(o.Members) != len(c.Key) {
-		return o, fmt.Errorf("--key: %d keys for %d members of the fleet, want members that the settings name",
+		return o, fmt.Errorf("--key: %d members, of which %d are in the settings, want all",
 			len(c.Key), len(o.Members))
 	}
 	return o, nil
 }
 
+// printStats prints one line with the totals so far.
 func printStats(s client.Stats) {
 	fmt.Printf("requests %d  served %d  rejected %d %v  failed %d  lost %d  unreachable %d  p50 %dus  p99 %dus\n",
 		s.Requests, s.Served, s.Rejected, s.Reasons, s.Failed, s.Lost, s.Unreachable,
--- a/cmd/standin/discovery.go
+++ b/cmd/standin/discovery.go
@@ -9,13 +9,14 @@
 	"winghatch/internal/testbed/discovery"
 )
 
+// discoveryCmd is the sub-command discovery.
 type discoveryCmd struct {
-	Listen  string        `required:"" help:"host:port on loopback."`
-	Delay   time.Duration `name:"lag" help:"Delay after which changes are sent."`
-	Servers []string      `arg:"" name:"nodes" optional:"" help:"Servers at the start, host:port or host:port@ZONE."`
+	Listen  string        `required:"" help:"Listen address on loopback, host:port."`
+	Delay   time.Duration `name:"lag" help:"Delay before changes are sent."`
+	Servers []string      `arg:"" name:"nodes" optional:"" help:"Initial servers, host:port[@ZONE]."`
 }
 
-// Run runs the service until the program is interrupted.
+// Run runs the service until SIGINT or SIGTERM.
 func (c *discoveryCmd) Run() error {
 	service, err := discovery.Start(c.Listen, c.Delay, nil)
 	if err != nil {
@@ -32,19 +33,19 @@
 	}
 	service.Replace(endpoints)
 	fmt.Println("discovery service listens on", service.Addr())
-	go readChanges(service) // until the end of the input, or of the program
+	go readChanges(service) // ends with the input or the program
 	waitForInterrupt()
 	return nil
 }
 
-// parseEndpoint reads host:port or host:port@ZONE.
+// parseEndpoint returns the endpoint for an address of the form host:port or host:port@ZONE.
 func parseEndpoint(s, state string) discoveryws.Endpoint {
 	addr, zone, _ := strings.Cut(s, "@")
 	return discoveryws.Endpoint{Address: addr, Zone: zone, State: state}
 }
 
-// readChanges applies lines of the form "SERVER STATE" on standard input. A server that is set to serving counts as
-// just started.
+// readChanges applies changes from standard input, one line "SERVER STATE" each, until the input ends.
+// Malformed lines are skipped. A server whose state is set to serving is announced as just started.
 func readChanges(service *discovery.Server) {
 	for {
 		var server, state string
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs the emulated counterparts of a gateway by themselves, each in a terminal of its own: upstream
-// servers, the discovery service, client load, and receivers of usage and metrics.
+// Command standin runs the emulated counterparts of a gateway as separate processes: upstream servers, the
+// discovery service, client load, and receivers of usage and metrics.
 package main
 
 import (
@@ -13,12 +13,12 @@
 	"github.com/alecthomas/kong"
 )
 
-// command is the command line. An alias is the name that a sub-command had in earlier versions.
+// command is the grammar of the command line. An alias is the name of a sub-command in earlier versions.
 type command struct {
 	Backend   backendCmd   `cmd:"" aliases:"node" help:"Run an emulated server."`
 	Discovery discoveryCmd `cmd:"" aliases:"list" help:"Run a discovery service; read 'SERVER STATE' lines."`
-	Metrics   metricsCmd   `cmd:"" help:"Receive Prometheus remote write and print sums each second."`
-	Usage     usageCmd     `cmd:"" aliases:"accounting" help:"Receive usage, keep it in a file, print totals."`
+	Metrics   metricsCmd   `cmd:"" help:"Receive Prometheus remote write and print sums every second."`
+	Usage     usageCmd     `cmd:"" aliases:"accounting" help:"Receive usage, store it, print totals."`
 	Client    clientCmd    `cmd:"" aliases:"school" help:"Send requests to a fleet and print totals."`
 }
 
@@ -28,6 +28,7 @@
 	"  standin discovery --listen 127.0.0.1:7000 127.0.0.1:7401 127.0.0.1:7402\n" +
 	"  standin client --config examples/fleet.kdl --key escuela=KEY --rate 50"
 
+// parserOptions returns the options of the command-line parser, which the tests also use.
 func parserOptions() []kong.Option {
 	return []kong.Option{
 		kong.Name("standin"),
@@ -43,19 +44,20 @@
 	k.FatalIfErrorf(k.Run())
 }
 
-// interruptible returns a context that ends with SIGINT or SIGTERM.
+// interruptible returns a context that ends with SIGINT or SIGTERM, and a function that releases its
+// resources.
 func interruptible() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
-// waitForInterrupt returns when the program is interrupted.
+// waitForInterrupt waits for SIGINT or SIGTERM.
 func waitForInterrupt() {
 	ctx, stop := interruptible()
 	defer stop()
 	<-ctx.Done()
 }
 
-// eachSecond calls f each second until the context ends.
+// eachSecond calls f every second until the context ends.
 func eachSecond(ctx context.Context, f func()) {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
--- a/cmd/standin/receivers.go
+++ b/cmd/standin/receivers.go
@@ -13,13 +13,14 @@
 // shownMetrics are the metrics that are printed by default.
 var shownMetrics = []string{"winghatch_calls_total", "winghatch_refusals_total", "winghatch_attempts_total"}
 
+// metricsCmd is the sub-command metrics.
 type metricsCmd struct {
-	Listen string   `required:"" help:"host:port on loopback."`
-	Show   []string `default:"${shown_metrics}" help:"Metrics of which all series are summed."`
-	Status int      `help:"Answer with this status and keep nothing; 0: keep all."`
+	Listen string   `required:"" help:"Listen address on loopback, host:port."`
+	Show   []string `default:"${shown_metrics}" help:"Metrics whose series are summed and printed."`
+	Status int      `help:"Respond with this status and store nothing; 0: store all."`
 }
 
-// Run receives metrics until the program is interrupted.
+// Run receives metrics until SIGINT or SIGTERM.
 func (c *metricsCmd) Run() error {
 	receiver, err := metricsreceiver.Start(c.Listen)
 	if err != nil {
@@ -40,15 +41,16 @@
 	return nil
 }
 
+// usageCmd is the sub-command usage.
 type usageCmd struct {
-	Listen     string        `required:"" help:"host:port on loopback."`
-	File       string        `required:"" help:"Keeps the events."`
-	Status     int           `help:"Answer with this status and keep nothing; 0: keep all."`
-	RetryAfter string        `help:"Header field beside the status."`
-	Delay      time.Duration `name:"slow" help:"Delay before each answer."`
+	Listen     string        `required:"" help:"Listen address on loopback, host:port."`
+	File       string        `required:"" help:"File in which to store the events."`
+	Status     int           `help:"Respond with this status and store nothing; 0: store all."`
+	RetryAfter string        `help:"Value of the Retry-After header sent with the status."`
+	Delay      time.Duration `name:"slow" help:"Delay before each response."`
 }
 
-// Run receives usage until the program is interrupted.
+// Run receives usage until SIGINT or SIGTERM.
 func (c *usageCmd) Run() error {
 	receiver, err := usagereceiver.Start(c.Listen, c.File)
 	if err != nil {
@@ -67,7 +69,7 @@
 	return nil
 }
 
-// printUsage prints the units of each member.
+// printUsage prints the number of events and estimates, and the units of each member.
 func printUsage(events []usagereceiver.Event) {
 	units := map[string]float64{}
 	estimated := 0
--- a/cmd/winghatch/check.go
+++ b/cmd/winghatch/check.go
@@ -7,19 +7,20 @@
 	"winghatch/internal/usage/outbox"
 )
 
+// checkCmd is the sub-command check.
 type checkCmd struct {
-	File string `arg:"" help:"The settings."`
+	File string `arg:"" help:"Settings file to check."`
 }
 
-// Run prints what the settings contain, or all errors in them.
+// Run prints a summary of the settings, or all errors in them and then exits with code 1.
 func (c *checkCmd) Run() error {
 	f, err := config.Load(c.File)
 	if err != nil {
 		fmt.Println(err)
 		return exitCode(1)
 	}
-	fmt.Printf("%s: fleet %q: %d gateways, %d classes, %d plans, %d members\n", c.File, f.Name, len(f.Gateways),
-		len(f.Decide.Classes), len(f.Decide.Plans), len(f.Members))
+	fmt.Printf("%s: fleet %q: %d gateways, %d classes, %d plans, %d members\n", c.File, f.Name,
+		len(f.Gateways), len(f.Decide.Classes), len(f.Decide.Plans), len(f.Members))
 	printStateDir(f)
 	printMetrics(f)
 	printUsageSettings(f)
--- a/cmd/winghatch/export.go
+++ b/cmd/winghatch/export.go
@@ -13,21 +13,23 @@
 	"winghatch/internal/gateway"
 )
 
+// exportCmd is the sub-command export.
 type exportCmd struct {
-	Drain exportDrainCmd `cmd:"" help:"Send all that a gateway's log still owes."`
+	Drain exportDrainCmd `cmd:"" help:"Send the usage that a stopped gateway has not delivered."`
 }
 
-// exportDrainCmd sends the outbox of a gateway that does not run. Attempts that were open when it ended are exported at
-// their estimated size. What was sent before it gives up stays sent.
+// exportDrainCmd is the sub-command export drain. It sends the usage in the outbox of a stopped gateway.
+// Attempts that were open when the gateway stopped are exported with their estimated units. Events that were
+// delivered before a time-out or an error stay delivered.
 type exportDrainCmd struct {
-	Config string        `required:"" help:"The fleet's settings."`
-	Rank   int           `required:"" help:"The gateway that does not run."`
-	Dir    string        `arg:"" optional:"" help:"Its state directory, with 'use' in it, if not the settings'."`
-	To     string        `help:"URL of the receiver, if it is another than the settings'."`
-	Within time.Duration `default:"10m" help:"Give up after this."`
+	Config string        `required:"" help:"Settings file of the fleet."`
+	Rank   int           `required:"" help:"Rank of the stopped gateway."`
+	Dir    string        `arg:"" optional:"" help:"Its state directory, with 'use'; default: from settings."`
+	To     string        `help:"URL of the receiver; default: from the settings."`
+	Within time.Duration `default:"10m" help:"Stop with an error after this time."`
 }
 
-// Run sends all events and prints counts, also after an error.
+// Run sends all undelivered events and prints counts, even if it returns an error.
 func (c *exportDrainCmd) Run() error {
 	f, err := config.Load(c.Config)
 	if err != nil {
@@ -35,7 +37,7 @@
 	}
 	if c.Dir != "" {
 		if _, err := os.Stat(filepath.Join(c.Dir, "use")); err != nil {
-			return fmt.Errorf("%s: no usage log here: %w", c.Dir, err)
+			return fmt.Errorf("dir: no usage log in %s: %w", c.Dir, err)
 		}
 		f.StateDirPattern = c.Dir
 	}
--- a/cmd/winghatch/gateway.go
+++ b/cmd/winghatch/gateway.go
@@ -11,22 +11,25 @@
 	"winghatch/internal/gateway"
 )
 
-// gcPercent lets the garbage collector run less often than by default: little of what each request allocates lives
-// long, so that the heap stays small all the same (docs/measurements.md). GOGC in the environment goes before it.
+// gcPercent makes the garbage collector run less often than by default. The heap stays small anyway, because
+// little of the memory that a request allocates is long-lived (see docs/measurements.md). The environment
+// variable GOGC takes precedence.
 const gcPercent = 400
 
+// gatewayCmd is the sub-command gateway.
 type gatewayCmd struct {
-	Config    string `required:"" help:"The fleet's settings, KDL."`
-	Rank      int    `required:"" help:"This gateway's number, from 0."`
-	Seed      int64  `help:"Of the core's random choices; 0: taken from the time."`
-	Recording string `name:"tape" help:"Record the core's events and actions in this file."`
-	Log       string `help:"text or json; else as the settings say." enum:"text,json," default:""`
+	Config    string `required:"" help:"Settings file of the fleet, in KDL."`
+	Rank      int    `required:"" help:"Rank of this gateway, from 0."`
+	Seed      int64  `help:"Seed of the core's random choices; 0: taken from the current time."`
+	Recording string `name:"tape" help:"File in which to record the core's events and actions."`
+	Log       string `help:"Log format, text or json; default: settings." enum:"text,json," default:""`
 }
 
-// newLogger returns the logger that the settings ask for; format, if not empty, is text or json instead.
+// newLogger returns a logger to standard error with the level and format of the settings. A non-empty format,
+// text or json, overrides that of the settings.
 func newLogger(f *config.Fleet, format string) *slog.Logger {
 	var level slog.Level
-	level.UnmarshalText([]byte(f.Log.Level)) // the settings were checked
+	level.UnmarshalText([]byte(f.Log.Level)) // cannot fail: config.Load validated the level
 	o := &slog.HandlerOptions{Level: level}
 	if format == "json" || format == "" && f.Log.JSON {
 		return slog.New(slog.NewJSONHandler(os.Stderr, o))
@@ -34,8 +37,8 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, o))
 }
 
-// Run runs the gateway until SIGTERM or SIGINT, and then until its open requests have ended. A second signal ends it at
-// once with exit code 1.
+// Run runs the gateway until SIGTERM or SIGINT and then drains it, which takes until its open requests have
+// ended. A second signal ends the process at once with exit code 1.
 func (c *gatewayCmd) Run() error {
 	fleet, err := config.Load(c.Config)
 	if err != nil {
--- a/cmd/winghatch/key.go
+++ b/cmd/winghatch/key.go
@@ -11,22 +11,27 @@
 	"winghatch/internal/credentials"
 )
 
+// keyCmd is the sub-command key.
 type keyCmd struct {
-	New    keyNewCmd    `cmd:"" help:"Make a member's key, and the digest of it for the settings."`
+	New    keyNewCmd    `cmd:"" help:"Generate a member's key and its digest for the settings."`
 	Digest keyDigestCmd `cmd:"" help:"Read a key from standard input and print its digest."`
-	Secret keySecretCmd `cmd:"" help:"Make a fleet's secret."`
+	Secret keySecretCmd `cmd:"" help:"Generate a secret for a fleet."`
 }
 
+// keyNewCmd is the sub-command key new.
 type keyNewCmd struct {
-	Config string `required:"" help:"The fleet's settings; the digest is made with their secret."`
+	Config string `required:"" help:"Settings file of the fleet; its secret is used for the digest."`
 }
 
+// keyDigestCmd is the sub-command key digest.
 type keyDigestCmd struct {
-	Config string `required:"" help:"The fleet's settings."`
+	Config string `required:"" help:"Settings file of the fleet."`
 }
 
+// keySecretCmd is the sub-command key secret.
 type keySecretCmd struct{}
 
+// printKey prints a key and its digest, which depends on the secret in the settings file.
 func printKey(file, key string) error {
 	f, err := config.Load(file)
 	if err != nil {
@@ -36,8 +41,10 @@
 	return nil
 }
 
+// Run prints a new key and its digest.
 func (c *keyNewCmd) Run() error { return printKey(c.Config, credentials.NewMemberKey()) }
 
+// Run reads a key of at most 4096 bytes from standard input and prints it with its digest.
 func (c *keyDigestCmd) Run() error {
 	raw, err := io.ReadAll(io.LimitReader(os.Stdin, 4096))
 	if err != nil {
@@ -46,6 +53,7 @@
 	return printKey(c.Config, strings.TrimSpace(string(raw)))
 }
 
+// Run prints a new secret in hexadecimal.
 func (c *keySecretCmd) Run() error {
 	s := credentials.NewSecret()
 	fmt.Println(hex.EncodeToString(s[:]))
--- a/cmd/winghatch/replay.go
+++ b/cmd/winghatch/replay.go
@@ -9,11 +9,13 @@
 	"winghatch/internal/recording"
 )
 
+// replayCmd is the sub-command replay.
 type replayCmd struct {
-	Recording string `arg:"" name:"tape" help:"A recording of a gateway (*.tape)."`
+	Recording string `arg:"" name:"tape" help:"Recording of a gateway (*.tape)."`
 }
 
-// Run replays the recording. The exit code is 1 if the core does anything else than was recorded.
+// Run replays the recording into a new core. The exit code is 1 if the core's actions differ from the
+// recorded ones. A recording that ends inside a record, as after a crash, is replayed up to that point.
 func (c *replayCmd) Run() error {
 	in, err := os.Open(c.Recording)
 	if err != nil {
--- a/cmd/winghatch/scenario.go
+++ b/cmd/winghatch/scenario.go
@@ -14,37 +14,40 @@
 	"winghatch/internal/scenario"
 )
 
-// Exit codes of the sub-commands that run or verify a scenario.
+// These are the exit codes of the sub-commands that run or verify a scenario.
 const (
 	exitViolated  = 1 // an invariant was violated
-	exitCannotRun = 2 // the scenario could not be run, or the folder not be read
+	exitCannotRun = 2 // the scenario could not be run, or the records could not be read
 )
 
-// rules is the number of invariants.
+// rules is the number of invariants that a verdict checks.
 const rules = 5
 
+// demoCmd is the sub-command demo.
 type demoCmd struct {
-	Seed int `help:"Of the scenario; 0: its own."`
+	Seed int `help:"Seed of the scenario; 0: the built-in seed."`
 }
 
 // Run runs the built-in scenario drain.
 func (c *demoCmd) Run() error { return runScenario("drain", c.Seed, "") }
 
+// scenarioCmd is the sub-command scenario.
 type scenarioCmd struct {
-	File   string `arg:"" help:"A scenario's file, or the name of a built-in scenario."`
-	Seed   int    `help:"Of the scenario; 0: the file's."`
-	Record string `help:"Keep settings, traffic, recordings and logs in this folder."`
+	File   string `arg:"" help:"Scenario file, or the name of a built-in scenario."`
+	Seed   int    `help:"Seed of the scenario; 0: the seed in the file."`
+	Record string `help:"Folder in which to keep settings, traffic, recordings and logs."`
 }
 
 // Run runs one scenario and prints its result.
 func (c *scenarioCmd) Run() error { return runScenario(c.File, c.Seed, c.Record) }
 
+// scenariosCmd is the sub-command scenarios.
 type scenariosCmd struct {
-	Names []string `arg:"" optional:"" help:"Files or built-in scenarios; none: all that are built in."`
-	Seed  int      `help:"Of the scenarios; 0: their own."`
+	Names []string `arg:"" optional:"" help:"Scenario files or names; default: all built-in scenarios."`
+	Seed  int      `help:"Seed of the scenarios; 0: the seed in each scenario."`
 }
 
-// Run runs scenarios one after the other and prints a table.
+// Run runs the scenarios one after the other and prints a Markdown table with one row per scenario.
 func (c *scenariosCmd) Run() error {
 	if len(c.Names) == 0 {
 		c.Names = scenario.BuiltinNames()
@@ -74,22 +77,26 @@
 	return nil
 }
 
+// printRow prints the table row of one scenario.
 func printRow(name string, res *scenario.Result) {
 	s := res.Stats
 	fmt.Printf("| %s | %d | %s | %s | %s | %s | %s | %d | %v | %v | %d of %d |\n", name, s.Requests,
-		percent(s.WithinObjective, s.Requests), percent(s.Rejected, s.Requests), percent(s.Failed, s.Requests),
-		percent(s.Lost, s.Requests), percent(s.Unreachable, s.Requests), res.Attempts,
+		percent(s.WithinObjective, s.Requests), percent(s.Rejected, s.Requests),
+		percent(s.Failed, s.Requests), percent(s.Lost, s.Requests),
+		percent(s.Unreachable, s.Requests), res.Attempts,
 		latency(res, 50).Round(time.Millisecond), latency(res, 99).Round(time.Millisecond),
 		res.Verdict.RulesKept(), rules)
 }
 
+// percent formats n as a percentage of the total of.
 func percent(n, of int64) string { return fmt.Sprintf("%.1f%%", 100*float64(n)/max(1, float64(of))) }
 
+// latency returns a quantile, in percent, of the latencies of served requests.
 func latency(res *scenario.Result, quantile float64) time.Duration {
 	return time.Duration(res.Stats.Latency.ValueAtQuantile(quantile)) * time.Microsecond
 }
 
-// runQuietly runs a scenario in a temporary folder.
+// runQuietly runs a scenario in a temporary folder without printing its progress.
 func runQuietly(ctx context.Context, name string, seed int) (*scenario.Result, error) {
 	s, err := scenario.Open(name)
 	if err != nil {
@@ -107,7 +114,7 @@
 	return scenario.Run(ctx, s, scenario.Options{Seed: seed, Dir: dir, Command: command})
 }
 
-// gatewayCommand starts gateways as processes of this program.
+// gatewayCommand returns a function that creates the command of a process that runs this program with args.
 func gatewayCommand() (func(args ...string) *exec.Cmd, error) {
 	exe, err := os.Executable()
 	if err != nil {
@@ -116,11 +123,12 @@
 	return func(args ...string) *exec.Cmd { return exec.Command(exe, args...) }, nil
 }
 
+// verifyCmd is the sub-command verify.
 type verifyCmd struct {
-	Dir string `arg:"" help:"The folder that scenario --record filled."`
+	Dir string `arg:"" help:"Folder written by scenario --record."`
 }
 
-// Run checks the invariants on a recorded run again.
+// Run checks the invariants of a recorded run and prints the verdict.
 func (c *verifyCmd) Run() error {
 	verdict, err := scenario.Verify(c.Dir)
 	if err != nil {
@@ -133,12 +141,14 @@
 	return nil
 }
 
+// cannotRun prints err and returns the exit code for a scenario that could not be run or verified.
 func cannotRun(err error) error {
 	fmt.Fprintln(os.Stderr, err)
 	return exitCode(exitCannotRun)
 }
 
-// runScenario runs a scenario and prints what happens and the result. Without a folder, nothing is kept.
+// runScenario runs a scenario and prints its progress and result. If dir is empty, the records are deleted
+// afterwards.
 func runScenario(name string, seed int, dir string) error {
 	s, err := scenario.Open(name)
 	if err != nil {
@@ -177,7 +187,7 @@
 	return nil
 }
 
-// printUsage prints what the usage receiver had at the end.
+// printUsage prints how reservations were used and which usage the receiver had at the end.
 func printUsage(res *scenario.Result) {
 	for _, r := range res.Reservations {
 		fmt.Printf("reserved for %s: %.6g of %.6g units used\n", r.Member, r.Used, r.Units)
@@ -187,8 +197,10 @@
 		return
 	}
 	fmt.Printf("exported: %d attempts, %d at their reported size, %d estimated (%d of them without a response), "+
-		"%.6g units, %.6g uncovered\n", u.Attempts, u.Confirmed, u.Estimated, u.Unanswered, u.Units, u.UncoveredUnits)
-	fmt.Printf("kills of gateways: %d; events that the usage receiver got again: %d\n", res.Kills, res.DuplicateEvents)
+		"%.6g units, %.6g uncovered\n",
+		u.Attempts, u.Confirmed, u.Estimated, u.Unanswered, u.Units, u.UncoveredUnits)
+	fmt.Printf("kills of gateways: %d; events that the usage receiver got again: %d\n",
+		res.Kills, res.DuplicateEvents)
 	if len(u.Violations) == 0 {
 		fmt.Println("usage exported exactly once: kept")
 		return
@@ -199,6 +211,7 @@
 	}
 }
 
+// printResult prints the counts of requests, the latencies and the verdict.
 func printResult(res *scenario.Result) {
 	s := res.Stats
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
--- a/cmd/winghatch/serve.go
+++ b/cmd/winghatch/serve.go
@@ -8,14 +8,16 @@
 	"winghatch/internal/platform"
 )
 
+// serveCmd is the sub-command serve.
 type serveCmd struct {
-	Config string `env:"LB_CONFIG" required:"" help:"The platform's configuration of this gateway, JSON."`
+	Config string `env:"LB_CONFIG" required:"" help:"The platform's configuration of this gateway, in JSON."`
 	Debug  bool   `help:"Log each request and attempt."`
 }
 
-// Run runs the gateway until a signal ends it.
+// Run runs the gateway until it has drained after a signal.
 func (c *serveCmd) Run() error {
-	// Signals are handled before anything else: one that comes during the start would end the process without a drain.
+	// Signals are handled before anything else, because a signal that arrives during the start would
+	// otherwise end the process without a drain.
 	signals := platform.Notify()
 	level := slog.LevelInfo
 	if c.Debug {
--- a/cmd/winghatch/state.go
+++ b/cmd/winghatch/state.go
@@ -13,12 +13,13 @@
 	"winghatch/internal/gateway"
 )
 
-// stateTimeout bounds the request for a gateway's state.
+// stateTimeout bounds the request for the state of a gateway, including its response.
 const stateTimeout = 5 * time.Second
 
+// stateCmd is the sub-command state.
 type stateCmd struct {
-	At   string `required:"" help:"The gateway's state address, host:port."`
-	JSON bool   `help:"Print it as it came."`
+	At   string `required:"" help:"State address of the gateway, host:port."`
+	JSON bool   `help:"Print the JSON of the response unchanged."`
 }
 
 // Run prints the state of a running gateway.
@@ -31,10 +32,10 @@
 	defer res.Body.Close()
 	raw, err := io.ReadAll(res.Body)
 	if err != nil {
-		return fmt.Errorf("%s: %w", c.At, err)
+		return fmt.Errorf("read state from %s: %w", c.At, err)
 	}
 	if res.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s: answered %s, want 200", c.At, res.Status)
+		return fmt.Errorf("state: %s answered %s, want 200", c.At, res.Status)
 	}
 	if c.JSON {
 		_, err = os.Stdout.Write(raw)
@@ -42,7 +43,7 @@
 	}
 	var s gateway.State
 	if err := json.Unmarshal(raw, &s); err != nil {
-		return fmt.Errorf("%s: %w", c.At, err)
+		return fmt.Errorf("decode state from %s: %w", c.At, err)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	defer w.Flush()
@@ -62,7 +63,8 @@
 		s.OpenRequests, s.Sessions, s.QueueLength, s.Core.Pressure)
 	fmt.Fprintf(w, "served\t%d\tfailed\t%d\tclients disconnected\t%d\tlate responses\t%d\n",
 		s.Served, s.Failed, s.Abandoned, s.LateResponses)
-	fmt.Fprintf(w, "attempts\t%d\toutcomes\t%v\tretry budget\t%.1f\n", s.Attempts, s.Outcomes, s.Core.RetryBudget)
+	fmt.Fprintf(w, "attempts\t%d\toutcomes\t%v\tretry budget\t%.1f\n",
+		s.Attempts, s.Outcomes, s.Core.RetryBudget)
 	fmt.Fprintf(w, "rejected\t%v\tby the frontend\t%v\n", s.Rejected, s.FrontendRejections)
 	fmt.Fprintf(w, "datagrams\t%+v\n", s.Datagrams)
 }
@@ -131,6 +133,7 @@
 	}
 	fmt.Fprintln(w, "\npeer\tknown\tlast received\tqueue")
 	for _, v := range s.Core.Peers {
-		fmt.Fprintf(w, "%d\t%t\t%v ago\t%d\n", v.Rank, v.Known, v.SinceLastReceived.Round(time.Millisecond), v.QueueLength)
+		fmt.Fprintf(w, "%d\t%t\t%v ago\t%d\n",
+			v.Rank, v.Known, v.SinceLastReceived.Round(time.Millisecond), v.QueueLength)
 	}
 }
