--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,8 +1,9 @@
 // Command wirehost hosts gateways of package decide for a simulator. It reads batches of messages from
 // standard input, one JSON object per line, and writes one reply per batch to standard output. It only
-// converts messages to events and actions to messages; all decisions are made in package decide. It exits at
-// the end of its input. If it cannot parse a line, it prints an error with the line number to standard error
-// and exits with code 1.
+// converts messages to events and actions to messages; all decisions are made in package decide.
+//
+// It exits at the end of its input. If it cannot parse a line, it prints an error with the line number to
+// standard error and exits with code 1.
 package main
 
 import (
--- a/internal/architecture/architecture_test.go
+++ b/internal/architecture/architecture_test.go
@@ -96,8 +96,8 @@
 			other, inModule := strings.CutPrefix(imported, module)
 			if !inModule {
 				if layerOf[name] == "decisions" && slices.Contains(forbiddenInDecisions, imported) {
-					messages = append(messages,
-						fmt.Sprintf("%s (decisions) imports %s, which is forbidden in this layer", name, imported))
+					messages = append(messages, fmt.Sprintf(
+						"%s (decisions) imports %s, which is forbidden in this layer", name, imported))
 				}
 				continue
 			}
