--- a/bench/child.go
+++ b/bench/child.go
@@ -20,42 +20,43 @@
 	"winghatch/internal/gateway"
 )
 
-// gcPercent is that of `winghatch gateway`, for the relay too.
+// gcPercent is the setting of `winghatch gateway`. The relay uses it too, so that both are comparable.
 const gcPercent = 400
 
-// runMeasuredProcess is the main function of a measured process: it prints its address, then answers each line "usage"
-// on its input, and ends at any other line.
+// runMeasuredProcess is the main function of a measured process. It prints its address, prints its usage for
+// each line "usage" on its input, and ends at any other line. If prof is not empty, it records a CPU profile
+// until the second line "usage", and adds the share of package decide to that usage.
 func runMeasuredProcess(name, file, prof string) {
-	f, err := config.Load(file)
+	settings, err := config.Load(file)
 	if err != nil {
 		fatal(err)
 	}
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(gcPercent)
 	}
-	addr, err := startMeasured(name, file, f)
+	addr, err := startMeasured(name, file, settings)
 	if err != nil {
 		fatal(err)
 	}
-	var p bytes.Buffer
+	var profile bytes.Buffer
 	if prof != "" {
-		pprof.StartCPUProfile(&p)
+		pprof.StartCPUProfile(&profile)
 	}
 	fmt.Println(addr)
 	in := bufio.NewScanner(os.Stdin)
-	for asked := 0; in.Scan() && in.Text() == "usage"; asked++ {
-		u := processUsage{CPU: cpuTime()}
+	for requests := 0; in.Scan() && in.Text() == "usage"; requests++ {
+		usage := processUsage{CPU: cpuTime()}
 		if prof == "" {
-			// The second collection frees what finalizers of the first released.
+			// The second collection frees the memory that finalizers released after the first one.
 			runtime.GC()
 			runtime.GC()
-		} else if asked > 0 {
+		} else if requests > 0 {
 			pprof.StopCPUProfile()
-			keepProfile(name, p.Bytes())
-			u.DecideShare = decideShare(&p)
+			keepProfile(name, profile.Bytes())
+			usage.DecideShare = decideShare(&profile)
 		}
-		u.readRuntime()
-		raw, err := json.Marshal(u)
+		usage.readRuntime()
+		raw, err := json.Marshal(usage)
 		if err != nil {
 			fatal(err)
 		}
@@ -63,8 +64,9 @@
 	}
 }
 
-// startMeasured starts the path of that name and returns its address.
-func startMeasured(name, file string, f *config.Fleet) (addr string, err error) {
+// startMeasured starts the path with the given name and returns its address. A gateway is ready once it knows
+// all servers.
+func startMeasured(name, file string, settings *config.Fleet) (addr string, err error) {
 	if name == "relay" {
 		return startRelay(file)
 	}
@@ -72,17 +74,17 @@
 	if name == "plain" {
 		o.Core = &passthroughCore{}
 	}
-	g, err := gateway.Start(f, o)
+	g, err := gateway.Start(settings, o)
 	if err != nil {
 		return "", err
 	}
 	for len(g.State().Core.Servers) < echoServers {
 		time.Sleep(time.Millisecond)
 	}
-	return f.Gateways[0].Listen, nil
+	return settings.Gateways[0].Listen, nil
 }
 
-// startRelay starts the relay to the servers that are listed beside the settings.
+// startRelay starts the relay to the servers listed in serverFile in the directory of the settings.
 func startRelay(file string) (addr string, err error) {
 	raw, err := os.ReadFile(filepath.Join(filepath.Dir(file), serverFile))
 	if err != nil {
@@ -97,7 +99,7 @@
 	return ln.Addr().String(), nil
 }
 
-// keepProfile writes a CPU profile where the environment asks for it.
+// keepProfile writes a CPU profile to the path prefix in the environment variable KEEP_PROFILE, if it is set.
 func keepProfile(name string, profile []byte) {
 	prefix := os.Getenv("KEEP_PROFILE")
 	if prefix == "" {
@@ -108,7 +110,7 @@
 	}
 }
 
-// readRuntime reads what the runtime reports of this process.
+// readRuntime sets the fields that the Go runtime reports for this process.
 func (u *processUsage) readRuntime() {
 	u.SchedulingDelay = runtimeP99("/sched/latencies:seconds")
 	u.GCPause = runtimeP99("/sched/pauses/total/gc:seconds")
@@ -117,6 +119,7 @@
 	u.Heap = m.HeapInuse + m.StackInuse
 }
 
+// fatal prints err and ends the process with exit code 1.
 func fatal(err error) {
 	fmt.Fprintln(os.Stderr, err)
 	os.Exit(1)
--- a/bench/fleet.go
+++ b/bench/fleet.go
@@ -16,16 +16,18 @@
 )
 
 const (
-	clientKey   = "bench-key"
-	echoServers = 4
-	// maxQueueBytes is the queue of a connection of the bench's own, so large that none is closed for being slow.
+	clientKey   = "bench-key" // key of the only member
+	echoServers = 4           // number of servers behind each path
+	// maxQueueBytes bounds the send queue of the benchmark's own connections. It is large enough that no
+	// connection is closed because its peer reads too slowly.
 	maxQueueBytes = 64 << 20
-	// serverFile lists the servers' addresses beside the settings, for the relay.
+	// serverFile is the name of a file in the directory of the settings that lists the servers' addresses for
+	// the relay.
 	serverFile = "nodes"
 )
 
-// startEchoServer starts a server that answers at once, so that what is measured is the path and not the work, and
-// returns its address. Its goroutines end with the process.
+// startEchoServer starts a server that answers at once, so that the path is measured and not the work of the
+// server. It returns the server's address. Its goroutines end with the process.
 func startEchoServer() (string, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -33,19 +35,19 @@
 	}
 	go wsconn.Serve(ln, func(nc net.Conn) {
 		options := wsconn.Options{MaxQueue: maxQueueBytes, ReadBuffer: 16 << 10}
-		l, err := wsconn.Accept(nc, "jsonrpc", 5*time.Second, nil, options)
+		conn, err := wsconn.Accept(nc, "jsonrpc", 5*time.Second, nil, options)
 		if err != nil {
 			return
 		}
 		for {
-			data, err := l.Read()
+			data, err := conn.Read()
 			if err != nil {
 				return
 			}
-			items, _, _ := jsonrpc.Parse(data, 1)
-			for _, it := range items {
-				if it.ID != "" {
-					l.Send(jsonrpc.AppendResult(nil, it.ID, []byte(`{"units":1,"body":{"ok":true}}`)))
+			messages, _, _ := jsonrpc.Parse(data, 1)
+			for _, message := range messages {
+				if message.ID != "" {
+					conn.Send(jsonrpc.AppendResult(nil, message.ID, []byte(`{"units":1,"body":{"ok":true}}`)))
 				}
 			}
 		}
@@ -53,10 +55,10 @@
 	return ln.Addr().String(), nil
 }
 
-// writeSettings writes the settings of a fleet in which no quota and no cap is reached. The function returned stops its
-// discovery.
+// writeSettings writes the settings of a fleet whose quotas and caps are never reached to a file in dir. It
+// returns the name of the file and a function that stops the fleet's discovery service.
 func writeSettings(dir string, servers []string) (string, func(), error) {
-	l, err := discovery.Start("127.0.0.1:0", 0, nil)
+	service, err := discovery.Start("127.0.0.1:0", 0, nil)
 	if err != nil {
 		return "", nil, err
 	}
@@ -64,7 +66,7 @@
 	for _, addr := range servers {
 		endpoints = append(endpoints, discoveryws.Endpoint{Address: addr, State: "serving"})
 	}
-	l.Replace(endpoints)
+	service.Replace(endpoints)
 	f, err := config.Parse("bench", []byte(`fleet bench {
 		secret "`+strings.Repeat("0b", 32)+`"
 		class look effect=safe { aim "10s"; deadline "20s" }
@@ -78,7 +80,7 @@
 		return "", nil, err
 	}
 	f.Members[0].Keys[0] = f.Secret.MemberKeyHasher().Sum([]byte(clientKey))
-	f.EndpointList = l.Addr()
+	f.EndpointList = service.Addr()
 	file := filepath.Join(dir, "fleet.kdl")
-	return file, l.Stop, os.WriteFile(file, config.Format(f), 0o600)
+	return file, service.Stop, os.WriteFile(file, config.Format(f), 0o600)
 }
--- a/bench/main.go
+++ b/bench/main.go
@@ -1,8 +1,8 @@
-// Command bench measures the gateway against the same path without decisions and against a relay built on
-// coder/websocket, in one run, each in a process of its own, and prints ratios. It is a module of its own, so
-// that the program does not depend on what it is measured against.
+// Command bench compares the gateway with a gateway that makes no decisions and with a relay built on
+// coder/websocket. It measures all of them in one run, each in a separate process, and prints ratios. It is a
+// separate module, so that the program does not depend on the libraries that it is compared with.
 //
-//	cd bench && go run .            all tables, some minutes
+//	cd bench && go run .            default tables, takes some minutes
 //	cd bench && go run . -quick     the same with shorter runs
 package main
 
@@ -17,13 +17,13 @@
 )
 
 var (
-	quick = flag.Bool("quick", false, "shorter runs")
-	load  = flag.Float64("load", 0.5, "fraction of the gateway's highest rate at which added time is measured")
+	quick = flag.Bool("quick", false, "use shorter runs")
+	load  = flag.Float64("load", 0.5, "fraction of the gateway's highest rate at which latency is measured")
 	only  = flag.String("only", "",
-		"throughput, idle, growth, export, measures, recovery or outage; else the first five")
-	outageDuration = flag.Duration("for", 20*time.Second, "how long the receiver is down in the outage")
-	outageRate     = flag.Float64("rate", 5000, "calls a second in the outage")
-	maxAttempts    = flag.Int("tries", 1_000_000, "most tries in the recovery table")
+		"print only throughput, idle, growth, export, measures, recovery or outage; default: the first five")
+	outageDuration = flag.Duration("for", 20*time.Second, "duration of the outage in the outage table")
+	outageRate     = flag.Float64("rate", 5000, "calls per second in the outage table")
+	maxAttempts    = flag.Int("tries", 1_000_000, "largest number of attempts in the recovery table")
 )
 
 func main() {
@@ -38,11 +38,11 @@
 	}
 }
 
-// measure prepares servers and settings that all tables share and prints the tables asked for.
+// measure starts the servers and writes the settings that all tables share, and prints the requested tables.
 func measure() error {
-	warm, span := 2*time.Second, 8*time.Second
+	warmup, duration := 2*time.Second, 8*time.Second
 	if *quick {
-		warm, span = time.Second, 2*time.Second
+		warmup, duration = time.Second, 2*time.Second
 	}
 	dir, err := os.MkdirTemp("", "winghatch-bench-")
 	if err != nil {
@@ -62,17 +62,20 @@
 		return err
 	}
 	defer stop()
-	if err := os.WriteFile(filepath.Join(dir, serverFile), []byte(strings.Join(servers, "\n")), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, serverFile),
+		[]byte(strings.Join(servers, "\n")), 0o600); err != nil {
 		return err
 	}
 	fmt.Printf("%d cores, %s; clients and servers share them with what is measured\n\n",
 		runtime.NumCPU(), runtime.Version())
 	tables := []table{
-		{"throughput", true, func() error { return measureThroughput(dir, file, servers[0], warm, span) }},
+		{"throughput", true, func() error {
+			return measureThroughput(dir, file, servers[0], warmup, duration)
+		}},
 		{"idle", true, func() error { return measureIdleSessions(file) }},
-		{"growth", true, func() error { return measureGrowth(file, warm, span) }},
-		{"export", true, func() error { return measureUsageExport(dir, file, warm, span) }},
-		{"measures", true, func() error { return measureMetrics(dir, file, warm, span) }},
+		{"growth", true, func() error { return measureGrowth(file, warmup, duration) }},
+		{"export", true, func() error { return measureUsageExport(dir, file, warmup, duration) }},
+		{"measures", true, func() error { return measureMetrics(dir, file, warmup, duration) }},
 		{"recovery", false, func() error { return measureRecovery(dir, *maxAttempts) }},
 		{"outage", false, func() error { return measureOutage(dir, file, *outageRate, *outageDuration) }},
 	}
@@ -87,9 +90,9 @@
 	return nil
 }
 
-// table is one measurement and what it prints.
+// table is one measurement, which prints a table.
 type table struct {
 	name      string
-	byDefault bool // without -only
+	byDefault bool // whether the table is printed without -only
 	measure   func() error
 }
--- a/bench/modes.go
+++ b/bench/modes.go
@@ -11,7 +11,9 @@
 	"winghatch/internal/wal"
 )
 
-// writeExportSettings writes settings like file's with a usage export.
+// writeExportSettings writes a copy of the settings in file with a usage export to the receiver at the
+// address to. m is the durability and disk the largest size of the log in bytes. It returns the name of the
+// new file.
 func writeExportSettings(file, dir, to string, m wal.SyncMode, disk int) (string, error) {
 	f, err := config.Load(file)
 	if err != nil {
@@ -23,29 +25,29 @@
 	return out, os.WriteFile(out, config.Format(f), 0o600)
 }
 
-// measureUsageExport measures the gateway without an export and with one of each durability, in turn.
-func measureUsageExport(dir, file string, warm, span time.Duration) error {
-	s, err := startReceiver()
+// measureUsageExport compares the gateway without a usage export and with an export of each durability.
+func measureUsageExport(dir, file string, warmup, duration time.Duration) error {
+	target, err := startReceiver()
 	if err != nil {
 		return err
 	}
 	files := map[string]string{"off": file}
 	for _, m := range []wal.SyncMode{wal.SyncNever, wal.SyncInterval, wal.SyncAlways} {
-		if files[m.String()], err = writeExportSettings(file, dir, s.addr, m, 2<<30-1); err != nil {
+		if files[m.String()], err = writeExportSettings(file, dir, target.addr, m, 2<<30-1); err != nil {
 			return err
 		}
 	}
 	modes := &comparison{what: "export", modes: []string{"off", "none", "interval", "each"}, files: files}
-	if err := modes.measure(warm, span); err != nil {
+	if err := modes.measure(warmup, duration); err != nil {
 		return err
 	}
 	fmt.Printf("fsync of %d bytes on this disk: %v\n\n", syncBytes, syncTime(dir))
 	return nil
 }
 
-// measureMetrics measures the gateway without measures, with them, and with a receiver that is down.
-func measureMetrics(dir, file string, warm, span time.Duration) error {
-	s, err := startReceiver()
+// measureMetrics compares the gateway without metrics, with metrics, and with metrics whose receiver is down.
+func measureMetrics(dir, file string, warmup, duration time.Duration) error {
+	target, err := startReceiver()
 	if err != nil {
 		return err
 	}
@@ -55,34 +57,37 @@
 		return err
 	}
 	m := &f.Metrics
-	m.Enabled, m.URL, m.Interval, m.VersionOne = true, "http://"+s.addr+"/api/v1/write", time.Second, true
+	m.Enabled, m.URL, m.Interval, m.VersionOne =
+		true, "http://"+target.addr+"/api/v1/write", time.Second, true
 	files["on"] = filepath.Join(dir, "measures.kdl")
 	if err := os.WriteFile(files["on"], config.Format(f), 0o600); err != nil {
 		return err
 	}
 	files["receiver down"] = files["on"]
-	modes := &comparison{what: "measures each second", modes: []string{"off", "receiver down", "on"}, files: files}
-	modes.before = func(mode string) { s.down.Store(mode == "receiver down") }
-	return modes.measure(warm, span)
+	modes := &comparison{what: "measures each second", modes: []string{"off", "receiver down", "on"},
+		files: files}
+	modes.before = func(mode string) { target.down.Store(mode == "receiver down") }
+	return modes.measure(warmup, duration)
 }
 
-// The load under which modes are compared.
+// These constants define the load under which modes are compared.
 const (
 	modeSessions = 64
-	modeOpen     = 512 // calls open at once over all sessions
-	modeRounds   = 3
+	modeOpen     = 512 // outstanding calls over all sessions
+	modeRounds   = 3   // rounds of each mode
 )
 
-// comparison measures a gateway under the settings of several modes, in turn. The first mode is what the others are
-// compared with.
+// comparison measures a gateway with the settings of several modes, in turn. The first mode is the baseline
+// of the others.
 type comparison struct {
 	what   string
 	modes  []string
-	files  map[string]string // settings, by mode
-	before func(mode string) // prepares a round; may be nil
+	files  map[string]string // settings files by mode
+	before func(mode string) // called with the mode before each round; may be nil
 }
 
-// run measures one round of a mode.
+// run starts a gateway with the settings of a mode and calls measure with sessions to it. It returns an error
+// if a call has failed.
 func (m *comparison) run(mode string, measure func(c *clientPool)) error {
 	if m.before != nil {
 		m.before(mode)
@@ -99,14 +104,14 @@
 	measure(c)
 	c.close()
 	if n := c.failed.Load(); n > 0 {
-		return fmt.Errorf("%s %s: %d calls were not served", m.what, mode, n)
+		return fmt.Errorf("%s %s: %d calls failed, want 0", m.what, mode, n)
 	}
 	return nil
 }
 
-// measure prints the calls a second of each mode and the latency of each at half the rate of the slowest.
-func (m *comparison) measure(warm, span time.Duration) error {
-	rates, err := m.rates(warm, span/modeRounds)
+// measure prints the calls per second of each mode, and its latency at half the rate of the slowest mode.
+func (m *comparison) measure(warmup, duration time.Duration) error {
+	rates, err := m.rates(warmup, duration/modeRounds)
 	if err != nil {
 		return err
 	}
@@ -119,7 +124,7 @@
 	for range modeRounds {
 		for _, mode := range m.modes {
 			err := m.run(mode, func(c *clientPool) {
-				c.runOpenLoop(rate, warm, span)
+				c.runOpenLoop(rate, warmup, duration)
 				p50[mode] = append(p50[mode], c.latency.ValueAtQuantile(50))
 				p99[mode] = append(p99[mode], c.latency.ValueAtQuantile(99))
 			})
@@ -133,20 +138,22 @@
 	fmt.Printf("| %s | calls/s | to %s | p50 | p99 |\n| --- | --- | --- | --- | --- |\n", m.what, m.modes[0])
 	for _, mode := range m.modes {
 		got := median(rates[mode])
-		fmt.Printf("| %s | %d | %.2f | %v | %v |\n", mode, got, float64(got)/float64(median(rates[m.modes[0]])),
-			time.Duration(median(p50[mode])).Round(time.Microsecond), time.Duration(median(p99[mode])).Round(time.Microsecond))
+		fmt.Printf("| %s | %d | %.2f | %v | %v |\n",
+			mode, got, float64(got)/float64(median(rates[m.modes[0]])),
+			time.Duration(median(p50[mode])).Round(time.Microsecond),
+			time.Duration(median(p99[mode])).Round(time.Microsecond))
 	}
 	fmt.Println()
 	return nil
 }
 
-// rates returns the calls a second of each round, by mode.
-func (m *comparison) rates(warm, span time.Duration) (map[string][]int64, error) {
+// rates returns the calls per second of each round, by mode.
+func (m *comparison) rates(warmup, duration time.Duration) (map[string][]int64, error) {
 	rates := map[string][]int64{}
 	for range modeRounds {
 		for _, mode := range m.modes {
 			err := m.run(mode, func(c *clientPool) {
-				rates[mode] = append(rates[mode], int64(c.runClosedLoop(modeOpen, warm, span)))
+				rates[mode] = append(rates[mode], int64(c.runClosedLoop(modeOpen, warmup, duration)))
 			})
 			if err != nil {
 				return nil, err
@@ -156,10 +163,11 @@
 	return rates, nil
 }
 
-// syncBytes is how much syncTime writes at once.
+// syncBytes is the number of bytes that syncTime writes before each sync.
 const syncBytes = 4 << 10
 
-// syncTime returns how long the disk takes to write and sync syncBytes, or 0 where it can't.
+// syncTime returns the mean time in which the disk writes and syncs syncBytes, or 0 if no file can be
+// created.
 func syncTime(dir string) time.Duration {
 	f, err := os.Create(filepath.Join(dir, "sync"))
 	if err != nil {
@@ -167,10 +175,10 @@
 	}
 	defer f.Close()
 	began := time.Now()
-	const n = 50
-	for range n {
+	const writes = 50
+	for range writes {
 		f.Write(make([]byte, syncBytes))
 		f.Sync()
 	}
-	return (time.Since(began) / n).Round(time.Microsecond)
+	return (time.Since(began) / writes).Round(time.Microsecond)
 }
--- a/bench/outage.go
+++ b/bench/outage.go
@@ -11,28 +11,29 @@
 
 const (
 	outageSessions = 64
-	outageRows     = 6 // of the table, while the receiver is down
+	outageRows     = 6 // rows of the table during the outage
 	// maxOutageLog bounds the log of the usage export, in bytes.
 	maxOutageLog = 2<<30 - 1
 )
 
-// outageRun is a gateway under load whose usage receiver goes away and comes back.
+// outageRun is a gateway under load whose usage receiver has an outage.
 type outageRun struct {
 	process *process
-	rate    float64 // calls a second
+	rate    float64 // calls per second
 	logDir  string
 	began   time.Time
 	served  int64
-	last    *clientPool // of the load that ended last
+	last    *clientPool // clients of the last completed load
 }
 
-// measureOutage holds a load while the receiver is down and prints what the gateway's process takes of memory and disk.
-func measureOutage(dir, file string, rate float64, span time.Duration) error {
-	s, err := startReceiver()
+// measureOutage keeps up a load while the receiver is down, and prints how much memory and disk the gateway's
+// process uses.
+func measureOutage(dir, file string, rate float64, duration time.Duration) error {
+	usageReceiver, err := startReceiver()
 	if err != nil {
 		return err
 	}
-	settings, err := writeExportSettings(file, dir, s.addr, wal.SyncInterval, maxOutageLog)
+	settings, err := writeExportSettings(file, dir, usageReceiver.addr, wal.SyncInterval, maxOutageLog)
 	if err != nil {
 		return err
 	}
@@ -47,21 +48,22 @@
 	if err := o.row(time.Second, 3*time.Second); err != nil {
 		return err
 	}
-	s.down.Store(true)
+	usageReceiver.down.Store(true)
 	for range outageRows {
-		if err := o.row(0, span/outageRows); err != nil {
+		if err := o.row(0, duration/outageRows); err != nil {
 			return err
 		}
 	}
-	s.down.Store(false)
-	return o.recover(span)
+	usageReceiver.down.Store(false)
+	return o.recover(duration)
 }
 
-// recover prints the last row, once the log has shrunk to a quarter or the span is over.
-func (o *outageRun) recover(span time.Duration) error {
+// recover continues the load until the log has shrunk to a quarter or duration is over, and prints the last
+// row.
+func (o *outageRun) recover(duration time.Duration) error {
 	before := directorySize(o.logDir)
 	returned := time.Now()
-	for time.Since(returned) < span && directorySize(o.logDir) > before/4 {
+	for time.Since(returned) < duration && directorySize(o.logDir) > before/4 {
 		if err := o.load(0, time.Second); err != nil {
 			return err
 		}
@@ -74,26 +76,28 @@
 	return nil
 }
 
-// row holds the load for a while and prints what it left.
-func (o *outageRun) row(warm, span time.Duration) error {
-	if err := o.load(warm, span); err != nil {
+// row runs the load for warmup and duration and prints a row of the table.
+func (o *outageRun) row(warmup, duration time.Duration) error {
+	if err := o.load(warmup, duration); err != nil {
 		return err
 	}
 	return o.print()
 }
 
-func (o *outageRun) load(warm, span time.Duration) error {
+// load runs the load with new sessions and counts the calls served.
+func (o *outageRun) load(warmup, duration time.Duration) error {
 	c, err := dialAll(o.process.addr, outageSessions)
 	if err != nil {
 		return err
 	}
 	defer c.close()
-	c.runOpenLoop(o.rate, warm, span)
+	c.runOpenLoop(o.rate, warmup, duration)
 	o.served += c.served.Load()
 	o.last = c
 	return nil
 }
 
+// print prints a row with the current usage of the process.
 func (o *outageRun) print() error {
 	u, err := o.process.usage()
 	if err != nil {
@@ -101,12 +105,13 @@
 	}
 	heap, log := float64(u.Heap)/(1<<20), float64(directorySize(o.logDir))/(1<<20)
 	p99 := time.Duration(o.last.latency.ValueAtQuantile(99))
-	fmt.Printf("| %v | %.1f MiB | %.1f MiB | %d | %v |\n", time.Since(o.began).Round(time.Second), heap, log, o.served,
-		p99.Round(time.Microsecond))
+	fmt.Printf("| %v | %.1f MiB | %.1f MiB | %d | %v |\n",
+		time.Since(o.began).Round(time.Second), heap, log, o.served, p99.Round(time.Microsecond))
 	return nil
 }
 
-// directorySize returns the bytes of all files below a directory; a file that vanishes meanwhile does not count.
+// directorySize returns the total size in bytes of the files below a directory. A file that is removed during
+// the walk is not counted.
 func directorySize(dir string) (n int64) {
 	filepath.Walk(dir, func(_ string, i os.FileInfo, err error) error {
 		if err == nil && !i.IsDir() {
--- a/bench/passthrough.go
+++ b/bench/passthrough.go
@@ -6,12 +6,14 @@
 	"winghatch/decide"
 )
 
-// passthroughCore is a core that decides nothing: every call goes to the next server, every end is final.
+// passthroughCore is a core that makes no decisions. It sends requests to the servers in turn and never
+// retries.
 type passthroughCore struct {
 	servers []string
 	next    int
 }
 
+// Handle returns the actions for an event.
 func (c *passthroughCore) Handle(now time.Duration, ev decide.Event) []decide.Action {
 	switch e := ev.(type) {
 	case decide.EndpointUpdate:
@@ -30,6 +32,7 @@
 	return nil
 }
 
+// Status returns a status with the right number of servers and nothing else.
 func (c *passthroughCore) Status() decide.Status {
 	return decide.Status{Servers: make([]decide.ServerStatus, len(c.servers))}
 }
--- a/bench/process.go
+++ b/bench/process.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// process is one path from clients to servers: a process of its own, or none, where clients talk to a server directly.
+// process is one path from clients to servers. It is a separate process, or no process if clients are
+// connected directly to a server.
 type process struct {
 	name   string
 	addr   string
@@ -30,7 +31,8 @@
 	return ln.Addr().String()
 }
 
-// startProcess starts this program as a measured process; profile is the file of its CPU profile, or empty.
+// startProcess starts this program as a measured process with the settings in file. A CPU profile is recorded
+// if profile is not empty.
 func startProcess(name, file, profile string) (*process, error) {
 	exe, err := os.Executable()
 	if err != nil {
@@ -52,22 +54,22 @@
 		return nil, err
 	}
 	if !p.stdout.Scan() {
-		return nil, fmt.Errorf("%s does not start", name)
+		return nil, fmt.Errorf("%s: process ended before it printed its address", name)
 	}
 	p.addr = p.stdout.Text()
 	return p, nil
 }
 
-// processUsage is what a measured process reports of itself.
+// processUsage is the resource usage that a measured process reports, as JSON.
 type processUsage struct {
-	CPU             time.Duration
-	Heap            uint64        // bytes in use after a collection, with stacks
-	DecideShare     float64       // of the CPU time, in package decide
+	CPU             time.Duration // user and system time since the start
+	Heap            uint64        // bytes of heap and stacks in use, collected unless profiled
+	DecideShare     float64       // fraction of the CPU time spent in package decide
 	SchedulingDelay time.Duration // 99th percentile of a ready goroutine's wait for a processor
-	GCPause         time.Duration // and of the collector's pauses
+	GCPause         time.Duration // 99th percentile of the pauses of the garbage collector
 }
 
-// usage asks the process for its usage; a path without a process has none.
+// usage asks the process for its usage. The usage of a path without a process is zero.
 func (p *process) usage() (u processUsage, err error) {
 	if p.cmd == nil {
 		return u, nil
@@ -75,7 +77,7 @@
 	fmt.Fprintln(p.stdin, "usage")
 	p.stdin.Flush()
 	if !p.stdout.Scan() {
-		return u, fmt.Errorf("%s is gone", p.name)
+		return u, fmt.Errorf("%s: process ended before it reported its usage", p.name)
 	}
 	return u, json.Unmarshal(p.stdout.Bytes(), &u)
 }
@@ -89,11 +91,11 @@
 	}
 }
 
-// paths are the ways from clients to servers that are compared: none, the gateway, the gateway with a core that decides
-// nothing, a relay.
+// paths lists the compared paths from clients to servers: a direct connection, the gateway, the gateway with
+// a core that makes no decisions, and the relay.
 var paths = []string{"direct", "gateway", "plain", "relay"}
 
-// startPath starts the path of that name with a CPU profile.
+// startPath starts the path with the given name and records a CPU profile.
 func startPath(name, dir, file, server string) (*process, error) {
 	if name == "direct" {
 		return &process{name: name, addr: server}, nil
--- a/bench/profile.go
+++ b/bench/profile.go
@@ -11,7 +11,8 @@
 	"github.com/google/pprof/profile"
 )
 
-// runtimeP99 is the 99th percentile of one of the runtime's own histograms since the start.
+// runtimeP99 returns the 99th percentile of a histogram of runtime/metrics since the start of the process, 0
+// if there is no such histogram.
 func runtimeP99(name string) time.Duration {
 	m := []metrics.Sample{{Name: name}}
 	metrics.Read(m)
@@ -19,13 +20,13 @@
 		return 0
 	}
 	h := m[0].Value.Float64Histogram()
-	all := uint64(0)
+	total := uint64(0)
 	for _, n := range h.Counts {
-		all += n
+		total += n
 	}
 	sum := uint64(0)
 	for i, n := range h.Counts {
-		if sum += n; float64(sum) >= 0.99*float64(all) {
+		if sum += n; float64(sum) >= 0.99*float64(total) {
 			if b := h.Buckets[i+1]; !math.IsInf(b, 1) {
 				return time.Duration(b * float64(time.Second))
 			}
@@ -35,31 +36,33 @@
 	return 0
 }
 
+// cpuTime returns the user and system CPU time of this process.
 func cpuTime() time.Duration {
 	var r syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &r)
 	return time.Duration(r.Utime.Nano() + r.Stime.Nano())
 }
 
-// decideShare is the part of a CPU profile's samples that are in package decide.
+// decideShare returns the fraction of the samples of a CPU profile that have a function of package decide on
+// the stack, 0 if the profile cannot be parsed.
 func decideShare(raw *bytes.Buffer) float64 {
 	p, err := profile.Parse(raw)
 	if err != nil {
 		return 0
 	}
-	in, all := int64(0), int64(0)
+	inDecide, total := int64(0), int64(0)
 	for _, s := range p.Sample {
 		v := s.Value[len(s.Value)-1]
-		all += v
+		total += v
 	stack:
 		for _, l := range s.Location {
 			for _, line := range l.Line {
 				if line.Function != nil && strings.HasPrefix(line.Function.Name, "winghatch/decide.") {
-					in += v
+					inDecide += v
 					break stack
 				}
 			}
 		}
 	}
-	return float64(in) / float64(max(all, 1))
+	return float64(inDecide) / float64(max(total, 1))
 }
--- a/bench/receiver.go
+++ b/bench/receiver.go
@@ -7,13 +7,15 @@
 	"sync/atomic"
 )
 
-// receiver is a usage receiver that takes everything and keeps nothing, or, while it is down, answers 503.
+// receiver is an HTTP receiver that accepts everything and stores nothing. While it is down, it responds with
+// 503.
 type receiver struct {
 	addr     string
 	down     atomic.Bool
-	received atomic.Int64
+	received atomic.Int64 // bytes of request bodies
 }
 
+// startReceiver starts a receiver on a loopback port. Its goroutines end with the process.
 func startReceiver() (*receiver, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/bench/recovery.go
+++ b/bench/recovery.go
@@ -13,35 +13,37 @@
 	"winghatch/internal/wal"
 )
 
-// measureRecovery measures how long a gateway takes to find what it owes, by how much that is.
-func measureRecovery(dir string, most int) error {
+// measureRecovery measures how long a gateway takes to read the log of its usage export. The logs have 10 000
+// attempts and ten times more in each row, up to attemptLimit.
+func measureRecovery(dir string, attemptLimit int) error {
 	fmt.Println("recovery of the export's log, by the tries that the receiver does not have\n\n" +
 		"| tries | bytes | without snapshots | with snapshots |\n| --- | --- | --- | --- |")
-	for n := 10_000; n <= most; n *= 10 {
+	for n := 10_000; n <= attemptLimit; n *= 10 {
 		row := fmt.Sprintf("| %d |", n)
-		for _, snaps := range []bool{false, true} {
-			kept := filepath.Join(dir, fmt.Sprintf("recover-%d-%t", n, snaps))
-			size, err := fillOutboxLog(filepath.Join(kept, "use"), n, snaps)
+		for _, withSnapshots := range []bool{false, true} {
+			stateDir := filepath.Join(dir, fmt.Sprintf("recover-%d-%t", n, withSnapshots))
+			size, err := fillOutboxLog(filepath.Join(stateDir, "use"), n, withSnapshots)
 			if err != nil {
 				return err
 			}
-			if !snaps {
+			if !withSnapshots {
 				row += fmt.Sprintf(" %d |", size)
 			}
 			began := time.Now()
-			_, l, rec, err := gateway.OpenOutbox(gateway.OutboxOptions{
+			_, log, recovery, err := gateway.OpenOutbox(gateway.OutboxOptions{
 				Export:      config.UsageExport{},
-				Dir:         kept,
-				Incarnation: 1 << 62, // later than that of the log
+				Dir:         stateDir,
+				Incarnation: 1 << 62, // later than the incarnation in the log
 				WallClock:   func() int64 { return 1 },
 				Log:         slog.New(slog.DiscardHandler),
 			}, nil, nil, nil)
 			if err != nil {
 				return err
 			}
-			row += fmt.Sprintf(" %v (%d records read) |", time.Since(began).Round(time.Millisecond), rec.Records)
-			l.Close()
-			os.RemoveAll(kept)
+			row += fmt.Sprintf(" %v (%d records read) |",
+				time.Since(began).Round(time.Millisecond), recovery.Records)
+			log.Close()
+			os.RemoveAll(stateDir)
 		}
 		fmt.Println(row)
 	}
@@ -49,37 +51,39 @@
 	return nil
 }
 
-// attemptsPerSnapshot is how many attempts, of two records each, precede a snapshot, as in a gateway.
+// attemptsPerSnapshot is the number of attempts between two snapshots. It is the same as in a gateway; an
+// attempt has two records.
 const attemptsPerSnapshot = 25000
 
-// fillOutboxLog fills a log with settled attempts of which the receiver has none. dir is where gateway.OpenOutbox has
-// the log.
-func fillOutboxLog(dir string, n int, snaps bool) (int64, error) {
-	l, _, err := wal.Open(dir, wal.Options{Mode: wal.SyncNever, RetainFrom: func() uint64 { return 1 }}, nil, nil)
+// fillOutboxLog fills a log with n settled attempts that have not been delivered to a receiver, and returns
+// its size in bytes. dir must be the directory in which gateway.OpenOutbox expects the log.
+func fillOutboxLog(dir string, n int, withSnapshots bool) (int64, error) {
+	log, _, err := wal.Open(dir, wal.Options{Mode: wal.SyncNever,
+		RetainFrom: func() uint64 { return 1 }}, nil, nil)
 	if err != nil {
 		return 0, err
 	}
-	defer l.Close()
+	defer log.Close()
 	d := outbox.New(outbox.Settings{MinIncarnation: 1})
-	do := func(acts []outbox.Action) error {
-		for _, a := range acts {
+	apply := func(actions []outbox.Action) error {
+		for _, a := range actions {
 			a, ok := a.(outbox.Append)
 			if !ok {
 				continue
 			}
-			no, err := l.Append(a.Payload)
+			number, err := log.Append(a.Payload)
 			for err == wal.ErrBusy {
 				time.Sleep(time.Millisecond)
-				no, err = l.Append(a.Payload)
+				number, err = log.Append(a.Payload)
 			}
 			if err != nil {
 				return err
 			}
-			d.Handle(outbox.Appended{ID: a.ID, Record: no})
+			d.Handle(outbox.Appended{ID: a.ID, Record: number})
 		}
 		return nil
 	}
-	if err := do(d.Start(1)); err != nil {
+	if err := apply(d.Start(1)); err != nil {
 		return 0, err
 	}
 	t := outbox.Attempt{
@@ -91,24 +95,26 @@
 		Units:   1,
 	}
 	for i := 1; i <= n; i++ {
-		if err := do(d.Handle(outbox.RecordIntent{ID: outbox.AttemptID(i), LogHasSpace: true, Attempt: t})); err != nil {
+		if err := apply(d.Handle(outbox.RecordIntent{ID: outbox.AttemptID(i), LogHasSpace: true,
+			Attempt: t})); err != nil {
 			return 0, err
 		}
-		settle := outbox.Settle{ID: outbox.AttemptID(i), Outcome: outbox.OutcomeAnswered, UsedUnits: 2, WallTime: 1}
-		if err := do(d.Handle(settle)); err != nil {
+		settle := outbox.Settle{ID: outbox.AttemptID(i), Outcome: outbox.OutcomeAnswered,
+			UsedUnits: 2, WallTime: 1}
+		if err := apply(d.Handle(settle)); err != nil {
 			return 0, err
 		}
-		if snaps && i%attemptsPerSnapshot == 0 {
-			if err := l.Sync(time.Minute); err != nil {
+		if withSnapshots && i%attemptsPerSnapshot == 0 {
+			if err := log.Sync(time.Minute); err != nil {
 				return 0, err
 			}
-			if err := l.Snapshot(l.NextNumber()-1, d.Snapshot()); err != nil {
+			if err := log.Snapshot(log.NextNumber()-1, d.Snapshot()); err != nil {
 				return 0, err
 			}
 		}
 	}
-	if err := l.Sync(time.Minute); err != nil {
+	if err := log.Sync(time.Minute); err != nil {
 		return 0, err
 	}
-	return l.Size(), nil
+	return log.Size(), nil
 }
--- a/bench/relay.go
+++ b/bench/relay.go
@@ -12,33 +12,37 @@
 	"winghatch/internal/jsonrpc"
 )
 
-// relay forwards calls as a program on coder/websocket would: the same JSON-RPC, ids mapped, two connections to each
-// server, no quota and round robin. Its goroutines end with the process.
+// relay forwards calls like a simple program built on coder/websocket. It uses the same JSON-RPC, maps ids,
+// opens two connections to each server, selects them round robin and enforces no quota. Its goroutines end
+// with the process.
 type relay struct {
 	servers []string
-	mu      sync.Mutex
+	mu      sync.Mutex // guards conns
 	conns   []*relayConn
-	next    atomic.Uint64
+	next    atomic.Uint64 // number of calls sent
 }
 
 const (
-	connsPerServer = 2    // as in the gateway's settings
-	queueMessages  = 4096 // that wait to be written to a connection
+	connsPerServer = 2    // same as in the gateway's settings
+	queueMessages  = 4096 // capacity of the queue of messages to write to a connection
 )
 
+// relayConn is a connection to a server.
 type relayConn struct {
 	ws      *websocket.Conn
-	out     chan []byte
-	mu      sync.Mutex
-	pending map[uint64]relayCall
+	out     chan []byte          // messages to the server
+	mu      sync.Mutex           // guards pending and lastID
+	pending map[uint64]relayCall // unanswered calls by id at the server
 	lastID  uint64
 }
 
+// relayCall is a call that waits for its response.
 type relayCall struct {
-	out chan []byte
-	id  jsonrpc.ID
+	out chan []byte // messages to the client
+	id  jsonrpc.ID  // id that the client gave to the call
 }
 
+// writeLoop writes messages until a write fails.
 func writeLoop(c *websocket.Conn, out chan []byte) {
 	for data := range out {
 		if c.Write(context.Background(), websocket.MessageText, data) != nil {
@@ -47,47 +51,51 @@
 	}
 }
 
+// nextConn returns the connection for the next call. The first call opens all connections.
 func (r *relay) nextConn() (*relayConn, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.conns == nil {
 		options := &websocket.DialOptions{Subprotocols: []string{"jsonrpc"}}
 		for range connsPerServer {
-			for _, n := range r.servers {
-				c, _, err := websocket.Dial(context.Background(), "ws://"+n+"/", options)
+			for _, addr := range r.servers {
+				c, _, err := websocket.Dial(context.Background(), "ws://"+addr+"/", options)
 				if err != nil {
 					return nil, err
 				}
-				k := &relayConn{ws: c, out: make(chan []byte, queueMessages), pending: map[uint64]relayCall{}}
-				go writeLoop(c, k.out)
-				go k.readLoop()
-				r.conns = append(r.conns, k)
+				server := &relayConn{ws: c, out: make(chan []byte, queueMessages),
+					pending: map[uint64]relayCall{}}
+				go writeLoop(c, server.out)
+				go server.readLoop()
+				r.conns = append(r.conns, server)
 			}
 		}
 	}
 	return r.conns[r.next.Add(1)%uint64(len(r.conns))], nil
 }
 
-func (k *relayConn) readLoop() {
+// readLoop passes responses on to the clients until the connection ends.
+func (server *relayConn) readLoop() {
 	for {
-		_, data, err := k.ws.Read(context.Background())
+		_, data, err := server.ws.Read(context.Background())
 		if err != nil {
 			return
 		}
-		items, _, _ := jsonrpc.Parse(data, 1)
-		for _, it := range items {
-			id, _ := strconv.ParseUint(string(it.ID), 10, 64)
-			k.mu.Lock()
-			c, ok := k.pending[id]
-			delete(k.pending, id)
-			k.mu.Unlock()
+		messages, _, _ := jsonrpc.Parse(data, 1)
+		for _, message := range messages {
+			id, _ := strconv.ParseUint(string(message.ID), 10, 64)
+			server.mu.Lock()
+			c, ok := server.pending[id]
+			delete(server.pending, id)
+			server.mu.Unlock()
 			if ok {
-				c.out <- jsonrpc.AppendResult(nil, c.id, it.Result)
+				c.out <- jsonrpc.AppendResult(nil, c.id, message.Result)
 			}
 		}
 	}
 }
 
+// serve relays the calls of one client until its connection ends.
 func (r *relay) serve(w http.ResponseWriter, req *http.Request) {
 	c, err := websocket.Accept(w, req, &websocket.AcceptOptions{Subprotocols: []string{"jsonrpc"}})
 	if err != nil {
@@ -101,18 +109,19 @@
 		if err != nil {
 			return
 		}
-		items, _, _ := jsonrpc.Parse(data, 1)
-		for _, it := range items {
-			k, err := r.nextConn()
+		messages, _, _ := jsonrpc.Parse(data, 1)
+		for _, message := range messages {
+			server, err := r.nextConn()
 			if err != nil {
 				return
 			}
-			k.mu.Lock()
-			k.lastID++
-			id := k.lastID
-			k.pending[id] = relayCall{out, it.ID}
-			k.mu.Unlock()
-			k.out <- jsonrpc.AppendCall(nil, jsonrpc.ID(strconv.FormatUint(id, 10)), it.Method, it.Params)
+			server.mu.Lock()
+			server.lastID++
+			id := server.lastID
+			server.pending[id] = relayCall{out, message.ID}
+			server.mu.Unlock()
+			server.out <- jsonrpc.AppendCall(nil, jsonrpc.ID(strconv.FormatUint(id, 10)),
+				message.Method, message.Params)
 		}
 	}
 }
--- a/bench/sessions.go
+++ b/bench/sessions.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// measureIdleSessions prints the memory that an idle session takes, from a process's usage before and after many.
+// measureIdleSessions prints the memory that an idle session takes. It is computed from the usage of a
+// process before and after many sessions are opened.
 func measureIdleSessions(file string) error {
 	const sessions = 10000
 	fmt.Printf("heap and stacks for each of %d idle sessions\n\n| path | bytes |\n| --- | --- |\n", sessions)
@@ -40,12 +41,12 @@
 	return nil
 }
 
-// growthOpen is how many calls are open at once over all sessions while sessions grow.
+// growthOpen is the number of outstanding calls over all sessions, for any number of sessions.
 const growthOpen = 512
 
-// measureGrowth measures the relay beside the gateway: what both lose as sessions grow is the sockets', not the
-// decisions'.
-func measureGrowth(file string, warm, span time.Duration) error {
+// measureGrowth prints the calls per second for growing numbers of sessions. It measures the relay as well as
+// the gateway: a loss that both have is caused by the sockets and not by the decisions.
+func measureGrowth(file string, warmup, duration time.Duration) error {
 	fmt.Printf("calls a second as sessions grow, %d calls open\n\n"+
 		"| sessions | gateway | to the first | relay | to the first |\n| --- | --- | --- | --- | --- |\n", growthOpen)
 	first := map[string]float64{}
@@ -60,7 +61,7 @@
 			if err != nil {
 				return err
 			}
-			rate := c.runClosedLoop(growthOpen, warm, span/2)
+			rate := c.runClosedLoop(growthOpen, warmup, duration/2)
 			c.close()
 			p.stop()
 			if first[name] == 0 {
--- a/bench/throughput.go
+++ b/bench/throughput.go
@@ -6,37 +6,38 @@
 	"time"
 )
 
-// The load of the throughput table. Each path is measured in several rounds, in turn, so that what else the machine
-// does meanwhile affects all of them alike.
+// These constants define the load of the throughput table. The paths are measured in turn in several rounds,
+// so that other load on the machine affects all of them alike.
 const (
 	throughputSessions = 64
-	throughputOpen     = 512 // calls open at once over all sessions
+	throughputOpen     = 512 // outstanding calls over all sessions
 	throughputRounds   = 3
 )
 
-// latencyQuantiles are the columns of the latency tables, in percent.
+// latencyQuantiles lists the quantiles in the table, in percent.
 var latencyQuantiles = []float64{50, 99, 99.9}
 
-// throughputResult is what one path is measured by.
+// throughputResult holds the measurements of one path.
 type throughputResult struct {
-	rate             float64       // calls a second, mean of the rounds
-	cpuPerCall       time.Duration // mean of the rounds
-	decideShare      float64       // largest share of the process's CPU in package decide
-	quantiles        map[float64][]int64
-	schedulingDelays []int64
-	gcPauses         []int64
+	rate             float64             // calls per second, mean of the rounds
+	cpuPerCall       time.Duration       // CPU time per call, mean of the rounds
+	decideShare      float64             // largest fraction of the process's CPU time in package decide
+	quantiles        map[float64][]int64 // latencies of the rounds in nanoseconds, by quantile
+	schedulingDelays []int64             // processUsage.SchedulingDelay of the rounds, in nanoseconds
+	gcPauses         []int64             // processUsage.GCPause of the rounds, in nanoseconds
 }
 
-// measureThroughput prints the calls a second of each path, and the latency that each adds at a fraction of the
-// gateway's highest rate.
-func measureThroughput(dir, file, server string, warm, span time.Duration) error {
+// measureThroughput prints the calls per second of each path, and the latency that each path adds at a
+// fraction of the gateway's highest rate.
+func measureThroughput(dir, file, server string, warmup, duration time.Duration) error {
 	results := map[string]*throughputResult{}
 	for _, name := range paths {
 		results[name] = &throughputResult{quantiles: map[float64][]int64{}}
 	}
 	for range throughputRounds {
 		for _, name := range paths {
-			if err := measureRate(results[name], name, dir, file, server, warm, span/throughputRounds); err != nil {
+			if err := measureRate(results[name], name, dir, file, server, warmup,
+				duration/throughputRounds); err != nil {
 				return err
 			}
 		}
@@ -44,7 +45,8 @@
 	rate := results["gateway"].rate * *load
 	for range throughputRounds {
 		for _, name := range paths {
-			if err := measureLatency(results[name], name, dir, file, server, rate, warm, span); err != nil {
+			if err := measureLatency(results[name], name, dir, file, server, rate, warmup,
+				duration); err != nil {
 				return err
 			}
 		}
@@ -53,7 +55,7 @@
 	return nil
 }
 
-// connectPath starts a path and opens the sessions to it.
+// connectPath starts a path and opens throughputSessions sessions to it.
 func connectPath(name, dir, file, server string) (*process, *clientPool, error) {
 	p, err := startPath(name, dir, file, server)
 	if err != nil {
@@ -67,8 +69,9 @@
 	return p, c, nil
 }
 
-// measureRate adds one round of a closed loop to a path's result.
-func measureRate(r *throughputResult, name, dir, file, server string, warm, span time.Duration) error {
+// measureRate measures the highest rate of a path in one round and adds it to the result. It returns an error
+// if a call has failed.
+func measureRate(r *throughputResult, name, dir, file, server string, warmup, duration time.Duration) error {
 	p, c, err := connectPath(name, dir, file, server)
 	if err != nil {
 		return err
@@ -80,14 +83,14 @@
 		return err
 	}
 	began := time.Now()
-	rate := c.runClosedLoop(throughputOpen, warm, span)
+	rate := c.runClosedLoop(throughputOpen, warmup, duration)
 	took := time.Since(began)
 	after, err := p.usage()
 	if err != nil {
 		return err
 	}
 	if n := c.failed.Load(); n > 0 {
-		return fmt.Errorf("%s: %d calls were not served", name, n)
+		return fmt.Errorf("%s: %d calls failed, want 0", name, n)
 	}
 	r.rate += rate / throughputRounds
 	r.cpuPerCall += time.Duration(float64(after.CPU-before.CPU) / (rate * took.Seconds()) / throughputRounds)
@@ -95,15 +98,16 @@
 	return nil
 }
 
-// measureLatency adds one round of an open loop to a path's result.
-func measureLatency(r *throughputResult, name, dir, file, server string, rate float64, warm, span time.Duration) error {
+// measureLatency measures the latency of a path at the given rate in one round and adds it to the result.
+func measureLatency(r *throughputResult, name, dir, file, server string, rate float64,
+	warmup, duration time.Duration) error {
 	p, c, err := connectPath(name, dir, file, server)
 	if err != nil {
 		return err
 	}
 	defer p.stop()
 	defer c.close()
-	c.runOpenLoop(rate, warm, span)
+	c.runOpenLoop(rate, warmup, duration)
 	u, err := p.usage()
 	if err != nil {
 		return err
@@ -116,6 +120,7 @@
 	return nil
 }
 
+// printThroughput prints the results of all paths. rate is the rate at which the latencies were measured.
 func printThroughput(results map[string]*throughputResult, rate float64) {
 	fmt.Printf("calls a second, %d sessions, %d calls open; "+
 		"added time at %.0f calls a second, %.2f of the gateway's most\n\n",
@@ -137,12 +142,14 @@
 	fmt.Println("\nwithin each process, p99 of a ready goroutine's wait for a processor, and of the collector's pauses:")
 	for _, name := range paths[1:] {
 		r := results[name]
-		fmt.Printf("  %-8s %v, %v\n", name, time.Duration(median(r.schedulingDelays)), time.Duration(median(r.gcPauses)))
+		fmt.Printf("  %-8s %v, %v\n", name,
+			time.Duration(median(r.schedulingDelays)), time.Duration(median(r.gcPauses)))
 	}
 	fmt.Printf("\nshare of the gateway's CPU in decide: %.1f%%\n\n", 100*results["gateway"].decideShare)
 }
 
-func median(v []int64) int64 {
-	slices.Sort(v)
-	return v[len(v)/2]
+// median sorts values and returns the middle one.
+func median(values []int64) int64 {
+	slices.Sort(values)
+	return values[len(values)/2]
 }
