--- a/alerts/verify/verify_test.go
+++ b/alerts/verify/verify_test.go
@@ -143,7 +143,8 @@
 			}
 			all = append(all, rule{name: r.Alert, alert: rules.NewAlertingRule(r.Alert, expr,
 				time.Duration(r.For), time.Duration(r.KeepFiringFor), labels.FromMap(r.Labels),
-				labels.FromMap(r.Annotations), labels.EmptyLabels(), "", true, slog.New(slog.DiscardHandler))})
+				labels.FromMap(r.Annotations), labels.EmptyLabels(), "", true,
+				slog.New(slog.DiscardHandler))})
 		}
 	}
 	out := firings{}
--- a/bench/relay.go
+++ b/bench/relay.go
@@ -75,19 +75,19 @@
 }
 
 // readLoop passes responses on to the clients until the connection ends.
-func (server *relayConn) readLoop() {
+func (rc *relayConn) readLoop() {
 	for {
-		_, data, err := server.ws.Read(context.Background())
+		_, data, err := rc.ws.Read(context.Background())
 		if err != nil {
 			return
 		}
 		messages, _, _ := jsonrpc.Parse(data, 1)
 		for _, message := range messages {
 			id, _ := strconv.ParseUint(string(message.ID), 10, 64)
-			server.mu.Lock()
-			c, ok := server.pending[id]
-			delete(server.pending, id)
-			server.mu.Unlock()
+			rc.mu.Lock()
+			c, ok := rc.pending[id]
+			delete(rc.pending, id)
+			rc.mu.Unlock()
 			if ok {
 				c.out <- jsonrpc.AppendResult(nil, c.id, message.Result)
 			}
--- a/cmd/winghatch/export.go
+++ b/cmd/winghatch/export.go
@@ -49,8 +49,9 @@
 	ctx, cancel := context.WithTimeout(ctx, c.Within)
 	defer cancel()
 	res, err := gateway.DrainOutbox(ctx, f, c.Rank, newLogger(f, ""))
-	fmt.Printf("events sent %d in %d batches, %d retries; dead letters %d; estimated for an ended incarnation %d; "+
-		"records lost %d, torn bytes %d\n", res.Delivery.Sent, res.Delivery.Batches, res.Delivery.Retries,
-		res.Delivery.DeadLetters, res.Outbox.Orphans, res.LostRecords, res.TornBytes)
+	fmt.Printf("events sent %d in %d batches, %d retries; dead letters %d; "+
+		"estimated for an ended incarnation %d; records lost %d, torn bytes %d\n",
+		res.Delivery.Sent, res.Delivery.Batches, res.Delivery.Retries, res.Delivery.DeadLetters,
+		res.Outbox.Orphans, res.LostRecords, res.TornBytes)
 	return err
 }
--- a/cmd/winghatch/plan.go
+++ b/cmd/winghatch/plan.go
@@ -115,8 +115,8 @@
 	oldPlan, newPlan := planOf(f, c.Member), findPlan(f, c.Plan)
 	const propagation = time.Second // usual time until all gateways know a change
 	if n := quotaplan.MaxOverspend(oldPlan, newPlan, propagation); n > 0 && from == 0 {
-		fmt.Printf("until all gateways know of it, up to %.6g units beyond the new plan may pass if that takes %v "+
-			"(from %s)\n", n, propagation, oldPlan.Name)
+		fmt.Printf("until all gateways know of it, up to %.6g units beyond the new plan may pass "+
+			"if that takes %v (from %s)\n", n, propagation, oldPlan.Name)
 	}
 	return nil
 }
--- a/cmd/winghatch/scenario.go
+++ b/cmd/winghatch/scenario.go
@@ -54,8 +54,8 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	fmt.Println("| scenario | requests | in time | rejected | failed | lost | unreachable | attempts | p50 | p99 | " +
-		"rules kept |")
+	fmt.Println("| scenario | requests | in time | rejected | failed | lost | unreachable | " +
+		"attempts | p50 | p99 | rules kept |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	code := 0
 	for _, name := range c.Names {
@@ -196,8 +196,8 @@
 	if u == nil {
 		return
 	}
-	fmt.Printf("exported: %d attempts, %d at their reported size, %d estimated (%d of them without a response), "+
-		"%.6g units, %.6g uncovered\n",
+	fmt.Printf("exported: %d attempts, %d at their reported size, "+
+		"%d estimated (%d of them without a response), %.6g units, %.6g uncovered\n",
 		u.Attempts, u.Confirmed, u.Estimated, u.Unanswered, u.Units, u.UncoveredUnits)
 	fmt.Printf("kills of gateways: %d; events that the usage receiver got again: %d\n",
 		res.Kills, res.DuplicateEvents)
--- a/internal/testbed/await/await.go
+++ b/internal/testbed/await/await.go
@@ -20,5 +20,5 @@
 			return
 		}
 	}
-	t.Fatal("never: " + name)
+	t.Fatal("await: timed out waiting for: " + name)
 }
