--- a/decide/admission.go
+++ b/decide/admission.go
@@ -29,11 +29,12 @@
 	reportedLoadGain = 0.1
 	ownLoadGain      = 0.03
 
-	// shedThreshold is the pressure above which requests of the lowest value density are shed. Requests
-	// whose value density is at least the average are shed above a pressure of 1.
+	// shedThreshold is the pressure above which requests of the lowest value density are shed. The value
+	// density of a request is its value per second of server time. Requests whose value density is at least
+	// the average are shed above a pressure of 1. Between these two, the threshold rises with the density.
 	shedThreshold = 0.25
 
-	// reservedShedFactor multiplies the pressure threshold of requests whose units are reserved.
+	// reservedShedFactor multiplies the pressure above which a request is shed if its units are reserved.
 	reservedShedFactor = 1.25
 
 	// valueDensityGain is the weight of one request in the average value density.
@@ -43,7 +44,7 @@
 	maxDeadlineFraction = 0.8
 
 	// objectiveMargin is the time reserved for a response to travel from this gateway to the client.
-	// Deadlines and deduplication windows are shortened by it.
+	// Latency objectives and deduplication windows are shortened by it.
 	objectiveMargin = 6 * time.Millisecond
 
 	// remainingTimeTolerance is the largest difference in remaining time at which two requests count as
@@ -64,7 +65,7 @@
 	inFlight     float64 // attempts in flight, including orphans
 	responseRate float64 // successful responses per second
 
-	// valueDensity is the average value of a request per second of server time.
+	// valueDensity is the average value, per second of server time, of the requests at this gateway alone.
 	valueDensity float64
 }
 
@@ -101,6 +102,7 @@
 	g.requests[e.ID] = r
 	switch {
 	case r.usefulUntil <= g.now && e.IsRetry:
+		// No time is left. The retry is rejected before it counts as demand or loads an owner.
 		r.rejectReason = ReasonDeadlineUnreachable
 		g.forwardOrReject(r, false)
 	case e.Reserved:
@@ -164,7 +166,8 @@
 
 // forwardOrReject completes admission: it forwards the request if the quota has room, a server is
 // available, a response can be expected in time and the request is not shed. Otherwise it rejects the
-// request.
+// request. If the quota has no room, the caller has already set rejectReason. Requests that waited for a
+// grant are not considered for shedding again, because admitByOwner has done so.
 func (g *Gateway) forwardOrReject(r *request, quotaHasRoom bool) {
 	var s *endpoint
 	var expected float64
@@ -181,7 +184,7 @@
 		r.rejectReason, s = ReasonLoadShed, nil
 	}
 	if s == nil {
-		r.extraUnits = -r.units // gives units that an owner may have granted back
+		r.extraUnits = -r.units // returns the units that an owner may have granted
 		g.reject(r.ID, r.rejectReason)
 		g.finish(r)
 		return
@@ -219,7 +222,8 @@
 }
 
 // shouldShed reports whether the pressure is too high for the value of a request. Requests with little
-// value per second of server time are shed first.
+// value per second of server time are shed first. Each call also adds the request to the average value
+// density.
 func (g *Gateway) shouldShed(r *request) bool {
 	value := r.class.PriorityWeight * r.customer.plan.PriorityWeight * r.units
 	density := value / max(r.class.baselineLatency, minBaselineLatency)
--- a/decide/config.go
+++ b/decide/config.go
@@ -39,10 +39,12 @@
 
 	// LatencyObjective is the time within which a response has its full value. It must be more than 0.
 	LatencyObjective time.Duration
-	// ObjectiveStretch extends the objective by this multiple of the request's own work. With a value other
-	// than 0, the gateway treats a response as valuable until the client's deadline.
+	// ObjectiveStretch extends the objective by this multiple of the time that servers work on the request.
+	// The gateway does not know that time. If the value is not 0, it therefore treats a response as valuable
+	// until the client's deadline.
 	ObjectiveStretch float64
-	// Deadline is the time for which a client waits, over a request and all its retries.
+	// Deadline is the time for which a client waits, over a request and all its retries. The age of a retry
+	// is computed from it; if it is 0, retries count as new requests.
 	Deadline time.Duration
 
 	PriorityWeight float64 // value of a response relative to that of other classes
@@ -75,7 +77,8 @@
 	ConnectTimeout time.Duration // time to establish a connection; 0: the caller's default
 }
 
-// Safety holds the settings of the rules that apply at all times.
+// Safety holds the settings of rules that must never be violated, whatever the load: final answers come in
+// time, draining servers are left in time, and servers in slow start are not overloaded.
 type Safety struct {
 	AnswerSlack       time.Duration // time after the deadline by which a final answer may be late
 	DrainGrace        time.Duration // time that attempts at a draining server have to finish
@@ -83,17 +86,18 @@
 	// SlowStartDuration is the time after its start until a server has its full capacity. 0 means that
 	// there is no slow start.
 	SlowStartDuration time.Duration
-	// A server fails if it receives OverloadMultiple times its capacity during OverloadWindow.
+	// A server fails if it receives OverloadMultiple times its capacity during OverloadWindow. The window
+	// must be more than 0 if SlowStartDuration is.
 	OverloadMultiple float64
 	OverloadWindow   time.Duration
 }
 
 // Config is the configuration of a gateway. Some settings are meant for the caller and not used by any
-// decision: MaxUnits, Limits.ConnectTimeout, Safety.AnswerSlack, Safety.DrainGrace, Plan.OverQuotaValue and
-// Plan.OverQuotaCost.
+// decision: MaxUnits, Limits.ConnectTimeout, Safety.AnswerSlack, Safety.DrainGrace, Safety.OverloadWindow,
+// Plan.OverQuotaValue and Plan.OverQuotaCost.
 type Config struct {
-	Rank, Gateways int // rank of this gateway, from 0, and number of gateways in the fleet
-	Zone           string
+	Rank, Gateways int    // rank of this gateway, from 0, and number of gateways in the fleet
+	Zone           string // zone of this gateway; servers in other zones are selected less often
 	Classes        []Class
 	Plans          []Plan
 	// SettledOnResponse says that the units of a request are an estimate, which AttemptEnded.ActualUnits
@@ -159,6 +163,8 @@
 	return nil
 }
 
+// validate returns a *[SettingError] for the first invalid setting of the class, or nil. The path of the
+// class in [Config] begins the field.
 func (k *Class) validate(path string) error {
 	if k.Name == "" {
 		return invalid(path+".Name", "is empty")
@@ -169,6 +175,8 @@
 	return checkNumbers(path+".", []setting{{"PriorityWeight", k.PriorityWeight}})
 }
 
+// validate returns a *[SettingError] for the first invalid setting of the plan, or nil. The path of the plan
+// in [Config] begins the field.
 func (p *Plan) validate(path string) error {
 	if p.Name == "" {
 		return invalid(path+".Name", "is empty")
--- a/decide/customers.go
+++ b/decide/customers.go
@@ -13,7 +13,7 @@
 const idleChecksPerHeartbeat = 4
 
 // customer is the state of a customer from which this gateway has received a request, or about which it has
-// received gossip.
+// received gossip or a grant message.
 type customer struct {
 	key       uint64 // hash of its name, see hashKey
 	plan      *Plan
@@ -22,15 +22,15 @@
 	// The gateways through which the customer's requests come: rank of the first, and number.
 	firstGateway, gatewayCount int
 
-	lastUsed time.Duration
-	inFlight int // attempts in flight
+	lastUsed time.Duration // time of the last request, gossip entry or grant message
+	inFlight int           // attempts of this gateway in flight
 
 	bucket      bucket
 	demand      demand
 	usage       usage
 	gossip      customerGossip
 	ownedBucket ownedBucket // used if this gateway is an owner of the customer
-	ownerReport ownerReport // the last reply of an owner, if this gateway is none
+	ownerReport ownerReport // the last reply of an owner to this gateway
 }
 
 // planOverride is the plan that a PlanChange assigned to a customer.
@@ -76,7 +76,8 @@
 	c.gossip = newCustomerGossip(len(g.gossip.peers))
 	c.usage = newUsage()
 	c.ownerReport.repliedAt = -rateTimeConstant // before any possible reply
-	c.bucket.leakedAt = g.startedAt             // leak, and refill the ceiling, from the start on
+	// The bucket leaks, and its ceiling tokens grow from 0, from the start of this gateway on.
+	c.bucket.leakedAt = g.startedAt
 	c.bucket.share = c.evenShare()
 	if !g.gossip.full {
 		c.bucket.fleetLevel = g.initialFleetLevel(c)
@@ -138,8 +139,8 @@
 	g.refresh(c)
 }
 
-// dropIdle removes customers that have been idle for customerIdleTimeout. Each call checks only the next
-// few customers.
+// dropIdle removes customers that have been idle for customerIdleTimeout and about which no gossip entry is
+// queued. Each call checks only the next few customers.
 func (t *customerTable) dropIdle(now time.Duration) {
 	for n := 0; n < idleChecksPerHeartbeat && len(t.order) > 0; n++ {
 		c := t.order[0]
--- a/decide/demandshare.go
+++ b/decide/demandshare.go
@@ -8,8 +8,8 @@
 	// gateways.
 	rateTimeConstant = 2 * time.Second
 
-	// demandPrior is the number of seconds of the evenly divided rate that is added to the demand of each
-	// gateway. It stabilizes the share of customers with little demand.
+	// demandPrior is the fraction of the evenly divided rate that is added to the demand of each gateway. It
+	// stabilizes the share of customers with little demand.
 	demandPrior = 0.05
 
 	// peerStaleAfter is the time without gossip from a peer after which the peer's demand is unknown.
@@ -46,7 +46,9 @@
 // even share. A gateway at which demand begins must not have to wait for gossip before it admits its first
 // requests.
 //
-// If the fleet's demand is unknown, the share follows usage reports or, without these, is the even share.
+// In fleets with owner gateways, the fleet's demand is the one in a recent reply of an owner. Otherwise it
+// is the sum of the demands in recent gossip. If the fleet's demand is unknown, the share follows usage
+// reports or, without these, is the even share.
 func (g *Gateway) updateShare(c *customer) {
 	b := &c.bucket
 	even := c.evenShare()
@@ -71,7 +73,8 @@
 
 // fleetDemand returns the demand at all the customer's gateways in units per second: the demand at this
 // gateway, given as own, and the demand that peers reported, each with the prior. All these peers have
-// reported up to the time reportedUpTo.
+// reported up to the time reportedUpTo. If a peer has never reported, reportedUpTo is so early that the
+// fleet's demand counts as unknown.
 func (g *Gateway) fleetDemand(c *customer, own, prior float64) (total float64, reportedUpTo time.Duration) {
 	total, reportedUpTo = own, g.now
 	for i := range g.gossip.peers {
--- a/decide/endpoints.go
+++ b/decide/endpoints.go
@@ -53,8 +53,8 @@
 	hasRemoved bool // whether a removed server has not been dropped yet
 	totals     endpointTotals
 
-	classes        int
-	orphanLifetime time.Duration
+	classes        int           // number of configured classes
+	orphanLifetime time.Duration // longest time for which an orphan counts as load
 }
 
 // endpointTotals holds sums over the servers in state Serving, so that a request need not visit all of
@@ -159,11 +159,13 @@
 	})
 }
 
-// outstanding returns this gateway's load at a server: the attempts in flight and the orphans. An
-// overloaded server continues to work on requests that have timed out while it has few attempts in flight.
-// If orphans did not count, the server would be sent more requests and the overload would sustain itself. A
-// later response clears older orphans, see clearOrphans, so they have little effect on servers that abandon
-// timed-out requests.
+// outstanding returns this gateway's load at a server: the attempts in flight and the orphans. It first
+// removes the orphans that are older than orphanLifetime.
+//
+// Orphans count because an overloaded server continues to work on requests that have timed out while it has
+// few attempts in flight. If orphans did not count, the server would be sent more requests and the overload
+// would sustain itself. A later response clears older orphans, see clearOrphans, so they have little effect
+// on servers that abandon timed-out requests.
 func (t *endpointTable) outstanding(s *endpoint, now time.Duration) float64 {
 	for len(s.orphans) > 0 && now-s.orphans[0] > t.orphanLifetime {
 		s.orphans = s.orphans[1:]
@@ -200,7 +202,7 @@
 }
 
 // updateTotals computes the totals over the active servers, and removes servers that are no longer active
-// from this list.
+// from the list of active servers.
 func (t *endpointTable) updateTotals(now time.Duration) {
 	totals := endpointTotals{serving: t.serving, warm: t.serving}
 	t.active = slices.DeleteFunc(t.active, func(s *endpoint) bool {
--- a/decide/events.go
+++ b/decide/events.go
@@ -17,8 +17,10 @@
 	// Request reports the arrival of a client's request. It must get one final answer before Deadline.
 	Request struct {
 		ID, Class, Plan, Customer string
-		Units                     float64       // quota units; an estimate if Config.SettledOnResponse is set
-		Deadline                  time.Duration // time at which the client gives up
+		// Units is the number of quota units, an estimate if Config.SettledOnResponse is set. A negative
+		// number counts as 0.
+		Units    float64
+		Deadline time.Duration // time at which the client gives up
 		// FirstGateway is the rank of the first gateway through which the customer's requests come, and
 		// GatewayCount the number of these gateways. They have consecutive ranks, modulo the size of the
 		// fleet. A GatewayCount that is not positive or exceeds the size of the fleet is ignored.
@@ -38,7 +40,8 @@
 	}
 
 	// ResponseStarted reports that the response to an attempt has started to stream to the client. From
-	// then on the attempt is neither retried nor cancelled.
+	// then on no attempt of the request is cancelled, and the request is not hedged. It may still be retried
+	// if the attempt ends without AttemptEnded.RequestDone.
 	ResponseStarted struct {
 		ID, Server string
 		Attempt    int
@@ -90,7 +93,7 @@
 const (
 	DeltaUpdate  UpdateKind = iota // contains only the changed entries
 	FullUpdate                     // contains the whole list; servers that it lacks are removed
-	StaleUpdate                    // contains the whole list as last known, which may be out of date
+	StaleUpdate                    // like FullUpdate, but the list may be out of date
 	FailedUpdate                   // discovery failed; the previous list stays in use
 )
 
--- a/decide/gateway.go
+++ b/decide/gateway.go
@@ -71,8 +71,9 @@
 }
 
 // Handle processes one event at the time now and returns the actions to carry out, in order. If now is
-// earlier than the time of the previous event, the previous time is used. Handle must not be called
-// concurrently.
+// earlier than the time of the previous event, the previous time is used. The first call also sets the
+// heartbeat timer. Events that are nil, of an unknown type, or about requests, attempts or timers that do
+// not exist are ignored. Handle must not be called concurrently.
 func (g *Gateway) Handle(now time.Duration, ev Event) []Action {
 	g.actions = nil
 	if first := g.advance(now, g.heartbeatInterval()); first {
--- a/decide/grantcodec.go
+++ b/decide/grantcodec.go
@@ -38,10 +38,10 @@
 // grantMessage is a message about one request, exchanged by a gateway and an owner of the customer.
 type grantMessage struct {
 	kind       grantKind
-	key        uint64 // key of the customer
-	planIndex  int    // index of the customer's plan in Config.Plans
-	number     uint64 // number of the grant request, assigned by the gateway that sent it
-	values     [4]float64
+	key        uint64     // key of the customer
+	planIndex  int        // index of the customer's plan in Config.Plans
+	number     uint64     // number of the grant request, assigned by the gateway that sent it
+	values     [4]float64 // see grantKind; the first valueCount ones are sent
 	valueCount int
 
 	// The load of the sender, sent with each kind of message: attempts in flight, including orphans, and
--- a/decide/latency.go
+++ b/decide/latency.go
@@ -46,7 +46,9 @@
 	return min(k.baselineLatency, initial+(k.baselineLatency-initial)*decay)
 }
 
-// expectedLatency returns the latency in seconds that is expected of a server for a request of the class.
+// expectedLatency returns the latency in seconds that is expected of a server for a request of the class:
+// the baseline latency of the class times the slowness of the server, scaled by the server's present load
+// relative to its average load.
 func (g *Gateway) expectedLatency(s *endpoint, k *class) float64 {
 	return g.baselineLatency(k) * g.slowness(s) *
 		(1 + g.endpoints.outstanding(s, g.now)) / (1 + s.meanInFlight)
--- a/decide/outlier.go
+++ b/decide/outlier.go
@@ -119,8 +119,9 @@
 
 // observe updates the statistics with the result of a request of a class at a server, sent by this gateway
 // or by another one: its latency as a multiple of the class's baseline latency, and whether it failed.
-// Failures are recorded by class, because a server may have lost a resource that only one class needs. One
-// limitation: if one server gets all the costly requests of a class, it appears slow.
+// Failures are recorded by class, because a server may have lost a resource that only one class needs. A
+// failure can raise the slowness but not reduce it, because a server that returns errors quickly is not
+// fast. One limitation: if one server gets all the costly requests of a class, it appears slow.
 func (g *Gateway) observe(s *endpoint, k *class, relativeLatency float64, failed bool) {
 	g.responseStats.observationRate.add(g.now, 1)
 	ratio, target := g.failureRatio(s, k), 0.0
--- a/decide/quota.go
+++ b/decide/quota.go
@@ -101,7 +101,9 @@
 }
 
 // charge adds units to a customer's bucket: those of a request when it is forwarded, and at settlement the
-// difference to the actual units. A failed attempt remains charged. Units may be negative.
+// difference to the actual units. A failed attempt remains charged. Units may be negative. In fleets with
+// owner gateways the fleet level is not charged here, because it counts the units that the owner has
+// granted.
 func (g *Gateway) charge(c *customer, units float64) {
 	c.bucket.level += units
 	if g.gossip.full {
--- a/decide/quotaowner.go
+++ b/decide/quotaowner.go
@@ -25,8 +25,8 @@
 	grantRequestCapacity = 0.4
 
 	// The timeout of a grant request is grantTimeoutFactor times the average round trip, plus
-	// grantTimeoutMargin, which covers one or two iterations of either gateway's event loop. roundTripGain
-	// is the weight of one reply in the average round trip.
+	// grantTimeoutMargin, which covers one or two iterations of either gateway's event loop. The average
+	// starts as initialGrantRoundTrip; roundTripGain is the weight of one reply in it.
 	initialGrantRoundTrip = 30 * time.Millisecond
 	grantTimeoutFactor    = 2.0
 	grantTimeoutMargin    = 12 * time.Millisecond
@@ -206,7 +206,9 @@
 }
 
 // decideGrant decides on a grant request as an owner, by the customer's whole bucket: rate, attempts in
-// flight and ceiling. A repeated request gets the same decision and is charged only once.
+// flight and ceiling. A repeated request gets the same decision and is charged only once. A grant counts as
+// in flight until it is released, but at most for the longest latency objective: the request is assumed to
+// have been given up by then.
 func (g *Gateway) decideGrant(c *customer, from int, number uint64, units float64) bool {
 	g.refresh(c)
 	o, b := &c.ownedBucket, &c.bucket
@@ -216,7 +218,7 @@
 		if d.from == from && d.number == number {
 			return d.granted
 		}
-		d.inFlight = d.inFlight && g.now-d.decidedAt < g.classes.longestObjective // nobody waits any longer
+		d.inFlight = d.inFlight && g.now-d.decidedAt < g.classes.longestObjective
 		inFlight += boolToInt(d.inFlight)
 	}
 	o.grants = slices.DeleteFunc(o.grants, func(d grant) bool { return g.now-d.decidedAt > grantRetention })
@@ -244,7 +246,7 @@
 }
 
 // releaseGrant reports to the owner that granted a request that its attempts have ended, and the units used
-// beyond those granted.
+// beyond those granted. It sends nothing if the owner would have nothing to change.
 func (g *Gateway) releaseGrant(r *request) {
 	owner := r.grant.grantedBy
 	switch {
--- a/decide/rate.go
+++ b/decide/rate.go
@@ -6,6 +6,7 @@
 )
 
 // rate is an exponentially decaying average of units per second, with the time constant rateTimeConstant.
+// The units are quota units, attempts, requests or responses. The zero value is a rate of 0.
 type rate struct {
 	value     float64 // units per second at updatedAt
 	updatedAt time.Duration
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -16,7 +16,7 @@
 	// minMissingResponses is the number of responses that a server must owe before it is considered silent.
 	minMissingResponses = 2.0
 
-	// cancelFailureRatio is the failure ratio from which on a server is known to leave requests without a
+	// cancelFailureRatio is the lowest failure ratio at which a server is known to leave requests without a
 	// response. An overdue attempt at such a server is cancelled or hedged without waiting for more
 	// responses to be missing.
 	cancelFailureRatio = 0.3
@@ -27,7 +27,7 @@
 )
 
 // retryBudget limits retries and hedged requests to a fraction of the first attempts. Without it, slow or
-// failing servers would be sent a multiple of their usual work. The tokens are attempts.
+// failing servers would be sent a multiple of their usual work. One token pays for one attempt.
 type retryBudget struct{ tokens float64 }
 
 // earn adds the gain of a first attempt to the budget.
@@ -84,7 +84,8 @@
 }
 
 // retry sends another attempt if the limits, the remaining time and the retry budget allow it, and reports
-// whether it did. The cost is the number of tokens that the attempt takes from the budget.
+// whether it did. lastFailed is the server whose attempt has failed or is overdue; a hedged request is not
+// sent to it. The cost is the number of tokens that the attempt takes from the budget.
 func (g *Gateway) retry(r *request, lastFailed *endpoint, cost float64) bool {
 	if !g.retryBudget.has(cost) || len(r.attempts) >= g.cfg.Limits.MaxAttempts {
 		return false
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -12,7 +12,8 @@
 	// until is the time at which the slow start ends. The zero value means that the server is not in slow
 	// start.
 	until time.Duration
-	// budget is the number of requests that the server may receive at the time budgetAt, at most 1.
+	// budget is the number of requests that this gateway may send to the server at the time budgetAt, at
+	// most 1.
 	budget   float64
 	budgetAt time.Duration
 }
--- a/decide/status.go
+++ b/decide/status.go
@@ -35,8 +35,8 @@
 	Ejected bool
 	// SlowStartRemaining is the remaining time of the slow start; 0 if the server is not in slow start.
 	SlowStartRemaining time.Duration
-	// SlowStartBudget is the number of requests that the server may receive during slow start. It has no
-	// meaning if SlowStartRemaining is 0.
+	// SlowStartBudget is the number of requests, at most 1, that this gateway may now send to the server. It
+	// has no meaning if SlowStartRemaining is 0.
 	SlowStartBudget float64
 }
 
--- a/decide/timers.go
+++ b/decide/timers.go
@@ -69,7 +69,8 @@
 }
 
 // heartbeatInterval returns the time between two heartbeats. With full gossip, it divides the capacity of
-// the receivers evenly among the gateways and over time.
+// the receivers evenly among the gateways and over time. It is at most one second, even if no gossip is
+// sent, so that periodic maintenance continues.
 func (g *Gateway) heartbeatInterval() time.Duration {
 	if !g.gossip.full {
 		return ownerHeartbeatInterval
