--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -40,9 +40,9 @@
 	g := fleet.gateways[3]
 	report := func(inFlight, responseRate float64) {
 		for i := 0; i < 40; i++ {
-			w := grantMessage{kind: grantRelease, key: 1, planIndex: 0, valueCount: 1, inFlight: inFlight,
+			m := grantMessage{kind: grantRelease, key: 1, planIndex: 0, valueCount: 1, inFlight: inFlight,
 				responseRate: responseRate}
-			g.Handle(fleet.now, GossipReceived{From: 9, Text: w.encode()})
+			g.Handle(fleet.now, GossipReceived{From: 9, Text: m.encode()})
 		}
 	}
 	total := 0
@@ -123,11 +123,9 @@
 	} {
 		h := newHarness(t, nil)
 		request := func(left time.Duration, retry bool) []Action {
-			h.n++
-			return h.handle(Request{ID: fmt.Sprint("q", h.n), Class: "get", Plan: "wide", Customer: "c",
-				Units:        1,
-				Deadline:     h.now + left,
-				GatewayCount: 3, IsRetry: retry})
+			h.requestCount++
+			return h.handle(Request{ID: fmt.Sprint("q", h.requestCount), Class: "get", Plan: "wide",
+				Customer: "c", Units: 1, Deadline: h.now + left, GatewayCount: 3, IsRetry: retry})
 		}
 		request(3500*ms, false)
 		level := h.g.customers.byKey[hashKey("c")].bucket.level
@@ -155,7 +153,7 @@
 	h := newHarness(t, func(c *Config) { c.Limits.Gossip = false })
 	h.serve("get", "wide", "c", 1) // arrives two seconds before its deadline
 	id, s := h.mustSend("get", "wide")
-	slow := h.g.endpoints.byID[s.Server].health.slowness
+	slownessBefore := h.g.endpoints.byID[s.Server].health.slowness
 	for i := 0; i < 3; i++ {
 		h.now += h.g.heartbeatInterval()
 		h.handle(TimerFired{heartbeatToken})
@@ -163,8 +161,9 @@
 	h.now += 2*h.g.heartbeatInterval() + 1500*ms
 	h.handle(AttemptEnded{ID: id, Server: s.Server, Outcome: OutcomeOK, Duration: 1600 * ms,
 		RequestDone: true})
-	if got := h.g.endpoints.byID[s.Server].health.slowness; got != slow {
-		t.Errorf("a response delayed by a stall changed the server's slowness from %v to %v", slow, got)
+	if got := h.g.endpoints.byID[s.Server].health.slowness; got != slownessBefore {
+		t.Errorf("a response delayed by a stall changed the server's slowness from %v to %v",
+			slownessBefore, got)
 	}
 	for _, left := range []time.Duration{900 * ms, 1100 * ms, 1900 * ms} {
 		acts := h.handle(Request{ID: left.String(), Class: "get", Plan: "wide", Customer: "c", Units: 1,
--- a/decide/clock.go
+++ b/decide/clock.go
@@ -10,7 +10,7 @@
 type clock struct {
 	now       time.Duration // time of the current event
 	startedAt time.Duration // time of the first event
-	running   bool          // whether the first event has been handled
+	started   bool          // whether the first event has been handled
 
 	// The last stall: a gap between events in which not even the heartbeat timer fired, because the process
 	// was paused or got no CPU time.
@@ -21,14 +21,14 @@
 // advance moves the clock to the time of an event and detects stalls. It reports whether this is the first
 // event. The clock never goes backwards.
 func (c *clock) advance(now, heartbeat time.Duration) (first bool) {
-	if gap := now - c.now; c.running && gap > stallThreshold+2*heartbeat {
+	if gap := now - c.now; c.started && gap > stallThreshold+2*heartbeat {
 		c.stallEndedAt, c.stallDuration = now, gap
 	}
 	c.now = max(now, c.now)
-	if c.running {
+	if c.started {
 		return false
 	}
-	c.running, c.startedAt = true, c.now
+	c.started, c.startedAt = true, c.now
 	return true
 }
 
--- a/decide/cluster_test.go
+++ b/decide/cluster_test.go
@@ -76,9 +76,9 @@
 			c.received[a.To]++
 			if c.rng.Float64() >= c.loss && !c.down[a.To] &&
 				(c.partitioned == nil || !c.partitioned(i, a.To)) {
-				late := time.Duration(2+c.rng.Intn(16)) * ms
+				delay := time.Duration(2+c.rng.Intn(16)) * ms
 				c.pending = append(c.pending,
-					delivery{at: c.now + late, to: a.To, ev: GossipReceived{i, a.Text}})
+					delivery{at: c.now + delay, to: a.To, ev: GossipReceived{i, a.Text}})
 			}
 		case SetTimer:
 			c.pending = append(c.pending, delivery{at: a.At, to: i, ev: TimerFired{a.Token}})
--- a/decide/config.go
+++ b/decide/config.go
@@ -120,8 +120,8 @@
 func (e *SettingError) Error() string { return "decide: " + e.Field + " " + e.Problem }
 
 // invalid returns a *SettingError with a formatted problem.
-func invalid(field, problem string, args ...any) error {
-	return &SettingError{Field: field, Problem: fmt.Sprintf(problem, args...)}
+func invalid(field, format string, args ...any) error {
+	return &SettingError{Field: field, Problem: fmt.Sprintf(format, args...)}
 }
 
 // Validate returns a *[SettingError] for the first setting that is not valid, or nil.
--- a/decide/endpoints_test.go
+++ b/decide/endpoints_test.go
@@ -15,7 +15,7 @@
 		if _, s := h.mustSend("get", "wide"); s.Server != "s3" {
 			t.Fatalf("sent to %s, want s3", s.Server)
 		}
-		h.endAttempt(fmt.Sprint("q", h.n), 0, "s3", OutcomeOK)
+		h.endAttempt(fmt.Sprint("q", h.requestCount), 0, "s3", OutcomeOK)
 	}
 	h.handle(EndpointUpdate{Kind: FullUpdate, Servers: []Server{{ID: "s2"}}})
 	if _, s := h.mustSend("get", "wide"); s.Server != "s2" {
--- a/decide/gateway_test.go
+++ b/decide/gateway_test.go
@@ -76,9 +76,9 @@
 		g.Handle(now, Request{ID: id, Class: "get", Plan: "wide", Customer: key, Units: 1,
 			Deadline: now + time.Second, GatewayCount: 200})
 		for number, r := range g.owners.pending {
-			w := grantMessage{kind: grantReply, key: r.customer.key, number: number, valueCount: 4,
+			m := grantMessage{kind: grantReply, key: r.customer.key, number: number, valueCount: 4,
 				values: [4]float64{1}}
-			g.Handle(now, GossipReceived{From: g.owner(r.customer.key, 0), Text: w.encode()})
+			g.Handle(now, GossipReceived{From: g.owner(r.customer.key, 0), Text: m.encode()})
 		}
 		if r := g.requests[id]; r != nil && len(r.attempts) > 0 {
 			g.Handle(now, AttemptEnded{ID: id, Server: r.attempts[0].endpoint.ID, Outcome: OutcomeOK,
--- a/decide/grantcodec.go
+++ b/decide/grantcodec.go
@@ -89,8 +89,8 @@
 
 // answer returns the decision of a grant reply. ok is false for any other message.
 func (m *grantMessage) answer() (a grantAnswer, ok bool) {
-	f := &m.values
-	a = grantAnswer{granted: f[0] > 0, fleetLevel: f[1], fleetDemand: f[2], rejectWait: f[3]}
+	v := &m.values
+	a = grantAnswer{granted: v[0] > 0, fleetLevel: v[1], fleetDemand: v[2], rejectWait: v[3]}
 	return a, m.kind == grantReply && m.valueCount == 4
 }
 
--- a/decide/harness_test.go
+++ b/decide/harness_test.go
@@ -55,10 +55,10 @@
 
 // harness drives a single gateway at a time that only the test advances.
 type harness struct {
-	t   *testing.T
-	g   *Gateway
-	now time.Duration
-	n   int
+	t            *testing.T
+	g            *Gateway
+	now          time.Duration
+	requestCount int
 }
 
 // newHarness returns a gateway with the configuration of testConfig, changed by edit, and with three
@@ -86,8 +86,8 @@
 
 // request sends a request with a new ID and a deadline in two seconds.
 func (h *harness) request(class, plan, customer string, units float64) (string, []Action) {
-	h.n++
-	id := fmt.Sprint("q", h.n)
+	h.requestCount++
+	id := fmt.Sprint("q", h.requestCount)
 	return id, h.handle(Request{ID: id, Class: class, Plan: plan, Customer: customer, Units: units,
 		Deadline: h.now + 2*time.Second, GatewayCount: 3})
 }
--- a/decide/outlier_test.go
+++ b/decide/outlier_test.go
@@ -39,7 +39,8 @@
 	for i := 0; i < 60; i++ {
 		if _, acts := all.request("pay", "wide", "c", 1); len(actionsOf[Send](acts)) == 1 {
 			got[actionsOf[Send](acts)[0].Server] = true
-			all.endAttempt(fmt.Sprint("q", all.n), 0, actionsOf[Send](acts)[0].Server, OutcomeError)
+			all.endAttempt(fmt.Sprint("q", all.requestCount), 0, actionsOf[Send](acts)[0].Server,
+				OutcomeError)
 		}
 	}
 	if len(got) < 3 {
--- a/decide/quota_test.go
+++ b/decide/quota_test.go
@@ -128,7 +128,7 @@
 			c.bucket.level, c.bucket.ceilingTokens,
 			c.inFlight, level, tokens)
 	}
-	first := func(reserved bool) (n int) {
+	requestsUntilShed := func(reserved bool) (n int) {
 		h := newHarness(t, singleGateway)
 		for ; n < 5000; n++ {
 			acts := h.handle(Request{ID: fmt.Sprint(n), Class: "get", Plan: "wide", Customer: "y", Units: 0.1,
@@ -142,7 +142,7 @@
 		}
 		return n
 	}
-	if with, without := first(true), first(false); with <= without {
+	if with, without := requestsUntilShed(true), requestsUntilShed(false); with <= without {
 		t.Errorf("shed after %d reserved and %d other requests, want more reserved ones", with, without)
 	}
 }
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -92,15 +92,15 @@
 	gateways []*Gateway
 	pending  map[time.Duration][]func()
 	now      time.Duration
-	n        int
+	created  int // gateways started and requests sent; numbers seeds and requests
 	sentTo   map[string]int
 }
 
 // start starts or restarts a gateway with no state.
 func (f *slowStartFleet) start(i int, servers []Server) {
 	f.cfg.Rank = i
-	f.n++
-	g, err := New(f.cfg, int64(f.n))
+	f.created++
+	g, err := New(f.cfg, int64(f.created))
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -122,8 +122,8 @@
 		}
 	}
 	for range poisson(rng, rate/100) {
-		f.n++
-		id, g := fmt.Sprint(f.n), f.gateways[rng.Intn(len(f.gateways))]
+		f.created++
+		id, g := fmt.Sprint(f.created), f.gateways[rng.Intn(len(f.gateways))]
 		for _, s := range actionsOf[Send](g.Handle(f.now,
 			Request{ID: id, Class: "get", Plan: "wide", Customer: id, Units: 1,
 				Deadline: f.now + 2*time.Second, GatewayCount: 1})) {
--- a/decide/status.go
+++ b/decide/status.go
@@ -79,7 +79,7 @@
 	if g.stallEndedAt > 0 {
 		st.LastStall = g.stallDuration
 	}
-	if g.running && g.endpoints.totals.serving > 0 { // with no server, no work is allowed
+	if g.started && g.endpoints.totals.serving > 0 { // with no server, no work is allowed
 		st.Pressure = g.queueingPressure()
 	}
 	return st
--- a/decide/usagereport.go
+++ b/decide/usagereport.go
@@ -119,9 +119,9 @@
 	admitted := min(1, 1/previous) // fraction of requests admitted in the period of the report
 	u.demandRatio = max(minDemandRatio, previous+gain*(percent/100/admitted-previous))
 	u.demandRatioAt = g.now
-	typical := &g.planDemand[c.planIndex]
-	perRequest := math.Log(u.demandRatio / u.recentRequests)
-	*typical += planDemandGain * min(1/admitted, maxPlanDemandWeight) * (perRequest - *typical)
+	logTypical := &g.planDemand[c.planIndex]
+	logPerRequest := math.Log(u.demandRatio / u.recentRequests)
+	*logTypical += planDemandGain * min(1/admitted, maxPlanDemandWeight) * (logPerRequest - *logTypical)
 }
 
 // shareFromUsageReports returns the share of a customer whose other gateways send no gossip: this gateway's
