--- a/decide/actions.go
+++ b/decide/actions.go
@@ -64,6 +64,6 @@
 	ReasonLoadShed            RejectReason = "shed"         // overload, and the request has too little value
 	ReasonDeadlineUnreachable RejectReason = "hopeless"     // no response can be expected in time
 	ReasonNoServer            RejectReason = "no_server"    // no server is available for the request
-	ReasonAttemptsFailed      RejectReason = "in_vain"      // attempts failed; repeating them is safe
+	ReasonAttemptsFailed      RejectReason = "in_vain"      // attempts failed, and a repeat is safe
 	ReasonUnknownClassOrPlan  RejectReason = "not_offered"  // class or plan is not configured
 )
--- a/decide/admission.go
+++ b/decide/admission.go
@@ -62,7 +62,7 @@
 // fleetLoad holds moving averages of the load per gateway, over the reports of other gateways and this
 // gateway's own load.
 type fleetLoad struct {
-	inFlight     float64 // attempts in flight, including orphans
+	inFlight     float64 // attempts in flight, including orphans; see endpoint.orphans
 	responseRate float64 // successful responses per second
 
 	// valueDensity is the average value, per second of server time, of the requests at this gateway alone.
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -58,7 +58,8 @@
 //
 // # Files
 //
-// Each rule has its own file, which also defines the constants of the rule:
+// Each rule has its own file, which also defines the constants of the rule. The remaining files hold the
+// configuration, the events and actions, the state that rules share, and the encoding of messages.
 //
 //   - admission.go: admission of requests and load shedding
 //   - attempt.go: the lifecycle of a request from its first attempt to its final answer
--- a/decide/events.go
+++ b/decide/events.go
@@ -27,7 +27,7 @@
 		FirstGateway, GatewayCount int
 		IsRetry                    bool // whether the client has sent the request before
 		Mutates                    bool // not used by any decision
-		Reserved                   bool // whether the units were reserved beforehand, so are not charged
+		Reserved                   bool // whether the units were reserved beforehand and must not be charged
 	}
 
 	// PlanChange puts a customer on a plan from now on, whatever plan its requests name. Plan.Name must be
--- a/decide/gossip.go
+++ b/decide/gossip.go
@@ -32,9 +32,9 @@
 
 // peer is the state of the exchange with another gateway in full gossip.
 type peer struct {
-	known        bool // whether a datagram of the peer has arrived since this gateway started
-	lastReceived time.Duration
-	epoch, seq   int // epoch and sequence number of its last datagram
+	known        bool          // whether a datagram of the peer has arrived since this gateway started
+	lastReceived time.Duration // time of its last datagram that was not dropped
+	epoch, seq   int           // epoch and sequence number of that datagram
 	// restartedSinceStart reports whether the peer has restarted since this gateway started. The totals of
 	// its present incarnation then began at 0 after this gateway started.
 	restartedSinceStart bool
@@ -146,8 +146,9 @@
 	}
 }
 
-// receiveGossip handles a datagram from another gateway. Datagrams that are malformed, late or from an
-// unknown sender are dropped.
+// receiveGossip handles a datagram from another gateway. In fleets with owner gateways, the datagram is a
+// grant message, see receiveGrantMessage. Otherwise, datagrams that are malformed, from an unknown sender,
+// duplicate or older than the last one of the sender are dropped.
 func (g *Gateway) receiveGossip(e GossipReceived) {
 	if e.From < 0 || e.From >= g.cfg.Gateways || e.From == g.cfg.Rank {
 		return
--- a/decide/slowstart.go
+++ b/decide/slowstart.go
@@ -19,10 +19,11 @@
 }
 
 // slowStartRate returns the number of requests per second that this gateway may send to a server in slow
-// start. The rate at which it sends requests to an average warm server is its part of the fleet's traffic.
-// Since each gateway applies the same multiple to its own part, the fleet stays within that multiple of the
-// server's capacity without coordination. The rate is 0 while this gateway sends no requests to warm
-// servers. In that case the server receives no requests from this gateway until its slow start is over.
+// start. A warm server is one that is not in slow start. The rate at which this gateway sends requests to an
+// average warm server is its part of the fleet's traffic. Since each gateway applies the same multiple to
+// its own part, the fleet stays within that multiple of the server's capacity without coordination. The
+// rate is 0 while this gateway sends no requests to warm servers. In that case the server receives no
+// requests from this gateway until its slow start is over.
 func (g *Gateway) slowStartRate(s *endpoint) float64 {
 	ratePerWarmServer := g.endpoints.totals.sendRate / max(g.endpoints.totals.warm, 1)
 	safety := &g.cfg.Safety
