--- a/decide/admission_test.go
+++ b/decide/admission_test.go
@@ -170,7 +170,7 @@
 			Deadline: h.now + left, GatewayCount: 3})
 		if sent, want := len(actionsOf[Send](acts)), boolToInt(left > time.Second); sent != want ||
 			len(actionsOf[Reject](acts)) != 1-want {
-			t.Errorf("%v of 2 s left: forwarded %d, want %d, or else one rejection: %v",
+			t.Errorf("%v of 2 s left: forwarded %d times, want %d, and one rejection if not forwarded: %v",
 				left, sent, want, acts)
 		}
 	}
--- a/decide/gateway_test.go
+++ b/decide/gateway_test.go
@@ -56,6 +56,8 @@
 	}
 }
 
+// BenchmarkHandle measures a request in a fleet of 500 gateways, from its arrival through the owner's grant
+// to the end of its attempt.
 func BenchmarkHandle(b *testing.B) {
 	cfg := testConfig()
 	cfg.Gateways = 500
--- a/decide/gossip_test.go
+++ b/decide/gossip_test.go
@@ -177,10 +177,10 @@
 				fleet.run(8*time.Second, gap, "small", units,
 					func(int) int { return (k*subset + fleet.rng.Intn(subset)) % n })
 			}
-			maxUsed := rate*secs + 12 + 2*units
+			maxUsed := rate*secs + 12 + 2*units // the burst is 12 units
 			minUsed := 0.8 * min(demandFactor*rate*secs, rate*secs)
 			if fleet.used > 1.15*maxUsed || fleet.used < minUsed {
-				t.Errorf("%d gateways, demand of %v times the rate: used %v units, want %v to %v",
+				t.Errorf("%d gateways, demand of %v times the rate: used %v units, want %v to 1.15 times %v",
 					n, demandFactor, fleet.used, minUsed, maxUsed)
 			}
 		}
@@ -211,6 +211,7 @@
 func TestCeilingAcrossGateways(t *testing.T) {
 	for _, n := range []int{3, 300} {
 		fleet := newCluster(t, n, nil)
+		// The ceiling is 30 units per second and 60 at once, with a slack of 6.
 		tokens, last, used := 60.0, fleet.now, 0.0
 		for k := 0; k < 60; k++ {
 			if k%10 == 5 {
--- a/decide/randomplay_test.go
+++ b/decide/randomplay_test.go
@@ -114,7 +114,8 @@
 	sim.handle(r)
 }
 
-// simulateAttempts ends the attempts that have timed out, and others at random.
+// simulateAttempts ends the attempts that have timed out, and others at random. It fails the test if a
+// request has no final answer by its deadline, plus the allowed slack and one step of at most 20 ms.
 func (sim *randomSimulation) simulateAttempts() {
 	for _, id := range sim.open {
 		r := sim.requests[id]
@@ -170,6 +171,8 @@
 	}
 }
 
+// checkSend fails the test if an attempt goes to a server that must not get one, exceeds the limits, could
+// run a request twice, or exceeds the ceiling of a customer on the plan "hard".
 func (sim *randomSimulation) checkSend(a Send) {
 	r := sim.requests[a.ID]
 	if r == nil || r.done {
@@ -194,6 +197,7 @@
 		}
 	}
 	if len(r.attempts) == 0 && r.Plan == "hard" {
+		// One of three gateways holds a third of the ceiling, 10 units per second, and of the slack, 2 units.
 		sim.forwarded[r.Customer] += r.Units
 		if most := 10*sim.now.Seconds() + 2; sim.forwarded[r.Customer] > most+1e-6 {
 			sim.t.Fatalf("seed %d: ceiling exceeded: forwarded %v units, want at most %v",
@@ -204,6 +208,8 @@
 		&trackedAttempt{Send: a, sentAt: sim.now, inFlight: true, mayHaveRun: true})
 }
 
+// checkReject fails the test if a request is rejected, as safe to send again, after an attempt that may have
+// run and whose duplicate could run a second time.
 func (sim *randomSimulation) checkReject(r *trackedRequest) {
 	for n, a := range r.attempts {
 		if a.mayHaveRun && (r.class.Idempotency == NotIdempotent ||
@@ -214,6 +220,7 @@
 	sim.finish(r)
 }
 
+// finish records the final answer of a request, and fails the test if there was one before.
 func (sim *randomSimulation) finish(r *trackedRequest) {
 	if r.done {
 		sim.t.Fatalf("seed %d: second final answer for %s", sim.seed, r.ID)
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -27,6 +27,8 @@
 		Servers: []Server{{ID: "s1", Zone: "a", StartedAt: h.now - ms}}})
 	n := run(time.Second)
 	warm := float64(n["s2"]+n["s3"]) / 2
+	// The overload multiple is 2 and the capacity stays below 0.3 in the first second. The factor 1.2 and
+	// the additional request allow for chance.
 	if most := slowStartMargin * 2 * 0.3 * warm * 1.2; float64(n["s1"]) > most+1 {
 		t.Errorf("server in slow start got %d requests in its first second, want at most %v", n["s1"], most)
 	}
@@ -58,7 +60,7 @@
 		for n := 0; n < 30; n++ {
 			now := time.Duration(n+1) * 400 * ms
 			g.Handle(now, TimerFired{heartbeatToken})
-			if n == 25 {
+			if n == 25 { // s0 starts after 10 s; the last 5 rounds take 2 s
 				g.Handle(now, EndpointUpdate{Kind: DeltaUpdate,
 					Servers: []Server{{ID: "s0", Zone: "a", StartedAt: now}}})
 			}
@@ -78,6 +80,7 @@
 		}
 	}
 	perWarmServer := float64(warm) / 19
+	// The capacity of s0 stays below 0.4 in the 2 s after its start.
 	if most := cfg.Safety.OverloadMultiple * 0.4 * perWarmServer; float64(slowStarting) > most ||
 		slowStarting == 0 {
 		t.Errorf("server in slow start got %d requests in 2 s, a warm one %v; want 1 to %v",
--- a/decide/usagereport_test.go
+++ b/decide/usagereport_test.go
@@ -11,6 +11,7 @@
 // Without gossip, the share must follow from usage reports, or a customer whose traffic reaches only one
 // gateway would get no more than the even share. Without a report, it is the even share.
 func TestShareFollowsUsageReportsWithoutGossip(t *testing.T) {
+	// A report is 1 plus a percentage of the rate; 0 means that there is none.
 	for report, want := range map[int]float64{1 + 100: 0.9, 1 + 1000: 1.0 / 3, 0: 1.0 / 3} {
 		h := newHarness(t, nil)
 		id, s := h.mustSend("get", "wide")
