--- a/decide/doc.go
+++ b/decide/doc.go
@@ -58,8 +58,7 @@
 //
 // # Files
 //
-// Each rule has its own file, which also defines the constants of the rule. The remaining files hold the
-// configuration, the events and actions, the state that rules share, and the encoding of messages.
+// Each rule has its own file, which also defines the constants of the rule:
 //
 //   - admission.go: admission of requests and load shedding
 //   - attempt.go: the lifecycle of a request from its first attempt to its final answer
@@ -71,4 +70,7 @@
 //   - retry.go: retries and hedging
 //   - selection.go: selection of a server
 //   - slowstart.go: the request budget of a server in slow start
+//
+// The remaining files hold the configuration, the events and actions, the state that rules share, and the
+// encoding of messages.
 package decide
