--- a/decide/doc.go
+++ b/decide/doc.go
@@ -70,4 +70,7 @@
 //   - retry.go: retries and hedging
 //   - selection.go: selection of a server
 //   - slowstart.go: the request budget of a server in slow start
+//
+// The remaining files hold the configuration, the events and actions, the state that rules share, and the
+// encoding of messages.
 package decide
--- a/decide/grantcodec.go
+++ b/decide/grantcodec.go
@@ -38,10 +38,10 @@
 // grantMessage is a message about one request, exchanged by a gateway and an owner of the customer.
 type grantMessage struct {
 	kind       grantKind
-	key        uint64 // key of the customer
-	planIndex  int    // index of the customer's plan in Config.Plans
-	number     uint64 // number of the grant request, assigned by the gateway that sent it
-	values     [4]float64
+	key        uint64     // key of the customer
+	planIndex  int        // index of the customer's plan in Config.Plans
+	number     uint64     // number of the grant request, assigned by the gateway that sent it
+	values     [4]float64 // see grantKind; the first valueCount ones are sent
 	valueCount int
 
 	// The load of the sender, sent with each kind of message: attempts in flight, including orphans, and
@@ -89,8 +89,8 @@
 
 // answer returns the decision of a grant reply. ok is false for any other message.
 func (m *grantMessage) answer() (a grantAnswer, ok bool) {
-	f := &m.values
-	a = grantAnswer{granted: f[0] > 0, fleetLevel: f[1], fleetDemand: f[2], rejectWait: f[3]}
+	v := &m.values
+	a = grantAnswer{granted: v[0] > 0, fleetLevel: v[1], fleetDemand: v[2], rejectWait: v[3]}
 	return a, m.kind == grantReply && m.valueCount == 4
 }
 
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -27,6 +27,8 @@
 		Servers: []Server{{ID: "s1", Zone: "a", StartedAt: h.now - ms}}})
 	n := run(time.Second)
 	warm := float64(n["s2"]+n["s3"]) / 2
+	// The overload multiple is 2 and the capacity stays below 0.3 in the first second. The factor 1.2 and
+	// the additional request allow for chance.
 	if most := slowStartMargin * 2 * 0.3 * warm * 1.2; float64(n["s1"]) > most+1 {
 		t.Errorf("server in slow start got %d requests in its first second, want at most %v", n["s1"], most)
 	}
@@ -58,7 +60,7 @@
 		for n := 0; n < 30; n++ {
 			now := time.Duration(n+1) * 400 * ms
 			g.Handle(now, TimerFired{heartbeatToken})
-			if n == 25 {
+			if n == 25 { // s0 starts after 10 s; the last 5 rounds take 2 s
 				g.Handle(now, EndpointUpdate{Kind: DeltaUpdate,
 					Servers: []Server{{ID: "s0", Zone: "a", StartedAt: now}}})
 			}
@@ -78,6 +80,7 @@
 		}
 	}
 	perWarmServer := float64(warm) / 19
+	// The capacity of s0 stays below 0.4 in the 2 s after its start.
 	if most := cfg.Safety.OverloadMultiple * 0.4 * perWarmServer; float64(slowStarting) > most ||
 		slowStarting == 0 {
 		t.Errorf("server in slow start got %d requests in 2 s, a warm one %v; want 1 to %v",
@@ -92,15 +95,15 @@
 	gateways []*Gateway
 	pending  map[time.Duration][]func()
 	now      time.Duration
-	n        int
+	created  int // gateways started and requests sent; numbers seeds and requests
 	sentTo   map[string]int
 }
 
 // start starts or restarts a gateway with no state.
 func (f *slowStartFleet) start(i int, servers []Server) {
 	f.cfg.Rank = i
-	f.n++
-	g, err := New(f.cfg, int64(f.n))
+	f.created++
+	g, err := New(f.cfg, int64(f.created))
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -122,8 +125,8 @@
 		}
 	}
 	for range poisson(rng, rate/100) {
-		f.n++
-		id, g := fmt.Sprint(f.n), f.gateways[rng.Intn(len(f.gateways))]
+		f.created++
+		id, g := fmt.Sprint(f.created), f.gateways[rng.Intn(len(f.gateways))]
 		for _, s := range actionsOf[Send](g.Handle(f.now,
 			Request{ID: id, Class: "get", Plan: "wide", Customer: id, Units: 1,
 				Deadline: f.now + 2*time.Second, GatewayCount: 1})) {
