--- a/internal/reservation/drain.go
+++ b/internal/reservation/drain.go
@@ -1,6 +1,6 @@
 package reservation
 
-// startDrain returns drawn tokens to the free ones, so that offerRemaining can offer them to other gateways.
+// startDrain makes the drawn tokens free again, so that offerRemaining can offer them to other gateways.
 // Tokens that stay here cannot be used by any gateway until this one is back.
 func (l *Ledger) startDrain() {
 	l.draining = true
--- a/internal/reservation/holding.go
+++ b/internal/reservation/holding.go
@@ -20,9 +20,9 @@
 // message may be lost, duplicated or reordered without harm. It is retransmitted until the total is
 // acknowledged.
 type transfer struct {
-	total, acknowledged float64
-	sentAt              time.Duration
-	retryInterval       time.Duration
+	total, acknowledged float64       // tokens
+	sentAt              time.Duration // time of the last transmission, on the monotonic clock
+	retryInterval       time.Duration // the total is retransmitted this long after sentAt
 }
 
 // peerTokens is what this gateway knows about the tokens of a reservation at another gateway. Times are on
@@ -32,21 +32,21 @@
 	unanswered        int           // consecutive requests without an answer
 	unresponsiveUntil time.Duration // until then the peer is asked only after all others
 	repliedAt         time.Duration // time of its last reply, or of tokens sent to it while draining; 0: none
-	emptyAt           time.Duration // time of a report that the peer had no tokens; 0: none since it had some
+	emptyAt           time.Duration // report of no tokens that began emptyBackoff; 0: last known to have some
 	emptyBackoff      time.Duration // after emptyAt, the peer is not asked for this long
-	reported          float64       // tokens that the peer should have, according to reports
+	reported          float64       // tokens that the peer is believed to have, according to reports
 }
 
 // waitingRequest is a request that waits for tokens or for room under the ceiling.
 type waitingRequest struct {
 	Request
-	queuedAt time.Duration
+	queuedAt time.Duration // on the monotonic clock
 }
 
 // roomGrant is room under the ceiling that another gateway granted.
 type roomGrant struct {
-	units float64
-	until time.Duration
+	units float64       // part of the grant that is not used yet
+	until time.Duration // time at which the grant expires, on the monotonic clock
 }
 
 // holding is the state of a reservation at this gateway. Amounts are in units, times on the monotonic clock.
@@ -59,7 +59,7 @@
 	epoch    uint64
 	minted   bool    // this gateway minted the tokens
 	ended    bool    // the window has passed, or the reservation was cancelled
-	removed  float64 // units removed by resizes, over all gateways; this gateway's part is deducted
+	removed  float64 // units removed by resizes, over all gateways; free is already reduced
 	free     float64 // tokens that are not drawn; negative: owed after a resize
 	sent     map[holder]*transfer
 	received map[holder]float64 // total received from each holder
@@ -69,7 +69,7 @@
 	drawing  float64 // tokens whose draw is being persisted
 	queue    []waitingRequest
 	inFlight map[string]float64 // units of admitted requests, by request ID
-	demand   decayingRate
+	demand   decayingRate       // units of the requests that arrived here, per second
 
 	ceilingRoom       float64 // room under this gateway's share of the ceiling, as of ceilingRoomAt
 	ceilingRoomAt     time.Duration
@@ -82,7 +82,7 @@
 	offeredAt           time.Duration  // time of the last offer while draining
 	offerTurn           int            // position in the rotation of gateways that get an offer
 
-	wakeAt      time.Duration // time of the next action without an event
+	wakeAt      time.Duration // time at which work is due even if no event arrives before
 	spent       float64       // units used by requests that have ended here
 	transferred float64       // tokens sent to other gateways
 }
@@ -134,13 +134,13 @@
 		h.minted, h.free = true, h.free+h.Units
 		l.offerShares(h)
 	}
-	l.persist(h) // makes the epoch durable before tokens are requested for it
+	l.persist(h) // persists the epoch before tokens are requested for it
 }
 
-// mayMint reports whether this gateway may mint the tokens of a reservation that it accepted: an earlier
-// process of it must not have minted them already. A state with received or removed tokens belongs to a
-// reservation in use. Without such a state, the reservation was accepted by this process, or by an earlier
-// one that ended before it persisted a state.
+// mayMint reports whether this gateway may mint the tokens of a reservation that it accepted. It must not if
+// an earlier process of this gateway has already minted them. A state with received or removed tokens belongs
+// to a reservation in use, whose tokens exist. Without such a state, the reservation was accepted by this
+// process, or by an earlier one that ended before it persisted a state.
 func (h *holding) mayMint() bool { return len(h.received) == 0 && h.removed == 0 }
 
 // offerShares offers each of the member's gateways an even part of the minted tokens. A gateway that misses
@@ -208,8 +208,8 @@
 
 // decayingRate is an exponentially decaying average of a rate, in units per second.
 type decayingRate struct {
-	value float64
-	at    time.Duration
+	value float64       // average at the time at
+	at    time.Duration // time of the last add, on the monotonic clock
 }
 
 // valueAt returns the average at a time not before the last call of add.
--- a/internal/reservation/ledger.go
+++ b/internal/reservation/ledger.go
@@ -27,7 +27,7 @@
 	Rank            int     // rank of this gateway, from 0
 	Gateways        int     // number of gateways in the fleet
 	MaxRequestUnits float64 // units of the largest request
-	Epoch           uint64  // epoch of new states; must differ for each process of this gateway
+	Epoch           uint64  // epoch of the states that this process creates; must differ for each process
 	Seed            int64   // seed of the random choices
 }
 
@@ -47,8 +47,8 @@
 	persistedState uint64 // states up to this number are durable
 	deferred       []deferredEffect
 
-	transferRequestsLeft float64 // transfer requests that the rate limit allowed at transferRequestsAt
-	transferRequestsAt   time.Duration
+	transferRequestsLeft float64       // transfer requests that the rate limit allowed at transferRequestsAt
+	transferRequestsAt   time.Duration // time of the last call of allowTransferRequest
 }
 
 // New returns a Ledger without reservations.
@@ -106,8 +106,9 @@
 	return l.actions
 }
 
-// maintain performs the work that is due for a reservation: it ends the reservation, retransmits transfers,
-// serves the queue and requests transfers. It ignores nil and reservations that are not announced.
+// maintain performs the work that is due for a reservation: it ends the reservation when its window has
+// passed, deletes its state after retentionAfterEnd, retransmits transfers, serves the queue and requests
+// transfers. It ignores nil and reservations that are not announced.
 func (l *Ledger) maintain(h *holding) {
 	if h == nil || !h.announced {
 		return
--- a/internal/reservation/requests.go
+++ b/internal/reservation/requests.go
@@ -80,7 +80,8 @@
 }
 
 // serveQueue admits waiting requests in order while there are enough drawn tokens and room. It draws more
-// tokens and rejects requests that must not wait any longer.
+// tokens before and after, because admitted requests use up drawn ones, and rejects requests that must not
+// wait any longer.
 func (l *Ledger) serveQueue(h *holding) {
 	if !l.isOpen(h) {
 		return
@@ -132,7 +133,8 @@
 }
 
 // drawTokens removes tokens from the persisted state before they are spent. A process that restarts finds
-// only the remaining tokens, so no token is spent twice.
+// only the remaining tokens, so no token is spent twice. It draws when the drawn tokens do not cover the
+// waiting requests, or, while there is demand, when less than half of a draw is left.
 func (l *Ledger) drawTokens(h *holding) {
 	if l.draining {
 		return
--- a/internal/reservation/transfer.go
+++ b/internal/reservation/transfer.go
@@ -53,6 +53,7 @@
 	room := l.spareRoom(h, m.room)
 	to := holder{from, m.epoch}
 	if tokens <= 0 {
+		// The answer repeats the total, which may include tokens whose deduction here is not durable yet.
 		l.sendWhenPersisted(l.lastState, from, l.transferTo(h, to, m.number, room))
 		return
 	}
@@ -65,6 +66,8 @@
 	}
 	t.total += tokens
 	t.sentAt, t.retryInterval = l.now.Mono, minRetransmitInterval
+	// A draining gateway requests nothing, so no answers tell it what its peers have. It records what it sent
+	// to them, so that it can name the largest holder to others.
 	if p := &h.peers[from]; l.draining {
 		p.reported, p.repliedAt = p.reported+tokens, l.now.Mono
 	}
@@ -72,8 +75,8 @@
 }
 
 // spareTokens returns how many of the tokens that a peer wants this gateway can send: all but those that its
-// own requests need next. Drawn tokens that will not be used here soon are made free first. Otherwise small
-// remainders at many gateways would stay unusable.
+// own requests need next, which are at most half of its tokens. Drawn tokens that will not be used here soon
+// are made free first. Otherwise small remainders at many gateways would stay unusable.
 func (l *Ledger) spareTokens(h *holding, wanted float64) float64 {
 	if h.ended || !(wanted > 0) {
 		return 0
--- a/internal/reservation/transferrequest.go
+++ b/internal/reservation/transferrequest.go
@@ -24,7 +24,8 @@
 	// that waiting requests need.
 	requestAhead = 250 * time.Millisecond
 	// maxOutstanding limits the remembered requests of a reservation. Without it, requests to peers that
-	// never answer would accumulate in memory.
+	// never answer would accumulate in memory. When it is exceeded, all are forgotten; tokens in a later
+	// answer are still added.
 	maxOutstanding = 64 * maxTransferRequests
 )
 
@@ -96,6 +97,7 @@
 		if p.requestedAt > 0 && l.now.Mono-p.requestedAt >= transferRequestTimeout {
 			p.requestedAt = 0
 			if p.unanswered++; p.unanswered >= unansweredLimit {
+				// After the period, a single unanswered request makes the peer unresponsive again.
 				p.unanswered, p.unresponsiveUntil = unansweredLimit-1, l.now.Mono+unresponsivePeriod
 			}
 		}
@@ -129,7 +131,8 @@
 	l.emit(Send{to, requestMessage{h.ID, h.lastTransferRequest, h.epoch, tokens, room}.encode()})
 }
 
-// tokenCandidates returns the peers to ask for tokens, those that should have the most first.
+// tokenCandidates returns the peers to ask for tokens, ordered by the tokens that they are believed to have,
+// the most first. Peers that reported recently that they had none are left out.
 func (l *Ledger) tokenCandidates(h *holding) []int {
 	return l.candidates(h, func(rank int) (score float64, ok bool) {
 		p := &h.peers[rank]
@@ -137,7 +140,7 @@
 		case l.reportedEmpty(h, rank):
 			return 0, false
 		case p.repliedAt == 0:
-			return h.Units / float64(max(1, h.Spread)), true // assume an even part
+			return h.Units / float64(max(1, h.Spread)), true // not known; assume an even part
 		}
 		return p.reported, true
 	})
