--- a/internal/aggregate/aggregator.go
+++ b/internal/aggregate/aggregator.go
@@ -99,9 +99,9 @@
 	reportAt  time.Duration // time of the next report
 
 	local        map[Key]*localTotals
-	localInOrder []*localTotals // in the order in which their keys were first counted
+	localInOrder []*localTotals // values of local, in the order in which their keys were first counted
 	sequence     map[int]uint32 // number of the last report, by rank of the owner
-	refreshTurn  map[int]int    // position in the rotation of refreshed totals, by rank of the owner
+	refreshTurn  map[int]int    // position in the rotation of unchanged totals, by rank of the owner
 
 	owned        map[uint64]*ownedTotals // by hash of the key
 	incarnations map[int]incarnation     // current processes of the other gateways, by rank
--- a/internal/aggregate/messages.go
+++ b/internal/aggregate/messages.go
@@ -23,8 +23,8 @@
 // reportHeader is the header of a message.
 type reportHeader struct {
 	incarnation uint64
-	age         time.Duration
-	sequence    uint32 // number of the report to this owner, from 1
+	age         time.Duration // time since the process of the sender started
+	sequence    uint32        // number of the report to this owner, from 1
 }
 
 // encodeReports returns the messages of one report to an owner.
--- a/internal/aggregate/totals.go
+++ b/internal/aggregate/totals.go
@@ -19,8 +19,8 @@
 
 // Totals counts requests by outcome, and the units that they used.
 type Totals struct {
-	Served, Rejected, Failed uint64
-	Units                    float64
+	Served, Rejected, Failed uint64  // requests
+	Units                    float64 // units used by these requests
 }
 
 func (t *Totals) add(o Totals) {
--- a/internal/quotaplan/antientropy.go
+++ b/internal/quotaplan/antientropy.go
@@ -44,7 +44,7 @@
 	hashBytes       = 8
 	rangeBytes      = 28
 	listHeaderBytes = 16   // low and high
-	maxMessageBytes = 1000 // unless a single change is larger
+	maxMessageBytes = 1000 // below the payload limit of package gossip; a larger change is sent alone
 )
 
 // noPeer stands for the rank of a peer where there is none.
@@ -195,7 +195,9 @@
 		hashes := r.set.hashesBetween(low, high)
 		switch {
 		case low > high || xorOf(hashes) == xor && len(hashes) == count:
+			// The range is invalid or does not differ.
 		case len(hashes)+count <= maxListedHashes || high-low < rangeFanout:
+			// A range of so few values is not split further, even if the peer's count is wrong.
 			header := appendBounds([]byte{messageHashes}, low, high)
 			if len(hashes) == 0 {
 				r.emit(Send{from, header}) // an empty list asks for all changes in the range
--- a/internal/quotaplan/change.go
+++ b/internal/quotaplan/change.go
@@ -33,7 +33,7 @@
 	return fmt.Sprintf("kind %d", byte(k))
 }
 
-// ParseKind returns the kind with the name s, as returned by String. ok is false if there is none.
+// ParseKind returns the kind with the name s, as returned by String. It returns false if there is none.
 func ParseKind(s string) (Kind, bool) {
 	for k, name := range kindNames {
 		if name == s {
@@ -56,7 +56,7 @@
 	// end of the window. Submit replaces a From of 0 in a Move or Terms change by the current time.
 	From, To int64
 
-	Units float64 // for Reserve and Shorten
+	Units float64 // for Reserve and Shorten: units of the reservation
 	// Rate is the number of units per second at which a reservation may be used, over all gateways. 0 means
 	// no limit, but if the plan has a ceiling, Submit replaces 0 by a default.
 	Rate   float64
--- a/internal/quotaplan/replica.go
+++ b/internal/quotaplan/replica.go
@@ -14,21 +14,21 @@
 
 // Member is a customer of the settings.
 type Member struct {
-	Name, Plan string
-	First      int // rank of the first gateway that the member uses
-	Spread     int // number of gateways that it uses: consecutive ranks from First, modulo the fleet size
+	Name, Plan string // names of the member and of its plan; a Move change replaces the plan
+	First      int    // rank of the first gateway that the member uses
+	Spread     int    // number of gateways that it uses: consecutive ranks from First, modulo the fleet size
 }
 
 // Settings are the parameters of a Replica.
 type Settings struct {
-	Rank            int // rank of this gateway, from 0
-	Gateways        int // number of gateways in the fleet
-	Plans           []decide.Plan
-	Members         []Member
-	Capacity        float64 // units per second that the fleet can serve; 0: unknown, and not checked
-	MaxRequestUnits float64 // units of the largest request
-	Incarnation     uint64  // identifies the process; must differ for each process of this gateway
-	Seed            int64   // seed of the random choices
+	Rank            int           // rank of this gateway, from 0
+	Gateways        int           // number of gateways in the fleet
+	Plans           []decide.Plan // all plans; a Terms change replaces the terms of one
+	Members         []Member      // all members; changes for others are rejected
+	Capacity        float64       // units per second that the fleet can serve; 0: unknown, and not checked
+	MaxRequestUnits float64       // units of the largest request
+	Incarnation     uint64        // identifies the process; must differ for each process of this gateway
+	Seed            int64         // seed of the random choices
 }
 
 // pendingSubmit is a submitted change that is being persisted.
