--- a/internal/recording/recording.go
+++ b/internal/recording/recording.go
@@ -27,8 +27,8 @@
 // Header contains everything that is needed to create the recorded core again. It is the first line of a
 // recording.
 type Header struct {
-	Seed   int64
-	Config decide.Config
+	Seed   int64         // seed of the core's random choices
+	Config decide.Config // settings of the core
 }
 
 // Record is one event that the core handled, with the actions that it returned.
--- a/internal/recording/replay.go
+++ b/internal/recording/replay.go
@@ -12,7 +12,7 @@
 
 // ReplayResult counts the events and actions that were replayed.
 type ReplayResult struct {
-	Events, Actions int
+	Events, Actions int             // numbers of events and of actions
 	ByKind          map[string]int  // number of events and actions per stored type name
 	Truncated       *TruncatedError // position of truncation or damage; nil if the recording is complete
 }
--- a/internal/recording/writer.go
+++ b/internal/recording/writer.go
@@ -45,8 +45,7 @@
 func (w *Writer) Flush() error { return w.out.Flush() }
 
 // writeLine writes the checksum of a document and the document itself as one line. bufio.Writer keeps the
-// first error of the underlying writer, so the error of the last write covers all three
-// writes.
+// first error of the underlying writer, so the error of the last write covers all three writes.
 func (w *Writer) writeLine(document any) error {
 	raw, err := json.Marshal(document)
 	if err != nil {
--- a/internal/usage/outbox/delivery.go
+++ b/internal/usage/outbox/delivery.go
@@ -105,7 +105,7 @@
 // Delivery decides what is sent to the receiver next. Apart from Acknowledge, it requests one action at a
 // time.
 type Delivery struct {
-	Counts DeliveryCounts
+	Counts DeliveryCounts // statistics since NewDelivery
 
 	settings       DeliverySettings
 	random         *rand.Rand
@@ -113,7 +113,7 @@
 	acknowledgedTo uint64        // record of the last Acknowledge
 	events         []UsageEvent  // fetched but not yet delivered
 	fetchedTo      uint64        // last record read by the last Fetch
-	batchSize      int           // number of leading events in the current batch
+	batchSize      int           // number of events in the current batch, from the start of events
 	backoff        time.Duration // current retry delay without jitter; 0 after a success
 }
 
--- a/internal/usage/outbox/outbox.go
+++ b/internal/usage/outbox/outbox.go
@@ -46,7 +46,7 @@
 
 // Outbox tracks the attempts of a gateway whose usage has to be reported.
 type Outbox struct {
-	Counts Counts
+	Counts Counts // statistics since New
 
 	settings    Settings
 	incarnation uint64 // number of this incarnation; 0 before Start
@@ -76,7 +76,7 @@
 	attempt    Attempt
 	record     uint64      // record number of the intent; 0 if it is not appended
 	covered    bool        // the intent is in the log
-	released   bool        // the attempt may be sent
+	released   bool        // the attempt may have been sent
 	settlement *Settlement // nil while the attempt has not ended
 }
 
@@ -192,8 +192,8 @@
 	return nil
 }
 
-// recordIntent appends the intent of an attempt, preceded by a gap record if one is due, or applies the
-// policy if the log cannot be written.
+// recordIntent appends the intent of an attempt, preceded by a gap record if one is due. If the log cannot be
+// written or has no space, or if too many settlements wait for it, recordIntent applies the policy instead.
 func (o *Outbox) recordIntent(event RecordIntent) []Action {
 	entry := &attemptEntry{attempt: event.Attempt}
 	o.attempts[event.ID] = entry
--- a/internal/usage/outbox/records.go
+++ b/internal/usage/outbox/records.go
@@ -43,7 +43,7 @@
 	OutcomeNeverRan:     "never_ran",
 }
 
-// String returns the name of the outcome in usage events.
+// String returns the name of the outcome in usage events. It is empty for an unknown outcome.
 func (o Outcome) String() string { return outcomeNames[o] }
 
 // Settlement records the end of an attempt. Incarnation and Sequence form the key of its event.
@@ -53,8 +53,8 @@
 	Incarnation uint64
 	Sequence    uint64 // 0 if the attempt never ran and is not exported
 	Outcome     Outcome
-	UsedUnits   float64
-	WallTime    int64 // nanoseconds of Unix time
+	UsedUnits   float64 // units reported by the response, or the estimate
+	WallTime    int64   // time at which the attempt was settled, in nanoseconds of Unix time
 }
 
 // Gap is the total of attempts that were sent without an intent because the log could not be written.
@@ -62,9 +62,9 @@
 type Gap struct {
 	Incarnation uint64
 	Sequence    uint64
-	Attempts    uint64
-	Units       float64
-	WallTime    int64 // nanoseconds of Unix time
+	Attempts    uint64  // number of attempts
+	Units       float64 // units that they used
+	WallTime    int64   // time at which the last attempt was settled, in nanoseconds of Unix time
 }
 
 // Kinds of log records. A record consists of a byte for its kind, followed by its fields. Integers are
--- a/internal/usage/sender/sender.go
+++ b/internal/usage/sender/sender.go
@@ -22,20 +22,21 @@
 // context in between. Many records, such as intents, have no event, so MaxEvents alone would not limit it.
 const maxRecordsPerFetch = 20000
 
-// Options configures a Sender.
+// Options configures a Sender. Log, URL, DeadLetterFile, OnAcknowledged and LogError are required.
 type Options struct {
 	Log       *wal.Log      // outbox log to read from
 	URL       string        // URL of the usage receiver
 	Fleet     string        // fleet name in the source of events
 	Gateway   int           // rank of the gateway in the source of events
 	After     uint64        // number of the last record that the receiver has acknowledged; 0 if none
-	BatchSize int           // maximum number of events in a batch
-	Timeout   time.Duration // limit on the duration of a request
+	BatchSize int           // maximum number of events in a batch; values below 1 mean 1
+	Timeout   time.Duration // limit on the duration of a request to the receiver; 0 means no limit
 	Seed      int64         // seed of the retry jitter
 
 	DeadLetterFile string // path of the file for events that the receiver rejects
-	// MaxDeadLetterBytes limits the size of DeadLetterFile. When the limit is reached, no further event is
-	// sent until an operator moves the file away.
+	// MaxDeadLetterBytes limits the size of DeadLetterFile. When the limit is reached, a rejected event is
+	// retried, and no event after it is sent, until an operator moves the file away. With 0, no event can be
+	// stored as a dead letter.
 	MaxDeadLetterBytes int64
 
 	OnAcknowledged func(record uint64)               // called by Run; events up to record are delivered
--- a/internal/wal/cursor.go
+++ b/internal/wal/cursor.go
@@ -43,7 +43,7 @@
 		case r.Number > last:
 			c.reader.unread()
 			return Record{}, false, nil
-		case r.Number >= c.next:
+		case r.Number >= c.next: // a record with a lower number precedes the cursor or is a duplicate
 			if r.Number > c.next && c.OnGap != nil {
 				c.OnGap(Gap{c.next, r.Number - 1, c.segment.name, 0})
 			}
@@ -87,7 +87,7 @@
 
 // advance continues at the end of the open segment: it reads more of this segment, or opens the next one. It
 // returns false if there is no more data yet. The newest segment may still grow; a segment is complete only
-// once a newer one exists.
+// once a newer one exists. After an error it also returns false, and the next call tries again.
 func (c *Cursor) advance() bool {
 	c.log.mu.Lock()
 	var next *segment
--- a/internal/wal/filesystem.go
+++ b/internal/wal/filesystem.go
@@ -9,7 +9,7 @@
 type FS interface {
 	Create(name string) (File, error) // opens a new file for writing; fails if the file exists
 	Open(name string) (io.ReadSeekCloser, error)
-	Rename(from, to string) error
+	Rename(from, to string) error // replaces an existing file
 	Remove(name string) error
 	SyncDir(dir string) error // makes the names in a directory durable
 	List(dir string) ([]os.DirEntry, error)
@@ -33,7 +33,7 @@
 // Open opens a file for reading.
 func (Disk) Open(name string) (io.ReadSeekCloser, error) { return os.Open(name) }
 
-// Rename renames a file.
+// Rename renames a file. It replaces an existing file with the new name.
 func (Disk) Rename(from, to string) error { return os.Rename(from, to) }
 
 // Remove removes a file.
@@ -53,7 +53,7 @@
 }
 
 // createFile writes content to a temporary file, syncs it and renames it to path, so that a crash never
-// leaves an incomplete file at path. It returns the open file.
+// leaves an incomplete file at path. It replaces an existing file and returns the new one, open for writing.
 func createFile(fs FS, dir, path string, content []byte) (File, error) {
 	temporary := path + ".new"
 	fs.Remove(temporary) // may be left over from a crash
--- a/internal/wal/recovery.go
+++ b/internal/wal/recovery.go
@@ -8,9 +8,9 @@
 
 // Gap is a range of consecutive missing records, with the position of the first record found after them.
 type Gap struct {
-	From, To uint64 // first and last missing record
+	From, To uint64 // numbers of the first and the last missing record
 	Segment  string // file name of the segment
-	Offset   int64  // offset in the segment in bytes; always 0 in gaps reported by a Cursor
+	Offset   int64  // offset in the segment in bytes; 0 in gaps reported by a Cursor, which does not know it
 }
 
 // String returns a description of the gap for errors and log lines.
@@ -21,10 +21,10 @@
 // Recovery describes what Open found in a log.
 type Recovery struct {
 	Snapshot         []byte   // payload of the newest undamaged snapshot; nil if there is none
-	SnapshotRecord   uint64   // last record that the snapshot covers; 0 if there is no snapshot
-	FirstRecord      uint64   // first record read after the snapshot; 0 if there is none
-	LastRecord       uint64   // last record of the log or of the snapshot; 0 if there is none
-	Records          int      // number of records read
+	SnapshotRecord   uint64   // number of the last record that the snapshot covers; 0 if there is no snapshot
+	FirstRecord      uint64   // number of the first record read after the snapshot; 0 if there is none
+	LastRecord       uint64   // number of the last record of the log or of the snapshot; 0 if there is none
+	Records          int      // number of records read after the snapshot
 	Gaps             []Gap    // missing records, in order
 	TornBytes        int64    // bytes at the end of the log that do not form a valid record
 	SkippedBytes     int64    // damaged bytes before the end of the log
--- a/internal/wal/snapshot.go
+++ b/internal/wal/snapshot.go
@@ -55,10 +55,10 @@
 	return payload, nil
 }
 
-// Snapshot stores the owner's state as of a record, so that recovery starts from there. It then removes the
-// segments that are needed neither by this snapshot, nor by the previous one, nor by Options.RetainFrom. It
-// first waits until the record is durable. Otherwise a crash could leave a state that is ahead of its log,
-// and records appended after the crash would be treated as covered by the snapshot.
+// Snapshot stores the owner's state as of the record with the given number, so that recovery starts from
+// there. It then removes the segments that are needed neither by this snapshot, nor by the previous one, nor
+// by Options.RetainFrom. It first waits until the record is durable. Otherwise a crash could leave a state
+// that is ahead of its log, and records appended after the crash would be treated as covered by the snapshot.
 func (l *Log) Snapshot(number uint64, state []byte) error {
 	l.snapshotMu.Lock()
 	defer l.snapshotMu.Unlock()
--- a/internal/wal/writer.go
+++ b/internal/wal/writer.go
@@ -20,7 +20,7 @@
 	// have dropped its data.
 	unsynced      []byte
 	firstUnsynced uint64 // number of the first record in unsynced, or of the next one if it is empty
-	lastWritten   uint64 // number of the last record written
+	lastWritten   uint64 // number of the last record taken from Log.pending, even if its write failed
 	needsSync     bool   // data was written since the last sync
 }
 
