--- a/internal/aggregate/aggregator_test.go
+++ b/internal/aggregate/aggregator_test.go
@@ -137,7 +137,7 @@
 		last := map[string]Totals{}
 		restarted := map[int]bool{}
 		for range rapid.IntRange(1, 25).Draw(rt, "steps") {
-			stepModel(rt, w, restarted)
+			drawStep(rt, w, restarted)
 			for _, key := range w.keys {
 				for n, primary := range []bool{true, false} {
 					owner := w.aggregators[0].owner(key.hash(), n)
@@ -165,8 +165,8 @@
 	})
 }
 
-// stepModel performs a random step: a partition, a restart or some counts.
-func stepModel(rt *rapid.T, w *world, restarted map[int]bool) {
+// drawStep performs a random step: a partition, a restart or some counts.
+func drawStep(rt *rapid.T, w *world, restarted map[int]bool) {
 	i := rapid.IntRange(0, len(w.aggregators)-1).Draw(rt, "gateway")
 	switch rapid.IntRange(0, 6).Draw(rt, "step") {
 	case 0:
@@ -258,9 +258,9 @@
 // FuzzReceive checks that no message makes an aggregator panic.
 func FuzzReceive(f *testing.F) {
 	f.Add(make([]byte, 60), 1)
-	f.Fuzz(func(_ *testing.T, b []byte, from int) {
+	f.Fuzz(func(_ *testing.T, data []byte, from int) {
 		w := newWorld(3, 2, 1)
-		w.aggregators[0].Receive(w.now, from, b)
+		w.aggregators[0].Receive(w.now, from, data)
 	})
 }
 
--- a/internal/quotaplan/replica_test.go
+++ b/internal/quotaplan/replica_test.go
@@ -93,9 +93,9 @@
 	return c
 }
 
-// drawKind sets the kind of a change, which what selects by a number from 0 to 6, and the fields of the kind.
-func drawKind(rt *rapid.T, w *world, c *Change, what int, number uint64) {
-	switch what {
+// drawKind sets the kind of a change and the fields of that kind. choice, from 0 to 6, selects the kind.
+func drawKind(rt *rapid.T, w *world, c *Change, choice int, number uint64) {
+	switch choice {
 	case 0, 1, 2:
 		c.Kind = Move
 	case 3:
@@ -411,10 +411,10 @@
 	f.Add(append([]byte{messageRanges}, make([]byte, rangeBytes)...))
 	f.Add(append([]byte{messageHashes}, make([]byte, 24)...))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		b := New(settings(0, 3))
-		b.Handle(Instant{0, sec}, Start{})
+		replica := New(settings(0, 3))
+		replica.Handle(Instant{0, sec}, Start{})
 		sent := 0
-		for _, a := range b.Handle(Instant{1, sec}, MessageReceived{1, data}) {
+		for _, a := range replica.Handle(Instant{1, sec}, MessageReceived{1, data}) {
 			if s, ok := a.(Send); ok {
 				sent += len(s.Data)
 			}
--- a/internal/quotaplan/stored_test.go
+++ b/internal/quotaplan/stored_test.go
@@ -107,7 +107,7 @@
 // differently, their replicas do not converge. The stored conversation contains messages of each kind that an
 // earlier version received, and its actions. The same bytes must be sent and persisted.
 func TestStoredMessages(t *testing.T) {
-	b := storedReplica()
+	replica := storedReplica()
 	at := Instant{Mono: time.Second, Wall: 2_000_000_000}
 	lines := storeddata.ReadLines(t, "testdata/messages.txt")
 	for i := 0; i < len(lines); {
@@ -121,7 +121,7 @@
 		for i++; i < len(lines) && !strings.HasPrefix(lines[i], "received "); i++ {
 			want = append(want, lines[i])
 		}
-		for _, a := range b.Handle(at, MessageReceived{from, data}) {
+		for _, a := range replica.Handle(at, MessageReceived{from, data}) {
 			got = append(got, describe(a))
 		}
 		if !slices.Equal(got, want) {
--- a/internal/reservation/drain.go
+++ b/internal/reservation/drain.go
@@ -21,7 +21,7 @@
 		h.drawn = 0
 		l.persist(h)
 	}
-	n := l.gateways(h)
+	n := l.gatewayCount(h)
 	if h.free <= negligible || n < 2 {
 		return
 	}
--- a/internal/reservation/holding.go
+++ b/internal/reservation/holding.go
@@ -114,8 +114,8 @@
 // available returns the tokens at this gateway that are spendable or can be drawn.
 func (h *holding) available() float64 { return h.drawn + h.drawing + max(0, h.free) }
 
-// gateways returns the number of gateways that the member uses, at least 1.
-func (l *Ledger) gateways(h *holding) int { return max(1, min(h.Spread, l.settings.Gateways)) }
+// gatewayCount returns the number of gateways that the member uses, at least 1.
+func (l *Ledger) gatewayCount(h *holding) int { return max(1, min(h.Spread, l.settings.Gateways)) }
 
 // addReservation announces a reservation, whose state may have been restored before. It mints the tokens if
 // this gateway accepted the reservation and they were not minted before.
@@ -146,7 +146,7 @@
 // offerShares offers each of the member's gateways an even part of the minted tokens. A gateway that misses
 // its offer requests tokens when it needs them.
 func (l *Ledger) offerShares(h *holding) {
-	n := l.gateways(h)
+	n := l.gatewayCount(h)
 	for i := range n {
 		if to := (h.First + i) % l.settings.Gateways; to != l.settings.Rank {
 			l.emit(Send{to, offerMessage{h.ID, h.free / float64(n)}.encode()})
@@ -170,7 +170,7 @@
 		l.end(h)
 		return
 	}
-	n := l.gateways(h)
+	n := l.gatewayCount(h)
 	if (l.settings.Rank-h.First+l.settings.Gateways)%l.settings.Gateways < n {
 		// If other gateways hold the tokens, free becomes negative. This gateway then has to obtain the
 		// missing tokens from its peers before it spends any more.
--- a/internal/reservation/transfer.go
+++ b/internal/reservation/transfer.go
@@ -54,7 +54,7 @@
 	to := holder{from, m.epoch}
 	if tokens <= 0 {
 		// The answer repeats the total, which may include tokens whose deduction here is not durable yet.
-		l.sendWhenPersisted(l.lastState, from, l.transferTo(h, to, m.number, room))
+		l.sendWhenPersisted(l.lastState, from, l.encodeTransfer(h, to, m.number, room))
 		return
 	}
 	h.free -= tokens
@@ -71,7 +71,7 @@
 	if p := &h.peers[from]; l.draining {
 		p.reported, p.repliedAt = p.reported+tokens, l.now.Mono
 	}
-	l.sendWhenPersisted(l.persist(h), from, l.transferTo(h, to, m.number, room))
+	l.sendWhenPersisted(l.persist(h), from, l.encodeTransfer(h, to, m.number, room))
 }
 
 // spareTokens returns how many of the tokens that a peer wants this gateway can send: all but those that its
@@ -104,9 +104,9 @@
 	return room
 }
 
-// transferTo encodes a transfer message with the total of the tokens sent to a holder. The request number is
-// 0 for a retransmission.
-func (l *Ledger) transferTo(h *holding, to holder, request uint64, room float64) []byte {
+// encodeTransfer encodes a transfer message with the total of the tokens sent to a holder. The request number
+// is 0 for a retransmission.
+func (l *Ledger) encodeTransfer(h *holding, to holder, request uint64, room float64) []byte {
 	m := transferMessage{reservation: h.ID, request: request, epoch: h.epoch, receiverEpoch: to.epoch,
 		room: room, left: max(0, h.free)}
 	if t := h.sent[to]; t != nil {
@@ -190,7 +190,7 @@
 		}
 		if l.now.Mono-t.sentAt >= t.retryInterval {
 			t.sentAt, t.retryInterval = l.now.Mono, min(maxRetransmitInterval, 2*t.retryInterval)
-			l.sendWhenPersisted(l.lastState, to.rank, l.transferTo(h, to, 0, 0))
+			l.sendWhenPersisted(l.lastState, to.rank, l.encodeTransfer(h, to, 0, 0))
 		}
 		h.wakeAt = min(h.wakeAt, t.sentAt+t.retryInterval)
 	}
--- a/internal/usage/outbox/outbox.go
+++ b/internal/usage/outbox/outbox.go
@@ -198,16 +198,15 @@
 	entry := &attemptEntry{attempt: event.Attempt}
 	o.attempts[event.ID] = entry
 	if o.logFailure != "" || !event.LogHasSpace || len(o.unlogged) >= maxUnloggedSettlements {
-		return o.decideUncovered(event.ID, entry)
+		return o.applyPolicy(event.ID, entry)
 	}
 	o.Counts.Intents++
 	intent := Append{event.ID, entry.attempt.append([]byte{kindIntent})}
 	return append(o.reportGap(), intent)
 }
 
-// decideUncovered applies the policy to an attempt whose intent is not durable and cannot be made durable
-// now.
-func (o *Outbox) decideUncovered(id AttemptID, entry *attemptEntry) []Action {
+// applyPolicy applies the policy to an attempt whose intent is not durable and cannot be made durable now.
+func (o *Outbox) applyPolicy(id AttemptID, entry *attemptEntry) []Action {
 	if o.settings.Policy == PolicyServe {
 		entry.released = true
 		return []Action{Release{id}}
@@ -229,7 +228,7 @@
 	case entry.settlement != nil:
 		return o.settlementAppended(event.ID, entry, event.Failure != "")
 	case event.Failure != "":
-		return o.decideUncovered(event.ID, entry)
+		return o.applyPolicy(event.ID, entry)
 	}
 	entry.record, entry.covered = event.Record, true
 	o.awaitingDurable = append(o.awaitingDurable, event.ID)
@@ -263,7 +262,7 @@
 	}
 	for _, id := range o.awaitingDurable {
 		if entry := o.attempts[id]; entry != nil && !entry.released && entry.settlement == nil {
-			actions = append(actions, o.decideUncovered(id, entry)...)
+			actions = append(actions, o.applyPolicy(id, entry)...)
 		}
 	}
 	o.awaitingDurable = nil
