--- a/internal/aggregate/aggregator_test.go
+++ b/internal/aggregate/aggregator_test.go
@@ -266,7 +266,9 @@
 
 // A gateway that starts a moment before an owner may have nothing to report at first. The owner then took its
 // later counts, including those of a key that appeared only in the last reports, for counts of the time
-// before the owner started, and never summed them.
+// before the owner started, and never summed them. The test starts a sender 1 ms before the owner, lets it
+// count one key from the third report on and the other from the fifth on, and checks that the owner sums all
+// counts.
 func TestCountsAfterEmptyFirstReportAreSummed(t *testing.T) {
 	keys := []Key{{true, "look"}, {false, "m"}}
 	for seed := range int64(20) {
--- a/internal/quotaplan/stored_test.go
+++ b/internal/quotaplan/stored_test.go
@@ -194,9 +194,9 @@
 	return actions, d.Sum64()
 }
 
-// A code change that is not meant to alter decisions may do so unnoticed, for example through another order,
-// another arithmetic or one more random number. The test repeats random simulations and compares their
-// transcripts with stored ones, which the version that wrote the other files in testdata produced.
+// A code change that is not meant to alter decisions may do so unnoticed, for example by another order of
+// steps, different arithmetic or one more random number. The test repeats random simulations and compares
+// their transcripts with stored ones, which the version that wrote the other files in testdata produced.
 func TestStoredTranscripts(t *testing.T) {
 	storeddata.CheckTranscripts(t, "testdata/transcripts.txt", transcript)
 }
