--- a/internal/recording/recording_test.go
+++ b/internal/recording/recording_test.go
@@ -79,7 +79,7 @@
 		atLineEnd := data[at-1] == '\n'
 		if err != nil || (result.Truncated == nil) != atLineEnd ||
 			result.Events != bytes.Count(data[:at], []byte("\n"))-1 {
-			t.Fatalf("truncated at byte %d: result %+v, error %v", at, result, err)
+			t.Fatalf("truncated at byte %d: result %+v, error %v; want all intact lines", at, result, err)
 		}
 	}
 }
--- a/internal/usage/outbox/delivery_test.go
+++ b/internal/usage/outbox/delivery_test.go
@@ -127,10 +127,12 @@
 			return PostResult{Status: 200, BodySent: true}
 		})
 		if n != 12 || len(acks) != 1 || acks[0] != 2 || len(deadLetters) > 0 {
-			t.Errorf("%+v: %d posts, acknowledged records %v, dead letters %v", failure, n, acks, deadLetters)
+			t.Errorf("%+v: %d posts, acknowledged %v, dead letters %v; want 12, [2], none",
+				failure, n, acks, deadLetters)
 		}
 		if waits[0] < minBackoff/2 || waits[10] < maxBackoff/2 || waits[10] > maxBackoff {
-			t.Errorf("%+v: waited %v", failure, waits)
+			t.Errorf("%+v: waited %v, want minBackoff/2 or more first, maxBackoff/2 to maxBackoff last",
+				failure, waits)
 		}
 	}
 	n := 0
--- a/internal/usage/outbox/outbox.go
+++ b/internal/usage/outbox/outbox.go
@@ -353,7 +353,7 @@
 }
 
 // reportGap appends a gap record if there is unreported usage of attempts without an intent. It is called
-// only when the log has space.
+// when the log has space or works again. If the append fails, gapAppended keeps the usage for the next gap.
 func (o *Outbox) reportGap() []Action {
 	if o.unreportedAttempts == 0 || o.pendingGap != nil {
 		return nil
--- a/internal/usage/outbox/outbox_test.go
+++ b/internal/usage/outbox/outbox_test.go
@@ -13,7 +13,7 @@
 		s.settleOne(OutcomeAnswered)
 	}
 	if s.outbox.RejectsRequests(true) || s.outbox.Counts.UncoveredAttempts != 3 {
-		t.Errorf("%+v", s.outbox.Counts)
+		t.Errorf("got %+v, want 3 attempts without an intent and no rejection", s.outbox.Counts)
 	}
 	s.broken = false
 	s.do(s.outbox.Handle(LogStatus{""}))
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -472,7 +472,8 @@
 		})
 		if header := int64(len(b)) - parsed - torn - skipped; err != nil ||
 			header != 0 && header != segmentHeaderBytes {
-			t.Errorf("%d bytes: %d in records, %d torn, %d skipped, %v", len(b), parsed, torn, skipped, err)
+			t.Errorf("%d bytes: %d in records, %d torn, %d skipped, error %v",
+				len(b), parsed, torn, skipped, err)
 		}
 	})
 }
--- a/internal/wal/stored_test.go
+++ b/internal/wal/stored_test.go
@@ -122,11 +122,11 @@
 		recovery.FirstRecord != 10 || recovery.LastRecord != 13 || recovery.Records != 4 ||
 		recovery.Gaps != nil || recovery.TornBytes != 0 || recovery.SkippedBytes != 0 ||
 		recovery.DamagedSnapshots != nil {
-		t.Errorf("recovered %+v", recovery)
+		t.Errorf("recovered %+v, want records 10 to 13 after snapshot 9, undamaged", recovery)
 	}
 	wantRecords(t, got, 10, 13)
 	if number, err := l.Append(storedPayload(14)); number != 14 || err != nil {
-		t.Errorf("appended as %d, %v", number, err)
+		t.Errorf("appended as record %d, error %v; want record 14", number, err)
 	}
 	if err := l.Sync(20 * time.Second); err != nil {
 		t.Fatal(err)
@@ -152,7 +152,7 @@
 		}))
 		if string(recovery.Snapshot) != "state at 5" || recovery.SnapshotRecord != 5 ||
 			len(recovery.DamagedSnapshots) != 1 {
-			t.Errorf("recovered %+v", recovery)
+			t.Errorf("recovered %+v, want snapshot 5 and one damaged snapshot", recovery)
 		}
 		wantRecords(t, got, 6, 13)
 	})
@@ -168,7 +168,7 @@
 		}))
 		if len(recovery.Gaps) != 1 || recovery.Gaps[0].From != 11 || recovery.Gaps[0].To != 11 ||
 			recovery.TornBytes != 4 || recovery.LastRecord != 13 {
-			t.Errorf("recovered %+v", recovery)
+			t.Errorf("recovered %+v, want a gap of record 11, 4 torn bytes, last record 13", recovery)
 		}
 		wantRecords(t, got, 10, 13, 11)
 	})
