--- a/internal/quotaplan/stored_test.go
+++ b/internal/quotaplan/stored_test.go
@@ -107,7 +107,7 @@
 // differently, their replicas do not converge. The stored conversation contains messages of each kind that an
 // earlier version received, and its actions. The same bytes must be sent and persisted.
 func TestStoredMessages(t *testing.T) {
-	b := storedReplica()
+	replica := storedReplica()
 	at := Instant{Mono: time.Second, Wall: 2_000_000_000}
 	lines := storeddata.ReadLines(t, "testdata/messages.txt")
 	for i := 0; i < len(lines); {
@@ -121,7 +121,7 @@
 		for i++; i < len(lines) && !strings.HasPrefix(lines[i], "received "); i++ {
 			want = append(want, lines[i])
 		}
-		for _, a := range b.Handle(at, MessageReceived{from, data}) {
+		for _, a := range replica.Handle(at, MessageReceived{from, data}) {
 			got = append(got, describe(a))
 		}
 		if !slices.Equal(got, want) {
@@ -194,9 +194,9 @@
 	return actions, d.Sum64()
 }
 
-// A code change that is not meant to alter decisions may do so unnoticed, for example through another order,
-// another arithmetic or one more random number. The test repeats random simulations and compares their
-// transcripts with stored ones, which the version that wrote the other files in testdata produced.
+// A code change that is not meant to alter decisions may do so unnoticed, for example by another order of
+// steps, different arithmetic or one more random number. The test repeats random simulations and compares
+// their transcripts with stored ones, which the version that wrote the other files in testdata produced.
 func TestStoredTranscripts(t *testing.T) {
 	storeddata.CheckTranscripts(t, "testdata/transcripts.txt", transcript)
 }
--- a/internal/reservation/drain.go
+++ b/internal/reservation/drain.go
@@ -1,6 +1,6 @@
 package reservation
 
-// startDrain returns drawn tokens to the free ones, so that offerRemaining can offer them to other gateways.
+// startDrain makes the drawn tokens free again, so that offerRemaining can offer them to other gateways.
 // Tokens that stay here cannot be used by any gateway until this one is back.
 func (l *Ledger) startDrain() {
 	l.draining = true
@@ -21,7 +21,7 @@
 		h.drawn = 0
 		l.persist(h)
 	}
-	n := l.gateways(h)
+	n := l.gatewayCount(h)
 	if h.free <= negligible || n < 2 {
 		return
 	}
--- a/internal/reservation/transfer.go
+++ b/internal/reservation/transfer.go
@@ -53,7 +53,8 @@
 	room := l.spareRoom(h, m.room)
 	to := holder{from, m.epoch}
 	if tokens <= 0 {
-		l.sendWhenPersisted(l.lastState, from, l.transferTo(h, to, m.number, room))
+		// The answer repeats the total, which may include tokens whose deduction here is not durable yet.
+		l.sendWhenPersisted(l.lastState, from, l.encodeTransfer(h, to, m.number, room))
 		return
 	}
 	h.free -= tokens
@@ -65,15 +66,17 @@
 	}
 	t.total += tokens
 	t.sentAt, t.retryInterval = l.now.Mono, minRetransmitInterval
+	// A draining gateway requests nothing, so no answers tell it what its peers have. It records what it sent
+	// to them, so that it can name the largest holder to others.
 	if p := &h.peers[from]; l.draining {
 		p.reported, p.repliedAt = p.reported+tokens, l.now.Mono
 	}
-	l.sendWhenPersisted(l.persist(h), from, l.transferTo(h, to, m.number, room))
+	l.sendWhenPersisted(l.persist(h), from, l.encodeTransfer(h, to, m.number, room))
 }
 
 // spareTokens returns how many of the tokens that a peer wants this gateway can send: all but those that its
-// own requests need next. Drawn tokens that will not be used here soon are made free first. Otherwise small
-// remainders at many gateways would stay unusable.
+// own requests need next, which are at most half of its tokens. Drawn tokens that will not be used here soon
+// are made free first. Otherwise small remainders at many gateways would stay unusable.
 func (l *Ledger) spareTokens(h *holding, wanted float64) float64 {
 	if h.ended || !(wanted > 0) {
 		return 0
@@ -101,9 +104,9 @@
 	return room
 }
 
-// transferTo encodes a transfer message with the total of the tokens sent to a holder. The request number is
-// 0 for a retransmission.
-func (l *Ledger) transferTo(h *holding, to holder, request uint64, room float64) []byte {
+// encodeTransfer encodes a transfer message with the total of the tokens sent to a holder. The request number
+// is 0 for a retransmission.
+func (l *Ledger) encodeTransfer(h *holding, to holder, request uint64, room float64) []byte {
 	m := transferMessage{reservation: h.ID, request: request, epoch: h.epoch, receiverEpoch: to.epoch,
 		room: room, left: max(0, h.free)}
 	if t := h.sent[to]; t != nil {
@@ -187,7 +190,7 @@
 		}
 		if l.now.Mono-t.sentAt >= t.retryInterval {
 			t.sentAt, t.retryInterval = l.now.Mono, min(maxRetransmitInterval, 2*t.retryInterval)
-			l.sendWhenPersisted(l.lastState, to.rank, l.transferTo(h, to, 0, 0))
+			l.sendWhenPersisted(l.lastState, to.rank, l.encodeTransfer(h, to, 0, 0))
 		}
 		h.wakeAt = min(h.wakeAt, t.sentAt+t.retryInterval)
 	}
--- a/internal/usage/outbox/outbox.go
+++ b/internal/usage/outbox/outbox.go
@@ -46,7 +46,7 @@
 
 // Outbox tracks the attempts of a gateway whose usage has to be reported.
 type Outbox struct {
-	Counts Counts
+	Counts Counts // statistics since New
 
 	settings    Settings
 	incarnation uint64 // number of this incarnation; 0 before Start
@@ -76,7 +76,7 @@
 	attempt    Attempt
 	record     uint64      // record number of the intent; 0 if it is not appended
 	covered    bool        // the intent is in the log
-	released   bool        // the attempt may be sent
+	released   bool        // the attempt may have been sent
 	settlement *Settlement // nil while the attempt has not ended
 }
 
@@ -192,22 +192,21 @@
 	return nil
 }
 
-// recordIntent appends the intent of an attempt, preceded by a gap record if one is due, or applies the
-// policy if the log cannot be written.
+// recordIntent appends the intent of an attempt, preceded by a gap record if one is due. If the log cannot be
+// written or has no space, or if too many settlements wait for it, recordIntent applies the policy instead.
 func (o *Outbox) recordIntent(event RecordIntent) []Action {
 	entry := &attemptEntry{attempt: event.Attempt}
 	o.attempts[event.ID] = entry
 	if o.logFailure != "" || !event.LogHasSpace || len(o.unlogged) >= maxUnloggedSettlements {
-		return o.decideUncovered(event.ID, entry)
+		return o.applyPolicy(event.ID, entry)
 	}
 	o.Counts.Intents++
 	intent := Append{event.ID, entry.attempt.append([]byte{kindIntent})}
 	return append(o.reportGap(), intent)
 }
 
-// decideUncovered applies the policy to an attempt whose intent is not durable and cannot be made durable
-// now.
-func (o *Outbox) decideUncovered(id AttemptID, entry *attemptEntry) []Action {
+// applyPolicy applies the policy to an attempt whose intent is not durable and cannot be made durable now.
+func (o *Outbox) applyPolicy(id AttemptID, entry *attemptEntry) []Action {
 	if o.settings.Policy == PolicyServe {
 		entry.released = true
 		return []Action{Release{id}}
@@ -229,7 +228,7 @@
 	case entry.settlement != nil:
 		return o.settlementAppended(event.ID, entry, event.Failure != "")
 	case event.Failure != "":
-		return o.decideUncovered(event.ID, entry)
+		return o.applyPolicy(event.ID, entry)
 	}
 	entry.record, entry.covered = event.Record, true
 	o.awaitingDurable = append(o.awaitingDurable, event.ID)
@@ -263,7 +262,7 @@
 	}
 	for _, id := range o.awaitingDurable {
 		if entry := o.attempts[id]; entry != nil && !entry.released && entry.settlement == nil {
-			actions = append(actions, o.decideUncovered(id, entry)...)
+			actions = append(actions, o.applyPolicy(id, entry)...)
 		}
 	}
 	o.awaitingDurable = nil
@@ -354,7 +353,7 @@
 }
 
 // reportGap appends a gap record if there is unreported usage of attempts without an intent. It is called
-// only when the log has space.
+// when the log has space or works again. If the append fails, gapAppended keeps the usage for the next gap.
 func (o *Outbox) reportGap() []Action {
 	if o.unreportedAttempts == 0 || o.pendingGap != nil {
 		return nil
