--- a/internal/metrics/collector.go
+++ b/internal/metrics/collector.go
@@ -62,49 +62,48 @@
 }
 
 var (
-	descSessions           = newDesc("sessions", "Open client sessions.")
-	descOpenRequests       = newDesc("open_calls", "Requests without a final answer.")
-	descPressure           = newDesc("open_work_ratio", "Work in flight as a fraction of its cap.")
-	descQueueLength        = newDesc("loop_queue_length", "Inputs that wait for the event loop.")
-	descLateResponses      = newDesc("late_answers_total", "Responses to attempts that had already ended.")
+	descSessions           = newDesc("sessions", "Open sessions of clients.")
+	descOpenRequests       = newDesc("open_calls", "Open requests: without a final answer.")
+	descPressure           = newDesc("open_work_ratio", "Work in flight over the cap on it.")
+	descQueueLength        = newDesc("loop_queue_length", "Inputs that wait for the loop.")
+	descLateResponses      = newDesc("late_answers_total", "Answers to attempts that had ended.")
 	descUnresponsiveOwners = newDesc("homes_silent",
-		"Quota owners that are currently not asked because they did not respond.")
+		"Quota owners that are not asked for now, as they did not respond.")
 	descServers = newDesc("nodes",
-		"Servers by state. ejected: fails a class far more often than the best servers; cold: in slow start.",
+		"Servers by state; ejected: fails a class far more often than the best do; cold: in slow start.",
 		"state")
 	descDatagrams = newDesc("peer_datagrams_total",
-		"Datagrams to and from other gateways, by result.", "result")
+		"Datagrams to and from other gateways, by what became of them.", "result")
 	descFrontendRejections = newDesc("turned_away_total",
 		"Requests and handshakes that the front end rejected, by reason.", "reason")
 	descPlanLevel = newDesc("plan_level_units",
-		"Sum of the leaky-bucket levels of a plan's customers at this gateway.", "plan")
+		"Leaky-bucket levels of a plan's customers, at this gateway.", "plan")
 	descPlanHeadroom = newDesc("plan_room_units",
-		"Sum of the units between the leaky-bucket levels and high-water marks of a plan's customers.",
-		"plan")
+		"Units up to the high-water marks of these buckets.", "plan")
 	descPlanShare = newDesc("plan_part_ratio",
 		"Mean share of rate and burst that this gateway has of a plan's customers.", "plan")
 	descUsageRecords = newDesc("export_owed_records",
-		"Usage records that the receiver has not acknowledged.")
-	descUsageBytes        = newDesc("export_log_bytes", "Size of the outbox log.")
+		"Records that the usage receiver is not known to have.")
+	descUsageBytes        = newDesc("export_log_bytes", "Bytes of the outbox log.")
 	descUsageOpenAttempts = newDesc("export_open_tries", "Attempts without a settlement in the log.")
 	descUncoveredUnits    = newDesc("export_uncovered_units_total",
 		"Units of attempts that were sent while the log could not be written.")
 	descUncoveredAttempts = newDesc("export_uncovered_tries_total",
 		"Attempts that were sent while the log could not be written.")
 	descUsageRejecting = newDesc("export_refusing",
-		"1 while requests are rejected because their usage cannot be recorded.")
+		"1 while requests are rejected, as their use can't be recorded.")
 	descPlanChanges        = newDesc("plan_changes", "Plan changes that this gateway knows.")
 	descReservedUnits      = newDesc("reserved_units", "Units of reservations held at this gateway.")
 	descRemoteWriteWaiting = newDesc("remote_write_waiting_samples",
 		"Samples that wait to be sent by remote write.")
 	descRemoteWriteSamples = newDesc("remote_write_samples_total",
-		"Samples for remote write, by result.", "result")
+		"Samples for remote write, by what became of them.", "result")
 	descTotalRequests = newDesc("sum_calls_total",
-		"Requests at all gateways by final answer, for each class and member that this gateway sums; "+
+		"Requests at all gateways by their final answer, of a class or member that this gateway adds up; "+
 			"see docs/metrics.md.",
 		"kind", "name", "outcome", "replica")
 	descTotalUnits = newDesc("sum_units_total",
-		"Units of served requests at all gateways, for each class and member that this gateway sums.",
+		"Units of served requests at all gateways, of a class or member that this gateway adds up.",
 		"kind", "name", "replica")
 )
 
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -115,32 +115,32 @@
 
 // register creates and registers the metrics that the methods of Set update.
 func (s *Set) register() {
-	s.requests = s.newCounter("calls_total", "Requests by final answer. gone: the client left before it.",
+	s.requests = s.newCounter("calls_total", "Requests by their final answer; gone: the client left before it.",
 		"class", "plan", "outcome")
-	s.rejections = s.newCounter("refusals_total", "Rejected requests by reason.", "reason")
-	s.attempts = s.newCounter("attempts_total", "Attempts by outcome.", "class", "outcome")
+	s.rejections = s.newCounter("refusals_total", "Rejected requests, by reason.", "reason")
+	s.attempts = s.newCounter("attempts_total", "Attempts, by how they ended.", "class", "outcome")
 	s.retries = s.newCounter("further_attempts_total",
-		"Retries by the outcome of the previous attempt. open: it was still in flight.", "after")
+		"Retries, by how the attempt before had ended; open: it was in flight.", "after")
 	s.grantMessages = s.newCounter("home_words_total",
-		"Messages between gateways and quota owners by kind and direction.", "kind", "way")
+		"Messages between gateways and quota owners.", "kind", "way")
 	s.memberUnits = s.newCounter("member_units_total",
-		"Units of served requests by member. _other: all members without a series of their own.", "member")
+		"Units of served requests, by member up to the cap on names.", "member")
 	s.memberRejections = s.newCounter("member_refusals_total",
-		"Rejected requests by member. _other: all members without a series of their own.", "member")
+		"Rejected requests, by member up to the cap on names.", "member")
 
 	s.requestDuration = prometheus.NewHistogramVec(
-		histogramOpts("call_duration_seconds", "Time from a request's arrival to its final answer."),
+		histogramOpts("call_duration_seconds", "From a request's arrival to its final answer."),
 		[]string{"class", "outcome"})
 	s.attemptDuration = prometheus.NewHistogramVec(
-		histogramOpts("attempt_duration_seconds", "Time from an attempt's start to its end."),
+		histogramOpts("attempt_duration_seconds", "From an attempt's start to its end."),
 		[]string{"class"})
 	s.addedDuration = prometheus.NewHistogram(
 		histogramOpts("added_duration_seconds",
-			"Duration of a served request minus the duration of the attempt that served it."))
+			"Duration of a served request less that of the attempt that served it."))
 	s.loopTurnDuration = prometheus.NewHistogram(
-		histogramOpts("loop_turn_duration_seconds", "Duration of a turn of the event loop."))
+		histogramOpts("loop_turn_duration_seconds", "Turns of the event loop."))
 	s.membersLeftOut = prometheus.NewGauge(prometheus.GaugeOpts{Name: namePrefix + "members_left_out",
-		Help: "Members that are counted as _other because the limit on member series is reached."})
+		Help: "Members whose use is counted under one name, as the cap on names is reached."})
 	s.Registry.MustRegister(
 		s.requestDuration, s.attemptDuration, s.addedDuration, s.loopTurnDuration, s.membersLeftOut)
 }
