--- a/internal/config/decode/values.go
+++ b/internal/config/decode/values.go
@@ -103,8 +103,8 @@
 
 var sizeUnits = map[string]int{"KiB": 1 << 10, "MiB": 1 << 20, "GiB": 1 << 30}
 
-// Size returns a function that reads a positive number of bytes, given as an integer or with a unit, such as
-// "64KiB".
+// Size returns a function that reads a number of bytes from 1 to math.MaxInt32, given as an integer or with a
+// unit, such as "64KiB".
 func Size(to *int) func(Setting) {
 	return func(s Setting) {
 		n, unit := s.Value.Text, 1
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -30,8 +30,10 @@
 	EndpointListPattern string
 	// StateDirPattern is the directory of the state that must survive a restart, with %d for the rank. Empty
 	// means that no state is stored.
-	StateDirPattern   string
-	CapacityPerSecond float64 // units per second that the fleet can serve, for reservations; 0: not stated
+	StateDirPattern string
+	// CapacityPerSecond is the number of units per second that the fleet can serve. New reservations are
+	// checked against it. 0 means that it is unknown and not checked.
+	CapacityPerSecond float64
 
 	Caps        ResourceLimits
 	UsageExport UsageExport
@@ -98,7 +100,7 @@
 type Member struct {
 	Name, Plan string
 	First      int                  // rank of the first gateway that the member uses
-	Spread     int                  // number of gateways from First on, wrapping around to rank 0
+	Spread     int                  // number of gateways from First on, wrapping around to rank 0; at least 1
 	Keys       []credentials.Digest // digests of the keys that the member may present
 }
 
@@ -134,6 +136,8 @@
 	}
 	c.Rank, c.Zone = rank, f.Gateways[rank].Zone
 	err := c.Validate()
+	// The usual cause of this error is that the document sets cold-for but not fall-window, so the error has
+	// their names in the document instead of the name of the field.
 	var setting *decide.SettingError
 	if errors.As(err, &setting) && setting.Field == "Safety.OverloadWindow" {
 		return c, fmt.Errorf("safety.fall-window %s because cold-for is given", setting.Problem)
--- a/internal/config/kdl/grammar.go
+++ b/internal/config/kdl/grammar.go
@@ -16,8 +16,12 @@
 	ident = `[^` + nonIdentChars + `]+`
 )
 
-// lex splits a document into tokens. The parser ignores the tokens whose names start with a lower-case
-// letter: white space and block comments.
+// lex splits a document into tokens. It tries the rules of a state in their order, so a rule stands before
+// those that match only the beginning of its token. The parser ignores the tokens whose names start with a
+// lower-case letter: white space and block comments.
+//
+// KDL allows any number of number signs around a raw string. A regular expression cannot check that both ends
+// have the same number, so one, two and three number signs each have a rule. More of them are a syntax error.
 var lex = lexer.MustStateful(lexer.Rules{
 	"Root": {
 		{Name: "BOM", Pattern: `\x{FEFF}`},
--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -111,7 +111,8 @@
 	d.checkGossip(f, n)
 }
 
-// checkMembers checks the plan, gateways and keys of each member and adds the members to the fleet.
+// checkMembers checks the plan, gateways and keys of each member and adds the members to the fleet. A member
+// without the setting spread uses all gateways.
 func (d *decoder) checkMembers(f *Fleet) {
 	owners := map[credentials.Digest]string{}
 	for _, b := range d.members {
@@ -157,6 +158,7 @@
 				"missing, required because limits.peers is #true")
 		}
 	}
+	// An invalid value also leaves the capacity at 0, but has been reported already.
 	if f.Decide.GossipCapacity == 0 && !d.HasError("intake") {
 		d.Fail(n.Pos, "intake", "missing, required because limits.peers is #true")
 	}
--- a/internal/metrics/collector.go
+++ b/internal/metrics/collector.go
@@ -36,14 +36,14 @@
 	ReservedUnits      float64                // units of reservations held at this gateway
 	RemoteWriteSamples map[string]float64     // samples for remote write, by result; nil: remote write is off
 	RemoteWriteWaiting int                    // samples that wait to be sent by remote write
-	FleetTotals        []aggregate.FleetTotal // totals of all gateways, for the keys that this gateway owns
+	FleetTotals        []aggregate.FleetTotal // totals of all gateways, for the keys that this gateway sums
 }
 
 // PlanTotals holds the totals of the customers of a plan at this gateway.
 type PlanTotals struct {
 	Level    float64 // sum of the levels of their leaky buckets, in units
 	Headroom float64 // sum of the units between level and high-water mark
-	Share    float64 // mean share of rate and burst that this gateway has
+	Share    float64 // mean over the customers of the fraction of rate and burst that this gateway has
 }
 
 // UsageBacklog describes the outbox of usage records.
@@ -56,7 +56,7 @@
 	Rejecting         bool    // requests are rejected because their usage cannot be recorded
 }
 
-// newDesc returns the description of a metric; name lacks the common prefix.
+// newDesc returns the description of a metric. name is the name of the metric without namePrefix.
 func newDesc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc(namePrefix+name, help, labels, nil)
 }
@@ -112,7 +112,7 @@
 	view       func() View
 	maxMembers int
 
-	mu sync.Mutex
+	mu sync.Mutex // guards namedMembers; several goroutines may collect at the same time
 	// namedMembers are the members whose totals have series of their own: the first maxMembers members that
 	// had totals.
 	namedMembers map[string]bool
@@ -193,7 +193,8 @@
 }
 
 // fleetTotals emits the totals of the fleet. It first adds up the members that share a label, because a
-// series may be emitted only once.
+// series may be emitted only once. Two gateways sum the total of the same class or member. The label replica
+// tells their series apart: it is 0 at the first of the two and 1 at the second.
 func (c *stateCollector) fleetTotals(s sink, fleetTotals []aggregate.FleetTotal) {
 	type labels struct{ kind, name, replica string }
 	totals := map[labels]aggregate.Totals{}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
 // Package metrics provides the Prometheus metrics of a gateway: counters and native histograms that the event
-// loop updates, and gauges that are read from the gateway's state when the registry is gathered.
+// loop updates, and gauges and counters that are read from the gateway's state when the registry is gathered.
 //
 // The number of series is bounded, because clients cannot choose label values: classes and plans come from
 // the settings, reasons are constants of the program, and only a limited number of members have series of
@@ -41,7 +41,7 @@
 type Options struct {
 	Classes    []string // classes of the settings; all others are counted as "other"
 	Plans      []string // plans of the settings; all others are counted as "other"
-	MaxMembers int      // members with series of their own; all others are counted as "_other"
+	MaxMembers int      // members with series of their own, 0: none; all others are counted as "_other"
 }
 
 // Set holds the metrics of a gateway. Only the goroutine that owns a Set may call its methods. The registry
@@ -115,8 +115,8 @@
 
 // register creates and registers the metrics that the methods of Set update.
 func (s *Set) register() {
-	s.requests = s.newCounter("calls_total", "Requests by their final answer; gone: the client left before it.",
-		"class", "plan", "outcome")
+	s.requests = s.newCounter("calls_total",
+		"Requests by their final answer; gone: the client left before it.", "class", "plan", "outcome")
 	s.rejections = s.newCounter("refusals_total", "Rejected requests, by reason.", "reason")
 	s.attempts = s.newCounter("attempts_total", "Attempts, by how they ended.", "class", "outcome")
 	s.retries = s.newCounter("further_attempts_total",
@@ -166,7 +166,7 @@
 	histogramResetInterval = time.Hour
 )
 
-// histogramOpts returns the options of a native histogram; name lacks the common prefix.
+// histogramOpts returns the options of a native histogram. name is the name of the metric without namePrefix.
 func histogramOpts(name, help string) prometheus.HistogramOpts {
 	return prometheus.HistogramOpts{
 		Name:                            namePrefix + name,
@@ -188,7 +188,8 @@
 	TraceID             string        // trace that is exported, used as exemplar; empty: none
 }
 
-// RequestEnded counts a request and its duration.
+// RequestEnded counts a request, records its duration, and adds its units or its rejection to the counters of
+// its member.
 func (s *Set) RequestEnded(r Request) {
 	class, plan := nameOrOther(s.classes, r.Class), nameOrOther(s.plans, r.Plan)
 	s.requestCounter(requestLabels{class, plan, r.Outcome}).Inc()
@@ -209,7 +210,7 @@
 	}
 }
 
-// AttemptEnded counts an attempt and its duration.
+// AttemptEnded counts an attempt and records its duration. outcome is AttemptOK or the name of the failure.
 func (s *Set) AttemptEnded(class, outcome string, duration time.Duration) {
 	labels := attemptLabels{nameOrOther(s.classes, class), outcome}
 	handle, ok := s.attemptHandles[labels]
--- a/internal/tracing/exporter.go
+++ b/internal/tracing/exporter.go
@@ -36,7 +36,7 @@
 	Class         string
 	Member        string
 	Plan          string
-	Outcome       string
+	Outcome       string    // one of the Outcome constants of package metrics
 	Reason        string    // reason of the rejection; empty: the request was not rejected
 	Units         float64   // units of the response
 	Reserved      bool      // whether the request used a reservation
@@ -49,8 +49,8 @@
 // Attempt describes an attempt of a request.
 type Attempt struct {
 	Span            trace.SpanID
-	Server          string
-	Outcome         string
+	Server          string // address of the server
+	Outcome         string // metrics.AttemptOK or the name of the failure
 	PreviousOutcome string // outcome of the previous attempt; empty: this is the first attempt
 	Start, End      time.Time
 }
--- a/internal/tracing/sampler.go
+++ b/internal/tracing/sampler.go
@@ -10,8 +10,11 @@
 //
 // A Sampler uses no clock and no random source. It is not safe for concurrent use.
 type Sampler struct {
-	Ratio   float64 // fraction of the requests served in time that is sampled, from 0 to 1
-	MaxRate float64 // traces per second of all other requests; also the burst, but at least 1 trace
+	Ratio float64 // fraction of the requests served in time that is sampled, from 0 to 1
+	// MaxRate limits the traces of requests that were rejected, failed or late, in traces per second. The
+	// burst is the traces of one second, but at least 1 trace. 0 means that such a request is sampled only if
+	// the client samples it.
+	MaxRate float64
 
 	// tokens is the content of a token bucket that limits the rate; a trace takes one token.
 	tokens    float64
