--- a/bench/modes.go
+++ b/bench/modes.go
@@ -11,17 +11,17 @@
 	"winghatch/internal/wal"
 )
 
-// writeExportSettings writes a copy of the settings in file with a usage export to the receiver at the
-// address to. m is the durability and disk the largest size of the log in bytes. It returns the name of the
-// new file.
-func writeExportSettings(file, dir, to string, m wal.SyncMode, disk int) (string, error) {
+// writeExportSettings writes a copy of the settings in file with a usage export to the receiver at
+// addr. maxLogBytes is the largest size of the log. It returns the name of the new file, which is in dir.
+func writeExportSettings(file, dir, addr string, durability wal.SyncMode, maxLogBytes int) (string, error) {
 	f, err := config.Load(file)
 	if err != nil {
 		return "", err
 	}
-	f.StateDirPattern = filepath.Join(dir, "kept-"+m.String()+"-%d")
-	f.UsageExport.URL, f.UsageExport.Durability, f.UsageExport.MaxLogBytes = "http://"+to+"/use", m, disk
-	out := filepath.Join(dir, "export-"+m.String()+".kdl")
+	f.StateDirPattern = filepath.Join(dir, "kept-"+durability.String()+"-%d")
+	f.UsageExport.URL, f.UsageExport.Durability, f.UsageExport.MaxLogBytes =
+		"http://"+addr+"/use", durability, maxLogBytes
+	out := filepath.Join(dir, "export-"+durability.String()+".kdl")
 	return out, os.WriteFile(out, config.Format(f), 0o600)
 }
 
@@ -72,15 +72,15 @@
 
 // These constants define the load under which modes are compared.
 const (
-	modeSessions = 64
-	modeOpen     = 512 // outstanding calls over all sessions
-	modeRounds   = 3   // rounds of each mode
+	modeSessions  = 64
+	modeOpenCalls = 512 // outstanding calls over all sessions
+	modeRounds    = 3   // rounds of each mode
 )
 
 // comparison measures a gateway with the settings of several modes, in turn. The first mode is the baseline
 // of the others.
 type comparison struct {
-	what   string
+	what   string // what the modes vary, for the output
 	modes  []string
 	files  map[string]string // settings files by mode
 	before func(mode string) // called with the mode before each round; may be nil
@@ -134,7 +134,7 @@
 		}
 	}
 	fmt.Printf("%s, %d sessions, %d calls open; quantiles at %.0f calls a second, half of the slowest's most\n\n",
-		m.what, modeSessions, modeOpen, rate)
+		m.what, modeSessions, modeOpenCalls, rate)
 	fmt.Printf("| %s | calls/s | to %s | p50 | p99 |\n| --- | --- | --- | --- | --- |\n", m.what, m.modes[0])
 	for _, mode := range m.modes {
 		got := median(rates[mode])
@@ -153,7 +153,7 @@
 	for range modeRounds {
 		for _, mode := range m.modes {
 			err := m.run(mode, func(c *clientPool) {
-				rates[mode] = append(rates[mode], int64(c.runClosedLoop(modeOpen, warmup, duration)))
+				rates[mode] = append(rates[mode], int64(c.runClosedLoop(modeOpenCalls, warmup, duration)))
 			})
 			if err != nil {
 				return nil, err
--- a/bench/sessions.go
+++ b/bench/sessions.go
@@ -41,14 +41,15 @@
 	return nil
 }
 
-// growthOpen is the number of outstanding calls over all sessions, for any number of sessions.
-const growthOpen = 512
+// growthOpenCalls is the number of outstanding calls over all sessions, for any number of sessions.
+const growthOpenCalls = 512
 
 // measureGrowth prints the calls per second for growing numbers of sessions. It measures the relay as well as
 // the gateway: a loss that both have is caused by the sockets and not by the decisions.
 func measureGrowth(file string, warmup, duration time.Duration) error {
 	fmt.Printf("calls a second as sessions grow, %d calls open\n\n"+
-		"| sessions | gateway | to the first | relay | to the first |\n| --- | --- | --- | --- | --- |\n", growthOpen)
+		"| sessions | gateway | to the first | relay | to the first |\n| --- | --- | --- | --- | --- |\n",
+		growthOpenCalls)
 	first := map[string]float64{}
 	for _, n := range []int{10, 100, 1000, 10000} {
 		row := fmt.Sprintf("| %d |", n)
@@ -61,7 +62,7 @@
 			if err != nil {
 				return err
 			}
-			rate := c.runClosedLoop(growthOpen, warmup, duration/2)
+			rate := c.runClosedLoop(growthOpenCalls, warmup, duration/2)
 			c.close()
 			p.stop()
 			if first[name] == 0 {
--- a/bench/throughput.go
+++ b/bench/throughput.go
@@ -9,9 +9,9 @@
 // These constants define the load of the throughput table. The paths are measured in turn in several rounds,
 // so that other load on the machine affects all of them alike.
 const (
-	throughputSessions = 64
-	throughputOpen     = 512 // outstanding calls over all sessions
-	throughputRounds   = 3
+	throughputSessions  = 64
+	throughputOpenCalls = 512 // outstanding calls over all sessions
+	throughputRounds    = 3
 )
 
 // latencyQuantiles lists the quantiles in the table, in percent.
@@ -83,7 +83,7 @@
 		return err
 	}
 	began := time.Now()
-	rate := c.runClosedLoop(throughputOpen, warmup, duration)
+	rate := c.runClosedLoop(throughputOpenCalls, warmup, duration)
 	took := time.Since(began)
 	after, err := p.usage()
 	if err != nil {
@@ -124,7 +124,7 @@
 func printThroughput(results map[string]*throughputResult, rate float64) {
 	fmt.Printf("calls a second, %d sessions, %d calls open; "+
 		"added time at %.0f calls a second, %.2f of the gateway's most\n\n",
-		throughputSessions, throughputOpen, rate, *load)
+		throughputSessions, throughputOpenCalls, rate, *load)
 	fmt.Println("| path | calls/s | to relay | CPU a call | p50 | p99 | p99.9 | added p50 | p99 | p99.9 |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 	for _, name := range paths {
--- a/cmd/winghatch/scenario.go
+++ b/cmd/winghatch/scenario.go
@@ -88,8 +88,10 @@
 		res.Verdict.RulesKept(), rules)
 }
 
-// percent formats n as a percentage of the total of.
-func percent(n, of int64) string { return fmt.Sprintf("%.1f%%", 100*float64(n)/max(1, float64(of))) }
+// percent formats n as a percentage of total. It returns "0.0%" if both are 0.
+func percent(n, total int64) string {
+	return fmt.Sprintf("%.1f%%", 100*float64(n)/max(1, float64(total)))
+}
 
 // latency returns a quantile, in percent, of the latencies of served requests.
 func latency(res *scenario.Result, quantile float64) time.Duration {
