--- a/bench/load.go
+++ b/bench/load.go
@@ -93,7 +93,8 @@
 		now := time.Now().UnixNano()
 		messages, _, _ := jsonrpc.Parse(data, 1)
 		for _, message := range messages {
-			if message.Err != nil && c.recording.Load() { // until it has seen responses, the core sheds load
+			// Errors during the warm-up do not count: the core sheds load until it has seen responses.
+			if message.Err != nil && c.recording.Load() {
 				c.failed.Add(1)
 			}
 			_, at, _ := strings.Cut(strings.Trim(string(message.ID), `"`), ".")
--- a/bench/process.go
+++ b/bench/process.go
@@ -63,7 +63,7 @@
 // processUsage is the resource usage that a measured process reports, as JSON.
 type processUsage struct {
 	CPU             time.Duration // user and system time since the start
-	Heap            uint64        // bytes of heap and stacks in use, collected unless profiled
+	Heap            uint64        // bytes of heap and stacks, after a garbage collection unless profiled
 	DecideShare     float64       // fraction of the CPU time spent in package decide
 	SchedulingDelay time.Duration // 99th percentile of a ready goroutine's wait for a processor
 	GCPause         time.Duration // 99th percentile of the pauses of the garbage collector
--- a/internal/invariant/answers.go
+++ b/internal/invariant/answers.go
@@ -71,8 +71,11 @@
 		case len(call.answers) == 1:
 			c.checkAnswer(call, call.answers[0], name)
 		case call.neverWritten, ended && c.excusedBySessionEnd(call, end):
+			// The gateway did not read the call, or the client did not wait for the answer.
 		case c.killedDuring(call.Gateway, call.At, c.answerDueAt(call)):
+			// A gateway that is killed loses its requests.
 		case c.answerDueAfterScenario(call):
+			// The answer may have come after the last record.
 		default:
 			c.addViolation(ruleAnswers, call.Deadline, "%s has no final answer", name)
 		}
--- a/internal/invariant/record.go
+++ b/internal/invariant/record.go
@@ -41,12 +41,12 @@
 	At      time.Duration `json:"t"`
 	Kind    Kind          `json:"k"`
 	Gateway int           `json:"g,omitempty"` // rank of the gateway, where it is known
-	Session string        `json:"s,omitempty"`
+	Session string        `json:"s,omitempty"` // name of the client's session, unique in the scenario
 	// CallID is the ID that the client gave the call. The request that a server reads contains it too.
 	CallID  string  `json:"try,omitempty"`
-	Request string  `json:"req,omitempty"` // ID that the gateway gave the request
-	Attempt int     `json:"n,omitempty"`   // index of the attempt within its request, from 0
-	Server  string  `json:"node,omitempty"`
+	Request string  `json:"req,omitempty"`  // ID that the gateway gave the request
+	Attempt int     `json:"n,omitempty"`    // index of the attempt within its request, from 0
+	Server  string  `json:"node,omitempty"` // address of the server
 	Zone    string  `json:"zone,omitempty"`
 	Cell    int     `json:"cell,omitempty"`
 	Member  string  `json:"m,omitempty"` // name of the customer
--- a/internal/invariant/usage.go
+++ b/internal/invariant/usage.go
@@ -33,6 +33,15 @@
 	violationsByKind map[string]int // number of violations, with those that Violations omits
 }
 
+// addViolation counts a violation and lists it unless enough of its kind are listed. The kinds are:
+//
+//   - data: the data of an event cannot be decoded
+//   - missing: an attempt that reached a server is not exported
+//   - number: an event number is invalid, missing or used twice
+//   - orphan: an attempt is exported as left by an ended incarnation although no gateway was killed
+//   - size: an attempt is exported with units other than those of the server's records
+//   - twice: an attempt is exported more than once
+//   - unseen: an attempt is exported although the server rejected it
 func (u *UsageResult) addViolation(kind, format string, args ...any) {
 	if u.violationsByKind == nil {
 		u.violationsByKind = map[string]int{}
