--- a/bench/modes.go
+++ b/bench/modes.go
@@ -133,7 +133,8 @@
 			}
 		}
 	}
-	fmt.Printf("%s, %d sessions, %d calls open; quantiles at %.0f calls a second, half of the slowest's most\n\n",
+	fmt.Printf(
+		"%s, %d sessions, %d calls open; quantiles at %.0f calls a second, half of the slowest's most\n\n",
 		m.what, modeSessions, modeOpenCalls, rate)
 	fmt.Printf("| %s | calls/s | to %s | p50 | p99 |\n| --- | --- | --- | --- | --- |\n", m.what, m.modes[0])
 	for _, mode := range m.modes {
--- a/bench/outage.go
+++ b/bench/outage.go
@@ -42,8 +42,10 @@
 		return err
 	}
 	defer p.stop()
-	fmt.Printf("%.0f calls a second, the receiver down from the second row on and back before the last\n\n", rate)
-	fmt.Println("| after | heap and stacks | log on disk | calls served | p99 |\n| --- | --- | --- | --- | --- |")
+	fmt.Printf(
+		"%.0f calls a second, the receiver down from the second row on and back before the last\n\n", rate)
+	fmt.Println(
+		"| after | heap and stacks | log on disk | calls served | p99 |\n| --- | --- | --- | --- | --- |")
 	o := &outageRun{process: p, rate: rate, logDir: filepath.Join(dir, "kept-interval-0"), began: time.Now()}
 	if err := o.row(time.Second, 3*time.Second); err != nil {
 		return err
--- a/cmd/standin/client.go
+++ b/cmd/standin/client.go
@@ -85,7 +85,8 @@
 
 // printStats prints one line with the totals so far.
 func printStats(s client.Stats) {
-	fmt.Printf("requests %d  served %d  rejected %d %v  failed %d  lost %d  unreachable %d  p50 %dus  p99 %dus\n",
+	fmt.Printf(
+		"requests %d  served %d  rejected %d %v  failed %d  lost %d  unreachable %d  p50 %dus  p99 %dus\n",
 		s.Requests, s.Served, s.Rejected, s.Reasons, s.Failed, s.Lost, s.Unreachable,
 		s.Latency.ValueAtQuantile(50), s.Latency.ValueAtQuantile(99))
 }
--- a/cmd/winghatch/state.go
+++ b/cmd/winghatch/state.go
@@ -75,7 +75,8 @@
 		decide.Draining: "draining",
 		decide.Removed:  "gone",
 	}
-	fmt.Fprintln(w, "\nserver\tzone\tstate\tin flight\torphaned\tslowness\tfailure ratio\tslow start left\twarm-up budget")
+	fmt.Fprintln(w,
+		"\nserver\tzone\tstate\tin flight\torphaned\tslowness\tfailure ratio\tslow start left\twarm-up budget")
 	for _, v := range s.Core.Servers {
 		slowStart, budget := "-", "-"
 		if v.SlowStartRemaining > 0 {
--- a/internal/config/blocks.go
+++ b/internal/config/blocks.go
@@ -69,6 +69,8 @@
 	}
 }
 
+// secret returns a function that reads the secret of the fleet. Its error contains the length of the value
+// but not the value, which may be a secret with a typing error.
 func (d *decoder) secret(to *credentials.Secret) func(decode.Setting) {
 	return func(s decode.Setting) {
 		raw, err := hex.DecodeString(s.Value.Text)
--- a/internal/config/decode/decode.go
+++ b/internal/config/decode/decode.go
@@ -128,7 +128,7 @@
 		if _, ok := f[c.Name]; ok && (len(c.Args) != 1 || len(c.Props) > 0 || len(c.Children) > 0) {
 			d.Fail(c.Pos, join(at, c.Name), "%d values, want exactly one and no properties or children",
 				len(c.Args))
-			seen[c.Name] = c.Pos
+			seen[c.Name] = c.Pos // so that it is not reported as missing too
 			continue
 		}
 		v := kdl.Value{Pos: c.Pos}
--- a/internal/invariant/usage.go
+++ b/internal/invariant/usage.go
@@ -38,7 +38,7 @@
 //   - data: the data of an event cannot be decoded
 //   - missing: an attempt that reached a server is not exported
 //   - number: an event number is invalid, missing or used twice
-//   - orphan: an attempt is exported as left by an ended incarnation although no gateway was killed
+//   - orphan: an attempt is exported as left by an ended incarnation although its gateway was not killed
 //   - size: an attempt is exported with units other than those of the server's records
 //   - twice: an attempt is exported more than once
 //   - unseen: an attempt is exported although the server rejected it
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -120,7 +120,7 @@
 		options:     o,
 		ctx:         ctx,
 		log:         log,
-		rng:         rand.New(rand.NewPCG(uint64(o.Seed), 3)),
+		rng:         rand.New(rand.NewPCG(uint64(o.Seed), 3)), // servers, client and relays use 1, 2 and 4
 		dedupStores: map[string]*backend.DedupStore{},
 	}
 }
