--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -1,7 +1,8 @@
-// Package platform runs a gateway on the platform ("winghatch serve"). It reads the configuration file,
-// connects the gateway's loop to the frontend, the pool of server connections, the discovery watch and the
-// gossip transport, keeps the process within its limits and handles the platform's signals. It makes no
-// decisions about requests.
+// Package platform runs a gateway as a process ("winghatch serve") on the hosting platform, which writes the
+// configuration file, runs the discovery service, limits the resources of the process and sends it signals.
+// The package reads the configuration file, connects the gateway's loop to the frontend, the pool of server
+// connections, the discovery watch and the gossip transport, keeps the process within its limits and handles
+// the platform's signals. It makes no decisions about requests.
 //
 // Files:
 //   - config.go reads the configuration
@@ -30,8 +31,8 @@
 type Config struct {
 	Name      string // name of this gateway, for the log
 	Listen    string // host:port for clients
-	Discovery string // host:port of discovery
-	Seed      int64  // seed of the core's random numbers
+	Discovery string // host:port of the discovery service, which lists the servers
+	Seed      int64  // seed of the random numbers of package decide
 
 	// Limits of the process; 0 means not set.
 	Cores    float64 // CPU cores; only logged
@@ -146,7 +147,7 @@
 	return nil
 }
 
-// parseSeed parses hex digits. An empty text gives 0.
+// parseSeed parses a seed of up to 64 bits in hex digits. It returns 0 for an empty text.
 func parseSeed(text string) (int64, error) {
 	if text == "" {
 		return 0, nil
--- a/internal/platform/drain.go
+++ b/internal/platform/drain.go
@@ -2,8 +2,9 @@
 
 import "time"
 
-// The platform ends a process with SIGTERM and later SIGKILL. Between the two it waits at least for the
-// longest deadline of any class, but not more than maxKillDeadline, plus killGrace.
+// The platform ends a process with SIGTERM, and later with SIGKILL if the process still runs. Between the two
+// it waits at least for killGrace plus the longest deadline of any class. Of a deadline that is longer than
+// maxKillDeadline, only maxKillDeadline counts.
 const (
 	killGrace       = 700 * time.Millisecond
 	maxKillDeadline = 3 * time.Second
@@ -19,7 +20,8 @@
 	answerMargin = 250 * time.Millisecond
 	// exitMargin is the time before the earliest SIGKILL at which the process stops waiting and exits.
 	exitMargin = 50 * time.Millisecond
-	// drainPollInterval is the interval between two checks whether all requests and connections have ended.
+	// drainPollInterval is the interval between two checks of whether all requests and connections have
+	// ended.
 	drainPollInterval = 5 * time.Millisecond
 )
 
@@ -34,8 +36,10 @@
 }
 
 // Drain shuts the gateway down gracefully after a SIGTERM at the given time. It accepts connections for
-// acceptGrace after SIGTERM, answers all requests that it has read before the process may be killed, and
-// stops the gateway.
+// acceptGrace after SIGTERM and then waits for the open requests and the client connections to end. Requests
+// that are still open answerMargin before the earliest SIGKILL are answered as failed, because a client whose
+// process is killed gets no response at all. Drain stops the gateway as soon as all connections have ended,
+// at the latest exitMargin before the earliest SIGKILL.
 func (g *Gateway) Drain(terminatedAt time.Time) {
 	kill := g.earliestKill(terminatedAt)
 	g.frontend.Drain()
--- a/internal/platform/gateway.go
+++ b/internal/platform/gateway.go
@@ -23,8 +23,8 @@
 	// defaultIdleTimeout is the idle timeout of servers if the settings contain none.
 	defaultIdleTimeout = 30 * time.Second
 	// idleTimeoutShare is the idle timeout of the connection pool as a fraction of the servers' idle timeout.
-	// It is less than 1 because an attempt is lost if the server closes the connection while the attempt is
-	// being written.
+	// It is less than 1, so that the pool closes an idle connection before the server does. An attempt is
+	// lost if the server closes the connection while the attempt is being written.
 	idleTimeoutShare = 0.75
 	// defaultDialTimeout is the time to connect to a server if the settings contain none.
 	defaultDialTimeout = time.Second
@@ -83,7 +83,7 @@
 	list := &endpointList{gateway: g, clock: clock, startTimes: newStartTimes(c)}
 	g.watch = discoveryhttp.New(c.Discovery, discoveryhttp.Options{Log: log, OnList: list.receive})
 	g.frontend = frontendhttp.New(frontendhttp.NewRules(&c.Decide), g.loop,
-		frontendhttp.Options{MaxConns: c.maxClientConns(), MaxBodyBytes: c.maxBodyBytes()},
+		frontendhttp.Options{MaxConns: c.maxClientConns(), MaxBodyBytes: c.maxTotalBodyBytes()},
 		clock.Now, g.Ready, log)
 	g.run(list)
 	log.Info("Gateway started", "name", c.Name, "listen", g.ln.Addr().String(),
@@ -136,7 +136,7 @@
 		MaxConns:          c.maxServerConns(),
 		IdleTimeout:       time.Duration(idleTimeoutShare * float64(serverIdleTimeout)),
 		MaxBodyBytes:      maxResponseBytes,
-		MaxTotalBodyBytes: c.maxBodyBytes(),
+		MaxTotalBodyBytes: c.maxTotalBodyBytes(),
 		MaxUnits:          c.Decide.MaxUnits,
 		LoadReportName:    settings.LoadReportField,
 	})
@@ -158,9 +158,9 @@
 	g.watch.SetAddr(addr)
 }
 
-// Stop ends the gateway immediately; Drain ends it gracefully. The order prevents any part from waiting for
-// one that has already stopped: first the frontend, then gossip, then the loop, and last the connections that
-// carry its attempts.
+// Stop ends the gateway immediately; Drain ends it gracefully. The parts stop in an order in which no part
+// waits for one that has already stopped: first the frontend, then gossip, then the loop, and last the
+// connections to servers, which carry the attempts of the loop.
 func (g *Gateway) Stop() {
 	g.stop()
 	g.ln.Close()
@@ -198,7 +198,7 @@
 
 // apply updates the pool and then the loop. The pool is updated directly instead of through the loop's queue,
 // so that nothing is written to a draining server even if the loop sends to it before it has processed the
-// update.
+// update. silence is the same as in receive, and 0 for the last known list.
 func (e *endpointList) apply(list *discoveryhttp.List, kind decide.UpdateKind, silence time.Duration) {
 	e.gateway.pool.Update(list.Servers(), kind != decide.DeltaUpdate)
 	e.gateway.loop.UpdateEndpoints(e.startTimes.Update(list, kind, e.clock.Now(), silence))
--- a/internal/platform/limits.go
+++ b/internal/platform/limits.go
@@ -6,8 +6,8 @@
 	"runtime/debug"
 )
 
-// File descriptors. Some descriptors of the limit are reserved for the process itself. The rest is divided
-// between connections of clients and connections to servers.
+// Division of the limit on file descriptors. reservedSockets are kept for the process itself, and the rest is
+// divided between connections of clients and connections to servers.
 const (
 	minSockets      = 64   // smallest limit that a configuration may set
 	defaultSockets  = 1024 // limit if the configuration sets none
@@ -15,7 +15,7 @@
 	clientShare     = 0.5  // fraction of the rest that client connections may use
 )
 
-// Memory.
+// Division of the limit on memory.
 const (
 	defaultMemoryMB = 64 // limit in MiB if the configuration sets none
 	// memoryTargetShare is the fraction of the memory limit that becomes the soft limit of the Go runtime.
@@ -54,8 +54,8 @@
 	return float64(cmp.Or(c.Sockets, defaultSockets) - reservedSockets)
 }
 
-// maxBodyBytes returns the limit on the total size of all request bodies, which also applies to all response
-// bodies.
-func (c *Config) maxBodyBytes() int64 {
+// maxTotalBodyBytes returns the limit on the total size of all request bodies. The same limit applies to all
+// response bodies.
+func (c *Config) maxTotalBodyBytes() int64 {
 	return int64(bodyMemoryShare * float64(cmp.Or(c.MemoryMB, defaultMemoryMB)) * (1 << 20))
 }
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -29,7 +29,7 @@
 type reloader struct {
 	file           string
 	windowEnd      time.Time // end of reloadWindow after the last signal
-	lastLoadFailed bool      // whether the last load failed
+	lastLoadFailed bool
 
 	// Attributes of the file at the last load.
 	modTime time.Time
--- a/internal/platform/settings/document.go
+++ b/internal/platform/settings/document.go
@@ -26,6 +26,7 @@
 	Telemetry      struct{ How string }
 }
 
+// class is an element of Classes.
 type class struct {
 	Name, Effect, Group               string
 	AimNs, GiveUpNs, WindowNs         int64
@@ -33,6 +34,7 @@
 	Stream                            bool
 }
 
+// tier is an element of TiersOfService. Package decide calls it a plan.
 type tier struct {
 	Name                                     string
 	Refill, MostAtOnce                       float64
@@ -41,6 +43,7 @@
 	Pays, BeyondEarns, ExcessCost            float64
 }
 
+// extra is the value of Extra. It holds the settings of gossip, units and usage reports.
 type extra struct {
 	CostAfter            bool
 	PeerIntake, UnitsTop float64
@@ -52,6 +55,7 @@
 	CountWaitNs  int64
 }
 
+// limits is the value of Limits.
 type limits struct {
 	SendCap, OpenCap                              int
 	ParallelTries, MayCancel, Peers, RetryAfter   bool
@@ -60,6 +64,7 @@
 	Probes bool // decoded only to check its type
 }
 
+// safety is the value of Safety.
 type safety struct {
 	AnswerSlackNs, DrainGraceNs, ColdNs, FallNs int64
 	ColdFrom, FallMultiple                      float64
@@ -98,6 +103,8 @@
 	}
 }
 
+// convert returns the limits for package decide. OpenCap and ConnIdleNs are not among them, see
+// [ConnectionLimits].
 func (l *limits) convert() decide.Limits {
 	return decide.Limits{
 		MaxAttempts:    l.SendCap,
@@ -110,6 +117,7 @@
 	}
 }
 
+// convert returns the safety settings for package decide.
 func (s *safety) convert() decide.Safety {
 	return decide.Safety{
 		AnswerSlack:       time.Duration(s.AnswerSlackNs),
@@ -138,6 +146,7 @@
 	}
 }
 
+// convert returns the plan for package decide.
 func (t *tier) convert() decide.Plan {
 	return decide.Plan{
 		Name:           t.Name,
--- a/internal/platform/settings/key.go
+++ b/internal/platform/settings/key.go
@@ -36,6 +36,7 @@
 	"Plans[].OverQuotaCost":      "TiersOfService[].ExcessCost",
 }
 
+// indexPattern matches the index of a class or plan in a field.
 var indexPattern = regexp.MustCompile(`\[\d+\]`)
 
 // Validate checks a configuration that [Parse] returned. Errors name the platform's key instead of the field
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -48,7 +48,8 @@
 	return err
 }
 
-// check rejects negative timeouts of connections. Validate checks the other numbers.
+// check rejects negative timeouts of connections. [Validate] does not check them, because no decision of
+// package decide depends on them.
 func (l *limits) check() error {
 	if l.ConnIdleNs < 0 {
 		return fmt.Errorf("Limits.ConnIdleNs is %d, want 0 or more", l.ConnIdleNs)
--- a/internal/platform/signals.go
+++ b/internal/platform/signals.go
@@ -24,7 +24,7 @@
 }
 
 // Wait handles signals until the gateway has stopped. SIGHUP reloads the configuration file; SIGTERM and
-// SIGINT shut the gateway down gracefully.
+// SIGINT shut the gateway down gracefully. file is the path of the configuration file.
 func (g *Gateway) Wait(file string, s Signals) {
 	r := reloader{file: file}
 	poll := time.NewTicker(reloadPollInterval)
--- a/internal/platform/status.go
+++ b/internal/platform/status.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// classSummaries returns the name, latency objective and deadline of each class for the log. Deployments
-// differ in them.
+// classSummaries returns the name, latency objective and deadline of each class. They are logged because they
+// differ between deployments.
 func classSummaries(c *Config) (summaries []string) {
 	for _, class := range c.Decide.Classes {
 		summaries = append(summaries,
