--- a/internal/frontend/connlimit/connlimit.go
+++ b/internal/frontend/connlimit/connlimit.go
@@ -140,8 +140,8 @@
 			if overdue < 0 {
 				break
 			}
-			// Unread bytes are the next request of an idle connection, or may complete the request of another
-			// one.
+			// The unread bytes of an idle connection are its next request. Those of a silent or reading
+			// connection may complete its request.
 			if unread(e.id) && (e.state == idle || overdue < requestGrace) {
 				continue
 			}
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -19,10 +19,10 @@
 	Failed               // the request may have had an effect
 )
 
-// String returns the name of the kind in logs, metrics and traces.
+// String returns the name of the kind in logs, metrics and traces. The name of Rejected is "refused".
 func (k Kind) String() string { return [...]string{"served", "refused", "failed"}[k] }
 
-// Response is the only final response to a [Request].
+// Response is the final response to a [Request]. Each request gets at most one.
 type Response struct {
 	Kind       Kind
 	Body       json.RawMessage // body of a served response
@@ -43,7 +43,7 @@
 	FirstGateway   int             // rank of the first gateway that serves the customer
 	GatewayCount   int             // number of gateways that serve the customer, starting with FirstGateway
 	IsRetry        bool            // whether the client has sent the request before
-	Mutates        bool            // whether the client or the class declares an effect; informational only
+	Mutates        bool            // whether the client or the class declares an effect; no decision uses it
 	Reserved       bool            // whether the request uses units that were reserved for its customer
 	TraceParent    string          // W3C Trace Context; empty: none
 	Payload        json.RawMessage // content for servers that use JSON-RPC
--- a/internal/frontend/http/close.go
+++ b/internal/frontend/http/close.go
@@ -8,7 +8,7 @@
 
 const (
 	lingerTimeout  = 300 * time.Millisecond // time for the client to read the last response and close
-	maxLingerBytes = 256 << 10              // bytes read and dropped during this time
+	maxLingerBytes = 256 << 10              // largest number of bytes read and dropped during lingerTimeout
 )
 
 // closeInactive ends a connection without an open request. If a byte of a request has arrived, it first
--- a/internal/frontend/http/conn.go
+++ b/internal/frontend/http/conn.go
@@ -42,8 +42,8 @@
 
 	// Guarded by Server.mu:
 	phase phase
-	// requestStarted says whether a byte of the request being read, or while a request is open of the next
-	// one, has been read.
+	// requestStarted says whether a byte of the next request has been read. While a request is open, the
+	// next request is the one after it.
 	requestStarted     bool
 	requestID          string        // ID of the open request in the core; empty: no request is open
 	txn                string        // X-Txn of the open request
@@ -129,6 +129,7 @@
 			return false
 		}
 	}
+	// A client that has already sent part of the body needs no 100 Continue (RFC 9110, section 10.1.1).
 	if httpRequest.ExpectContinue && c.reader.Buffered() == 0 {
 		c.writeInterim([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 	}
@@ -142,6 +143,8 @@
 		c.rejectRequest(err)
 		return false
 	}
+	// The ID contains the connection, because another connection may use the same X-Txn as soon as this
+	// client has disconnected, while the core still holds this request.
 	request.ID = strconv.FormatUint(uint64(c.id), 36) + "-" + parsed.txn
 	request.EncodeAttempt = func(_ int, left time.Duration) []byte { return parsed.encode(left) }
 	request.Done = func(r frontend.Response) { c.respond(request.ID, r) }
--- a/internal/frontend/http/pipeline.go
+++ b/internal/frontend/http/pipeline.go
@@ -16,8 +16,8 @@
 	// detect when the client closes the connection.
 	maxDroppedBytes   = 64 << 20
 	pipelineReadBytes = 16 << 10 // size of one read
-	// peekInterval is the interval between two checks whether a client whose bytes are no longer read has
-	// closed the connection.
+	// peekInterval is the interval between two checks of whether a client whose bytes are no longer read has
+	// closed its connection.
 	peekInterval = 50 * time.Millisecond
 )
 
@@ -66,8 +66,9 @@
 func (c *conn) hasPipelined() bool { return c.reader.Buffered() > 0 || c.pipeline.bytes > 0 }
 
 // awaitResponse waits until the connection can process its next request. It returns false if the connection
-// ends. While a request is open, the reader must notice when the client closes the connection. It therefore
-// reads and buffers bytes that arrive in front of the close.
+// ends. While a request is open, the reader must notice when the client closes the connection, because no
+// further attempts may be made for that client. Bytes that arrive before the close would hide it, so the
+// reader reads and buffers them.
 func (c *conn) awaitResponse() bool {
 	s := c.server
 	s.mu.Lock()
--- a/internal/frontend/http/read.go
+++ b/internal/frontend/http/read.go
@@ -61,8 +61,8 @@
 	return c.clientGone
 }
 
-// reserveBody reserves n bytes of Server.maxBodyBytes for the body of a request and reports whether they were
-// available. Without this bound, hundreds of large bodies at once would exceed the memory limit of the
+// reserveBody reserves n bytes of Server.maxTotalBodyBytes for the body of a request and reports whether they
+// were available. Without this bound, hundreds of large bodies at once would exceed the memory limit of the
 // process.
 func (c *conn) reserveBody(n int) bool {
 	s := c.server
--- a/internal/frontend/http/request.go
+++ b/internal/frontend/http/request.go
@@ -68,6 +68,10 @@
 // receives the request, because an invalid request must neither charge a quota nor make the core keep state
 // for a customer. The remaining time of the request starts at arrivedAt, when its last byte arrived. Errors
 // are of type *http1.Error.
+//
+// X-Txn identifies the request, X-Lane names its class and X-Plan its plan. X-Customer is the customer ID,
+// X-Remaining-Ms the time that the client still waits, and X-Quota the units and the gateways that serve the
+// customer. X-Resent is 1 if the client has sent the request before.
 func (r *Rules) parse(httpRequest *http1.Request, body []byte, arrivedAt time.Duration) (
 	*frontend.Request, *parsedRequest, error) {
 	parsed := &parsedRequest{method: httpRequest.Method, target: httpRequest.Target, body: body}
--- a/internal/frontend/http/request_test.go
+++ b/internal/frontend/http/request_test.go
@@ -154,7 +154,7 @@
 // Guards against hundreds of large bodies at once that exceed the memory limit of the process.
 func TestTotalBodyBytesAreBounded(t *testing.T) {
 	core, s, addr := startServer(t, 40)
-	s.maxBodyBytes = 100 << 10
+	s.maxTotalBodyBytes = 100 << 10
 	large := requestText("POST /api", "Content-Length: 81920") + strings.Repeat("a", 81920)
 	first := dial(t, addr).send(large)
 	call := <-core.submitted
--- a/internal/frontend/http/response.go
+++ b/internal/frontend/http/response.go
@@ -29,6 +29,7 @@
 	s := c.server
 	s.BadRequests.Add(1)
 	s.log.Debug("Request refused", "status", httpErr.Status, "reason", httpErr.Reason)
+	// The response must have an error status, because its client must not take the request for served.
 	status := httpErr.Status
 	if status < http.StatusBadRequest {
 		status = http.StatusBadRequest
--- a/internal/frontend/http/server.go
+++ b/internal/frontend/http/server.go
@@ -39,8 +39,8 @@
 	// core.
 	acceptRetryPause = 10 * time.Millisecond
 	sweepInterval    = 200 * time.Millisecond // interval between two searches for expired connections
-	// lingerDivisor says which part of Options.MaxConns is reserved for lingering connections: one in
-	// lingerDivisor.
+	// lingerDivisor determines the number of connections that are reserved for lingering, which is
+	// Options.MaxConns divided by lingerDivisor.
 	lingerDivisor = 4
 )
 
@@ -85,18 +85,18 @@
 	// single lock makes reads, the selection of connections to close and the writing of responses mutually
 	// exclusive. Otherwise a request could be read after its connection was found inactive but before the
 	// connection is closed, and would be lost. System calls made under mu do not block.
-	mu           sync.Mutex
-	limit        *connlimit.Limiter // tracks all connections that are not closing
-	conns        map[connlimit.ID]*conn
-	openTxns     map[string]struct{} // X-Txn of open requests
-	lastID       connlimit.ID
-	lingering    *list.List // *conn values that are half-closed but not yet closed, the oldest first
-	toClose      []*conn    // connections for unlockAndClose to close
-	bodyBytes    int64      // size of all bodies of open requests and all pipelined bytes
-	maxBodyBytes int64      // limit on bodyBytes; 0: no limit
-	draining     bool       // whether responses to requests end their connections
-	stopping     bool       // whether new requests are rejected
-	closed       bool
+	mu                sync.Mutex
+	limit             *connlimit.Limiter // tracks all connections that are not closing
+	conns             map[connlimit.ID]*conn
+	openTxns          map[string]struct{} // X-Txn of open requests
+	lastID            connlimit.ID
+	lingering         *list.List // *conn values that are half-closed but not yet closed, the oldest first
+	toClose           []*conn    // connections for unlockAndClose to close
+	bodyBytes         int64      // size of all bodies of open requests and all pipelined bytes
+	maxTotalBodyBytes int64      // limit on bodyBytes; 0: no limit
+	draining          bool       // whether responses to requests end their connections
+	stopping          bool       // whether new requests are rejected
+	closed            bool
 
 	wg   sync.WaitGroup // readers of connections and goroutines of writeRemainder
 	quit chan struct{}  // closed by Close to end the sweep
@@ -108,18 +108,18 @@
 	log *slog.Logger) *Server {
 	maxConns := max(2, o.MaxConns)
 	return &Server{
-		rules:        rules,
-		core:         core,
-		clock:        clock,
-		log:          log,
-		ready:        ready,
-		maxConns:     maxConns,
-		limit:        connlimit.New(maxConns - max(1, maxConns/lingerDivisor)),
-		conns:        map[connlimit.ID]*conn{},
-		openTxns:     map[string]struct{}{},
-		lingering:    list.New(),
-		maxBodyBytes: o.MaxBodyBytes,
-		quit:         make(chan struct{}),
+		rules:             rules,
+		core:              core,
+		clock:             clock,
+		log:               log,
+		ready:             ready,
+		maxConns:          maxConns,
+		limit:             connlimit.New(maxConns - max(1, maxConns/lingerDivisor)),
+		conns:             map[connlimit.ID]*conn{},
+		openTxns:          map[string]struct{}{},
+		lingering:         list.New(),
+		maxTotalBodyBytes: o.MaxBodyBytes,
+		quit:              make(chan struct{}),
 	}
 }
 
@@ -139,9 +139,11 @@
 			if raw, err := ln.SyscallConn(); err != nil || !socket.HasPending(raw) {
 				return
 			}
+			// AcceptTCP accepts nothing after the deadline, so a pending connection needs a new deadline.
 			ln.SetDeadline(time.Now().Add(acceptRetryPause))
 		default:
-			// For example EMFILE; the sweep frees descriptors.
+			// With EMFILE, the process is out of descriptors. The sweep frees some by closing expired
+			// connections.
 			s.log.Warn("Accept failed, retrying", "err", err)
 			time.Sleep(acceptRetryPause)
 		}
@@ -192,12 +194,12 @@
 // unread reports whether the socket of a connection holds unread bytes. The caller holds mu.
 func (s *Server) unread(id connlimit.ID) bool { return s.conns[id].hasUnread() }
 
-// hasBodyRoom reports whether n more bytes fit within maxBodyBytes. The caller holds mu.
+// hasBodyRoom reports whether n more bytes fit within maxTotalBodyBytes. The caller holds mu.
 func (s *Server) hasBodyRoom(n int) bool {
-	return s.maxBodyBytes == 0 || s.bodyBytes+int64(n) <= s.maxBodyBytes
+	return s.maxTotalBodyBytes == 0 || s.bodyBytes+int64(n) <= s.maxTotalBodyBytes
 }
 
-// sweep periodically ends connections that have timed out, until Close.
+// sweep ends the connections that have timed out every sweepInterval until Close is called.
 func (s *Server) sweep() {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
--- a/internal/frontend/websocket/clockskew.go
+++ b/internal/frontend/websocket/clockskew.go
@@ -14,7 +14,7 @@
 // origin is unknown, so the call that arrived fastest counts as having age 0. If the client's clock steps
 // back, the estimate starts over.
 type clockSkew struct {
-	known      bool
+	known      bool    // whether minOffset and lastCallMs are set
 	minOffset  float64 // smallest difference between the gateway's and the client's clock, in milliseconds
 	lastCallMs float64 // time of the last call by the client's clock, in milliseconds
 }
--- a/internal/frontend/websocket/params.go
+++ b/internal/frontend/websocket/params.go
@@ -14,8 +14,8 @@
 
 const (
 	maxKeyBytes = 128 // longest idempotency key
-	// maxDeadlineMs keeps a deadline in nanoseconds within an int64. It never takes effect otherwise, because
-	// the deadline of the class is shorter.
+	// maxDeadlineMs limits DeadlineMs, so that the time in nanoseconds does not overflow an int64. It does
+	// not shorten any remaining time, because that is also limited to the shorter deadline of the class.
 	maxDeadlineMs = 1e12
 )
 
--- a/internal/frontend/websocket/server.go
+++ b/internal/frontend/websocket/server.go
@@ -41,25 +41,26 @@
 	minAcceptPause = time.Millisecond
 	maxAcceptPause = time.Second
 
-	limitWriteTimeout = time.Second // timeout of the response to a connection beyond the limit
+	limitWriteTimeout = time.Second // timeout of the response to a connection that is not admitted
 	// After a rejected handshake, the server reads at most rejectLingerBytes for at most rejectLingerTimeout.
 	// The client may still be sending, a close with bytes still unread would reset the connection, and the
 	// client could receive the reset before it has read the response.
 	rejectLingerTimeout = 100 * time.Millisecond
 	rejectLingerBytes   = 64 << 10
 
+	// closeReason is the reason in the close frame of a session that ends because the gateway drains.
 	closeReason = "this gateway stops"
 )
 
 // Reasons for which the frontend rejects a call or a connection. They are visible to operators.
 const (
-	reasonSessionLimit     = "sessions_cap"
-	reasonClosed           = "closed"
-	reasonDraining         = "draining"
-	reasonInFlightLimit    = "session_cap"
-	reasonOpenRequestLimit = "open_cap"
-	reasonUnresponsive     = "silent"
-	reasonHandshakePrefix  = "handshake_" // followed by the HTTP status
+	reasonSessionLimit     = "sessions_cap" // connection at the limit on sessions or while the gateway drains
+	reasonClosed           = "closed"       // call of a session that has ended
+	reasonDraining         = "draining"     // call while the gateway drains
+	reasonInFlightLimit    = "session_cap"  // call at the limit on open calls of a session
+	reasonOpenRequestLimit = "open_cap"     // call at the limit on open requests of the gateway
+	reasonUnresponsive     = "silent"       // session whose client did not respond to pings
+	reasonHandshakePrefix  = "handshake_"   // followed by the HTTP status
 )
 
 // Server is the WebSocket frontend. [New] creates it and Serve starts it. For a graceful shutdown, call Drain
@@ -165,7 +166,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // for example EMFILE
+		if err != nil { // for example EMFILE, if the process is out of descriptors
 			s.log.Warn("Accept failed, retrying", "err", err)
 			time.Sleep(pause)
 			pause = min(2*pause, maxAcceptPause)
--- a/internal/frontend/websocket/server_test.go
+++ b/internal/frontend/websocket/server_test.go
@@ -9,8 +9,8 @@
 	"winghatch/internal/config"
 )
 
-// A signal came while the process started, and Serve began after Drain or Close. It has to return and accept
-// nothing.
+// Guards against a gateway that accepts connections during its shutdown. If a signal arrives while the process
+// starts, Drain or Close may be called before Serve. Serve must then return without accepting connections.
 func TestServeAfterClose(t *testing.T) {
 	for _, stop := range []func(*Server){(*Server).Close, (*Server).Drain} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
