--- a/internal/frontend/websocket/server_test.go
+++ b/internal/frontend/websocket/server_test.go
@@ -9,8 +9,9 @@
 	"winghatch/internal/config"
 )
 
-// Guards against a gateway that accepts connections during its shutdown. If a signal arrives while the process
-// starts, Drain or Close may be called before Serve. Serve must then return without accepting connections.
+// Guards against a gateway that accepts connections during its shutdown. If a signal arrives while the
+// process starts, Drain or Close may be called before Serve. Serve must then return without accepting
+// connections.
 func TestServeAfterClose(t *testing.T) {
 	for _, stop := range []func(*Server){(*Server).Close, (*Server).Drain} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -58,6 +58,8 @@
 	}
 	n := 0
 	for i := range len(s) {
+		// The bit 0x20 turns upper-case letters into lower-case ones, but also the control bytes from 0x10 to
+		// 0x19 into digits. The comparison with '0' rejects these.
 		digit := strings.IndexByte("0123456789abcdef", s[i]|0x20)
 		if s[i] < '0' || digit < 0 || digit >= base {
 			return 0, errorf(http.StatusBadRequest, "length %.20q is no number", s)
@@ -189,7 +191,7 @@
 type chunkedBody struct {
 	r    *Reader
 	left int  // number of bytes of the current chunk not read yet
-	done bool // the last chunk and the trailer fields have been read
+	done bool // whether the last chunk and the trailer fields have been read
 }
 
 func (c *chunkedBody) Read(b []byte) (n int, err error) {
--- a/internal/jsonrpc/member.go
+++ b/internal/jsonrpc/member.go
@@ -26,7 +26,7 @@
 		colon := skipSpace(raw, nameEnd)
 		start := skipSpace(raw, colon+1)
 		end := valueEnd(raw, start)
-		if end > len(raw) || start >= end {
+		if end > len(raw) || start >= end { // raw is not valid JSON
 			return nil
 		}
 		if err := f(name, raw[start:end:end]); err != nil {
--- a/internal/remotewrite/queue/queue.go
+++ b/internal/remotewrite/queue/queue.go
@@ -12,6 +12,7 @@
 )
 
 const (
+	// The backoff starts at minBackoff and doubles with each retry up to maxBackoff.
 	minBackoff    = 50 * time.Millisecond
 	maxBackoff    = 10 * time.Second
 	maxRetryAfter = 2 * time.Minute // upper bound for the Retry-After of a receiver
@@ -22,7 +23,7 @@
 type Item struct {
 	// EnqueuedAt is the time of the call to Enqueue on the monotonic clock of the owner.
 	EnqueuedAt time.Duration
-	// Bytes is the memory that the item uses.
+	// Bytes is the memory that the item uses, in bytes.
 	Bytes int
 	// Data is the sample. The queue does not inspect it.
 	Data any
@@ -30,10 +31,10 @@
 
 // Settings configure a Queue.
 type Settings struct {
-	// MaxItems limits the number of items. It is raised to two batches if it is less.
+	// MaxItems limits the number of items. A value below the size of two batches means two batches.
 	MaxItems int
-	// MaxBytes limits the memory of all items. The items in flight and the newest item are kept even if
-	// they exceed it. Zero means no limit.
+	// MaxBytes limits the memory of all items, in bytes. The items in flight and the newest item are kept
+	// even if they exceed it. Zero or less means no limit.
 	MaxBytes int
 	// BatchSize is the maximum number of items in a batch. Values below 1 mean 1.
 	BatchSize int
@@ -57,7 +58,7 @@
 	Retries uint64
 	// Waiting is the current number of items, including the batch in flight.
 	Waiting int
-	// WaitingBytes is the memory of the items in Waiting.
+	// WaitingBytes is the memory of the items in Waiting, in bytes.
 	WaitingBytes int
 	// Backoff is the current backoff before jitter. It is zero after a batch was accepted or rejected.
 	Backoff time.Duration
@@ -71,13 +72,14 @@
 	bytes    int    // sum of Item.Bytes over items
 	inFlight int    // number of items, at the front, that are being sent
 
-	// A rejected batch is halved until the batch that is rejected has one item, which is dropped.
+	// When a batch is rejected, its first half is sent next. This is repeated until a batch of one item is
+	// rejected, and that item is dropped.
 	batchSize int // Settings.BatchSize, or less after the receiver responded with 413
 	splitSize int // maximum size of the next batch while a rejected batch is being split; 0 means batchSize
 	suspects  int // number of items, at the front, that are left of a rejected batch and may be its bad items
 
-	backoff    time.Duration
-	backingOff bool // set between HandleResponse returning a wait and Resume
+	backoff    time.Duration // current backoff before jitter; 0 after a batch was accepted or rejected
+	backingOff bool          // whether HandleResponse has returned a wait and Resume was not called since
 	counts     Counts
 }
 
@@ -205,6 +207,7 @@
 	return max(wait, min(retryAfter, maxRetryAfter))
 }
 
+// removeFront removes the first n items, which have been accepted or rejected.
 func (q *Queue) removeFront(n int) {
 	for range n {
 		q.remove(0)
--- a/internal/remotewrite/series.go
+++ b/internal/remotewrite/series.go
@@ -40,7 +40,7 @@
 type Exemplar struct {
 	Labels    []Label
 	Value     float64
-	Timestamp int64 // in Unix milliseconds
+	Timestamp int64 // time of the observation in Unix milliseconds
 }
 
 // staleBits is the bit pattern of a Prometheus stale marker, a special NaN.
@@ -52,11 +52,11 @@
 // IsStale reports whether v is the value of a stale marker. Other NaN values are not stale markers.
 func IsStale(v float64) bool { return math.Float64bits(v) == staleBits }
 
-// Estimated memory usage in bytes.
+// Estimates of memory usage in bytes.
 const (
-	sampleBytes    = 64
-	histogramBytes = 200 // of a native histogram without its buckets
-	bucketBytes    = 16  // of each span and each delta
+	sampleBytes    = 64  // size of a sample without its histogram
+	histogramBytes = 200 // size of a native histogram without its buckets
+	bucketBytes    = 16  // size of each span and of each delta of the buckets
 )
 
 // memoryBytes returns the estimated memory usage of the sample in bytes.
--- a/internal/remotewrite/shard.go
+++ b/internal/remotewrite/shard.go
@@ -30,7 +30,7 @@
 	writer *Writer
 	mu     sync.Mutex // guards queue
 	queue  *queue.Queue
-	wake   chan struct{} // receives an element when samples are enqueued or the writer closes
+	wake   chan struct{} // notify sends an element when samples are enqueued or the writer closes
 }
 
 // notify wakes the goroutine in run so that it checks the queue. It never blocks.
@@ -67,6 +67,7 @@
 	}
 }
 
+// nextBatch returns the samples to send now. It returns an empty batch if there are none.
 func (s *shard) nextBatch() []*Sample {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,11 +79,13 @@
 	return batch
 }
 
+// logVerdict logs rejected samples. It also switches the writer to remote write 1.0 if the receiver does not
+// support 2.0, and logs that once.
 func (s *shard) logVerdict(v queue.Verdict, reason string, samples int) {
 	log := s.writer.options.Log
 	switch v {
 	case queue.Downgrade:
-		if !s.writer.versionOne.Swap(true) {
+		if !s.writer.useV1.Swap(true) {
 			log.Warn("Receiver supports only remote write 1.0", "reason", reason)
 		}
 	case queue.Rejected:
@@ -90,6 +93,7 @@
 	}
 }
 
+// backOff waits for the given time, or until the context ends, and then resumes the queue.
 func (s *shard) backOff(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -105,9 +109,9 @@
 // send sends one batch in the protocol version that the receiver accepts. The second result is the reason
 // why the batch was not accepted, or empty if it was.
 func (w *Writer) send(ctx context.Context, batch []*Sample) (queue.Response, string) {
-	versionOne := w.versionOne.Load()
+	useV1 := w.useV1.Load()
 	encode, contentType, version := encodeV2, contentTypeV2, versionV2
-	if versionOne {
+	if useV1 {
 		encode, contentType, version = encodeV1, contentTypeV1, versionV1
 	}
 	raw, err := encode(batch)
@@ -126,7 +130,7 @@
 	return queue.Response{
 		Status:   res.Status,
 		BodySent: res.BodySent,
-		SentV2:   !versionOne,
+		SentV2:   !useV1,
 		HasWrittenHeaders: res.Header.Get(headerSamplesWritten) != "" ||
 			res.Header.Get(headerHistogramsWritten) != "",
 		RetryAfter: res.RetryAfter,
--- a/internal/remotewrite/writer.go
+++ b/internal/remotewrite/writer.go
@@ -63,8 +63,8 @@
 	converter     converter // only used by the goroutine that calls Run
 	shards        []*shard
 	client        http.Client
-	versionOne    atomic.Bool // send remote write 1.0: configured, or the receiver does not support 2.0
-	closing       atomic.Bool // the last samples have been enqueued
+	useV1         atomic.Bool // send remote write 1.0, because of ForceV1 or a receiver that lacks 2.0
+	closing       atomic.Bool // whether the last samples have been enqueued
 	startedAt     time.Time   // origin of the times that are passed to the queues
 	lastTimestamp int64       // timestamp of the last samples, in Unix milliseconds
 }
@@ -81,7 +81,7 @@
 		createdAt:      o.Now().UnixMilli(),
 		knownSeries:    map[string]*Series{},
 	}
-	w.versionOne.Store(o.ForceV1)
+	w.useV1.Store(o.ForceV1)
 	for i := range shards {
 		settings := queue.Settings{
 			MaxItems:  o.MaxSamples / shards,
--- a/internal/remotewrite/writer_test.go
+++ b/internal/remotewrite/writer_test.go
@@ -84,9 +84,9 @@
 // before the writer stops. Without a final stale marker, a receiver would show the series of a stopped
 // gateway for minutes.
 func TestBothProtocolVersions(t *testing.T) {
-	for _, versionOne := range []bool{false, true} {
+	for _, forceV1 := range []bool{false, true} {
 		r := newFixture(t, func(o *remotewrite.Options, _ *metricsreceiver.Fault) {
-			o.ForceV1 = versionOne
+			o.ForceV1 = forceV1
 		})
 		for i := range 100 {
 			r.hist.Observe(float64(i))
@@ -107,7 +107,7 @@
 		if x := h[len(h)-2]; !x.IsHistogram || x.Count != 100 || x.Sum != 4950 {
 			t.Errorf("got %+v, want a histogram with count 100 and sum 4950", x)
 		}
-		want := map[bool]string{false: "2.0.0", true: "0.1.0"}[versionOne]
+		want := map[bool]string{false: "2.0.0", true: "0.1.0"}[forceV1]
 		if r.recv.Batches[want] == 0 || len(r.recv.Batches) != 1 || r.recv.OutOfOrder > 0 {
 			t.Errorf("batches by version %v and %d samples out of order, want one version and none",
 				r.recv.Batches, r.recv.OutOfOrder)
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,6 +1,6 @@
 // Package socket provides operations on sockets that package net lacks: non-blocking reads and writes,
-// peeking at received data, and retries of system calls that failed with a transient error. The frontend
-// and the upstream pools use it.
+// peeking at received data, and retries of system calls that failed with a transient error. The HTTP
+// frontend, the connections to servers, the discovery client and package wsconn use it.
 package socket
 
 import (
@@ -12,8 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// System calls on sockets. Fault injection tests replace them by failing ones before any connection is
-// used.
+// System calls on sockets. Tests that inject faults replace these variables with functions that fail. They
+// must do so before any connection is used.
 var (
 	Write = syscall.Write
 	Read  = syscall.Read
--- a/internal/websocket/closeframe.go
+++ b/internal/websocket/closeframe.go
@@ -50,6 +50,8 @@
 		return protocolErrorf(CodeProtocol, "close frame with half a code")
 	}
 	code, reason := ParseClose(payload)
+	// 1004 is reserved, and 1005, 1006 and 1015 must not be sent. Codes from 3000 to 4999 are for libraries
+	// and applications (section 7.4.2).
 	known := code >= 1000 && code <= 1014 && code != 1004 && code != CodeNoStatus && code != CodeAbnormal
 	if !known && (code < 3000 || code > 4999) {
 		return protocolErrorf(CodeProtocol, "close code %d may not be sent", code)
--- a/internal/websocket/reader.go
+++ b/internal/websocket/reader.go
@@ -33,9 +33,9 @@
 	buf        []byte                  // payload read so far of the current message
 	control    [maxControlPayload]byte // payload of the last control frame
 	opcode     Opcode                  // opcode of the current message
-	inMessage  bool                    // the current message is incomplete
+	inMessage  bool                    // whether the current message is incomplete
 	validator  utf8Validator           // state of the current message if it is a text message
-	closed     bool                    // Next has returned a close frame or an error
+	closed     bool                    // whether Next has returned a close frame or an error
 }
 
 // NewReader returns a Reader for the side of the connection that has the given role. A message of more than
--- a/internal/wsconn/conn.go
+++ b/internal/wsconn/conn.go
@@ -94,18 +94,18 @@
 	role    websocket.Role
 	options Options
 
-	mu          sync.Mutex
+	mu          sync.Mutex // guards the fields from here to closed
 	queue       []outgoing
 	queuedBytes int  // sum of queueSize over queue
-	writing     bool // a writer goroutine is running
-	closing     bool // a close frame is queued or written; no message may follow it
-	readEnded   bool // nothing more is read; the writer closes the socket when the queue is empty
-	closed      bool // the socket is closed
+	writing     bool // whether a writer goroutine is running
+	closing     bool // whether a close frame is queued or written; no message may follow it
+	readEnded   bool // whether reading has ended; the writer then closes the socket once the queue is empty
+	closed      bool // whether the socket is closed
 
 	maskSource *rand.ChaCha8 // generates the masks of a client, otherwise nil; only used by the writer
 
-	received     atomic.Bool // a message or control frame arrived since the last round of PingIdle
-	silentRounds int         // consecutive rounds of PingIdle without one; only used by PingIdle
+	received     atomic.Bool // whether a message or control frame arrived since the last round of PingIdle
+	silentRounds int         // consecutive rounds in which nothing has arrived; only used by PingIdle
 }
 
 // newConn returns a Conn for a connection whose handshake is complete. in reads from nc and may contain
--- a/internal/wsconn/open.go
+++ b/internal/wsconn/open.go
@@ -32,6 +32,7 @@
 	if _, err = nc.Write(request.Bytes()); err == nil {
 		err = request.ReadResponse(in)
 	}
+	// If the context has ended, the connection has the deadline in the past and cannot be used.
 	if !stop() && err == nil {
 		err = ctx.Err()
 	}
--- a/internal/wsconn/writer.go
+++ b/internal/wsconn/writer.go
@@ -22,7 +22,7 @@
 type outgoing struct {
 	opcode      websocket.Opcode
 	data        []byte
-	beforeWrite func() bool // see SendIf
+	beforeWrite func() bool // whether to write the message, see SendIf; nil: always written
 }
 
 // queueSize returns the number of bytes that the message contributes to the size of the queue.
