--- a/internal/frontend/connlimit/connlimit_test.go
+++ b/internal/frontend/connlimit/connlimit_test.go
@@ -7,6 +7,7 @@
 	"pgregory.net/rapid"
 )
 
+// none reports that no connection has unread bytes.
 func none(ID) bool { return false }
 
 // Guards against clients without requests that keep out new ones: they connect and send nothing until the
--- a/internal/frontend/http/pipeline_test.go
+++ b/internal/frontend/http/pipeline_test.go
@@ -33,7 +33,7 @@
 }
 
 // Guards against attempts for clients that have disconnected. A client pipelines requests and closes its
-// connection. The bytes in front of the close must not hide it.
+// connection. The bytes before the close must not hide it.
 func TestDisconnectAfterPipelinedRequestsIsDetected(t *testing.T) {
 	// The numbers fit into the read buffer, fit into the pipeline, and exceed the pipeline.
 	for _, pipelined := range []int{1, 5, 40, 2000} {
--- a/internal/http1/request_test.go
+++ b/internal/http1/request_test.go
@@ -19,12 +19,12 @@
 
 // readMessage reads a request with its body.
 func readMessage(r *Reader) (*Request, []byte, error) {
-	q, err := r.ReadRequest()
+	request, err := r.ReadRequest()
 	if err != nil {
 		return nil, nil, err
 	}
-	body, err := r.ReadBody(q.BodyLength)
-	return q, body, err
+	body, err := r.ReadBody(request.BodyLength)
+	return request, body, err
 }
 
 // goodHead is the head of a valid request without the fields for its body and the empty line.
--- a/internal/platform/gateway_test.go
+++ b/internal/platform/gateway_test.go
@@ -139,6 +139,7 @@
 		io.WriteString(c.nc, text[:len(text)-1])
 		clients = append(clients, c)
 	}
+	// The process is suspended shortly before requestTimeout of package connlimit, which is 2 s.
 	time.Sleep(time.Until(connectedAt.Add(1880 * time.Millisecond)))
 	g.suspend(300*time.Millisecond, func() {
 		for _, c := range clients {
--- a/internal/platform/settings/settings_test.go
+++ b/internal/platform/settings/settings_test.go
@@ -27,6 +27,8 @@
 "Prices":{"CrossZone":33,"Waste":34,"Probe":35,"Peer":36,"LateFail":37},
 "Telemetry":{"How":"probe"}}`
 
+// Guards against a setting that is lost or takes the place of another one. Each key must arrive in its own
+// field of the configuration.
 func TestParse(t *testing.T) {
 	want := decide.Config{
 		Rank:     1,
@@ -126,13 +128,15 @@
 	}
 }
 
+// Guards against load reports that are ignored because servers report figures under other names than package
+// decide uses. Unknown names must remain unchanged.
 func TestLoadReportField(t *testing.T) {
-	for wire, want := range map[string]string{
+	for reported, want := range map[string]string{
 		"outstanding": "inflight", "backlog": "queue", "utilization": "util", "recent_ms": "latency_ms",
 		"throughput": "qps", "errors_per_s": "errors_per_s",
 	} {
-		if got := LoadReportField(wire); got != want {
-			t.Errorf("%s: got %s, want %s", wire, got, want)
+		if got := LoadReportField(reported); got != want {
+			t.Errorf("%s: got %s, want %s", reported, got, want)
 		}
 	}
 }
--- a/internal/platform/soak_test.go
+++ b/internal/platform/soak_test.go
@@ -191,7 +191,7 @@
 		}
 		time.Sleep(time.Duration(rng.IntN(60)) * time.Millisecond)
 		if rng.IntN(40) == 0 {
-			time.Sleep(1900 * time.Millisecond) // nearly the idle timeout of the gateway
+			time.Sleep(1900 * time.Millisecond) // nearly reducedIdleTimeout of package connlimit
 		}
 	}
 	if c != nil {
--- a/internal/platform/testgateway_test.go
+++ b/internal/platform/testgateway_test.go
@@ -262,9 +262,9 @@
 	return ended
 }
 
-// requestFields returns the header fields of a request of class lane.
-func requestFields(txn, lane, plan string) string {
-	return "X-Txn: " + txn + "\r\nX-Lane: " + lane + "\r\nX-Plan: " + plan +
+// requestFields returns the header fields of a request.
+func requestFields(txn, class, plan string) string {
+	return "X-Txn: " + txn + "\r\nX-Lane: " + class + "\r\nX-Plan: " + plan +
 		"\r\nX-Customer: 00000000b4d65521\r\nX-Remaining-Ms: 3900\r\nX-Quota: units=1,spread=1,first=0\r\n"
 }
 
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -20,6 +20,7 @@
 	fatal error // returned by the calls without a transient error; nil means that they succeed
 }
 
+// fail returns the error of the next call, which is a transient error or fatal in turns.
 func (c *flakyConn) fail() error {
 	transient := []error{syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR}
 	c.calls++
