--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -42,7 +42,7 @@
 	request   *openRequest
 	number    int // zero-based
 	server    string
-	startedAt time.Duration
+	startedAt time.Duration  // on the clock of the loop
 	call      *upstream.Call // nil if the attempt was not dispatched
 
 	ended    bool
@@ -51,20 +51,22 @@
 	span     trace.SpanID
 
 	usageID outbox.AttemptID // ID in the usage outbox; 0 if the usage is not exported
-	// awaitingIntent is set while the call is held back because the intent of the attempt is not durable yet.
+	// awaitingIntent is set while the call is held back because the intent of the attempt, the record of the
+	// usage outbox that announces it, is not durable yet.
 	awaitingIntent bool
-	// intentDenied is set if the intent can't be written: the call is never sent, and the result of the
-	// attempt is already in the queue.
+	// intentDenied is set if the intent can't be written and the policy of the outbox forbids attempts
+	// without one: the call is never sent, and the result of the attempt is already in the queue.
 	intentDenied bool
 
 	// The timeout of the attempt, maintained by timers.
-	timeoutAt     time.Duration
-	timerSequence uint64
-	heapIndex     int // position in attemptTimerHeap, counted from 1; 0 if not in the heap
+	timeoutAt     time.Duration // on the clock of the loop
+	timerSequence uint64        // order in which the timeout was set, see timers.sequence
+	heapIndex     int           // position in attemptTimerHeap, counted from 1; 0 if not in the heap
 }
 
-// dispatch starts an attempt. If the attempt can no longer be dispatched, its end is posted to the queue and
-// so handled after the remaining actions of the current event.
+// dispatch starts an attempt. If the attempt can't be dispatched, because its request is finished, no time is
+// left or the request would exceed Limits.MaxAttempts, its end is posted to the queue, so that it is handled
+// after the remaining actions of the current event.
 func (l *Loop) dispatch(action decide.Send) {
 	r := l.requests[action.ID]
 	if r == nil {
--- a/internal/gateway/changejson.go
+++ b/internal/gateway/changejson.go
@@ -14,18 +14,19 @@
 // The types below define the JSON of the control API. Scripts, tools and gateways of other versions depend on
 // the keys, so the keys must not change; TestJSONKeys verifies them.
 
-// changeJSON is a plan change in the form in which operators submit and read it.
+// changeJSON is a plan change in the form in which operators submit and read it. quotaplan.Change documents
+// the fields and the kinds of change that use them.
 type changeJSON struct {
 	Number uint64     `json:"number"`
-	Kind   string     `json:"kind"`
+	Kind   string     `json:"kind"` // see quotaplan.ParseKind
 	Member string     `json:"member,omitempty"`
 	Plan   string     `json:"plan,omitempty"`
-	Terms  *PlanTerms `json:"terms,omitempty"`
-	From   string     `json:"from,omitempty"` // RFC 3339; empty if the change has no start time
-	To     string     `json:"to,omitempty"`   // RFC 3339; empty if the change has no end time
+	Terms  *PlanTerms `json:"terms,omitempty"` // only for quotaplan.Terms
+	From   string     `json:"from,omitempty"`  // RFC 3339; empty if the change has no start time
+	To     string     `json:"to,omitempty"`    // RFC 3339; empty if the change has no end time
 	Units  float64    `json:"units,omitempty"`
-	Rate   float64    `json:"rate,omitempty"` // units per second
-	Target uint64     `json:"target,omitempty"`
+	Rate   float64    `json:"rate,omitempty"`   // units per second
+	Target uint64     `json:"target,omitempty"` // number of the change to cancel or shorten; 0 in other kinds
 }
 
 // History holds the plan changes that a gateway knows.
@@ -39,7 +40,7 @@
 // HistoryEntry is a plan change and its status.
 type HistoryEntry struct {
 	changeJSON
-	Status     string `json:"status"`
+	Status     string `json:"status"`        // value of a quotaplan.Status
 	Reason     string `json:"why,omitempty"` // explains Status; empty if it needs no explanation
 	Gateway    int    `json:"gateway"`       // rank of the gateway that accepted the change
 	AcceptedAt string `json:"taken"`         // RFC 3339
@@ -48,6 +49,8 @@
 // PlanTerms is a plan in the JSON of plan changes. Its keys do not depend on the field names of decide.Plan.
 type PlanTerms struct{ decide.Plan }
 
+// planTermsJSON defines the JSON keys of PlanTerms. It has the same fields in the same order as decide.Plan,
+// so that one can be converted to the other.
 type planTermsJSON struct {
 	Name           string  `json:"Name"`
 	Rate           float64 `json:"Rate"`
@@ -61,7 +64,7 @@
 	OverQuotaCost  float64 `json:"OverCost"`
 }
 
-// MarshalJSON encodes the plan under its stored keys.
+// MarshalJSON encodes the plan under the keys of planTermsJSON.
 func (p PlanTerms) MarshalJSON() ([]byte, error) { return json.Marshal(planTermsJSON(p.Plan)) }
 
 // UnmarshalJSON decodes the output of MarshalJSON.
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -21,7 +21,9 @@
 
 	maxChangeBytes           = 64 << 10 // size of the body of POST /changes
 	controlReadHeaderTimeout = 5 * time.Second
-	controlWriteTimeout      = 10 * time.Second
+	// controlWriteTimeout exceeds submitTimeout: the response to POST /changes is written only after Submit
+	// has returned.
+	controlWriteTimeout = 10 * time.Second
 )
 
 var (
--- a/internal/gateway/drainoutbox.go
+++ b/internal/gateway/drainoutbox.go
@@ -48,7 +48,7 @@
 		WallClock:   unixNanos,
 		Log:         log,
 	}
-	maxDeadLetters := maxDeadLetterBytes(o.Export)
+	maxDeadLetters := maxDeadLetterBytes(o.Export) // derived from MaxLogBytes, which is cleared below
 	// No bound: the records of this incarnation are written even if the log is full.
 	o.Export.MaxLogBytes = 0
 	onFailure := func(err error) {
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -58,7 +58,7 @@
 type Counters struct {
 	OpenRequests  atomic.Int64 // requests without a final answer, at the front end or in the loop
 	Served        atomic.Int64
-	Rejected      atomic.Int64
+	Rejected      atomic.Int64 // requests rejected by the loop, not those rejected by the front end
 	Failed        atomic.Int64
 	Abandoned     atomic.Int64 // requests whose client disconnected before the final answer
 	Attempts      atomic.Int64 // dispatched attempts
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -171,8 +171,9 @@
 	}
 }
 
-// countRetry counts the next attempt of a request by the outcome of the attempt before it. It must be called
-// before the next attempt is added; the first attempt is not a retry and is not counted.
+// countRetry counts the next attempt of a request, a retry or a hedged request, by the outcome of the attempt
+// before it, or as metrics.AfterOpen if that one is still in flight. It must be called before the next
+// attempt is added. The first attempt of a request is not counted.
 func (l *Loop) countRetry(r *openRequest) {
 	if l.metrics == nil || len(r.attempts) == 0 {
 		return
--- a/internal/gateway/planlog.go
+++ b/internal/gateway/planlog.go
@@ -35,7 +35,7 @@
 type pendingRecord struct {
 	record           uint64 // number in the plan log
 	changeNumber     uint64 // number of a change that this gateway accepted; 0 if none waits
-	reservationState uint64 // number of a state of the ledger; 0 if none waits
+	reservationState uint64 // number of a state of the reservation ledger; 0 if none waits
 }
 
 // openLog opens the plan log and restores its records. The goroutines of the log report to the loop, through
@@ -150,9 +150,9 @@
 		if pending.changeNumber != 0 {
 			p.loop.queue.post(changeNotPersisted{pending.changeNumber, err.Error()})
 		}
-		// A reservation state that is not persisted must have no effect, and neither may any later one: that
-		// a state is persisted implies that all earlier ones are. Until the next restart fewer reserved units
-		// can be used, never more.
+		// A reservation state that is not persisted must have no effect, and neither may any later one,
+		// because the ledger takes reservation.Persisted for a state to mean that all earlier states are
+		// persisted too. Until the next restart fewer reserved units can be used, never more.
 		if pending.reservationState != 0 && p.firstUnpersisted == 0 {
 			p.firstUnpersisted = pending.reservationState
 		}
--- a/internal/gateway/quotaplans.go
+++ b/internal/gateway/quotaplans.go
@@ -187,7 +187,8 @@
 	}
 }
 
-// roundingError is an amount of reserved units that is too small to wait for.
+// roundingError is an amount of reserved units that floating-point arithmetic may leave over. A draining
+// gateway does not wait until other gateways have taken it.
 const roundingError = 1e-9
 
 // handleReservationEvent passes an event to the ledger of reservations and carries out the resulting actions.
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -21,10 +21,10 @@
 // loop.
 type openRequest struct {
 	*frontend.Request
-	arrivedAt time.Duration
-	attempts  []*attempt
-	inFlight  int  // number of attempts in flight
-	finished  bool // whether the request has its final answer or its client disconnected
+	arrivedAt time.Duration // on the clock of the loop
+	attempts  []*attempt    // by attempt number, including those that have ended
+	inFlight  int           // number of attempts in flight
+	finished  bool          // whether the request has its final answer or its client disconnected
 
 	awaitingReservation bool    // whether it waits for reserved units; the core does not know it yet
 	reservedUsed        float64 // reserved units that its ended attempts used
@@ -32,10 +32,10 @@
 	trace   tracing.Context // set only if the loop has a tracer
 	sampled bool            // whether the trace is exported
 	// Properties of the final answer, for the trace.
-	finishedAt    time.Duration
+	finishedAt    time.Duration // on the clock of the loop
 	outcome       string
-	reason        string
-	responseUnits float64
+	reason        string  // of a rejection; empty otherwise
+	responseUnits float64 // units that the server reported; 0 if it reported none
 }
 
 // Reserve adds a request to the open requests. It returns false if that would exceed the cap on open
@@ -68,7 +68,8 @@
 }
 
 // startRequest registers a new request and passes it to the core or, if it uses reserved units, to the ledger
-// of reservations first. It rejects the request if usage can't be recorded or there are no reservations.
+// of reservations first. It rejects the request if usage can't be recorded, or if it uses reserved units but
+// this loop has no ledger of reservations.
 func (l *Loop) startRequest(received *frontend.Request) {
 	r := &openRequest{Request: received, arrivedAt: l.now}
 	l.requests[r.ID] = r
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -43,17 +43,17 @@
 // UsageState is the state of the usage outbox.
 type UsageState struct {
 	Incarnation  uint64 `json:"life"`
-	OpenAttempts int    `json:"open"` // attempts without a settlement in the log
-	Records      uint64 `json:"records"`
-	Acknowledged uint64 `json:"acked"` // number of the last acknowledged record
-	Bytes        int64  `json:"bytes"` // size of the log
-	MaxBytes     int64  `json:"bound"`
+	OpenAttempts int    `json:"open"`    // attempts without a settlement in the log
+	Records      uint64 `json:"records"` // number of the last durable record
+	Acknowledged uint64 `json:"acked"`   // number of the last acknowledged record
+	Bytes        int64  `json:"bytes"`   // size of the log
+	MaxBytes     int64  `json:"bound"`   // bound on Bytes
 	// Rejecting reports whether requests are rejected because their usage can't be recorded.
 	Rejecting   bool                  `json:"refusing"`
-	Failure     string                `json:"failure,omitempty"`
+	Failure     string                `json:"failure,omitempty"` // why the log can't be written, if so
 	Outbox      outbox.Counts         `json:"desk"`
 	Delivery    outbox.DeliveryCounts `json:"ship"`
-	LostRecords uint64                `json:"lost_records"`
+	LostRecords uint64                `json:"lost_records"` // records missing from the log and not exported
 	// Gaps is the number of gaps, and TornBytes the length in bytes of an incomplete end, that were found
 	// when the log was opened.
 	Gaps      int   `json:"holes"`
@@ -130,8 +130,8 @@
 type LoopSummary struct {
 	Rejected    map[string]int64 // rejected requests by reason, since the start
 	Outcomes    map[string]int64 // ended attempts by outcome, since the start
-	Pressure    float64
-	RetryBudget float64
+	Pressure    float64          // see decide.Status
+	RetryBudget float64          // see decide.Status
 	// OpenRequests counts the requests without a final answer and those with attempts in flight.
 	OpenRequests int
 	// TimerLag is the longest delay of a timer since the last summary. A large value means that the process
--- a/internal/gateway/statejson.go
+++ b/internal/gateway/statejson.go
@@ -41,15 +41,15 @@
 	ID           uint64  `json:"ID"`
 	Number       uint64  `json:"Number"` // number of the plan change that made the reservation
 	Member       string  `json:"Member"`
-	Units        float64 `json:"Units"` // units as originally reserved
-	From         int64   `json:"From"`  // start of the window, nanoseconds of Unix time
-	To           int64   `json:"To"`    // end of the window, nanoseconds of Unix time
-	Rate         float64 `json:"Rate"`  // units per second over all gateways; 0 means no bound
-	Burst        float64 `json:"Burst"` // units that may be used at once; applies if Rate is set
-	Ceiling      bool    `json:"Ceiling"`
-	FirstGateway int     `json:"First"`
-	GatewayCount int     `json:"Spread"`
-	MadeHere     bool    `json:"Mine"` // accepted by this gateway, in this or an earlier incarnation
+	Units        float64 `json:"Units"`   // units as originally reserved
+	From         int64   `json:"From"`    // start of the window, nanoseconds of Unix time
+	To           int64   `json:"To"`      // end of the window, nanoseconds of Unix time
+	Rate         float64 `json:"Rate"`    // units per second over all gateways; 0 means no bound
+	Burst        float64 `json:"Burst"`   // units that may be used at once; applies if Rate is set
+	Ceiling      bool    `json:"Ceiling"` // whether the member's plan has a ceiling
+	FirstGateway int     `json:"First"`   // rank of the first gateway that the member uses
+	GatewayCount int     `json:"Spread"`  // number of gateways that the member uses
+	MadeHere     bool    `json:"Mine"`    // accepted by this gateway, in this or an earlier incarnation
 
 	Open        bool    `json:"Open"` // whether the window is open
 	Ended       bool    `json:"Ended"`
--- a/internal/gateway/timers.go
+++ b/internal/gateway/timers.go
@@ -16,9 +16,9 @@
 }
 
 type coreTimer struct {
-	at       time.Duration
+	at       time.Duration // on the clock of the loop
 	sequence uint64
-	token    uint64
+	token    uint64 // identifies the timer to the core
 }
 
 // setTimer sets a timer of the core, which popDue returns by its token.
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -25,9 +25,11 @@
 	settlementReservePerAttempt = 1 << 10
 )
 
-// usageOutbox carries out the actions of the outbox of usage: no byte of an attempt is sent before its intent
-// is durable, and its settlement is recorded when it ends. It is owned by the loop. The goroutines of run and
-// of the log report to the loop through its queue.
+// usageOutbox carries out the actions of the outbox of usage. The outbox logs two records for each attempt:
+// the intent, before the attempt is sent, and the settlement with the units that it used, when it ends. No
+// byte of an attempt is sent before its intent is durable, unless the log can't be written and the policy
+// allows attempts without an intent. usageOutbox is owned by the loop. The goroutines of run and of the log
+// report to the loop through its queue.
 type usageOutbox struct {
 	loop      *Loop
 	outbox    *outbox.Outbox
@@ -113,7 +115,8 @@
 	}
 }
 
-// recordIntent records the intent of an attempt and holds the attempt back until the intent is durable.
+// recordIntent records the intent of an attempt and holds the attempt back until the intent is durable. If
+// the intent can't be written, the policy of the outbox decides at once whether the attempt is sent.
 func (u *usageOutbox) recordIntent(a *attempt) {
 	u.lastID++
 	a.usageID, a.awaitingIntent = u.lastID, true
--- a/internal/gateway/usagelog.go
+++ b/internal/gateway/usagelog.go
@@ -70,6 +70,7 @@
 		return nil, nil, nil, err
 	}
 	recovery.LogDamage(o.Log, "usage", o.Dir)
+	// No attempt waits for its intent yet, so there is nothing to execute apart from appends.
 	runOutboxActions(box, log, o.Log, box.Start(o.WallClock()), func(outbox.Action) {})
 	if n := box.Counts.Orphans; n > 0 {
 		o.Log.Warn("Exporting unsettled attempts of earlier incarnations at their estimates", "attempts", n)
