--- a/internal/discovery/http/call.go
+++ b/internal/discovery/http/call.go
@@ -15,7 +15,7 @@
 
 const (
 	readBufferBytes = 4 << 10 // also limits the length of a line in a response head
-	maxHeadBytes    = 8 << 10
+	maxHeadBytes    = 8 << 10 // limits the length of a response head
 )
 
 // query is a request for the full list, or for the changes since a version. In the latter case, discovery
--- a/internal/discovery/http/decode.go
+++ b/internal/discovery/http/decode.go
@@ -27,10 +27,10 @@
 	}
 }
 
-// decode reads a list from a response body. It decodes one target at a time, so that memory is needed neither
-// for the encoded list nor for its indentation. An invalid target must not hide the others, so it does not
-// make decode fail: it is sanitized (see Target.sanitize) and counted in the entryErrors that are returned
-// with the list.
+// decode reads a list from a response body. It decodes one target at a time, so that the encoded list, which
+// may be large because of its indentation, is never held in memory as a whole. An invalid target must not
+// hide the others, so it does not make decode fail: it is sanitized (see Target.sanitize) and counted in the
+// entryErrors that are returned with the list.
 func decode(body io.Reader) (*List, entryErrors, error) {
 	d := decoder{json: json.NewDecoder(&entryLimitReader{r: body}), list: &List{}, index: map[string]int{}}
 	if err := d.decodeList(); err != nil {
--- a/internal/discovery/http/follower.go
+++ b/internal/discovery/http/follower.go
@@ -33,7 +33,7 @@
 	synced      bool          // a list was received from addr
 	rev         uint64        // version of the last list
 	respondedAt time.Time     // when the last valid response arrived
-	retries     int           // calls since then, not counting the one that was made on that response
+	retries     int           // calls made by hedge since the last valid response or call of setAddr
 	backoff     time.Duration // pause after the next failure
 	warnedAt    time.Time     // last warning; the zero time if there was none since the last valid response
 
@@ -92,7 +92,9 @@
 	}
 }
 
-// hedge starts another call in addition to those in flight.
+// hedge starts another call in addition to those in flight, if there are any. If a list was received from
+// addr, the first one after a valid response or a call of setAddr requests the missed changes. Every other
+// one requests the full list.
 func (f *follower) hedge() {
 	if len(f.inFlight) == maxCalls {
 		// The oldest call continues, because discovery may be slow. The second oldest is cancelled.
@@ -116,7 +118,8 @@
 	f.inFlight = nil
 }
 
-// setAddr starts to follow another address. If the address is unchanged, it only starts another call.
+// setAddr starts to follow another address. If the address is unchanged, it only starts another call, which
+// requests the missed changes.
 func (f *follower) setAddr(addr string) {
 	if addr != f.addr {
 		f.cancelAll()
--- a/internal/discovery/http/starttimes.go
+++ b/internal/discovery/http/starttimes.go
@@ -43,7 +43,8 @@
 	removedAt  time.Duration // when the server left the list; 0 while it is listed
 }
 
-// NewStartTimes returns a StartTimes without servers. slowStart is the duration of slow start.
+// NewStartTimes returns a StartTimes without servers. slowStart is the duration of slow start; 0 means that
+// there is none. wallClock returns the wall-clock time of this machine.
 func NewStartTimes(slowStart time.Duration, wallClock func() time.Time) *StartTimes {
 	return &StartTimes{slowStart: slowStart, wallClock: wallClock, servers: map[string]serverStart{}}
 }
@@ -90,7 +91,7 @@
 
 // initOffset sets the offset from the first list.
 func (s *StartTimes) initOffset(l *List, now time.Duration) {
-	s.offset = -now
+	s.offset = -now // the lowest possible value, because Unix time is not negative
 	s.raiseOffset(l, now)
 	ready, inSlowStart := 0, 0
 	for i := range l.Targets {
@@ -117,7 +118,7 @@
 	if t.State == stateGone {
 		start.removedAt = now
 	}
-	listedStart := max(1, millis(t.BootMS)-s.offset)
+	listedStart := max(1, millis(t.BootMS)-s.offset) // at least 1, because 0 means long ago
 	unchanged := isKnown && previous.bootMS == t.BootMS
 	switch {
 	case t.BootMS == 0:
@@ -126,7 +127,7 @@
 		start.at = min(previous.at, listedStart)
 	case unchanged:
 		start.at = previous.at
-	default:
+	default: // new or restarted; the core recognises a restart by a later start time than the previous one
 		start.at = max(listedStart, earliest, previous.at+1)
 	}
 	s.servers[t.UID] = start
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -79,7 +79,7 @@
 	countForeign
 	countRepeated
 	countOverIntake
-	countKinds
+	countKinds // number of the indices above
 )
 
 // New returns a transport that uses and owns the bound socket. It returns an error if the address of a peer
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -94,8 +94,9 @@
 func (c *Call) Waiting() bool { return c.state.Load() == stateWaiting }
 
 // MarkSent records that the call may have run from now on. The writer calls it before it writes the last
-// byte, or after that while holding the lock that the Abandon method of its pool takes. It returns false if
-// the call has ended and must not be written.
+// byte. A writer that calls it only after the write has to hold the lock that the Abandon method of its pool
+// acquires, because Abandon would otherwise report a written call as NotSent. MarkSent returns false if the
+// call has ended and must not be written.
 func (c *Call) MarkSent() bool { return c.state.CompareAndSwap(stateWaiting, stateSent) }
 
 // end moves the call to stateEnded and returns its previous state. The result first is true for the one
--- a/internal/upstream/http/attempt.go
+++ b/internal/upstream/http/attempt.go
@@ -14,8 +14,9 @@
 const writeTimeout = 10 * time.Second
 
 // Send starts an attempt on an idle connection to its server or, if there is none, on a new connection.
-// call.Server is the ID of a server that Update has added. Send never blocks. It calls call.Done exactly
-// once, possibly before it returns, unless Abandon ends the attempt first.
+// call.Server is the ID of a server that Update has added; if that server is unknown or not serving, the
+// attempt ends with OutcomeConnectFailed. Send never blocks. It calls call.Done exactly once, possibly before
+// it returns, unless Abandon ends the attempt first.
 func (p *Pool) Send(call *upstream.Call) {
 	p.mu.Lock()
 	s := p.servers[call.Server]
--- a/internal/upstream/http/conn.go
+++ b/internal/upstream/http/conn.go
@@ -16,7 +16,7 @@
 
 const (
 	readBufferBytes = 4 << 10 // also limits the length of a line in a response head
-	maxHeadBytes    = 8 << 10
+	maxHeadBytes    = 8 << 10 // limits the length of a response head
 )
 
 // conn is one connection to a server, including the time when it is being dialed. The goroutine that executes
@@ -187,7 +187,8 @@
 }
 
 // canReuse reports whether the connection may carry another attempt after a response. It may not if bytes
-// have arrived after the response, because they belong to no attempt. The caller holds Pool.mu.
+// have arrived after the response, because they belong to no attempt, or if writeRemainder is still writing,
+// because the server responded before it had the whole attempt. The caller holds Pool.mu.
 func (c *conn) canReuse(r *http1.Response) bool {
 	return !r.Close && c.reader.Buffered() == 0 && !c.pool.closed && c.server.State == decide.Serving &&
 		!c.discarded && !c.writing
--- a/internal/upstream/http/idle.go
+++ b/internal/upstream/http/idle.go
@@ -14,6 +14,7 @@
 
 const (
 	sweepsPerTimeout = 8 // sweeps per IdleTimeout; an idle connection may exceed the timeout by an eighth
+	// minSweepInterval applies if IdleTimeout is short or zero.
 	minSweepInterval = 10 * time.Millisecond
 )
 
--- a/internal/upstream/websocket/conn.go
+++ b/internal/upstream/websocket/conn.go
@@ -154,7 +154,7 @@
 	s := c.server
 	for i, other := range s.conns {
 		if other == c {
-			s.conns = append(s.conns[:i:i], s.conns[i+1:]...)
+			s.conns = append(s.conns[:i:i], s.conns[i+1:]...) // a copy, as the loop is still reading s.conns
 		}
 	}
 	if len(s.conns) == 0 && c.pool.servers[s.addr] == s {
--- a/internal/upstream/websocket/pool.go
+++ b/internal/upstream/websocket/pool.go
@@ -29,14 +29,17 @@
 // Options configure a Pool.
 type Options struct {
 	// ConnectTimeout limits the time for connecting, including the WebSocket handshake. When it passes, the
-	// calls that wait for the connection end with decide.OutcomeConnectFailed.
+	// calls that wait for the connection end with decide.OutcomeConnectFailed. It must be positive: with
+	// zero, every connection fails.
 	ConnectTimeout time.Duration
 	// MaxConns is the maximum number of connections to one server. The first connection is always opened.
 	MaxConns int
-	// CallsPerConn is the number of concurrent calls on each connection to a server from which on another
-	// connection is opened. With MaxConns connections, further calls share them.
+	// CallsPerConn is the number of concurrent calls on a connection at which the next call opens another
+	// connection to the same server. Once there are MaxConns connections, calls share them. With zero, each
+	// call opens another connection up to MaxConns.
 	CallsPerConn int
-	// IdleTimeout is the time without calls after which a connection is closed.
+	// IdleTimeout is the time without calls after which a connection is closed. With zero, it is closed as
+	// soon as it has no calls.
 	IdleTimeout time.Duration
 	// PingInterval is the interval of pings, see wsconn.PingIdle. Zero disables pings.
 	PingInterval time.Duration
