--- a/internal/discovery/http/call.go
+++ b/internal/discovery/http/call.go
@@ -68,23 +68,23 @@
 	return &conn{nc, http1.NewReader(bufio.NewReaderSize(nc, readBufferBytes), limits)}, nil
 }
 
-// execute makes a call on the connection cn, or on a new connection if cn is nil. When the context ends, so
-// does the call, and the connection is closed.
-func execute(ctx context.Context, addr string, c *call, cn *conn) result {
+// execute makes a call on the given connection, or on a new connection if it is nil. When the context ends,
+// so does the call, and the connection is closed.
+func execute(ctx context.Context, addr string, c *call, connection *conn) result {
 	r := result{call: c}
-	if cn == nil {
-		if cn, r.err = dial(ctx, addr); r.err != nil {
+	if connection == nil {
+		if connection, r.err = dial(ctx, addr); r.err != nil {
 			return r
 		}
 	}
-	stop := context.AfterFunc(ctx, func() { cn.nc.Close() })
+	stop := context.AfterFunc(ctx, func() { connection.nc.Close() })
 	var last bool
-	r.list, r.errors, last, r.err = cn.fetch(c.path())
+	r.list, r.errors, last, r.err = connection.fetch(c.path())
 	if !stop() || last || r.err != nil {
-		cn.nc.Close()
+		connection.nc.Close()
 		return r
 	}
-	r.conn = cn
+	r.conn = connection
 	return r
 }
 
--- a/internal/discovery/http/follower.go
+++ b/internal/discovery/http/follower.go
@@ -62,15 +62,15 @@
 	f.running.Wait()
 }
 
-// start starts a call on the connection cn, or on a new connection if cn is nil.
-func (f *follower) start(q query, cn *conn) {
+// start starts a call on the given connection, or on a new connection if it is nil.
+func (f *follower) start(q query, connection *conn) {
 	ctx, cancel := context.WithTimeout(f.ctx, callTimeout)
 	c := &call{q, cancel}
 	f.inFlight = append(f.inFlight, c)
 	addr := f.addr
 	f.running.Go(func() {
 		defer cancel()
-		r := execute(ctx, addr, c, cn)
+		r := execute(ctx, addr, c, connection)
 		select {
 		case f.results <- r:
 		case <-ctx.Done():
--- a/internal/gateway/planlog.go
+++ b/internal/gateway/planlog.go
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	p.log, p.lastRecord, p.snapshotAt = log, recovery.LastRecord, recovery.SnapshotRecord
+	p.log, p.lastRecord, p.snapshotRecord = log, recovery.LastRecord, recovery.SnapshotRecord
 	recovery.LogDamage(o.Log, "plans", o.Dir)
 	return nil
 }
@@ -153,8 +153,8 @@
 		// A reservation state that is not persisted must have no effect, and neither may any later one,
 		// because the ledger takes reservation.Persisted for a state to mean that all earlier states are
 		// persisted too. Until the next restart fewer reserved units can be used, never more.
-		if pending.reservationState != 0 && p.firstUnpersisted == 0 {
-			p.firstUnpersisted = pending.reservationState
+		if pending.reservationState != 0 && p.firstUnpersistedState == 0 {
+			p.firstUnpersistedState = pending.reservationState
 		}
 		return
 	}
@@ -172,14 +172,14 @@
 		case pending.changeNumber != 0:
 			p.handlePlanEvent(quotaplan.Persisted{Number: pending.changeNumber})
 		case pending.reservationState != 0 &&
-			(p.firstUnpersisted == 0 || pending.reservationState < p.firstUnpersisted):
+			(p.firstUnpersistedState == 0 || pending.reservationState < p.firstUnpersistedState):
 			p.handleReservationEvent(reservation.Persisted{Number: pending.reservationState})
 		}
 	}
-	if p.log == nil || len(p.pending) > 0 || p.lastRecord-p.snapshotAt < planSnapshotInterval {
+	if p.log == nil || len(p.pending) > 0 || p.lastRecord-p.snapshotRecord < planSnapshotInterval {
 		return
 	}
-	p.snapshotAt = p.lastRecord
+	p.snapshotRecord = p.lastRecord
 	p.log.SnapshotAsync(p.lastRecord, p.snapshot(), func(err error) {
 		if err != nil {
 			p.logger.Error("Failed to write snapshot of plan log", "err", err)
--- a/internal/gateway/quotaplans.go
+++ b/internal/gateway/quotaplans.go
@@ -34,13 +34,13 @@
 	// the gateway is draining and still has such units.
 	handedOver chan struct{}
 
-	log              *wal.Log        // nil if nothing is persisted
-	pending          []pendingRecord // in the order of their numbers
-	lastRecord       uint64
-	snapshotAt       uint64 // lastRecord at the time of the last snapshot
-	firstUnpersisted uint64 // first reservation state that the log rejected; 0 if none
-	failure          string // why the log can't be written; empty if it can
-	closed           bool
+	log                   *wal.Log        // nil if nothing is persisted
+	pending               []pendingRecord // in the order of their numbers
+	lastRecord            uint64          // number of the last appended record
+	snapshotRecord        uint64          // lastRecord at the time of the last snapshot
+	firstUnpersistedState uint64          // first reservation state that the log rejected; 0 if none
+	failure               string          // why the log can't be written; empty if it can
+	closed                bool
 }
 
 // PlanOptions configures the plan changes and reservations of a gateway.
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -44,7 +44,7 @@
 
 	// retainFrom is the number of the first record that is still needed. The goroutines of the log read it.
 	retainFrom       atomic.Uint64
-	snapshotAt       uint64 // number of the last record in the last snapshot
+	snapshotRecord   uint64 // number of the last record in the last snapshot
 	snapshotRepeated bool   // whether the last snapshot retains the same records as the one before
 	failure          string // why the log can't be written; empty if it can
 	closed           bool
@@ -70,7 +70,7 @@
 		return nil, err
 	}
 	u.outbox, u.log = box, log
-	u.gaps, u.tornBytes, u.snapshotAt = len(recovery.Gaps), recovery.TornBytes, recovery.SnapshotRecord
+	u.gaps, u.tornBytes, u.snapshotRecord = len(recovery.Gaps), recovery.TornBytes, recovery.SnapshotRecord
 	u.retainFrom.Store(box.LastAcknowledged() + 1)
 	options := senderOptions(o, log, box)
 	options.OnAcknowledged = func(record uint64) { l.queue.post(usageAcknowledged{record}) }
@@ -162,7 +162,7 @@
 func (u *usageOutbox) recordsDurable(record uint64) {
 	u.handle(outbox.Durable{Record: record})
 	u.sender.NotifyRecords()
-	if record-u.snapshotAt >= outboxSnapshotInterval {
+	if record-u.snapshotRecord >= outboxSnapshotInterval {
 		u.snapshotRepeated = false
 		u.snapshot()
 	}
@@ -203,7 +203,7 @@
 		return // another snapshot is being written
 	}
 	u.retainFrom.Store(retainFrom)
-	u.snapshotAt = last
+	u.snapshotRecord = last
 }
 
 // snapshotDone takes another snapshot if the log is still more than half full, for two reasons. First, more
--- a/internal/gossip/replay.go
+++ b/internal/gossip/replay.go
@@ -22,36 +22,36 @@
 	replayWindowSize = 64
 )
 
-// sender detects repeated datagrams of one sender and those of its earlier incarnations.
-type sender struct {
+// replayFilter detects repeated datagrams of one sender and those of its earlier incarnations.
+type replayFilter struct {
 	incarnations []replayWindow // ordered by the last accepted datagram with the latest one last
 	lastReceived time.Time      // when a datagram was last accepted
 }
 
 // accept reports whether a datagram is new and, if so, records it.
-func (s *sender) accept(epoch, sequence uint64, now time.Time) bool {
-	if n := len(s.incarnations); n > 0 {
-		latest := s.incarnations[n-1].epoch
-		if epoch < latest && now.Sub(s.lastReceived) < incarnationTimeout {
+func (f *replayFilter) accept(epoch, sequence uint64, now time.Time) bool {
+	if n := len(f.incarnations); n > 0 {
+		latest := f.incarnations[n-1].epoch
+		if epoch < latest && now.Sub(f.lastReceived) < incarnationTimeout {
 			return false
 		}
 	}
 	w := replayWindow{epoch: epoch}
-	index := slices.IndexFunc(s.incarnations, func(i replayWindow) bool { return i.epoch == epoch })
+	index := slices.IndexFunc(f.incarnations, func(i replayWindow) bool { return i.epoch == epoch })
 	if index >= 0 {
-		w = s.incarnations[index]
+		w = f.incarnations[index]
 	}
 	if !w.accept(sequence) {
 		return false
 	}
 	if index >= 0 {
-		s.incarnations = slices.Delete(s.incarnations, index, index+1)
+		f.incarnations = slices.Delete(f.incarnations, index, index+1)
 	}
-	s.incarnations = append(s.incarnations, w)
-	if len(s.incarnations) > maxIncarnations {
-		s.incarnations = slices.Delete(s.incarnations, 0, 1)
+	f.incarnations = append(f.incarnations, w)
+	if len(f.incarnations) > maxIncarnations {
+		f.incarnations = slices.Delete(f.incarnations, 0, 1)
 	}
-	s.lastReceived = now
+	f.lastReceived = now
 	return true
 }
 
--- a/internal/gossip/replay_test.go
+++ b/internal/gossip/replay_test.go
@@ -10,7 +10,7 @@
 // wall clock was set back has an earlier epoch. That epoch is accepted after the known incarnation has sent
 // nothing for incarnationTimeout, and each datagram of either incarnation is accepted at most once.
 func TestReplayProtection(t *testing.T) {
-	var s sender
+	var filter replayFilter
 	start := time.Now()
 	steps := []struct {
 		name            string
@@ -40,14 +40,14 @@
 		{"earlier incarnation before the timeout", 3, 3, 2 * incarnationTimeout, false},
 	}
 	for _, step := range steps {
-		if s.accept(step.epoch, step.sequence, start.Add(step.after)) != step.accept {
-			t.Errorf("step %+v: got the opposite of accept", step)
+		if filter.accept(step.epoch, step.sequence, start.Add(step.after)) != step.accept {
+			t.Errorf("step %+v: accept returned the opposite of the field accept", step)
 		}
 	}
 	for epoch := uint64(10); epoch < 100; epoch++ {
-		s.accept(epoch, 1, start)
+		filter.accept(epoch, 1, start)
 	}
-	if len(s.incarnations) != maxIncarnations {
-		t.Errorf("%d incarnations are remembered, want %d", len(s.incarnations), maxIncarnations)
+	if len(filter.incarnations) != maxIncarnations {
+		t.Errorf("%d incarnations are remembered, want %d", len(filter.incarnations), maxIncarnations)
 	}
 }
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -141,7 +141,7 @@
 // goroutine. from is the rank of the sender. After any other read error, Serve continues, because an
 // unreachable peer must not stop the messages of the others.
 func (t *Transport) Serve(deliver func(from int, text string)) {
-	senders := make([]sender, len(t.peerAddrs))
+	filters := make([]replayFilter, len(t.peerAddrs))
 	limiter := rateLimiter{rate: t.options.MaxMessageRate, updatedAt: t.options.Now()}
 	buf := make([]byte, readBufferBytes)
 	for {
@@ -159,7 +159,7 @@
 			t.counts[countForged].Add(1)
 		case !t.isForThisGateway(h):
 			t.counts[countForeign].Add(1)
-		case !senders[h.from].accept(h.epoch, h.sequence, t.options.Now()):
+		case !filters[h.from].accept(h.epoch, h.sequence, t.options.Now()):
 			t.counts[countRepeated].Add(1)
 		case !limiter.allow(t.options.Now()):
 			t.counts[countOverIntake].Add(1)
--- a/internal/upstream/idletimeout/estimator.go
+++ b/internal/upstream/idletimeout/estimator.go
@@ -98,17 +98,17 @@
 		allUses += e.uses[i]
 		allBreaks += e.breaks[i]
 	}
-	limit, best := NoLimit, minDeviations
+	limit, bestDeviations := NoLimit, minDeviations
 	usesBelow, breaksBelow := e.uses[0], e.breaks[0]
 	candidate := firstBucket
 	for i := 1; i < buckets; i++ {
 		// The prior, one break in four attempts, requires several successful attempts after short idle times
 		// before idleness is taken for the cause.
 		expected := (breaksBelow + 1) / (usesBelow + 4)
-		uses, broken := allUses-usesBelow, allBreaks-breaksBelow
-		deviations := (broken - expected*uses) / math.Sqrt(expected*uses+1)
-		if deviations > best && broken > (expected+minExcess)*uses {
-			limit, best = candidate, deviations
+		usesAbove, breaksAbove := allUses-usesBelow, allBreaks-breaksBelow
+		deviations := (breaksAbove - expected*usesAbove) / math.Sqrt(expected*usesAbove+1)
+		if deviations > bestDeviations && breaksAbove > (expected+minExcess)*usesAbove {
+			limit, bestDeviations = candidate, deviations
 		}
 		usesBelow += e.uses[i]
 		breaksBelow += e.breaks[i]
--- a/internal/upstream/websocket/conn.go
+++ b/internal/upstream/websocket/conn.go
@@ -25,7 +25,7 @@
 	ws        *wsconn.Conn              // nil while the connection is being opened
 	calls     map[uint64]*upstream.Call // keyed by JSON-RPC id
 	pending   []*upstream.Call          // calls that wait for the connection to open
-	nextID    uint64                    // the id that was assigned last
+	lastID    uint64                    // the id that was assigned last
 	removed   bool                      // the connection is no longer in server.conns
 	idleTimer *time.Timer               // non-nil while the connection is open and has no calls
 }
--- a/internal/upstream/websocket/pool.go
+++ b/internal/upstream/websocket/pool.go
@@ -120,8 +120,8 @@
 		c.idleTimer.Stop()
 		c.idleTimer = nil
 	}
-	c.nextID++
-	call.ID, call.TransportState = c.nextID, c
+	c.lastID++
+	call.ID, call.TransportState = c.lastID, c
 	c.calls[call.ID] = call
 	return c
 }
