--- a/internal/gateway/quotaplans_test.go
+++ b/internal/gateway/quotaplans_test.go
@@ -115,7 +115,7 @@
 	if last := spend(clients[0], 3); used != 6 {
 		t.Fatalf("%v reserved units used, want 6; last answer %s", used, last)
 	}
-	// A kill loses at most the tokens that were drawn, 16 units, and creates none.
+	// A kill loses at most the tokens that were drawn at the killed gateway, 16 units, and creates none.
 	fleet.processes[0].Signal(syscall.SIGKILL)
 	spend(clients[1], 4)
 	fleet.start(0)
--- a/internal/gateway/requests_test.go
+++ b/internal/gateway/requests_test.go
@@ -151,15 +151,15 @@
 	open := int64(0)
 	eventually(t, "the loop has all 500 requests", func() bool {
 		l := g.gateway.loop
-		in := int64(0)
+		received := int64(0)
 		l.Do(func() {
 			open = int64(len(l.requests))
-			in = open - rejections(before)
-			for _, v := range l.rejections {
-				in += v
+			received = open - rejections(before)
+			for _, rejected := range l.rejections {
+				received += rejected
 			}
 		})
-		return in == 500
+		return received == 500
 	})
 	if open < 200 {
 		t.Fatalf("only %d requests are open, want at least 200; rejected %v", open,
--- a/internal/gateway/sessions_test.go
+++ b/internal/gateway/sessions_test.go
@@ -176,8 +176,9 @@
 		func() bool { return g.gateway.State().OpenRequests == 10 })
 }
 
-// TestManySessions guards against a gateway that fails with many sessions. It connects 5,000 sessions at
-// once, or as many as the limit on file descriptors of this process allows.
+// TestManySessions guards against a gateway that loses or no longer serves sessions when thousands are open.
+// It opens 5,000 sessions, or as many as the limit on file descriptors of this process allows: all must be
+// open at the same time, and the first, the middle and the last one must be served.
 func TestManySessions(t *testing.T) {
 	n := sessionsThatFit(5000)
 	g := newTestGateway(t, 1, nil)
--- a/internal/gateway/usage_test.go
+++ b/internal/gateway/usage_test.go
@@ -87,10 +87,10 @@
 	attempts := int(u.gateway.State().Attempts)
 	eventually(t, "all usage is exported", func() bool { return len(u.usage()) == attempts })
 	kinds := map[string]int{}
-	for _, u := range u.usage() {
-		kinds[fmt.Sprint(u.Outcome, " ", u.Units, " ", u.Estimated)]++
-		if u.Member != "m" || u.Plan != "big" || u.Server == "" || u.Request == "" {
-			t.Errorf("usage %+v, want member m, plan big, a server and a request", u)
+	for _, usage := range u.usage() {
+		kinds[fmt.Sprint(usage.Outcome, " ", usage.Units, " ", usage.Estimated)]++
+		if usage.Member != "m" || usage.Plan != "big" || usage.Server == "" || usage.Request == "" {
+			t.Errorf("usage %+v, want member m, plan big, a server and a request", usage)
 		}
 	}
 	want := 2.0
@@ -258,14 +258,14 @@
 		}
 	}
 	estimated, answered := 0, 0
-	for _, u := range u.usage() {
+	for _, usage := range u.usage() {
 		switch {
-		case u.Outcome == outbox.OutcomeGatewayEnded.String() && u.Units == 6 && u.Estimated:
+		case usage.Outcome == outbox.OutcomeGatewayEnded.String() && usage.Units == 6 && usage.Estimated:
 			estimated++
-		case u.Outcome == outbox.OutcomeAnswered.String() && u.Units == 2:
+		case usage.Outcome == outbox.OutcomeAnswered.String() && usage.Units == 2:
 			answered++
 		default:
-			t.Errorf("unexpected usage %+v", u)
+			t.Errorf("usage %+v, want a gateway_ended estimate of 6 units or an answer of 2 units", usage)
 		}
 	}
 	if estimated != 3 || answered != 10 {
@@ -277,9 +277,9 @@
 }
 
 // TestUsageExportReadOnlyDisk guards against a gateway that does not start, or never recovers, if its disk is
-// read-only. It starts on a disk on which no file can be created: the gateway must reject requests, or serve
-// them without recording usage, and recover when files can be created. A state directory that can't exist
-// must cause an error that names it.
+// read-only. It starts on a disk on which no file can be created: depending on the policy, the gateway must
+// reject requests, or serve them without recording usage, and recover when files can be created. A state
+// directory that can't exist must cause an error that names it.
 func TestUsageExportReadOnlyDisk(t *testing.T) {
 	for _, policy := range []outbox.Policy{outbox.PolicyReject, outbox.PolicyServe} {
 		u := newUsageTest(t, func(f *config.Fleet) { f.UsageExport.OnUnwritable = policy })
