--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -25,9 +25,11 @@
 	settlementReservePerAttempt = 1 << 10
 )
 
-// usageOutbox carries out the actions of the outbox of usage: no byte of an attempt is sent before its intent
-// is durable, and its settlement is recorded when it ends. It is owned by the loop. The goroutines of run and
-// of the log report to the loop through its queue.
+// usageOutbox carries out the actions of the outbox of usage. The outbox logs two records for each attempt:
+// the intent, before the attempt is sent, and the settlement with the units that it used, when it ends. No
+// byte of an attempt is sent before its intent is durable, unless the log can't be written and the policy
+// allows attempts without an intent. usageOutbox is owned by the loop. The goroutines of run and of the log
+// report to the loop through its queue.
 type usageOutbox struct {
 	loop      *Loop
 	outbox    *outbox.Outbox
@@ -42,7 +44,7 @@
 
 	// retainFrom is the number of the first record that is still needed. The goroutines of the log read it.
 	retainFrom       atomic.Uint64
-	snapshotAt       uint64 // number of the last record in the last snapshot
+	snapshotRecord   uint64 // number of the last record in the last snapshot
 	snapshotRepeated bool   // whether the last snapshot retains the same records as the one before
 	failure          string // why the log can't be written; empty if it can
 	closed           bool
@@ -68,7 +70,7 @@
 		return nil, err
 	}
 	u.outbox, u.log = box, log
-	u.gaps, u.tornBytes, u.snapshotAt = len(recovery.Gaps), recovery.TornBytes, recovery.SnapshotRecord
+	u.gaps, u.tornBytes, u.snapshotRecord = len(recovery.Gaps), recovery.TornBytes, recovery.SnapshotRecord
 	u.retainFrom.Store(box.LastAcknowledged() + 1)
 	options := senderOptions(o, log, box)
 	options.OnAcknowledged = func(record uint64) { l.queue.post(usageAcknowledged{record}) }
@@ -113,7 +115,8 @@
 	}
 }
 
-// recordIntent records the intent of an attempt and holds the attempt back until the intent is durable.
+// recordIntent records the intent of an attempt and holds the attempt back until the intent is durable. If
+// the intent can't be written, the policy of the outbox decides at once whether the attempt is sent.
 func (u *usageOutbox) recordIntent(a *attempt) {
 	u.lastID++
 	a.usageID, a.awaitingIntent = u.lastID, true
@@ -159,7 +162,7 @@
 func (u *usageOutbox) recordsDurable(record uint64) {
 	u.handle(outbox.Durable{Record: record})
 	u.sender.NotifyRecords()
-	if record-u.snapshotAt >= outboxSnapshotInterval {
+	if record-u.snapshotRecord >= outboxSnapshotInterval {
 		u.snapshotRepeated = false
 		u.snapshot()
 	}
@@ -200,7 +203,7 @@
 		return // another snapshot is being written
 	}
 	u.retainFrom.Store(retainFrom)
-	u.snapshotAt = last
+	u.snapshotRecord = last
 }
 
 // snapshotDone takes another snapshot if the log is still more than half full, for two reasons. First, more
--- a/internal/upstream/websocket/conn.go
+++ b/internal/upstream/websocket/conn.go
@@ -25,7 +25,7 @@
 	ws        *wsconn.Conn              // nil while the connection is being opened
 	calls     map[uint64]*upstream.Call // keyed by JSON-RPC id
 	pending   []*upstream.Call          // calls that wait for the connection to open
-	nextID    uint64                    // the id that was assigned last
+	lastID    uint64                    // the id that was assigned last
 	removed   bool                      // the connection is no longer in server.conns
 	idleTimer *time.Timer               // non-nil while the connection is open and has no calls
 }
@@ -154,7 +154,7 @@
 	s := c.server
 	for i, other := range s.conns {
 		if other == c {
-			s.conns = append(s.conns[:i:i], s.conns[i+1:]...)
+			s.conns = append(s.conns[:i:i], s.conns[i+1:]...) // a copy, as the loop is still reading s.conns
 		}
 	}
 	if len(s.conns) == 0 && c.pool.servers[s.addr] == s {
