--- a/bench/process.go
+++ b/bench/process.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// process is one path from clients to servers. It is a separate process, or no process if clients are
-// connected directly to a server.
+// process is one of the compared paths from clients to servers. The path "direct" has no process of its own,
+// because its clients connect to a server; its cmd, stdin and stdout are nil.
 type process struct {
-	name   string
-	addr   string
-	cmd    *exec.Cmd
-	stdin  *bufio.Writer
-	stdout *bufio.Scanner
+	name   string         // one of paths
+	addr   string         // address to which clients connect, host:port
+	cmd    *exec.Cmd      // this program, started with the argument child
+	stdin  *bufio.Writer  // commands to the process, one per line
+	stdout *bufio.Scanner // its address and then its answers, one per line
 }
 
 // freeAddress returns a loopback address on which nothing listens.
--- a/bench/relay.go
+++ b/bench/relay.go
@@ -12,11 +12,12 @@
 	"winghatch/internal/jsonrpc"
 )
 
-// relay forwards calls like a simple program built on coder/websocket. It uses the same JSON-RPC, maps ids,
-// opens two connections to each server, selects them round robin and enforces no quota. Its goroutines end
-// with the process.
+// relay forwards calls like a simple program built on coder/websocket. It parses and encodes JSON-RPC with
+// the same package as the gateway and replaces the id of each call by one of its own. It opens connsPerServer
+// connections to each server, selects them round robin and enforces no quota. Its goroutines end with the
+// process.
 type relay struct {
-	servers []string
+	servers []string   // addresses, host:port
 	mu      sync.Mutex // guards conns
 	conns   []*relayConn
 	next    atomic.Uint64 // number of calls sent
--- a/cmd/winghatch/scenario.go
+++ b/cmd/winghatch/scenario.go
@@ -20,7 +20,7 @@
 	exitCannotRun = 2 // the scenario could not be run, or the records could not be read
 )
 
-// rules is the number of invariants that a verdict checks.
+// rules is the number of rules that a verdict checks; see package invariant.
 const rules = 5
 
 // demoCmd is the sub-command demo.
@@ -189,7 +189,8 @@
 	return nil
 }
 
-// printUsage prints how reservations were used and which usage the receiver had at the end.
+// printUsage prints the units used of each reservation, which usage the receiver had at the end, and whether
+// each attempt was exported exactly once.
 func printUsage(res *scenario.Result) {
 	for _, r := range res.Reservations {
 		fmt.Printf("reserved for %s: %.6g of %.6g units used\n", r.Member, r.Used, r.Units)
--- a/decide/retry_test.go
+++ b/decide/retry_test.go
@@ -56,6 +56,7 @@
 // Servers drop a duplicate only within the dedup window. A retry after the window could run a second time.
 func TestDedupWindow(t *testing.T) {
 	h := newHarness(t, func(c *Config) {
+		// Classes[2] is putall.
 		c.Classes[2].LatencyObjective, c.Classes[2].DedupWindow = 3*time.Second,
 			time.Second
 	})
@@ -72,7 +73,7 @@
 	for _, c := range []struct {
 		class  string
 		first  Outcome
-		window bool
+		window bool // whether the retry's WriteBefore is limited by the dedup window
 	}{
 		{"put", OutcomeCancelled, true},
 		{"put", OutcomeReset, true},
@@ -92,7 +93,7 @@
 		}
 		got, bounded := again[0].WriteBefore-at, again[0].WriteBefore != 0
 		if bounded != c.window || bounded && (got > 2*time.Second || got < 1900*ms) {
-			t.Errorf("%s after %v: retry has WriteBefore %v after the first, want the dedup window: %t",
+			t.Errorf("%s after %v: WriteBefore is %v after the first attempt, want the dedup window: %t",
 				c.class,
 				c.first, got, c.window)
 		}
--- a/decide/selection_test.go
+++ b/decide/selection_test.go
@@ -6,8 +6,8 @@
 )
 
 // Where observations are sparse, a server that takes twice the time must get about half of the requests.
-// With none, all gateways would use the same few servers; with an equal part, they would overload the slow
-// ones.
+// If slower servers got no requests, all gateways would use the same few servers. If they got as many as the
+// others, they would be overloaded.
 func TestSelectionFollowsSpeedOnSparseObservations(t *testing.T) {
 	h := newSparseHarness(t, nil)
 	got := [2]float64{}
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -96,7 +96,7 @@
 }
 
 // newCall returns the upstream call of an attempt. Connecting takes time, so two things are determined only
-// when the call is written to its connection: whether it may still be sent and, if the front end encodes
+// when the call is written to its connection: whether it may still be sent and, if the frontend encodes
 // attempts itself, the remaining time that the server is told. writeBefore is the time by which the call must
 // be written; 0 means no bound.
 func (l *Loop) newCall(a *attempt, timeLeft, writeBefore time.Duration) *upstream.Call {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -121,7 +121,7 @@
 }
 
 // Stop ends the gateway at once. It stops the sources of input before the components that handle the input:
-// the goroutines with a context, the front end, gossip, the control API, the loop, and the connections to
+// the goroutines with a context, the frontend, gossip, the control API, the loop, and the connections to
 // servers. It then waits for all goroutines and closes the logs, which only these goroutines write to.
 func (g *Gateway) Stop() {
 	g.stop()
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -18,7 +18,7 @@
 //
 // # Gateways
 //
-// Start runs a complete gateway with a WebSocket front end and, depending on the settings, gossip, control
+// Start runs a complete gateway with a WebSocket frontend and, depending on the settings, gossip, control
 // API, plan changes, usage export, metrics and tracing. Package platform instead combines a Loop with a front
 // end of its own; that loop has no plans, usage export, metrics or tracer.
 package gateway
@@ -56,7 +56,7 @@
 
 // Counters counts requests and attempts since the start. Any goroutine may read it.
 type Counters struct {
-	OpenRequests  atomic.Int64 // requests without a final answer, at the front end or in the loop
+	OpenRequests  atomic.Int64 // requests without a final answer, at the frontend or in the loop
 	Served        atomic.Int64
 	Rejected      atomic.Int64
 	Failed        atomic.Int64
@@ -107,7 +107,7 @@
 	stopped  chan struct{} // closed by Run
 }
 
-// NewLoop returns a loop; Run starts it. clock is monotonic and shared with the front end. peers and recorder
+// NewLoop returns a loop; Run starts it. clock is monotonic and shared with the frontend. peers and recorder
 // may be nil.
 func NewLoop(cfg decide.Config, core Core, clock func() time.Duration, upstream Upstream, peers Peers,
 	recorder *recording.Writer, log *slog.Logger) *Loop {
--- a/internal/gateway/params.go
+++ b/internal/gateway/params.go
@@ -8,7 +8,7 @@
 )
 
 // attemptParams encodes the params of the JSON-RPC request that carries an attempt to its server. It is used
-// if the front end does not encode attempts itself.
+// if the frontend does not encode attempts itself.
 func (r *openRequest) attemptParams(number int, timeLeft time.Duration) []byte {
 	const fieldBytes = 160 // approximate size of all fields except the payload
 	b := make([]byte, 0, fieldBytes+len(r.Payload))
--- a/internal/gateway/queue.go
+++ b/internal/gateway/queue.go
@@ -13,7 +13,7 @@
 type loopInput any
 
 type (
-	// requestReceived is a new request from the front end.
+	// requestReceived is a new request from the frontend.
 	requestReceived struct{ request *frontend.Request }
 	// clientDisconnected reports that the client of the request with this ID has disconnected.
 	clientDisconnected struct{ id string }
--- a/internal/gateway/start.go
+++ b/internal/gateway/start.go
@@ -206,7 +206,7 @@
 	return nil
 }
 
-// run starts the goroutines of the gateway. The loop comes first and the front end last, so that no request
+// run starts the goroutines of the gateway. The loop comes first and the frontend last, so that no request
 // arrives before the core has its plans and everything else is running. Stop ends each goroutine by
 // cancelling its context or by closing what it serves.
 func (g *Gateway) run(s *sockets) {
--- a/internal/gateway/state.go
+++ b/internal/gateway/state.go
@@ -22,7 +22,7 @@
 	LoopTurns          int64             `json:"turns"`
 	Served             int64             `json:"served"`
 	Rejected           map[string]int64  `json:"refused"`     // requests rejected by the loop, by reason
-	FrontendRejections map[string]int64  `json:"turned_away"` // rejected by the front end, by reason
+	FrontendRejections map[string]int64  `json:"turned_away"` // rejected by the frontend, by reason
 	Failed             int64             `json:"failed"`
 	Abandoned          int64             `json:"gone"` // requests whose client disconnected first
 	Attempts           int64             `json:"attempts"`
--- a/internal/httppost/post.go
+++ b/internal/httppost/post.go
@@ -1,6 +1,6 @@
-// Package httppost sends HTTP POST requests whose data must not count as received before the receiver has
-// read it. It sends "Expect: 100-continue" and reports whether the whole body was sent before the response
-// arrived.
+// Package httppost sends HTTP POST requests whose data must not count as delivered unless the receiver has
+// read it. A receiver may respond without reading the body, even with a success status. Post therefore sends
+// "Expect: 100-continue" and reports whether the whole body was sent before the response arrived.
 package httppost
 
 import (
--- a/internal/metrics/collector.go
+++ b/internal/metrics/collector.go
@@ -29,7 +29,7 @@
 	UnresponsiveOwners int                    // quota owners that are not asked because they did not respond
 	Servers            map[string]int         // number of servers by state
 	Datagrams          map[string]int64       // datagrams to and from other gateways, by result
-	FrontendRejections map[string]int64       // requests and handshakes rejected by the front end, by reason
+	FrontendRejections map[string]int64       // requests and handshakes rejected by the frontend, by reason
 	Plans              map[string]PlanTotals  // totals by plan
 	Usage              *UsageBacklog          // nil: usage is not exported
 	PlanChanges        int                    // plan changes that this gateway knows
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// ErrFull is returned by Append when the record would exceed Options.MaxBytes.
+// ErrFull is returned by Append when the log with the new record would exceed Options.MaxBytes.
 var ErrFull = errors.New("wal: log has reached its size limit")
 
 // ErrBusy is returned by Append when the records waiting to be written would exceed Options.MaxPendingBytes.
@@ -31,7 +31,7 @@
 	nextNumber  uint64         // number of the next record to be appended
 	pending     []byte         // encoded records that the writer has not picked up yet
 	lastPending uint64         // number of the last record appended
-	segments    []segment      // in order of record numbers; the last one is written unless failure is set
+	segments    []segment      // in order of record numbers; records are written to the last one
 	snapshots   []snapshotFile // in order of record numbers
 	totalBytes  int64          // size of all segments and snapshots
 	lastDurable uint64         // number of the last record up to which all records are durable
@@ -164,7 +164,7 @@
 	return l.failure
 }
 
-// Sync waits until all records appended before the call are durable as defined by the mode. It returns an
+// Sync waits until all records appended before the call are durable as defined by Options.Mode. It returns an
 // error if the log cannot be written, if it was closed before the records became durable, or after the
 // timeout.
 func (l *Log) Sync(timeout time.Duration) error { return l.waitDurable(l.NextNumber()-1, timeout) }
--- a/internal/wsconn/open.go
+++ b/internal/wsconn/open.go
@@ -15,9 +15,9 @@
 // descriptors.
 const acceptRetryDelay = time.Millisecond
 
-// Dial connects to addr, which is a host:port, and performs the handshake of a client. ctx limits both but
-// does not affect the returned connection. The error is a *websocket.HandshakeError if the server rejects
-// the handshake.
+// Dial connects to addr, which is a host:port, and performs the client side of the opening handshake. ctx
+// limits both but does not affect the returned connection. The error is a *websocket.HandshakeError if the
+// server rejects the handshake.
 func Dial(ctx context.Context, addr string, request *websocket.Request, o Options) (*Conn, error) {
 	o = o.withDefaults()
 	var dialer net.Dialer
@@ -43,9 +43,10 @@
 	return newConn(nc, in, websocket.Client, o), nil
 }
 
-// Accept performs the handshake of a server on nc within the timeout and selects the subprotocol, if it is
-// not empty. check, if not nil, may reject the client by returning a *websocket.HandshakeError. The caller
-// must write the response for a *websocket.HandshakeError, and must close nc after any error.
+// Accept performs the server side of the opening handshake on nc within the timeout and selects the
+// subprotocol protocol, if it is not empty. check, if not nil, may reject the client by returning a
+// *websocket.HandshakeError. The caller must write the response for a *websocket.HandshakeError, and must
+// close nc after any error.
 func Accept(nc net.Conn, protocol string, timeout time.Duration, check func(*websocket.Upgrade) error,
 	o Options) (*Conn, error) {
 	o = o.withDefaults()
