--- a/internal/frontend/websocket/server.go
+++ b/internal/frontend/websocket/server.go
@@ -43,8 +43,8 @@
 
 	limitWriteTimeout = time.Second // timeout of the response to a connection that is not admitted
 	// After a rejected handshake, the server reads at most rejectLingerBytes for at most rejectLingerTimeout.
-	// The client may still be sending, a close with bytes still unread would reset the connection, and the
-	// client could receive the reset before it has read the response.
+	// A close with bytes still unread would reset the connection, and a client that is still sending could
+	// receive the reset before it has read the response.
 	rejectLingerTimeout = 100 * time.Millisecond
 	rejectLingerBytes   = 64 << 10
 
