--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -16,8 +16,10 @@
 // rejected, and sessions must be closed with code 1001, going away.
 func TestDrainAnswersOpenRequests(t *testing.T) {
 	g := newTestGateway(t, 2, nil)
+	// The requests take seconds: if all of them ended before the new request arrives, the drain would already
+	// have closed its session.
 	for _, server := range g.servers {
-		server.SetFault(func(fault *backend.Fault) { fault.Slowdown = 150 })
+		server.SetFault(func(fault *backend.Fault) { fault.Slowdown = 1500 })
 	}
 	c := g.dial(g.key)
 	idle := g.dial(g.key)
