--- a/internal/gateway/attempts_test.go
+++ b/internal/gateway/attempts_test.go
@@ -79,6 +79,7 @@
 		t.Error("attempt is not cancelled after its write bound")
 	}
 	noWriteBound.Store(true)
+	t.Cleanup(func() { noWriteBound.Store(false) })
 	c = submit("c")
 	if now.Add(int64(399 * time.Millisecond)); c.Cancelled() || string(c.BuildParams()) != "1" {
 		t.Errorf("with 1 ms left the timeout is %s ms, cancelled %t, want 1 and false",
