--- a/internal/config/load.go
+++ b/internal/config/load.go
@@ -139,7 +139,7 @@
 
 func (d *decoder) checkStateDir(f *Fleet, n *kdl.Node) {
 	if f.UsageExport.URL != "" && f.StateDirPattern == "" && !d.draft {
-		d.Fail(n.Pos, "kept", "missing, required because the log of export is there")
+		d.Fail(n.Pos, "kept", "missing, required because the log of usage export is stored there")
 	}
 	if f.StateDirPattern != "" && !strings.Contains(f.StateDirPattern, rankPlaceholder) &&
 		len(f.Gateways) > 1 {
--- a/internal/platform/settings/settings.go
+++ b/internal/platform/settings/settings.go
@@ -66,7 +66,8 @@
 	for i, k := range classes {
 		switch {
 		case seen[k.Name]:
-			return converted, fmt.Errorf("Classes[%d].Name is %q, want each once", i, k.Name)
+			return converted, fmt.Errorf("Classes[%d].Name is %q, want a name of no earlier class",
+				i, k.Name)
 		case k.GiveUpNs <= 0:
 			return converted, fmt.Errorf("Classes[%d].GiveUpNs is %d, want more than 0", i, k.GiveUpNs)
 		case k.WindowNs < 0:
@@ -91,7 +92,8 @@
 	seen := map[string]bool{}
 	for i, t := range tiers {
 		if seen[t.Name] {
-			return converted, fmt.Errorf("TiersOfService[%d].Name is %q, want each once", i, t.Name)
+			return converted, fmt.Errorf("TiersOfService[%d].Name is %q, want a name of no earlier tier",
+				i, t.Name)
 		}
 		seen[t.Name] = true
 		converted = append(converted, t.convert())
--- a/internal/recording/reader.go
+++ b/internal/recording/reader.go
@@ -46,7 +46,8 @@
 	}
 	var h storedHeader
 	if err := json.Unmarshal(raw, &h); err != nil || h.Version != formatVersion {
-		return nil, fmt.Errorf("recording: line 1: format version %d, want %d", h.Version, formatVersion)
+		return nil, fmt.Errorf("recording: line 1: format version %d (0: missing or not JSON), want %d",
+			h.Version, formatVersion)
 	}
 	r.Header = Header{h.Seed, h.Config.load()}
 	return r, nil
--- a/internal/scenario/parse.go
+++ b/internal/scenario/parse.go
@@ -115,7 +115,8 @@
 		return
 	}
 	if p.fleetNode != nil || p.loadNode != nil || len(p.serverNodes) > 0 {
-		p.decoder.Fail(n.Pos, "like", "%q, want no fleet, nodes or load of its own beside it", p.baseName)
+		p.decoder.Fail(n.Pos, "like", "%q provides fleet, nodes and load, want none of them in this scenario",
+			p.baseName)
 		return
 	}
 	base, err := Parse(p.baseName, src)
--- a/internal/scenario/script_test.go
+++ b/internal/scenario/script_test.go
@@ -39,7 +39,7 @@
 		`day x { like drain; trouble slow at="1s" count=0 }`:             "want a whole number",
 		`day x { like drain; trouble class_fail at="1s" }`:               "class: missing",
 		`day x { like drain; trouble class_fail at="1s" class=nothing }`: "want a class of the fleet",
-		`day x { like drain; load rate="1/s" }`:                          "of its own",
+		`day x { like drain; load rate="1/s" }`:                          "fleet, nodes and load, want none",
 	} {
 		_, err := Parse("f", []byte(in))
 		if err == nil || !strings.Contains(err.Error(), want) || !strings.HasPrefix(err.Error(), "f:1:") {
--- a/internal/testbed/backend/job.go
+++ b/internal/testbed/backend/job.go
@@ -71,14 +71,14 @@
 	switch {
 	case s.fault.Unresponsive || s.overloaded:
 	case s.rng.Float64() < s.fault.ErrorShare:
-		s.reply(j, errorResponse(j.id, jsonrpc.CodeServerError, "the node fails"))
+		s.reply(j, errorResponse(j.id, jsonrpc.CodeServerError, "injected fault: the call is not run"))
 	case class.Deduplicates && j.params.Key != "" &&
 		s.options.Dedup.isDuplicate(j.params.Key, class.DedupWindow):
 		s.record(invariant.Deduplicated, j)
 		s.reply(j, jsonrpc.AppendResult(nil, j.id, s.resultBody(j)))
 	case s.running >= s.options.Cores && len(s.queue) >= s.options.Queue:
 		s.record(invariant.ServerRejected, j)
-		s.reply(j, errorResponse(j.id, jsonrpc.CodeServerFull, "queue is full"))
+		s.reply(j, errorResponse(j.id, jsonrpc.CodeServerFull, "all cores are busy and the queue is full"))
 	default:
 		s.queue = append(s.queue, j)
 		s.startQueued()
--- a/internal/testbed/httpreceiver/faults.go
+++ b/internal/testbed/httpreceiver/faults.go
@@ -21,5 +21,5 @@
 	if retryAfter != "" {
 		w.Header().Set("Retry-After", retryAfter)
 	}
-	http.Error(w, "trouble", status)
+	http.Error(w, "injected fault: the request is not processed", status)
 }
--- a/internal/testbed/metricsreceiver/receiver.go
+++ b/internal/testbed/metricsreceiver/receiver.go
@@ -56,7 +56,7 @@
 	mux.HandleFunc("GET /series", r.handleSeries)
 	server, err := httpreceiver.Start(addr, mux)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("metricsreceiver: %w", err)
 	}
 	r.server = server
 	return r, nil
--- a/internal/testbed/metricsreceiver/write.go
+++ b/internal/testbed/metricsreceiver/write.go
@@ -1,7 +1,7 @@
 package metricsreceiver
 
 import (
-	"errors"
+	"fmt"
 	"io"
 	"net/http"
 	"strconv"
@@ -49,7 +49,8 @@
 		return
 	}
 	if fault.MaxSamples > 0 && len(samples) > fault.MaxSamples {
-		http.Error(w, "too large", http.StatusRequestEntityTooLarge)
+		http.Error(w, fmt.Sprintf("batch has %d samples, want at most %d", len(samples), fault.MaxSamples),
+			http.StatusRequestEntityTooLarge)
 		return
 	}
 	names, err := seriesNames(samples, fault)
@@ -71,11 +72,14 @@
 
 func checkHeader(req *http.Request, v2 bool, fault Fault) error {
 	if fault.OnlyV1 && v2 {
-		return errors.New("want prometheus.WriteRequest")
+		return fmt.Errorf("Content-Type is %q, want prometheus.WriteRequest (remote write 1.0)",
+			req.Header.Get("Content-Type"))
 	}
 	version2 := req.Header.Get(versionHeader) == "2.0.0"
 	if req.Header.Get("Content-Encoding") != "snappy" || v2 != version2 {
-		return errors.New("headers: want snappy, and a version that is the content's")
+		return fmt.Errorf("Content-Encoding is %q, %s is %q, want snappy and the version of Content-Type %q",
+			req.Header.Get("Content-Encoding"), versionHeader, req.Header.Get(versionHeader),
+			req.Header.Get("Content-Type"))
 	}
 	return nil
 }
@@ -96,7 +100,8 @@
 	for _, s := range samples {
 		name := seriesName(s.Series)
 		if fault.Reject != "" && strings.Contains(name, fault.Reject) {
-			return nil, errors.New(name + ": not taken")
+			return nil, fmt.Errorf("series %s: rejected by an injected fault, because it contains %q",
+				name, fault.Reject)
 		}
 		names = append(names, name)
 	}
--- a/internal/testbed/ports/ports.go
+++ b/internal/testbed/ports/ports.go
@@ -3,7 +3,6 @@
 package ports
 
 import (
-	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net"
@@ -49,7 +48,8 @@
 		r.locks = append(r.locks, lock)
 		return addr, nil
 	}
-	return "", errors.New("ports: no free port found")
+	return "", fmt.Errorf("ports: no free port from %d to %d found in %d attempts",
+		lowestPort, highestPort-1, maxTries)
 }
 
 // Release releases all reserved ports.
--- a/internal/testbed/storeddata/storeddata.go
+++ b/internal/testbed/storeddata/storeddata.go
@@ -43,18 +43,18 @@
 	t.Helper()
 	lines := ReadLines(t, path)
 	if len(lines) == 0 {
-		t.Error("storeddata: no stored transcripts, want at least one")
+		t.Errorf("%s: no stored transcripts, want at least one", path)
 	}
 	for _, line := range lines {
 		var seed int64
 		var wantRecorded int
 		var wantHash uint64
 		if _, err := fmt.Sscanf(line, "%d %d %x", &seed, &wantRecorded, &wantHash); err != nil {
-			t.Fatalf("%q: %v", line, err)
+			t.Fatalf("%s: line %q, want a seed, a number of entries and a hash: %v", path, line, err)
 		}
 		if recorded, hash := transcript(seed); recorded != wantRecorded || hash != wantHash {
-			t.Errorf("seed %d: got %d entries with hash %x, want the stored %d entries with hash %x",
-				seed, recorded, hash, wantRecorded, wantHash)
+			t.Errorf("%s: seed %d: got %d entries with hash %x, want the stored %d entries with hash %x",
+				path, seed, recorded, hash, wantRecorded, wantHash)
 		}
 	}
 }
--- a/internal/testbed/tracereceiver/receiver.go
+++ b/internal/testbed/tracereceiver/receiver.go
@@ -5,6 +5,7 @@
 import (
 	"compress/gzip"
 	"encoding/hex"
+	"fmt"
 	"io"
 	"net/http"
 	"sync"
@@ -45,7 +46,7 @@
 	mux.HandleFunc("POST /v1/traces", r.handleTraces)
 	server, err := httpreceiver.Start(addr, mux)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("tracereceiver: %w", err)
 	}
 	r.server = server
 	return r, nil
@@ -80,7 +81,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.Status != 0 {
-		http.Error(w, "trouble", r.Status)
+		http.Error(w, "injected fault: spans are not stored", r.Status)
 		return
 	}
 	var request collector.ExportTraceServiceRequest
--- a/internal/testbed/usagereceiver/receiver.go
+++ b/internal/testbed/usagereceiver/receiver.go
@@ -6,6 +6,7 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"io"
 	"math/rand/v2"
 	"net/http"
@@ -56,7 +57,7 @@
 func Start(addr, file string) (*Receiver, error) {
 	s, duplicates, err := openStore(file)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("usagereceiver: %w", err)
 	}
 	r := &Receiver{
 		store:      s,
@@ -69,7 +70,7 @@
 	server, err := httpreceiver.Start(addr, mux)
 	if err != nil {
 		s.file.Close()
-		return nil, err
+		return nil, fmt.Errorf("usagereceiver: %w", err)
 	}
 	r.server = server
 	return r, nil
@@ -134,7 +135,8 @@
 		return
 	}
 	if fault.Reject != "" && strings.Contains(string(body), fault.Reject) {
-		http.Error(w, "an event of this batch is not taken", http.StatusBadRequest)
+		http.Error(w, fmt.Sprintf("batch rejected by an injected fault: it contains %q", fault.Reject),
+			http.StatusBadRequest)
 		return
 	}
 	if err := r.add(req, body); err != nil {
--- a/internal/testbed/usagereceiver/store.go
+++ b/internal/testbed/usagereceiver/store.go
@@ -4,7 +4,7 @@
 	"bufio"
 	"bytes"
 	"encoding/json"
-	"errors"
+	"fmt"
 	"io"
 	"net/http"
 	"os"
@@ -101,15 +101,17 @@
 // parseBatch decodes a batch and checks that each event has the attributes that CloudEvents 1.0 requires.
 func parseBatch(req *http.Request, body []byte) ([]Event, error) {
 	if !strings.HasPrefix(req.Header.Get("Content-Type"), "application/cloudevents-batch+json") {
-		return nil, errors.New("Content-Type: want application/cloudevents-batch+json")
+		return nil, fmt.Errorf("Content-Type is %q, want application/cloudevents-batch+json",
+			req.Header.Get("Content-Type"))
 	}
 	var events []Event
 	if err := json.Unmarshal(body, &events); err != nil {
-		return nil, err
+		return nil, fmt.Errorf("body is not a JSON array of events: %w", err)
 	}
-	for _, e := range events {
+	for i, e := range events {
 		if e.Version != "1.0" || e.ID == "" || e.Source == "" || e.Type == "" {
-			return nil, errors.New("an event lacks specversion 1.0, id, source or type")
+			return nil, fmt.Errorf("event %d: specversion is %q, id %q, source %q, type %q, "+
+				"want specversion 1.0 and the others not empty", i, e.Version, e.ID, e.Source, e.Type)
 		}
 	}
 	return events, nil
--- a/internal/tracing/exporter.go
+++ b/internal/tracing/exporter.go
@@ -7,6 +7,7 @@
 import (
 	"context"
 	"encoding/binary"
+	"fmt"
 	"log/slog"
 	"time"
 
@@ -79,7 +80,7 @@
 	client, err := otlptracehttp.New(ctx,
 		otlptracehttp.WithEndpointURL(o.URL), otlptracehttp.WithTimeout(o.Timeout))
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("tracing: create the client of the trace receiver: %w", err)
 	}
 	if o.Log != nil {
 		otel.SetErrorHandler(otel.ErrorHandlerFunc(func(err error) {
