--- a/internal/discovery/websocket/watch.go
+++ b/internal/discovery/websocket/watch.go
@@ -159,6 +159,6 @@
 		return
 	}
 	if err := saveList(w.options.CacheFile, w.tracker.snapshot(u.NowMs)); err != nil {
-		w.options.Log("Caching the endpoint list failed", "err", err)
+		w.options.Log("Failed to cache the endpoint list", "err", err)
 	}
 }
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -303,6 +303,6 @@
 
 // stopRecording logs a failed write and disables recording.
 func (l *Loop) stopRecording(err error) {
-	l.log.Error("Failed to write recording; recording stopped", "err", err)
+	l.log.Error("Failed to write recording, recording stopped", "err", err)
 	l.recorder = nil
 }
--- a/internal/gateway/planlog.go
+++ b/internal/gateway/planlog.go
@@ -195,7 +195,7 @@
 		return
 	}
 	p.failure = err.Error()
-	p.logger.Error("Failed to write plan log; plan changes and reservations are on hold", "err", err)
+	p.logger.Error("Failed to write plan log, plan changes and reservations are on hold", "err", err)
 }
 
 // close closes the plan log. It is called after the loop has ended, and does nothing if the log is closed
