--- a/internal/quotaplan/effective.go
+++ b/internal/quotaplan/effective.go
@@ -107,9 +107,9 @@
 	return c.Units
 }
 
-// inForce returns the change of a list that is in force at a time, in Unix nanoseconds. It returns nil if
-// there is none.
-func (d *derived) inForce(list []*Change, at int64) (found *Change) {
+// effectiveAt returns the change of a list that is effective at a time, in Unix nanoseconds. It returns nil
+// if there is none.
+func (d *derived) effectiveAt(list []*Change, at int64) (found *Change) {
 	for _, c := range list {
 		if c.From <= at && d.cancelledBy[c.Number] == 0 && (found == nil || c.supersedes(found)) {
 			found = c
@@ -121,11 +121,11 @@
 // planAt returns the plan of a member at a time, in Unix nanoseconds, without the effect of reservations.
 func (r *Replica) planAt(member string, at int64) decide.Plan {
 	name := r.members[member].Plan
-	if c := r.derived.inForce(r.derived.planMoves[member], at); c != nil {
+	if c := r.derived.effectiveAt(r.derived.planMoves[member], at); c != nil {
 		name = c.Plan
 	}
 	p := r.plans[name]
-	if c := r.derived.inForce(r.derived.termChanges[name], at); c != nil {
+	if c := r.derived.effectiveAt(r.derived.termChanges[name], at); c != nil {
 		p = c.Terms
 		p.Name = name
 	}
@@ -138,7 +138,7 @@
 func (r *Replica) effectivePlan(member string, at int64) (decide.Plan, uint64) {
 	p := r.planAt(member, at)
 	last := uint64(0)
-	if c := r.derived.inForce(r.derived.planMoves[member], at); c != nil {
+	if c := r.derived.effectiveAt(r.derived.planMoves[member], at); c != nil {
 		last = c.Number
 	}
 	full := p
--- a/internal/quotaplan/history.go
+++ b/internal/quotaplan/history.go
@@ -52,8 +52,8 @@
 		e.Status = Waiting
 	case c.Kind == Reserve && c.To <= now:
 		e.Status = Ended
-	case c.Kind == Move && d.inForce(d.planMoves[c.Member], now) != c,
-		c.Kind == Terms && d.inForce(d.termChanges[c.Plan], now) != c:
+	case c.Kind == Move && d.effectiveAt(d.planMoves[c.Member], now) != c,
+		c.Kind == Terms && d.effectiveAt(d.termChanges[c.Plan], now) != c:
 		e.Status = Replaced
 	}
 	if units, ok := d.shortenedTo[c.Number]; ok && c.Kind == Reserve {
--- a/internal/reservation/holding.go
+++ b/internal/reservation/holding.go
@@ -9,9 +9,9 @@
 	"winghatch/internal/quotaplan"
 )
 
-// holder identifies the tokens of a reservation at one gateway in one epoch. A gateway that lost its disk
-// starts a new epoch and is then a different holder: tokens sent to the previous holder are lost.
-type holder struct {
+// tokenHolder identifies the tokens of a reservation at one gateway in one epoch. A gateway that lost its
+// disk starts a new epoch and is then a different holder: tokens sent to the previous holder are lost.
+type tokenHolder struct {
 	rank  int
 	epoch uint64
 }
@@ -57,12 +57,12 @@
 
 	// Persisted state.
 	epoch    uint64
-	minted   bool    // this gateway minted the tokens
-	ended    bool    // the window has passed, or the reservation was cancelled
-	removed  float64 // units removed by resizes, over all gateways; free is already reduced
-	free     float64 // tokens that are not drawn; negative: owed after a resize
-	sent     map[holder]*transfer
-	received map[holder]float64 // total received from each holder
+	minted   bool                      // this gateway minted the tokens
+	ended    bool                      // the window has passed, or the reservation was cancelled
+	removed  float64                   // units removed by resizes, over all gateways; free is already reduced
+	free     float64                   // tokens that are not drawn; negative: owed after a resize
+	sent     map[tokenHolder]*transfer // tokens sent to each holder
+	received map[tokenHolder]float64   // total of the tokens received from each holder
 
 	// State of this process, not persisted.
 	drawn    float64 // spendable tokens; negative: requests used more units than they were admitted with
@@ -93,8 +93,8 @@
 	if h == nil {
 		h = &holding{
 			epoch:       l.settings.Epoch,
-			sent:        map[holder]*transfer{},
-			received:    map[holder]float64{},
+			sent:        map[tokenHolder]*transfer{},
+			received:    map[tokenHolder]float64{},
 			inFlight:    map[string]float64{},
 			peers:       make([]peerTokens, l.settings.Gateways),
 			outstanding: map[uint64]int{},
--- a/internal/reservation/persistence.go
+++ b/internal/reservation/persistence.go
@@ -105,7 +105,7 @@
 }
 
 // appendHolderTotal appends a holder and the total of the tokens sent to it or received from it.
-func appendHolderTotal(b []byte, k holder, total float64) []byte {
+func appendHolderTotal(b []byte, k tokenHolder, total float64) []byte {
 	b = binary.AppendUvarint(b, uint64(k.rank))
 	b = binary.LittleEndian.AppendUint64(b, k.epoch)
 	return encoding.AppendFloat64(b, total)
@@ -113,12 +113,12 @@
 
 // sortedHolders returns the keys of a map in a fixed order, so that the same events always produce the same
 // bytes.
-func sortedHolders[V any](m map[holder]V) []holder {
-	keys := make([]holder, 0, len(m))
+func sortedHolders[V any](m map[tokenHolder]V) []tokenHolder {
+	keys := make([]tokenHolder, 0, len(m))
 	for k := range m {
 		keys = append(keys, k)
 	}
-	slices.SortFunc(keys, func(a, b holder) int {
+	slices.SortFunc(keys, func(a, b tokenHolder) int {
 		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.epoch, b.epoch))
 	})
 	return keys
@@ -139,10 +139,10 @@
 	h := l.holding(id)
 	h.epoch, h.minted, h.ended = epoch, flags&flagMinted > 0, flags&flagEnded > 0
 	h.removed, h.free = r.Float64(), r.Float64()
-	readHolderTotals(r, func(k holder, total float64) {
+	readHolderTotals(r, func(k tokenHolder, total float64) {
 		h.sent[k] = &transfer{total: total, retryInterval: minRetransmitInterval}
 	})
-	readHolderTotals(r, func(k holder, total float64) { h.received[k] = total })
+	readHolderTotals(r, func(k tokenHolder, total float64) { h.received[k] = total })
 	if r.Malformed {
 		delete(l.holdings, id)
 		return fmt.Errorf("reservation %016x: stored state of %d bytes is truncated", id, len(state))
@@ -151,9 +151,9 @@
 }
 
 // readHolderTotals reads a count and that many entries written by appendHolderTotal, and calls add for each.
-func readHolderTotals(r *encoding.Reader, add func(k holder, total float64)) {
+func readHolderTotals(r *encoding.Reader, add func(k tokenHolder, total float64)) {
 	for n := r.Uvarint(maxStoredHolders); n > 0 && !r.Malformed; n-- {
-		k := holder{rank: int(r.Uvarint(maxStoredRank))}
+		k := tokenHolder{rank: int(r.Uvarint(maxStoredRank))}
 		k.epoch = r.Uint64()
 		add(k, r.Float64())
 	}
--- a/internal/reservation/requests.go
+++ b/internal/reservation/requests.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// queuedUnits returns the sum of the units of all waiting requests.
-func (h *holding) queuedUnits() (sum float64) {
+// waitingUnits returns the sum of the units of all waiting requests.
+func (h *holding) waitingUnits() (sum float64) {
 	for _, w := range h.queue {
 		sum += w.Units
 	}
@@ -139,16 +139,16 @@
 	if l.draining {
 		return
 	}
-	queued := h.queuedUnits()
+	waiting := h.waitingUnits()
 	demand := h.demand.valueAt(l.now.Mono)
 	drawSize := max(minDrawRequests*l.settings.MaxRequestUnits, demand*drawPeriod.Seconds())
 	drawnOrDrawing := h.drawn + h.drawing
-	enough := drawnOrDrawing >= queued &&
-		(drawnOrDrawing >= drawSize/2 || queued == 0 && demand < negligibleDemand)
+	enough := drawnOrDrawing >= waiting &&
+		(drawnOrDrawing >= drawSize/2 || waiting == 0 && demand < negligibleDemand)
 	if h.free <= 0 || enough {
 		return
 	}
-	n := min(h.free, max(queued-drawnOrDrawing, 0)+drawSize)
+	n := min(h.free, max(waiting-drawnOrDrawing, 0)+drawSize)
 	h.free -= n
 	h.drawing += n
 	state := l.persist(h)
--- a/internal/reservation/transfer.go
+++ b/internal/reservation/transfer.go
@@ -36,7 +36,7 @@
 		}
 	case acknowledgementMessage:
 		if h := l.holdings[m.reservation]; h != nil && m.senderEpoch == h.epoch {
-			if t := h.sent[holder{e.From, m.epoch}]; t != nil {
+			if t := h.sent[tokenHolder{e.From, m.epoch}]; t != nil {
 				t.acknowledged = max(t.acknowledged, min(t.total, m.total))
 			}
 		}
@@ -50,8 +50,8 @@
 		l.refillRoom(h)
 	}
 	tokens := l.spareTokens(h, m.tokens)
-	room := l.spareRoom(h, m.room)
-	to := holder{from, m.epoch}
+	room := l.takeGrantableRoom(h, m.room)
+	to := tokenHolder{from, m.epoch}
 	if tokens <= 0 {
 		// The answer repeats the total, which may include tokens whose deduction here is not durable yet.
 		l.sendWhenPersisted(l.lastState, from, l.encodeTransfer(h, to, m.number, room))
@@ -89,14 +89,14 @@
 	return max(0, min(wanted, h.free-max(0, ownNeed-h.drawn)))
 }
 
-// spareRoom deducts from this gateway's room what it can grant of the room that a peer wants, and returns it.
-// Room that its own waiting requests need is not granted. Neither is an amount too small for a request, which
-// would expire unused.
-func (l *Ledger) spareRoom(h *holding, wanted float64) float64 {
+// takeGrantableRoom deducts from this gateway's room the part that it can grant to a peer, and returns it in
+// units. wanted is the room that the peer requests. Room that this gateway's own waiting requests need is not
+// granted. Neither is an amount too small for a request, which would expire unused.
+func (l *Ledger) takeGrantableRoom(h *holding, wanted float64) float64 {
 	if h.ended || !h.announced || !h.Ceiling || !(wanted > 0) {
 		return 0
 	}
-	room := min(wanted, max(0, h.ceilingRoom-h.queuedUnits()))
+	room := min(wanted, max(0, h.ceilingRoom-h.waitingUnits()))
 	if room < min(wanted, l.settings.MaxRequestUnits)-negligible {
 		return 0
 	}
@@ -106,7 +106,7 @@
 
 // encodeTransfer encodes a transfer message with the total of the tokens sent to a holder. The request number
 // is 0 for a retransmission.
-func (l *Ledger) encodeTransfer(h *holding, to holder, request uint64, room float64) []byte {
+func (l *Ledger) encodeTransfer(h *holding, to tokenHolder, request uint64, room float64) []byte {
 	m := transferMessage{reservation: h.ID, request: request, epoch: h.epoch, receiverEpoch: to.epoch,
 		room: room, left: max(0, h.free)}
 	if t := h.sent[to]; t != nil {
@@ -148,7 +148,7 @@
 // handleTransfer adds the tokens and room of a transfer message. Only the growth of the total since the last
 // message counts, so duplicate, late and lost messages do no harm.
 func (l *Ledger) handleTransfer(h *holding, from int, m transferMessage) {
-	sender := holder{from, m.epoch}
+	sender := tokenHolder{from, m.epoch}
 	p := &h.peers[from]
 	p.repliedAt, p.unanswered, p.unresponsiveUntil, p.reported = l.now.Mono, 0, 0, m.left
 	if m.request != 0 && h.outstanding[m.request] == from {
--- a/internal/reservation/transferrequest.go
+++ b/internal/reservation/transferrequest.go
@@ -61,11 +61,11 @@
 	if l.draining || l.settings.Gateways < 2 {
 		return
 	}
-	queued := h.queuedUnits()
+	waiting := h.waitingUnits()
 	outstanding := l.expireTransferRequests(h)
 	// Surplus tokens remain usable, so several peers are each asked for the whole amount. Room expires, so
 	// only one peer is asked at a time.
-	missingTokens := max(0, queued-h.drawn-h.drawing-max(0, h.free)) + max(0, -h.free)
+	missingTokens := max(0, waiting-h.drawn-h.drawing-max(0, h.free)) + max(0, -h.free)
 	if missingTokens > negligible {
 		missingTokens += min(h.demand.valueAt(l.now.Mono)*requestAhead.Seconds(),
 			h.Units/float64(l.settings.Gateways))
@@ -78,7 +78,7 @@
 		}
 		return
 	}
-	missingRoom := queued - h.room()
+	missingRoom := waiting - h.room()
 	if h.Ceiling && missingRoom > negligible && outstanding == 0 && l.now.Mono >= h.nextRoomRequestAt {
 		// A peer whose room is all in use answers at once, without any room. The delay keeps such answers
 		// from triggering the next request immediately, in a loop.
