--- a/bench/fleet.go
+++ b/bench/fleet.go
@@ -17,7 +17,7 @@
 
 const (
 	clientKey   = "bench-key" // key of the only member
-	echoServers = 4           // number of servers behind each path
+	echoServers = 4           // number of servers to which each path leads
 	// maxQueueBytes bounds the send queue of the benchmark's own connections. It is large enough that no
 	// connection is closed because its peer reads too slowly.
 	maxQueueBytes = 64 << 20
--- a/bench/receiver.go
+++ b/bench/receiver.go
@@ -12,7 +12,7 @@
 type receiver struct {
 	addr     string
 	down     atomic.Bool
-	received atomic.Int64 // bytes of request bodies
+	received atomic.Int64 // bytes of request bodies received so far
 }
 
 // startReceiver starts a receiver on a loopback port. Its goroutines end with the process.
--- a/decide/actions.go
+++ b/decide/actions.go
@@ -53,7 +53,7 @@
 func (SetTimer) action()   {}
 func (SendGossip) action() {}
 
-// RejectReason tells operators why a request was rejected. Clients need not distinguish the reasons.
+// RejectReason states for operators why a request was rejected. Clients need not distinguish the reasons.
 type RejectReason string
 
 // Reasons for rejecting a request.
--- a/decide/doc.go
+++ b/decide/doc.go
@@ -34,7 +34,7 @@
 //     if that is certain: the request may then be sent again even if it is not idempotent.
 //   - [Cancel] ends an attempt early. The attempt still ends in an AttemptEnded, usually with
 //     [OutcomeCancelled].
-//   - [Reject] and [Fail] are final answers. A Reject tells the client that it can safely send the request
+//   - [Reject] and [Fail] are final answers. A Reject states that the client can safely send the request
 //     again, so the caller must never replace a Fail by a Reject. The third kind of final answer is the
 //     response of a server, which the caller forwards and reports with [AttemptEnded.RequestDone]. Each
 //     request gets exactly one final answer, unless [ClientDisconnected] was handled first.
--- a/decide/gossip.go
+++ b/decide/gossip.go
@@ -70,7 +70,7 @@
 	return !cfg.Limits.Gossip || gossipCapacityUsed*cfg.GossipCapacity >= needed
 }
 
-// customerGossip is what gateways report to each other about a customer.
+// customerGossip holds the usage totals of a customer that this gateway and its peers report to each other.
 type customerGossip struct {
 	usedTotal float64      // units charged at this gateway; for demanded units see demand.total
 	totals    []peerTotals // totals reported by peers, by rank
--- a/decide/status.go
+++ b/decide/status.go
@@ -17,7 +17,7 @@
 	LastStall          time.Duration    // duration of the last stall of the event loop; 0 if there was none
 	Servers            []ServerStatus   // by ID
 	Customers          []CustomerStatus // in no particular order
-	Peers              []PeerStatus     // by rank; empty unless gateways exchange full gossip
+	Peers              []PeerStatus     // indexed by rank; empty unless gateways exchange full gossip
 	UnresponsiveOwners []int            // ranks of the owners that are currently not asked for grants
 }
 
--- a/decide/timers.go
+++ b/decide/timers.go
@@ -18,7 +18,7 @@
 
 // timerTable holds the timers that have not fired, except the heartbeat timer.
 type timerTable struct {
-	pending   map[uint64]timerTarget // by token
+	pending   map[uint64]timerTarget // keyed by the token of SetTimer
 	nextToken uint64
 }
 
--- a/internal/aggregate/aggregator.go
+++ b/internal/aggregate/aggregator.go
@@ -103,7 +103,7 @@
 	sequence     map[int]uint32 // number of the last report, by rank of the owner
 	refreshTurn  map[int]int    // position in the rotation of unchanged totals, by rank of the owner
 
-	owned        map[uint64]*ownedTotals // by hash of the key
+	owned        map[uint64]*ownedTotals // keyed by the hash of the key
 	incarnations map[int]incarnation     // current processes of the other gateways, by rank
 }
 
@@ -277,8 +277,9 @@
 }
 
 // mergeReport adds the growth of a gateway's totals since its previous report. The first report of an
-// incarnation is added in full if the incarnation is complete. Otherwise an earlier process of this owner has
-// summed these counts, or nobody has, and the report only serves as the baseline for later ones.
+// incarnation is added in full if the incarnation is complete. Otherwise an earlier process of this owner may
+// already have summed these counts, so the report only serves as the baseline for later ones; counts that no
+// process has summed are lost.
 func (o *ownedTotals) mergeReport(from int, inc incarnation, t Totals) {
 	last := o.reported[from]
 	switch {
--- a/internal/config/kdl/grammar.go
+++ b/internal/config/kdl/grammar.go
@@ -96,7 +96,7 @@
 	Value *value `parser:"@@"`
 }
 
-// value is a keyword, a string or a number. A number is parsed as a Word; the builder tells them apart.
+// value is a keyword, a string or a number. A number is parsed as a Word; the builder distinguishes them.
 type value struct {
 	Pos     lexer.Position
 	Type    *annotation `parser:"@@?"`
--- a/internal/frontend/http/close.go
+++ b/internal/frontend/http/close.go
@@ -98,7 +98,7 @@
 	c.unregister()
 }
 
-// disconnect tells the core that the client of the open request, if there is one, has disconnected. Because
+// disconnect informs the core that the client of the open request, if there is one, has disconnected. Because
 // the core sends no response to such a request, its X-Txn is released here.
 func (c *conn) disconnect() {
 	s := c.server
--- a/internal/gateway/attempts.go
+++ b/internal/gateway/attempts.go
@@ -20,8 +20,8 @@
 	Abandon(*upstream.Call) upstream.AbandonResult
 }
 
-// minAttemptTimeout is the shortest remaining time that can be passed on to a server, which is told whole
-// milliseconds. An attempt with less time left is not written to its connection.
+// minAttemptTimeout is the shortest remaining time that can be passed on to a server, because calls state it
+// in whole milliseconds. An attempt with less time left is not written to its connection.
 const minAttemptTimeout = time.Millisecond
 
 // outcomeNames maps the outcomes of attempts to their names in logs, metrics, traces and the state.
@@ -97,7 +97,7 @@
 
 // newCall returns the upstream call of an attempt. Connecting takes time, so two things are determined only
 // when the call is written to its connection: whether it may still be sent and, if the front end encodes
-// attempts itself, the remaining time that the server is told. writeBefore is the time by which the call must
+// attempts itself, the remaining time that the call states. writeBefore is the time by which the call must
 // be written; 0 means no bound.
 func (l *Loop) newCall(a *attempt, timeLeft, writeBefore time.Duration) *upstream.Call {
 	r := a.request
--- a/internal/gateway/quotaplans.go
+++ b/internal/gateway/quotaplans.go
@@ -28,14 +28,14 @@
 
 	replicaTickAt      quotaplan.Instant
 	reservationsTickAt quotaplan.Instant
-	replies            map[uint64]func(quotaplan.Reply) // by token
+	replies            map[uint64]func(quotaplan.Reply) // keyed by token of the submitted change
 	lastToken          uint64
 	// handedOver is closed once other gateways have taken all reserved units of this one. It is nil unless
 	// the gateway is draining and still has such units.
 	handedOver chan struct{}
 
 	log              *wal.Log        // nil if nothing is persisted
-	pending          []pendingRecord // in the order of their numbers
+	pending          []pendingRecord // in ascending order of record numbers
 	lastRecord       uint64
 	snapshotAt       uint64 // lastRecord at the time of the last snapshot
 	firstUnpersisted uint64 // first reservation state that the log rejected; 0 if none
--- a/internal/gossip/plain/plain.go
+++ b/internal/gossip/plain/plain.go
@@ -34,7 +34,7 @@
 	Counters
 	conn  *net.UDPConn
 	rank  int
-	peers []netip.AddrPort       // by rank
+	peers []netip.AddrPort       // indexed by rank
 	ranks map[netip.AddrPort]int // keyed by the addresses in peers
 	limit rateLimit              // used only by Serve
 }
--- a/internal/gossip/transport.go
+++ b/internal/gossip/transport.go
@@ -62,7 +62,7 @@
 	hash      credentials.Hasher
 	fleet     [8]byte    // first bytes of the hash of the fleet's name
 	epoch     uint64     // start of this incarnation, Unix time in nanoseconds
-	peerAddrs []net.Addr // by rank
+	peerAddrs []net.Addr // indexed by rank
 
 	mu        sync.Mutex
 	sequences []uint64 // last sequence number sent to each peer, by rank; guarded by mu
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -10,8 +10,8 @@
 
 // Body lengths with a special meaning. All other lengths are numbers of bytes.
 const (
-	chunkedLength = -1 // the body is chunked
-	untilClose    = -2 // the body ends when the connection is closed
+	chunkedLength = -1 // content length of a chunked body
+	untilClose    = -2 // content length of a body that ends when the connection is closed
 	// unlimitedLength is the limit for the length of streamed bodies. Longer parsed lengths are reduced to
 	// it, so that further digits cannot overflow an int.
 	unlimitedLength = 1 << 40
--- a/internal/invariant/executions.go
+++ b/internal/invariant/executions.go
@@ -23,7 +23,7 @@
 // executions holds the attempts that servers received and what the servers did with them.
 type executions struct {
 	classes      map[string]decide.Class
-	attempts     map[string][]*attempt // by request, in the order of arrival
+	attempts     map[string][]*attempt // keyed by request, each list in the order of arrival
 	runsByKey    map[string][]Record   // records of kind WorkStarted, by idempotency key
 	runsByCallID map[string][]Record   // records of kind WorkStarted, by the client's ID of the call
 	rejected     map[attemptKey]bool   // attempts that a server rejected without effect
--- a/internal/invariant/outages.go
+++ b/internal/invariant/outages.go
@@ -15,7 +15,7 @@
 // collectOutages collects the outages of all gateways and the stalls of the harness. An outage without a
 // record of its end has the largest possible end time.
 func (c *checker) collectOutages() {
-	ongoing := map[int]outage{} // by gateway
+	ongoing := map[int]outage{} // keyed by gateway
 	for _, r := range c.records {
 		if r.Kind == HarnessStalled {
 			c.harnessStalls = append(c.harnessStalls, r)
--- a/internal/invariant/usage.go
+++ b/internal/invariant/usage.go
@@ -75,8 +75,8 @@
 //     answered or marked as estimated with the units that the attempt was sent with.
 //   - An attempt that a server rejected is not exported, unless the gateway never received the rejection.
 //   - The events of each source are numbered from 1 without a gap.
-//   - An attempt is exported as left behind by an ended incarnation only if the gateway of its request was
-//     killed. gatewayKilled reports whether it was.
+//   - An attempt is exported as left unsettled by an ended incarnation only if the gateway of its request
+//     was killed. gatewayKilled reports whether it was.
 func CheckUsage(records []Record, events []UsageEvent, gatewayKilled func(request string) bool) UsageResult {
 	u := &usageChecker{
 		observed:      observeAttempts(records),
--- a/internal/metrics/collector.go
+++ b/internal/metrics/collector.go
@@ -194,7 +194,7 @@
 
 // fleetTotals emits the totals of the fleet. It first adds up the members that share a label, because a
 // series may be emitted only once. Two gateways sum the total of the same class or member. The label replica
-// tells their series apart: it is 0 at the first of the two and 1 at the second.
+// distinguishes their series: it is 0 at the first of the two and 1 at the second.
 func (c *stateCollector) fleetTotals(s sink, fleetTotals []aggregate.FleetTotal) {
 	type labels struct{ kind, name, replica string }
 	totals := map[labels]aggregate.Totals{}
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -40,7 +40,7 @@
 	Sockets  int     // file descriptors
 
 	PeerListen string   // host:port for gossip; used only if there is gossip
-	Peers      []string // gossip addresses of all gateways including this one, by rank
+	Peers      []string // gossip addresses of all gateways including this one, indexed by rank
 
 	LastKnown        discoveryhttp.List // endpoint list when the file was written; may be long out of date
 	Decide           decide.Config
--- a/internal/quotaplan/admission.go
+++ b/internal/quotaplan/admission.go
@@ -79,7 +79,7 @@
 }
 
 // checkCapacity checks that a reservation fits into the member's plan and into the capacity of the fleet. The
-// error tells how much is free.
+// error states how much is free.
 func (r *Replica) checkCapacity(c *Change, p decide.Plan) *Error {
 	if p.Rate > 0 {
 		if err := r.checkPlanRate(c, p); err != nil {
--- a/internal/quotaplan/changeset.go
+++ b/internal/quotaplan/changeset.go
@@ -9,7 +9,7 @@
 type changeSet struct {
 	ordered []*Change // in the order of Change.before
 	byHash  map[uint64]*Change
-	hashes  []uint64 // ascending
+	hashes  []uint64 // in ascending order
 }
 
 // add adds a change. It returns false if the set already contains it.
--- a/internal/quotaplan/effective.go
+++ b/internal/quotaplan/effective.go
@@ -19,7 +19,7 @@
 
 // derived is the state that is computed from the set of changes. It is recomputed whenever the set has grown.
 type derived struct {
-	byNumber    map[uint64]*Change // by number; of changes with the same number, the one that counts
+	byNumber    map[uint64]*Change // keyed by number; of changes with the same number, the one that counts
 	voidReasons map[*Change]string // why a change does not count
 	cancelledBy map[uint64]uint64  // number of the cancelling change, by number of the cancelled one
 	shortenedTo map[uint64]float64 // current units of a shortened reservation, by number
--- a/internal/quotaplan/history.go
+++ b/internal/quotaplan/history.go
@@ -12,7 +12,7 @@
 	Replaced  Status = "replaced"  // superseded by another change
 	Ended     Status = "ended"     // the window of the reservation has passed
 	Cancelled Status = "cancelled" // cancelled by another change
-	Void      Status = "void"      // the change does not count; Entry.Reason tells why
+	Void      Status = "void"      // the change does not count; Entry.Reason states why
 	Done      Status = "done"      // a Cancel or Shorten change, which takes effect at once
 )
 
--- a/internal/quotaplan/replica.go
+++ b/internal/quotaplan/replica.go
@@ -43,14 +43,14 @@
 	random    *rand.Rand
 	plans     map[string]decide.Plan // plans of the settings, by name
 	planNames []string               // names of the plans, in the order of the settings
-	members   map[string]Member      // by name
+	members   map[string]Member      // keyed by name
 
 	now     Instant
 	actions []Action // actions of the event being handled
 
 	set       changeSet
 	own       map[uint64]bool          // hashes of the changes that this gateway accepted
-	pending   map[uint64]pendingSubmit // by number of the change
+	pending   map[uint64]pendingSubmit // keyed by number of the change
 	lastStamp int64                    // highest known stamp
 
 	derived   derived
--- a/internal/quotaplan/validate.go
+++ b/internal/quotaplan/validate.go
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// FieldError describes an invalid field of a plan. Field is its name in the settings; Text tells which values
-// are valid.
+// FieldError describes an invalid field of a plan. Field is its name in the settings; Text states which
+// values are valid.
 type FieldError struct{ Field, Text string }
 
 // CheckPlan checks that the rates and bursts of a plan are consistent. It returns an error for each
--- a/internal/recording/replay.go
+++ b/internal/recording/replay.go
@@ -34,7 +34,7 @@
 
 // Replay replays a recording into a new core. It stops at the first record whose actions differ and returns a
 // *MismatchError. A truncated or damaged recording is not an error: its intact part is replayed and
-// ReplayResult.Truncated tells where it ends.
+// ReplayResult.Truncated states where that part ends.
 func Replay(in io.Reader) (ReplayResult, error) {
 	result := ReplayResult{ByKind: map[string]int{}}
 	reader, err := NewReader(in)
--- a/internal/remotewrite/queue/queue.go
+++ b/internal/remotewrite/queue/queue.go
@@ -68,7 +68,7 @@
 type Queue struct {
 	settings Settings
 	random   *rand.Rand
-	items    []Item // the oldest first
+	items    []Item // ordered from the oldest to the newest
 	bytes    int    // sum of Item.Bytes over items
 	inFlight int    // number of items, at the front, that are being sent
 
--- a/internal/remotewrite/series.go
+++ b/internal/remotewrite/series.go
@@ -46,7 +46,7 @@
 // staleBits is the bit pattern of a Prometheus stale marker, a special NaN.
 const staleBits = 0x7ff0000000000002
 
-// staleNaN is the value of a stale marker, which tells the receiver that the series has ended.
+// staleNaN is the value of a stale marker, which informs the receiver that the series has ended.
 var staleNaN = math.Float64frombits(staleBits)
 
 // IsStale reports whether v is the value of a stale marker. Other NaN values are not stale markers.
--- a/internal/remotewrite/writer.go
+++ b/internal/remotewrite/writer.go
@@ -148,7 +148,7 @@
 
 // gather enqueues a sample of each series and, in the last gathering, a stale marker after it. Timestamps
 // always increase because a receiver rejects samples that are older than the previous one: while the wall
-// clock is behind the last timestamp, each gathering adds one millisecond to it.
+// clock is not later than the last timestamp, each gathering adds one millisecond to it.
 func (w *Writer) gather(last bool) {
 	families, err := w.options.Gatherer.Gather()
 	if err != nil {
--- a/internal/reservation/events.go
+++ b/internal/reservation/events.go
@@ -104,7 +104,7 @@
 func (ReturnUnits) action()  {}
 func (ScheduleTick) action() {}
 
-// Reason tells clients and metrics why a request was rejected.
+// Reason states to clients and in metrics why a request was rejected.
 type Reason string
 
 // Reasons for a rejection.
--- a/internal/reservation/holding.go
+++ b/internal/reservation/holding.go
@@ -25,8 +25,8 @@
 	retryInterval       time.Duration // the total is retransmitted this long after sentAt
 }
 
-// peerTokens is what this gateway knows about the tokens of a reservation at another gateway. Times are on
-// the monotonic clock.
+// peerTokens records what a peer has reported about its tokens of a reservation, and the requests sent to it.
+// Times are on the monotonic clock.
 type peerTokens struct {
 	requestedAt       time.Duration // time of the outstanding transfer request; 0: none
 	unanswered        int           // consecutive requests without an answer
@@ -68,7 +68,7 @@
 	drawn    float64 // spendable tokens; negative: requests used more units than they were admitted with
 	drawing  float64 // tokens whose draw is being persisted
 	queue    []waitingRequest
-	inFlight map[string]float64 // units of admitted requests, by request ID
+	inFlight map[string]float64 // units of admitted requests, keyed by request ID
 	demand   decayingRate       // units of the requests that arrived here, per second
 
 	ceilingRoom       float64 // room under this gateway's share of the ceiling, as of ceilingRoomAt
@@ -76,8 +76,8 @@
 	roomGrants        []roomGrant
 	nextRoomRequestAt time.Duration
 
-	peers               []peerTokens   // by rank
-	outstanding         map[uint64]int // rank of the peer asked, by number of the transfer request
+	peers               []peerTokens   // indexed by rank
+	outstanding         map[uint64]int // rank of the peer asked, keyed by number of the transfer request
 	lastTransferRequest uint64         // number of the last transfer request
 	offeredAt           time.Duration  // time of the last offer while draining
 	offerTurn           int            // position in the rotation of gateways that get an offer
--- a/internal/reservation/ledger.go
+++ b/internal/reservation/ledger.go
@@ -38,9 +38,9 @@
 	now      quotaplan.Instant
 	actions  []Action // actions of the event being handled
 
-	holdings map[uint64]*holding // by reservation ID
+	holdings map[uint64]*holding // keyed by reservation ID
 	byEnd    []*holding          // announced reservations, ordered by the end of the window, then by ID
-	requests map[string]*holding // holding of each waiting or in-flight request, by request ID
+	requests map[string]*holding // holding of each waiting or in-flight request, keyed by request ID
 	draining bool
 
 	lastState      uint64 // number of the last Persist
--- a/internal/reservation/ledger_test.go
+++ b/internal/reservation/ledger_test.go
@@ -11,11 +11,11 @@
 	"winghatch/internal/quotaplan"
 )
 
-// A token that exists twice lets a member use more units than it reserved, which nobody notices until the
-// bill. The test kills gateways with and without their disks, and stalls, partitions and drains them while
-// they spend tokens. Used and returned units together must not exceed the reservation. To show that the
-// simulation can find such faults, the test also plants two of them: a disk that loses writes that it
-// confirmed, and tokens that are minted twice.
+// A token that exists twice lets a member use more units than it reserved, which goes unnoticed until the
+// member is billed. The test kills gateways with and without their disks, and stalls, partitions and drains
+// them while they spend tokens. Used and returned units together must not exceed the reservation. To show
+// that the simulation can find such faults, the test also plants two of them: a disk that loses writes that
+// it confirmed, and tokens that are minted twice.
 func TestUnitsAreNeverSpentTwice(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		if s := checkConservation(rt, false, false); s != "" {
--- a/internal/reservation/persistence.go
+++ b/internal/reservation/persistence.go
@@ -11,7 +11,7 @@
 )
 
 // maxDeferred is the number of deferred effects at which further messages are dropped instead of deferred.
-// Nothing is lost for good: totals are retransmitted, and peers repeat requests that were not answered.
+// No tokens are lost: totals are retransmitted, and peers repeat requests that were not answered.
 const maxDeferred = 4096
 
 // Stored form of a state.
--- a/internal/reservation/transfer.go
+++ b/internal/reservation/transfer.go
@@ -44,7 +44,7 @@
 }
 
 // handleTransferRequest sends a peer the tokens and room that this gateway can spare. It always answers: an
-// answer without tokens and room tells the peer that there is nothing to spare.
+// answer without tokens and room informs the peer that there is nothing to spare.
 func (l *Ledger) handleTransferRequest(h *holding, from int, m requestMessage) {
 	if !l.draining && h.announced && !h.ended {
 		l.refillRoom(h)
@@ -66,8 +66,8 @@
 	}
 	t.total += tokens
 	t.sentAt, t.retryInterval = l.now.Mono, minRetransmitInterval
-	// A draining gateway requests nothing, so no answers tell it what its peers have. It records what it sent
-	// to them, so that it can name the largest holder to others.
+	// A draining gateway requests nothing, so it receives no answers that state what its peers have. It
+	// records what it sent to them, so that it can name the largest holder to others.
 	if p := &h.peers[from]; l.draining {
 		p.reported, p.repliedAt = p.reported+tokens, l.now.Mono
 	}
--- a/internal/scenario/gatewayfaults.go
+++ b/internal/scenario/gatewayfaults.go
@@ -55,7 +55,7 @@
 }
 
 // markGatewayKilled records that a gateway is killed in this run. Attempts may then be exported as left
-// behind by an ended incarnation, with estimated units, because a killed gateway does not learn what its
+// unsettled by an ended incarnation, with estimated units, because a killed gateway does not learn what its
 // attempts cost.
 func (r *runner) markGatewayKilled() {
 	r.mu.Lock()
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -71,7 +71,7 @@
 	rng           *rand.Rand
 	discovery     *discovery.Server
 	servers       []*serverSlot
-	dedupStores   map[string]*backend.DedupStore // by name of the group of servers that share a store
+	dedupStores   map[string]*backend.DedupStore // keyed by the group of servers that share a store
 	recordings    []string                       // paths of the recordings, one for each gateway process
 	gatewayKilled bool                           // whether any gateway was ended by SIGKILL
 	kills         int                            // number of kills by the fault kill_storm
--- a/internal/scenario/run_test.go
+++ b/internal/scenario/run_test.go
@@ -226,7 +226,7 @@
 		t.Run(defect, func(t *testing.T) {
 			t.Parallel()
 			res := runScript(t, c.script, defect)
-			violations := map[int]int{} // by rule
+			violations := map[int]int{} // number of violations, keyed by rule
 			for _, v := range res.Verdict.Violations {
 				violations[v.Rule]++
 			}
--- a/internal/testbed/backend/meter.go
+++ b/internal/testbed/backend/meter.go
@@ -50,7 +50,7 @@
 }
 
 // report returns 1 + the usage of the last complete period in percent of the customer's rate, or 0 if the
-// customer has no rate. The 1 tells a usage of 0 from no report.
+// customer has no rate. The added 1 distinguishes a usage of 0 from no report.
 func (m *UsageMeter) report(customer string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/testbed/client/client.go
+++ b/internal/testbed/client/client.go
@@ -87,7 +87,7 @@
 	rng        *rand.Rand
 	fault      Fault
 	stats      Stats
-	sessions   map[string]*session // by member and gateway
+	sessions   map[string]*session // keyed by member and gateway
 	lastNumber int                 // last number given to a request or session
 }
 
@@ -131,7 +131,7 @@
 }
 
 // Run sends requests until the context ends, then waits for the requests in progress. The times between
-// requests are random and do not depend on responses. If the process falls behind, it sends the due requests
+// requests are random and do not depend on responses. If the process is delayed, it sends the due requests
 // late instead of skipping them.
 func (c *Client) Run(ctx context.Context) {
 	defer c.wg.Wait()
--- a/internal/upstream/call.go
+++ b/internal/upstream/call.go
@@ -54,8 +54,8 @@
 
 	// Cancelled reports whether the call must no longer be sent because its client has disconnected or its
 	// deadline or deduplication window has passed. Transports ask it immediately before the write: a call
-	// that waited for its connection, or behind a full send buffer, would otherwise be written long after the
-	// decision to send it. Nil means that the call is never cancelled.
+	// that waited for its connection or for space in the send buffer would otherwise be written long after
+	// the decision to send it. Nil means that the call is never cancelled.
 	Cancelled func() bool
 	// BuildParams returns the content to send in place of Params. It is called at the time of the write, so
 	// that the remaining time that the content states is correct then. Nil means that Params is sent.
@@ -69,7 +69,7 @@
 	state atomic.Int32
 }
 
-// AbandonResult tells whether an abandoned call may have run.
+// AbandonResult states whether an abandoned call may have run.
 type AbandonResult int
 
 // The results of Abandon.
--- a/internal/upstream/http/pool.go
+++ b/internal/upstream/http/pool.go
@@ -1,7 +1,7 @@
 // Package http implements a pool of HTTP/1.1 connections that sends attempts to servers.
 //
 // A connection carries one attempt at a time. The package never sends an attempt again, because the server
-// may be unable to recognise a repetition. The outcome of an attempt tells whether it may have run:
+// may be unable to recognise a repetition. The outcome of an attempt states whether it may have run:
 //
 //   - OutcomeOK: a complete response with status 200 was received.
 //   - OutcomeRejected: the server marked the response as rejected before execution.
--- a/internal/upstream/websocket/message.go
+++ b/internal/upstream/websocket/message.go
@@ -10,7 +10,7 @@
 	"winghatch/internal/upstream"
 )
 
-// cancelMessage returns the notification that tells a server that a call was abandoned. The server may drop
+// cancelMessage returns the notification that informs a server that a call was abandoned. The server may drop
 // the call while it is queued; a response that arrives nevertheless is counted as late.
 func cancelMessage(id uint64) []byte {
 	params := `{"id":` + strconv.FormatUint(id, 10) + `}`
--- a/internal/usage/outbox/model_test.go
+++ b/internal/usage/outbox/model_test.go
@@ -19,7 +19,7 @@
 	lostIntent                      // an attempt is sent without its intent in the log
 )
 
-// coverage tells whether the intent of an attempt was in the log when the attempt was sent.
+// coverage states whether the intent of an attempt was in the log when the attempt was sent.
 type coverage int
 
 const (
--- a/internal/usage/outbox/outbox.go
+++ b/internal/usage/outbox/outbox.go
@@ -168,7 +168,7 @@
 func (o *Outbox) Unsettled() int { return len(o.attempts) }
 
 // RejectsRequests reports whether requests should be rejected immediately, because all their attempts would
-// be denied. logHasSpace tells whether the log has space for another intent.
+// be denied. logHasSpace reports whether the log has space for another intent.
 func (o *Outbox) RejectsRequests(logHasSpace bool) bool {
 	return (o.logFailure != "" || !logHasSpace) && o.settings.Policy == PolicyReject
 }
--- a/internal/usage/sender/sender.go
+++ b/internal/usage/sender/sender.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// NotifyRecords tells the sender that records have become durable. It never blocks.
+// NotifyRecords notifies the sender that records have become durable. It never blocks.
 func (s *Sender) NotifyRecords() {
 	select {
 	case s.wake <- struct{}{}:
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -29,8 +29,8 @@
 	return append(dst, payload...)
 }
 
-// parseRecord decodes the record at the start of b and returns its encoded size in bytes. ok tells whether
-// there is a valid record; more tells that b is too short to decide this.
+// parseRecord decodes the record at the start of b and returns its encoded size in bytes. ok reports whether
+// there is a valid record; more reports whether b is too short to decide this.
 func parseRecord(b []byte) (r Record, size int, more, ok bool) {
 	if len(b) < recordHeaderBytes {
 		return r, 0, true, false
--- a/internal/wal/writer.go
+++ b/internal/wal/writer.go
@@ -64,8 +64,8 @@
 }
 
 // groupCommit writes all pending records with a single write and syncs if the mode or a size limit requires
-// it. It starts a new segment if the current one is full. intervalElapsed tells that the sync interval has
-// elapsed.
+// it. It starts a new segment if the current one is full. intervalElapsed reports whether the sync interval
+// has elapsed.
 func (l *Log) groupCommit(intervalElapsed bool) {
 	w := &l.writer
 	l.mu.Lock()
