--- a/decide/grantcodec.go
+++ b/decide/grantcodec.go
@@ -8,14 +8,14 @@
 // A grant message is text: a header, the values of its kind and, optionally, a dot followed by observations.
 // The format is fixed, because gateways that run different versions of this program exchange grant messages.
 const (
-	grantHeaderLength = 12   // digits: kind 1, customer 6, plan 1, number 2, load 2
+	grantHeaderLength = 12   // in digits: 1 for the kind, 6 customer, 1 plan, 2 number, 2 load
 	maxGrantNumber    = 4095 // grant requests are numbered from 1 to this
 	responseRateSteps = 4    // steps per response per second in the header
 	valueSteps        = 16   // steps per unit in a value; a value has 2 digits
 	encodedZero       = 2048 // encoded form of 0, because values may be negative
 	maxEncodedValue   = 4095 // largest encoded value
 
-	observationLength = 4         // digits: server 3, class and level 1
+	observationLength = 4         // in digits: 3 for the server, 1 for class and level together
 	shortIDMask       = 1<<18 - 1 // bits of the hash of a server's ID that are sent
 	maxObservedClass  = 7         // largest class index that an observation can encode
 	// failedLevel is the level that encodes a failure. The levels below it are doublings of
--- a/internal/frontend/websocket/clockskew.go
+++ b/internal/frontend/websocket/clockskew.go
@@ -9,7 +9,7 @@
 // times a client sends.
 const maxAgeMs = 60_000
 
-// clockSkew estimates the age of each call of a session at the time when the gateway reads it. Calls age
+// clockSkew estimates the age of each call of a session at the time when the gateway reads it. A call waits
 // unread while the gateway is suspended or the network is slow. The estimate uses the client's clock, whose
 // origin is unknown, so the call that arrived fastest counts as having age 0. If the client's clock steps
 // back, the estimate starts over.
--- a/internal/gateway/tracing.go
+++ b/internal/gateway/tracing.go
@@ -11,8 +11,8 @@
 	"winghatch/internal/tracing"
 )
 
-// tracerStream is the stream of the tracer's random numbers, which separates them from others drawn with the
-// same seed.
+// tracerStream selects the stream of random numbers of the tracer, so that it differs from other streams with
+// the same seed.
 const tracerStream = 7
 
 // requestTracer generates span IDs and decides at the end of a request whether its trace is exported. It is
--- a/internal/gateway/usage.go
+++ b/internal/gateway/usage.go
@@ -19,8 +19,8 @@
 	// outboxSnapshotInterval is the number of records by which the outbox log grows before a snapshot
 	// replaces them.
 	outboxSnapshotInterval = 50000
-	// settlementReserve and settlementReservePerAttempt are the bytes below the bound of the log that are
-	// kept free for the settlements of attempts in flight.
+	// settlementReserve and settlementReservePerAttempt are bytes of the log's maximum size that intents must
+	// not use, so that the settlements of attempts in flight still fit: a fixed part and a part per attempt.
 	settlementReserve           = 512 << 10
 	settlementReservePerAttempt = 1 << 10
 )
@@ -35,7 +35,7 @@
 	sender    *sender.Sender
 	wallClock func() int64 // nanoseconds of Unix time
 	logger    *slog.Logger
-	maxBytes  int64 // bound on the size of the log
+	maxBytes  int64 // maximum size of the log in bytes; see hasRoom
 
 	attempts map[outbox.AttemptID]*attempt // attempts that are not settled
 	lastID   outbox.AttemptID
@@ -48,8 +48,8 @@
 	closed           bool
 
 	// Damage found when the log was opened, for operators.
-	gaps      int
-	tornBytes int64
+	gaps      int   // number of ranges of missing records
+	tornBytes int64 // bytes at the end of the log that do not form a valid record
 }
 
 // openUsageOutbox restores the outbox of a loop from its log.
@@ -76,7 +76,7 @@
 	return u, nil
 }
 
-// run sends usage to the receiver until ctx ends. It is the delivery worker.
+// run runs the delivery worker, which sends usage to the receiver, until ctx ends.
 func (u *usageOutbox) run(ctx context.Context) { u.sender.Run(ctx) }
 
 // hasRoom reports whether the log has room for another intent in addition to the settlements of the attempts
@@ -205,9 +205,9 @@
 
 // snapshotDone takes another snapshot if the log is still more than half full, for two reasons. First, more
 // records may have been acknowledged in the meantime; if the receiver has everything, no further
-// acknowledgement arrives to trigger a snapshot. Second, the log keeps the records that the last snapshot but
-// one needs, in case the last one is damaged; a second snapshot of the same state frees them. Without this a
-// gateway could reject requests forever although the receiver has everything.
+// acknowledgement arrives to trigger a snapshot. Second, the log keeps the records that the second-to-last
+// snapshot needs, in case the last one is damaged; another snapshot of the same state frees them. Without
+// this, a gateway could reject requests forever although the receiver has everything.
 func (u *usageOutbox) snapshotDone(err error) {
 	if err != nil {
 		u.logger.Error("Failed to write snapshot of outbox log", "err", err)
--- a/internal/testbed/usagereceiver/store.go
+++ b/internal/testbed/usagereceiver/store.go
@@ -26,7 +26,7 @@
 }
 
 // openStore loads the events of a file, or creates the file. It truncates the file at the first incomplete
-// line, which a crash leaves behind: the batch of that line was not acknowledged, so the sender sends it
+// line. A crash during a write leaves such a line: its batch was not acknowledged, so the sender sends it
 // again.
 func openStore(name string) (s *store, duplicates int, err error) {
 	file, err := os.OpenFile(name, os.O_CREATE|os.O_RDWR, 0o600)
--- a/internal/upstream/http/attempt_test.go
+++ b/internal/upstream/http/attempt_test.go
@@ -82,7 +82,7 @@
 
 // Guards against writing an attempt that was cancelled while it waited for its connection. If its
 // deduplication window has passed, the server could run a repeated request a second time; if its deadline has
-// passed or its client has disconnected, the server would work in vain.
+// passed or its client has disconnected, the server would do work whose result is discarded.
 func TestCancelledAttemptIsNotWritten(t *testing.T) {
 	addr, open := slowListener(t)
 	p := newPool(t, Options{DialTimeout: time.Minute}, Server{ID: "a", Addr: addr})
