--- a/internal/reservation/holding.go
+++ b/internal/reservation/holding.go
@@ -9,9 +9,9 @@
 	"winghatch/internal/quotaplan"
 )
 
-// holder identifies the tokens of a reservation at one gateway in one epoch. A gateway that lost its disk
-// starts a new epoch and is then a different holder: tokens sent to the previous holder are lost.
-type holder struct {
+// tokenHolder identifies the tokens of a reservation at one gateway in one epoch. A gateway that lost its
+// disk starts a new epoch and is then a different holder: tokens sent to the previous holder are lost.
+type tokenHolder struct {
 	rank  int
 	epoch uint64
 }
@@ -25,8 +25,8 @@
 	retryInterval       time.Duration // the total is retransmitted this long after sentAt
 }
 
-// peerTokens is what this gateway knows about the tokens of a reservation at another gateway. Times are on
-// the monotonic clock.
+// peerTokens records what a peer has reported about its tokens of a reservation, and the requests sent to it.
+// Times are on the monotonic clock.
 type peerTokens struct {
 	requestedAt       time.Duration // time of the outstanding transfer request; 0: none
 	unanswered        int           // consecutive requests without an answer
@@ -57,18 +57,18 @@
 
 	// Persisted state.
 	epoch    uint64
-	minted   bool    // this gateway minted the tokens
-	ended    bool    // the window has passed, or the reservation was cancelled
-	removed  float64 // units removed by resizes, over all gateways; free is already reduced
-	free     float64 // tokens that are not drawn; negative: owed after a resize
-	sent     map[holder]*transfer
-	received map[holder]float64 // total received from each holder
+	minted   bool                      // this gateway minted the tokens
+	ended    bool                      // the window has passed, or the reservation was cancelled
+	removed  float64                   // units removed by resizes, over all gateways; free is already reduced
+	free     float64                   // tokens that are not drawn; negative: owed after a resize
+	sent     map[tokenHolder]*transfer // tokens sent to each holder
+	received map[tokenHolder]float64   // total of the tokens received from each holder
 
 	// State of this process, not persisted.
 	drawn    float64 // spendable tokens; negative: requests used more units than they were admitted with
 	drawing  float64 // tokens whose draw is being persisted
 	queue    []waitingRequest
-	inFlight map[string]float64 // units of admitted requests, by request ID
+	inFlight map[string]float64 // units of admitted requests, keyed by request ID
 	demand   decayingRate       // units of the requests that arrived here, per second
 
 	ceilingRoom       float64 // room under this gateway's share of the ceiling, as of ceilingRoomAt
@@ -76,8 +76,8 @@
 	roomGrants        []roomGrant
 	nextRoomRequestAt time.Duration
 
-	peers               []peerTokens   // by rank
-	outstanding         map[uint64]int // rank of the peer asked, by number of the transfer request
+	peers               []peerTokens   // indexed by rank
+	outstanding         map[uint64]int // rank of the peer asked, keyed by number of the transfer request
 	lastTransferRequest uint64         // number of the last transfer request
 	offeredAt           time.Duration  // time of the last offer while draining
 	offerTurn           int            // position in the rotation of gateways that get an offer
@@ -93,8 +93,8 @@
 	if h == nil {
 		h = &holding{
 			epoch:       l.settings.Epoch,
-			sent:        map[holder]*transfer{},
-			received:    map[holder]float64{},
+			sent:        map[tokenHolder]*transfer{},
+			received:    map[tokenHolder]float64{},
 			inFlight:    map[string]float64{},
 			peers:       make([]peerTokens, l.settings.Gateways),
 			outstanding: map[uint64]int{},
